--- a/crates/fellows/src/members.rs
+++ b/crates/fellows/src/members.rs
@@ -35,6 +35,18 @@
     Left,
 }
 
+impl Standing {
+    /// The name that commands and the log print.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Alive => "alive",
+            Self::Suspected => "suspected",
+            Self::Gone => "gone",
+            Self::Left => "left",
+        }
+    }
+}
+
 /// What has become of a router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
--- a/crates/fellows/src/straggler.rs
+++ b/crates/fellows/src/straggler.rs
@@ -34,6 +34,16 @@
     Blind,
 }
 
+impl Why {
+    /// The name that commands print.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Behind => "behind",
+            Self::Blind => "blind",
+        }
+    }
+}
+
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum State {
     Well,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -931,7 +931,7 @@
     fn shown(&self, now: Ms) -> ConnLine {
         let (out, serving) = self.session.open_streams();
         ConnLine {
-            feel: format!("{:?}", self.session.pulse.feel(now)).to_lowercase(),
+            feel: self.session.pulse.feel(now).name().to_string(),
             trip: self.session.pulse.trip(),
             phi: self.session.pulse.phi(now),
             out: out as u64,
--- a/crates/gateway/src/pulse.rs
+++ b/crates/gateway/src/pulse.rs
@@ -57,6 +57,18 @@
     Silent,
 }
 
+impl Feel {
+    /// The name that commands print.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Well => "well",
+            Self::Slow => "slow",
+            Self::HalfOpen => "halfopen",
+            Self::Silent => "silent",
+        }
+    }
+}
+
 #[derive(Debug, Clone)]
 pub struct Pulse {
     rule: PulseRule,
--- a/crates/hierarchy/src/shape.rs
+++ b/crates/hierarchy/src/shape.rs
@@ -25,6 +25,17 @@
     Origin,
 }
 
+impl Role {
+    /// The name that commands print.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Cache => "cache",
+            Self::Parent => "parent",
+            Self::Origin => "origin",
+        }
+    }
+}
+
 /// One node.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Node {
--- a/crates/hierarchy/src/stages.rs
+++ b/crates/hierarchy/src/stages.rs
@@ -102,6 +102,21 @@
     RolledBack(Harm),
 }
 
+impl Stage {
+    /// The name that commands print.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Planned => "planned",
+            Self::Announced => "announced",
+            Self::Warming => "warming",
+            Self::Settled => "settled",
+            Self::RolledBack(Harm::Late) => "rolledback(late)",
+            Self::RolledBack(Harm::Lost) => "rolledback(lost)",
+            Self::RolledBack(Harm::Asked) => "rolledback(asked)",
+        }
+    }
+}
+
 /// The going over of children to a new source, as one batch had it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MoveId {
--- a/crates/lab/src/scale/fit.rs
+++ b/crates/lab/src/scale/fit.rs
@@ -32,6 +32,19 @@
     Unclear,
 }
 
+impl Growth {
+    /// The name that pages print.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Flat => "flat",
+            Self::Sublinear => "sublinear",
+            Self::Linear => "linear",
+            Self::Superlinear => "superlinear",
+            Self::Unclear => "unclear",
+        }
+    }
+}
+
 /// Both fits of one measure: `y = at_zero + slope * x`, and `ln y = at_zero + slope * ln x`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
--- a/crates/lab/src/scale/page.rs
+++ b/crates/lab/src/scale/page.rs
@@ -118,7 +118,7 @@
             slope.unit,
             short(fit.line.low),
             short(fit.line.high),
-            format!("{:?}", fit.growth()).to_lowercase(),
+            fit.growth().name(),
             slope.run,
         );
     }
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -461,7 +461,7 @@
     let straggler = if line.straggler { ", A STRAGGLER: what it says does not count" } else { "" };
     let differs =
         if differs.is_empty() { String::new() } else { format!("; differs: {}", differs.join(", ")) };
-    let standing = format!("{:?}", line.standing).to_lowercase();
+    let standing = line.standing.name();
     format!(
         "{} {standing}, {} links, build {}, hierarchy {} ({:08x}), journal {}, {} drains, {} purges, start {}{straggler}{differs}\n",
         line.name,
@@ -490,11 +490,7 @@
         None | Some(State::Well) => {}
         Some(State::Late(_)) => out += "LATE: it is below the floor, and has time to catch up\n",
         Some(State::Out(why)) => {
-            out += &format!(
-                "SHUT OUT ({}): {} were not done\n",
-                format!("{why:?}").to_lowercase(),
-                shown.shut_out
-            )
+            out += &format!("SHUT OUT ({}): {} were not done\n", why.name(), shown.shut_out)
         }
         Some(State::Returning(_)) => out += "coming back\n",
     }
@@ -671,7 +667,7 @@
 
 fn nodes_text(nodes: &[NodeSpec]) -> String {
     let line = |node: &NodeSpec| {
-        let role = format!("{:?}", node.role).to_lowercase();
+        let role = node.role.name();
         let retiring = if node.retiring { " retiring" } else { "" };
         format!(
             "{} {role} tier {} at {}{retiring}: {}\n",
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -102,6 +102,23 @@
     Cancelled,
 }
 
+impl End {
+    /// The name in the audit log.
+    pub fn name(self) -> &'static str {
+        match self {
+            Self::Answered => "answered",
+            Self::Failed => "failed",
+            Self::Full => "full",
+            Self::Absent => "absent",
+            Self::Moot => "moot",
+            Self::TimedOut => "timedout",
+            Self::Unreached => "unreached",
+            Self::Broken => "broken",
+            Self::Cancelled => "cancelled",
+        }
+    }
+}
+
 /// How an answer came about, or why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum How {
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -15,7 +15,7 @@
 use linnethook_fellows::query::Asked;
 use linnethook_fellows::straggler::{Seen, State, Straggler, Why};
 use linnethook_hierarchy::named::BatchSpec;
-use linnethook_operator::{Fellows, Operator};
+use linnethook_operator::Fellows;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::account::{Auditor, Words};
@@ -68,17 +68,6 @@
     shut_out: u64,
 }
 
-/// Tells at a glance whether two routers were given the same operator file: all but where each of them listens and
-/// connects.
-pub fn digest(operator: &Operator) -> u64 {
-    let hierarchy = operator.hierarchy.as_ref().map(|hierarchy| (&hierarchy.part, &hierarchy.nodes));
-    let gateway = operator.gateway.as_ref();
-    let fellows = gateway.and_then(|gateway| gateway.fellows.as_ref());
-    let fellows = fellows.map(|f| (f.rules, f.audit.as_ref().map(|audit| audit.rules), &f.straggler));
-    let gateway = gateway.map(|gateway| (&gateway.part.site, gateway.part.rules, &gateway.sites, fellows));
-    xxh3_64(format!("{:?}", (hierarchy, gateway, &operator.watch, operator.log)).as_bytes())
-}
-
 fn voters(fellows: &Fellows) -> &[String] {
     fellows.straggler.as_ref().map_or(&[], |part| &part.voters)
 }
@@ -170,7 +159,7 @@
     /// How an attempt of what must not run twice ended.
     pub fn write_ended(&mut self, now: Ms, id: &str, number: u8, end: End) {
         let Some(audit) = &mut self.audit else { return };
-        let how = format!("{end:?}").to_lowercase();
+        let how = end.name().to_string();
         audit.booking_ended(BookingEnd { id: id.to_string(), number, how, at: self.core.clock.stamp(now) });
     }
 
@@ -655,7 +644,7 @@
             let how = match change {
                 Change::Joined => "is there".to_string(),
                 Change::Restarted(before) => format!("has started again, after start {before}"),
-                Change::Now(standing) => format!("is {standing:?}").to_lowercase(),
+                Change::Now(standing) => format!("is {}", standing.name()),
                 Change::Forgotten => "is forgotten".to_string(),
             };
             log_line!(fellow = name.as_str(), start = *start, "fellows: {name} {how}");
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -18,6 +18,7 @@
 mod journal;
 mod links;
 mod log;
+mod operator_digest;
 mod pool;
 mod resp;
 mod steer;
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -20,9 +20,10 @@
 use crate::config::Failure;
 use crate::control::{Answer, BudgetLine, Control, MoveLine, Question, Shown};
 use crate::decider::{Ms, News};
-use crate::fleet::{self, Fleet};
+use crate::fleet::Fleet;
 use crate::links::beyond::Beyond;
 use crate::log::log_line;
+use crate::operator_digest;
 use crate::told::Hosts;
 use crate::upstream::{Applied, Step, Upstream};
 use crate::Router;
@@ -71,7 +72,8 @@
             self.caches.tells_copies = beyond.crosses();
             self.beyond = Some(beyond);
             if let Some(fellows) = &gateway.fellows {
-                self.fleet = Some(Fleet::new(now, name, fellows, settings, fleet::digest(operator)));
+                self.fleet =
+                    Some(Fleet::new(now, name, fellows, settings, operator_digest::digest(operator)));
                 self.upstream.iter_mut().for_each(Upstream::tells_fellows);
             }
         }
@@ -178,7 +180,7 @@
         let now = self.clock.now();
         let fellows = operator.gateway.as_ref().and_then(|gateway| gateway.fellows.as_ref());
         if let (Some(fleet), Some(fellows)) = (&mut self.fleet, fellows) {
-            fleet.set(fellows, fleet::digest(operator));
+            fleet.set(fellows, operator_digest::digest(operator));
             log_line!(always "{}: read again, the settings of fellows(...) hold", file.display());
         }
         let taken = self.fleet.is_some() && fellows.is_some();
@@ -274,7 +276,7 @@
         to: upstream.name(m.to),
         author: m.author,
         number: m.number,
-        stage: format!("{:?}", m.stage).to_lowercase(),
+        stage: m.stage.name().to_string(),
         part: m.part,
         tries: m.tries,
         late_new: m.late_new,
--- /dev/null
+++ b/crates/router/tests/unit/operator_digest.rs
@@ -0,0 +1,51 @@
+//! Unit tests of `src/operator_digest.rs`, a part of its module.
+
+use linnethook_operator::Bounds;
+
+use super::*;
+
+/// Every function of the operator file, with some settings that are not the defaults.
+const EVERYTHING: &str = r#"
+control(path = "/run/linnethook/control.sock")
+log(format = "json", lines_per_second = 50)
+watch(weight_source = "off", tells = "hit", max_attempts = 3)
+hierarchy(author = 7, warm = 12.5, tries = 2, shielded = False)
+node("origin", role = "origin", site = "hub", capacity = 20)
+node("parent", role = "parent", site = "hub", capacity = 30.5, sources = ["origin"])
+node("cache-1", site = "shop", capacity = 8, sources = ["parent", ("origin", 9)])
+gateway(site = "north", listen = "10.0.0.4:9300", fresh = 0.15, hops = 3)
+site("south", classes = ["booking", "order"])
+link("south", connect = "10.1.0.4:9300", connections = 2)
+fellows(compare = 4.5)
+audit(folder = "/var/lib/linnethook")
+straggler(voters = ["router-1", "router-2"])
+"#;
+
+fn read(text: &str) -> Operator {
+    Operator::read("operator.star", text, &Bounds::default()).expect("a good file")
+}
+
+/// The digest as builds up to 48f72c9 make it.
+fn debug_text(operator: &Operator) -> String {
+    let hierarchy = operator.hierarchy.as_ref().map(|hierarchy| (&hierarchy.part, &hierarchy.nodes));
+    let gateway = operator.gateway.as_ref();
+    let fellows = gateway.and_then(|gateway| gateway.fellows.as_ref());
+    let fellows = fellows.map(|f| (f.rules, f.audit.as_ref().map(|audit| audit.rules), &f.straggler));
+    let gateway = gateway.map(|gateway| (&gateway.part.site, gateway.part.rules, &gateway.sites, fellows));
+    format!("{:?}", (hierarchy, gateway, &operator.watch, operator.log))
+}
+
+#[test]
+fn the_encoding_is_the_text_that_earlier_builds_hash() {
+    for text in
+        [EVERYTHING, "", "hierarchy()", "log()", "gateway(site = \"a\", listen = \"10.0.0.4:1\")\nfellows()"]
+    {
+        let operator = read(text);
+        assert_eq!(format!("{:?}", common_settings(&operator)), debug_text(&operator));
+    }
+}
+
+#[test]
+fn the_digest_stays_the_one_of_earlier_builds() {
+    assert_eq!((digest(&read("")), digest(&read(EVERYTHING))), (6148655340337336403, 5062945332202053891));
+}
