--- a/crates/adapter/src/codec.rs
+++ b/crates/adapter/src/codec.rs
@@ -41,11 +41,11 @@
     },
     DefineList {
         list: usize,
-        rows: Vec<Member>,
+        rows: Vec<Endpoint>,
     },
     Fleet {
         instance: Instance,
-        kind: ListKind,
+        kind: EndpointUpdate,
         list: usize,
     },
     PowerOff {
@@ -127,9 +127,9 @@
             let instance = f.u16()?;
             f.u64()?;
             let kind = match f.u8()? {
-                0 => ListKind::Changes,
-                1 | 2 => ListKind::Complete,
-                3 => ListKind::Failed,
+                0 => EndpointUpdate::Incremental,
+                1 | 2 => EndpointUpdate::Snapshot,
+                3 => EndpointUpdate::Unavailable,
                 other => return Err(f.wrong(format!("unknown kind of list {other}"))),
             };
             let list = f.u32()? as usize;
@@ -168,9 +168,9 @@
                 group: group as u32,
                 class,
                 size_kb,
-                repeat: bits & 2 != 0,
-                write: bits & 4 != 0,
-                budget: f.f64()?,
+                client_retry: bits & 2 != 0,
+                is_write: bits & 4 != 0,
+                time_limit: f.f64()?,
             })
         }
         1010 => {
@@ -178,13 +178,13 @@
             f.cache()?;
             let number = f.u8()?;
             f.f64()?;
-            Event::Started(AttemptId { request, number })
+            Event::ResponseStarted(AttemptId { request, number })
         }
-        1020 => Event::Gone(RequestId(f.u64()?)),
+        1020 => Event::ClientDisconnected(RequestId(f.u64()?)),
         1030 => Event::Timer(f.u32()?),
         1060 => {
             let object = Some(f.u64()?).filter(|&object| object != 0).map(ObjectId);
-            Event::Purged { object, group: u32::from(f.u16()?), ago: f.f64()? }
+            Event::Purge { object, group: u32::from(f.u16()?), age: f.f64()? }
         }
         1080 => {
             let request = RequestId(f.u64()?);
@@ -196,23 +196,23 @@
             let note = f.note()?;
             let settled = f.u8()? != 0;
             *report = f.report()?;
-            Event::Outcome(Outcome {
+            Event::AttemptFinished(AttemptOutcome {
                 attempt: AttemptId { request, number },
-                cache,
+                endpoint: cache,
                 status,
-                settled,
-                took,
-                waited,
-                note,
-                load: Load::default(),
+                request_finished: settled,
+                elapsed: took,
+                source_wait: waited,
+                cache_status: note,
+                load_report: LoadReport::default(),
             })
         }
         _ => {
             f.f64()?;
-            let ok = f.status()? == Status::Ok;
+            let ok = f.status()? == AttemptStatus::Ok;
             let cache = f.cache()?;
             *report = f.report()?;
-            Event::Probed { cache, ok, load: Load::default() }
+            Event::HealthCheck { endpoint: cache, healthy: ok, load_report: LoadReport::default() }
         }
     })
 }
@@ -290,56 +290,56 @@
         self.take(count as usize)
     }
 
-    fn cache(&mut self) -> Result<CacheId> {
+    fn cache(&mut self) -> Result<EndpointId> {
         let bytes: [u8; 6] = self.array()?;
-        Ok(CacheId(bytes.iter().fold(0, |id, &byte| id << 8 | u64::from(byte))))
+        Ok(EndpointId(bytes.iter().fold(0, |id, &byte| id << 8 | u64::from(byte))))
     }
 
-    fn entry(&mut self) -> Result<Member> {
-        Ok(Member {
+    fn entry(&mut self) -> Result<Endpoint> {
+        Ok(Endpoint {
             cell: self.u16()?,
             id: self.cache()?,
             weight: self.f32()?,
             zone: u16::from(self.u8()?),
-            kind: self.u16()?,
-            since: self.f64()?,
+            role: self.u16()?,
+            started_at: self.f64()?,
             phase: match self.u8()? {
-                0 => Phase::Gone,
-                1 => Phase::Ready,
-                2 => Phase::Draining,
+                0 => EndpointPhase::Removed,
+                1 => EndpointPhase::Ready,
+                2 => EndpointPhase::Draining,
                 other => return Err(self.wrong(format!("unknown phase {other}"))),
             },
         })
     }
 
-    fn status(&mut self) -> Result<Status> {
+    fn status(&mut self) -> Result<AttemptStatus> {
         Ok(match self.u16()? {
-            200 => Status::Ok,
-            500 => Status::Error,
-            503 => Status::Full,
-            504 => Status::Timeout,
-            502 => Status::ConnectFailed,
-            598 => Status::Reset,
-            499 => Status::Cancelled,
-            410 => Status::Moot,
-            404 => Status::Miss,
+            200 => AttemptStatus::Ok,
+            500 => AttemptStatus::Error,
+            503 => AttemptStatus::Rejected,
+            504 => AttemptStatus::TimedOut,
+            502 => AttemptStatus::ConnectFailed,
+            598 => AttemptStatus::Reset,
+            499 => AttemptStatus::Cancelled,
+            410 => AttemptStatus::NeverSent,
+            404 => AttemptStatus::CacheMiss,
             other => return Err(self.wrong(format!("unknown outcome {other}"))),
         })
     }
 
-    fn note(&mut self) -> Result<Option<Note>> {
+    fn note(&mut self) -> Result<Option<CacheStatus>> {
         Ok(match self.u32()? {
             0 => None,
-            1 => Some(Note::Hit),
-            2 => Some(Note::Filled),
-            3 => Some(Note::FilledByOrigin),
-            4 => Some(Note::Joined),
-            5 => Some(Note::Stale),
-            6 => Some(Note::SourceRefused),
-            7 => Some(Note::SourceUnreached),
-            8 => Some(Note::SourceLacks),
-            9 => Some(Note::NoPlace),
-            10 => Some(Note::OriginFailed),
+            1 => Some(CacheStatus::Hit),
+            2 => Some(CacheStatus::FilledByParent),
+            3 => Some(CacheStatus::FilledByOrigin),
+            4 => Some(CacheStatus::Coalesced),
+            5 => Some(CacheStatus::Stale),
+            6 => Some(CacheStatus::SourceRejected),
+            7 => Some(CacheStatus::SourceUnreachable),
+            8 => Some(CacheStatus::SourceMiss),
+            9 => Some(CacheStatus::NoCapacity),
+            10 => Some(CacheStatus::OriginFailed),
             other => return Err(self.wrong(format!("unknown note {other}"))),
         })
     }
@@ -368,38 +368,42 @@
 impl Reply {
     pub fn push(&mut self, instance: Instance, action: &Action) {
         match action {
-            Action::Ask { request, cache, timeout } => self.record(1000, instance, |out| {
+            Action::Forward { request, endpoint: cache, timeout } => self.record(1000, instance, |out| {
                 out.extend(request.0.to_le_bytes());
                 out.extend(timeout.to_le_bytes());
                 out.extend(address(*cache));
             }),
-            Action::Fetch { request, cache, timeout, fill } => self.record(1120, instance, |out| {
-                out.extend(request.0.to_le_bytes());
-                out.extend(address(*cache));
-                out.extend(timeout.to_le_bytes());
-                out.extend(address(fill.source));
-                out.push(fill.rank);
-                out.extend(fill.max_age.to_le_bytes());
-                let bits = u8::from(fill.join) | u8::from(fill.only_held) << 1 | u8::from(fill.renew) << 3;
-                out.push(bits);
-            }),
-            Action::Cancel(attempt) => self.record(1030, instance, |out| {
+            Action::ForwardWithFill { request, endpoint: cache, timeout, fill } => {
+                self.record(1120, instance, |out| {
+                    out.extend(request.0.to_le_bytes());
+                    out.extend(address(*cache));
+                    out.extend(timeout.to_le_bytes());
+                    out.extend(address(fill.source));
+                    out.push(fill.retention);
+                    out.extend(fill.max_age.to_le_bytes());
+                    let bits = u8::from(fill.coalesce)
+                        | u8::from(fill.only_if_cached) << 1
+                        | u8::from(fill.revalidate) << 3;
+                    out.push(bits);
+                })
+            }
+            Action::CancelAttempt(attempt) => self.record(1030, instance, |out| {
                 out.extend(attempt.request.0.to_le_bytes());
                 out.push(attempt.number);
             }),
-            Action::Refuse { request, retry_after } => self.record(1010, instance, |out| {
+            Action::Reject { request, retry_after, reason: _ } => self.record(1010, instance, |out| {
                 out.extend(request.0.to_le_bytes());
                 out.extend(retry_after.to_le_bytes());
             }),
-            Action::Fail(request) => {
+            Action::Fail { request, reason: _ } => {
                 self.record(1020, instance, |out| out.extend(request.0.to_le_bytes()));
             }
-            Action::Timer { at, token } => self.record(1040, instance, |out| {
+            Action::SetTimer { at, token } => self.record(1040, instance, |out| {
                 out.extend(at.to_le_bytes());
                 out.extend(token.to_le_bytes());
             }),
-            Action::Probe(cache) => self.record(1050, instance, |out| out.extend(address(*cache))),
-            Action::Watch => self.record(1100, instance, |out| out.push(1)),
+            Action::HealthCheck(cache) => self.record(1050, instance, |out| out.extend(address(*cache))),
+            Action::SubscribeEndpoints => self.record(1100, instance, |out| out.push(1)),
             Action::Log(line) => self.record(1080, instance, |out| text(out, line)),
         }
     }
@@ -430,7 +434,7 @@
     }
 }
 
-fn address(cache: CacheId) -> [u8; 6] {
+fn address(cache: EndpointId) -> [u8; 6] {
     let [_, _, bytes @ ..] = cache.0.to_be_bytes();
     bytes
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use linnethook::interface::{Event, Member, Ms};
-use linnethook::Brain;
+use linnethook::interface::{Endpoint, Event, Ms};
+use linnethook::Policy;
 use linnethook_settings::{load, LoadField};
 
 use crate::codec::{Input, Instance, Reply, LISTS};
 
 #[derive(Default)]
 pub struct Host {
-    lists: [Vec<Member>; LISTS],
+    lists: [Vec<Endpoint>; LISTS],
     instances: BTreeMap<Instance, Hosted>,
 }
 
 struct Hosted {
-    brain: Brain,
+    policy: Policy,
     report: Vec<LoadField>,
 }
 
@@ -29,16 +29,21 @@
                 Input::Open { instance, seed, settings: text } => {
                     let told = linnethook_settings::decode(&text)
                         .map_err(|wrong| format!("settings of instance {instance}: {wrong}"))?;
-                    let hosted = Hosted { brain: Brain::new(told.settings, seed), report: told.report };
+                    let hosted = Hosted { policy: Policy::new(told.settings, seed), report: told.report };
                     self.instances.insert(instance, hosted);
                 }
                 Input::DefineList { list, rows } => self.lists[list] = rows,
                 Input::Fleet { instance, kind, list } => {
                     let members = match kind {
-                        linnethook::interface::ListKind::Failed => Vec::new(),
+                        linnethook::interface::EndpointUpdate::Unavailable => Vec::new(),
                         _ => self.lists.get(list).ok_or(format!("list number {list}"))?.clone(),
                     };
-                    self.tell(now, instance, &Event::List { kind, members }, &mut reply);
+                    self.tell(
+                        now,
+                        instance,
+                        &Event::Endpoints { update: kind, endpoints: members },
+                        &mut reply,
+                    );
                 }
                 Input::PowerOff { instance } => {
                     self.instances.remove(&instance);
@@ -47,8 +52,12 @@
                 Input::Event { instance, mut event } => {
                     if let Some(hosted) = self.instances.get(&instance) {
                         match &mut event {
-                            Event::Outcome(outcome) => outcome.load = load(&report, &hosted.report),
-                            Event::Probed { load: told, .. } => *told = load(&report, &hosted.report),
+                            Event::AttemptFinished(outcome) => {
+                                outcome.load_report = load(&report, &hosted.report)
+                            }
+                            Event::HealthCheck { load_report: told, .. } => {
+                                *told = load(&report, &hosted.report)
+                            }
                             _ => {}
                         }
                     }
@@ -62,7 +71,7 @@
     /// Hands an event to its instance; one that does not run is passed over.
     fn tell(&mut self, now: Ms, instance: Instance, event: &Event, reply: &mut Reply) {
         let Some(hosted) = self.instances.get_mut(&instance) else { return };
-        match catch_unwind(AssertUnwindSafe(|| hosted.brain.handle(now, event))) {
+        match catch_unwind(AssertUnwindSafe(|| hosted.policy.handle(now, event))) {
             Ok(actions) => actions.iter().for_each(|action| reply.push(instance, action)),
             Err(cause) => {
                 let line = cause
@@ -79,7 +88,7 @@
 
 #[cfg(test)]
 mod tests {
-    use linnethook::interface::{CacheId, ListKind, Phase};
+    use linnethook::interface::{EndpointId, EndpointPhase, EndpointUpdate};
 
     use super::*;
 
@@ -106,23 +115,23 @@
         let mut host = Host::default();
         let settings = br#"{"weight-source": "off", "resolution": 2}"#.to_vec();
         let rows = |weight: f64| {
-            let row = |id| Member {
-                id: CacheId(id),
+            let row = |id| Endpoint {
+                id: EndpointId(id),
                 cell: 0,
                 zone: 0,
-                kind: 0,
+                role: 0,
                 weight,
-                since: 0.0,
-                phase: Phase::Ready,
+                started_at: 0.0,
+                phase: EndpointPhase::Ready,
             };
             (1..4).map(row).collect()
         };
         let inputs = vec![
             Input::Open { instance: 3, seed: 7, settings },
             Input::DefineList { list: 0, rows: rows(0.0) },
-            Input::Fleet { instance: 3, kind: ListKind::Complete, list: 0 },
+            Input::Fleet { instance: 3, kind: EndpointUpdate::Snapshot, list: 0 },
             Input::DefineList { list: 1, rows: rows(1.0) },
-            Input::Fleet { instance: 3, kind: ListKind::Complete, list: 1 },
+            Input::Fleet { instance: 3, kind: EndpointUpdate::Snapshot, list: 1 },
             Input::Datagram { instance: 3 },
             Input::Datagram { instance: 4 },
         ];
--- a/crates/gateway/src/home.rs
+++ b/crates/gateway/src/home.rs
@@ -2,8 +2,8 @@
 //!
 //! Must never call the home unable for good: a few requests go on trying it.
 
+use linnethook::estimators::Ewma;
 use linnethook::interface::Ms;
-use linnethook::measure::Mean;
 
 use crate::routes::View;
 
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Side {
-    bad: Mean,
+    bad: Ewma,
     unable: bool,
     at: Ms,
     /// Good ones in a row.
@@ -87,14 +87,14 @@
         let rule = self.rule;
         let side = &mut self.sides[need as usize];
         if now - side.at > rule.span {
-            (side.bad, side.unable) = (Mean::default(), false);
+            (side.bad, side.unable) = (Ewma::default(), false);
         }
         side.at = now;
-        side.bad.add(f64::from(u8::from(bad)), rule.weight);
+        side.bad.update_from_mean(f64::from(u8::from(bad)), rule.weight);
         side.good = if bad { 0 } else { side.good + 1 };
         if side.unable && side.good >= rule.good {
-            (side.unable, side.bad) = (false, Mean::default());
-        } else if !side.unable && side.bad.seen >= rule.seen && side.bad.value >= rule.bad {
+            (side.unable, side.bad) = (false, Ewma::default());
+        } else if !side.unable && side.bad.samples >= rule.seen && side.bad.value >= rule.bad {
             // It has just been tried.
             (side.unable, side.tried) = (true, now);
         }
--- a/crates/gateway/src/routes.rs
+++ b/crates/gateway/src/routes.rs
@@ -6,9 +6,9 @@
 
 use std::collections::BTreeMap;
 
+use linnethook::estimators::Ewma;
+use linnethook::hash_ring::{hash_pair, unit_fraction};
 use linnethook::interface::Ms;
-use linnethook::measure::Mean;
-use linnethook::ring::{fraction, mix};
 
 /// A site, by its place in the operator file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -125,7 +125,7 @@
     from: f64,
     /// When it was lost, with that part.
     lost: Ms,
-    bad: Mean,
+    bad: Ewma,
     /// Shut for being full, or for what went there badly, until it is well below.
     shut: bool,
     saved: f64,
@@ -164,7 +164,7 @@
     pub fn see(&mut self, now: Ms, site: Site, view: View) {
         let (rule, saved) = (self.rule, self.rule.saved);
         let fresh =
-            || Known { view, since: None, from: 0.0, lost: now, bad: Mean::new(0.0), shut: false, saved };
+            || Known { view, since: None, from: 0.0, lost: now, bad: Ewma::new(0.0), shut: false, saved };
         let known = self.others.entry(site).or_insert_with(fresh);
         known.view = view;
         if view.used >= rule.full {
@@ -181,7 +181,7 @@
             (Some(since), false) => {
                 (known.from, known.lost) = (known.risen(now, since, rule.rise), now);
                 known.since = None;
-                known.bad = Mean::new(0.0);
+                known.bad = Ewma::new(0.0);
             }
             _ => {}
         }
@@ -191,8 +191,8 @@
     pub fn ended(&mut self, site: Site, bad: bool) {
         let rule = self.rule;
         let Some(known) = self.others.get_mut(&site) else { return };
-        known.bad.add(f64::from(u8::from(bad)), rule.weight);
-        if known.bad.seen >= rule.seen && known.bad.value >= rule.bad {
+        known.bad.update_from_mean(f64::from(u8::from(bad)), rule.weight);
+        if known.bad.samples >= rule.seen && known.bad.value >= rule.bad {
             known.shut = true;
         }
     }
@@ -261,11 +261,12 @@
             }
             why = Why::Full;
             let within = wish.admitted == Some(*site)
-                || fraction(mix(wish.object, u64::from(site.0) ^ SALT)) < self.part(now, *site, wish.write);
+                || unit_fraction(hash_pair(wish.object, u64::from(site.0) ^ SALT))
+                    < self.part(now, *site, wish.write);
             if within {
                 // Its home before all others, and else one order at all gateways.
                 let order =
-                    if wish.home == Some(*site) { 0 } else { mix(wish.object, u64::from(site.0)) | 1 };
+                    if wish.home == Some(*site) { 0 } else { hash_pair(wish.object, u64::from(site.0)) | 1 };
                 able.push((order, *site));
             }
         }
--- a/crates/hierarchy/src/budget.rs
+++ b/crates/hierarchy/src/budget.rs
@@ -5,8 +5,8 @@
 //! a change alone can't send a flood. Who does not know yet what went there before learns that first, and meanwhile
 //! only what comes back late is a limit. Must never hold a figure of one deployment.
 
+use linnethook::estimators::{ConcurrencyLimit, ConcurrencyLimitConfig, TokenBucket};
 use linnethook::interface::Ms;
-use linnethook::measure::{Allowance, Gate, GateRule};
 
 /// How a budget moves.
 #[derive(Debug, Clone, Copy)]
@@ -96,19 +96,19 @@
 pub struct Budget {
     rule: BudgetRule,
     rate: Rate,
-    gate: Gate,
+    gate: ConcurrencyLimit,
     gate_at: Ms,
     ceiling: Option<Ceiling>,
     /// The shape changes, and what went there before is not known yet.
     learning: bool,
-    allowance: Allowance,
+    allowance: TokenBucket,
 }
 
 impl Budget {
     pub fn new(now: Ms, rule: BudgetRule) -> Self {
-        let mut allowance = Allowance::empty(now);
+        let mut allowance = TokenBucket::empty(now);
         allowance.spend(now, 0.0, 0.0, 0.0);
-        let gate = Gate::new(f64::INFINITY);
+        let gate = ConcurrencyLimit::new(f64::INFINITY);
         Self { rule, rate: Rate::default(), gate, gate_at: now, ceiling: None, learning: false, allowance }
     }
 
@@ -136,13 +136,13 @@
 
     /// Whether so much more may go there now.
     pub fn admits(&self, now: Ms, cost: f64) -> bool {
-        self.flow(now).is_none_or(|(rate, most)| self.allowance.left(now, rate, most) >= cost.min(most))
+        self.flow(now).is_none_or(|(rate, most)| self.allowance.available(now, rate, most) >= cost.min(most))
     }
 
     /// How long until so much more may go, if nothing else does.
     pub fn wait(&self, now: Ms, cost: f64) -> Ms {
         self.flow(now).map_or(0.0, |(rate, most)| {
-            ((cost.min(most) - self.allowance.left(now, rate, most)) / rate).max(0.0)
+            ((cost.min(most) - self.allowance.available(now, rate, most)) / rate).max(0.0)
         })
     }
 
@@ -165,17 +165,17 @@
 
     /// How one ended that went there.
     pub fn report(&mut self, now: Ms, late: bool) {
-        let rule = GateRule {
-            part: self.rule.weight,
-            span: self.rule.span,
-            bear: self.rule.bear,
-            cut: self.rule.cut,
-            gap: self.rule.gap,
-            raise: 0.0,
-            least: self.rule.least,
-            most: f64::INFINITY,
+        let rule = ConcurrencyLimitConfig {
+            observation_weight: self.rule.weight,
+            memory: self.rule.span,
+            max_late_ratio: self.rule.bear,
+            decrease_factor: self.rule.cut,
+            decrease_interval: self.rule.gap,
+            increase: 0.0,
+            min_limit: self.rule.least,
+            max_limit: f64::INFINITY,
         };
-        self.gate.report(now, late, self.rate(now), &rule);
+        self.gate.record(now, late, self.rate(now), &rule);
     }
 
     /// Lets time pass: limits grow, and go where they limit nothing any more.
@@ -199,7 +199,7 @@
             self.hold(now);
         }
         if before.is_infinite() && self.limit(now).is_finite() {
-            self.allowance = Allowance::empty(now);
+            self.allowance = TokenBucket::empty(now);
         }
     }
 
@@ -224,7 +224,7 @@
         let limit = (self.rate(now) * self.rule.headroom).max(self.rule.least);
         self.ceiling = Some(Ceiling { limit, over: None });
         self.learning = false;
-        self.allowance = Allowance::empty(now);
+        self.allowance = TokenBucket::empty(now);
     }
 
     /// Whether the shape changes and it is not known yet what went there before.
--- a/crates/hierarchy/src/hierarchy.rs
+++ b/crates/hierarchy/src/hierarchy.rs
@@ -5,10 +5,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linnethook::brain::place_above;
-use linnethook::interface::{Ms, Phase};
-use linnethook::measure::Mean;
-use linnethook::ring::{fraction, mix};
+use linnethook::estimators::Ewma;
+use linnethook::hash_ring::{hash_pair, unit_fraction};
+use linnethook::interface::{EndpointPhase, Ms};
+use linnethook::policy::parent_rank_hash;
 use serde::Serialize;
 
 use crate::batch::{Author, Basis, Batch, Bounds, Change, Key, Refusal, Serial};
@@ -85,7 +85,7 @@
 impl Feeds {
     /// The list that an object's fills run by.
     pub fn of(&self, object: u64) -> &[Source] {
-        match fraction(mix(object, self.salt)) < self.part {
+        match unit_fraction(hash_pair(object, self.salt)) < self.part {
             true => &self.now,
             false => &self.before,
         }
@@ -135,7 +135,7 @@
 /// What is known of a node beside its place in the shape.
 #[derive(Debug, Clone, Copy)]
 struct Listed {
-    phase: Phase,
+    phase: EndpointPhase,
     started: Ms,
 }
 
@@ -172,9 +172,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Known {
     /// The share of fills that went on to the origin, by how long ago the object was fetched through it.
-    reach: [Mean; AGES],
+    reach: [Ewma; AGES],
     /// As a child: the share of requests that it had to fill, likewise.
-    fills: [Mean; AGES],
+    fills: [Ewma; AGES],
     retiring_since: Option<Ms>,
 }
 
@@ -320,7 +320,7 @@
         let shape = self.history.shape();
         let retiring = |id: &NodeId| shape.node(*id).is_some_and(|node| node.retiring);
         self.known.retain(|id, _| shape.node(*id).is_some());
-        self.listed.retain(|id, listed| listed.phase != Phase::Gone || shape.node(*id).is_some());
+        self.listed.retain(|id, listed| listed.phase != EndpointPhase::Removed || shape.node(*id).is_some());
         for record in shape.records().into_iter().filter(|record| record.node.retiring) {
             self.known.entry(record.node.id).or_default().retiring_since.get_or_insert(now);
         }
@@ -379,13 +379,19 @@
     }
 
     /// A line of the list of caches. What waits for a fill from one that may not be used comes back.
-    pub fn listed(&mut self, now: Ms, id: NodeId, phase: Phase, started: Ms) -> (Vec<Entered>, Vec<Ticket>) {
+    pub fn listed(
+        &mut self,
+        now: Ms,
+        id: NodeId,
+        phase: EndpointPhase,
+        started: Ms,
+    ) -> (Vec<Entered>, Vec<Ticket>) {
         let before = self.listed.get(&id).copied();
-        if phase == Phase::Gone {
+        if phase == EndpointPhase::Removed {
             self.unwatch(id);
         }
         // One that the shape still names must not be taken for one that was never listed.
-        if phase == Phase::Gone && self.shape().node(id).is_none() {
+        if phase == EndpointPhase::Removed && self.shape().node(id).is_none() {
             self.listed.remove(&id);
         } else {
             self.listed.insert(id, Listed { phase, started });
@@ -397,7 +403,7 @@
                 (known.reach, known.fills) = Default::default();
             }
         }
-        if phase == Phase::Ready {
+        if phase == EndpointPhase::Ready {
             return (Vec::new(), Vec::new());
         }
         (self.stages.lost(now, id), self.shield.withdraw(id))
@@ -410,7 +416,7 @@
 
     /// Whether a node may be named as a source at all. One that was never listed may be: the shape knows it.
     fn is_ready(&self, id: NodeId) -> bool {
-        self.listed.get(&id).is_none_or(|listed| listed.phase == Phase::Ready)
+        self.listed.get(&id).is_none_or(|listed| listed.phase == EndpointPhase::Ready)
     }
 
     /// Whether a node that retires may still be asked for what it holds.
@@ -476,7 +482,7 @@
                 parent && *id != source && self.is_ready(*id) && self.in_grace(now, *id)
             };
             // By the hash that chose among them when they were the ones.
-            let home = best(&known.settled).filter(holds).min_by_key(|id| place_above(object, id.0));
+            let home = best(&known.settled).filter(holds).min_by_key(|id| parent_rank_hash(object, id.0));
             way.extend(home.map(|node| Hop { node, only_held: true }));
             passed.extend(home);
         }
@@ -488,8 +494,11 @@
                     && !self.is_retiring(s.node)
                     && !self.held_back.holds(now, at, s.node, version)
             };
-            let next =
-                self.shape().sources(at).filter(fit).min_by_key(|s| (s.rank, place_above(object, s.node.0)));
+            let next = self
+                .shape()
+                .sources(at)
+                .filter(fit)
+                .min_by_key(|s| (s.rank, parent_rank_hash(object, s.node.0)));
             let Some(next) = next else { break };
             way.push(Hop { node: next.node, only_held: false });
             passed.push(next.node);
@@ -501,10 +510,10 @@
     // ---- Fills.
 
     /// How likely something happens to what was last asked for so long ago: what was seen of others like it.
-    fn likely(&self, age: Option<Ms>, seen: Option<&[Mean; AGES]>) -> (usize, f64) {
+    fn likely(&self, age: Option<Ms>, seen: Option<&[Ewma; AGES]>) -> (usize, f64) {
         let class = age_class(age);
         let guess = if age.is_some() { self.rules.likely_seen } else { 1.0 };
-        let mean = seen.map(|seen| seen[class]).filter(|mean| mean.seen > 0.0);
+        let mean = seen.map(|seen| seen[class]).filter(|mean| mean.samples > 0.0);
         (class, mean.map_or(guess, |mean| mean.value))
     }
 
@@ -514,13 +523,13 @@
         if picked.child == picked.source {
             return (AGES - 1, 1.0);
         }
-        let age = self.recency.age(now, mix(picked.key, picked.child.0 ^ SALT_CHILD));
+        let age = self.recency.age(now, hash_pair(picked.key, picked.child.0 ^ SALT_CHILD));
         self.likely(age, self.known.get(&picked.child).map(|known| &known.fills))
     }
 
     /// How likely a fill goes on from its source to the origin.
     fn reach(&self, now: Ms, picked: &Picked) -> (usize, f64) {
-        let age = self.recency.age(now, mix(picked.key, picked.source.0));
+        let age = self.recency.age(now, hash_pair(picked.key, picked.source.0));
         self.likely(age, self.known.get(&picked.source).map(|known| &known.reach))
     }
 
@@ -579,17 +588,17 @@
         let weight = self.rules.weight;
         if let Some(filled) = filled.filter(|_| out.child != out.source) {
             let known = self.known.entry(out.child).or_default();
-            known.fills[out.ages.0].add(f64::from(u8::from(filled)), weight);
+            known.fills[out.ages.0].update_from_mean(f64::from(u8::from(filled)), weight);
         }
         if let (Some(true), Some(reached)) = (filled, reached) {
             let known = self.known.entry(out.source).or_default();
-            known.reach[out.ages.1].add(f64::from(u8::from(reached)), weight);
+            known.reach[out.ages.1].update_from_mean(f64::from(u8::from(reached)), weight);
         }
         if !matches!(brought, Brought::Nothing | Brought::Unknown) {
-            self.recency.note(now, mix(out.key, out.child.0 ^ SALT_CHILD));
+            self.recency.note(now, hash_pair(out.key, out.child.0 ^ SALT_CHILD));
         }
         if matches!(brought, Brought::Held | Brought::FromOrigin | Brought::Somehow) {
-            self.recency.note(now, mix(out.key, out.source.0));
+            self.recency.note(now, hash_pair(out.key, out.source.0));
         }
         let late = told.then_some(late || brought == Brought::Nothing);
         let end = FillEnd { brought: brought != Brought::Nothing, late, filled, reached };
@@ -635,7 +644,7 @@
         // Nor does a part rise while it is not known yet what is usual: what rises meanwhile would count as that.
         let short = self.is_short(now) || self.shield.is_learning();
         let listed = &self.listed;
-        let ready = |id: NodeId| listed.get(&id).is_none_or(|listed| listed.phase == Phase::Ready);
+        let ready = |id: NodeId| listed.get(&id).is_none_or(|listed| listed.phase == EndpointPhase::Ready);
         let entered = self.stages.tick(now, short, ready);
         if entered.iter().any(|entered| entered.stage == Stage::Settled) {
             self.settle();
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -30,7 +30,7 @@
 pub mod stages;
 
 pub use batch::{Author, Basis, Batch, Bounds, Change, Key, Refusal, Serial};
-pub use linnethook::interface::Phase;
+pub use linnethook::interface::EndpointPhase;
 
 pub use hierarchy::{Brought, Feeds, Hierarchy, Hop, Picked, Rules, View};
 pub use history::{Heard, History, Kept, Snapshot, Unusable};
--- a/crates/hierarchy/src/shape.rs
+++ b/crates/hierarchy/src/shape.rs
@@ -13,7 +13,7 @@
 use crate::order::{Index, Loop, Order};
 
 /// A cache, a parent of any tier, or the origin: the name that the decision module has for it too.
-pub use linnethook::interface::CacheId as NodeId;
+pub use linnethook::interface::EndpointId as NodeId;
 
 /// What a node is in the hierarchy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/hierarchy/src/stages.rs
+++ b/crates/hierarchy/src/stages.rs
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use linnethook::interface::{ColdStart, Ms};
-use linnethook::measure::Mean;
+use linnethook::estimators::Ewma;
+use linnethook::interface::{Ms, SlowStart};
 use serde::Serialize;
 
 use crate::batch::{Key, Serial};
@@ -28,7 +28,7 @@
     /// How long after all went over it counts as settled: until then the old source is asked for what it holds.
     pub settle: Ms,
     /// A source that has itself just started: how it may be loaded, and what part of that is asked of it.
-    pub cold: ColdStart,
+    pub cold: SlowStart,
     pub cold_part: f64,
     /// Harm: the weight of a fill in the share of late or failed ones, how many are needed to judge, the share
     /// that is too much, and how many times that of the old source.
@@ -51,7 +51,7 @@
             warm: 30_000.0,
             first: 0.02,
             settle: 45_000.0,
-            cold: ColdStart::default(),
+            cold: SlowStart::default(),
             cold_part: 0.6,
             weight: 0.05,
             seen: 20.0,
@@ -135,8 +135,8 @@
     /// For how long the warming has stood still in all.
     held: Ms,
     tries: u32,
-    new: Mean,
-    old: Mean,
+    new: Ewma,
+    old: Ewma,
     /// When the new source itself last started; 0 = long ago.
     started: Ms,
     /// Nothing else is left to fill from: a rollback would leave nothing.
@@ -173,11 +173,12 @@
     /// What a source that has just started bears of its work, by the rule on cold starts.
     fn cold(&self, now: Ms, rule: &StageRule) -> f64 {
         let age = now - self.started;
-        if self.started <= 0.0 || rule.cold.warm_in <= 0.0 || age >= rule.cold.warm_in {
+        if self.started <= 0.0 || rule.cold.duration <= 0.0 || age >= rule.cold.duration {
             return 1.0;
         }
-        let least = rule.cold.from + (1.0 - rule.cold.from) * (age / rule.cold.warm_in).max(0.0);
-        (least * rule.cold.fall_multiple * rule.cold_part).min(1.0)
+        let least =
+            rule.cold.initial_ratio + (1.0 - rule.cold.initial_ratio) * (age / rule.cold.duration).max(0.0);
+        (least * rule.cold.overload_multiple * rule.cold_part).min(1.0)
     }
 
     /// The shares of late fills by the new source and by the old ones.
@@ -195,7 +196,7 @@
     }
 
     fn is_harmful(&self, rule: &StageRule) -> bool {
-        let known = self.new.seen >= rule.seen;
+        let known = self.new.samples >= rule.seen;
         known && self.new.value > rule.harm && self.new.value > self.old.value * rule.worse
     }
 
@@ -205,7 +206,7 @@
         let rest = rule.rest * rule.longer.powi(self.tries.min(30) as i32);
         self.tries = if harm == Harm::Asked { rule.tries } else { self.tries + 1 };
         self.begins = now + rest;
-        self.new = Mean::new(0.0);
+        self.new = Ewma::new(0.0);
     }
 
     fn given_up(&self, rule: &StageRule) -> bool {
@@ -259,8 +260,8 @@
             since: now,
             held: 0.0,
             tries: 0,
-            new: Mean::new(0.0),
-            old: Mean::new(0.0),
+            new: Ewma::new(0.0),
+            old: Ewma::new(0.0),
             started,
             no_way_back: false,
             ticked: now,
@@ -282,10 +283,10 @@
     pub fn report(&mut self, id: Option<MoveId>, from: NodeId, bad: bool) {
         let (bad, weight) = (f64::from(u8::from(bad)), self.rule.weight);
         match id.and_then(|id| self.moves.get_mut(&id)) {
-            Some(moved) => moved.new.add(bad, weight),
+            Some(moved) => moved.new.update_from_mean(bad, weight),
             None => {
                 let others = self.moves.iter_mut().filter(|(id, _)| id.to != from);
-                others.for_each(|(_, moved)| moved.old.add(bad, weight));
+                others.for_each(|(_, moved)| moved.old.update_from_mean(bad, weight));
             }
         }
     }
@@ -422,7 +423,12 @@
 
     #[test]
     fn a_cold_source_is_asked_for_no_more_than_it_bears() {
-        let cold = ColdStart { from: 0.07, warm_in: 20_000.0, fall_multiple: 2.0, window: 3_000.0 };
+        let cold = SlowStart {
+            initial_ratio: 0.07,
+            duration: 20_000.0,
+            overload_multiple: 2.0,
+            overload_window: 3_000.0,
+        };
         let mut stages = Stages::new(StageRule { cold, warm: 1.0, ..StageRule::default() });
         stages.begin(0.0, id(), 0.0, 1_000.0);
         run(&mut stages, 0.0, 3_000.0, false);
--- a/crates/model/src/notes.rs
+++ b/crates/model/src/notes.rs
@@ -2,7 +2,7 @@
 //!
 //! Must never note what a router says of itself, only what reached it, its servers and its clients.
 
-use linnethook::interface::{ColdStart, Fill, Member, Phase};
+use linnethook::interface::{Endpoint, EndpointPhase, FillInstruction, SlowStart};
 use linnethook_standins::record::{Asked, Cold, Line, Phase as Told, What};
 
 use crate::plan::Plan;
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy)]
 pub enum Asker {
     /// A router, naming where a miss is to be filled from.
-    Router(Option<(usize, Fill)>),
+    Router(Option<(usize, FillInstruction)>),
     /// A server with its fill, at a version of the shape, for all or only what is held.
     Server(usize, Option<u64>, bool),
 }
@@ -92,7 +92,7 @@
     pub fn asked(&mut self, now: Micros, plan: &Plan, at: usize, attempt: u64, wish: &Wish, from: Asker) {
         self.put(now, || {
             let (by, version, only_held) = match from {
-                Asker::Router(fill) => (None, None, fill.is_some_and(|(_, fill)| fill.only_held)),
+                Asker::Router(fill) => (None, None, fill.is_some_and(|(_, fill)| fill.only_if_cached)),
                 Asker::Server(by, version, only_held) => (Some(by), version, only_held),
             };
             let source = match from {
@@ -120,11 +120,11 @@
         self.put(now, || What::Ended { attempt, word: String::new(), res: String::new(), ran });
     }
 
-    pub fn listed(&mut self, now: Micros, plan: &Plan, by: usize, server: usize, member: &Member) {
+    pub fn listed(&mut self, now: Micros, plan: &Plan, by: usize, server: usize, member: &Endpoint) {
         let phase = match member.phase {
-            Phase::Ready => Told::Ready,
-            Phase::Draining => Told::Draining,
-            Phase::Gone => Told::Gone,
+            EndpointPhase::Ready => Told::Ready,
+            EndpointPhase::Draining => Told::Draining,
+            EndpointPhase::Removed => Told::Gone,
         };
         self.put(now, || What::Listed { router: router(by), node: name(plan, server), phase });
     }
@@ -158,13 +158,13 @@
         self.put(now, || What::Proven { token });
     }
 
-    pub fn started(&mut self, now: Micros, plan: &Plan, server: usize, able: f64, cold: ColdStart) {
+    pub fn started(&mut self, now: Micros, plan: &Plan, server: usize, able: f64, cold: SlowStart) {
         let cold = Cold {
             capacity: able,
-            from: cold.from,
-            warm_in: cold.warm_in,
-            fall_multiple: cold.fall_multiple,
-            window: cold.window,
+            from: cold.initial_ratio,
+            warm_in: cold.duration,
+            fall_multiple: cold.overload_multiple,
+            window: cold.overload_window,
         };
         self.put(now, || What::Started { node: name(plan, server), cold });
     }
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -7,10 +7,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethook::interface::{
-    Action, AttemptId, CacheId, Class, Effect, Event, Feed, Feeds, ListKind, Load, Member, Note, ObjectId,
-    Outcome, Phase, Request, RequestId, Status,
+    Action, AttemptId, AttemptOutcome, AttemptStatus, CacheStatus, Endpoint, EndpointId, EndpointPhase,
+    EndpointUpdate, Event, FillSource, FillSources, Idempotence, LoadReport, ObjectId, Request, RequestClass,
+    RequestId,
 };
-use linnethook::Brain;
+use linnethook::Policy;
 use linnethook_settings::{load, LoadField, Names, Told as Settings};
 pub use linnethook_watch::Counts as Watched;
 use linnethook_watch::Watch;
@@ -234,9 +235,9 @@
 
 #[derive(Debug)]
 pub struct Decider {
-    brain: Brain,
+    policy: Policy,
     names: Names,
-    classes: Vec<Class>,
+    classes: Vec<RequestClass>,
     flow_kb_per_s: f64,
     zone: u16,
     longest_wait: Ms,
@@ -256,7 +257,7 @@
             flow_kb_per_s: told.settings.flow_kb_per_s,
             zone: told.settings.zone,
             longest_wait: told.settings.max_retry_after,
-            brain: Brain::new(told.settings, seed),
+            policy: Policy::new(told.settings, seed),
             names: told.names,
             report: told.report,
             report_names: told.report_names,
@@ -285,13 +286,15 @@
         let class = self.names.classes.iter().position(|name| *name == wish.class);
         let class = class.and_then(|n| self.classes.get(n)).cloned().unwrap_or_default();
         let sending = if self.flow_kb_per_s > 0.0 { wish.size_kb / self.flow_kb_per_s * 1000.0 } else { 0.0 };
-        (class.aim + class.aim_stretch * sending, class.write)
+        (class.latency_objective + class.objective_stretch_ratio * sending, class.is_write)
     }
 
     /// Whether a second run of a request would be harm.
     pub fn does_harm(&self, wish: &Wish) -> bool {
         let class = self.names.classes.iter().position(|name| *name == wish.class);
-        class.and_then(|n| self.classes.get(n)).is_none_or(|class| class.effect != Effect::Safe)
+        class
+            .and_then(|n| self.classes.get(n))
+            .is_none_or(|class| class.idempotence != Idempotence::Idempotent)
     }
 
     /// The longest that a refused client may be told to stay away.
@@ -317,9 +320,9 @@
             group: wish.group,
             class,
             size_kb: wish.size_kb,
-            repeat: wish.repeat,
-            write: false,
-            budget: wish.budget,
+            client_retry: wish.repeat,
+            is_write: false,
+            time_limit: wish.budget,
         };
         self.tell(now, &Event::Request(request))
     }
@@ -329,28 +332,39 @@
         match news {
             News::Ended(ending) => self.ended(now, &ending),
             News::Left(ticket) => match self.owed.remove(&ticket) {
-                Some(_) => self.tell(now, &Event::Gone(RequestId(ticket))),
+                Some(_) => self.tell(now, &Event::ClientDisconnected(RequestId(ticket))),
                 None => Vec::new(),
             },
             News::Hosts { complete, hosts } => {
-                let kind = if complete { ListKind::Complete } else { ListKind::Changes };
+                let kind = if complete { EndpointUpdate::Snapshot } else { EndpointUpdate::Incremental };
                 let members = hosts.iter().map(|host| self.member(host)).collect();
-                self.tell(now, &Event::List { kind, members })
+                self.tell(now, &Event::Endpoints { update: kind, endpoints: members })
             }
             News::Expired { object, group, stamp } => {
                 let object = object.map(ObjectId);
-                self.tell(now, &Event::Purged { object, group, ago: now - stamp })
+                self.tell(now, &Event::Purge { object, group, age: now - stamp })
             }
             News::Probed { place, well, gauges } => {
                 let load = self.load(&gauges);
-                self.tell(now, &Event::Probed { cache: CacheId(place.0), ok: well, load })
+                self.tell(
+                    now,
+                    &Event::HealthCheck { endpoint: EndpointId(place.0), healthy: well, load_report: load },
+                )
             }
             News::Feeds { place, lists } => {
-                let feed = |(place, rank): &(Place, u16)| Feed { source: CacheId(place.0), rank: *rank };
+                let feed = |(place, rank): &(Place, u16)| FillSource {
+                    endpoint: EndpointId(place.0),
+                    priority: *rank,
+                };
                 let all = |list: &[(Place, u16)]| list.iter().map(feed).collect();
                 let Lists { part, salt, .. } = lists;
-                let feeds = Feeds { now: all(&lists.now), before: all(&lists.before), part, salt };
-                self.tell(now, &Event::Feeds { cache: CacheId(place.0), feeds: Some(feeds) })
+                let feeds = FillSources {
+                    current: all(&lists.now),
+                    previous: all(&lists.before),
+                    migrated_ratio: part,
+                    salt,
+                };
+                self.tell(now, &Event::FillSources { cache: EndpointId(place.0), sources: Some(feeds) })
             }
         }
     }
@@ -374,25 +388,25 @@
     fn ended(&mut self, now: Ms, ending: &Ending) -> Vec<Order> {
         let Attempt { ticket, number } = ending.attempt;
         let answered = ending.end == End::Answered && self.owed.remove(&ticket).is_some();
-        let outcome = Outcome {
+        let outcome = AttemptOutcome {
             attempt: AttemptId { request: RequestId(ticket), number },
-            cache: CacheId(ending.place.0),
+            endpoint: EndpointId(ending.place.0),
             status: status(ending.end),
-            settled: !self.owed.contains_key(&ticket),
-            took: ending.took,
-            waited: ending.waited,
-            note: ending.how.map(note),
-            load: self.load(&ending.gauges),
+            request_finished: !self.owed.contains_key(&ticket),
+            elapsed: ending.took,
+            source_wait: ending.waited,
+            cache_status: ending.how.map(note),
+            load_report: self.load(&ending.gauges),
         };
         let mut orders = Vec::new();
         if answered {
             orders.push(Order::Answer { ticket, answer: Final::Served });
         }
-        orders.extend(self.tell(now, &Event::Outcome(outcome)));
+        orders.extend(self.tell(now, &Event::AttemptFinished(outcome)));
         orders
     }
 
-    fn load(&self, gauges: &[(String, f64)]) -> Load {
+    fn load(&self, gauges: &[(String, f64)]) -> LoadReport {
         // Short names stand for the long ones of the settings.
         let same = |told: &str, name: &str| {
             told == name || matches!((told, name), ("inflight", "outstanding") | ("util", "utilization"))
@@ -408,22 +422,22 @@
         load(&values, &fields)
     }
 
-    fn member(&self, host: &Host) -> Member {
+    fn member(&self, host: &Host) -> Endpoint {
         let number = |names: &[String], name: &str| {
             let found = names.iter().position(|known| known == name);
             found.and_then(|n| u16::try_from(n).ok()).unwrap_or(u16::MAX)
         };
-        Member {
-            id: CacheId(Place::of(&host.uid).0),
+        Endpoint {
+            id: EndpointId(Place::of(&host.uid).0),
             cell: host.cell,
             zone: number(&self.names.zones, &host.zone),
-            kind: number(&self.names.kinds, &host.kind),
+            role: number(&self.names.kinds, &host.kind),
             weight: host.weight,
-            since: host.started,
+            started_at: host.started,
             phase: match host.state {
-                HostState::Ready => Phase::Ready,
-                HostState::Draining => Phase::Draining,
-                HostState::Gone => Phase::Gone,
+                HostState::Ready => EndpointPhase::Ready,
+                HostState::Draining => EndpointPhase::Draining,
+                HostState::Gone => EndpointPhase::Removed,
             },
         }
     }
@@ -434,7 +448,7 @@
 
     /// A timer comes with when it was due.
     fn tell_due(&mut self, now: Ms, event: &Event, due: Option<(u64, u32)>) -> Vec<Order> {
-        let actions = self.brain.handle(now, event);
+        let actions = self.policy.handle(now, event);
         if let Some(watch) = &mut self.watch {
             watch.see(now, event, due, &actions);
         }
@@ -448,7 +462,7 @@
     /// What an action asks for, in plain terms.
     fn order(&mut self, now: Ms, action: Action) -> Option<Order> {
         match action {
-            Action::Ask { request, cache, timeout } => {
+            Action::Forward { request, endpoint: cache, timeout } => {
                 let filling = Filling {
                     source: None,
                     rank: 0,
@@ -460,30 +474,32 @@
                 };
                 self.send(now, request, cache, timeout, filling)
             }
-            Action::Fetch { request, cache, timeout, fill } => {
+            Action::ForwardWithFill { request, endpoint: cache, timeout, fill } => {
                 let filling = Filling {
                     source: (fill.source != cache).then_some(Place(fill.source.0)),
-                    rank: fill.rank,
+                    rank: fill.retention,
                     max_age: fill.max_age,
-                    ageing: fill.ageing,
-                    join: fill.join,
-                    only_held: fill.only_held,
-                    renew: fill.renew,
+                    ageing: fill.max_stale_age,
+                    join: fill.coalesce,
+                    only_held: fill.only_if_cached,
+                    renew: fill.revalidate,
                 };
                 self.send(now, request, cache, timeout, filling)
             }
-            Action::Cancel(id) => Some(Order::Cancel(Attempt { ticket: id.request.0, number: id.number })),
-            Action::Refuse { request, retry_after } => {
+            Action::CancelAttempt(id) => {
+                Some(Order::Cancel(Attempt { ticket: id.request.0, number: id.number }))
+            }
+            Action::Reject { request, retry_after, .. } => {
                 self.finish(request, Final::Refused { wait: retry_after })
             }
-            Action::Fail(request) => self.finish(request, Final::Failed),
-            Action::Timer { at, token } => {
+            Action::Fail { request, .. } => self.finish(request, Final::Failed),
+            Action::SetTimer { at, token } => {
                 self.timers.insert((micros(at), token));
                 Some(Order::WakeAt(at))
             }
-            Action::Probe(cache) => Some(Order::Probe(Place(cache.0))),
+            Action::HealthCheck(cache) => Some(Order::Probe(Place(cache.0))),
             // The journal tells of all changes by itself.
-            Action::Watch => None,
+            Action::SubscribeEndpoints => None,
             Action::Log(line) => Some(Order::Note(line)),
         }
     }
@@ -492,7 +508,7 @@
         &mut self,
         now: Ms,
         request: RequestId,
-        cache: CacheId,
+        cache: EndpointId,
         timeout: Ms,
         filling: Filling,
     ) -> Option<Order> {
@@ -515,34 +531,34 @@
     (at * 1000.0) as u64
 }
 
-fn status(end: End) -> Status {
+fn status(end: End) -> AttemptStatus {
     match end {
-        End::Answered => Status::Ok,
-        End::Failed => Status::Error,
-        End::Full => Status::Full,
-        End::Absent => Status::Miss,
-        End::Moot => Status::Moot,
-        End::TimedOut => Status::Timeout,
-        End::Unreached => Status::ConnectFailed,
-        End::Broken => Status::Reset,
-        End::Cancelled => Status::Cancelled,
+        End::Answered => AttemptStatus::Ok,
+        End::Failed => AttemptStatus::Error,
+        End::Full => AttemptStatus::Rejected,
+        End::Absent => AttemptStatus::CacheMiss,
+        End::Moot => AttemptStatus::NeverSent,
+        End::TimedOut => AttemptStatus::TimedOut,
+        End::Unreached => AttemptStatus::ConnectFailed,
+        End::Broken => AttemptStatus::Reset,
+        End::Cancelled => AttemptStatus::Cancelled,
     }
 }
 
-fn note(how: How) -> Note {
+fn note(how: How) -> CacheStatus {
     match how {
-        How::Hit => Note::Hit,
-        How::Filled => Note::Filled,
-        How::FilledByOrigin => Note::FilledByOrigin,
-        How::Joined => Note::Joined,
-        How::Stale => Note::Stale,
-        How::SourceRefused => Note::SourceRefused,
-        How::SourceUnreached => Note::SourceUnreached,
-        How::SourceLacks => Note::SourceLacks,
-        How::NoPlace => Note::NoPlace,
-        How::OriginFailed => Note::OriginFailed,
+        How::Hit => CacheStatus::Hit,
+        How::Filled => CacheStatus::FilledByParent,
+        How::FilledByOrigin => CacheStatus::FilledByOrigin,
+        How::Joined => CacheStatus::Coalesced,
+        How::Stale => CacheStatus::Stale,
+        How::SourceRefused => CacheStatus::SourceRejected,
+        How::SourceUnreached => CacheStatus::SourceUnreachable,
+        How::SourceLacks => CacheStatus::SourceMiss,
+        How::NoPlace => CacheStatus::NoCapacity,
+        How::OriginFailed => CacheStatus::OriginFailed,
         // Nobody's doing, and it never ran.
-        How::CameRound => Note::NoPlace,
+        How::CameRound => CacheStatus::NoCapacity,
     }
 }
 
--- a/crates/router/src/operator_digest.rs
+++ b/crates/router/src/operator_digest.rs
@@ -156,10 +156,10 @@
     let cold = record(
         "ColdStart",
         &[
-            ("from", &cold.from),
-            ("warm_in", &cold.warm_in),
-            ("fall_multiple", &cold.fall_multiple),
-            ("window", &cold.window),
+            ("from", &cold.initial_ratio),
+            ("warm_in", &cold.duration),
+            ("fall_multiple", &cold.overload_multiple),
+            ("window", &cold.overload_window),
         ],
     );
     record(
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/upstream.rs
@@ -11,7 +11,7 @@
 use linnethook_hierarchy::shield::{Priority, Released, Verdict};
 use linnethook_hierarchy::stages::Stage;
 use linnethook_hierarchy::{
-    Author, Brought, Feeds, Heard, Hierarchy, Hop, NodeId, Phase, Picked, Role, Serial, Source, View,
+    Author, Brought, EndpointPhase, Feeds, Heard, Hierarchy, Hop, NodeId, Picked, Role, Serial, Source, View,
 };
 use linnethook_operator::Hierarchy as Settings;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -289,14 +289,14 @@
         for target in &hosts.targets {
             let place = Place::of(&target.uid);
             let phase = match (target.ready(), target.gone()) {
-                (true, _) => Phase::Ready,
-                (_, true) => Phase::Gone,
-                _ => Phase::Draining,
+                (true, _) => EndpointPhase::Ready,
+                (_, true) => EndpointPhase::Removed,
+                _ => EndpointPhase::Draining,
             };
             let (entered, withdrawn) = self.hierarchy.listed(now, node(place), phase, target.started());
             self.note(&entered);
             back.extend(withdrawn.into_iter().filter_map(|ticket| self.turn_back(attempt(ticket))));
-            if phase != Phase::Ready {
+            if phase != EndpointPhase::Ready {
                 let to_it: Vec<Attempt> = (self.waiting.iter())
                     .filter(|(_, waiting)| waiting.ordered.place == place)
                     .map(|(attempt, _)| *attempt)
@@ -307,7 +307,7 @@
                 }
             }
             let is_cache = self.hierarchy.shape().node(node(place)).is_none_or(|n| n.role == Role::Cache);
-            if phase != Phase::Gone && is_cache && own(target) {
+            if phase != EndpointPhase::Removed && is_cache && own(target) {
                 self.hierarchy.watch(now, node(place));
             }
         }
--- a/crates/watch/src/counts.rs
+++ b/crates/watch/src/counts.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use linnethook::interface::{Action, CacheId, Fill, Ms, RequestId};
+use linnethook::interface::{Action, EndpointId, FillInstruction, Ms, RequestId};
 
 /// Times that differ by less are the same: they come from other figures than whole milliseconds.
 const SAME: Ms = 0.001;
@@ -54,7 +54,7 @@
 /// What is decided about a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Said {
-    Sends { cache: CacheId, fill: Option<Fill>, timeout: Ms },
+    Sends { cache: EndpointId, fill: Option<FillInstruction>, timeout: Ms },
     Refuses { retry_after: Ms },
     Fails,
 }
@@ -63,17 +63,19 @@
     /// The request that an action decides about, and what.
     pub fn by(action: &Action) -> Option<(RequestId, Self)> {
         match *action {
-            Action::Ask { request, cache, timeout } => {
+            Action::Forward { request, endpoint: cache, timeout } => {
                 Some((request, Self::Sends { cache, fill: None, timeout }))
             }
-            Action::Fetch { request, cache, timeout, fill } => {
+            Action::ForwardWithFill { request, endpoint: cache, timeout, fill } => {
                 Some((request, Self::Sends { cache, fill: Some(fill), timeout }))
             }
-            Action::Refuse { request, retry_after } => Some((request, Self::Refuses { retry_after })),
-            Action::Fail(request) => Some((request, Self::Fails)),
-            Action::Cancel(_) | Action::Timer { .. } | Action::Probe(_) | Action::Watch | Action::Log(_) => {
-                None
-            }
+            Action::Reject { request, retry_after, .. } => Some((request, Self::Refuses { retry_after })),
+            Action::Fail { request, .. } => Some((request, Self::Fails)),
+            Action::CancelAttempt(_)
+            | Action::SetTimer { .. }
+            | Action::HealthCheck(_)
+            | Action::SubscribeEndpoints
+            | Action::Log(_) => None,
         }
     }
 
@@ -106,8 +108,9 @@
                 Said::Sends { cache, fill, timeout },
                 Said::Sends { cache: other, fill: otherwise, timeout: longer },
             ) => {
-                let source =
-                    |cache: CacheId, fill: Option<Fill>| fill.map(|f| f.source).filter(|s| *s != cache);
+                let source = |cache: EndpointId, fill: Option<FillInstruction>| {
+                    fill.map(|f| f.source).filter(|s| *s != cache)
+                };
                 if cache != other {
                     (&mut self.owner, Apart::Different)
                 } else if source(cache, fill) != source(other, otherwise) {
--- a/crates/watch/src/hearing.rs
+++ b/crates/watch/src/hearing.rs
@@ -1,32 +1,38 @@
 //! Owns what the other shape would have been told: less than what was told here, never more.
 
-use linnethook::interface::{Event, Member, Note, Outcome, Settings, Tells};
+use linnethook::interface::{AttemptOutcome, CacheStatus, Endpoint, Event, OutcomeDetail, Settings};
 
 /// What the settings of the other shape leave out.
 #[derive(Debug, Clone, Copy)]
 pub struct Hearing {
     unweighted: bool,
-    tells: Tells,
+    tells: OutcomeDetail,
 }
 
 impl Hearing {
     pub fn new(settings: &Settings) -> Self {
-        Self { unweighted: settings.unweighted, tells: settings.tells }
+        Self { unweighted: settings.weights_unknown, tells: settings.outcome_detail }
     }
 
     pub fn hear(&self, event: &Event) -> Event {
         match event {
-            Event::List { kind, members } if self.unweighted => {
-                let plain = |member: &Member| Member { weight: 1.0, ..*member };
-                Event::List { kind: *kind, members: members.iter().map(plain).collect() }
+            Event::Endpoints { update: kind, endpoints: members } if self.unweighted => {
+                let plain = |member: &Endpoint| Endpoint { weight: 1.0, ..*member };
+                Event::Endpoints { update: *kind, endpoints: members.iter().map(plain).collect() }
             }
-            Event::Outcome(outcome) if self.tells != Tells::All => {
-                let note = outcome.note.filter(|_| self.tells == Tells::Hit).and_then(|note| match note {
-                    Note::FilledByOrigin => Some(Note::Filled),
-                    Note::Hit | Note::Filled | Note::Joined | Note::Stale => Some(note),
-                    _ => None,
-                });
-                Event::Outcome(Outcome { note, waited: 0.0, ..*outcome })
+            Event::AttemptFinished(outcome) if self.tells != OutcomeDetail::Full => {
+                let note =
+                    outcome.cache_status.filter(|_| self.tells == OutcomeDetail::HitsOnly).and_then(|note| {
+                        match note {
+                            CacheStatus::FilledByOrigin => Some(CacheStatus::FilledByParent),
+                            CacheStatus::Hit
+                            | CacheStatus::FilledByParent
+                            | CacheStatus::Coalesced
+                            | CacheStatus::Stale => Some(note),
+                            _ => None,
+                        }
+                    });
+                Event::AttemptFinished(AttemptOutcome { cache_status: note, source_wait: 0.0, ..*outcome })
             }
             _ => event.clone(),
         }
--- a/crates/watch/src/watch.rs
+++ b/crates/watch/src/watch.rs
@@ -6,9 +6,9 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
 use linnethook::interface::{
-    Action, AttemptId, CacheId, Event, Load, Ms, Outcome, RequestId, Settings, Status,
+    Action, AttemptId, AttemptOutcome, AttemptStatus, EndpointId, Event, LoadReport, Ms, RequestId, Settings,
 };
-use linnethook::Brain;
+use linnethook::Policy;
 
 use crate::counts::{Apart, Counts, Said};
 use crate::hearing::Hearing;
@@ -21,22 +21,22 @@
     fn handle(&mut self, now: Ms, event: &Event) -> Vec<Action>;
 }
 
-impl Decides for Brain {
+impl Decides for Policy {
     fn handle(&mut self, now: Ms, event: &Event) -> Vec<Action> {
-        Brain::handle(self, now, event)
+        Policy::handle(self, now, event)
     }
 }
 
 #[derive(Debug)]
-pub struct Watch<M = Brain> {
+pub struct Watch<M = Policy> {
     /// `None` once it has failed.
-    brain: Option<M>,
+    policy: Option<M>,
     hearing: Hearing,
     timers: BTreeSet<Due>,
     /// Open requests in step, and how many attempts both have sent.
     in_step: BTreeMap<RequestId, u8>,
     /// Attempts that both have sent and that are out, and where.
-    out: BTreeMap<AttemptId, CacheId>,
+    out: BTreeMap<AttemptId, EndpointId>,
     counts: Counts,
 }
 
@@ -44,15 +44,15 @@
     /// Begins with the settings of the other shape and the seed of the instance that decides.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let hearing = Hearing::new(&settings);
-        Self::with(Brain::new(settings, seed), hearing)
+        Self::with(Policy::new(settings, seed), hearing)
     }
 }
 
 impl<M: Decides> Watch<M> {
-    pub fn with(brain: M, hearing: Hearing) -> Self {
+    pub fn with(policy: M, hearing: Hearing) -> Self {
         Self {
             hearing,
-            brain: Some(brain),
+            policy: Some(policy),
             timers: BTreeSet::new(),
             in_step: BTreeMap::new(),
             out: BTreeMap::new(),
@@ -71,11 +71,11 @@
 
     /// Takes in an event that was decided about, and what was decided. A timer comes with when it was due.
     pub fn see(&mut self, now: Ms, event: &Event, due: Option<Due>, done: &[Action]) {
-        let Some(mut brain) = self.brain.take() else { return };
+        let Some(mut policy) = self.policy.take() else { return };
         // A failure here must not reach the instance that decides.
-        let seen = catch_unwind(AssertUnwindSafe(|| self.follow(&mut brain, now, event, due, done)));
+        let seen = catch_unwind(AssertUnwindSafe(|| self.follow(&mut policy, now, event, due, done)));
         match seen {
-            Ok(()) => self.brain = Some(brain),
+            Ok(()) => self.policy = Some(policy),
             Err(_) => {
                 self.counts.ended = 1;
                 self.timers.clear();
@@ -85,18 +85,20 @@
         }
     }
 
-    fn follow(&mut self, brain: &mut M, now: Ms, event: &Event, due: Option<Due>, done: &[Action]) {
-        let would = self.tell(brain, now, event, due);
-        self.compare(brain, now, done, &would);
+    fn follow(&mut self, policy: &mut M, now: Ms, event: &Event, due: Option<Due>, done: &[Action]) {
+        let would = self.tell(policy, now, event, due);
+        self.compare(policy, now, done, &would);
         match event {
-            Event::Outcome(outcome) if outcome.settled => drop(self.in_step.remove(&outcome.attempt.request)),
-            Event::Gone(id) => drop(self.in_step.remove(id)),
+            Event::AttemptFinished(outcome) if outcome.request_finished => {
+                self.in_step.remove(&outcome.attempt.request);
+            }
+            Event::ClientDisconnected(id) => drop(self.in_step.remove(id)),
             _ => {}
         }
     }
 
     /// What the second instance does about it, where it has heard of the attempt at all.
-    fn tell(&mut self, brain: &mut M, now: Ms, event: &Event, due: Option<Due>) -> Vec<Action> {
+    fn tell(&mut self, policy: &mut M, now: Ms, event: &Event, due: Option<Due>) -> Vec<Action> {
         let mut would = Vec::new();
         match event {
             Event::Timer(_) => {
@@ -104,30 +106,30 @@
                 // Its own timers, in their order; those of the other instance are not its business.
                 while let Some(&first) = self.timers.first().filter(|first| **first <= due) {
                     self.timers.remove(&first);
-                    would.extend(brain.handle(now, &Event::Timer(first.1)));
+                    would.extend(policy.handle(now, &Event::Timer(first.1)));
                 }
             }
-            Event::Outcome(outcome) => {
+            Event::AttemptFinished(outcome) => {
                 if self.out.remove(&outcome.attempt).is_some() {
-                    would = brain.handle(now, &self.hearing.hear(event));
+                    would = policy.handle(now, &self.hearing.hear(event));
                 }
             }
-            Event::Started(attempt) if !self.out.contains_key(attempt) => {}
+            Event::ResponseStarted(attempt) if !self.out.contains_key(attempt) => {}
             Event::Request(request) => {
                 self.in_step.insert(request.id, 0);
-                would = brain.handle(now, event);
+                would = policy.handle(now, event);
             }
-            _ => would = brain.handle(now, &self.hearing.hear(event)),
+            _ => would = policy.handle(now, &self.hearing.hear(event)),
         }
         for action in &would {
-            if let Action::Timer { at, token } = action {
+            if let Action::SetTimer { at, token } = action {
                 self.timers.insert(((at * 1000.0) as u64, *token));
             }
         }
         would
     }
 
-    fn compare(&mut self, brain: &mut M, now: Ms, done: &[Action], would: &[Action]) {
+    fn compare(&mut self, policy: &mut M, now: Ms, done: &[Action], would: &[Action]) {
         let decided = |actions: &[Action]| actions.iter().filter_map(Said::by).collect::<BTreeMap<_, _>>();
         let (done_by, would_by) = (decided(done), decided(would));
         let ids: BTreeSet<RequestId> = done_by.keys().chain(would_by.keys()).copied().collect();
@@ -140,14 +142,14 @@
                     self.out.insert(AttemptId { request: id, number: sent }, *cache);
                     self.in_step.insert(id, sent + 1);
                 }
-                _ if apart == Apart::Different => self.part(brain, now, id, sent, would),
+                _ if apart == Apart::Different => self.part(policy, now, id, sent, would),
                 Some(said) if said.is_final() => drop(self.in_step.remove(&id)),
                 _ => {}
             }
         }
         let taken_back = |actions: &[Action]| -> BTreeSet<AttemptId> {
             let cancelled = actions.iter().filter_map(|action| match action {
-                Action::Cancel(id) => Some(*id),
+                Action::CancelAttempt(id) => Some(*id),
                 _ => None,
             });
             cancelled.filter(|id| self.out.contains_key(id)).collect()
@@ -158,21 +160,21 @@
     }
 
     /// Takes a request from the second instance, and what it would have sent, as if that had never been.
-    fn part(&mut self, brain: &mut M, now: Ms, id: RequestId, sent: u8, would: Option<&Said>) {
+    fn part(&mut self, policy: &mut M, now: Ms, id: RequestId, sent: u8, would: Option<&Said>) {
         self.in_step.remove(&id);
-        brain.handle(now, &Event::Gone(id));
+        policy.handle(now, &Event::ClientDisconnected(id));
         if let Some(Said::Sends { cache, .. }) = would {
-            let never = Outcome {
+            let never = AttemptOutcome {
                 attempt: AttemptId { request: id, number: sent },
-                cache: *cache,
-                status: Status::Moot,
-                settled: true,
-                took: 0.0,
-                waited: 0.0,
-                note: None,
-                load: Load::default(),
+                endpoint: *cache,
+                status: AttemptStatus::NeverSent,
+                request_finished: true,
+                elapsed: 0.0,
+                source_wait: 0.0,
+                cache_status: None,
+                load_report: LoadReport::default(),
             };
-            brain.handle(now, &Event::Outcome(never));
+            policy.handle(now, &Event::AttemptFinished(never));
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,16 +1,21 @@
 //! linnethook decides which cache answers a request, and where a missing copy is filled from.
 //!
-//! [`brain`] holds every decision; [`interface`] is all that it says to and hears from the world.
-//! The other modules are mechanical and hold no decision and no tuned value: [`ring`], [`filter`],
-//! [`measure`], [`health`] and [`purges`] are given every figure by the brain, [`state`] is what it remembers.
+//! This package is the decision module. It does no input or output and reads no clock.
+//!
+//! - [`interface`]: settings and events in, actions out;
+//! - [`policy`]: every rule that places, admits, retries, rejects or ejects; its table says which file
+//!   holds which rule;
+//! - [`records`]: what a router remembers of endpoints, requests and attempts;
+//! - [`hash_ring`], [`bloom_filter`], [`estimators`], [`endpoint_health`], [`purge_log`]: data structures
+//!   without a tuned value; the policy passes every parameter in.
 
-pub mod brain;
-pub mod filter;
-pub mod health;
+pub mod bloom_filter;
+pub mod endpoint_health;
+pub mod estimators;
+pub mod hash_ring;
 pub mod interface;
-pub mod measure;
-pub mod purges;
-pub mod ring;
-pub mod state;
+pub mod policy;
+pub mod purge_log;
+pub mod records;
 
-pub use brain::Brain;
+pub use policy::Policy;
