--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -61,6 +61,8 @@
     pub record: Record,
     pub numbers: Numbers,
     program: PathBuf,
+    /// By router: a program that is not `program`, such as another build.
+    programs: BTreeMap<String, PathBuf>,
     folder: PathBuf,
     directory: Directory,
     attempts: Arc<AtomicU64>,
@@ -111,6 +113,7 @@
             record: Record::default(),
             numbers: Numbers::default(),
             program: program.into(),
+            programs: BTreeMap::new(),
             folder,
             directory: Directory::default(),
             attempts: Arc::default(),
@@ -225,9 +228,17 @@
         self.start_again(name)
     }
 
+    /// Has a router run another program from its next start on; without one, the program of all.
+    pub fn set_program(&mut self, router: &str, program: Option<PathBuf>) {
+        match program {
+            Some(program) => self.programs.insert(router.to_string(), program),
+            None => self.programs.remove(router),
+        };
+    }
+
     /// Starts a router's process, with the journal's events up to now.
     pub fn start_again(&mut self, name: &str) -> io::Result<SocketAddr> {
-        let program = self.program.clone();
+        let program = self.programs.get(name).unwrap_or(&self.program).clone();
         let router = self.routers.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         router.process = None;
         let mut config: Value = serde_json::from_slice(&std::fs::read(&router.config)?)?;
--- a/crates/standins/src/rig.rs
+++ b/crates/standins/src/rig.rs
@@ -44,6 +44,8 @@
     /// Inside of `audit(...)` and `straggler(...)`; without them they are off.
     pub audit: Option<String>,
     pub straggler: Option<String>,
+    /// By router: a program other than the one of all, such as an earlier build.
+    pub programs: BTreeMap<usize, PathBuf>,
     /// Requests a second at each router, and how many objects there are.
     pub rate: f64,
     pub objects: u64,
@@ -65,6 +67,7 @@
             places: Vec::new(),
             audit: Some("span = 0.5".to_string()),
             straggler: None,
+            programs: BTreeMap::new(),
             rate: 30.0,
             objects: 400,
             at_once: 3,
@@ -217,6 +220,9 @@
             _turn: turn,
         };
         rig.heard = vec![0; rig.plan.routers];
+        for (n, program) in &rig.plan.programs {
+            rig.fleet.set_program(&name(*n), Some(program.clone()));
+        }
         for n in 0..rig.plan.routers {
             let dials: Vec<_> = rig.dials(n).map(|(to, middle)| (to, middle.address)).collect();
             let text = change(n, operator(&rig.plan, n, &rig.site, &dials));
