--- a/crates/router/tests/unit/operator_digest.rs
+++ b/crates/router/tests/unit/operator_digest.rs
@@ -1,5 +1,7 @@
 //! Unit tests of `src/operator_digest.rs`, a part of its module.
 
+use std::path::Path;
+
 use linnethook_operator::Bounds;
 
 use super::*;
@@ -35,16 +37,32 @@
     format!("{:?}", (hierarchy, gateway, &operator.watch, operator.log))
 }
 
+const FILES: [&str; 5] =
+    [EVERYTHING, "", "hierarchy()", "log()", "gateway(site = \"a\", listen = \"10.0.0.4:1\")\nfellows()"];
+
 #[test]
 fn the_encoding_is_the_text_that_earlier_builds_hash() {
-    for text in
-        [EVERYTHING, "", "hierarchy()", "log()", "gateway(site = \"a\", listen = \"10.0.0.4:1\")\nfellows()"]
-    {
+    for text in FILES {
         let operator = read(text);
         assert_eq!(format!("{:?}", common_settings(&operator)), debug_text(&operator));
     }
 }
 
+/// The texts that 48f72c9 hashes, one a line. `LINNETHOOK_WRITE_GOLDEN=1` writes the file where it is missing.
+#[test]
+fn the_encoding_is_the_recorded_text() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/operator_digest.txt");
+    let texts = FILES.map(|text| format!("{:?}\n", common_settings(&read(text)))).concat();
+    if !path.exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
+        std::fs::write(&path, &texts).expect("the fixture is written");
+    }
+    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
+    for (text, expected) in texts.lines().zip(expected.lines()) {
+        assert_eq!(text, expected);
+    }
+    assert_eq!(texts, expected);
+}
+
 #[test]
 fn the_digest_stays_the_one_of_earlier_builds() {
     assert_eq!((digest(&read("")), digest(&read(EVERYTHING))), (6148655340337336403, 5062945332202053891));
