--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -259,3 +259,7 @@
         thread::Builder::new().name("audit".to_string()).spawn(write).map_err(|why| why.to_string())?;
     Ok((sender, writer))
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/account.rs"]
+mod tests;
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -709,3 +709,7 @@
     let routers = if routers == 1 { String::new() } else { format!(" at {routers} routers") };
     format!("batch {author}/{number}: {changes} changes taken{routers}; to take it back: rollback {author} {number}\n")
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/cli.rs"]
+mod tests;
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -670,3 +670,7 @@
         Note::Frozen(ms) => log_line!(ms = *ms, "fellows: this process did nothing for {ms} ms"),
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/fleet.rs"]
+mod tests;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -14,6 +14,12 @@
 mod descriptors;
 mod fleet;
 mod frames;
+#[cfg(test)]
+#[path = "../tests/unit/golden.rs"]
+mod golden;
+#[cfg(test)]
+#[path = "../tests/unit/hex.rs"]
+mod hex;
 mod hollow;
 mod journal;
 mod links;
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/upstream.rs
@@ -547,3 +547,7 @@
         (self.waiting.len(), self.out.len())
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/upstream.rs"]
+mod tests;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -296,6 +296,12 @@
         (pairs.filter_map(|(name, count)| Some((name.to_string(), count.parse().ok()?))).collect(), before)
     }
 
+    /// The line of the counters as it prints it.
+    pub fn counters_line(&self) -> String {
+        self.signal(Signal::SIGUSR1);
+        self.logged(" held_clients=")
+    }
+
     /// Writes the configuration anew, with another journal, and has it read.
     pub fn reload(&mut self, journal: SocketAddr) {
         self.settings["journal"] = json!(journal.to_string());
--- /dev/null
+++ b/crates/router/tests/unit/cli.rs
@@ -0,0 +1,143 @@
+//! Golden text and bytes of the control socket: every question, every answer, and what the commands print of it.
+
+use serde::de::DeserializeOwned;
+use serde_json::Value;
+
+use super::*;
+use crate::golden::assert_golden;
+use crate::hex::hex;
+
+/// The values that questions and answers are made of, by names of this test.
+fn values() -> Value {
+    serde_json::from_str(include_str!("../golden/control_values.json")).expect("JSON")
+}
+
+fn value<T: DeserializeOwned>(name: &str) -> T {
+    read(values()[name].clone())
+}
+
+fn read<T: DeserializeOwned>(value: Value) -> T {
+    serde_json::from_value(value).expect("a value of its type")
+}
+
+fn list<T: DeserializeOwned>(name: &str) -> Vec<T> {
+    value(name)
+}
+
+/// The fleet as it is shown, with some of it changed.
+fn fleet(change: impl FnOnce(&mut Value)) -> FleetShown {
+    let mut fleet = values()["fleet"].clone();
+    change(&mut fleet);
+    read(fleet)
+}
+
+/// The fleet with each standing, part and state that there may be.
+fn fleets() -> Vec<FleetShown> {
+    let all = values();
+    let listed = |name: &str| all[name].as_array().expect("a list").clone();
+    let mut fleets = Vec::new();
+    for standing in listed("standings") {
+        let mut router = all["router"].clone();
+        router["standing"] = standing;
+        fleets.push(fleet(|fleet| fleet["fellows"]["others"] = Value::Array(vec![router])));
+    }
+    fleets.extend(listed("parts").into_iter().map(|part| fleet(|fleet| fleet["fellows"]["part"] = part)));
+    fleets.extend(listed("states").into_iter().map(|state| fleet(|fleet| fleet["state"] = state)));
+    for name in ["whole", "set_by", "account"] {
+        fleets.push(fleet(|fleet| fleet[name] = Value::Null));
+    }
+    fleets.push(fleet(|fleet| fleet["fellows"]["place"] = Value::Null));
+    fleets
+}
+
+fn postcard_line<T: Serialize>(name: &str, value: &T) -> String {
+    format!("{name}: {}\n", hex(&postcard::to_stdvec(value).expect("it is written")))
+}
+
+#[test]
+fn questions_and_answers_are_the_same_bytes() {
+    let mut out = String::new();
+    let questions = [
+        ("show", Question::Show),
+        ("nodes", Question::Nodes),
+        ("plan", Question::Plan(value::<BatchSpec>("batch").changes)),
+        ("apply", Question::Apply(value::<BatchSpec>("batch").changes)),
+        ("hear", Question::Hear(value("batch"))),
+        ("roll back", Question::RollBack { author: 40000, number: 300 }),
+        ("gateway", Question::Gateway),
+        ("routes", Question::Routes),
+        ("drain", Question::Drain { site: "south".to_string(), drained: true }),
+        ("undrain", Question::Drain { site: "south".to_string(), drained: false }),
+        ("fleet", Question::Fleet),
+        ("ask router", Question::Ask(list("targets").remove(0))),
+        ("ask site", Question::Ask(list("targets").remove(1))),
+        ("answered", Question::Answered(77)),
+        ("floor", Question::Floor(5)),
+        ("accounts", Question::Accounts),
+    ];
+    for (name, question) in &questions {
+        out += &postcard_line(&format!("question {name}"), question);
+    }
+    let detail = Detail { place: "eu/south".to_string(), routers: vec![value("router")] };
+    let mut answers = vec![
+        ("shown", Answer::Shown(value("shown"))),
+        ("nodes", Answer::Nodes(value("nodes"))),
+        ("plan", Answer::Plan(value("plan"))),
+        ("applied", Answer::Applied(value("batch"))),
+        ("gateway", Answer::Gateway(value("status"))),
+        ("routes", Answer::Routes(value("routes"))),
+        ("asking", Answer::Asking(77)),
+        ("detail", Answer::Detail(Some(detail))),
+        ("no detail yet", Answer::Detail(None)),
+        ("accounts", Answer::Accounts(value("records"))),
+        ("done", Answer::Done("done".to_string())),
+        ("no", Answer::No("no".to_string())),
+    ];
+    answers.extend(fleets().into_iter().map(|shown| ("fleet", Answer::Fleet(Box::new(shown)))));
+    for (name, answer) in &answers {
+        out += &postcard_line(&format!("answer {name}"), answer);
+    }
+    assert_golden("control_bytes.txt", &out);
+    // What was written is read again, to the same bytes.
+    for line in out.lines() {
+        let (name, digits) = line.split_once(": ").expect("a name");
+        let digits = digits.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("text"));
+        let bytes: Vec<u8> = digits.map(|pair| u8::from_str_radix(pair, 16).expect("a byte")).collect();
+        let again = match name.starts_with("question ") {
+            true => postcard::to_stdvec(&postcard::from_bytes::<Question>(&bytes).expect("a question")),
+            false => postcard::to_stdvec(&postcard::from_bytes::<Answer>(&bytes).expect("an answer")),
+        };
+        assert_eq!(again.expect("written"), bytes, "{name}");
+    }
+}
+
+#[test]
+fn commands_print_the_same_json() {
+    let mut out = String::new();
+    out += &as_json(&value::<Shown>("shown"));
+    out += &as_json(&value::<Vec<NodeSpec>>("nodes"));
+    out += &as_json(&value::<PlanSpec>("plan"));
+    out += &as_json(&value::<BatchSpec>("batch"));
+    out += &as_json(&value::<Status>("status"));
+    out += &as_json(&value::<Vec<RouteLine>>("routes"));
+    let detail = Detail { place: "eu/south".to_string(), routers: vec![value("router")] };
+    let lines: Vec<_> = detail.routers.iter().collect();
+    out += &as_json(&(&detail.place, &lines));
+    out += &as_json(&"done".to_string());
+    fleets().iter().for_each(|shown| out += &as_json(shown));
+    assert_golden("control_json.txt", &out);
+}
+
+#[test]
+fn commands_print_the_same_text() {
+    let mut out = String::new();
+    out += &shown_text(&value("shown"));
+    out += &nodes_text(&list("nodes"));
+    out += &plan_text(&value("plan"));
+    out += &applied_text(&value("batch"), 1);
+    out += &applied_text(&value("batch"), 3);
+    out += &status_text(&value("status"));
+    out += &routes_text(&list("routes"));
+    fleets().iter().for_each(|shown| out += &fleet_text(shown));
+    assert_golden("control_text.txt", &out);
+}
--- a/crates/router/tests/unit/config.rs
+++ b/crates/router/tests/unit/config.rs
@@ -80,3 +80,38 @@
         Config::decode(text.as_bytes(), 4096).expect_err("a weight source that there is not").to_string();
     assert!(said.starts_with("settings.weight-source: unknown variant `heavy`"), "{said}");
 }
+
+/// The way to each value that is neither an object nor a list.
+fn leaves(value: &serde_json::Value, at: &str, all: &mut Vec<String>) {
+    match value {
+        serde_json::Value::Object(fields) => {
+            fields.iter().for_each(|(name, value)| leaves(value, &format!("{at}/{name}"), all));
+        }
+        serde_json::Value::Array(values) => {
+            values.iter().enumerate().for_each(|(n, value)| leaves(value, &format!("{at}/{n}"), all));
+        }
+        _ => all.push(at.to_string()),
+    }
+}
+
+/// Each value of a configuration in turn is one of another type: what the error says, or that it is passed over.
+#[test]
+fn every_setting_is_accepted_and_one_of_another_type_is_named() {
+    let text = include_str!("../golden/config_every_setting.json");
+    Config::decode(text.as_bytes(), 1_024).expect("every setting is accepted");
+    let whole: serde_json::Value = serde_json::from_str(text).expect("JSON");
+    let mut all = Vec::new();
+    leaves(&whole, "", &mut all);
+    let mut out = String::new();
+    for at in all {
+        let mut changed = whole.clone();
+        *changed.pointer_mut(&at).expect("it is there") = serde_json::json!({"another": "type"});
+        let read = Config::decode(changed.to_string().as_bytes(), 1_024);
+        let how = read.map_or_else(
+            |wrong| wrong.to_string(),
+            |config| format!("passed over, {} events", config.file.known.entries.len()),
+        );
+        out += &format!("{at}: {how}\n");
+    }
+    crate::golden::assert_golden("config_errors.txt", &out);
+}
--- a/crates/router/tests/unit/frames.rs
+++ b/crates/router/tests/unit/frames.rs
@@ -85,3 +85,21 @@
     assert_eq!(no_more(&pool).to_vec(), [0, 0, 0, 5, 90, 0, 0, 0, 0]);
     assert_eq!(ready(&pool, 2, true).to_vec(), [0, 0, 0, 7, 81, 0, 0, 0, 2, 1, 0]);
 }
+
+#[test]
+fn frames_to_clients_are_the_same_bytes() {
+    let pool = Pool::new(64, 4, 100);
+    let body = |bytes: &[u8]| Chain::from_bytes(&pool, bytes);
+    let frames = [
+        ("request", body(&request(9, &[("c", "video"), ("i", "9b1f")], b"some bytes"))),
+        ("served", answer(&pool, 5, Code::Served, &[], body(b"xy"))),
+        ("valid", answer(&pool, 5, Code::Served, &[("valid", "1")], body(b""))),
+        ("refused", answer(&pool, 70_000, Code::Refused, &[("w", "250")], body(b""))),
+        ("failed", answer(&pool, 0, Code::Failed, &[], body(b"a frame of such a type"))),
+        ("ready", ready(&pool, 2, true)),
+        ("not ready", ready(&pool, 2, false)),
+        ("no more", no_more(&pool)),
+    ];
+    let lines = frames.iter().map(|(name, frame)| format!("{name}: {}\n", crate::hex::hex(&frame.to_vec())));
+    crate::golden::assert_golden("client_frames.txt", &lines.collect::<String>());
+}
--- /dev/null
+++ b/crates/router/tests/unit/hex.rs
@@ -0,0 +1,6 @@
+//! Bytes in golden text.
+
+/// Bytes as lower-case hexadecimal digits.
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
