--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,13 +1,13 @@
-//! The account of a fleet: which router, in which start, acted on which versions, and what it did.
+//! The audit log of a fleet: which router, in which incarnation, acted on which versions, and what it did.
 //!
-//! - [`record`]: what is written down: spans with counts of acts, bookings singly;
-//! - [`account`]: one router's own account, as a chain of hashes that grows;
-//! - [`copies`]: the accounts of fellows, link by link, with what is missing;
-//! - [`judge`]: what follows from accounts alone, whoever kept them.
+//! - [`record`]: what is recorded: spans with counts of actions, non-idempotent attempts one by one;
+//! - [`audit_log`]: one router's own log, a chain of hashes that grows;
+//! - [`replicas`]: logs of other routers, record by record, with what is missing;
+//! - [`verification`]: what follows from logs alone, whoever kept them.
 //!
-//! No part reads a clock, a socket, a file or chance: times are arguments. `docs/audit.md` weighs the ways.
+//! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/audit.md` describes the design.
 
-pub mod account;
-pub mod copies;
-pub mod judge;
+pub mod audit_log;
 pub mod record;
+pub mod replicas;
+pub mod verification;
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -2,17 +2,18 @@
 //!
 //! Must never take a record for whole whose hash does not fit, nor one of an unknown version for another.
 
-use linnethook_fellows::fact::Acts;
-use linnethook_fellows::hlc::Stamp;
-use linnethook_fellows::Ms;
+use linnethook_membership::hybrid_clock::Timestamp;
+use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::Ms;
 use serde::{Deserialize, Serialize};
 
 /// A kind of act; nodes by their ids, whose names stand in the span.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Act {
+pub enum AuditedAction {
     /// A request was sent to a cache, parent or the origin.
     Attempt {
-        to: u64,
+        #[serde(rename = "to")]
+        target: u64,
     },
     /// With a source from which it is to be filled.
     Fill {
@@ -20,138 +21,171 @@
         source: u64,
     },
     /// An attempt of what must not run twice; each stands singly, too.
-    Booking {
-        to: u64,
+    #[serde(rename = "Booking")]
+    WriteAttempt {
+        #[serde(rename = "to")]
+        target: u64,
     },
     Refused,
     Failed,
     /// A going over to a node enters a stage, by its number in the hierarchy.
-    Stage {
-        to: u64,
+    #[serde(rename = "Stage")]
+    RolloutStage {
+        #[serde(rename = "to")]
+        target: u64,
         stage: u8,
     },
     /// A drain or its end by the journal's number, from the own journal or from fellows.
     Drain {
         cache: u64,
-        number: u64,
-        fellows: bool,
+        #[serde(rename = "number")]
+        journal_position: u64,
+        #[serde(rename = "fellows")]
+        from_gossip: bool,
     },
-    Back {
+    #[serde(rename = "Back")]
+    CacheRestored {
         cache: u64,
-        number: u64,
-        fellows: bool,
+        #[serde(rename = "number")]
+        journal_position: u64,
+        #[serde(rename = "fellows")]
+        from_gossip: bool,
     },
     Purge {
-        number: u64,
-        fellows: bool,
+        #[serde(rename = "number")]
+        journal_position: u64,
+        #[serde(rename = "fellows")]
+        from_gossip: bool,
     },
     Batch {
         author: u16,
         number: u64,
-        fellows: bool,
+        #[serde(rename = "fellows")]
+        from_gossip: bool,
     },
     /// It was not done, since this router was behind what the fleet has settled.
-    ShutOut,
+    #[serde(rename = "ShutOut")]
+    RejectedAsStraggler,
 }
 
 /// How often, and when first and last.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     pub count: u64,
-    pub first: Stamp,
-    pub last: Stamp,
+    pub first: Timestamp,
+    pub last: Timestamp,
 }
 
 /// One attempt of what must not run twice.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Booking {
-    pub id: String,
+pub struct WriteAttempt {
+    #[serde(rename = "id")]
+    pub request_id: String,
     /// Which attempt of its request.
-    pub number: u8,
-    pub to: u64,
-    pub at: Stamp,
+    #[serde(rename = "number")]
+    pub attempt: u8,
+    #[serde(rename = "to")]
+    pub target: u64,
+    pub at: Timestamp,
 }
 
 /// How one ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BookingEnd {
-    pub id: String,
-    pub number: u8,
-    pub how: String,
-    pub at: Stamp,
+pub struct WriteOutcome {
+    #[serde(rename = "id")]
+    pub request_id: String,
+    #[serde(rename = "number")]
+    pub attempt: u8,
+    #[serde(rename = "how")]
+    pub outcome: String,
+    pub at: Timestamp,
 }
 
 /// What a router acted on from here to there, and what it did.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Span {
-    pub from: Stamp,
-    pub to: Stamp,
+    pub from: Timestamp,
+    pub to: Timestamp,
     /// By its own clock, in Unix milliseconds.
-    pub clock: (Ms, Ms),
-    pub acts_on: Acts,
-    pub counts: Vec<(Act, Tally)>,
-    pub bookings: Vec<Booking>,
-    pub ends: Vec<BookingEnd>,
+    #[serde(rename = "clock")]
+    pub wall_clock: (Ms, Ms),
+    #[serde(rename = "acts_on")]
+    pub versions: ActiveVersions,
+    pub counts: Vec<(AuditedAction, Tally)>,
+    #[serde(rename = "bookings")]
+    pub write_attempts: Vec<WriteAttempt>,
+    #[serde(rename = "ends")]
+    pub write_outcomes: Vec<WriteOutcome>,
     /// Bookings and ends beyond those that a span may name.
-    pub unnamed: u64,
+    #[serde(rename = "unnamed")]
+    pub omitted_writes: u64,
     /// Kinds of acts beyond those that a span may tell apart: how many acts.
-    pub untold: u64,
-    pub names: Vec<(u64, String)>,
+    #[serde(rename = "untold")]
+    pub omitted_actions: u64,
+    #[serde(rename = "names")]
+    pub node_names: Vec<(u64, String)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// The start.
-    Began {
-        at: Stamp,
-        clock: Ms,
+    Started {
+        at: Timestamp,
+        wall_clock: Ms,
     },
     Span(Box<Span>),
     /// It ended as it should: nothing follows.
-    Ended {
-        at: Stamp,
+    Closed {
+        at: Timestamp,
     },
 }
 
 impl Record {
     /// Until when it tells.
-    pub fn until(&self) -> Stamp {
+    pub fn covered_until(&self) -> Timestamp {
         match self {
-            Self::Began { at, .. } | Self::Ended { at } => *at,
+            Self::Started { at, .. } | Self::Closed { at } => *at,
             Self::Span(span) => span.to,
         }
     }
 }
 
-pub type Hash = [u8; 32];
+pub type RecordHash = [u8; 32];
 
 /// A record with its place in the account of one start of one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Link {
+pub struct ChainLink {
     pub name: String,
-    pub start: u64,
+    pub incarnation: u64,
     /// From 1 on.
     pub number: u64,
-    pub before: Hash,
+    pub previous_hash: RecordHash,
     pub version: u16,
     pub body: Vec<u8>,
 }
 
-pub const VERSION: u16 = 1;
+pub const RECORD_VERSION: u16 = 1;
 
-impl Link {
-    pub fn new(name: &str, start: u64, number: u64, before: Hash, record: &Record) -> Self {
+impl ChainLink {
+    pub fn new(name: &str, start: u64, number: u64, before: RecordHash, record: &Record) -> Self {
         // Records hold nothing that postcard can't write.
         let body = postcard::to_stdvec(record).unwrap_or_default();
-        Self { name: name.to_string(), start, number, before, version: VERSION, body }
+        Self {
+            name: name.to_string(),
+            incarnation: start,
+            number,
+            previous_hash: before,
+            version: RECORD_VERSION,
+            body,
+        }
     }
 
-    pub fn hash(&self) -> Hash {
+    pub fn hash(&self) -> RecordHash {
         let mut hasher = blake3::Hasher::new();
-        hasher.update(&self.before);
+        hasher.update(&self.previous_hash);
         hasher.update(&(self.name.len() as u64).to_le_bytes());
         hasher.update(self.name.as_bytes());
-        hasher.update(&self.start.to_le_bytes());
+        hasher.update(&self.incarnation.to_le_bytes());
         hasher.update(&self.number.to_le_bytes());
         hasher.update(&self.version.to_le_bytes());
         hasher.update(&self.body);
@@ -159,8 +193,8 @@
     }
 
     /// `None` for what can't be read here.
-    pub fn record(&self) -> Option<Record> {
-        if self.version != VERSION {
+    pub fn decode_record(&self) -> Option<Record> {
+        if self.version != RECORD_VERSION {
             return None;
         }
         match postcard::take_from_bytes(&self.body) {
@@ -169,7 +203,7 @@
         }
     }
 
-    pub fn bytes(&self) -> usize {
+    pub fn size_estimate(&self) -> usize {
         self.body.len() + self.name.len() + 64
     }
 
@@ -183,16 +217,16 @@
 }
 
 /// What a file of accounts begins with.
-const MAGIC: &[u8] = b"lhaudit1";
+const FILE_MAGIC: &[u8] = b"lhaudit1";
 
 /// Links as they stand in a file.
-pub fn to_file(links: &[Link]) -> Vec<u8> {
-    let mut bytes = MAGIC.to_vec();
+pub fn write_file(links: &[ChainLink]) -> Vec<u8> {
+    let mut bytes = FILE_MAGIC.to_vec();
     bytes.extend(postcard::to_stdvec(links).unwrap_or_default());
     bytes
 }
 
 /// The links of a file; `None` for one that can't be read.
-pub fn of_file(bytes: &[u8]) -> Option<Vec<Link>> {
-    postcard::from_bytes(bytes.strip_prefix(MAGIC)?).ok()
+pub fn read_file(bytes: &[u8]) -> Option<Vec<ChainLink>> {
+    postcard::from_bytes(bytes.strip_prefix(FILE_MAGIC)?).ok()
 }
--- a/crates/audit/src/judge.rs
+++ b/crates/audit/src/verification.rs
@@ -4,18 +4,18 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linnethook_fellows::hlc::Stamp;
-use linnethook_fellows::Ms;
+use linnethook_membership::hybrid_clock::Timestamp;
+use linnethook_membership::Ms;
 use serde::Serialize;
 
-use crate::record::{Act, Booking, BookingEnd, Hash, Link, Record, Span};
+use crate::record::{AuditedAction, ChainLink, Record, RecordHash, Span, WriteAttempt, WriteOutcome};
 
 /// Something that is wrong or missing.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finding {
     /// Nothing is known of what it did from there on, up to there: to its next start, or not known up to when.
-    Gap { name: String, start: u64, after: u64, from: Option<Stamp>, to: Option<Stamp> },
+    Gap { name: String, start: u64, after: u64, from: Option<Timestamp>, to: Option<Timestamp> },
     /// Two links for one place: two accounts for one start, or one that was rewritten.
     Fork { name: String, start: u64, number: u64 },
     /// It does not hang on the one before it.
@@ -26,27 +26,28 @@
 
 /// One start of one router, as far as it is known.
 #[derive(Debug, Clone, Default)]
-pub struct Known {
+pub struct VerifiedLog {
     /// By number; of two for one place the one on which more hangs.
-    links: BTreeMap<u64, (Hash, Record)>,
-    pub ended: bool,
+    links: BTreeMap<u64, (RecordHash, Record)>,
+    pub is_closed: bool,
     /// Up to when something is known.
-    pub until: Stamp,
-    pub began: Option<(Stamp, Ms)>,
+    pub known_until: Timestamp,
+    pub started: Option<(Timestamp, Ms)>,
 }
 
 /// All accounts that some routers had.
 #[derive(Debug, Clone, Default)]
-pub struct Accounts {
-    all: BTreeMap<(String, u64), Known>,
+pub struct VerifiedLogs {
+    logs: BTreeMap<(String, u64), VerifiedLog>,
     pub findings: Vec<Finding>,
 }
 
 /// A span with whose it is.
 #[derive(Debug, Clone, Serialize)]
-pub struct Line {
+pub struct AttributedSpan {
     pub name: String,
-    pub start: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
     pub number: u64,
     #[serde(flatten)]
     pub span: Span,
@@ -54,23 +55,28 @@
 
 /// What a booking's attempts came to, by one router.
 #[derive(Debug, Clone, Serialize)]
-pub struct Trace {
+pub struct AttemptTrace {
     pub name: String,
-    pub start: u64,
-    pub to: Option<String>,
-    pub attempt: Option<Booking>,
-    pub end: Option<BookingEnd>,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
+    #[serde(rename = "to")]
+    pub target: Option<String>,
+    pub attempt: Option<WriteAttempt>,
+    #[serde(rename = "end")]
+    pub outcome: Option<WriteOutcome>,
     /// The hierarchy's version that it was sent on.
-    pub shape: u64,
-    pub journal: u64,
+    #[serde(rename = "shape")]
+    pub hierarchy_version: u64,
+    #[serde(rename = "journal")]
+    pub journal_position: u64,
 }
 
-impl Accounts {
+impl VerifiedLogs {
     /// Puts links together, from wherever they come and in any order.
-    pub fn new(links: impl IntoIterator<Item = Link>) -> Self {
-        let mut places = BTreeMap::<(String, u64), BTreeMap<u64, Vec<Link>>>::new();
+    pub fn new(links: impl IntoIterator<Item = ChainLink>) -> Self {
+        let mut places = BTreeMap::<(String, u64), BTreeMap<u64, Vec<ChainLink>>>::new();
         for link in links {
-            let account = places.entry((link.name.clone(), link.start)).or_default();
+            let account = places.entry((link.name.clone(), link.incarnation)).or_default();
             let place = account.entry(link.number).or_default();
             if !place.contains(&link) {
                 place.push(link);
@@ -78,17 +84,22 @@
         }
         let mut accounts = Self::default();
         for ((name, start), account) in places {
-            let known = accounts.chain(&name, start, &account);
-            accounts.all.insert((name, start), known);
+            let known = accounts.verify_chain(&name, start, &account);
+            accounts.logs.insert((name, start), known);
         }
-        accounts.name_gaps();
+        accounts.find_gaps();
         accounts.findings.sort();
         accounts.findings.dedup();
         accounts
     }
 
-    fn chain(&mut self, name: &str, start: u64, account: &BTreeMap<u64, Vec<Link>>) -> Known {
-        let mut known = Known::default();
+    fn verify_chain(
+        &mut self,
+        name: &str,
+        start: u64,
+        account: &BTreeMap<u64, Vec<ChainLink>>,
+    ) -> VerifiedLog {
+        let mut known = VerifiedLog::default();
         let named = || (name.to_string(), start);
         for (number, place) in account {
             if place.len() > 1 {
@@ -96,37 +107,37 @@
                 self.findings.push(Finding::Fork { name, start, number: *number });
             }
             let before = known.links.get(&(number - 1)).map(|(hash, _)| *hash);
-            let next: BTreeSet<Hash> =
-                account.get(&(number + 1)).into_iter().flatten().map(|l| l.before).collect();
+            let next: BTreeSet<RecordHash> =
+                account.get(&(number + 1)).into_iter().flatten().map(|l| l.previous_hash).collect();
             // What hangs on the one before, and has something hanging on it.
-            let fits = |link: &&Link| before.is_none_or(|before| link.before == before);
-            let mut fitting: Vec<&Link> = place.iter().filter(fits).collect();
+            let fits = |link: &&ChainLink| before.is_none_or(|before| link.previous_hash == before);
+            let mut fitting: Vec<&ChainLink> = place.iter().filter(fits).collect();
             fitting.sort_by_key(|link| (!next.contains(&link.hash()), link.hash()));
             let Some(link) = fitting.first() else {
                 let (name, start) = named();
                 self.findings.push(Finding::Broken { name, start, number: *number });
                 continue;
             };
-            let Some(record) = link.record() else {
+            let Some(record) = link.decode_record() else {
                 let (name, start) = named();
                 self.findings.push(Finding::Unreadable { name, start, number: *number });
                 continue;
             };
             match &record {
-                Record::Began { at, clock } => known.began = Some((*at, *clock)),
-                Record::Ended { .. } => known.ended = true,
+                Record::Started { at, wall_clock: clock } => known.started = Some((*at, *clock)),
+                Record::Closed { .. } => known.is_closed = true,
                 Record::Span(_) => {}
             }
-            known.until = known.until.max(record.until());
+            known.known_until = known.known_until.max(record.covered_until());
             known.links.insert(*number, (link.hash(), record));
         }
         known
     }
 
     /// What is missing: within each account, before it, and behind it where it did not end.
-    fn name_gaps(&mut self) {
+    fn find_gaps(&mut self) {
         let mut gaps = Vec::new();
-        let mut starts = self.all.iter().peekable();
+        let mut starts = self.logs.iter().peekable();
         while let Some(((name, start), known)) = starts.next() {
             let mut gap = |after, from, to| {
                 gaps.push(Finding::Gap { name: name.clone(), start: *start, after, from, to });
@@ -138,11 +149,11 @@
                     let from = if let Record::Span(span) = record { Some(span.from) } else { None };
                     gap(last, until, from);
                 }
-                (last, until) = (*number, Some(record.until()));
+                (last, until) = (*number, Some(record.covered_until()));
             }
-            if !known.ended {
+            if !known.is_closed {
                 let next = starts.peek().filter(|((next, _), _)| next == name);
-                let to = next.and_then(|(_, known)| known.began).map(|(at, _)| at);
+                let to = next.and_then(|(_, known)| known.started).map(|(at, _)| at);
                 gap(last, until, to);
             }
         }
@@ -150,11 +161,11 @@
     }
 
     /// From when on anything is known of each router: of what it did before nothing is said, and nothing is denied.
-    pub fn known_from(&self) -> BTreeMap<&str, Stamp> {
+    pub fn earliest_known(&self) -> BTreeMap<&str, Timestamp> {
         let mut from = BTreeMap::new();
-        for ((name, _), known) in &self.all {
+        for ((name, _), known) in &self.logs {
             let first = known.links.values().next().map(|(_, record)| match record {
-                Record::Began { at, .. } | Record::Ended { at } => *at,
+                Record::Started { at, .. } | Record::Closed { at } => *at,
                 Record::Span(span) => span.from,
             });
             if let Some(first) = first {
@@ -165,13 +176,13 @@
         from
     }
 
-    pub fn starts(&self) -> impl Iterator<Item = (&(String, u64), &Known)> {
-        self.all.iter()
+    pub fn incarnations(&self) -> impl Iterator<Item = (&(String, u64), &VerifiedLog)> {
+        self.logs.iter()
     }
 
     /// All spans, by router, start and number.
     pub fn spans(&self) -> impl Iterator<Item = (&str, u64, u64, &Span)> {
-        self.all.iter().flat_map(|((name, start), known)| {
+        self.logs.iter().flat_map(|((name, start), known)| {
             known.links.iter().filter_map(move |(number, (_, record))| match record {
                 Record::Span(span) => Some((name.as_str(), *start, *number, &**span)),
                 _ => None,
@@ -179,65 +190,73 @@
         })
     }
 
-    fn lines<'a>(&'a self, fits: impl Fn(&Span) -> bool + 'a) -> impl Iterator<Item = Line> + 'a {
+    fn matching_spans<'a>(
+        &'a self,
+        fits: impl Fn(&Span) -> bool + 'a,
+    ) -> impl Iterator<Item = AttributedSpan> + 'a {
         let fitting = self.spans().filter(move |(.., span)| fits(span));
-        fitting.map(|(name, start, number, span)| Line {
+        fitting.map(|(name, start, number, span)| AttributedSpan {
             name: name.to_string(),
-            start,
+            incarnation: start,
             number,
             span: span.clone(),
         })
     }
 
     /// Who acted on a version, and when: a number or a digest of the hierarchy, a build, or `journal:` with a number.
-    pub fn who<'a>(&'a self, version: &'a str) -> impl Iterator<Item = Line> + 'a {
-        self.lines(move |span| is_on(span, version))
+    pub fn spans_on_version<'a>(&'a self, version: &'a str) -> impl Iterator<Item = AttributedSpan> + 'a {
+        self.matching_spans(move |span| is_on(span, version))
     }
 
     /// What each acted on at a time, in Unix milliseconds by its own clock.
-    pub fn at(&self, time: Ms) -> impl Iterator<Item = Line> + '_ {
-        self.lines(move |span| (span.clock.0..span.clock.1.max(span.clock.0 + 1e-3)).contains(&time))
+    pub fn spans_at(&self, time: Ms) -> impl Iterator<Item = AttributedSpan> + '_ {
+        self.matching_spans(move |span| {
+            (span.wall_clock.0..span.wall_clock.1.max(span.wall_clock.0 + 1e-3)).contains(&time)
+        })
     }
 
     /// All that is known of a request's attempts.
-    pub fn request(&self, id: &str) -> Vec<Trace> {
-        let mut traces = Vec::<Trace>::new();
+    pub fn attempts_of_request(&self, id: &str) -> Vec<AttemptTrace> {
+        let mut traces = Vec::<AttemptTrace>::new();
         for (name, start, _, span) in self.spans() {
-            let named = |to: u64| span.names.iter().find(|(id, _)| *id == to).map(|(_, name)| name.clone());
-            let trace = |to, attempt, end| Trace {
+            let named =
+                |to: u64| span.node_names.iter().find(|(id, _)| *id == to).map(|(_, name)| name.clone());
+            let trace = |to, attempt, end| AttemptTrace {
                 name: name.to_string(),
-                start,
-                to,
+                incarnation: start,
+                target: to,
                 attempt,
-                end,
-                shape: span.acts_on.shape.0,
-                journal: span.acts_on.journal,
+                outcome: end,
+                hierarchy_version: span.versions.hierarchy.0,
+                journal_position: span.versions.journal_position,
             };
-            for booking in span.bookings.iter().filter(|booking| booking.id == id) {
-                traces.push(trace(named(booking.to), Some(booking.clone()), None));
+            for booking in span.write_attempts.iter().filter(|booking| booking.request_id == id) {
+                traces.push(trace(named(booking.target), Some(booking.clone()), None));
             }
-            for end in span.ends.iter().filter(|end| end.id == id) {
-                let mine = |t: &&mut Trace| {
+            for end in span.write_outcomes.iter().filter(|end| end.request_id == id) {
+                let mine = |t: &&mut AttemptTrace| {
                     t.name == name
-                        && t.start == start
-                        && t.attempt.as_ref().is_some_and(|a| a.number == end.number)
+                        && t.incarnation == start
+                        && t.attempt.as_ref().is_some_and(|a| a.attempt == end.attempt)
                 };
                 match traces.iter_mut().find(mine) {
-                    Some(trace) => trace.end = Some(end.clone()),
+                    Some(trace) => trace.outcome = Some(end.clone()),
                     None => traces.push(trace(None, None, Some(end.clone()))),
                 }
             }
         }
-        traces.sort_by_key(|trace| trace.attempt.as_ref().map(|a| a.at).or(trace.end.as_ref().map(|e| e.at)));
+        traces.sort_by_key(|trace| {
+            trace.attempt.as_ref().map(|a| a.at).or(trace.outcome.as_ref().map(|e| e.at))
+        });
         traces
     }
 
     /// When each router first acted on a version: by the time that orders them, and by its own clock.
-    pub fn settled(&self, version: &str) -> Vec<(String, u64, Stamp, Ms)> {
-        let mut first = BTreeMap::<(String, u64), (Stamp, Ms)>::new();
-        for line in self.who(version) {
-            let at = (line.span.from, line.span.clock.0);
-            let known = first.entry((line.name, line.start)).or_insert(at);
+    pub fn first_spans_on_version(&self, version: &str) -> Vec<(String, u64, Timestamp, Ms)> {
+        let mut first = BTreeMap::<(String, u64), (Timestamp, Ms)>::new();
+        for line in self.spans_on_version(version) {
+            let at = (line.span.from, line.span.wall_clock.0);
+            let known = first.entry((line.name, line.incarnation)).or_insert(at);
             if at.0 < known.0 {
                 *known = at;
             }
@@ -249,18 +268,21 @@
     }
 
     /// Who acted on another hierarchy than that after it was settled at that time.
-    pub fn behind(&self, digest: u64, since: Stamp) -> Vec<Line> {
-        self.lines(move |span| span.acts_on.shape.1 != digest && span.from > since && !span.counts.is_empty())
-            .collect()
+    pub fn spans_on_other_hierarchy(&self, digest: u64, since: Timestamp) -> Vec<AttributedSpan> {
+        self.matching_spans(move |span| {
+            span.versions.hierarchy.1 != digest && span.from > since && !span.counts.is_empty()
+        })
+        .collect()
     }
 
     /// Who heeded the drain or purge of a number of the journal, and when first.
-    pub fn heeded(&self, wanted: u64) -> Vec<(String, u64, Stamp, bool)> {
+    pub fn journal_event_applied(&self, wanted: u64) -> Vec<(String, u64, Timestamp, bool)> {
         let mut all = Vec::new();
         for (name, start, _, span) in self.spans() {
             for (act, tally) in &span.counts {
                 let by = match act {
-                    Act::Drain { number, fellows, .. } | Act::Purge { number, fellows }
+                    AuditedAction::Drain { journal_position: number, from_gossip: fellows, .. }
+                    | AuditedAction::Purge { journal_position: number, from_gossip: fellows }
                         if *number == wanted =>
                     {
                         *fellows
@@ -275,14 +297,15 @@
     }
 
     /// Pairs of routers that filled by two shapes at once, by the time that orders them: the names and from when to when.
-    pub fn two_shapes(&self) -> Vec<(String, String, Stamp, Stamp)> {
-        let fills = |span: &Span| span.counts.iter().any(|(act, _)| matches!(act, Act::Fill { .. }));
+    pub fn conflicting_hierarchies(&self) -> Vec<(String, String, Timestamp, Timestamp)> {
+        let fills =
+            |span: &Span| span.counts.iter().any(|(act, _)| matches!(act, AuditedAction::Fill { .. }));
         let spans: Vec<_> = self.spans().filter(|(.., span)| fills(span)).collect();
-        let mut found = BTreeMap::<(String, String), (Stamp, Stamp)>::new();
+        let mut found = BTreeMap::<(String, String), (Timestamp, Timestamp)>::new();
         for (n, (a, _, _, one)) in spans.iter().enumerate() {
             for (b, _, _, other) in &spans[n + 1..] {
                 let (from, to) = (one.from.max(other.from), one.to.min(other.to));
-                if a != b && one.acts_on.shape.1 != other.acts_on.shape.1 && from < to {
+                if a != b && one.versions.hierarchy.1 != other.versions.hierarchy.1 && from < to {
                     let key =
                         if a < b { (a.to_string(), b.to_string()) } else { (b.to_string(), a.to_string()) };
                     let known = found.entry(key).or_insert((from, to));
@@ -295,13 +318,13 @@
 }
 
 fn is_on(span: &Span, version: &str) -> bool {
-    let acts = &span.acts_on;
+    let acts = &span.versions;
     match version.split_once(':') {
-        Some(("journal", number)) => number.parse() == Ok(acts.journal),
+        Some(("journal", number)) => number.parse() == Ok(acts.journal_position),
         Some(("build", build)) => acts.build == build,
-        Some(("operator", digest)) => format!("{:016x}", acts.operator).starts_with(digest),
-        Some(("settings", digest)) => format!("{:016x}", acts.settings).starts_with(digest),
+        Some(("operator", digest)) => format!("{:016x}", acts.operator_digest).starts_with(digest),
+        Some(("settings", digest)) => format!("{:016x}", acts.settings_digest).starts_with(digest),
         Some(_) => false,
-        None => version.parse() == Ok(acts.shape.0) || format!("{:016x}", acts.shape.1) == version,
+        None => version.parse() == Ok(acts.hierarchy.0) || format!("{:016x}", acts.hierarchy.1) == version,
     }
 }
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -1,51 +1,53 @@
 //! The bytes of audit logs, on links and in files, and the names that commands print: compared with fixtures that an
 //! earlier build has written, read by this build and written again.
 
-#[path = "../../fellows/tests/support/mod.rs"]
+#[path = "../../membership/tests/support/mod.rs"]
 mod support;
 
 use std::path::{Path, PathBuf};
 
-use linnethook_audit::account::{Account, Rules};
-use linnethook_audit::judge::{Accounts, Finding};
-use linnethook_audit::record::{of_file, to_file, Act, Booking, BookingEnd, Link, Record, Span, Tally};
-use linnethook_fellows::fact::Acts;
-use linnethook_fellows::hlc::{Hlc, Stamp};
+use linnethook_audit::audit_log::{AuditLog, AuditLogConfig};
+use linnethook_audit::record::{
+    read_file, write_file, AuditedAction, ChainLink, Record, Span, Tally, WriteAttempt, WriteOutcome,
+};
+use linnethook_audit::verification::{Finding, VerifiedLogs};
+use linnethook_membership::hybrid_clock::{HybridClock, Timestamp};
+use linnethook_membership::versions::ActiveVersions;
 use support::{hex, unhex, Fixtures};
 
 fn file(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-fn stamp(ms: u64) -> Stamp {
-    Stamp { ms, count: 300 }
+fn stamp(ms: u64) -> Timestamp {
+    Timestamp { ms, counter: 300 }
 }
 
-fn acts_on() -> Acts {
-    Acts {
+fn acts_on() -> ActiveVersions {
+    ActiveVersions {
         build: "0.1.0".to_string(),
-        settings: 0x0102_0304_0506_0708,
-        operator: 0x1112_1314_1516_1718,
-        shape: (300, 0x2122_2324_2526_2728),
-        journal: 70_000,
-        drains: 3,
-        purges: 200,
+        settings_digest: 0x0102_0304_0506_0708,
+        operator_digest: 0x1112_1314_1516_1718,
+        hierarchy: (300, 0x2122_2324_2526_2728),
+        journal_position: 70_000,
+        drains_applied: 3,
+        purges_applied: 200,
     }
 }
 
-fn acts() -> Vec<Act> {
+fn acts() -> Vec<AuditedAction> {
     vec![
-        Act::Attempt { to: 1 << 40 },
-        Act::Fill { child: 1, source: 2 },
-        Act::Booking { to: 3 },
-        Act::Refused,
-        Act::Failed,
-        Act::Stage { to: 4, stage: 5 },
-        Act::Drain { cache: 6, number: 70_000, fellows: true },
-        Act::Back { cache: 6, number: 70_001, fellows: false },
-        Act::Purge { number: 70_002, fellows: true },
-        Act::Batch { author: 500, number: 70_003, fellows: false },
-        Act::ShutOut,
+        AuditedAction::Attempt { target: 1 << 40 },
+        AuditedAction::Fill { child: 1, source: 2 },
+        AuditedAction::WriteAttempt { target: 3 },
+        AuditedAction::Refused,
+        AuditedAction::Failed,
+        AuditedAction::RolloutStage { target: 4, stage: 5 },
+        AuditedAction::Drain { cache: 6, journal_position: 70_000, from_gossip: true },
+        AuditedAction::CacheRestored { cache: 6, journal_position: 70_001, from_gossip: false },
+        AuditedAction::Purge { journal_position: 70_002, from_gossip: true },
+        AuditedAction::Batch { author: 500, number: 70_003, from_gossip: false },
+        AuditedAction::RejectedAsStraggler,
     ]
 }
 
@@ -54,34 +56,39 @@
     Span {
         from: stamp(1_000),
         to: stamp(6_000),
-        clock: (1_000.5, 6_000.5),
-        acts_on: acts_on(),
+        wall_clock: (1_000.5, 6_000.5),
+        versions: acts_on(),
         counts: acts().into_iter().zip(1..).map(|(act, n)| (act, tally(n))).collect(),
-        bookings: vec![Booking { id: "request-1".to_string(), number: 2, to: 3, at: stamp(2_000) }],
-        ends: vec![BookingEnd {
-            id: "request-1".to_string(),
-            number: 2,
-            how: "answered".to_string(),
+        write_attempts: vec![WriteAttempt {
+            request_id: "request-1".to_string(),
+            attempt: 2,
+            target: 3,
+            at: stamp(2_000),
+        }],
+        write_outcomes: vec![WriteOutcome {
+            request_id: "request-1".to_string(),
+            attempt: 2,
+            outcome: "answered".to_string(),
             at: stamp(3_000),
         }],
-        unnamed: 4,
-        untold: 5,
-        names: vec![(3, "node-3".to_string())],
+        omitted_writes: 4,
+        omitted_actions: 5,
+        node_names: vec![(3, "node-3".to_string())],
     }
 }
 
 fn records() -> Vec<(&'static str, Record)> {
     vec![
-        ("began", Record::Began { at: stamp(1_000), clock: 1_000.5 }),
+        ("began", Record::Started { at: stamp(1_000), wall_clock: 1_000.5 }),
         ("span", Record::Span(Box::new(span()))),
-        ("ended", Record::Ended { at: stamp(9_000) }),
+        ("ended", Record::Closed { at: stamp(9_000) }),
     ]
 }
 
-fn links() -> Vec<Link> {
+fn links() -> Vec<ChainLink> {
     let mut before = [0; 32];
     let link = |(number, (_, record)): (u64, (_, Record))| {
-        let link = Link::new("r1", 1 << 40, number, before, &record);
+        let link = ChainLink::new("r1", 1 << 40, number, before, &record);
         before = link.hash();
         link
     };
@@ -89,24 +96,34 @@
 }
 
 /// A log as a router writes it, with an end.
-fn written() -> Account {
+fn written() -> AuditLog {
     let names = |id: u64| Some(format!("node-{id}"));
-    let mut clock = Hlc::default();
-    let rules = Rules { kinds: 9, bookings: 2, ..Rules::default() };
-    let mut account = Account::new(0.0, clock.stamp(0.0), rules, "r1", 1_000, acts_on());
+    let mut clock = HybridClock::default();
+    let rules = AuditLogConfig { max_action_kinds: 9, max_write_attempts: 2, ..AuditLogConfig::default() };
+    let mut account = AuditLog::new(0.0, clock.next_timestamp(0.0), rules, "r1", 1_000, acts_on());
     for n in 0..40u64 {
         let now = n as f64 * 700.0;
         let all = acts();
-        account.act(clock.stamp(now), all[n as usize % all.len()]);
+        account.record_action(clock.next_timestamp(now), all[n as usize % all.len()]);
         let id = format!("request-{n}");
-        account.booking(Booking { id: id.clone(), number: 1, to: n % 3, at: clock.stamp(now) });
-        let (how, at) = ("answered".to_string(), clock.stamp(now + 1.0));
-        account.booking_ended(BookingEnd { id, number: 1, how, at });
+        account.record_write_attempt(WriteAttempt {
+            request_id: id.clone(),
+            attempt: 1,
+            target: n % 3,
+            at: clock.next_timestamp(now),
+        });
+        let (how, at) = ("answered".to_string(), clock.next_timestamp(now + 1.0));
+        account.record_write_outcome(WriteOutcome { request_id: id, attempt: 1, outcome: how, at });
         let journal = 70_000 + n / 10;
-        account.acts_on(now + 2.0, clock.stamp(now + 2.0), &Acts { journal, ..acts_on() }, names);
-        account.tick(now + 3.0, clock.stamp(now + 3.0), names);
+        account.set_versions(
+            now + 2.0,
+            clock.next_timestamp(now + 2.0),
+            &ActiveVersions { journal_position: journal, ..acts_on() },
+            names,
+        );
+        account.tick(now + 3.0, clock.next_timestamp(now + 3.0), names);
     }
-    account.end(30_000.0, clock.stamp(30_000.0), names);
+    account.finish(30_000.0, clock.next_timestamp(30_000.0), names);
     account
 }
 
@@ -114,13 +131,13 @@
 fn links_and_files_keep_their_bytes() {
     let mut fixtures = Fixtures::new();
     for ((name, record), link) in records().into_iter().zip(links()) {
-        assert_eq!(link.record(), Some(record));
+        assert_eq!(link.decode_record(), Some(record));
         fixtures.insert(format!("link.{name}"), hex(&link.encode()));
         fixtures.insert(format!("hash.{name}"), hex(&link.hash()));
     }
-    fixtures.insert("file".to_string(), hex(&to_file(&links())));
-    let written: Vec<Link> = written().from(1).cloned().collect();
-    fixtures.insert("written".to_string(), hex(&to_file(&written)));
+    fixtures.insert("file".to_string(), hex(&write_file(&links())));
+    let written: Vec<ChainLink> = written().records_from(1).cloned().collect();
+    fixtures.insert("written".to_string(), hex(&write_file(&written)));
     support::compare(&file("links.txt"), &fixtures);
 }
 
@@ -130,15 +147,15 @@
     let fixtures = support::read(&file("links.txt"));
     for ((name, record), link) in records().into_iter().zip(links()) {
         let bytes = unhex(&fixtures[&format!("link.{name}")]);
-        let read = Link::decode(&bytes).expect("a link");
-        assert_eq!((&read, read.record()), (&link, Some(record)), "{name}");
+        let read = ChainLink::decode(&bytes).expect("a link");
+        assert_eq!((&read, read.decode_record()), (&link, Some(record)), "{name}");
         assert_eq!(read.encode(), bytes, "{name}");
     }
     for name in ["file", "written"] {
         let bytes = unhex(&fixtures[name]);
-        let links = of_file(&bytes).expect("a file");
-        assert_eq!(to_file(&links), bytes, "{name}");
-        assert!(Accounts::new(links).findings.iter().all(|f| matches!(f, Finding::Gap { .. })), "{name}");
+        let links = read_file(&bytes).expect("a file");
+        assert_eq!(write_file(&links), bytes, "{name}");
+        assert!(VerifiedLogs::new(links).findings.iter().all(|f| matches!(f, Finding::Gap { .. })), "{name}");
     }
 }
 
@@ -156,10 +173,10 @@
     ];
     add("findings", support::json::to_string(&findings));
     add("span", support::json::to_string(&span()));
-    let accounts = Accounts::new(links());
-    add("who", support::json::to_string(&accounts.who("300").collect::<Vec<_>>()));
-    add("request", support::json::to_string(&accounts.request("request-1")));
-    add("settled", support::json::to_string(&accounts.settled("300")));
-    add("drained", support::json::to_string(&accounts.heeded(70_000)));
+    let accounts = VerifiedLogs::new(links());
+    add("who", support::json::to_string(&accounts.spans_on_version("300").collect::<Vec<_>>()));
+    add("request", support::json::to_string(&accounts.attempts_of_request("request-1")));
+    add("settled", support::json::to_string(&accounts.first_spans_on_version("300")));
+    add("drained", support::json::to_string(&accounts.journal_event_applied(70_000)));
     support::compare(&file("json.txt"), &fixtures);
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -13,11 +13,15 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use linnethook_fellows::fact::{Acts, Key, Purge, Statement};
-use linnethook_fellows::fellows::{Action, Counts, Fellows, Rules, Said};
-use linnethook_fellows::place::Place;
 use linnethook_gateway::codec::{put, Word};
 use linnethook_gateway::site::{About, Fact, State};
+use linnethook_membership::actions::{ClusterAction, EncodedEntry};
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::cluster::Cluster;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::{EntryKey, Purge};
+use linnethook_membership::versions::{ActiveVersions, RouterStatus};
+use linnethook_membership::view::ClusterCounters;
 use linnethook_standins::scale::{self as sockets, by_place, join, SITE};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -102,11 +106,11 @@
 }
 
 impl Setup {
-    fn rules(&self) -> Rules {
-        let mut rules = Rules::default();
+    fn rules(&self) -> MembershipConfig {
+        let mut rules = MembershipConfig::default();
         if !self.paced {
-            rules.bundle = 64 << 20;
-            (rules.pace.rate, rules.pace.saved) = (1e15, 1.0);
+            rules.bundle_bytes = 64 << 20;
+            (rules.rate_limit.bytes_per_second, rules.rate_limit.burst_seconds) = (1e15, 1.0);
         }
         rules
     }
@@ -189,13 +193,13 @@
     links
 }
 
-fn place(site: usize) -> Option<Place> {
-    Place::read(&sockets::place(site)).ok()
+fn place(site: usize) -> Option<Location> {
+    Location::parse(&sockets::place(site)).ok()
 }
 
 /// One frame's facts, and its length on a link.
 struct Frame {
-    said: Vec<Said>,
+    said: Vec<EncodedEntry>,
     bytes: usize,
 }
 
@@ -213,15 +217,15 @@
 }
 
 struct Node {
-    core: Option<Fellows>,
-    place: Option<Place>,
+    core: Option<Cluster>,
+    place: Option<Location>,
     name: String,
     start: u64,
     links: Vec<usize>,
     inbox: Vec<Letter>,
     outbox: Vec<(To, Arc<Frame>)>,
     due: Ms,
-    acts: Acts,
+    acts: ActiveVersions,
     meter: Meter,
     /// By purge and by change: when it was known here, in milliseconds since the beginning; -1 before.
     purges: Vec<f32>,
@@ -274,12 +278,12 @@
     pages.unwrap_or(0.0) * 4_096.0
 }
 
-fn purge_key(number: u32) -> Key {
-    Key::Object(format!("{:016x}", u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
+fn purge_key(number: u32) -> EntryKey {
+    EntryKey::Object(format!("{:016x}", u64::from(number).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
 }
 
-fn number_of(key: &Key, inverse: u64) -> Option<usize> {
-    let Key::Object(name) = key else { return None };
+fn number_of(key: &EntryKey, inverse: u64) -> Option<usize> {
+    let EntryKey::Object(name) = key else { return None };
     Some(u64::from_str_radix(name, 16).ok()?.wrapping_mul(inverse) as usize)
 }
 
@@ -291,7 +295,7 @@
 
 impl Frame {
     /// Facts as they travel: the bytes of the gateway's own frame.
-    fn new(said: Vec<Said>, alone: bool) -> Self {
+    fn new(said: Vec<EncodedEntry>, alone: bool) -> Self {
         let facts: Vec<(About, Fact)> = said
             .iter()
             .map(|(key, entry)| (About::Fellow(key.clone()), Fact::Fellow(entry.clone())))
@@ -307,7 +311,7 @@
 }
 
 impl Node {
-    fn say(&mut self, to: To, said: Vec<Said>) {
+    fn say(&mut self, to: To, said: Vec<EncodedEntry>) {
         let alone = matches!(to, To::One(_));
         self.outbox.push((to, Arc::new(Frame::new(said, alone))));
     }
@@ -331,7 +335,7 @@
             self.meter.heard += letter.frame.bytes as u64;
             self.meter.facts += letter.frame.said.len() as u64;
             let from = format!("r{}", letter.from);
-            letter.frame.said.iter().for_each(|(key, entry)| core.heard(now, &from, key, entry));
+            letter.frame.said.iter().for_each(|(key, entry)| core.receive(now, &from, key, entry));
         }
         if !ready.is_empty() {
             self.meter.hearing += began.elapsed();
@@ -339,7 +343,7 @@
         if !ready.is_empty() || now >= self.due {
             let began = Instant::now();
             core.tick(now);
-            self.due = core.next(now);
+            self.due = core.next_deadline(now);
             self.meter.ticking += began.elapsed();
             self.meter.ticks += 1;
         }
@@ -347,28 +351,30 @@
     }
 
     fn carry_out(&mut self, now: Ms, inverse: u64, begun: Ms) {
-        while let Some(action) = self.core.as_mut().and_then(Fellows::next_action) {
+        while let Some(action) = self.core.as_mut().and_then(Cluster::next_action) {
             match action {
-                Action::Say(said) => self.say(To::All, said),
-                Action::Direct(name, said) => {
+                ClusterAction::Broadcast(said) => self.say(To::All, said),
+                ClusterAction::SendTo(name, said) => {
                     if let Ok(to) = name[1..].parse() {
                         self.say(To::One(to), said);
                     }
                 }
-                Action::Purge { key, purge } if purge.number > self.acts.journal => {
+                ClusterAction::Purged { key, purge }
+                    if purge.journal_position > self.acts.journal_position =>
+                {
                     // As the router does: heeded by a fellow's word, until the own journal has come so far.
-                    self.acts.purges += 1;
+                    self.acts.purges_applied += 1;
                     if let Some(known) = number_of(&key, inverse).and_then(|n| self.purges.get_mut(n)) {
                         if *known < 0.0 {
                             *known = (now - begun) as f32;
                         }
                     }
                     if let Some(core) = &mut self.core {
-                        core.acts(&self.acts);
-                        self.due = core.next(now);
+                        core.set_versions(&self.acts);
+                        self.due = core.next_deadline(now);
                     }
                 }
-                Action::Batch(body) => {
+                ClusterAction::BatchReceived(body) => {
                     let number = body.first_chunk().map(|bytes| u32::from_le_bytes(*bytes) as usize);
                     if let Some(known) = number.and_then(|n| self.changes.get_mut(n)) {
                         if *known < 0.0 {
@@ -385,11 +391,15 @@
     fn told(&mut self, now: Ms, number: u32, stamp: Ms, begun: Ms) {
         let Some(core) = &mut self.core else { return };
         let began = Instant::now();
-        self.acts.purges += 1;
-        self.acts.journal = self.acts.journal.max(u64::from(number) + 1);
-        core.tell_purge(now, &purge_key(number), Purge { stamp, number: u64::from(number) + 1 });
-        core.acts(&self.acts);
-        self.due = core.next(now);
+        self.acts.purges_applied += 1;
+        self.acts.journal_position = self.acts.journal_position.max(u64::from(number) + 1);
+        core.publish_purge(
+            now,
+            &purge_key(number),
+            Purge { issued_at: stamp, journal_position: u64::from(number) + 1 },
+        );
+        core.set_versions(&self.acts);
+        self.due = core.next_deadline(now);
         self.meter.hearing += began.elapsed();
         let known = &mut self.purges[number as usize];
         if *known < 0.0 {
@@ -408,51 +418,55 @@
             Form::Summary => by_place(&mut chance, n),
         };
         let place = |node: usize| (setup.form == Form::Summary).then(|| place(node / SITE)).flatten();
-        let acts =
-            Acts { build: env!("CARGO_PKG_VERSION").to_string(), settings: 1 << 60, ..Acts::default() };
+        let acts = ActiveVersions {
+            build: env!("CARGO_PKG_VERSION").to_string(),
+            settings_digest: 1 << 60,
+            ..ActiveVersions::default()
+        };
         let start = |node: usize| (EPOCH * 1_000.0) as u64 + node as u64 + 1;
         let name = |node: usize| format!("r{node}");
-        let statements: Vec<Said> = (0..n)
+        let statements: Vec<EncodedEntry> = (0..n)
             .map(|node| {
                 let links = links[node].iter().map(|other| (name(*other), start(*other))).collect();
-                let statement = Statement { acts: acts.clone(), links, leaving: false, place: None };
-                let entry = statement.entry((start(node), 2), Rules::default().speaks);
-                (Key::Router(name(node)).encode(), entry.encode())
+                let statement =
+                    RouterStatus { versions: acts.clone(), links, leaving: false, location: None };
+                let entry = statement.encode((start(node), 2), MembershipConfig::default().status_version);
+                (EntryKey::Router(name(node)).encode(), entry.encode())
             })
             .collect();
         // All that is known at the beginning is said before any link is there to carry it, and nothing is saved up then.
-        let mut loud = Rules { bundle: usize::MAX, ..Rules::default() };
-        (loud.pace.rate, loud.pace.saved) = (1e15, 1.0);
+        let mut loud = MembershipConfig { bundle_bytes: usize::MAX, ..MembershipConfig::default() };
+        (loud.rate_limit.bytes_per_second, loud.rate_limit.burst_seconds) = (1e15, 1.0);
         let mut spent = loud;
-        (spent.pace.rate, spent.pace.saved) = (1.0, 1.0);
+        (spent.rate_limit.bytes_per_second, spent.rate_limit.burst_seconds) = (1.0, 1.0);
         let rules = setup.rules();
         let mut nodes: Vec<Node> = Vec::with_capacity(n);
         let phases: Vec<f64> = (0..n).map(|_| chance.random_range(0.0..5_000.0)).collect();
         let cold = |node: usize| {
             let now = EPOCH - SETTLED;
-            let core = Fellows::new(now, rules, &name(node), start(node), acts.clone());
-            let mut core = core.at(now, place(node));
-            links[node].iter().for_each(|other| core.link(&name(*other), start(*other), true));
+            let core = Cluster::new(now, rules, &name(node), start(node), acts.clone());
+            let mut core = core.with_location(now, place(node));
+            links[node].iter().for_each(|other| core.set_link(&name(*other), start(*other), true));
             core
         };
         let warm = |node: usize| {
-            let now = EPOCH - phases[node] - 2.0 * rules.every;
-            let mut core = Fellows::new(now, loud, &name(node), start(node), Acts::default());
+            let now = EPOCH - phases[node] - 2.0 * rules.flush_interval;
+            let mut core = Cluster::new(now, loud, &name(node), start(node), ActiveVersions::default());
             for other in &links[node] {
-                core.link(&name(*other), start(*other), true);
+                core.set_link(&name(*other), start(*other), true);
             }
             for (other, (key, entry)) in statements.iter().enumerate() {
                 if other != node {
-                    core.heard(now, "r", key, entry);
+                    core.receive(now, "r", key, entry);
                 }
             }
             core.tick(now);
-            core.set(spent);
-            core.acts(&acts);
-            core.tick(EPOCH - rules.every);
+            core.set_config(spent);
+            core.set_versions(&acts);
+            core.tick(EPOCH - rules.flush_interval);
             while core.next_action().is_some() {}
-            core.set(rules);
-            core.counts = Counts::default();
+            core.set_config(rules);
+            core.counters = ClusterCounters::default();
             core
         };
         let make = |node: usize| {
@@ -549,7 +563,7 @@
                     self.nodes
                         .iter()
                         .filter_map(|node| node.core.as_ref())
-                        .map(|core| core.shown(now).pending)
+                        .map(|core| core.view(now).pending)
                         .collect::<Vec<_>>(),
                 );
                 behind = self.behind();
@@ -567,8 +581,12 @@
         for core in self.nodes.iter().filter_map(|node| node.core.as_ref()) {
             for (name, member) in core.members().iter() {
                 let other = name[1..].parse().ok().and_then(|n: usize| self.nodes.get(n));
-                let reached = other.filter(|other| other.core.is_some()).map(|other| other.acts.journal);
-                all.extend(reached.map(|number| number.saturating_sub(member.statement.acts.journal) as u32));
+                let reached =
+                    other.filter(|other| other.core.is_some()).map(|other| other.acts.journal_position);
+                all.extend(
+                    reached
+                        .map(|number| number.saturating_sub(member.status.versions.journal_position) as u32),
+                );
             }
         }
         all.sort_unstable();
@@ -633,8 +651,8 @@
                 if let Some(core) = &mut node.core {
                     let mut body = number.to_le_bytes().to_vec();
                     body.resize(CHANGE, 0);
-                    core.tell_batch(now, 7, u64::from(number) + 1, u64::from(number) + 1, body);
-                    node.due = core.next(now);
+                    core.publish_batch(now, 7, u64::from(number) + 1, u64::from(number) + 1, body);
+                    node.due = core.next_deadline(now);
                 }
                 node.changes[number as usize] = (now - EPOCH) as f32;
             }
@@ -716,11 +734,11 @@
         let (name, start) = (self.nodes[other].name.clone(), self.nodes[other].start);
         let now = self.now;
         let Some(core) = &mut self.nodes[at].core else { return };
-        core.link(&name, start, up);
-        let due = core.next(now);
+        core.set_link(&name, start, up);
+        let due = core.next_deadline(now);
         if up {
             // As the gateway does: who connects is told all that there is, once, in pieces.
-            let all: Vec<Said> =
+            let all: Vec<EncodedEntry> =
                 core.table().iter().map(|(key, entry)| (key.clone(), entry.encode())).collect();
             for piece in all.chunks(1_024) {
                 self.nodes[at].say(To::One(other), piece.to_vec());
@@ -752,9 +770,9 @@
         let now = self.now;
         let node = &mut self.nodes[n];
         node.start = (now * 1_000.0) as u64 + n as u64 % 1_000;
-        node.acts.purges = 0;
-        let core = Fellows::new(now, self.setup.rules(), &node.name, node.start, node.acts.clone());
-        node.core = Some(core.at(now, node.place.clone()));
+        node.acts.purges_applied = 0;
+        let core = Cluster::new(now, self.setup.rules(), &node.name, node.start, node.acts.clone());
+        node.core = Some(core.with_location(now, node.place.clone()));
         node.back = Some((now, node.meter.heard));
         node.joined = None;
         node.due = now;
@@ -851,7 +869,7 @@
         Seen {
             meters: here.iter().filter_map(|(n, _)| meters.get(*n).copied()).collect(),
             kept: cores().map(|core| (core.table().len(), core.table().bytes())).collect(),
-            full: cores().map(|core| core.counts.full).collect(),
+            full: cores().map(|core| core.counters.entries_rejected).collect(),
             pending,
             purges: late(&issued.0, |node| &node.purges),
             changes: late(&issued.1, |node| &node.changes),
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -11,17 +11,19 @@
     Request, RequestId, Settings, Siblings, Status, Tells,
 };
 use linnethook::Brain;
-use linnethook_audit::account::{Account, Rules as Spans};
-use linnethook_audit::record::Act;
-use linnethook_fellows::fact::{Acts, Key, Statement};
-use linnethook_fellows::fellows::{Fellows, Rules};
-use linnethook_fellows::hlc::Hlc;
-use linnethook_fellows::table::Kept;
+use linnethook_audit::audit_log::{AuditLog, AuditLogConfig};
+use linnethook_audit::record::AuditedAction;
 use linnethook_gateway::codec::{put, Hello, Word, VERSIONS};
 use linnethook_gateway::session::{Session, SessionRule};
 use linnethook_gateway::site::{About, Fact, State};
 use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, SourceSpec};
 use linnethook_hierarchy::{Author, Change, Hierarchy, Node, NodeId, Role, Source};
+use linnethook_membership::cluster::Cluster;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::EntryKey;
+use linnethook_membership::gossip::entry_table::TableLimits;
+use linnethook_membership::hybrid_clock::HybridClock;
+use linnethook_membership::versions::{ActiveVersions, RouterStatus};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -40,7 +42,7 @@
 
 /// One member that knows so many others, each with six links: what it keeps, and what its work costs.
 /// It comes back too: as long as all of them are kept, each is seen in the growth of this process.
-pub fn member(seed: u64, routers: usize) -> (Vec<Measured>, Fellows) {
+pub fn member(seed: u64, routers: usize) -> (Vec<Measured>, Cluster) {
     let of = "routers";
     let size = routers as f64;
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -56,24 +58,35 @@
             }
         }
     }
-    let acts = |journal| Acts { build: "0.1.0".to_string(), settings: 1 << 60, journal, ..Acts::default() };
+    let acts = |journal| ActiveVersions {
+        build: "0.1.0".to_string(),
+        settings_digest: 1 << 60,
+        journal_position: journal,
+        ..ActiveVersions::default()
+    };
     let entry = |n: usize, number: u64| {
         let links = links[n].iter().map(|other| (name(*other), start(*other))).collect();
-        let statement = Statement { acts: acts(number), links, leaving: false, place: None };
-        statement.entry((start(n), number), Rules::default().speaks).encode()
+        let statement = RouterStatus { versions: acts(number), links, leaving: false, location: None };
+        statement.encode((start(n), number), MembershipConfig::default().status_version).encode()
     };
-    let bounds = Rules::default().kept;
+    let bounds = MembershipConfig::default().table_limits;
     let before = resident();
     // Wide bounds, so that the cost of each is seen; what the shipped ones leave out is told beside it.
-    let wide = Kept { facts: 1 << 20, bytes: 1 << 30, ..bounds };
-    let mut core = Fellows::new(begin, Rules { kept: wide, ..Rules::default() }, "r0", start(0), acts(0));
-    links[0].iter().for_each(|other| core.link(&name(*other), start(*other), true));
-    let keys: Vec<Vec<u8>> = (0..routers).map(|n| Key::Router(name(n)).encode()).collect();
+    let wide = TableLimits { entries: 1 << 20, total_bytes: 1 << 30, ..bounds };
+    let mut core = Cluster::new(
+        begin,
+        MembershipConfig { table_limits: wide, ..MembershipConfig::default() },
+        "r0",
+        start(0),
+        acts(0),
+    );
+    links[0].iter().for_each(|other| core.set_link(&name(*other), start(*other), true));
+    let keys: Vec<Vec<u8>> = (0..routers).map(|n| EntryKey::Router(name(n)).encode()).collect();
     let mut bytes = 0;
     for (n, key) in keys.iter().enumerate().skip(1) {
         let entry = entry(n, 1);
         bytes += key.len() + entry.len();
-        core.heard(begin, "r1", key, &entry);
+        core.receive(begin, "r1", key, &entry);
     }
     core.tick(begin);
     let memory = (resident() - before).max(0.0);
@@ -90,9 +103,9 @@
             .map(|n| (n, entry(n, number)))
             .collect();
         let began = Instant::now();
-        said.iter().for_each(|(n, entry)| core.heard(now, "r1", &keys[*n], entry));
+        said.iter().for_each(|(n, entry)| core.receive(now, "r1", &keys[*n], entry));
         hearing += began.elapsed().as_secs_f64();
-        core.acts(&acts(number));
+        core.set_versions(&acts(number));
         let began = Instant::now();
         core.tick(now);
         ticking += began.elapsed().as_secs_f64();
@@ -105,7 +118,7 @@
     }
     let idle = micros(began, turns);
     let turn = (hearing + ticking) / turns as f64;
-    let left_out = (routers - 1).saturating_sub(bounds.facts) as f64;
+    let left_out = (routers - 1).saturating_sub(bounds.entries) as f64;
     let measured = vec![
         ("facts of members kept", "facts", of, size, core.table().len() as f64),
         ("bytes of facts", "bytes", of, size, core.table().bytes() as f64),
@@ -334,12 +347,17 @@
 pub fn account(purges: f64) -> Vec<Measured> {
     let (of, size) = ("purges by second", purges);
     let begin = 1e12;
-    let mut clock = Hlc::default();
-    let acts = |journal| Acts { build: "0.1.0".to_string(), settings: 1 << 60, journal, ..Acts::default() };
-    let mut account = Account::new(
+    let mut clock = HybridClock::default();
+    let acts = |journal| ActiveVersions {
+        build: "0.1.0".to_string(),
+        settings_digest: 1 << 60,
+        journal_position: journal,
+        ..ActiveVersions::default()
+    };
+    let mut account = AuditLog::new(
         begin,
-        clock.stamp(begin),
-        Spans::default(),
+        clock.next_timestamp(begin),
+        AuditLogConfig::default(),
         "router-0042",
         1_764_576_000_123_456,
         acts(0),
@@ -353,23 +371,29 @@
     for ms in 0..seconds * 1_000u64 {
         let now = begin + ms as f64;
         let began = Instant::now();
-        account.act(clock.stamp(now), Act::Attempt { to: ms % 4 + 1 });
+        account.record_action(clock.next_timestamp(now), AuditedAction::Attempt { target: ms % 4 + 1 });
         if ms % 10 == 0 {
-            account.act(clock.stamp(now), Act::Fill { child: ms % 4 + 1, source: 9 + ms % 2 });
+            account.record_action(
+                clock.next_timestamp(now),
+                AuditedAction::Fill { child: ms % 4 + 1, source: 9 + ms % 2 },
+            );
         }
         let told = (purges * (ms + 1) as f64 / 1_000.0) as u64;
         for number in journal + 1..=told {
-            account.act(clock.stamp(now), Act::Purge { number, fellows: false });
+            account.record_action(
+                clock.next_timestamp(now),
+                AuditedAction::Purge { journal_position: number, from_gossip: false },
+            );
         }
         journal = told;
         // The router looks at what it acts on when it ticks its fleet: ten times a second where there is news.
         if ms % 100 == 99 {
-            account.acts_on(now, clock.stamp(now), &acts(journal), names);
-            account.tick(now, clock.stamp(now), names);
+            account.set_versions(now, clock.next_timestamp(now), &acts(journal), names);
+            account.tick(now, clock.next_timestamp(now), names);
         }
         spent += began.elapsed().as_secs_f64();
         if ms % 100 == 99 {
-            let new: Vec<usize> = account.from(highest).map(|link| link.encode().len()).collect();
+            let new: Vec<usize> = account.records_from(highest).map(|link| link.encode().len()).collect();
             wrote += new.iter().sum::<usize>();
             highest = account.head().0 + 1;
         }
--- a/crates/fellows/examples/spread.rs
+++ b/crates/membership/examples/spread.rs
@@ -6,9 +6,10 @@
 #[path = "../tests/net/mod.rs"]
 mod net;
 
-use linnethook_fellows::fact::{CacheLine, Key};
-use linnethook_fellows::fellows::{Note, Rules};
-use linnethook_fellows::members::{Change, Standing};
+use linnethook_membership::actions::ClusterEvent;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::{CacheStatus, EntryKey};
+use linnethook_membership::membership::{MemberChange, MemberState};
 use net::{Net, Wire};
 
 fn quantiles(mut times: Vec<f64>) -> String {
@@ -22,10 +23,10 @@
 }
 
 fn measure(routers: usize, loss: f64) {
-    let mut net = Net::new(7, routers, 3, Rules::default(), Wire { loss, ..Wire::default() });
+    let mut net = Net::new(7, routers, 3, MembershipConfig::default(), Wire { loss, ..Wire::default() });
     let alive = |net: &Net| {
         net.nodes.iter().filter_map(|node| node.core.as_ref()).all(|core| {
-            core.members().iter().filter(|(_, m)| m.standing == Standing::Alive).count() >= routers - 1
+            core.members().iter().filter(|(_, m)| m.state == MemberState::Alive).count() >= routers - 1
         })
     };
     let joined = net.until(120_000.0, alive).unwrap_or(f64::NAN);
@@ -35,8 +36,8 @@
     let quiet = (said(&net) - before) / 20.0;
     // One fact.
     let (at, before) = (net.now, said(&net));
-    net.core(0).tell_cache(at, "c", CacheLine { ready: false, gone: false, started: 0.0 }, 9);
-    let key = Key::Cache("c".to_string()).encode();
+    net.core(0).publish_cache(at, "c", CacheStatus { ready: false, removed: false, started_at: 0.0 }, 9);
+    let key = EntryKey::Cache("c".to_string()).encode();
     let mut known = vec![f64::NAN; routers];
     for _ in 0..1_000 {
         net.run(net.now + 10.0);
@@ -54,7 +55,7 @@
     // One crash.
     net.run(net.now + 10_000.0);
     let wrong = |net: &Net, name: &str| {
-        let suspected = |note: &Note| matches!(note, Note::Member { name: who, change: Change::Now(Standing::Suspected), .. } if who != name);
+        let suspected = |note: &ClusterEvent| matches!(note, ClusterEvent::Member { name: who, change: MemberChange::StateChanged(MemberState::Suspect), .. } if who != name);
         net.nodes.iter().flat_map(|n| &n.notes).filter(|(at, note)| *at > from && suspected(note)).count()
     };
     let at = net.now;
@@ -64,7 +65,7 @@
     net.run(net.now + 10_000.0);
     for node in &net.nodes {
         let when = node.notes.iter().find(|(when, note)| {
-            *when > at && matches!(note, Note::Member { name: who, change: Change::Now(Standing::Suspected), .. } if *who == name)
+            *when > at && matches!(note, ClusterEvent::Member { name: who, change: MemberChange::StateChanged(MemberState::Suspect), .. } if *who == name)
         });
         seen.extend(when.map(|(when, _)| when - at));
     }
--- a/crates/fellows/examples/summaries.rs
+++ b/crates/membership/examples/summaries.rs
@@ -13,9 +13,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-use linnethook_fellows::fact::{Acts, Entry, Key};
-use linnethook_fellows::fellows::{Fellows, Rules};
-use linnethook_fellows::summary::{Group, Told};
+use linnethook_membership::aggregation::summary::{SummaryReport, VersionGroup};
+use linnethook_membership::cluster::Cluster;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
+use linnethook_membership::versions::ActiveVersions;
 use net::{Net, Shape, Wire};
 
 /// Routers of which a change is measured, in a tree; elsewhere one less.
@@ -43,24 +45,24 @@
     loss: f64,
     seconds: f64,
     shape: Option<&'a Shape>,
-    rules: Rules,
+    rules: MembershipConfig,
     /// Whether some die right at each change.
     dies: bool,
 }
 
 impl Run<'_> {
     /// What all act on at a time: each is a little behind another.
-    fn acts(&self, n: usize, now: f64) -> Acts {
+    fn acts(&self, n: usize, now: f64) -> ActiveVersions {
         let seconds = (now / 1_000.0 - (n * 37 % 100) as f64 / 200.0).max(0.0);
         let version = (seconds / CHANGES) as u64 + 1;
-        Acts {
+        ActiveVersions {
             build: "0.1.0".to_string(),
-            settings: 0x1234_5678_9abc_def0,
-            operator: 0x0fed_cba9_8765_4321,
-            shape: (version, version.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
-            journal: 1_000_000 + (seconds * self.purges) as u64,
-            drains: 1_000,
-            purges: 1_000_000 + (seconds * self.purges) as u64,
+            settings_digest: 0x1234_5678_9abc_def0,
+            operator_digest: 0x0fed_cba9_8765_4321,
+            hierarchy: (version, version.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            journal_position: 1_000_000 + (seconds * self.purges) as u64,
+            drains_applied: 1_000,
+            purges_applied: 1_000_000 + (seconds * self.purges) as u64,
         }
     }
 
@@ -70,9 +72,9 @@
             for n in (0..net.nodes.len()).filter(|n| net.runs(*n)).collect::<Vec<_>>() {
                 let mut acts = self.acts(n, now);
                 if !changes {
-                    acts.shape = (1, 1);
+                    acts.hierarchy = (1, 1);
                 }
-                net.core(n).acts(&acts);
+                net.core(n).set_versions(&acts);
             }
             net.run((now + 100.0).min(until));
         }
@@ -111,17 +113,17 @@
             let now = net.now;
             for n in (0..routers).filter(|n| net.runs(*n)).collect::<Vec<_>>() {
                 let mut acts = self.acts(n, now);
-                acts.shape = (1, 1);
-                acts.settings += if n == who { turn } else { 0 };
-                net.core(n).acts(&acts);
+                acts.hierarchy = (1, 1);
+                acts.settings_digest += if n == who { turn } else { 0 };
+                net.core(n).set_versions(&acts);
             }
             net.run(now + 50.0);
             for (n, node) in net.nodes.iter().enumerate().filter(|(n, _)| *n != who) {
                 let Some(core) = node.core.as_ref().filter(|_| known[n].is_nan()) else { continue };
                 let told = match placed {
-                    true => core.whole(net.now).is_some_and(|whole| whole.groups.len() == 2),
+                    true => core.fleet_summary(net.now).is_some_and(|whole| whole.groups.len() == 2),
                     false => {
-                        let settings = core.members().get(&name).map(|m| m.statement.acts.settings);
+                        let settings = core.members().get(&name).map(|m| m.status.versions.settings_digest);
                         settings == Some(0x1234_5678_9abc_def0 + turn)
                     }
                 };
@@ -150,9 +152,9 @@
         while net.now < end {
             self.play(net, net.now + 1_000.0, true);
             // Since when the oldest version that a router is told of is not acted on any more.
-            let oldest = |core: &Fellows| match self.shape {
-                Some(_) => core.whole(net.now)?.oldest(),
-                None => core.members().iter().map(|(_, m)| m.statement.acts.shape.0).min(),
+            let oldest = |core: &Cluster| match self.shape {
+                Some(_) => core.fleet_summary(net.now)?.oldest_hierarchy(),
+                None => core.members().iter().map(|(_, m)| m.status.versions.hierarchy.0).min(),
             };
             let known = net.nodes.iter().filter_map(|node| oldest(node.core.as_ref()?));
             late.extend(known.map(|version| (net.now - version as f64 * CHANGES * 1_000.0).max(0.0)));
@@ -169,7 +171,7 @@
         let waiting: Vec<f64> = net
             .nodes
             .iter()
-            .filter_map(|node| Some(node.core.as_ref()?.shown(net.now).pending as f64))
+            .filter_map(|node| Some(node.core.as_ref()?.view(net.now).pending as f64))
             .collect();
         let (median, most, worst) = quantiles(bytes);
         let state = |node: &net::Node| Some(node.core.as_ref()?.table().bytes() as f64);
@@ -202,7 +204,7 @@
             if self.shape.is_some() { "tree" } else { "flat" },
             self.purges,
             self.loss,
-            self.rules.plumtree.prunes,
+            self.rules.plumtree.lazy_links,
             self.dies,
             quantiles(speakers).2,
             quantiles(waiting).2,
@@ -235,7 +237,7 @@
 
 /// The way of one change, level by level: when each place around its router told it, and when all that the summary is
 /// for had heard of it, in milliseconds after the change.
-fn way(shape: &Shape, rules: Rules) {
+fn way(shape: &Shape, rules: MembershipConfig) {
     let mut net = Net::tree(7, shape, rules, Wire::default());
     let run = Run { purges: 350.0, loss: 0.0, seconds: 20.0, shape: Some(shape), rules, dies: false };
     run.play(&mut net, 50_000.0, true);
@@ -246,7 +248,7 @@
         let at = net.now;
         let (routers, who) = (net.nodes.len(), run.who(net.nodes.len(), turn));
         let groups: usize = (0..routers)
-            .filter_map(|n| Some(net.nodes[n].core.as_ref()?.whole(at)?.groups.len()))
+            .filter_map(|n| Some(net.nodes[n].core.as_ref()?.fleet_summary(at)?.groups.len()))
             .filter(|groups| *groups != 1)
             .count();
         let known = quantiles(run.known(&mut net, turn));
@@ -255,21 +257,30 @@
             known.0, known.1, known.2
         );
         let own = net.nodes[who].place.clone().unwrap_or_default();
-        let make = Group::of(&Acts { settings: 0x1234_5678_9abc_def0 + turn, ..run.acts(who, at) }).make;
+        let make = VersionGroup::from_versions(&ActiveVersions {
+            settings_digest: 0x1234_5678_9abc_def0 + turn,
+            ..run.acts(who, at)
+        })
+        .build_digest;
         for depth in (1..=own.depth()).rev() {
-            let place = own.around(depth);
-            let key = Key::Sum(place.clone()).encode();
+            let place = own.ancestor(depth);
+            let key = EntryKey::Summary(place.clone()).encode();
             let mut heard = BTreeMap::new();
             let mut told = BTreeMap::new();
             for (when, from, to, (_, entry)) in net.record.iter().flatten().filter(|(.., (k, _))| *k == key) {
-                let Some(entry) = Entry::decode(entry) else { continue };
-                let Some(Told { by, summary }) = entry.read::<Told>() else { continue };
+                let Some(entry) = GossipEntry::decode(entry) else { continue };
+                let Some(SummaryReport { reported_by: by, summary }) = entry.decode_body::<SummaryReport>()
+                else {
+                    continue;
+                };
                 if net.nodes[*from].name == by {
-                    let groups =
-                        summary.groups.iter().map(|(group, n)| (group.make == make, group.version, *n));
-                    told.entry(entry.order).or_insert((*when - at, by, groups.collect::<Vec<_>>()));
+                    let groups = summary
+                        .groups
+                        .iter()
+                        .map(|(group, n)| (group.build_digest == make, group.hierarchy_version, *n));
+                    told.entry(entry.revision).or_insert((*when - at, by, groups.collect::<Vec<_>>()));
                 }
-                if summary.groups.keys().any(|group| group.make == make) {
+                if summary.groups.keys().any(|group| group.build_digest == make) {
                     heard.entry(*to).or_insert(*when - at);
                 }
             }
@@ -285,14 +296,14 @@
 }
 
 /// What crosses the links, by kind: bytes in and out by router and second, and facts by message.
-fn kinds(shape: &Shape, rules: Rules) {
+fn kinds(shape: &Shape, rules: MembershipConfig) {
     let mut net = Net::tree(7, shape, rules, Wire::default());
     let run = Run { purges: 350.0, loss: 0.0, seconds: 18.0, shape: Some(shape), rules, dies: false };
     run.play(&mut net, 30_000.0, true);
     net.record = Some(Vec::new());
     let (from, counts) = (net.now, |net: &Net| {
-        let counts = net.nodes.iter().filter_map(|node| node.core.as_ref()).map(|core| core.counts);
-        counts.fold((0, 0), |(new, old), counts| (new + counts.new, old + counts.old))
+        let counts = net.nodes.iter().filter_map(|node| node.core.as_ref()).map(|core| core.counters);
+        counts.fold((0, 0), |(new, old), counts| (new + counts.entries_new, old + counts.entries_stale))
     });
     let before = counts(&net);
     let spent: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.heard).collect();
@@ -309,8 +320,8 @@
             if ends == 0 {
                 continue;
             }
-            let kind = match Key::decode(key) {
-                Some(Key::Sum(place)) => format!("sum of depth {}", place.depth()),
+            let kind = match EntryKey::decode(key) {
+                Some(EntryKey::Summary(place)) => format!("sum of depth {}", place.depth()),
                 Some(key) => format!("{key:?}").split('(').next().unwrap_or_default().to_string(),
                 None => format!("word {key:?}"),
             };
@@ -333,8 +344,8 @@
     let form = given.next().unwrap_or_else(|| "all".to_string());
     let most: usize = given.next().and_then(|most| most.parse().ok()).unwrap_or(1_000);
     let seconds: f64 = given.next().and_then(|seconds| seconds.parse().ok()).unwrap_or(36.0);
-    let mut rules = Rules::default();
-    rules.plumtree.prunes = given.next().as_deref() != Some("eager");
+    let mut rules = MembershipConfig::default();
+    rules.plumtree.lazy_links = given.next().as_deref() != Some("eager");
     // Sites of 22. The last is nearly the fleet planned: 42 regions in 7 areas.
     let parts: [&[usize]; 8] = [
         &[1, 1, 1, 1],
--- a/crates/fellows/tests/fleet.rs
+++ b/crates/membership/tests/cluster.rs
@@ -2,22 +2,24 @@
 
 mod net;
 
-use linnethook_fellows::fact::{Acts, CacheLine, Key, Purge};
-use linnethook_fellows::fellows::{Action, Note, Part, Rules};
-use linnethook_fellows::members::{Change, Standing};
+use linnethook_membership::actions::{ClusterAction, ClusterEvent, Participation};
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, Purge};
+use linnethook_membership::membership::{MemberChange, MemberState};
+use linnethook_membership::versions::ActiveVersions;
 use net::{Net, Wire};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 fn fleet(routers: usize) -> Net {
-    let mut net = Net::new(1, routers, 2, Rules::default(), Wire::default());
+    let mut net = Net::new(1, routers, 2, MembershipConfig::default(), Wire::default());
     assert!(net.until(10_000.0, |net| all_see(net, routers - 1)).is_some(), "all know of each other");
     net
 }
 
 fn alive(net: &Net, n: usize) -> usize {
     let members = net.nodes[n].core.as_ref().map(|core| core.members());
-    members.map_or(0, |members| members.iter().filter(|(_, m)| m.standing == Standing::Alive).count())
+    members.map_or(0, |members| members.iter().filter(|(_, m)| m.state == MemberState::Alive).count())
 }
 
 /// Whether each that runs sees so many others alive.
@@ -25,8 +27,8 @@
     (0..net.nodes.len()).filter(|n| net.runs(*n)).all(|n| alive(net, n) == others)
 }
 
-fn standing(net: &Net, n: usize, name: &str) -> Option<Standing> {
-    Some(net.nodes[n].core.as_ref()?.members().get(name)?.standing)
+fn standing(net: &Net, n: usize, name: &str) -> Option<MemberState> {
+    Some(net.nodes[n].core.as_ref()?.members().get(name)?.state)
 }
 
 /// Those that run, in two groups without a word between them.
@@ -51,8 +53,8 @@
     net.crash(7);
     let gone =
         |net: &Net, what| (0..20).filter(|n| net.runs(*n)).all(|n| standing(net, n, "r7") == Some(what));
-    assert!(net.until(5_000.0, |net| gone(net, Standing::Suspected)).is_some());
-    assert!(net.until(40_000.0, |net| gone(net, Standing::Gone)).is_some());
+    assert!(net.until(5_000.0, |net| gone(net, MemberState::Suspect)).is_some());
+    assert!(net.until(40_000.0, |net| gone(net, MemberState::Dead)).is_some());
     net.start(7);
     assert!(net.until(5_000.0, |net| all_see(net, 19)).is_some(), "it is back");
     split(&mut net, 8);
@@ -60,8 +62,10 @@
     assert!((8..20).all(|n| alive(&net, n) == 11));
     net.mend_all();
     assert!(net.until(5_000.0, |net| all_see(net, 19)).is_some());
-    let suspected = |note: &Note| match note {
-        Note::Member { name, change: Change::Now(Standing::Suspected), .. } => Some(name.clone()),
+    let suspected = |note: &ClusterEvent| match note {
+        ClusterEvent::Member { name, change: MemberChange::StateChanged(MemberState::Suspect), .. } => {
+            Some(name.clone())
+        }
         _ => None,
     };
     // By a router of the larger half: those beyond the cut, and the one that crashed.
@@ -75,13 +79,14 @@
 fn a_frozen_router_is_suspected_and_comes_back_under_its_start() {
     let mut net = fleet(6);
     net.freeze(2);
-    assert!(net.until(5_000.0, |net| standing(net, 0, "r2") == Some(Standing::Suspected)).is_some());
+    assert!(net.until(5_000.0, |net| standing(net, 0, "r2") == Some(MemberState::Suspect)).is_some());
     net.run(net.now + 8_000.0);
     net.wake(2);
     assert!(net.until(5_000.0, |net| all_see(net, 5)).is_some());
-    let frozen = net.nodes[2].notes.iter().any(|(_, note)| matches!(note, Note::Frozen(ms) if *ms > 8_000));
+    let frozen =
+        net.nodes[2].notes.iter().any(|(_, note)| matches!(note, ClusterEvent::Frozen(ms) if *ms > 8_000));
     assert!(frozen, "it knows that it was");
-    assert_eq!(net.nodes[2].core.as_ref().map(|core| core.part()), Some(Part::Takes));
+    assert_eq!(net.nodes[2].core.as_ref().map(|core| core.participation()), Some(Participation::Active));
 }
 
 /// Two processes under one name: the later one is refused, both are told, and the fleet goes on with the earlier one.
@@ -103,19 +108,22 @@
         net.start(5);
         let later = net.nodes[5].start;
         if slept {
-            assert!(net.until(5_000.0, |net| standing(net, 0, "r2") == Some(Standing::Alive)).is_some());
+            assert!(net.until(5_000.0, |net| standing(net, 0, "r2") == Some(MemberState::Alive)).is_some());
             net.wake(2);
         }
         let (out, holds) = if slept { (2, 5) } else { (5, 2) };
-        let part = |net: &Net, n: usize| net.nodes[n].core.as_ref().map(|core| core.part());
-        let expected = if slept { Part::Yielded(later) } else { Part::Refused(first) };
+        let part = |net: &Net, n: usize| net.nodes[n].core.as_ref().map(|core| core.participation());
+        let expected = if slept { Participation::Yielded(later) } else { Participation::Refused(first) };
         assert!(net.until(5_000.0, |net| part(net, out) == Some(expected)).is_some(), "{slept}");
-        assert_eq!(part(&net, holds), Some(Part::Takes));
-        let told = net.nodes[2].notes.iter().any(|(_, note)| *note == Note::Twin { start: later });
+        assert_eq!(part(&net, holds), Some(Participation::Active));
+        let told = net.nodes[2]
+            .notes
+            .iter()
+            .any(|(_, note)| *note == ClusterEvent::NameConflict { incarnation: later });
         assert_eq!(told, !slept, "the earlier one is told of it");
         let start = if slept { later } else { first };
         let known =
-            |net: &Net| net.nodes[0].core.as_ref().and_then(|c| c.members().get("r2").map(|m| m.start));
+            |net: &Net| net.nodes[0].core.as_ref().and_then(|c| c.members().get("r2").map(|m| m.incarnation));
         assert!(net.until(5_000.0, |net| known(net) == Some(start)).is_some(), "{slept}");
     }
 }
@@ -125,20 +133,21 @@
 fn news_of_the_journal_reach_all_and_an_older_word_counts_for_nothing() {
     let mut net = fleet(12);
     let now = net.now;
-    let line = |ready| CacheLine { ready, gone: false, started: 0.0 };
-    net.core(3).tell_cache(now, "c1", line(false), 7);
-    net.core(9).tell_cache(now, "c1", line(true), 5);
-    let purge = Purge { stamp: 100.0, number: 8 };
-    net.core(3).tell_purge(now, &Key::Object("ab".to_string()), purge);
+    let line = |ready| CacheStatus { ready, removed: false, started_at: 0.0 };
+    net.core(3).publish_cache(now, "c1", line(false), 7);
+    net.core(9).publish_cache(now, "c1", line(true), 5);
+    let purge = Purge { issued_at: 100.0, journal_position: 8 };
+    net.core(3).publish_purge(now, &EntryKey::Object("ab".to_string()), purge);
     net.run(now + 3_000.0);
     for (n, node) in net.nodes.iter().enumerate() {
         let lines = node.done.iter().filter_map(|(_, action)| match action {
-            Action::Cache { number, .. } => Some(*number),
+            ClusterAction::CacheChanged { journal_position: number, .. } => Some(*number),
             _ => None,
         });
         let numbers: Vec<u64> = lines.collect();
         assert!(numbers.is_sorted() && (n == 3 || numbers.last() == Some(&7)), "r{n}: {numbers:?}");
-        let purges = node.done.iter().filter(|(_, action)| matches!(action, Action::Purge { .. })).count();
+        let purges =
+            node.done.iter().filter(|(_, action)| matches!(action, ClusterAction::Purged { .. })).count();
         assert_eq!(purges, usize::from(n != 3));
     }
     // Cut off for a drain, and back.
@@ -146,10 +155,14 @@
         net.cut(0, other);
     }
     let now = net.now;
-    net.core(5).tell_cache(now, "c2", line(false), 9);
+    net.core(5).publish_cache(now, "c2", line(false), 9);
     net.run(now + 3_000.0);
-    let knows =
-        |net: &Net| net.nodes[0].done.iter().any(|(_, a)| matches!(a, Action::Cache { number: 9, .. }));
+    let knows = |net: &Net| {
+        net.nodes[0]
+            .done
+            .iter()
+            .any(|(_, a)| matches!(a, ClusterAction::CacheChanged { journal_position: 9, .. }))
+    };
     assert!(!knows(&net));
     net.mend_all();
     assert!(net.until(3_000.0, knows).is_some());
@@ -161,22 +174,30 @@
     let mut net = fleet(3);
     let now = net.now;
     for group in 0..200 {
-        net.core(0).tell_purge(now, &Key::Group(group), Purge { stamp: 5.0, number: 1 });
+        net.core(0).publish_purge(
+            now,
+            &EntryKey::Group(group),
+            Purge { issued_at: 5.0, journal_position: 1 },
+        );
     }
     net.run(now + 20_000.0);
     assert!(digests_agree(&net));
     // One does not get what two of them are about next, though its links are up.
-    let before = net.nodes[0].core.as_ref().map(|core| core.counts.repaired);
+    let before = net.nodes[0].core.as_ref().map(|core| core.counters.entries_repaired);
     net.deaf(1, true);
     let now = net.now;
     for group in [3, 50] {
-        net.core(0).tell_purge(now, &Key::Group(group), Purge { stamp: 6.0, number: 2 });
+        net.core(0).publish_purge(
+            now,
+            &EntryKey::Group(group),
+            Purge { issued_at: 6.0, journal_position: 2 },
+        );
     }
     net.run(now + 1_000.0);
     net.deaf(1, false);
     assert!(!digests_agree(&net));
     assert!(net.until(30_000.0, digests_agree).is_some());
-    let repaired = net.nodes[0].core.as_ref().map(|core| core.counts.repaired);
+    let repaired = net.nodes[0].core.as_ref().map(|core| core.counters.entries_repaired);
     let sent = repaired.unwrap_or(0) - before.unwrap_or(0);
     // Two parts of sixteen, from one or two fellows, not all.
     assert!((2..=80).contains(&sent), "{sent}");
@@ -186,9 +207,9 @@
 #[test]
 fn a_stragglers_word_counts_once_it_has_caught_up() {
     let mut net = fleet(3);
-    let on = |version: u64| Acts { shape: (version, version), ..Acts::default() };
+    let on = |version: u64| ActiveVersions { hierarchy: (version, version), ..ActiveVersions::default() };
     for n in 0..3 {
-        net.core(n).acts(&on(if n == 2 { 4 } else { 5 }));
+        net.core(n).set_versions(&on(if n == 2 { 4 } else { 5 }));
     }
     let now = net.now;
     net.core(0).set_floor(now, 5);
@@ -197,7 +218,7 @@
         for n in 0..3 {
             let now = net.now;
             let floor = net.core(n).floor(&[]);
-            net.core(n).hold(now, floor, 1_000.0);
+            net.core(n).enforce_floor(now, floor, 1_000.0);
         }
     };
     hold(&mut net);
@@ -205,13 +226,14 @@
     hold(&mut net);
     let at = net.now;
     assert!(net.core(0).is_straggler(at, "r2") && !net.core(0).is_straggler(at, "r1"));
-    net.core(2).tell_cache(at, "c1", CacheLine { ready: false, gone: false, started: 0.0 }, 9);
+    net.core(2).publish_cache(at, "c1", CacheStatus { ready: false, removed: false, started_at: 0.0 }, 9);
     net.run(at + 2_000.0);
-    let heeds =
-        |net: &Net, n: usize| net.nodes[n].done.iter().any(|(_, a)| matches!(a, Action::Cache { .. }));
+    let heeds = |net: &Net, n: usize| {
+        net.nodes[n].done.iter().any(|(_, a)| matches!(a, ClusterAction::CacheChanged { .. }))
+    };
     assert!(!heeds(&net, 0) && !heeds(&net, 1), "a straggler's word");
-    assert!(net.core(0).counts.shut_out > 0);
-    net.core(2).acts(&on(5));
+    assert!(net.core(0).counters.straggler_entries_ignored > 0);
+    net.core(2).set_versions(&on(5));
     net.run(at + 3_000.0);
     hold(&mut net);
     net.run(at + 30_000.0);
@@ -221,19 +243,23 @@
 /// Whatever goes wrong, no router says more than its pace.
 #[test]
 fn no_more_is_said_than_the_pace_lets_through() {
-    let mut rules = Rules::default();
-    (rules.pace.rate, rules.pace.saved) = (4_000.0, 1.0);
+    let mut rules = MembershipConfig::default();
+    (rules.rate_limit.bytes_per_second, rules.rate_limit.burst_seconds) = (4_000.0, 1.0);
     let mut net = Net::new(3, 5, 2, rules, Wire::default());
     net.run(2_000.0);
     let before: Vec<u64> =
-        net.nodes.iter().filter_map(|n| n.core.as_ref()).map(|core| core.counts.said_bytes).collect();
+        net.nodes.iter().filter_map(|n| n.core.as_ref()).map(|core| core.counters.bytes_sent).collect();
     let now = net.now;
     for n in 0..2_000 {
-        net.core(0).tell_purge(now, &Key::Object(format!("{n:016x}")), Purge { stamp: 9.0, number: n });
+        net.core(0).publish_purge(
+            now,
+            &EntryKey::Object(format!("{n:016x}")),
+            Purge { issued_at: 9.0, journal_position: n },
+        );
     }
     net.run(now + 5_000.0);
     for (node, before) in net.nodes.iter().zip(before) {
-        let said = node.core.as_ref().map_or(0, |core| core.counts.said_bytes) - before;
+        let said = node.core.as_ref().map_or(0, |core| core.counters.bytes_sent) - before;
         // Its rate, what was saved up, digests, and one bundle.
         assert!(said <= 4_000 * 6 + 6_000, "{}: {said}", node.name);
     }
@@ -247,7 +273,7 @@
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let routers = chance.random_range(3..12);
         let wire = Wire { loss: [0.0, 0.1][seed as usize % 2], ..Wire::default() };
-        let mut net = Net::new(seed, routers, 2, Rules::default(), wire);
+        let mut net = Net::new(seed, routers, 2, MembershipConfig::default(), wire);
         net.run(1_000.0);
         let links = net.links();
         let mut number = 0;
@@ -266,8 +292,8 @@
                 _ if net.runs(n) => {
                     number += 1;
                     let (now, name) = (net.now, format!("c{}", chance.random_range(0..4)));
-                    let line = CacheLine { ready: number % 2 == 0, gone: false, started: 0.0 };
-                    net.core(n).tell_cache(now, &name, line, number);
+                    let line = CacheStatus { ready: number % 2 == 0, removed: false, started_at: 0.0 };
+                    net.core(n).publish_cache(now, &name, line, number);
                 }
                 _ => {}
             }
@@ -292,23 +318,23 @@
 /// were pruned and had quiet times of their own, which are for places alone.
 #[test]
 fn without_places_every_byte_is_said_as_it_was_before_links_were_pruned() {
-    let mut net = Net::new(21, 12, 3, Rules::default(), Wire { loss: 0.02, ..Wire::default() });
+    let mut net = Net::new(21, 12, 3, MembershipConfig::default(), Wire { loss: 0.02, ..Wire::default() });
     net.record = Some(Vec::new());
     for n in 0..300u64 {
         let (now, at) = (net.now, n as usize * 5 % 12);
         for router in (0..12).filter(|router| net.runs(*router)).collect::<Vec<_>>() {
-            net.core(router).acts(&Acts {
-                journal: n / 7,
-                shape: (n / 50, (n / 50) << 40),
-                ..Acts::default()
+            net.core(router).set_versions(&ActiveVersions {
+                journal_position: n / 7,
+                hierarchy: (n / 50, (n / 50) << 40),
+                ..ActiveVersions::default()
             });
         }
         match n % 60 {
             20 => net.crash(at),
             40 if !net.runs((n as usize - 20) * 5 % 12) => net.start((n as usize - 20) * 5 % 12),
             _ if net.runs(at) && n % 3 == 0 => {
-                let line = CacheLine { ready: n % 2 == 0, gone: false, started: 0.0 };
-                net.core(at).tell_cache(now, &format!("c{}", n % 5), line, n);
+                let line = CacheStatus { ready: n % 2 == 0, removed: false, started_at: 0.0 };
+                net.core(at).publish_cache(now, &format!("c{}", n % 5), line, n);
             }
             _ => {}
         }
--- /dev/null
+++ b/crates/membership/tests/entry_table.rs
@@ -0,0 +1,75 @@
+//! The table of facts: the newest of each, whatever the order, and gaps by digests.
+
+use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
+use linnethook_membership::gossip::entry_table::{EntryTable, InsertOutcome, TableLimits, PARTITIONS};
+use proptest::prelude::*;
+
+fn entry(order: u64, body: u8) -> GossipEntry {
+    GossipEntry { revision: (order, 0), body_version: 1, body: vec![body] }
+}
+
+proptest! {
+    /// Whatever the order in which facts come, and however often: the same facts, and the same digests.
+    #[test]
+    fn tables_that_heard_the_same_are_the_same(
+        facts in proptest::collection::vec((0u32..20, 0u64..6, 0u8..4), 0..120),
+        turns in proptest::collection::vec(any::<prop::sample::Index>(), 0..40),
+    ) {
+        let (mut one, mut other) = (EntryTable::new(TableLimits::default()), EntryTable::new(TableLimits::default()));
+        let mut shuffled = facts.clone();
+        for turn in turns {
+            if !shuffled.is_empty() {
+                let at = turn.index(shuffled.len());
+                let fact = shuffled.remove(at);
+                shuffled.insert(0, fact);
+                shuffled.push(fact);
+            }
+        }
+        for (table, facts) in [(&mut one, &facts), (&mut other, &shuffled)] {
+            for (key, order, body) in facts {
+                table.insert(0.0, &EntryKey::Group(*key).encode(), entry(*order, *body));
+            }
+        }
+        prop_assert_eq!(one.digests(), other.digests());
+        prop_assert!(one.iter().eq(other.iter()));
+        prop_assert!(one.differing(&other.digests()).is_empty());
+        for (key, _) in other.iter() {
+            prop_assert!(one.remove(key));
+        }
+        prop_assert_eq!((one.digests(), one.bytes()), ([0; PARTITIONS], 0));
+    }
+}
+
+#[test]
+fn an_older_fact_never_wins_and_a_gap_is_found_by_its_part() {
+    let mut table = EntryTable::new(TableLimits::default());
+    let key = EntryKey::Router("n1".to_string()).encode();
+    assert_eq!(table.insert(0.0, &key, entry(5, 1)), InsertOutcome::Inserted);
+    assert_eq!(table.insert(0.0, &key, entry(4, 9)), InsertOutcome::Stale);
+    assert_eq!(table.insert(0.0, &key, entry(5, 1)), InsertOutcome::Stale);
+    assert_eq!(table.get(&key), Some(&entry(5, 1)));
+    let other = table.clone();
+    let new = EntryKey::Router("n2".to_string()).encode();
+    table.insert(0.0, &new, entry(1, 1));
+    let gap = table.differing(&other.digests());
+    assert!(gap.iter().any(|(key, _)| *key == new) && gap.len() <= 2);
+}
+
+#[test]
+fn no_more_is_kept_than_may_be() {
+    let kept = TableLimits { entries: 3, entry_bytes: 10, total_bytes: 20, unknown_entries: 1 };
+    let mut table = EntryTable::new(kept);
+    let long = GossipEntry { body: vec![0; 11], ..entry(1, 0) };
+    assert_eq!(table.insert(0.0, &EntryKey::Group(1).encode(), long), InsertOutcome::Rejected);
+    assert_eq!(table.insert(0.0, &[99, 1], entry(1, 0)), InsertOutcome::Inserted);
+    assert_eq!(table.insert(0.0, &[99, 2], entry(1, 0)), InsertOutcome::Rejected, "of unknown kinds");
+    for group in 1..=2 {
+        assert_eq!(table.insert(0.0, &EntryKey::Group(group).encode(), entry(1, 0)), InsertOutcome::Inserted);
+    }
+    assert_eq!(table.insert(0.0, &EntryKey::Group(3).encode(), entry(1, 0)), InsertOutcome::Rejected);
+    assert_eq!(
+        table.insert(0.0, &EntryKey::Group(2).encode(), entry(2, 0)),
+        InsertOutcome::Inserted,
+        "of what is known"
+    );
+}
--- a/crates/fellows/tests/places.rs
+++ b/crates/membership/tests/locations.rs
@@ -5,13 +5,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linnethook_fellows::fact::{Acts, CacheLine, Entry, Key};
-use linnethook_fellows::fellows::{Action, Rules};
-use linnethook_fellows::members::Standing;
-use linnethook_fellows::place::Place;
-use linnethook_fellows::query::Asked;
-use linnethook_fellows::summary::{Group, Summary, Told};
-use linnethook_fellows::Ms;
+use linnethook_membership::actions::ClusterAction;
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::aggregation::query::QueryTarget;
+use linnethook_membership::aggregation::summary::{Summary, SummaryReport, VersionGroup};
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, GossipEntry};
+use linnethook_membership::membership::MemberState;
+use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::Ms;
 use net::{Net, Shape, Wire};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -23,7 +25,7 @@
 
 fn fleet(seed: u64, wire: Wire) -> (Net, Shape) {
     let shape = shape();
-    let mut net = Net::tree(seed, &shape, Rules::default(), wire);
+    let mut net = Net::tree(seed, &shape, MembershipConfig::default(), wire);
     let all = shape.all() as u64;
     assert!(net.until(20_000.0, |net| every(net, |whole| whole.alive == all)).is_some(), "all are counted");
     (net, shape)
@@ -31,7 +33,7 @@
 
 fn whole(net: &Net, n: usize) -> Summary {
     let core = net.nodes[n].core.as_ref();
-    core.and_then(|core| core.whole(net.now)).unwrap_or_default()
+    core.and_then(|core| core.fleet_summary(net.now)).unwrap_or_default()
 }
 
 fn every(net: &Net, holds: impl Fn(&Summary) -> bool) -> bool {
@@ -39,40 +41,40 @@
 }
 
 /// What anybody counts who looks at the processes themselves: how many run, and by what they act on.
-fn plain(net: &Net, acts: impl Fn(usize) -> Acts) -> (u64, BTreeMap<Group, u64>) {
+fn plain(net: &Net, acts: impl Fn(usize) -> ActiveVersions) -> (u64, BTreeMap<VersionGroup, u64>) {
     let mut groups = BTreeMap::new();
     let running: Vec<usize> = (0..net.nodes.len()).filter(|n| net.runs(*n)).collect();
-    running.iter().for_each(|n| *groups.entry(Group::of(&acts(*n))).or_default() += 1);
+    running.iter().for_each(|n| *groups.entry(VersionGroup::from_versions(&acts(*n))).or_default() += 1);
     (running.len() as u64, groups)
 }
 
 /// The totals that every router has are those of a plain count.
-fn agrees(net: &Net, acts: impl Fn(usize) -> Acts + Copy) -> bool {
+fn agrees(net: &Net, acts: impl Fn(usize) -> ActiveVersions + Copy) -> bool {
     let (alive, groups) = plain(net, acts);
-    every(net, |whole| whole.alive == alive && whole.groups == groups && whole.unheard == 0)
+    every(net, |whole| whole.alive == alive && whole.groups == groups && whole.unreachable == 0)
 }
 
-fn on(version: u64) -> Acts {
-    Acts { shape: (version, version << 40), ..Acts::default() }
+fn on(version: u64) -> ActiveVersions {
+    ActiveVersions { hierarchy: (version, version << 40), ..ActiveVersions::default() }
 }
 
 // ---- The checker of what crossed.
 
 /// Statements and steps that reached another site, and summaries that went beyond the place around their own.
 fn leaks(net: &Net) -> Vec<String> {
-    let places: BTreeMap<&str, &Place> =
+    let places: BTreeMap<&str, &Location> =
         net.nodes.iter().filter_map(|node| Some((node.name.as_str(), node.place.as_ref()?))).collect();
     let mut leaks = Vec::new();
     for (at, _, to, (key, _)) in net.record.iter().flatten() {
         let Some(there) = &net.nodes[*to].place else { continue };
-        let leak = match Key::decode(key) {
-            Some(Key::Router(name) | Key::Step(name)) => places
+        let leak = match EntryKey::decode(key) {
+            Some(EntryKey::Router(name) | EntryKey::VersionUpdate(name)) => places
                 .get(name.as_str())
                 .filter(|place| **place != there)
                 .map(|place| format!("{name} of {place}")),
-            Some(Key::Sum(place)) => {
-                let around = place.around(place.depth().saturating_sub(1));
-                (!around.holds(there)).then(|| format!("the sum of {place}"))
+            Some(EntryKey::Summary(place)) => {
+                let around = place.ancestor(place.depth().saturating_sub(1));
+                (!around.contains(there)).then(|| format!("the sum of {place}"))
             }
             _ => None,
         };
@@ -82,13 +84,13 @@
 }
 
 /// Who spoke for a place since then, by what crossed.
-fn speakers(net: &Net, of: &Place, since: Ms) -> BTreeSet<String> {
+fn speakers(net: &Net, of: &Location, since: Ms) -> BTreeSet<String> {
     let said = net.record.iter().flatten().filter(|(at, ..)| *at >= since);
     let told = said.filter_map(|(_, from, _, (key, entry))| {
-        let sum = Key::decode(key) == Some(Key::Sum(of.clone()));
-        let told = Entry::decode(entry).filter(|_| sum)?.read::<Told>()?;
+        let sum = EntryKey::decode(key) == Some(EntryKey::Summary(of.clone()));
+        let told = GossipEntry::decode(entry).filter(|_| sum)?.decode_body::<SummaryReport>()?;
         // Others pass it on.
-        (net.nodes[*from].name == told.by).then_some(told.by)
+        (net.nodes[*from].name == told.reported_by).then_some(told.reported_by)
     });
     told.collect()
 }
@@ -100,7 +102,12 @@
     let (mut net, shape) = fleet(1, Wire::default());
     net.record = Some(Vec::new());
     for n in 0..shape.all() {
-        net.core(n).acts(&Acts { journal: 100 + n as u64, drains: 1, purges: n as u64, ..on(3) });
+        net.core(n).set_versions(&ActiveVersions {
+            journal_position: 100 + n as u64,
+            drains_applied: 1,
+            purges_applied: n as u64,
+            ..on(3)
+        });
     }
     net.run(net.now + 60_000.0);
     let routers = shape.all() as u64;
@@ -108,19 +115,22 @@
     for n in 0..shape.all() {
         let whole = whole(&net, n);
         assert_eq!((whole.alive, &whole.groups), (alive, &groups), "r{n}");
-        let journal = whole.progress.journal.map(|span| (span.least, span.most));
+        let journal = whole.progress.journal_position.map(|span| (span.min, span.max));
         assert_eq!(journal, Some((100, 99 + routers)));
-        assert_eq!((whole.progress.drains, whole.progress.purges), (routers, routers * (routers - 1) / 2));
+        assert_eq!(
+            (whole.progress.drains_applied, whole.progress.purges_applied),
+            (routers, routers * (routers - 1) / 2)
+        );
         let core = net.nodes[n].core.as_ref().expect("it runs");
         let members: BTreeSet<&str> = core.members().iter().map(|(name, _)| name.as_str()).collect();
         let site = n / 5 * 5;
         let expected: Vec<String> = (site..site + 5).filter(|m| *m != n).map(|m| format!("r{m}")).collect();
         assert_eq!(members, expected.iter().map(String::as_str).collect(), "r{n}");
-        assert!(core.members().iter().all(|(_, member)| member.standing == Standing::Alive));
-        assert!(core.members().iter().all(|(_, member)| member.statement.acts.journal >= 100));
+        assert!(core.members().iter().all(|(_, member)| member.state == MemberState::Alive));
+        assert!(core.members().iter().all(|(_, member)| member.status.versions.journal_position >= 100));
         // Statements and steps of five, summaries of three sites, two zones and two regions.
         assert_eq!(core.table().len(), 5 + 5 + 3 + 2 + 2, "r{n}");
-        assert_eq!(core.counts.out_of_scope, 0, "r{n}: nothing came that is for others");
+        assert_eq!(core.counters.out_of_scope, 0, "r{n}: nothing came that is for others");
     }
     assert_eq!(leaks(&net), [""; 0]);
     // The parts of the site's zone: exactly the three sites, each told by its first router alone.
@@ -135,24 +145,27 @@
 /// While nothing changes, summaries are renewed, and tables are compared: nothing else is said.
 #[test]
 fn without_a_place_nothing_of_places_is_said() {
-    let mut net = Net::new(4, 8, 2, Rules::default(), Wire::default());
+    let mut net = Net::new(4, 8, 2, MembershipConfig::default(), Wire::default());
     net.record = Some(Vec::new());
     net.run(20_000.0);
-    let of_places = |key: &[u8]| match Key::decode(key) {
-        Some(Key::Step(_) | Key::Sum(_)) => true,
-        Some(Key::Router(_)) | Some(_) => false,
+    let of_places = |key: &[u8]| match EntryKey::decode(key) {
+        Some(EntryKey::VersionUpdate(_) | EntryKey::Summary(_)) => true,
+        Some(EntryKey::Router(_)) | Some(_) => false,
         None => matches!(key, [kind] if *kind != 0xff),
     };
     let record = net.record.as_ref().expect("kept");
     assert!(record.len() > 50);
     assert!(record.iter().all(|(.., (key, _))| !of_places(key)));
-    let versions = record.iter().filter(|(.., (key, _))| matches!(Key::decode(key), Some(Key::Router(_))));
-    assert!(versions.filter_map(|(.., (_, entry))| Entry::decode(entry)).all(|entry| entry.version == 2));
+    let versions =
+        record.iter().filter(|(.., (key, _))| matches!(EntryKey::decode(key), Some(EntryKey::Router(_))));
+    assert!(versions
+        .filter_map(|(.., (_, entry))| GossipEntry::decode(entry))
+        .all(|entry| entry.body_version == 2));
     assert!(net
         .nodes
         .iter()
         .filter_map(|node| node.core.as_ref())
-        .all(|core| core.whole(20_000.0).is_none()));
+        .all(|core| core.fleet_summary(20_000.0).is_none()));
 }
 
 /// One router goes over to other settings, then all to another hierarchy: it stands in all summaries within 5 s, also
@@ -165,14 +178,15 @@
             net.slow(slow, 200.0);
         }
         net.run(net.now + 12_000.0);
-        let other = Acts { settings: 7, ..Acts::default() };
-        net.core(31).acts(&other);
-        let acts = |n: usize| if n == 31 { other.clone() } else { Acts::default() };
+        let other = ActiveVersions { settings_digest: 7, ..ActiveVersions::default() };
+        net.core(31).set_versions(&other);
+        let acts = |n: usize| if n == 31 { other.clone() } else { ActiveVersions::default() };
         assert!(net.until(5_000.0, |net| agrees(net, acts)).is_some(), "seed {seed}: one router's settings");
         for n in 0..shape.all() {
-            net.core(n).acts(&Acts { settings: if n == 31 { 7 } else { 0 }, ..on(9) });
+            net.core(n)
+                .set_versions(&ActiveVersions { settings_digest: if n == 31 { 7 } else { 0 }, ..on(9) });
         }
-        let acts = |n: usize| Acts { settings: if n == 31 { 7 } else { 0 }, ..on(9) };
+        let acts = |n: usize| ActiveVersions { settings_digest: if n == 31 { 7 } else { 0 }, ..on(9) };
         assert!(net.until(5_000.0, |net| agrees(net, acts)).is_some(), "seed {seed}: a hierarchy");
     }
 }
@@ -183,33 +197,36 @@
 fn a_place_that_goes_over_again_and_again_says_so_once_in_a_while() {
     let (mut net, shape) = fleet(16, Wire::default());
     net.record = Some(Vec::new());
-    let (from, rule) = (net.now, Rules::default().tree);
+    let (from, rule) = (net.now, MembershipConfig::default().aggregation);
     let version = |n: usize, now: Ms| ((now - from - (n % 5) as Ms * 100.0).max(0.0) / 3_600.0) as u64 + 1;
     let mut late: Ms = 0.0;
     while net.now < from + 60_000.0 {
         let now = net.now;
-        (0..shape.all()).for_each(|n| net.core(n).acts(&on(version(n, now))));
+        (0..shape.all()).for_each(|n| net.core(n).set_versions(&on(version(n, now))));
         net.run(now + 100.0);
         if now > from + 20_000.0 {
-            let oldest = (0..shape.all()).filter_map(|n| whole(&net, n).oldest()).min().expect("known");
+            let oldest =
+                (0..shape.all()).filter_map(|n| whole(&net, n).oldest_hierarchy()).min().expect("known");
             // Since when the oldest version that is told anywhere is not acted on any more.
             late = late.max(now - from - oldest as Ms * 3_600.0);
         }
     }
     let mut told = BTreeMap::new();
     for (at, _, _, (key, entry)) in net.record.iter().flatten().filter(|(at, ..)| *at > from + 5_000.0) {
-        if let (Some(Key::Sum(place)), Some(entry)) = (Key::decode(key), Entry::decode(entry)) {
+        if let (Some(EntryKey::Summary(place)), Some(entry)) =
+            (EntryKey::decode(key), GossipEntry::decode(entry))
+        {
             if place.depth() == 3 {
-                let sum = entry.read::<Told>().expect("readable").summary;
+                let sum = entry.decode_body::<SummaryReport>().expect("readable").summary;
                 assert_eq!(sum.groups.len(), 1, "{at}: {place} {sum:?}");
-                told.insert((place, entry.order), ());
+                told.insert((place, entry.revision), ());
             }
         }
     }
     let by_site = told.len() as Ms / shape.sites() as Ms;
-    assert!(by_site <= 55_000.0 / rule.moves + 1.0, "{by_site} by site");
+    assert!(by_site <= 55_000.0 / rule.transition_interval + 1.0, "{by_site} by site");
     // Each level waits for that time at the most, and gathers.
-    assert!(late < 3.0 * (rule.moves + 1_000.0), "{late}");
+    assert!(late < 3.0 * (rule.transition_interval + 1_000.0), "{late}");
 }
 
 // ---- Faults.
@@ -230,12 +247,15 @@
         let at: BTreeSet<String> = speakers(&net, &shape.place(0), since);
         assert_eq!(at.len(), 1, "{dead:?}: {at:?}");
         dead.iter().for_each(|n| net.start(*n));
-        assert!(net.until(8_000.0, |net| agrees(net, |_| Acts::default())).is_some(), "{dead:?} are back");
+        assert!(
+            net.until(8_000.0, |net| agrees(net, |_| ActiveVersions::default())).is_some(),
+            "{dead:?} are back"
+        );
         net.run(net.now + 15_000.0);
         let since = net.now;
         net.run(net.now + 25_000.0);
         assert_eq!(speakers(&net, &shape.place(0), since), BTreeSet::from(["r0".to_string()]));
-        assert!(agrees(&net, |_| Acts::default()));
+        assert!(agrees(&net, |_| ActiveVersions::default()));
     }
     assert_eq!(leaks(&net), [""; 0]);
 }
@@ -247,17 +267,18 @@
     net.freeze(0);
     assert!(net.until(8_000.0, |net| every(net, |whole| whole.alive == left)).is_some());
     // Meanwhile all go over to another hierarchy.
-    (1..shape.all()).for_each(|n| net.core(n).acts(&on(4)));
+    (1..shape.all()).for_each(|n| net.core(n).set_versions(&on(4)));
     net.run(net.now + 20_000.0);
     net.wake(0);
-    net.core(0).acts(&on(4));
+    net.core(0).set_versions(&on(4));
     let (from, all) = (net.now, shape.all() as u64);
     assert!(net.until(8_000.0, |net| agrees(net, |_| on(4))).is_some());
     // From then on nobody falls back to what it knew before it slept.
     while net.now < from + 40_000.0 {
         net.run(net.now + 50.0);
         assert!(
-            net.now < from + 8_000.0 || every(&net, |whole| whole.alive == all && whole.oldest() == Some(4))
+            net.now < from + 8_000.0
+                || every(&net, |whole| whole.alive == all && whole.oldest_hierarchy() == Some(4))
         );
     }
 }
@@ -275,19 +296,23 @@
         (0..shape.all()).all(|n| {
             let whole = whole(net, n);
             let there = if n < 5 { 5 } else { all - 5 };
-            (whole.alive, whole.unheard, whole.routers()) == (there, all - there, all)
+            (whole.alive, whole.unreachable, whole.routers()) == (there, all - there, all)
         })
     };
     assert!(net.until(50_000.0, apart).is_some(), "{:?} {:?}", whole(&net, 0), whole(&net, 40));
     net.mend_all();
-    assert!(net.until(15_000.0, |net| agrees(net, |_| Acts::default())).is_some(), "{:?}", whole(&net, 0));
+    assert!(
+        net.until(15_000.0, |net| agrees(net, |_| ActiveVersions::default())).is_some(),
+        "{:?}",
+        whole(&net, 0)
+    );
 }
 
 /// Two regions are apart for ten minutes, each changes meanwhile, and what is caught up keeps to the budget.
 #[test]
 fn a_region_apart_for_ten_minutes_catches_up_within_the_budget() {
-    let mut rules = Rules::default();
-    rules.pace.rate = 4_096.0;
+    let mut rules = MembershipConfig::default();
+    rules.rate_limit.bytes_per_second = 4_096.0;
     let shape = shape();
     let mut net = Net::tree(8, &shape, rules, Wire::default());
     let all = shape.all() as u64;
@@ -298,10 +323,10 @@
             net.cut(a, b);
         }
     }
-    (0..half).for_each(|n| net.core(n).acts(&on(2)));
-    (half..shape.all()).for_each(|n| net.core(n).acts(&on(3)));
+    (0..half).for_each(|n| net.core(n).set_versions(&on(2)));
+    (half..shape.all()).for_each(|n| net.core(n).set_versions(&on(3)));
     net.run(net.now + 600_000.0);
-    let apart = |net: &Net| every(net, |whole| whole.alive == all / 2 && whole.unheard == all / 2);
+    let apart = |net: &Net| every(net, |whole| whole.alive == all / 2 && whole.unreachable == all / 2);
     assert!(apart(&net), "{:?}", whole(&net, 0));
     net.record = Some(Vec::new());
     let before: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.heard).collect();
@@ -322,7 +347,11 @@
     let all = shape.all() as u64;
     assert!(every(&net, |whole| whole.alive == all - 15));
     (0..15).for_each(|n| net.start(n));
-    assert!(net.until(10_000.0, |net| agrees(net, |_| Acts::default())).is_some(), "{:?}", whole(&net, 40));
+    assert!(
+        net.until(10_000.0, |net| agrees(net, |_| ActiveVersions::default())).is_some(),
+        "{:?}",
+        whole(&net, 40)
+    );
 }
 
 /// Crashes, cuts, frozen processes and restarts by seed: once all is mended, all count the same, which is the plain
@@ -333,7 +362,7 @@
         let shape = Shape::new(&[2, 2], 4);
         let routers = shape.all();
         let loss = [0.0, 0.05][seed as usize % 2];
-        let mut net = Net::tree(seed, &shape, Rules::default(), Wire { loss, ..Wire::default() });
+        let mut net = Net::tree(seed, &shape, MembershipConfig::default(), Wire { loss, ..Wire::default() });
         net.record = Some(Vec::new());
         net.run(3_000.0);
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -364,10 +393,10 @@
                 net.start(n);
             }
         }
-        let well = net.until(40_000.0, |net| agrees(net, |_| Acts::default()));
+        let well = net.until(40_000.0, |net| agrees(net, |_| ActiveVersions::default()));
         assert!(well.is_some(), "seed {seed}: {:?}", whole(&net, 0));
         net.run(net.now + 40_000.0);
-        assert!(agrees(&net, |_| Acts::default()), "seed {seed}: and so it stays");
+        assert!(agrees(&net, |_| ActiveVersions::default()), "seed {seed}: and so it stays");
         assert_eq!(leaks(&net), [""; 0], "seed {seed}");
     }
 }
@@ -377,7 +406,7 @@
 /// A fleet in which some routers have no place.
 fn mixed(seed: u64, without: &[usize], more: &[(usize, usize)]) -> (Net, Shape) {
     let shape = shape();
-    let net = Net::tree(seed, &shape, Rules::default(), Wire::default());
+    let net = Net::tree(seed, &shape, MembershipConfig::default(), Wire::default());
     let links: BTreeSet<(usize, usize)> = net.links().into_iter().collect();
     let places = (0..shape.all()).map(|n| (!without.contains(&n)).then(|| shape.place(n / 5))).collect();
     // Without a place its links stay in its site.
@@ -385,7 +414,7 @@
     let plain = |(a, b): &(usize, usize)| !without.contains(a) && !without.contains(b);
     let links = links.into_iter().filter(|link| in_site(link) || plain(link)).chain(more.iter().copied());
     let chance = Pcg64Mcg::seed_from_u64(seed);
-    (Net::with(chance, places, links.collect(), Rules::default(), Wire::default()), shape)
+    (Net::with(chance, places, links.collect(), MembershipConfig::default(), Wire::default()), shape)
 }
 
 #[test]
@@ -394,19 +423,24 @@
     net.record = Some(Vec::new());
     let all = shape.all() as u64;
     let placed = |net: &Net| {
-        (0..shape.all()).filter(|n| *n != 7).all(|n| whole(net, n).alive == all && whole(net, n).unheard == 0)
+        (0..shape.all())
+            .filter(|n| *n != 7)
+            .all(|n| whole(net, n).alive == all && whole(net, n).unreachable == 0)
     };
     assert!(net.until(40_000.0, placed).is_some(), "{:?}", whole(&net, 0));
     // It sees its site as it saw all before.
     let core = net.nodes[7].core.as_ref().expect("it runs");
-    assert_eq!(core.members().iter().filter(|(_, member)| member.standing == Standing::Alive).count(), 4);
+    assert_eq!(core.members().iter().filter(|(_, member)| member.state == MemberState::Alive).count(), 4);
     // News that are for all go through it.
     let now = net.now;
-    net.core(7).tell_cache(now, "c1", CacheLine { ready: false, gone: false, started: 0.0 }, 9);
+    net.core(7).publish_cache(now, "c1", CacheStatus { ready: false, removed: false, started_at: 0.0 }, 9);
     net.run(now + 5_000.0);
     assert!((0..shape.all()).all(|n| {
         n == 7
-            || net.nodes[n].done.iter().any(|(_, action)| matches!(action, Action::Cache { number: 9, .. }))
+            || net.nodes[n]
+                .done
+                .iter()
+                .any(|(_, action)| matches!(action, ClusterAction::CacheChanged { journal_position: 9, .. }))
     }));
     net.run(net.now + 30_000.0);
     assert!(placed(&net));
@@ -421,30 +455,37 @@
     let (mut net, shape) = fleet(11, Wire::default());
     let answer = |net: &Net, n: usize, asked: u64| {
         net.nodes[n].done.iter().find_map(|(_, action)| match action {
-            Action::Answer { id, place, lines } if *id == asked => Some((place.clone(), lines.clone())),
+            ClusterAction::Answer { id, location: place, routers: lines } if *id == asked => {
+                Some((place.clone(), lines.clone()))
+            }
             _ => None,
         })
     };
-    net.core(57).acts(&Acts { build: "9.9.9".to_string(), journal: 5, ..Acts::default() });
+    net.core(57).set_versions(&ActiveVersions {
+        build: "9.9.9".to_string(),
+        journal_position: 5,
+        ..ActiveVersions::default()
+    });
     net.run(net.now + 1_000.0);
     let now = net.now;
-    let asked = net.core(2).ask(now, Asked::Router("r57".to_string())).expect("there is room");
+    let asked = net.core(2).start_query(now, QueryTarget::Router("r57".to_string())).expect("there is room");
     assert!(net.until(3_000.0, |net| answer(net, 2, asked).is_some()).is_some());
     let (place, lines) = answer(&net, 2, asked).expect("there");
     assert_eq!(place, shape.place(11));
     let line = lines.iter().find(|line| line.name == "r57").expect("named");
-    assert_eq!((line.acts.build.as_str(), line.standing, lines.len()), ("9.9.9", Standing::Alive, 5));
+    assert_eq!((line.versions.build.as_str(), line.state, lines.len()), ("9.9.9", MemberState::Alive, 5));
     net.crash(55);
     net.run(net.now + 3_000.0);
     let now = net.now;
-    let asked = net.core(40).ask(now, Asked::Site(shape.place(11))).expect("there is room");
+    let asked = net.core(40).start_query(now, QueryTarget::Site(shape.place(11))).expect("there is room");
     assert!(net.until(3_000.0, |net| answer(net, 40, asked).is_some()).is_some());
     let (_, lines) = answer(&net, 40, asked).expect("there");
     let dead = lines.iter().find(|line| line.name == "r55").expect("named");
-    assert_eq!(dead.standing, Standing::Suspected);
+    assert_eq!(dead.state, MemberState::Suspect);
     // Nobody passes a question on twice, and more of them than there is room for are not taken.
     let now = net.now;
-    let asked = |net: &mut Net| net.core(40).ask(now, Asked::Router("nobody".to_string())).is_some();
+    let asked =
+        |net: &mut Net| net.core(40).start_query(now, QueryTarget::Router("nobody".to_string())).is_some();
     let taken = (0..400).filter(|_| asked(&mut net)).count();
     // Beside these it remembers the two from before.
     assert_eq!(taken, 254);
@@ -456,19 +497,19 @@
 fn voters_elsewhere_settle_the_floor_and_stragglers_are_named_in_summaries() {
     let (mut net, shape) = fleet(12, Wire::default());
     let voters: Vec<String> = ["r3", "r21", "r50"].map(str::to_string).to_vec();
-    (0..shape.all()).for_each(|n| net.core(n).roll(&voters));
+    (0..shape.all()).for_each(|n| net.core(n).set_voters(&voters));
     let hold = |net: &mut Net| {
         for n in 0..net.nodes.len() {
             let (now, floor) = (net.now, net.core(n).floor(&voters));
-            net.core(n).hold(now, floor, 1_000.0);
+            net.core(n).enforce_floor(now, floor, 1_000.0);
         }
     };
-    (0..shape.all()).for_each(|n| net.core(n).acts(&on(4)));
+    (0..shape.all()).for_each(|n| net.core(n).set_versions(&on(4)));
     net.run(net.now + 3_000.0);
     assert!((0..shape.all()).all(|n| net.core(n).floor(&voters) == 4));
     // One in each site, and two more of one, stay behind; one of them speaks for the site.
     let stays = |n: usize| n % 5 == 2 || n == 40 || n == 41;
-    (0..shape.all()).filter(|n| !stays(*n)).for_each(|n| net.core(n).acts(&on(5)));
+    (0..shape.all()).filter(|n| !stays(*n)).for_each(|n| net.core(n).set_versions(&on(5)));
     net.run(net.now + 2_000.0);
     assert!((0..shape.all()).all(|n| net.core(n).floor(&voters) == 5));
     for _ in 0..20 {
@@ -477,26 +518,26 @@
     }
     let names: BTreeSet<String> = (0..shape.all()).filter(|n| stays(*n)).map(|n| format!("r{n}")).collect();
     let named = |whole: &Summary| {
-        whole.behind == names.len() as u64 && whole.stragglers.iter().eq(names.iter().take(8))
+        whole.straggler_count == names.len() as u64 && whole.stragglers.iter().eq(names.iter().take(8))
     };
     assert!(every(&net, named), "{:?}", whole(&net, 0));
     // Those beyond the bound are named by whoever is nearer.
     let mut all = BTreeSet::new();
     for node in &net.nodes {
-        let shown = node.core.as_ref().expect("it runs").shown(net.now);
-        all.extend(shown.places.into_iter().flat_map(|line| line.stragglers));
+        let shown = node.core.as_ref().expect("it runs").view(net.now);
+        all.extend(shown.locations.into_iter().flat_map(|line| line.stragglers));
     }
     assert_eq!(all, names);
     // Also where one tells of itself.
-    let own = |n: usize| net.nodes[n].core.as_ref().expect("it runs").shown(net.now).me.straggler;
+    let own = |n: usize| net.nodes[n].core.as_ref().expect("it runs").view(net.now).me.straggler;
     assert!((0..shape.all()).all(|n| own(n) == stays(n)));
-    (0..shape.all()).for_each(|n| net.core(n).acts(&on(5)));
+    (0..shape.all()).for_each(|n| net.core(n).set_versions(&on(5)));
     for _ in 0..10 {
         net.run(net.now + 500.0);
         hold(&mut net);
     }
     net.run(net.now + 5_000.0);
-    assert!(every(&net, |whole| whole.behind == 0 && whole.stragglers.is_empty()));
+    assert!(every(&net, |whole| whole.straggler_count == 0 && whole.stragglers.is_empty()));
 }
 
 /// What is told to all goes as it does without places: no later, in the same fleet by the same links.
@@ -504,23 +545,23 @@
 fn drains_come_no_later_than_without_places() {
     let shape = shape();
     let known = |places: bool| {
-        let with = Net::tree(13, &shape, Rules::default(), Wire::default());
+        let with = Net::tree(13, &shape, MembershipConfig::default(), Wire::default());
         let links: BTreeSet<(usize, usize)> = with.links().into_iter().collect();
         let place = |n: usize| places.then(|| shape.place(n / 5));
         let all = (0..shape.all()).map(place).collect();
         let chance = Pcg64Mcg::seed_from_u64(13);
-        let mut net = Net::with(chance, all, links, Rules::default(), Wire::default());
+        let mut net = Net::with(chance, all, links, MembershipConfig::default(), Wire::default());
         net.run(20_000.0);
         let mut times = Vec::new();
         for number in 1..40 {
             let from = (number as usize * 7) % shape.all();
             let at = net.now;
-            let line = CacheLine { ready: false, gone: false, started: 0.0 };
-            net.core(from).tell_cache(at, &format!("c{number}"), line, number);
+            let line = CacheStatus { ready: false, removed: false, started_at: 0.0 };
+            net.core(from).publish_cache(at, &format!("c{number}"), line, number);
             net.run(at + 1_000.0);
             for (n, node) in net.nodes.iter().enumerate().filter(|(n, _)| *n != from) {
                 let heard = node.done.iter().find(
-                    |(_, action)| matches!(action, Action::Cache { number: heard, .. } if *heard == number),
+                    |(_, action)| matches!(action, ClusterAction::CacheChanged { journal_position: heard, .. } if *heard == number),
                 );
                 times.push(heard.map_or(f64::INFINITY, |(when, _)| when - at));
                 assert!(times.last().is_some_and(|time| time.is_finite()), "r{n}, drain {number}");
@@ -546,23 +587,26 @@
     let left = shape.all() as u64 - 1;
     assert!(net.until(8_000.0, |net| every(net, |whole| whole.alive == left)).is_some());
     let place = shape.place(0);
-    let told = Told { by: "r0".to_string(), summary: Summary { alive: 5, ..Summary::default() } };
+    let told =
+        SummaryReport { reported_by: "r0".to_string(), summary: Summary { alive: 5, ..Summary::default() } };
     for _ in 0..5 {
-        let (now, key) = (net.now, Key::Sum(place.clone()).encode());
-        let entry = Entry::new((now as u64 + 200, 0), 1, &told);
+        let (now, key) = (net.now, EntryKey::Summary(place.clone()).encode());
+        let entry = GossipEntry::new((now as u64 + 200, 0), 1, &told);
         // As if over the link that it had.
         let at = net.linked(0).into_iter().find(|n| *n < 5).expect("a fellow");
         let name = net.nodes[at].name.clone();
         net.nodes[at].name = "r0".to_string();
-        net.core(at).heard(now, "r0", &key, &entry.encode());
+        net.core(at).receive(now, "r0", &key, &entry.encode());
         net.nodes[at].name = name;
         net.run(now + 1_000.0);
     }
     let since = net.now - 5_000.0;
     let heard = net.record.iter().flatten().filter(|(at, ..)| *at >= since);
     let by: BTreeSet<String> = heard
-        .filter(|(.., (key, _))| Key::decode(key) == Some(Key::Sum(place.clone())))
-        .filter_map(|(.., (_, entry))| Some(Entry::decode(entry)?.read::<Told>()?.by))
+        .filter(|(.., (key, _))| EntryKey::decode(key) == Some(EntryKey::Summary(place.clone())))
+        .filter_map(|(.., (_, entry))| {
+            Some(GossipEntry::decode(entry)?.decode_body::<SummaryReport>()?.reported_by)
+        })
         .collect();
     assert_eq!(by, BTreeSet::from(["r0".to_string(), "r1".to_string()]), "the record names both");
     assert!(
@@ -582,8 +626,10 @@
     net.record = Some(Vec::new());
     net.run(net.now + 25_000.0);
     let sums: Vec<_> = net.record.iter().flatten().cloned().collect();
-    let sums: Vec<_> =
-        sums.into_iter().filter(|(.., (key, _))| matches!(Key::decode(key), Some(Key::Sum(_)))).collect();
+    let sums: Vec<_> = sums
+        .into_iter()
+        .filter(|(.., (key, _))| matches!(EntryKey::decode(key), Some(EntryKey::Summary(_))))
+        .collect();
     let reached: BTreeSet<usize> = sums.iter().map(|(_, _, to, _)| *to).collect();
     assert_eq!(reached.len(), shape.all(), "each has heard of some place");
     net.crash(31);
@@ -592,9 +638,9 @@
     let now = net.now;
     for (_, from, to, (key, entry)) in sums.iter().filter(|(_, _, to, _)| *to != 31) {
         let from = net.nodes[*from].name.clone();
-        net.core(*to).heard(now, &from, key, entry);
+        net.core(*to).receive(now, &from, key, entry);
         let whole = whole(&net, *to);
-        assert_eq!((whole.alive, whole.unheard), (left, 0), "r{to}, told by {from}");
+        assert_eq!((whole.alive, whole.unreachable), (left, 0), "r{to}, told by {from}");
     }
     net.run(now + 5_000.0);
     assert!(every(&net, |whole| whole.alive == left), "{:?}", whole(&net, 0));
@@ -609,32 +655,32 @@
     net.run(30_000.0);
     let all = shape.all() as u64;
     assert_eq!(whole(&net, 0).alive, all + 1, "counted twice");
-    assert!(!agrees(&net, |_| Acts::default()));
+    assert!(!agrees(&net, |_| ActiveVersions::default()));
     let leaks = leaks(&net);
     assert!(leaks.iter().any(|leak| leak.contains("r6 of")), "{:?}", leaks.first());
     // What reached the wrong site counts for nothing there.
     let core = net.nodes[41].core.as_ref().expect("it runs");
-    assert!(core.members().get("r6").is_none() && core.counts.out_of_scope > 0);
+    assert!(core.members().get("r6").is_none() && core.counters.out_of_scope > 0);
 }
 
 /// A change of the last router of all, for none of whose places anybody of its own site speaks, in a fleet that has much
 /// else to say: it goes on from hop to hop over links that are quiet, and no place waits for more than its own gathering.
 #[test]
 fn a_change_goes_up_and_down_the_tree_without_a_wait_at_each_hop() {
-    let rules = Rules::default();
+    let rules = MembershipConfig::default();
     for (seed, loss) in [(17, 0.0), (18, 0.01)] {
         let shape = Shape::new(&[2, 2, 2, 3], 8);
         let mut net = Net::tree(seed, &shape, rules, Wire { loss, ..Wire::default() });
         let (routers, last) = (shape.all(), shape.all() - 1);
-        let acts = |n: usize, now: Ms, settings: u64| Acts {
-            journal: now as u64 / 10,
-            settings: if n == last { settings } else { 0 },
-            ..Acts::default()
+        let acts = |n: usize, now: Ms, settings: u64| ActiveVersions {
+            journal_position: now as u64 / 10,
+            settings_digest: if n == last { settings } else { 0 },
+            ..ActiveVersions::default()
         };
         let play = |net: &mut Net, settings: u64, until: Ms, holds: &dyn Fn(&Net) -> bool| {
             while net.now < until && !holds(net) {
                 let now = net.now;
-                (0..routers).for_each(|n| net.core(n).acts(&acts(n, now, settings)));
+                (0..routers).for_each(|n| net.core(n).set_versions(&acts(n, now, settings)));
                 net.run(now + 50.0);
             }
             net.now
@@ -647,7 +693,7 @@
         let at = net.now;
         let known = play(&mut net, 7, at + 10_000.0, &|net| counted(net, 2)) - at;
         // Each of the four levels gathers, and its hops take little more than one bundle together.
-        let most = 4.0 * (rules.tree.gather + rules.every) + 500.0;
+        let most = 4.0 * (rules.aggregation.gather_delay + rules.flush_interval) + 500.0;
         assert!(known <= most, "seed {seed}: {known} of {most}");
     }
 }
--- /dev/null
+++ b/crates/membership/tests/membership.rs
@@ -0,0 +1,73 @@
+//! Who is there, by links that both ends tell of.
+
+use linnethook_membership::membership::{MemberChange, MemberList, MemberState, MembershipTimeouts};
+use linnethook_membership::versions::RouterStatus;
+
+fn says(links: &[(&str, u64)], leaving: bool) -> RouterStatus {
+    let links = links.iter().map(|(name, start)| (name.to_string(), *start)).collect();
+    RouterStatus { links, leaving, ..RouterStatus::default() }
+}
+
+fn standings(members: &MemberList) -> Vec<(String, MemberState)> {
+    members.iter().map(|(name, member)| (name.clone(), member.state)).collect()
+}
+
+/// A chain me - a - b: b is there as long as a and b both tell of their link, and a is there.
+#[test]
+fn who_is_reached_over_links_that_both_ends_tell_of_is_alive() {
+    let mut members = MemberList::new(MembershipTimeouts::default(), "me", 1);
+    members.set_link("a", 1, true);
+    members.update_status(0.0, "a", 1, says(&[("me", 1), ("b", 1)], false));
+    members.update_status(0.0, "b", 1, says(&[("a", 1)], false));
+    assert!(members.tick(0.0).is_empty());
+    // One end alone: cut in one direction, or dead.
+    members.update_status(100.0, "a", 1, says(&[("me", 1)], false));
+    assert!(members.tick(100.0).is_empty(), "not at once");
+    let change = |name: &str, standing| (name.to_string(), 1, MemberChange::StateChanged(standing));
+    assert_eq!(members.tick(1_100.0), [change("b", MemberState::Suspect)]);
+    members.update_status(2_000.0, "a", 1, says(&[("me", 1), ("b", 1)], false));
+    assert_eq!(members.tick(2_000.0), [change("b", MemberState::Alive)]);
+    // The other end alone says so, too.
+    members.update_status(2_100.0, "b", 1, says(&[], false));
+    members.tick(2_100.0);
+    assert_eq!(members.tick(3_200.0), [change("b", MemberState::Suspect)]);
+    members.update_status(3_300.0, "b", 1, says(&[("a", 1)], false));
+    assert_eq!(members.tick(3_300.0), [change("b", MemberState::Alive)]);
+    // The own link goes: both are out of reach, whatever they said of each other.
+    members.set_link("a", 1, false);
+    members.tick(4_000.0);
+    assert_eq!(members.next_deadline(4_000.0), 5_000.0);
+    members.tick(5_000.0);
+    assert!(standings(&members).iter().all(|(_, standing)| *standing == MemberState::Suspect));
+    members.tick(34_000.0);
+    assert!(standings(&members).iter().all(|(_, standing)| *standing == MemberState::Dead));
+    members.tick(604_000.0);
+    assert_eq!(members.iter().count(), 0, "forgotten");
+}
+
+#[test]
+fn a_restart_counts_from_its_own_links_on_and_an_earlier_start_never_again() {
+    let mut members = MemberList::new(MembershipTimeouts::default(), "me", 1);
+    members.set_link("a", 1, true);
+    assert_eq!(members.update_status(0.0, "a", 1, says(&[], false)), Some(MemberChange::Joined));
+    assert_eq!(members.update_status(0.0, "a", 7, says(&[], false)), Some(MemberChange::Restarted(1)));
+    assert_eq!(members.update_status(0.0, "a", 1, says(&[("b", 1)], true)), None);
+    assert_eq!(members.get("a").map(|a| (a.incarnation, a.status.leaving)), Some((7, false)));
+    // The link is with the earlier start.
+    members.tick(0.0);
+    members.tick(1_000.0);
+    assert_eq!(members.get("a").map(|a| a.state), Some(MemberState::Suspect));
+    members.set_link("a", 7, true);
+    members.tick(1_001.0);
+    assert_eq!(members.get("a").map(|a| a.state), Some(MemberState::Alive));
+}
+
+#[test]
+fn who_has_said_that_it_ends_has_left_as_soon_as_it_is_out_of_reach() {
+    let mut members = MemberList::new(MembershipTimeouts::default(), "me", 1);
+    members.set_link("a", 1, true);
+    members.update_status(0.0, "a", 1, says(&[], true));
+    assert!(members.tick(0.0).is_empty(), "it still ends what it has");
+    members.set_link("a", 1, false);
+    assert_eq!(members.tick(1.0), [("a".to_string(), 1, MemberChange::StateChanged(MemberState::Left))]);
+}
--- a/crates/fellows/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -6,30 +6,32 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linnethook_fellows::fact::Acts;
-use linnethook_fellows::fellows::{Action, Fellows, Note, Rules, Said};
-use linnethook_fellows::place::Place;
-use linnethook_fellows::Ms;
+use linnethook_membership::actions::{ClusterAction, ClusterEvent, EncodedEntry};
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::cluster::Cluster;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::Ms;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 pub struct Node {
-    pub core: Option<Fellows>,
+    pub core: Option<Cluster>,
     pub name: String,
     pub start: u64,
     pub frozen: bool,
     said: BTreeMap<Vec<u8>, Vec<u8>>,
-    pub notes: Vec<(Ms, Note)>,
-    pub done: Vec<(Ms, Action)>,
+    pub notes: Vec<(Ms, ClusterEvent)>,
+    pub done: Vec<(Ms, ClusterAction)>,
     /// Bytes that left it, by the wire, and that came.
     pub bytes: u64,
     pub heard: u64,
     /// Where it stands in the tree; nowhere in a fleet without places.
-    pub place: Option<Place>,
+    pub place: Option<Location>,
     /// Where it has other rules than all.
-    rules: Option<Rules>,
+    rules: Option<MembershipConfig>,
     due: Ms,
-    waiting: Vec<(usize, Vec<Said>)>,
+    waiting: Vec<(usize, Vec<EncodedEntry>)>,
 }
 
 #[derive(Debug, Clone)]
@@ -38,7 +40,7 @@
         from: usize,
         to: usize,
         starts: (u64, u64),
-        said: Vec<Said>,
+        said: Vec<EncodedEntry>,
     },
     Up(usize, usize),
     /// One end finds that nothing comes any more.
@@ -69,7 +71,7 @@
     pub now: Ms,
     pub nodes: Vec<Node>,
     pub wire: Wire,
-    rules: Rules,
+    rules: MembershipConfig,
     chance: Pcg64Mcg,
     links: BTreeSet<(usize, usize)>,
     /// The same by each of their ends.
@@ -84,7 +86,7 @@
     deaf: BTreeSet<usize>,
     last: BTreeMap<(usize, usize), Ms>,
     /// What crossed links, where that is wanted: when, from, to, key and entry.
-    pub record: Option<Vec<(Ms, usize, usize, Said)>>,
+    pub record: Option<Vec<(Ms, usize, usize, EncodedEntry)>>,
     events: BTreeMap<(u64, u64), Event>,
     count: u64,
 }
@@ -95,7 +97,7 @@
 
 impl Net {
     /// So many routers, each with links to `dials` others: the next one, so that all hang together, and some by chance.
-    pub fn new(seed: u64, routers: usize, dials: usize, rules: Rules, wire: Wire) -> Self {
+    pub fn new(seed: u64, routers: usize, dials: usize, rules: MembershipConfig, wire: Wire) -> Self {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut links = BTreeSet::new();
         for n in 0..routers {
@@ -112,7 +114,7 @@
     }
 
     /// So many routers in a tree of places, all of whose parts hang together by links of their own.
-    pub fn tree(seed: u64, shape: &Shape, rules: Rules, wire: Wire) -> Self {
+    pub fn tree(seed: u64, shape: &Shape, rules: MembershipConfig, wire: Wire) -> Self {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let places = shape.places();
         let links = shape.links(&mut chance);
@@ -122,9 +124,9 @@
     /// Routers at these places with these links.
     pub fn with(
         chance: Pcg64Mcg,
-        places: Vec<Option<Place>>,
+        places: Vec<Option<Location>>,
         links: BTreeSet<(usize, usize)>,
-        rules: Rules,
+        rules: MembershipConfig,
         wire: Wire,
     ) -> Self {
         let routers = places.len();
@@ -197,8 +199,8 @@
         let node = &mut self.nodes[n];
         let rules = node.rules.unwrap_or(self.rules);
         node.start += (now * 1_000.0) as u64 + 1;
-        let core = Fellows::new(now, rules, &node.name, node.start, Acts::default());
-        node.core = Some(core.at(now, node.place.clone()));
+        let core = Cluster::new(now, rules, &node.name, node.start, ActiveVersions::default());
+        node.core = Some(core.with_location(now, node.place.clone()));
         node.said.clear();
         node.frozen = false;
         self.due(n, now);
@@ -208,7 +210,7 @@
     }
 
     /// A router starts by other rules than all, and keeps to them.
-    pub fn start_by(&mut self, n: usize, rules: Rules) {
+    pub fn start_by(&mut self, n: usize, rules: MembershipConfig) {
         self.nodes[n].rules = Some(rules);
         self.start(n);
     }
@@ -288,12 +290,12 @@
         self.links.iter().copied().collect()
     }
 
-    pub fn core(&mut self, n: usize) -> &mut Fellows {
+    pub fn core(&mut self, n: usize) -> &mut Cluster {
         self.due(n, self.now);
         self.nodes[n].core.as_mut().expect("it runs")
     }
 
-    fn send(&mut self, from: usize, to: usize, said: Vec<Said>) {
+    fn send(&mut self, from: usize, to: usize, said: Vec<EncodedEntry>) {
         let Some((low, high)) = self.up.get(&pair(from, to)).copied() else { return };
         let starts = if from < to { (low, high) } else { (high, low) };
         let bytes: usize = said.iter().map(|(key, entry)| key.len() + entry.len() + 4).sum();
@@ -312,16 +314,16 @@
 
     fn carry_out(&mut self, n: usize) {
         let now = self.now;
-        while let Some(action) = self.nodes[n].core.as_mut().and_then(Fellows::next_action) {
+        while let Some(action) = self.nodes[n].core.as_mut().and_then(Cluster::next_action) {
             match action {
-                Action::Say(said) => {
+                ClusterAction::Broadcast(said) => {
                     self.nodes[n].said.extend(said.iter().cloned());
                     for other in self.linked(n) {
                         self.send(n, other, said.clone());
                     }
                 }
-                Action::Drop(key) => _ = self.nodes[n].said.remove(&key),
-                Action::Direct(name, said) => {
+                ClusterAction::Retract(key) => _ = self.nodes[n].said.remove(&key),
+                ClusterAction::SendTo(name, said) => {
                     // Of two processes under one name the one that there is a link with.
                     let named = |to: &&usize| self.nodes[**to].name == name;
                     let up = |to: &&usize| self.up.contains_key(&pair(n, **to));
@@ -329,12 +331,12 @@
                         self.send(n, to, said);
                     }
                 }
-                Action::StandDown => self.silence(n, 1.0),
-                Action::Note(note) => self.nodes[n].notes.push((now, note)),
+                ClusterAction::CloseLinks => self.silence(n, 1.0),
+                ClusterAction::Event(note) => self.nodes[n].notes.push((now, note)),
                 other => self.nodes[n].done.push((now, other)),
             }
         }
-        let next = self.nodes[n].core.as_ref().map_or(f64::INFINITY, |core| core.next(now));
+        let next = self.nodes[n].core.as_ref().map_or(f64::INFINITY, |core| core.next_deadline(now));
         self.due(n, next.max(now + 0.001));
     }
 
@@ -351,15 +353,15 @@
                 self.up.insert((low, high), (self.nodes[low].start, self.nodes[high].start));
                 for (at, other) in [(a, b), (b, a)] {
                     let (name, start) = (self.nodes[other].name.clone(), self.nodes[other].start);
-                    self.core(at).link(&name, start, true);
-                    let all: Vec<Said> = self.nodes[at].said.clone().into_iter().collect();
+                    self.core(at).set_link(&name, start, true);
+                    let all: Vec<EncodedEntry> = self.nodes[at].said.clone().into_iter().collect();
                     self.send(at, other, all);
                 }
             }
             Event::Down { at, other, start } => {
                 let name = self.nodes[other].name.clone();
                 if self.nodes[at].core.is_some() && !self.nodes[at].frozen {
-                    self.core(at).link(&name, start, false);
+                    self.core(at).set_link(&name, start, false);
                 }
             }
             Event::Deliver { from, to, starts, said } => {
@@ -375,7 +377,7 @@
                     record.extend(said.iter().map(|said| (now, from, to, said.clone())));
                 }
                 for (key, entry) in said {
-                    self.core(to).heard(now, &name, &key, &entry);
+                    self.core(to).receive(now, &name, &key, &entry);
                 }
             }
         }
@@ -443,17 +445,17 @@
     }
 
     /// The place of a site by its number.
-    pub fn place(&self, mut site: usize) -> Place {
+    pub fn place(&self, mut site: usize) -> Location {
         let mut names = Vec::new();
         for parts in self.parts.iter().rev() {
             names.push(format!("p{:02}", site % parts));
             site /= parts;
         }
         names.reverse();
-        Place::read(&names.join("/")).expect("a place")
+        Location::parse(&names.join("/")).expect("a place")
     }
 
-    fn places(&self) -> Vec<Option<Place>> {
+    fn places(&self) -> Vec<Option<Location>> {
         (0..self.all()).map(|n| Some(self.place(n / self.routers))).collect()
     }
 
--- a/crates/fellows/tests/plumtree.rs
+++ b/crates/membership/tests/plumtree.rs
@@ -5,12 +5,16 @@
 
 use std::collections::BTreeSet;
 
-use linnethook_fellows::fact::{Acts, Key};
-use linnethook_fellows::fellows::{Counts, Rules};
-use linnethook_fellows::place::Place;
-use linnethook_fellows::plumtree::{decode, encode, Plumtree, PlumtreeRule, Words};
-use linnethook_fellows::scope::Greeting;
-use linnethook_fellows::Ms;
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::aggregation::scope::LinkHandshake;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::EntryKey;
+use linnethook_membership::gossip::plumtree::{
+    decode_digests, encode_digests, Plumtree, PlumtreeConfig, PlumtreeMessages,
+};
+use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::view::ClusterCounters;
+use linnethook_membership::Ms;
 use net::{Net, Shape, Wire};
 
 const KEY: &[u8] = b"key";
@@ -18,27 +22,27 @@
 
 /// A router with links to `a`, `b` and `c`, all of which know of lazy links.
 fn three() -> Plumtree {
-    let mut tree = Plumtree::new(PlumtreeRule::default());
+    let mut tree = Plumtree::new(PlumtreeConfig::default());
     for name in ["a", "b", "c"] {
-        tree.up(name);
-        tree.able(name, true);
+        tree.add_link(name);
+        tree.set_lazy_support(name, true);
     }
     tree
 }
 
-fn words(tree: &mut Plumtree, name: &str) -> Words {
-    let (words, bytes) = tree.words(name);
+fn words(tree: &mut Plumtree, name: &str) -> PlumtreeMessages {
+    let (words, bytes) = tree.pending_messages(name);
     assert_eq!(words.is_empty(), bytes == 0);
-    tree.told(name);
+    tree.mark_sent(name);
     words
 }
 
 #[test]
 fn a_link_is_pruned_for_the_key_that_comes_twice_over_it_and_the_one_it_came_over_first_never_is() {
     let mut tree = three();
-    tree.came(0.0, KEY, (1, 1), Some("a"));
-    tree.came_again("b", KEY, (1, 1));
-    tree.came_again("a", KEY, (1, 1));
+    tree.record_new(0.0, KEY, (1, 1), Some("a"));
+    tree.record_duplicate("b", KEY, (1, 1));
+    tree.record_duplicate("a", KEY, (1, 1));
     assert_eq!(
         [tree.is_lazy("a", KEY), tree.is_lazy("b", KEY), tree.is_lazy("c", KEY)],
         [false, true, false]
@@ -49,71 +53,71 @@
     assert!(words(&mut tree, "b").is_empty(), "told once");
     // The other end takes it, and makes its end lazy.
     let mut there = three();
-    there.pruned("a", &pruned);
+    there.handle_prune("a", &pruned);
     assert!(there.is_lazy("a", KEY) && !there.is_lazy("a", OTHER));
     // Next it comes over the pruned link first, which was on its way: the one before stays.
-    tree.came(1.0, KEY, (1, 2), Some("b"));
+    tree.record_new(1.0, KEY, (1, 2), Some("b"));
     assert!(!tree.is_lazy("b", KEY), "what a fact comes over first is eager");
     // The first of both goes down: what comes over another one twice does not prune the only one left.
-    tree.came(2.0, KEY, (1, 3), Some("a"));
-    tree.down("a");
-    tree.came_again("c", KEY, (1, 3));
+    tree.record_new(2.0, KEY, (1, 3), Some("a"));
+    tree.remove_link("a");
+    tree.record_duplicate("c", KEY, (1, 3));
     assert!(!tree.is_lazy("c", KEY));
 }
 
 #[test]
 fn a_link_to_a_build_without_lazy_links_is_never_pruned_and_told_nothing_of_them() {
     let mut tree = three();
-    tree.able("b", false);
-    tree.came(0.0, KEY, (1, 1), Some("a"));
-    tree.came_again("b", KEY, (1, 1));
-    tree.pruned("b", &[1, 2, 3]);
-    tree.has(0.0, "b", &[7]);
+    tree.set_lazy_support("b", false);
+    tree.record_new(0.0, KEY, (1, 1), Some("a"));
+    tree.record_duplicate("b", KEY, (1, 1));
+    tree.handle_prune("b", &[1, 2, 3]);
+    tree.handle_ihave(0.0, "b", &[7]);
     tree.tick(10_000.0);
     assert!(!tree.is_lazy("b", KEY) && words(&mut tree, "b").is_empty());
-    assert!(tree.grafted("b", &[7]).is_empty());
+    assert!(tree.handle_graft("b", &[7]).is_empty());
 }
 
 /// A digest came of a fact that does not come: it is asked for where it was heard of first, then at the next one, and the
 /// link is eager again at the end that has it.
 #[test]
 fn a_fact_of_which_only_digests_come_is_asked_for_at_one_after_another() {
-    let rule = PlumtreeRule::default();
+    let rule = PlumtreeConfig::default();
     let (mut here, mut there) = (three(), three());
-    there.came(0.0, KEY, (1, 1), Some("c"));
-    there.came_again("a", KEY, (1, 1));
-    there.came(10.0, KEY, (1, 2), Some("c"));
-    there.announce("a", KEY, (1, 2));
-    assert_eq!(there.waiting(10.0), ["a"]);
-    let have = words(&mut there, "a").have;
+    there.record_new(0.0, KEY, (1, 1), Some("c"));
+    there.record_duplicate("a", KEY, (1, 1));
+    there.record_new(10.0, KEY, (1, 2), Some("c"));
+    there.queue_ihave("a", KEY, (1, 2));
+    assert_eq!(there.links_with_messages(10.0), ["a"]);
+    let have = words(&mut there, "a").ihave;
     assert_eq!(have.len(), 1);
-    here.has(20.0, "b", &have);
-    here.has(25.0, "c", &have);
-    here.tick(20.0 + rule.graft - 1.0);
+    here.handle_ihave(20.0, "b", &have);
+    here.handle_ihave(25.0, "c", &have);
+    here.tick(20.0 + rule.graft_timeout - 1.0);
     assert!(words(&mut here, "b").is_empty(), "it may be on its way");
-    assert_eq!(here.next(), 20.0 + rule.graft);
-    here.tick(20.0 + rule.graft);
+    assert_eq!(here.next_deadline(), 20.0 + rule.graft_timeout);
+    here.tick(20.0 + rule.graft_timeout);
     let graft = words(&mut here, "b").graft;
     assert_eq!(graft, have);
-    here.tick(20.0 + 2.0 * rule.graft);
+    here.tick(20.0 + 2.0 * rule.graft_timeout);
     assert_eq!(words(&mut here, "c").graft, have, "the first one did not answer");
-    here.tick(20.0 + 3.0 * rule.graft);
-    assert_eq!(here.next(), f64::INFINITY, "nobody is left who has it");
-    assert_eq!(there.grafted("a", &graft), [KEY.to_vec()]);
+    here.tick(20.0 + 3.0 * rule.graft_timeout);
+    assert_eq!(here.next_deadline(), f64::INFINITY, "nobody is left who has it");
+    assert_eq!(there.handle_graft("a", &graft), [KEY.to_vec()]);
     assert!(!there.is_lazy("a", KEY));
     // What is here is not asked for, nor told to whom has it.
-    here.came(1_000.0, KEY, (1, 2), Some("b"));
-    here.announce("a", KEY, (1, 2));
-    here.has(1_001.0, "a", &have);
+    here.record_new(1_000.0, KEY, (1, 2), Some("b"));
+    here.queue_ihave("a", KEY, (1, 2));
+    here.handle_ihave(1_001.0, "a", &have);
     here.tick(5_000.0);
     assert!(words(&mut here, "a").is_empty());
 }
 
 #[test]
 fn digests_are_read_as_they_were_written_and_what_is_cut_short_or_too_long_is_nothing() {
-    assert_eq!(decode(&encode(&[1, u32::MAX, 7])), Some(vec![1, u32::MAX, 7]));
-    assert_eq!(decode(&encode(&[1])[..3]), None);
-    assert_eq!(decode(&vec![0; 4 * 5_000]), None);
+    assert_eq!(decode_digests(&encode_digests(&[1, u32::MAX, 7])), Some(vec![1, u32::MAX, 7]));
+    assert_eq!(decode_digests(&encode_digests(&[1])[..3]), None);
+    assert_eq!(decode_digests(&vec![0; 4 * 5_000]), None);
 }
 
 /// What a fact leaves behind is bounded, whatever is said.
@@ -121,39 +125,42 @@
 fn what_is_kept_of_digests_has_a_bound_and_an_end() {
     let mut tree = three();
     for n in 0..20_000u32 {
-        tree.came(f64::from(n) / 1_000.0, &n.to_le_bytes(), (1, 1), Some("a"));
-        tree.has(0.0, "b", &[n.wrapping_mul(0x9e37_79b9)]);
-        tree.pruned("c", &[n]);
+        tree.record_new(f64::from(n) / 1_000.0, &n.to_le_bytes(), (1, 1), Some("a"));
+        tree.handle_ihave(0.0, "b", &[n.wrapping_mul(0x9e37_79b9)]);
+        tree.handle_prune("c", &[n]);
     }
-    let kept = tree.kept();
+    let kept = tree.sizes();
     assert!(kept.seen <= 8_192 && kept.missing <= 4_096 && kept.lazy <= 4_096, "{kept:?}");
-    tree.came(1_000_000.0, KEY, (1, 1), None);
+    tree.record_new(1_000_000.0, KEY, (1, 1), None);
     // What is not kept any more leaves nothing, and what nobody else has is given up.
-    tree.came(1_000_000.0, OTHER, (1, 1), Some("a"));
-    tree.down("c");
-    tree.up("c");
-    tree.able("c", true);
-    tree.came_again("c", OTHER, (1, 1));
+    tree.record_new(1_000_000.0, OTHER, (1, 1), Some("a"));
+    tree.remove_link("c");
+    tree.add_link("c");
+    tree.set_lazy_support("c", true);
+    tree.record_duplicate("c", OTHER, (1, 1));
     assert!(tree.is_lazy("c", OTHER));
     tree.forget(OTHER);
     assert!(!tree.is_lazy("c", OTHER));
     (0..8).for_each(|n| tree.tick(1_000_000.0 + f64::from(n) * 1_000.0));
-    let kept = tree.kept();
+    let kept = tree.sizes();
     assert_eq!((kept.seen, kept.missing), (2, 0));
 }
 
 /// A greeting to an older build is one that it reads, and one of an older build says nothing of lazy links.
 #[test]
 fn a_greeting_is_read_by_an_older_build_and_one_of_it_says_that_it_knows_of_no_lazy_links() {
-    let place = Place::read("a/b").expect("a place");
-    let greeting = Greeting { place: place.clone(), shape: (3, 4), prunes: true };
+    let place = Location::parse("a/b").expect("a place");
+    let greeting = LinkHandshake { location: place.clone(), hierarchy: (3, 4), supports_lazy_links: true };
     let bytes = greeting.encode();
     // As it was before: place and shape, and no look at what follows.
-    let older: (Place, (u64, u64)) = postcard::from_bytes(&bytes).expect("readable");
+    let older: (Location, (u64, u64)) = postcard::from_bytes(&bytes).expect("readable");
     assert_eq!(older, (place.clone(), (3, 4)));
-    assert_eq!(Greeting::decode(&bytes), Some(greeting));
+    assert_eq!(LinkHandshake::decode(&bytes), Some(greeting));
     let older = postcard::to_stdvec(&older).expect("written");
-    assert_eq!(Greeting::decode(&older), Some(Greeting { place, shape: (3, 4), prunes: false }));
+    assert_eq!(
+        LinkHandshake::decode(&older),
+        Some(LinkHandshake { location: place, hierarchy: (3, 4), supports_lazy_links: false })
+    );
 }
 
 // ---- Fleets.
@@ -163,7 +170,7 @@
 }
 
 fn counted(net: &Net, n: usize, all: u64, changed: usize) -> bool {
-    let whole = net.nodes[n].core.as_ref().and_then(|core| core.whole(net.now));
+    let whole = net.nodes[n].core.as_ref().and_then(|core| core.fleet_summary(net.now));
     whole.is_some_and(|whole| whole.alive == all && whole.groups.len() == 1 + changed)
 }
 
@@ -177,13 +184,14 @@
     while net.now < until {
         let now = net.now;
         for n in (0..net.nodes.len()).filter(|n| net.runs(*n)).collect::<Vec<_>>() {
-            net.core(n).acts(&Acts { journal: now as u64, ..Acts::default() });
+            net.core(n)
+                .set_versions(&ActiveVersions { journal_position: now as u64, ..ActiveVersions::default() });
         }
         net.run(now + 100.0);
     }
 }
 
-fn fleet(seed: u64, rules: Rules, wire: Wire) -> Net {
+fn fleet(seed: u64, rules: MembershipConfig, wire: Wire) -> Net {
     let mut net = Net::tree(seed, &shape(), rules, wire);
     assert!(net.until(20_000.0, |net| every(net, 0)).is_some(), "all are counted");
     let settled = net.now + 45_000.0;
@@ -192,17 +200,18 @@
 }
 
 fn counts(net: &Net) -> (u64, u64, u64) {
-    let all: Vec<Counts> = net.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.counts)).collect();
+    let all: Vec<ClusterCounters> =
+        net.nodes.iter().filter_map(|node| Some(node.core.as_ref()?.counters)).collect();
     let bytes = net.nodes.iter().map(|node| node.bytes).sum();
-    (all.iter().map(|c| c.new).sum(), all.iter().map(|c| c.old).sum(), bytes)
+    (all.iter().map(|c| c.entries_new).sum(), all.iter().map(|c| c.entries_stale).sum(), bytes)
 }
 
 /// Once links are pruned hardly a fact comes twice, and less is said by a quarter and more.
 #[test]
 fn hardly_a_fact_comes_twice_and_all_come() {
     let measure = |prunes: bool| {
-        let mut rules = Rules::default();
-        rules.plumtree.prunes = prunes;
+        let mut rules = MembershipConfig::default();
+        rules.plumtree.lazy_links = prunes;
         let mut net = fleet(1, rules, Wire::default());
         let before = counts(&net);
         let until = net.now + 40_000.0;
@@ -222,7 +231,7 @@
 /// How long it takes until all count a change of the last router's settings.
 fn change_known(net: &mut Net) -> Option<Ms> {
     let (at, last) = (net.now, net.nodes.len() - 1);
-    net.core(last).acts(&Acts { settings: 7, ..Acts::default() });
+    net.core(last).set_versions(&ActiveVersions { settings_digest: 7, ..ActiveVersions::default() });
     let known = net.until(5_000.0, |net| every(net, 1))?;
     Some(known - at)
 }
@@ -232,28 +241,28 @@
 #[test]
 fn a_change_is_known_everywhere_in_time_whoever_stands_in_its_way_is_dead_or_deaf_or_slow() {
     for seed in [2, 3] {
-        let mut net = fleet(seed, Rules::default(), Wire { loss: 0.01, ..Wire::default() });
+        let mut net = fleet(seed, MembershipConfig::default(), Wire { loss: 0.01, ..Wire::default() });
         net.crash(22);
         net.crash(47);
-        net.core(59).acts(&Acts { settings: 7, ..Acts::default() });
+        net.core(59).set_versions(&ActiveVersions { settings_digest: 7, ..ActiveVersions::default() });
         assert!(net.until(5_000.0, |net| every(net, 1)).is_some(), "seed {seed}: two died");
 
-        let mut net = fleet(seed, Rules::default(), Wire { loss: 0.01, ..Wire::default() });
+        let mut net = fleet(seed, MembershipConfig::default(), Wire { loss: 0.01, ..Wire::default() });
         // It hears nothing; all others come to know, though what went over it has to find another way.
         let deaf = [6, 22, 41];
         deaf.iter().for_each(|n| net.deaf(*n, true));
-        net.core(59).acts(&Acts { settings: 7, ..Acts::default() });
+        net.core(59).set_versions(&ActiveVersions { settings_digest: 7, ..ActiveVersions::default() });
         let others = |net: &Net| {
             let all = net.nodes.len() as u64;
             (0..net.nodes.len()).filter(|n| !deaf.contains(n)).all(|n| counted(net, n, all, 1))
         };
         assert!(net.until(5_000.0, others).is_some(), "seed {seed}: some are deaf");
 
-        let mut net = fleet(seed, Rules::default(), Wire { loss: 0.01, ..Wire::default() });
+        let mut net = fleet(seed, MembershipConfig::default(), Wire { loss: 0.01, ..Wire::default() });
         net.slow(22, 2_000.0);
         let settled = net.now + 20_000.0;
         play(&mut net, settled);
-        net.core(59).acts(&Acts { settings: 7, ..Acts::default() });
+        net.core(59).set_versions(&ActiveVersions { settings_digest: 7, ..ActiveVersions::default() });
         let others = |net: &Net| (0..60).filter(|n| *n != 22).all(|n| counted(net, n, 60, 1));
         assert!(net.until(5_000.0, others).is_some(), "seed {seed}: one is slow");
     }
@@ -262,7 +271,7 @@
 /// What is pruned heals: after a router on the way has died and links are pruned anew, hardly a fact comes twice again.
 #[test]
 fn links_are_pruned_anew_after_one_on_the_way_has_died() {
-    let mut net = fleet(4, Rules::default(), Wire::default());
+    let mut net = fleet(4, MembershipConfig::default(), Wire::default());
     net.crash(22);
     net.crash(0);
     let settled = net.now + 45_000.0;
@@ -278,9 +287,9 @@
 /// Routers of a build that knows of no lazy links: they are told of none, and all count the same in time.
 #[test]
 fn beside_an_older_build_links_with_it_stay_as_they_were() {
-    let mut net = Net::tree(5, &shape(), Rules::default(), Wire::default());
-    let mut rules = Rules::default();
-    rules.plumtree.prunes = false;
+    let mut net = Net::tree(5, &shape(), MembershipConfig::default(), Wire::default());
+    let mut rules = MembershipConfig::default();
+    rules.plumtree.lazy_links = false;
     let older: BTreeSet<usize> = [0, 7, 8, 31, 59].into();
     older.iter().for_each(|n| net.start_by(*n, rules));
     net.record = Some(Vec::new());
@@ -294,7 +303,7 @@
         among += 1;
     }
     for (at, from, to, (key, _)) in net.record.iter().flatten() {
-        let pruned = matches!(Key::decode(key), Some(Key::Step(_) | Key::Sum(_)));
+        let pruned = matches!(EntryKey::decode(key), Some(EntryKey::VersionUpdate(_) | EntryKey::Summary(_)));
         twice +=
             usize::from(pruned && *at > settled - 20_000.0 && older.contains(from) && older.contains(to));
     }
--- /dev/null
+++ b/crates/membership/tests/summary.rs
@@ -0,0 +1,189 @@
+//! Summaries against a plain count of the same routers: in any order, in any parts, told or lost.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::aggregation::summary::{Summary, VersionGroup, MAX_GROUPS, MAX_NAMED_STRAGGLERS};
+use linnethook_membership::aggregation::tree::{AggregationConfig, SummaryTree};
+use linnethook_membership::hybrid_clock::Timestamp;
+use linnethook_membership::membership::MemberState;
+use linnethook_membership::versions::ActiveVersions;
+use proptest::prelude::*;
+
+#[derive(Debug, Clone)]
+struct Router {
+    name: String,
+    site: usize,
+    standing: MemberState,
+    leaving: bool,
+    acts: ActiveVersions,
+    straggler: bool,
+}
+
+fn routers() -> impl Strategy<Value = Vec<Router>> {
+    let standing = prop_oneof![
+        6 => Just(MemberState::Alive),
+        1 => Just(MemberState::Suspect),
+        1 => Just(MemberState::Dead),
+        1 => Just(MemberState::Left),
+    ];
+    let one = (0usize..6, standing, any::<bool>(), 0u64..4, 0u64..3, 0u64..50, any::<bool>());
+    proptest::collection::vec(one, 0..60).prop_map(|all| {
+        let router = |(n, (site, standing, leaving, version, settings, journal, straggler))| Router {
+            name: format!("r{n}"),
+            site,
+            standing,
+            leaving,
+            acts: ActiveVersions {
+                settings_digest: settings,
+                hierarchy: (version, version << 40),
+                journal_position: journal,
+                drains_applied: journal / 2,
+                purges_applied: journal,
+                ..ActiveVersions::default()
+            },
+            straggler,
+        };
+        all.into_iter().enumerate().map(router).collect()
+    })
+}
+
+fn sum<'a>(routers: impl Iterator<Item = &'a Router>) -> Summary {
+    let mut sum = Summary::default();
+    for router in routers {
+        sum.add_router(&router.name, router.standing, router.leaving, &router.acts, router.straggler);
+    }
+    sum
+}
+
+/// What anybody who knew all of them would count.
+fn plain(routers: &[Router], sum: &Summary) -> Result<(), TestCaseError> {
+    let alive = |r: &&Router| r.standing == MemberState::Alive;
+    let count = |fits: &dyn Fn(&&Router) -> bool| routers.iter().filter(fits).count() as u64;
+    prop_assert_eq!(sum.alive, count(&|r| alive(r) && !r.leaving));
+    prop_assert_eq!(sum.leaving, count(&|r| r.standing == MemberState::Left || alive(r) && r.leaving));
+    prop_assert_eq!(sum.suspect, count(&|r| r.standing == MemberState::Suspect));
+    prop_assert_eq!(sum.dead, count(&|r| r.standing == MemberState::Dead));
+    prop_assert_eq!(sum.routers(), routers.len() as u64);
+    let journals: BTreeSet<u64> = routers.iter().filter(alive).map(|r| r.acts.journal_position).collect();
+    let span = sum.progress.journal_position.map(|span| (span.min, span.max));
+    prop_assert_eq!(span, journals.first().copied().zip(journals.last().copied()));
+    prop_assert_eq!(
+        sum.progress.purges_applied,
+        routers.iter().filter(alive).map(|r| r.acts.purges_applied).sum::<u64>()
+    );
+    prop_assert_eq!(
+        sum.progress.drains_applied,
+        routers.iter().filter(alive).map(|r| r.acts.drains_applied).sum::<u64>()
+    );
+    prop_assert_eq!(sum.oldest_hierarchy(), routers.iter().filter(alive).map(|r| r.acts.hierarchy.0).min());
+    prop_assert_eq!(sum.groups.values().sum::<u64>() + sum.other_routers, count(&|r| alive(r)));
+    let stragglers: BTreeSet<&String> = routers.iter().filter(|r| r.straggler).map(|r| &r.name).collect();
+    prop_assert_eq!(sum.straggler_count, stragglers.len() as u64);
+    prop_assert!(sum.stragglers.iter().eq(stragglers.iter().take(MAX_NAMED_STRAGGLERS).copied()));
+    Ok(())
+}
+
+proptest! {
+    /// Parts merge in any order and any grouping to the same, which is what a plain count has.
+    #[test]
+    fn parts_merge_in_any_order_to_the_plain_count(routers in routers()) {
+        let part = |site: usize| sum(routers.iter().filter(move |r| r.site == site));
+        let of = |sites: &[usize]| {
+            let mut all = Summary::default();
+            sites.iter().for_each(|site| all.merge(&part(*site)));
+            all
+        };
+        let forth = of(&[0, 1, 2, 3, 4, 5]);
+        prop_assert_eq!(&forth, &of(&[5, 3, 1, 0, 4, 2]));
+        let mut grouped = of(&[4, 5]);
+        let mut middle = of(&[2, 3]);
+        middle.merge(&of(&[0, 1]));
+        grouped.merge(&middle);
+        prop_assert_eq!(&forth, &grouped);
+        plain(&routers, &forth)?;
+    }
+
+    /// As it is told, part by part and then as a whole: bounded, and all totals as in a plain count.
+    #[test]
+    fn what_is_told_keeps_to_the_bounds_and_loses_nobody(routers in routers()) {
+        let mut all = Summary::default();
+        for site in 0..6 {
+            let told = sum(routers.iter().filter(|r| r.site == site)).truncated();
+            prop_assert!(told.is_valid() && told.groups.len() <= MAX_GROUPS);
+            prop_assert_eq!(told.clone().truncated(), told.clone());
+            all.merge(&told);
+        }
+        plain(&routers, &all.truncated())?;
+    }
+
+    /// Whatever of it is lost, comes late or twice: the newest word of each part counts, once.
+    #[test]
+    fn a_part_counts_once_by_its_newest_word(
+        words in proptest::collection::vec((0usize..6, 1u64..9), 0..60),
+    ) {
+        let me = Location::parse("n/s0").expect("a place");
+        let mut tree = SummaryTree::new(AggregationConfig::default(), "r9", me, 0.0);
+        let mut newest = BTreeMap::<usize, u64>::new();
+        let clock = Timestamp { ms: 10, counter: 0 };
+        for (site, order) in words {
+            // The table lets only newer ones through.
+            let known = newest.entry(site).or_default();
+            if order > *known {
+                *known = order;
+                let summary = Summary { alive: order * 10 + site as u64, ..Summary::default() };
+                let told = linnethook_membership::aggregation::summary::SummaryReport { reported_by: format!("r{site}"), summary };
+                let place = Location::parse(&format!("n/s{site}")).expect("a place");
+                tree.receive(5.0, place, told, (order, 0));
+            }
+        }
+        let north = Location::parse("n").expect("a place");
+        let counted = tree.summarize(6.0, clock, &north).alive;
+        prop_assert_eq!(counted, newest.iter().map(|(site, order)| order * 10 + *site as u64).sum::<u64>());
+        // Of none anything is heard any more: all that there were are counted as that.
+        let later = tree.summarize(6.0 + tree.validity(), clock, &north);
+        prop_assert_eq!((later.alive, later.unreachable), (0, counted));
+    }
+}
+
+#[test]
+fn a_group_is_told_apart_by_all_that_its_routers_act_on() {
+    let acts = ActiveVersions {
+        build: "0.1.0".to_string(),
+        settings_digest: 1,
+        operator_digest: 2,
+        ..ActiveVersions::default()
+    };
+    let other = [
+        ActiveVersions { build: "0.1.1".to_string(), ..acts.clone() },
+        ActiveVersions { settings_digest: 2, ..acts.clone() },
+        ActiveVersions { operator_digest: 3, ..acts.clone() },
+        ActiveVersions { hierarchy: (1, 0), ..acts.clone() },
+        ActiveVersions { hierarchy: (0, 1 << 40), ..acts.clone() },
+    ];
+    let groups: BTreeSet<VersionGroup> =
+        other.iter().map(VersionGroup::from_versions).chain([VersionGroup::from_versions(&acts)]).collect();
+    assert_eq!(groups.len(), 6);
+    assert_eq!(
+        VersionGroup::from_versions(&ActiveVersions {
+            journal_position: 9,
+            purges_applied: 9,
+            ..acts.clone()
+        }),
+        VersionGroup::from_versions(&acts)
+    );
+}
+
+#[test]
+fn places_are_read_with_their_names_apart_and_bad_ones_are_turned_away() {
+    let place = |text: &str| Location::parse(text).expect("a place");
+    assert_eq!(place("a/b/c").common_depth(&place("a/b/d")), 2);
+    assert_eq!(place("ab/c").common_depth(&place("a/bc")), 0);
+    assert!(place("a").contains(&place("a/b")) && !place("a/b").contains(&place("a")));
+    assert!(!place("a").contains(&place("ab/c")));
+    assert!(place("a/b").is_child_of(&place("a")) && !place("a/b/c").is_child_of(&place("a")));
+    assert_eq!(place("a/b/c").ancestor(2), place("a/b"));
+    for bad in ["", "/", "a/", "a//b", "a b", "1/2/3/4/5/6/7", &"x".repeat(65)] {
+        assert!(Location::parse(bad).is_err(), "{bad}");
+    }
+}
--- /dev/null
+++ b/crates/membership/tests/unit/straggler.rs
@@ -0,0 +1,54 @@
+use super::*;
+
+const WELL: StragglerObservation =
+    StragglerObservation { own_version: 5, floor: 5, isolated_since: None, journal_valid_until: 0.0 };
+
+#[test]
+fn who_is_behind_has_time_is_shut_out_and_comes_back_by_stages() {
+    let mut straggler = StragglerDetector::new(StragglerConfig::default());
+    assert_eq!(straggler.observe(0.0, &WELL), None);
+    let behind = StragglerObservation { floor: 6, ..WELL };
+    assert_eq!(straggler.observe(1_000.0, &behind), Some(StragglerState::Lagging(1_000.0)));
+    assert_eq!((straggler.observe(10_900.0, &behind), straggler.admitted_ratio(10_900.0)), (None, 1.0));
+    assert_eq!(straggler.observe(11_000.0, &behind), Some(StragglerState::Excluded(ExclusionReason::Behind)));
+    assert_eq!(straggler.admitted_ratio(11_000.0), 0.0);
+    let caught_up = StragglerObservation { own_version: 6, ..behind };
+    assert_eq!(straggler.observe(20_000.0, &caught_up), Some(StragglerState::Recovering(20_000.0)));
+    assert!((straggler.admitted_ratio(22_500.0) - 0.5).abs() < 1e-9);
+    assert_eq!(straggler.observe(25_000.0, &caught_up), Some(StragglerState::UpToDate));
+    // In time.
+    straggler.observe(30_000.0, &behind);
+    assert_eq!(straggler.observe(31_000.0, &caught_up), Some(StragglerState::UpToDate));
+}
+
+#[test]
+fn a_cut_alone_shuts_nobody_out() {
+    let mut straggler = StragglerDetector::new(StragglerConfig::default());
+    for second in 0..1_000 {
+        let now = f64::from(second) * 1_000.0;
+        let cut =
+            StragglerObservation { isolated_since: Some(0.0), journal_valid_until: now - 2_000.0, ..WELL };
+        assert_eq!(straggler.observe(now, &cut), None, "its journal is sound");
+        let silent = StragglerObservation { journal_valid_until: 0.0, ..WELL };
+        assert_eq!(straggler.observe(now, &silent), None, "it hears fellows");
+    }
+    let blind =
+        StragglerObservation { isolated_since: Some(1_000_000.0), journal_valid_until: 990_000.0, ..WELL };
+    assert_eq!(straggler.observe(1_029_000.0, &blind), None);
+    assert_eq!(
+        straggler.observe(1_030_000.0, &blind),
+        Some(StragglerState::Excluded(ExclusionReason::Isolated))
+    );
+    let heard = StragglerObservation { isolated_since: None, ..blind };
+    assert_eq!(straggler.observe(1_031_000.0, &heard), Some(StragglerState::Recovering(1_031_000.0)));
+}
+
+#[test]
+fn a_majority_of_the_roll_settles_a_version_and_less_does_not() {
+    assert_eq!(majority_version(&[Some(4), Some(7), Some(7)]), 7);
+    assert_eq!(majority_version(&[Some(4), Some(4), Some(7)]), 4);
+    assert_eq!(majority_version(&[Some(9), None, None]), 0);
+    assert_eq!(majority_version(&[Some(9), Some(8), None]), 8);
+    assert_eq!(majority_version(&[Some(3), Some(3), Some(9), Some(9)]), 3, "half is no majority");
+    assert_eq!(majority_version(&[]), 0);
+}
--- a/crates/operator/src/apart.rs
+++ b/crates/operator/src/apart.rs
@@ -8,9 +8,9 @@
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 
-use linnethook_fellows::place::Place;
 use linnethook_hierarchy::named::{ChangeSpec, NodeSpec};
 use linnethook_hierarchy::Rules;
+use linnethook_membership::aggregation::location::Location;
 use nix::sys::resource::{setrlimit, Resource};
 use nix::unistd::alarm;
 use serde::{Deserialize, Serialize};
@@ -58,7 +58,7 @@
 
 #[derive(Debug, Serialize, Deserialize)]
 struct SentFellows {
-    place: Option<Place>,
+    place: Option<Location>,
     /// Each in the order of its table.
     knobs: Vec<f64>,
     audit: Option<(Option<String>, Vec<f64>)>,
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -14,9 +14,9 @@
 
 use std::fmt;
 
-use linnethook_fellows::fellows::Rules as FellowRules;
-use linnethook_fellows::place::Place;
 use linnethook_hierarchy::named::{self, ChangeSpec, NodeSpec};
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::config::MembershipConfig;
 
 use serde::{Deserialize, Serialize};
 
@@ -88,9 +88,9 @@
 /// Fellow routers as the file has them.
 #[derive(Debug, Clone)]
 pub struct Fellows {
-    pub rules: FellowRules,
+    pub rules: MembershipConfig,
     /// Where this router stands in the tree of the fleet; nowhere in one without places.
-    pub place: Option<Place>,
+    pub place: Option<Location>,
     pub audit: Option<AuditPart>,
     pub straggler: Option<StragglerPart>,
 }
@@ -144,7 +144,7 @@
 
 /// Fellows with what stands on them.
 fn fellows(
-    rules: Option<(At, (FellowRules, Option<Place>))>,
+    rules: Option<(At, (MembershipConfig, Option<Location>))>,
     audit: Option<(At, AuditPart)>,
     straggler: Option<(At, StragglerPart)>,
 ) -> Result<Option<(At, Fellows)>, (At, String)> {
--- a/crates/operator/src/script.rs
+++ b/crates/operator/src/script.rs
@@ -6,13 +6,13 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use linnethook_audit::account::Rules as AuditRules;
-use linnethook_fellows::fellows::Rules as FellowRules;
-use linnethook_fellows::place::Place;
-use linnethook_fellows::straggler::StragglerRule;
+use linnethook_audit::audit_log::AuditLogConfig;
 use linnethook_gateway::gateway::Rules as GatewayRules;
 use linnethook_hierarchy::named::{ChangeSpec, NodeSpec, SourceSpec};
 use linnethook_hierarchy::{Role, Rules};
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::straggler::StragglerConfig;
 use serde::{Deserialize, Serialize};
 use starlark::collections::SmallMap;
 use starlark::environment::{Globals, GlobalsBuilder, Module};
@@ -51,7 +51,7 @@
     pub gateway: Option<(At, GatewayPart)>,
     pub sites: Vec<(At, SiteSpec)>,
     pub links: Vec<(At, LinkSpec)>,
-    pub fellows: Option<(At, (FellowRules, Option<Place>))>,
+    pub fellows: Option<(At, (MembershipConfig, Option<Location>))>,
     pub audit: Option<(At, AuditPart)>,
     pub straggler: Option<(At, StragglerPart)>,
     pub changes: Vec<ChangeSpec>,
@@ -97,7 +97,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct AuditPart {
     pub folder: Option<String>,
-    pub rules: AuditRules,
+    pub rules: AuditLogConfig,
 }
 
 /// What becomes of routers that are behind.
@@ -105,7 +105,7 @@
 pub struct StragglerPart {
     /// The roll whose majority settles a version; without one only people set a floor.
     pub voters: Vec<String>,
-    pub rule: StragglerRule,
+    pub rule: StragglerConfig,
 }
 
 /// Another site.
@@ -321,19 +321,20 @@
         let place = match arguments.take("place") {
             Some(value) => {
                 let text = arguments.plain_text("place", value)?;
-                let place = Place::read(&text).map_err(|bad| anyhow::anyhow!("fellows(): place: {bad}"))?;
+                let place =
+                    Location::parse(&text).map_err(|bad| anyhow::anyhow!("fellows(): place: {bad}"))?;
                 Some(place)
             }
             None => None,
         };
-        let mut rules = FellowRules::default();
+        let mut rules = MembershipConfig::default();
         arguments.knobs(FELLOWS, &mut rules)?;
         arguments.end()?;
-        let members = rules.members;
-        if members.suspect > members.gone {
+        let members = rules.timeouts;
+        if members.suspect_after > members.dead_after {
             return Err(anyhow::anyhow!("fellows(): expected suspect up to gone"));
         }
-        if rules.frozen > members.suspect {
+        if rules.freeze_threshold > members.suspect_after {
             return Err(anyhow::anyhow!("fellows(): expected frozen up to suspect"));
         }
         let at = at(eval);
@@ -350,7 +351,7 @@
         if let Some(folder) = folder.as_ref().filter(|folder| !folder.starts_with('/')) {
             return Err(anyhow::anyhow!("audit(): folder: expected an absolute path, got {folder:?}"));
         }
-        let mut rules = AuditRules::default();
+        let mut rules = AuditLogConfig::default();
         arguments.knobs(AUDIT, &mut rules)?;
         arguments.end()?;
         let at = at(eval);
@@ -364,7 +365,7 @@
     ) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("straggler()", given);
         let voters = arguments.names("voters")?;
-        let mut rule = StragglerRule::default();
+        let mut rule = StragglerConfig::default();
         arguments.knobs(STRAGGLER, &mut rule)?;
         arguments.end()?;
         let twice = voters.iter().enumerate().find(|(n, voter)| voters[..*n].contains(voter));
--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -8,13 +8,13 @@
 use std::sync::mpsc::{sync_channel, SyncSender, TrySendError};
 use std::thread::{self, JoinHandle};
 
-use linnethook_audit::account::{Account, Rules};
-use linnethook_audit::copies::{Copies, Taken};
-use linnethook_audit::record::{Act, Booking, BookingEnd, Link};
-use linnethook_fellows::fact::Acts;
-use linnethook_fellows::hlc::Stamp;
+use linnethook_audit::audit_log::{AuditLog, AuditLogConfig};
+use linnethook_audit::record::{AuditedAction, ChainLink, WriteAttempt, WriteOutcome};
+use linnethook_audit::replicas::{LogReplicas, ReplicaOutcome};
 use linnethook_learned::files::Folder;
 use linnethook_learned::log::{Bounds, Log, Refused};
+use linnethook_membership::hybrid_clock::Timestamp;
+use linnethook_membership::versions::ActiveVersions;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::decider::Ms;
@@ -39,9 +39,9 @@
 pub type Words = Vec<(String, u8, Vec<u8>)>;
 
 pub struct Auditor {
-    account: Account,
-    rules: Rules,
-    copies: Copies,
+    account: AuditLog,
+    rules: AuditLogConfig,
+    copies: LogReplicas,
     names: HashMap<u64, String>,
     /// Fellows that there is a link with; those of them that keep a copy, and up to which record they were told.
     fellows: BTreeSet<String>,
@@ -53,9 +53,16 @@
 }
 
 impl Auditor {
-    pub fn new(now: Ms, at: Stamp, rules: Rules, folder: Option<&Path>, me: (&str, u64), acts: Acts) -> Self {
+    pub fn new(
+        now: Ms,
+        at: Timestamp,
+        rules: AuditLogConfig,
+        folder: Option<&Path>,
+        me: (&str, u64),
+        acts: ActiveVersions,
+    ) -> Self {
         let (name, start) = me;
-        let mut copies = Copies::new(rules.copy_bytes);
+        let mut copies = LogReplicas::new(rules.max_replica_bytes);
         let disk = folder.and_then(|folder| match open(folder, &mut copies) {
             Ok(disk) => Some(disk),
             Err(why) => {
@@ -64,7 +71,7 @@
             }
         });
         Self {
-            account: Account::new(now, at, rules, name, start, acts),
+            account: AuditLog::new(now, at, rules, name, start, acts),
             rules,
             copies,
             names: HashMap::new(),
@@ -76,10 +83,10 @@
         }
     }
 
-    pub fn set(&mut self, rules: Rules) {
+    pub fn set(&mut self, rules: AuditLogConfig) {
         self.rules = rules;
-        self.account.set(rules);
-        self.copies.set(rules.copy_bytes);
+        self.account.set_config(rules);
+        self.copies.set_max_bytes(rules.max_replica_bytes);
     }
 
     pub fn name(&mut self, id: u64, name: &str) {
@@ -88,39 +95,45 @@
         }
     }
 
-    pub fn act(&mut self, at: Stamp, act: Act) {
-        self.account.act(at, act);
+    pub fn act(&mut self, at: Timestamp, act: AuditedAction) {
+        self.account.record_action(at, act);
     }
 
-    pub fn booking(&mut self, booking: Booking) {
-        self.account.booking(booking);
+    pub fn booking(&mut self, booking: WriteAttempt) {
+        self.account.record_write_attempt(booking);
     }
 
-    pub fn booking_ended(&mut self, end: BookingEnd) {
-        self.account.booking_ended(end);
+    pub fn booking_ended(&mut self, end: WriteOutcome) {
+        self.account.record_write_outcome(end);
     }
 
     pub fn next(&self) -> Ms {
-        self.account.next()
+        self.account.next_deadline()
     }
 
     /// Whether a span is to be written down, or others are to keep copies.
-    pub fn is_due(&self, now: Ms, acts: &Acts, fellows: &BTreeSet<String>) -> bool {
+    pub fn is_due(&self, now: Ms, acts: &ActiveVersions, fellows: &BTreeSet<String>) -> bool {
         self.account.is_due(now, acts) || self.fellows != *fellows
     }
 
     /// Lets time pass: spans that are due are written down, and go to the disk and to those that keep copies.
-    pub fn tick(&mut self, now: Ms, at: Stamp, acts: &Acts, fellows: &BTreeSet<String>) -> Words {
+    pub fn tick(
+        &mut self,
+        now: Ms,
+        at: Timestamp,
+        acts: &ActiveVersions,
+        fellows: &BTreeSet<String>,
+    ) -> Words {
         let names = |id: u64| self.names.get(&id).cloned();
-        self.account.acts_on(now, at, acts, names);
+        self.account.set_versions(now, at, acts, names);
         self.account.tick(now, at, names);
         self.hand_on(fellows)
     }
 
     /// The router ends: nothing follows.
-    pub fn end(&mut self, now: Ms, at: Stamp, fellows: &BTreeSet<String>) -> Words {
+    pub fn end(&mut self, now: Ms, at: Timestamp, fellows: &BTreeSet<String>) -> Words {
         let names = |id: u64| self.names.get(&id).cloned();
-        self.account.end(now, at, names);
+        self.account.finish(now, at, names);
         let words = self.hand_on(fellows);
         if let Some((disk, writer)) = self.disk.take() {
             // It writes what it has, and ends.
@@ -134,7 +147,7 @@
         self.fellows.clone_from(fellows);
         let (head, _) = self.account.head();
         if head > self.saved {
-            for link in self.account.from(self.saved + 1) {
+            for link in self.account.records_from(self.saved + 1) {
                 let sent = self.disk.as_ref().map(|(disk, _)| disk.try_send(link.encode()));
                 self.unsaved += u64::from(matches!(sent, Some(Err(TrySendError::Full(_)))));
             }
@@ -144,7 +157,7 @@
         let me = self.account.name();
         let mut all: Vec<&str> = fellows.iter().map(String::as_str).collect();
         all.sort_by_key(|name| xxh3_64(format!("{me} {name}").as_bytes()));
-        all.truncate(self.rules.copies);
+        all.truncate(self.rules.replica_count);
         self.holders.retain(|name, _| all.contains(&name.as_str()));
         let mut words = Words::new();
         for name in all {
@@ -154,7 +167,7 @@
             }
             // Who is new is told the newest, and says from where on the others are wanted.
             let from = told.map_or(head, |told| told + 1);
-            let links = self.account.from(from).take(SENT);
+            let links = self.account.records_from(from).take(SENT);
             words.extend(links.map(|link| (name.to_string(), LINK, link.encode())));
             self.holders.insert(name.to_string(), head);
         }
@@ -166,17 +179,17 @@
         match kind {
             LINK => {
                 // An account comes from its own router alone.
-                let Some(link) = Link::decode(bytes).filter(|link| link.name == from) else {
+                let Some(link) = ChainLink::decode(bytes).filter(|link| link.name == from) else {
                     return Words::new();
                 };
-                let (name, start, number) = (link.name.clone(), link.start, link.number);
-                let wanted = match self.copies.take(link) {
-                    Taken::Missing(number) => Some(number),
-                    Taken::Forked => {
+                let (name, start, number) = (link.name.clone(), link.incarnation, link.number);
+                let wanted = match self.copies.insert(link) {
+                    ReplicaOutcome::Missing(number) => Some(number),
+                    ReplicaOutcome::Forked => {
                         log_line!(start, number, "audit: {name} tells its account in two ways");
                         None
                     }
-                    Taken::New | Taken::Known => None,
+                    ReplicaOutcome::New | ReplicaOutcome::Known => None,
                 };
                 let want = |number| postcard::to_stdvec(&(start, number)).unwrap_or_default();
                 wanted.map(|number: u64| (from.to_string(), WANT, want(number))).into_iter().collect()
@@ -185,10 +198,10 @@
                 let Ok((start, number)) = postcard::from_bytes::<(u64, u64)>(bytes) else {
                     return Words::new();
                 };
-                if start != self.account.start() {
+                if start != self.account.incarnation() {
                     return Words::new();
                 }
-                let mut links = self.account.from(number).peekable();
+                let mut links = self.account.records_from(number).peekable();
                 let first = links.peek().map_or(number, |link| link.number);
                 let mut words = Words::new();
                 if first > number {
@@ -200,7 +213,7 @@
             }
             BEGINS => {
                 if let Ok((start, number)) = postcard::from_bytes::<(u64, u64)>(bytes) {
-                    self.copies.begins(from, start, number);
+                    self.copies.set_first_number(from, start, number);
                 }
                 Words::new()
             }
@@ -209,27 +222,27 @@
     }
 
     /// All that is kept here up to now: the own account, also of earlier starts, and those of fellows.
-    pub fn all(&mut self, now: Ms, at: Stamp) -> Vec<Link> {
-        self.account.close(now, at, |id| self.names.get(&id).cloned());
-        self.account.from(1).chain(self.copies.iter()).cloned().collect()
+    pub fn all(&mut self, now: Ms, at: Timestamp) -> Vec<ChainLink> {
+        self.account.close_span(now, at, |id| self.names.get(&id).cloned());
+        self.account.records_from(1).chain(self.copies.iter()).cloned().collect()
     }
 
     /// Links of the own account, and accounts, links and bytes of others.
     pub fn kept(&self) -> (u64, (usize, usize, usize)) {
-        (self.account.head().0, self.copies.kept())
+        (self.account.head().0, self.copies.sizes())
     }
 }
 
 /// Opens the account on disk: earlier starts are read, and a thread writes what follows.
-fn open(folder: &Path, copies: &mut Copies) -> Result<Disk, String> {
+fn open(folder: &Path, copies: &mut LogReplicas) -> Result<Disk, String> {
     let mut files = Folder::take(folder).map_err(|why| why.to_string())?;
     let (mut log, records, torn) = Log::open(&mut files, Bounds::default()).map_err(|why| why.to_string())?;
-    let read = records.iter().filter_map(|record| Link::decode(record));
-    let mut take = |link: Link| {
-        if copies.next(&link.name, link.start) == 1 {
-            copies.begins(&link.name, link.start, link.number);
+    let read = records.iter().filter_map(|record| ChainLink::decode(record));
+    let mut take = |link: ChainLink| {
+        if copies.next_number(&link.name, link.incarnation) == 1 {
+            copies.set_first_number(&link.name, link.incarnation, link.number);
         }
-        copies.take(link)
+        copies.insert(link)
     };
     let count = read.map(&mut take).count();
     log_line!(always "audit: {}: {count} records were read, {torn} bytes at the end were torn", folder.display());
--- a/crates/router/src/audit.rs
+++ b/crates/router/src/audit.rs
@@ -6,9 +6,9 @@
 use std::path::{Path, PathBuf};
 
 use clap::Subcommand;
-use linnethook_audit::judge::{Accounts, Finding, Line, Trace};
-use linnethook_audit::record::{of_file, to_file, Act, Link};
-use linnethook_fellows::hlc::Stamp;
+use linnethook_audit::record::{read_file, write_file, AuditedAction, ChainLink};
+use linnethook_audit::verification::{AttemptTrace, AttributedSpan, Finding, VerifiedLogs};
+use linnethook_membership::hybrid_clock::Timestamp;
 use serde_json::json;
 
 use crate::cli::{as_json, ask, At, Failed, Format};
@@ -34,10 +34,10 @@
     Verify,
 }
 
-fn read(file: &Path) -> Result<Vec<Link>, Failed> {
+fn read(file: &Path) -> Result<Vec<ChainLink>, Failed> {
     let wrong = |what: String| Failed::Input(format!("{}: {what}", file.display()));
     let bytes = std::fs::read(file).map_err(|why| wrong(why.to_string()))?;
-    of_file(&bytes).ok_or_else(|| wrong("this is no file of accounts, or it is cut short".to_string()))
+    read_file(&bytes).ok_or_else(|| wrong("this is no file of accounts, or it is cut short".to_string()))
 }
 
 /// Carries a command out; from files, or from the routers at these sockets.
@@ -61,11 +61,11 @@
         }
     }
     if let Verb::Export { file } = verb {
-        std::fs::write(file, to_file(&links))
+        std::fs::write(file, write_file(&links))
             .map_err(|why| Failed::Other(format!("{}: {why}", file.display())))?;
         return Ok(format!("{}: {} records\n", file.display(), links.len()));
     }
-    let accounts = Accounts::new(links);
+    let accounts = VerifiedLogs::new(links);
     let said = judged(verb, &accounts);
     let text = if at.format == Format::Json { as_json(&said.0) } else { said.1 };
     match verb {
@@ -75,26 +75,27 @@
 }
 
 /// What a command says, for programs and for people.
-fn judged(verb: &Verb, accounts: &Accounts) -> (serde_json::Value, String) {
+fn judged(verb: &Verb, accounts: &VerifiedLogs) -> (serde_json::Value, String) {
     match verb {
-        Verb::Who { version } => lines(accounts, accounts.who(version).collect()),
+        Verb::Who { version } => lines(accounts, accounts.spans_on_version(version).collect()),
         Verb::At { time } => {
             // What can't be milliseconds of our time is seconds.
             let time = if *time < 1e11 { time * 1_000.0 } else { *time };
-            lines(accounts, accounts.at(time).collect())
+            lines(accounts, accounts.spans_at(time).collect())
         }
         Verb::Request { id } => {
-            let traces = accounts.request(id);
+            let traces = accounts.attempts_of_request(id);
             let text = traces.iter().map(trace).collect::<String>() + &gaps(accounts);
             (json!({ "attempts": traces, "missing": accounts.findings }), text)
         }
         Verb::Settled { version } => {
-            let all = accounts.settled(version);
-            let digest = accounts.who(version).next().map(|line| line.span.acts_on.shape.1);
+            let all = accounts.first_spans_on_version(version);
+            let digest = accounts.spans_on_version(version).next().map(|line| line.span.versions.hierarchy.1);
             let since = all.last().map(|(.., at, _)| *at).unwrap_or_default();
-            let behind = digest.map(|digest| accounts.behind(digest, since)).unwrap_or_default();
+            let behind =
+                digest.map(|digest| accounts.spans_on_other_hierarchy(digest, since)).unwrap_or_default();
             let first = all.first().map_or(0, |(.., at, _)| at.ms);
-            let line = |(name, start, at, clock): &(String, u64, Stamp, f64)| {
+            let line = |(name, start, at, clock): &(String, u64, Timestamp, f64)| {
                 format!(
                     "{name} (start {start}) from {at}, {} ms after the first; by its clock {clock:.0}\n",
                     at.ms - first
@@ -105,7 +106,7 @@
                 let span = &line.span;
                 format!(
                     "{} acted on version {} from {} to {}\n",
-                    line.name, span.acts_on.shape.0, span.from, span.to
+                    line.name, span.versions.hierarchy.0, span.from, span.to
                 )
             });
             text.extend(later);
@@ -115,8 +116,8 @@
             )
         }
         Verb::Heeded { number } => {
-            let all = accounts.heeded(*number);
-            let line = |(name, start, at, fellows): &(String, u64, Stamp, bool)| {
+            let all = accounts.journal_event_applied(*number);
+            let line = |(name, start, at, fellows): &(String, u64, Timestamp, bool)| {
                 let by = if *fellows { "by the word of fellows" } else { "by its journal" };
                 format!("{name} (start {start}) at {at}, {by}\n")
             };
@@ -124,16 +125,16 @@
             (json!({ "heeded": all, "missing": accounts.findings }), text)
         }
         Verb::Shapes => {
-            let all = accounts.two_shapes();
-            let line = |(a, b, from, to): &(String, String, Stamp, Stamp)| {
+            let all = accounts.conflicting_hierarchies();
+            let line = |(a, b, from, to): &(String, String, Timestamp, Timestamp)| {
                 format!("{a} and {b} filled by two shapes between {from} and {to}\n")
             };
             let text = all.iter().map(line).collect::<String>() + &gaps(accounts);
             (json!({ "two_shapes": all, "missing": accounts.findings }), text)
         }
         Verb::Verify | Verb::Export { .. } => {
-            let count = accounts.starts().count();
-            let from = accounts.known_from();
+            let count = accounts.incarnations().count();
+            let from = accounts.earliest_known();
             let mut text = match accounts.findings.is_empty() {
                 true => format!("{count} accounts, whole\n"),
                 false => accounts.findings.iter().map(finding).collect(),
@@ -146,40 +147,40 @@
     }
 }
 
-fn lines(accounts: &Accounts, lines: Vec<Line>) -> (serde_json::Value, String) {
+fn lines(accounts: &VerifiedLogs, lines: Vec<AttributedSpan>) -> (serde_json::Value, String) {
     let text = lines.iter().map(line).collect::<String>() + &gaps(accounts);
     (json!({ "spans": lines, "missing": accounts.findings }), text)
 }
 
-fn line(line: &Line) -> String {
+fn line(line: &AttributedSpan) -> String {
     let span = &line.span;
     let name = |id: &u64| {
-        let known = span.names.iter().find(|(known, _)| known == id);
+        let known = span.node_names.iter().find(|(known, _)| known == id);
         known.map_or_else(|| format!("#{id:016x}"), |(_, name)| name.clone())
     };
-    let act = |act: &Act| match act {
-        Act::Attempt { to } => format!("attempts to {}", name(to)),
-        Act::Fill { child, source } => format!("fills {} from {}", name(child), name(source)),
-        Act::Booking { to } => format!("bookings to {}", name(to)),
-        Act::Refused => "refusals".to_string(),
-        Act::Failed => "failures".to_string(),
-        Act::Stage { to, stage } => {
+    let act = |act: &AuditedAction| match act {
+        AuditedAction::Attempt { target: to } => format!("attempts to {}", name(to)),
+        AuditedAction::Fill { child, source } => format!("fills {} from {}", name(child), name(source)),
+        AuditedAction::WriteAttempt { target: to } => format!("bookings to {}", name(to)),
+        AuditedAction::Refused => "refusals".to_string(),
+        AuditedAction::Failed => "failures".to_string(),
+        AuditedAction::RolloutStage { target: to, stage } => {
             let stages = ["planned", "announced", "warming", "settled", "rolled back"];
             format!("to {}: {}", name(to), stages.get(usize::from(*stage)).unwrap_or(&"?"))
         }
-        Act::Drain { cache, number, fellows } => {
+        AuditedAction::Drain { cache, journal_position: number, from_gossip: fellows } => {
             format!("{} drained ({number}{})", name(cache), if *fellows { ", fellows" } else { "" })
         }
-        Act::Back { cache, number, fellows } => {
+        AuditedAction::CacheRestored { cache, journal_position: number, from_gossip: fellows } => {
             format!("{} back ({number}{})", name(cache), if *fellows { ", fellows" } else { "" })
         }
-        Act::Purge { number, fellows } => {
+        AuditedAction::Purge { journal_position: number, from_gossip: fellows } => {
             format!("purge ({number}{})", if *fellows { ", fellows" } else { "" })
         }
-        Act::Batch { author, number, fellows } => {
+        AuditedAction::Batch { author, number, from_gossip: fellows } => {
             format!("batch {author}/{number}{}", if *fellows { " (fellows)" } else { "" })
         }
-        Act::ShutOut => "not done, shut out".to_string(),
+        AuditedAction::RejectedAsStraggler => "not done, shut out".to_string(),
     };
     let acts: Vec<String> =
         span.counts.iter().map(|(kind, tally)| format!("{} {}", tally.count, act(kind))).collect();
@@ -187,32 +188,34 @@
     format!(
         "{} (start {}) {} to {}, by its clock {:.0} to {:.0}: hierarchy {} ({:016x}), journal {}, build {}: {acts}\n",
         line.name,
-        line.start,
+        line.incarnation,
         span.from,
         span.to,
-        span.clock.0,
-        span.clock.1,
-        span.acts_on.shape.0,
-        span.acts_on.shape.1,
-        span.acts_on.journal,
-        span.acts_on.build
+        span.wall_clock.0,
+        span.wall_clock.1,
+        span.versions.hierarchy.0,
+        span.versions.hierarchy.1,
+        span.versions.journal_position,
+        span.versions.build
     )
 }
 
-fn trace(trace: &Trace) -> String {
+fn trace(trace: &AttemptTrace) -> String {
     let (mut sent, mut ended) = ("attempt not known".to_string(), "end not known".to_string());
     if let Some(attempt) = &trace.attempt {
-        let to = trace.to.clone().unwrap_or_else(|| format!("#{:016x}", attempt.to));
-        sent = format!("attempt {} to {to} at {}", attempt.number, attempt.at);
+        let to = trace.target.clone().unwrap_or_else(|| format!("#{:016x}", attempt.target));
+        sent = format!("attempt {} to {to} at {}", attempt.attempt, attempt.at);
     }
-    if let Some(end) = &trace.end {
-        ended = format!("{} at {}", end.how, end.at);
+    if let Some(end) = &trace.outcome {
+        ended = format!("{} at {}", end.outcome, end.at);
     }
-    let Trace { name, start, shape, journal, .. } = trace;
+    let AttemptTrace {
+        name, incarnation: start, hierarchy_version: shape, journal_position: journal, ..
+    } = trace;
     format!("{name} (start {start}), hierarchy {shape}, journal {journal}: {sent}; {ended}\n")
 }
 
-fn stamp(stamp: &Option<Stamp>) -> String {
+fn stamp(stamp: &Option<Timestamp>) -> String {
     stamp.map_or("an unknown time".to_string(), |stamp| stamp.to_string())
 }
 
@@ -236,6 +239,6 @@
 }
 
 /// What is missing beside an answer: there might be more to it.
-fn gaps(accounts: &Accounts) -> String {
+fn gaps(accounts: &VerifiedLogs) -> String {
     accounts.findings.iter().map(finding).collect()
 }
