--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -10,13 +10,14 @@
 use std::time::{Duration, Instant};
 
 use clap::{CommandFactory, Parser, Subcommand, ValueEnum};
-use linnethook_fellows::fellows::{Line, Part, PlaceLine};
-use linnethook_fellows::place::Place;
-use linnethook_fellows::query::Asked;
-use linnethook_fellows::straggler::State;
-use linnethook_fellows::summary::Group;
 use linnethook_gateway::gateway::{RouteLine, Status};
 use linnethook_hierarchy::named::{BatchSpec, NodeSpec, PlanSpec, SourceSpec};
+use linnethook_membership::actions::Participation;
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::aggregation::query::QueryTarget;
+use linnethook_membership::aggregation::summary::VersionGroup;
+use linnethook_membership::straggler::StragglerState;
+use linnethook_membership::view::{LocationView, RouterView};
 use linnethook_operator::script::Kind;
 use linnethook_operator::{apart, reference};
 use serde::Serialize;
@@ -365,21 +366,21 @@
         Answer::Fleet(shown) => shown.fellows,
         other => return Err(unexpected(socket, other)),
     };
-    let here: Vec<Line> = std::iter::once(shown.me.clone()).chain(shown.others).collect();
-    let known = |line: &Line| name.is_none_or(|name| line.name == name);
-    let own = site.is_some() && site == shown.place.as_deref();
+    let here: Vec<RouterView> = std::iter::once(shown.me.clone()).chain(shown.others).collect();
+    let known = |line: &RouterView| name.is_none_or(|name| line.name == name);
+    let own = site.is_some() && site == shown.location.as_deref();
     let asked = match (name, site) {
-        (Some(name), _) => Asked::Router(name.to_string()),
+        (Some(name), _) => QueryTarget::Router(name.to_string()),
         (None, site) => {
-            let place = Place::read(site.unwrap_or_default());
-            Asked::Site(place.map_err(|bad| Failed::Input(format!("--site: {bad}")))?)
+            let place = Location::parse(site.unwrap_or_default());
+            QueryTarget::Site(place.map_err(|bad| Failed::Input(format!("--site: {bad}")))?)
         }
     };
     let detail = match name.is_some() && here.iter().any(known) || own {
-        true => Detail { place: shown.place.unwrap_or_default(), routers: here },
+        true => Detail { place: shown.location.unwrap_or_default(), routers: here },
         false => asked_for(socket, asked)?,
     };
-    let lines: Vec<&Line> = detail.routers.iter().filter(|line| known(line)).collect();
+    let lines: Vec<&RouterView> = detail.routers.iter().filter(|line| known(line)).collect();
     if at.format == Format::Json {
         return Ok(as_json(&(&detail.place, &lines)));
     }
@@ -387,7 +388,7 @@
     Ok(format!("{}\n{all}", detail.place))
 }
 
-fn asked_for(socket: &Path, asked: Asked) -> Result<Detail, Failed> {
+fn asked_for(socket: &Path, asked: QueryTarget) -> Result<Detail, Failed> {
     let id = match ask(socket, &Question::Ask(asked))? {
         Answer::Asking(id) => id,
         other => return Err(unexpected(socket, other)),
@@ -404,30 +405,34 @@
 }
 
 /// A place as a whole: what differs from the router that was asked stands in capitals.
-fn place_text(line: &PlaceLine, me: &Line) -> String {
-    let own = Group::of(&me.acts);
+fn place_text(line: &LocationView, me: &RouterView) -> String {
+    let own = VersionGroup::from_versions(&me.versions);
     let (mut differs, mut alike) = (Vec::new(), 0);
     for (group, count) in &line.groups {
         match *group == own {
             true => alike += count,
             false => {
-                let make = (group.make != own.make).then(|| "BUILD, SETTINGS OR OPERATOR FILE".to_string());
-                let shape = (group.version, group.shape) != (own.version, own.shape);
-                let shape = shape.then(|| format!("HIERARCHY {} ({:08x})", group.version, group.shape));
+                let make = (group.build_digest != own.build_digest)
+                    .then(|| "BUILD, SETTINGS OR OPERATOR FILE".to_string());
+                let shape = (group.hierarchy_version, group.hierarchy_digest)
+                    != (own.hierarchy_version, own.hierarchy_digest);
+                let shape = shape.then(|| {
+                    format!("HIERARCHY {} ({:08x})", group.hierarchy_version, group.hierarchy_digest)
+                });
                 let what: Vec<String> = make.into_iter().chain(shape).collect();
                 differs.push(format!("{count} by {}", what.join(", ")));
             }
         }
     }
-    if line.others > 0 {
-        differs.push(format!("{} otherwise", line.others));
+    if line.other_routers > 0 {
+        differs.push(format!("{} otherwise", line.other_routers));
     }
-    let mut out = format!("{}: {} alive, {alike} as here", line.place, line.alive);
+    let mut out = format!("{}: {} alive, {alike} as here", line.location, line.alive);
     for (count, what) in [
-        (line.suspected, "suspected"),
-        (line.gone, "gone"),
+        (line.suspect, "suspected"),
+        (line.dead, "gone"),
         (line.leaving, "leaving or left"),
-        (line.unheard, "UNHEARD OF"),
+        (line.unreachable, "UNHEARD OF"),
     ] {
         if count > 0 {
             out += &format!(", {count} {what}");
@@ -436,63 +441,68 @@
     if !differs.is_empty() {
         out += &format!("; differs: {}", differs.join("; "));
     }
-    if line.behind > 0 {
-        let more = line.behind.saturating_sub(line.stragglers.len() as u64);
+    if line.straggler_count > 0 {
+        let more = line.straggler_count.saturating_sub(line.stragglers.len() as u64);
         let more = if more > 0 { format!(" and {more} more") } else { String::new() };
         out += &format!("; STRAGGLERS: {}{more}", line.stragglers.join(", "));
     }
-    if let Some((least, most)) = line.journal {
-        out += &format!("; journal {least} to {most}, {} drains, {} purges", line.drains, line.purges);
+    if let Some((least, most)) = line.journal_range {
+        out += &format!(
+            "; journal {least} to {most}, {} drains, {} purges",
+            line.drains_applied, line.purges_applied
+        );
     }
     let stale = if line.fresh { "" } else { ", NOT HEARD OF ANY MORE" };
-    out + &format!("; by {}, {:.0} s ago{stale}\n", line.by, line.heard / 1_000.0)
+    out + &format!("; by {}, {:.0} s ago{stale}\n", line.reported_by, line.age / 1_000.0)
 }
 
 /// A router's line: what differs from the router that was asked stands in capitals.
-fn fellow_text(line: &Line, me: &Line) -> String {
-    let (acts, own) = (&line.acts, &me.acts);
+fn fellow_text(line: &RouterView, me: &RouterView) -> String {
+    let (acts, own) = (&line.versions, &me.versions);
     let mut differs = Vec::new();
     let mut look = |what: &str, same: bool| differs.extend((!same).then(|| what.to_string()));
     look("BUILD", acts.build == own.build);
-    look("SETTINGS", acts.settings == own.settings);
-    look("OPERATOR FILE", acts.operator == own.operator);
-    look("HIERARCHY", acts.shape == own.shape);
-    look("JOURNAL", acts.journal == own.journal);
+    look("SETTINGS", acts.settings_digest == own.settings_digest);
+    look("OPERATOR FILE", acts.operator_digest == own.operator_digest);
+    look("HIERARCHY", acts.hierarchy == own.hierarchy);
+    look("JOURNAL", acts.journal_position == own.journal_position);
     let straggler = if line.straggler { ", A STRAGGLER: what it says does not count" } else { "" };
     let differs =
         if differs.is_empty() { String::new() } else { format!("; differs: {}", differs.join(", ")) };
-    let standing = line.standing.name();
+    let standing = line.state.name();
     format!(
         "{} {standing}, {} links, build {}, hierarchy {} ({:08x}), journal {}, {} drains, {} purges, start {}{straggler}{differs}\n",
         line.name,
         line.links,
         acts.build,
-        acts.shape.0,
-        acts.shape.1 >> 32,
-        acts.journal,
-        acts.drains,
-        acts.purges,
-        line.start
+        acts.hierarchy.0,
+        acts.hierarchy.1 >> 32,
+        acts.journal_position,
+        acts.drains_applied,
+        acts.purges_applied,
+        line.incarnation
     )
 }
 
 fn fleet_text(shown: &FleetShown) -> String {
     let fellows = &shown.fellows;
     let mut out = fellow_text(&fellows.me, &fellows.me);
-    match fellows.part {
-        Part::Takes => {}
-        Part::Refused(holder) => out += &format!("TAKES NO PART: the start {holder} holds the name\n"),
-        Part::Yielded(holder) => {
+    match fellows.participation {
+        Participation::Active => {}
+        Participation::Refused(holder) => {
+            out += &format!("TAKES NO PART: the start {holder} holds the name\n")
+        }
+        Participation::Yielded(holder) => {
             out += &format!("TAKES NO PART: it was frozen, and the start {holder} holds the name\n");
         }
     }
     match shown.state {
-        None | Some(State::Well) => {}
-        Some(State::Late(_)) => out += "LATE: it is below the floor, and has time to catch up\n",
-        Some(State::Out(why)) => {
+        None | Some(StragglerState::UpToDate) => {}
+        Some(StragglerState::Lagging(_)) => out += "LATE: it is below the floor, and has time to catch up\n",
+        Some(StragglerState::Excluded(why)) => {
             out += &format!("SHUT OUT ({}): {} were not done\n", why.name(), shown.shut_out)
         }
-        Some(State::Returning(_)) => out += "coming back\n",
+        Some(StragglerState::Recovering(_)) => out += "coming back\n",
     }
     if fellows.floor > 0 {
         let by = shown.set_by.as_ref().filter(|(version, _)| *version == fellows.floor);
@@ -502,14 +512,14 @@
     for line in &fellows.others {
         out += &fellow_text(line, &fellows.me);
     }
-    for (name, place) in &fellows.across {
+    for (name, place) in &fellows.remote_peers {
         out += &format!("{name} of {place}: a link\n");
     }
-    for line in &fellows.places {
+    for line in &fellows.locations {
         out += &place_text(line, &fellows.me);
     }
     if let Some(whole) = shown.whole {
-        let place = fellows.place.as_deref().unwrap_or_default();
+        let place = fellows.location.as_deref().unwrap_or_default();
         out += &format!("{whole} routers in all; this one stands at {place}\n");
     }
     for (cache, number) in &shown.barred {
@@ -518,12 +528,12 @@
     if let Some((links, accounts, copies, bytes, unsaved)) = shown.account {
         out += &format!("account: {links} records; of others {accounts} accounts, {copies} records, {bytes} bytes; {unsaved} did not get to the disk\n");
     }
-    let counts = serde_json::to_value(fellows.counts).unwrap_or_default();
+    let counts = serde_json::to_value(fellows.counters).unwrap_or_default();
     let counts = counts.as_object().into_iter().flatten().map(|(name, count)| format!("{name}={count}"));
     let counts: Vec<String> = counts.collect();
     out + &format!(
         "{} facts, {} bytes, {} waiting; heard from fellows first: {} drains, {} purges, {} batches, {} snapshots; {}\n",
-        fellows.facts,
+        fellows.entries,
         fellows.bytes,
         fellows.pending,
         shown.drains,
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -12,12 +12,12 @@
 
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
-use linnethook_audit::record::Link;
-use linnethook_fellows::fellows::Line;
-use linnethook_fellows::query::Asked;
-use linnethook_fellows::straggler::State;
+use linnethook_audit::record::ChainLink;
 use linnethook_gateway::gateway::{RouteLine, Status};
 use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
+use linnethook_membership::aggregation::query::QueryTarget;
+use linnethook_membership::straggler::StragglerState;
+use linnethook_membership::view::RouterView;
 use serde::{Deserialize, Serialize};
 
 use crate::config::Limits;
@@ -47,7 +47,7 @@
     },
     Fleet,
     /// The detail of a site elsewhere is wanted; what has come of it so far.
-    Ask(Asked),
+    Ask(QueryTarget),
     Answered(u64),
     /// The version below which nobody is to act; 0 takes it back.
     Floor(u64),
@@ -77,7 +77,7 @@
 /// The fleet as a router sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FleetShown {
-    pub fellows: linnethook_fellows::fellows::Shown,
+    pub fellows: linnethook_membership::view::ClusterView,
     /// Caches that only fellows call drained so far, with the journal's numbers.
     pub barred: Vec<(String, u64)>,
     /// Drains, purges and batches that were heard from fellows first.
@@ -91,7 +91,7 @@
     /// The floor that people have set, and at which router.
     pub set_by: Option<(u64, String)>,
     /// Whether this router is behind, and what was not done for it.
-    pub state: Option<State>,
+    pub state: Option<StragglerState>,
     pub shut_out: u64,
     /// Records of the own account; accounts, records and bytes of others; records that did not get to the disk.
     pub account: Option<(u64, u64, u64, u64, u64)>,
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Detail {
     pub place: String,
-    pub routers: Vec<Line>,
+    pub routers: Vec<RouterView>,
 }
 
 /// The hierarchy as a router has it.
@@ -132,7 +132,7 @@
     /// The number under which the answer will be there, and the answer once it is.
     Asking(u64),
     Detail(Option<Detail>),
-    Accounts(Vec<Link>),
+    Accounts(Vec<ChainLink>),
     Done(String),
     /// It can't be done, and nothing was changed.
     No(String),
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -7,14 +7,18 @@
 use std::fmt;
 use std::path::Path;
 
-use linnethook_audit::record::{Act, Booking, BookingEnd};
-use linnethook_fellows::fact::{Acts, CacheLine, Key, Purge};
-use linnethook_fellows::fellows::{Action as Errand, Fellows as Core, Note};
-use linnethook_fellows::fetch::{pieces, Fetch};
-use linnethook_fellows::members::Change;
-use linnethook_fellows::query::Asked;
-use linnethook_fellows::straggler::{Seen, State, Straggler, Why};
+use linnethook_audit::record::{AuditedAction, WriteAttempt, WriteOutcome};
 use linnethook_hierarchy::named::BatchSpec;
+use linnethook_membership::actions::{ClusterAction, ClusterEvent};
+use linnethook_membership::aggregation::query::QueryTarget;
+use linnethook_membership::cluster::Cluster;
+use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, Purge};
+use linnethook_membership::membership::MemberChange;
+use linnethook_membership::snapshot_transfer::{split_snapshot, SnapshotTransfer};
+use linnethook_membership::straggler::{
+    ExclusionReason, StragglerDetector, StragglerObservation, StragglerState,
+};
+use linnethook_membership::versions::ActiveVersions;
 use linnethook_operator::Fellows;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -30,8 +34,8 @@
 const LOOK: Ms = 200.0;
 
 pub struct Fleet {
-    core: Core,
-    acts: Acts,
+    core: Cluster,
+    acts: ActiveVersions,
     looked: Ms,
     /// The caches of the own list, as the journal has them.
     targets: BTreeMap<String, Target>,
@@ -44,7 +48,7 @@
     straggler: Option<Behind>,
     /// Fellows that there is a link with.
     linked: BTreeSet<String>,
-    fetch: Fetch,
+    fetch: SnapshotTransfer,
     /// Snapshots that were taken over.
     adopted: u64,
     /// What sites elsewhere answered to questions that were asked here, the newest last; nothing where none has yet.
@@ -61,7 +65,7 @@
 /// Whether this router is behind.
 struct Behind {
     voters: Vec<String>,
-    core: Straggler,
+    core: StragglerDetector,
     /// Since when no fellow is within reach.
     alone: Option<Ms>,
     /// Requests and fills that were not done for it.
@@ -75,19 +79,24 @@
 impl Fleet {
     pub fn new(now: Ms, name: &str, fellows: &Fellows, settings: u64, operator: u64) -> Self {
         let build = env!("CARGO_PKG_VERSION").to_string();
-        let acts = Acts { build, settings, operator, ..Acts::default() };
+        let acts = ActiveVersions {
+            build,
+            settings_digest: settings,
+            operator_digest: operator,
+            ..ActiveVersions::default()
+        };
         // The same start as the gateway's.
         let start = (now * 1_000.0) as u64;
-        let core = Core::new(now, fellows.rules, name, start, acts.clone());
-        let mut core = core.at(now, fellows.place.clone());
-        core.roll(voters(fellows));
+        let core = Cluster::new(now, fellows.rules, name, start, acts.clone());
+        let mut core = core.with_location(now, fellows.place.clone());
+        core.set_voters(voters(fellows));
         let audit = fellows.audit.as_ref().map(|part| {
             let folder = part.folder.as_deref().map(Path::new);
-            Auditor::new(now, core.clock.stamp(now), part.rules, folder, (name, start), acts.clone())
+            Auditor::new(now, core.clock.next_timestamp(now), part.rules, folder, (name, start), acts.clone())
         });
         let straggler = fellows.straggler.as_ref().map(|part| Behind {
             voters: part.voters.clone(),
-            core: Straggler::new(part.rule),
+            core: StragglerDetector::new(part.rule),
             alone: Some(now),
             shut_out: 0,
         });
@@ -103,7 +112,7 @@
             audit,
             straggler,
             linked: BTreeSet::new(),
-            fetch: Fetch::new(fellows.rules.fetch),
+            fetch: SnapshotTransfer::new(fellows.rules.snapshot_transfer),
             adopted: 0,
             asked: VecDeque::new(),
         }
@@ -111,48 +120,53 @@
 
     /// The operator file was read again. What was not there at the start begins with the next one.
     pub fn set(&mut self, fellows: &Fellows, operator: u64) {
-        self.acts.operator = operator;
-        self.core.set(fellows.rules);
-        self.core.roll(voters(fellows));
-        if self.core.place() != fellows.place.as_ref() {
+        self.acts.operator_digest = operator;
+        self.core.set_config(fellows.rules);
+        self.core.set_voters(voters(fellows));
+        if self.core.location() != fellows.place.as_ref() {
             log_line!(always "fellows: a place counts from the next start on");
         }
-        self.fetch.set(fellows.rules.fetch);
-        self.core.acts(&self.acts);
+        self.fetch.set_config(fellows.rules.snapshot_transfer);
+        self.core.set_versions(&self.acts);
         if let (Some(audit), Some(part)) = (&mut self.audit, &fellows.audit) {
             audit.set(part.rules);
         }
         if let (Some(behind), Some(part)) = (&mut self.straggler, &fellows.straggler) {
             behind.voters.clone_from(&part.voters);
-            behind.core.set(part.rule);
+            behind.core.set_config(part.rule);
         }
     }
 
     pub fn next(&self, now: Ms) -> Ms {
         let audit = self.audit.as_ref().map(Auditor::next);
-        let due = audit.unwrap_or(f64::INFINITY).min(self.core.next(now)).min(self.looked + LOOK);
+        let due = audit.unwrap_or(f64::INFINITY).min(self.core.next_deadline(now)).min(self.looked + LOOK);
         due.max(now)
     }
 
     // ---- The account.
 
-    fn act(&mut self, now: Ms, act: Act) {
+    fn act(&mut self, now: Ms, act: AuditedAction) {
         if let Some(audit) = &mut self.audit {
-            audit.act(self.core.clock.stamp(now), act);
+            audit.act(self.core.clock.next_timestamp(now), act);
         }
     }
 
     /// An attempt was sent, with the request's id.
     pub fn sent(&mut self, now: Ms, ordered: &Ordered, id: &str, write: bool) {
         let Some(audit) = &mut self.audit else { return };
-        let at = self.core.clock.stamp(now);
+        let at = self.core.clock.next_timestamp(now);
         let to = ordered.place.number();
         match write {
-            true => audit.booking(Booking { id: id.to_string(), number: ordered.attempt.number, to, at }),
-            false => audit.act(at, Act::Attempt { to }),
+            true => audit.booking(WriteAttempt {
+                request_id: id.to_string(),
+                attempt: ordered.attempt.number,
+                target: to,
+                at,
+            }),
+            false => audit.act(at, AuditedAction::Attempt { target: to }),
         }
         if let Some(source) = ordered.filling.source.filter(|_| !ordered.filling.only_held) {
-            audit.act(at, Act::Fill { child: to, source: source.number() });
+            audit.act(at, AuditedAction::Fill { child: to, source: source.number() });
         }
     }
 
@@ -160,14 +174,19 @@
     pub fn write_ended(&mut self, now: Ms, id: &str, number: u8, end: End) {
         let Some(audit) = &mut self.audit else { return };
         let how = end.name().to_string();
-        audit.booking_ended(BookingEnd { id: id.to_string(), number, how, at: self.core.clock.stamp(now) });
+        audit.booking_ended(WriteOutcome {
+            request_id: id.to_string(),
+            attempt: number,
+            outcome: how,
+            at: self.core.clock.next_timestamp(now),
+        });
     }
 
     /// A client was answered so.
     pub fn answered(&mut self, now: Ms, answer: Final) {
         match answer {
-            Final::Refused { .. } => self.act(now, Act::Refused),
-            Final::Failed => self.act(now, Act::Failed),
+            Final::Refused { .. } => self.act(now, AuditedAction::Refused),
+            Final::Failed => self.act(now, AuditedAction::Failed),
             Final::Served => {}
         }
     }
@@ -177,7 +196,7 @@
         if !ends && !audit.is_due(now, &self.acts, &self.linked) {
             return;
         }
-        let at = self.core.clock.stamp(now);
+        let at = self.core.clock.next_timestamp(now);
         let words = match ends {
             true => audit.end(now, at, &self.linked),
             false => audit.tick(now, at, &self.acts, &self.linked),
@@ -187,7 +206,7 @@
 
     fn send(&mut self, words: Words) {
         for (to, kind, bytes) in words {
-            self.core.send(&to, kind, bytes);
+            self.core.send_message(&to, kind, bytes);
         }
     }
 
@@ -197,35 +216,44 @@
     fn look(&mut self, now: Ms, journal: Ms) {
         let Some(behind) = &mut self.straggler else { return };
         let floor = self.core.floor(&behind.voters);
-        self.core.hold(now, floor, behind.core.rule().bound);
-        behind.alone = if self.core.hears_somebody() { None } else { Some(behind.alone.unwrap_or(now)) };
-        let seen = Seen { version: self.acts.shape.0, floor, alone: behind.alone, journal };
-        if let Some(state) = behind.core.look(now, &seen) {
-            let (version, floor) = (seen.version, seen.floor);
+        self.core.enforce_floor(now, floor, behind.core.config().grace_period);
+        behind.alone = if self.core.has_reachable_peer() { None } else { Some(behind.alone.unwrap_or(now)) };
+        let seen = StragglerObservation {
+            own_version: self.acts.hierarchy.0,
+            floor,
+            isolated_since: behind.alone,
+            journal_valid_until: journal,
+        };
+        if let Some(state) = behind.core.observe(now, &seen) {
+            let (version, floor) = (seen.own_version, seen.floor);
             match state {
-                State::Well => log_line!(version, floor, "straggler: this router is level with the fleet"),
-                State::Late(_) => {
+                StragglerState::UpToDate => {
+                    log_line!(version, floor, "straggler: this router is level with the fleet")
+                }
+                StragglerState::Lagging(_) => {
                     log_line!(
                         version,
                         floor,
                         "straggler: this router is at version {version}, below {floor}"
                     );
                 }
-                State::Out(Why::Behind) => {
+                StragglerState::Excluded(ExclusionReason::Behind) => {
                     log_line!(
                         version,
                         floor,
                         "straggler: THIS ROUTER IS SHUT OUT: it is at version {version}, below {floor}"
                     );
                 }
-                State::Out(Why::Blind) => {
+                StragglerState::Excluded(ExclusionReason::Isolated) => {
                     log_line!(
                         version,
                         floor,
                         "straggler: THIS ROUTER IS SHUT OUT: it hears no fellow, and its journal is silent"
                     );
                 }
-                State::Returning(_) => log_line!(version, floor, "straggler: this router comes back"),
+                StragglerState::Recovering(_) => {
+                    log_line!(version, floor, "straggler: this router comes back")
+                }
             }
         }
     }
@@ -233,14 +261,14 @@
     /// When a client may come again whose request this router must not act on now; `None` where it may.
     pub fn shuts_out(&mut self, now: Ms, object: u64) -> Option<Ms> {
         let behind = self.straggler.as_mut()?;
-        let part = behind.core.part(now);
+        let part = behind.core.admitted_ratio(now);
         // The same objects all the while that it comes back.
         if part >= 1.0 || (xxh3_64(&object.to_le_bytes()) >> 11) as f64 / ((1u64 << 53) as f64) < part {
             return None;
         }
         behind.shut_out += 1;
-        let wait = behind.core.rule().come_back;
-        self.act(now, Act::ShutOut);
+        let wait = behind.core.config().retry_after;
+        self.act(now, AuditedAction::RejectedAsStraggler);
         Some(wait)
     }
 
@@ -253,25 +281,29 @@
         }
         for target in &mut hosts.targets {
             let name = target.uid.clone();
-            let line = CacheLine { ready: target.ready(), gone: target.gone(), started: target.started() };
+            let line =
+                CacheStatus { ready: target.ready(), removed: target.gone(), started_at: target.started() };
             let before = self.targets.insert(name.clone(), target.clone());
             if target.gone() {
                 self.targets.remove(&name);
             }
             let was_ready = before.is_none_or(|before| before.ready());
-            self.acts.drains += u64::from(was_ready && !line.ready);
+            self.acts.drains_applied += u64::from(was_ready && !line.ready);
             let cache = Place::of(&name).number();
             if let Some(audit) = &mut self.audit {
                 audit.name(cache, &name);
             }
             if was_ready && !line.ready {
-                self.act(now, Act::Drain { cache, number, fellows: false });
+                self.act(now, AuditedAction::Drain { cache, journal_position: number, from_gossip: false });
             } else if !was_ready && line.ready {
-                self.act(now, Act::Back { cache, number, fellows: false });
+                self.act(
+                    now,
+                    AuditedAction::CacheRestored { cache, journal_position: number, from_gossip: false },
+                );
             }
             // A cache is worth a word once it takes no new work, and once it does again.
             if !line.ready || !was_ready {
-                self.core.tell_cache(now, &name, line, number);
+                self.core.publish_cache(now, &name, line, number);
             }
             if self.barred.get(&name).is_some_and(|by| *by <= number) {
                 self.barred.remove(&name);
@@ -285,15 +317,15 @@
     /// The own journal has come that far: up to there it alone counts. The lines of caches that were barred by what
     /// lies before come back.
     fn caught_up(&mut self, number: u64) -> Vec<Target> {
-        self.acts.journal = number;
+        self.acts.journal_position = number;
         let past = self.barred.extract_if(.., |_, by| *by <= number);
         let names: Vec<String> = past.map(|(name, _)| name).collect();
         names.iter().filter_map(|name| self.targets.get(name).cloned()).collect()
     }
 
     /// What a fellow says of a cache by a number of the journal: its line from now on, where that is news here.
-    fn line(&mut self, name: &str, line: CacheLine, number: u64) -> Option<Target> {
-        if number <= self.acts.journal {
+    fn line(&mut self, name: &str, line: CacheStatus, number: u64) -> Option<Target> {
+        if number <= self.acts.journal_position {
             return None;
         }
         let target = self.targets.get(name)?;
@@ -302,12 +334,12 @@
             let mut target = target.clone();
             let counts = new && target.ready();
             self.drains += u64::from(counts);
-            self.acts.drains += u64::from(counts);
+            self.acts.drains_applied += u64::from(counts);
             target.bar();
             return counts.then_some(target);
         }
         // It is back. One that has started anew is cold, and that is for the own journal to tell.
-        if line.started != target.started() {
+        if line.started_at != target.started() {
             return None;
         }
         self.barred.remove(name).map(|_| target.clone())
@@ -316,15 +348,15 @@
 
 impl fmt::Display for Fleet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let counts = &self.core.counts;
+        let counts = &self.core.counters;
         write!(
             f,
             "fellows={} fellow_said={} fellow_bytes={} fellow_heard={} fellow_repaired={} fellow_drains={} fellow_purges={} fellow_batches={}",
             self.core.members().iter().count(),
-            counts.said,
-            counts.said_bytes,
-            counts.heard,
-            counts.repaired,
+            counts.messages_sent,
+            counts.bytes_sent,
+            counts.messages_received,
+            counts.entries_repaired,
             self.drains,
             self.purges,
             self.batches
@@ -332,10 +364,10 @@
     }
 }
 
-fn purge_key(expire: &Expire) -> Key {
+fn purge_key(expire: &Expire) -> EntryKey {
     match &expire.name {
-        Some(name) => Key::Object(name.clone()),
-        None => Key::Group(expire.set),
+        Some(name) => EntryKey::Object(name.clone()),
+        None => EntryKey::Group(expire.set),
     }
 }
 
@@ -349,17 +381,17 @@
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
         if let Some(expire) = &entry.expire {
-            fleet.acts.purges += 1;
-            fleet.act(now, Act::Purge { number: entry.pos, fellows: false });
-            let purge = Purge { stamp: expire.stamp, number: entry.pos };
-            fleet.core.tell_purge(now, &purge_key(expire), purge);
+            fleet.acts.purges_applied += 1;
+            fleet.act(now, AuditedAction::Purge { journal_position: entry.pos, from_gossip: false });
+            let purge = Purge { issued_at: expire.stamp, journal_position: entry.pos };
+            fleet.core.publish_purge(now, &purge_key(expire), purge);
         }
     }
 
     /// A link with a fellow came up, or went down.
     pub fn fellow(&mut self, name: &str, start: u64, up: bool) {
         if let Some(fleet) = &mut self.fleet {
-            fleet.core.link(name, start, up);
+            fleet.core.set_link(name, start, up);
             fleet.linked = fleet.core.members().links().map(|(name, _)| name.clone()).collect();
         }
     }
@@ -367,7 +399,7 @@
     pub fn fellow_said(&mut self, name: &str, key: &[u8], entry: &[u8]) {
         let now = self.clock.now();
         if let Some(fleet) = &mut self.fleet {
-            fleet.core.heard(now, name, key, entry);
+            fleet.core.receive(now, name, key, entry);
         }
     }
 
@@ -398,25 +430,29 @@
         if let Some(upstream) = &mut self.upstream {
             for batch in upstream.news() {
                 let body = postcard::to_stdvec(&batch).unwrap_or_default();
-                if fleet.core.tell_batch(now, batch.author, batch.number, batch.stamp, body) {
+                if fleet.core.publish_batch(now, batch.author, batch.number, batch.stamp, body) {
                     let (author, number) = (batch.author, batch.number);
-                    fleet.act(now, Act::Batch { author, number, fellows: false });
+                    fleet.act(now, AuditedAction::Batch { author, number, from_gossip: false });
                 }
             }
             for (to, stage) in upstream.entered() {
-                fleet.act(now, Act::Stage { to, stage });
+                fleet.act(now, AuditedAction::RolloutStage { target: to, stage });
             }
             if looks {
-                fleet.acts.shape = upstream.acts_on();
-                fleet.core.acts(&fleet.acts);
+                fleet.acts.hierarchy = upstream.acts_on();
+                fleet.core.set_versions(&fleet.acts);
                 // Who is ahead though all facts are here has something that is passed on no more.
-                if let Some((of, asking)) = fleet.fetch.look(now, &fleet.core.ahead()) {
-                    fleet.core.send(&of, WANT_SHAPE, postcard::to_stdvec(&asking).unwrap_or_default());
+                if let Some((of, asking)) = fleet.fetch.next_request(now, &fleet.core.peers_ahead()) {
+                    fleet.core.send_message(
+                        &of,
+                        WANT_SHAPE,
+                        postcard::to_stdvec(&asking).unwrap_or_default(),
+                    );
                 }
             }
         }
         let back = fleet.caught_up(self.journal.number());
-        fleet.core.acts(&fleet.acts);
+        fleet.core.set_versions(&fleet.acts);
         if looks {
             fleet.looked = now;
             fleet.look(now, self.journal.sound_until());
@@ -447,18 +483,26 @@
             let (Some(fleet), Some(beyond)) = (&mut self.fleet, &mut self.beyond) else { return };
             let Some(action) = fleet.core.next_action() else { break };
             match action {
-                Errand::Say(said) => beyond.gateway.tell_fellows(now, said),
-                Errand::Drop(key) => beyond.gateway.drop_fellows(key),
-                Errand::Direct(name, said) => beyond.gateway.tell_fellow_alone(&name, said),
-                Errand::StandDown => beyond.gateway.leave_fellows(now),
-                Errand::Cache { name, line, number } => {
+                ClusterAction::Broadcast(said) => beyond.gateway.tell_fellows(now, said),
+                ClusterAction::Retract(key) => beyond.gateway.drop_fellows(key),
+                ClusterAction::SendTo(name, said) => beyond.gateway.tell_fellow_alone(&name, said),
+                ClusterAction::CloseLinks => beyond.gateway.leave_fellows(now),
+                ClusterAction::CacheChanged { name, status: line, journal_position: number } => {
                     if let Some(target) = fleet.line(&name, line, number) {
                         let cache = Place::of(&name).number();
                         fleet.act(
                             now,
                             match line.ready {
-                                true => Act::Back { cache, number, fellows: true },
-                                false => Act::Drain { cache, number, fellows: true },
+                                true => AuditedAction::CacheRestored {
+                                    cache,
+                                    journal_position: number,
+                                    from_gossip: true,
+                                },
+                                false => AuditedAction::Drain {
+                                    cache,
+                                    journal_position: number,
+                                    from_gossip: true,
+                                },
                             },
                         );
                         let how = if line.ready { "back" } else { "drained" };
@@ -466,51 +510,61 @@
                         self.take_fellow_line(target);
                     }
                 }
-                Errand::Purge { key, purge } => {
-                    if purge.number > fleet.acts.journal {
+                ClusterAction::Purged { key, purge } => {
+                    if purge.journal_position > fleet.acts.journal_position {
                         fleet.purges += 1;
-                        fleet.acts.purges += 1;
-                        fleet.act(now, Act::Purge { number: purge.number, fellows: true });
+                        fleet.acts.purges_applied += 1;
+                        fleet.act(
+                            now,
+                            AuditedAction::Purge {
+                                journal_position: purge.journal_position,
+                                from_gossip: true,
+                            },
+                        );
                         let (name, set) = match key {
-                            Key::Object(name) => (Some(name), 0),
-                            Key::Group(set) => (None, set),
+                            EntryKey::Object(name) => (Some(name), 0),
+                            EntryKey::Group(set) => (None, set),
                             _ => continue,
                         };
-                        let expire = Expire { name, set, stamp: purge.stamp };
+                        let expire = Expire { name, set, stamp: purge.issued_at };
                         log_line!(
-                            number = purge.number,
+                            number = purge.journal_position,
                             "fellows: a purge, by the journal as fellows have it"
                         );
                         beyond.expired(now, &expire);
                         self.purged(expire);
                     }
                 }
-                Errand::Batch(body) => self.fellow_batch(&body),
-                Errand::Word { from, kind: WANT_SHAPE, bytes } => {
+                ClusterAction::BatchReceived(body) => self.fellow_batch(&body),
+                ClusterAction::Message { from, kind: WANT_SHAPE, bytes } => {
                     let asking = postcard::from_bytes::<u64>(&bytes);
                     if let (Ok(asking), Some(upstream)) = (asking, &self.upstream) {
-                        for piece in pieces(asking, &upstream.snapshot(), fleet.fetch.rule()) {
-                            fleet.core.send(&from, SHAPE, postcard::to_stdvec(&piece).unwrap_or_default());
+                        for piece in split_snapshot(asking, &upstream.snapshot(), fleet.fetch.config()) {
+                            fleet.core.send_message(
+                                &from,
+                                SHAPE,
+                                postcard::to_stdvec(&piece).unwrap_or_default(),
+                            );
                         }
                     }
                 }
-                Errand::Word { from, kind: SHAPE, bytes } => {
+                ClusterAction::Message { from, kind: SHAPE, bytes } => {
                     let piece = postcard::from_bytes(&bytes).ok();
-                    let whole = piece.and_then(|piece| fleet.fetch.piece(now, &from, &piece));
+                    let whole = piece.and_then(|piece| fleet.fetch.receive_chunk(now, &from, &piece));
                     if let Some(whole) = whole {
                         self.adopt(&from, &whole);
                     }
                 }
-                Errand::Word { from, kind, bytes } => {
+                ClusterAction::Message { from, kind, bytes } => {
                     let words = fleet.audit.as_mut().map(|audit| audit.heard(&from, kind, &bytes));
                     fleet.send(words.unwrap_or_default());
                 }
-                Errand::Answer { id, place, lines } => {
+                ClusterAction::Answer { id, location: place, routers: lines } => {
                     if let Some((_, asked)) = fleet.asked.iter_mut().find(|(asked, _)| *asked == id) {
                         *asked = Some(Detail { place: place.to_string(), routers: lines });
                     }
                 }
-                Errand::Note(note) => say(&note),
+                ClusterAction::Event(note) => say(&note),
             }
         }
         self.carry_beyond();
@@ -527,7 +581,7 @@
         if upstream.acts_on() != before {
             fleet.batches += 1;
             let (author, number) = (batch.author, batch.number);
-            fleet.act(now, Act::Batch { author, number, fellows: true });
+            fleet.act(now, AuditedAction::Batch { author, number, from_gossip: true });
             log_line!(
                 author = batch.author,
                 number = batch.number,
@@ -544,8 +598,8 @@
         match upstream.adopt(now, whole) {
             Ok(()) => {
                 fleet.adopted += 1;
-                fleet.acts.shape = upstream.acts_on();
-                let (version, digest) = fleet.acts.shape;
+                fleet.acts.hierarchy = upstream.acts_on();
+                let (version, digest) = fleet.acts.hierarchy;
                 log_line!(version, "fellows: the hierarchy was taken over whole from {from}: version {version}, {digest:016x}");
             }
             Err(why) => log_line!("fellows: the hierarchy of {from} was not taken over: {why}"),
@@ -559,14 +613,14 @@
             return Answer::No("there are no fellows: the operator file has no fellows()".to_string());
         };
         Answer::Fleet(Box::new(FleetShown {
-            fellows: fleet.core.shown(now),
+            fellows: fleet.core.view(now),
             barred: fleet.barred.iter().map(|(name, number)| (name.clone(), *number)).collect(),
             drains: fleet.drains,
             purges: fleet.purges,
             batches: fleet.batches,
             adopted: fleet.adopted,
-            whole: fleet.core.whole(now).map(|whole| whole.routers()),
-            set_by: fleet.core.set_by_people().map(|floor| (floor.version, floor.by)),
+            whole: fleet.core.fleet_summary(now).map(|whole| whole.routers()),
+            set_by: fleet.core.operator_floor().map(|floor| (floor.version, floor.set_by)),
             state: fleet.straggler.as_ref().map(|behind| behind.core.state()),
             shut_out: fleet.straggler.as_ref().map_or(0, |behind| behind.shut_out),
             account: fleet.audit.as_ref().map(|audit| {
@@ -577,12 +631,12 @@
     }
 
     /// People want the detail of a site elsewhere.
-    pub fn ask_fleet(&mut self, asked: Asked) -> Answer {
+    pub fn ask_fleet(&mut self, asked: QueryTarget) -> Answer {
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else {
             return Answer::No("there are no fellows: the operator file has no fellows()".to_string());
         };
-        let answer = match fleet.core.ask(now, asked) {
+        let answer = match fleet.core.start_query(now, asked) {
             Some(id) => {
                 if fleet.asked.len() >= ASKED {
                     fleet.asked.pop_front();
@@ -590,7 +644,7 @@
                 fleet.asked.push_back((id, None));
                 Answer::Asking(id)
             }
-            None if fleet.core.place().is_none() => {
+            None if fleet.core.location().is_none() => {
                 Answer::No("no router has a place here: fleet show names all there are".to_string())
             }
             None => Answer::No("too much was asked within half a minute".to_string()),
@@ -628,7 +682,7 @@
     pub fn accounts(&mut self) -> Answer {
         let now = self.clock.now();
         let kept = self.fleet.as_mut().and_then(|Fleet { core, audit, .. }| {
-            let at = core.clock.stamp(now);
+            let at = core.clock.next_timestamp(now);
             audit.as_mut().map(|audit| audit.all(now, at))
         });
         match kept {
@@ -638,35 +692,35 @@
     }
 }
 
-fn say(note: &Note) {
+fn say(note: &ClusterEvent) {
     match note {
-        Note::Member { name, start, change } => {
+        ClusterEvent::Member { name, incarnation: start, change } => {
             let how = match change {
-                Change::Joined => "is there".to_string(),
-                Change::Restarted(before) => format!("has started again, after start {before}"),
-                Change::Now(standing) => format!("is {}", standing.name()),
-                Change::Forgotten => "is forgotten".to_string(),
+                MemberChange::Joined => "is there".to_string(),
+                MemberChange::Restarted(before) => format!("has started again, after start {before}"),
+                MemberChange::StateChanged(standing) => format!("is {}", standing.name()),
+                MemberChange::Forgotten => "is forgotten".to_string(),
             };
             log_line!(fellow = name.as_str(), start = *start, "fellows: {name} {how}");
         }
-        Note::Twin { start } => {
+        ClusterEvent::NameConflict { incarnation: start } => {
             log_line!(
                 start = *start,
                 "fellows: ANOTHER PROCESS HAS THIS ROUTER'S NAME; it started later, and is refused"
             );
         }
-        Note::Refused { holder } => {
+        ClusterEvent::Refused { holder } => {
             log_line!(
                 holder = *holder,
                 "fellows: THIS ROUTER'S NAME IS TAKEN by an earlier start; it takes no part"
             );
         }
-        Note::Yielded { holder } => {
+        ClusterEvent::Yielded { holder } => {
             log_line!(
                 holder = *holder,
                 "fellows: this process was frozen, and a later start holds its name; it takes no part"
             );
         }
-        Note::Frozen(ms) => log_line!(ms = *ms, "fellows: this process did nothing for {ms} ms"),
+        ClusterEvent::Frozen(ms) => log_line!(ms = *ms, "fellows: this process did nothing for {ms} ms"),
     }
 }
--- a/crates/router/src/operator_digest.rs
+++ b/crates/router/src/operator_digest.rs
@@ -6,9 +6,7 @@
 
 use std::fmt::{self, Debug};
 
-use linnethook_audit::account::Rules as AuditRules;
-use linnethook_fellows::fellows::Rules as FellowRules;
-use linnethook_fellows::straggler::StragglerRule;
+use linnethook_audit::audit_log::AuditLogConfig;
 use linnethook_gateway::gateway::Rules as GatewayRules;
 use linnethook_gateway::pulse::PulseRule;
 use linnethook_hierarchy::budget::BudgetRule;
@@ -17,6 +15,8 @@
 use linnethook_hierarchy::shield::ShieldRule;
 use linnethook_hierarchy::stages::StageRule;
 use linnethook_hierarchy::Rules as HierarchyRules;
+use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::straggler::StragglerConfig;
 use linnethook_operator::script::{HierarchyPart, Log, SiteSpec, StragglerPart, WatchPart};
 use linnethook_operator::Operator;
 use xxhash_rust::xxh3::xxh3_64;
@@ -385,39 +385,56 @@
     )
 }
 
-fn fellow_rules(rules: &FellowRules) -> Verbatim {
-    let (members, fetch, kept, tree) = (&rules.members, &rules.fetch, &rules.kept, &rules.tree);
+fn fellow_rules(rules: &MembershipConfig) -> Verbatim {
+    let (members, fetch, kept, tree) =
+        (&rules.timeouts, &rules.snapshot_transfer, &rules.table_limits, &rules.aggregation);
     let members = record(
         "MemberRule",
-        &[("suspect", &members.suspect), ("gone", &members.gone), ("forget", &members.forget)],
+        &[
+            ("suspect", &members.suspect_after),
+            ("gone", &members.dead_after),
+            ("forget", &members.forget_after),
+        ],
     );
     let fetch = record(
         "FetchRule",
-        &[("behind", &fetch.behind), ("quiet", &fetch.quiet), ("most", &fetch.most), ("piece", &fetch.piece)],
+        &[
+            ("behind", &fetch.start_after),
+            ("quiet", &fetch.peer_timeout),
+            ("most", &fetch.max_bytes),
+            ("piece", &fetch.chunk_bytes),
+        ],
+    );
+    let pace = record(
+        "PaceRule",
+        &[("rate", &rules.rate_limit.bytes_per_second), ("saved", &rules.rate_limit.burst_seconds)],
     );
-    let pace = record("PaceRule", &[("rate", &rules.pace.rate), ("saved", &rules.pace.saved)]);
     let kept = record(
         "Kept",
         &[
-            ("facts", &kept.facts),
-            ("longest", &kept.longest),
-            ("bytes", &kept.bytes),
-            ("unknown", &kept.unknown),
+            ("facts", &kept.entries),
+            ("longest", &kept.entry_bytes),
+            ("bytes", &kept.total_bytes),
+            ("unknown", &kept.unknown_entries),
         ],
     );
     let tree = record(
         "TreeRule",
         &[
-            ("progress", &tree.progress),
-            ("gather", &tree.gather),
-            ("renew", &tree.renew),
-            ("moves", &tree.moves),
+            ("progress", &tree.progress_interval),
+            ("gather", &tree.gather_delay),
+            ("renew", &tree.renew_interval),
+            ("moves", &tree.transition_interval),
         ],
     );
     let plumtree = &rules.plumtree;
     let plumtree = record(
         "PlumtreeRule",
-        &[("prunes", &plumtree.prunes), ("announce", &plumtree.announce), ("graft", &plumtree.graft)],
+        &[
+            ("prunes", &plumtree.lazy_links),
+            ("announce", &plumtree.announce_interval),
+            ("graft", &plumtree.graft_timeout),
+        ],
     );
     record(
         "Rules",
@@ -426,30 +443,30 @@
             ("fetch", &fetch),
             ("pace", &pace),
             ("kept", &kept),
-            ("every", &rules.every),
-            ("bundle", &rules.bundle),
-            ("compare", &rules.compare),
-            ("purges", &rules.purges),
-            ("batches", &rules.batches),
-            ("frozen", &rules.frozen),
-            ("yields", &rules.yields),
-            ("speaks", &rules.speaks),
+            ("every", &rules.flush_interval),
+            ("bundle", &rules.bundle_bytes),
+            ("compare", &rules.comparison_interval),
+            ("purges", &rules.purge_retention),
+            ("batches", &rules.max_batches),
+            ("frozen", &rules.freeze_threshold),
+            ("yields", &rules.yield_window),
+            ("speaks", &rules.status_version),
             ("tree", &tree),
             ("plumtree", &plumtree),
         ],
     )
 }
 
-fn audit_rules(rules: &AuditRules) -> Verbatim {
+fn audit_rules(rules: &AuditLogConfig) -> Verbatim {
     record(
         "Rules",
         &[
-            ("span", &rules.span),
-            ("kinds", &rules.kinds),
-            ("bookings", &rules.bookings),
-            ("bytes", &rules.bytes),
-            ("copy_bytes", &rules.copy_bytes),
-            ("copies", &rules.copies),
+            ("span", &rules.max_span),
+            ("kinds", &rules.max_action_kinds),
+            ("bookings", &rules.max_write_attempts),
+            ("bytes", &rules.max_log_bytes),
+            ("copy_bytes", &rules.max_replica_bytes),
+            ("copies", &rules.replica_count),
         ],
     )
 }
@@ -458,14 +475,14 @@
     record("StragglerPart", &[("voters", &part.voters), ("rule", &straggler_rule(&part.rule))])
 }
 
-fn straggler_rule(rule: &StragglerRule) -> Verbatim {
+fn straggler_rule(rule: &StragglerConfig) -> Verbatim {
     record(
         "StragglerRule",
         &[
-            ("bound", &rule.bound),
-            ("alone", &rule.alone),
-            ("back", &rule.back),
-            ("come_back", &rule.come_back),
+            ("bound", &rule.grace_period),
+            ("alone", &rule.isolation_timeout),
+            ("back", &rule.recovery_ramp),
+            ("come_back", &rule.retry_after),
         ],
     )
 }
--- a/crates/router/tests/audit.rs
+++ b/crates/router/tests/audit.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_audit::judge::Finding;
+use linnethook_audit::verification::Finding;
 use linnethook_standins::checker::Rule;
 use linnethook_standins::record::{Phase, What};
 use linnethook_standins::rig::{line, name, Plan, Rig};
@@ -129,7 +129,7 @@
     rig.end_loads();
     let accounts = rig.accounts().expect("accounts");
     rig.accounted(&accounts).expect("the same as the record, but for gaps");
-    let starts = accounts.starts().filter(|((who, _), _)| who == "r0").count();
+    let starts = accounts.incarnations().filter(|((who, _), _)| who == "r0").count();
     assert_eq!(starts, 2, "the start before is there too");
     std::fs::remove_dir_all(&folder).expect("removed");
 }
@@ -311,8 +311,8 @@
     rig.accounted(&accounts).expect("the same as the record");
     let only_gaps = accounts.findings.iter().all(|finding| matches!(finding, Finding::Gap { .. }));
     assert!(only_gaps, "{:?}", accounts.findings);
-    let first = accounts.starts().find(|((who, _), _)| who == "r0").expect("the first start").1;
-    assert!(first.ended, "the fellows know that it ended");
+    let first = accounts.incarnations().find(|((who, _), _)| who == "r0").expect("the first start").1;
+    assert!(first.is_closed, "the fellows know that it ended");
     // By the folder alone its end is missing.
     let (good, text) = audit(&rig, &[0], &["verify"]);
     assert!(!good && text.contains("r0 (start") && text.contains("MISSING"), "{text}");
--- a/crates/standins/src/rig.rs
+++ b/crates/standins/src/rig.rs
@@ -13,8 +13,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_audit::judge::{Accounts, Finding};
-use linnethook_audit::record::of_file;
+use linnethook_audit::record::read_file;
+use linnethook_audit::verification::{Finding, VerifiedLogs};
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -607,7 +607,7 @@
     }
 
     /// What all routers that run keep of their own and of others' accounts.
-    pub fn accounts(&self) -> io::Result<Accounts> {
+    pub fn accounts(&self) -> io::Result<VerifiedLogs> {
         let mut links = Vec::new();
         for n in self.up() {
             let file = self.fleet.write_file(&format!("accounts-{n}"), "")?;
@@ -617,30 +617,33 @@
             if !output.status.success() {
                 return Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()));
             }
-            links.extend(of_file(&std::fs::read(&file)?).ok_or(io::ErrorKind::InvalidData)?);
+            links.extend(read_file(&std::fs::read(&file)?).ok_or(io::ErrorKind::InvalidData)?);
         }
-        Ok(Accounts::new(links))
+        Ok(VerifiedLogs::new(links))
     }
 
     /// Whether the accounts and the record tell the same: each booking that reached a node is in some account or in a gap
     /// that is named, and no account has one that no node saw, unless its end says that it may not have got there.
-    pub fn accounted(&self, accounts: &Accounts) -> Result<(), String> {
+    pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), String> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
         let mut told = BTreeSet::<(String, String)>::new();
         let mut open = Vec::new();
-        let known_from = accounts.known_from();
+        let known_from = accounts.earliest_known();
         for (router, _, _, span) in accounts.spans() {
-            for booking in &span.bookings {
-                told.insert((router.to_string(), booking.id.clone()));
+            for booking in &span.write_attempts {
+                told.insert((router.to_string(), booking.request_id.clone()));
                 // Turned back, cancelled or broken off it may never have got there.
-                let mut ends = accounts.request(&booking.id).into_iter().filter(|trace| trace.name == router);
+                let mut ends = accounts
+                    .attempts_of_request(&booking.request_id)
+                    .into_iter()
+                    .filter(|trace| trace.name == router);
                 let arrived = ends.any(|trace| {
-                    let end = trace.end.filter(|end| end.number == booking.number);
-                    end.is_some_and(|end| matches!(end.how.as_str(), "answered" | "absent"))
+                    let end = trace.outcome.filter(|end| end.attempt == booking.attempt);
+                    end.is_some_and(|end| matches!(end.outcome.as_str(), "answered" | "absent"))
                 });
                 if arrived {
-                    open.push((router.to_string(), booking.id.clone()));
+                    open.push((router.to_string(), booking.request_id.clone()));
                 }
             }
         }
--- a/crates/standins/src/scale/mod.rs
+++ b/crates/standins/src/scale/mod.rs
@@ -35,7 +35,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_audit::record::{of_file, Link, Record};
+use linnethook_audit::record::{read_file, ChainLink, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -601,11 +601,11 @@
     fn acted(&self, n: usize) -> Result<Vec<Change>, Failure> {
         let file = self.places.folder.join("accounts");
         self.command(n, &["audit", "export", &file.display().to_string()])?;
-        let links = of_file(&std::fs::read(&file)?).ok_or("accounts that can't be read")?;
+        let links = read_file(&std::fs::read(&file)?).ok_or("accounts that can't be read")?;
         // Those of others are copies.
-        let records = links.iter().filter(|link| link.name == name(n)).filter_map(Link::record);
+        let records = links.iter().filter(|link| link.name == name(n)).filter_map(ChainLink::decode_record);
         let spans = records.filter_map(|record| match record {
-            Record::Span(span) => Some((span.acts_on.shape.0, span.from.ms as f64)),
+            Record::Span(span) => Some((span.versions.hierarchy.0, span.from.ms as f64)),
             _ => None,
         });
         Ok(spans.collect())
