--- a/crates/hierarchy/benches/structures.rs
+++ b/crates/hierarchy/benches/structures.rs
@@ -7,10 +7,10 @@
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use linnethook::ring::mix;
-use linnethook_hierarchy::lease::{Fetch, Grant, Leases};
-use linnethook_hierarchy::order::Order;
-use linnethook_hierarchy::recency::Recency;
-use linnethook_hierarchy::{Author, Change, History, Node, NodeId, Role, Source};
+use linnethook_hierarchy::lease::{FetchKey, Grant, LeaseTable};
+use linnethook_hierarchy::recent_keys::RecentKeys;
+use linnethook_hierarchy::topological_order::TopologicalOrder;
+use linnethook_hierarchy::{AuthorId, Change, History, Node, NodeId, Role, Source};
 use petgraph::algo::{is_cyclic_directed, DfsSpace};
 use petgraph::graphmap::DiGraphMap;
 use rand::{RngExt, SeedableRng};
@@ -53,7 +53,7 @@
 fn order(c: &mut Criterion) {
     let mut group = c.benchmark_group("insert an edge");
     for nodes in [1_000u32, 10_000, 100_000] {
-        let mut order = Order::default();
+        let mut order = TopologicalOrder::default();
         (0..nodes).for_each(|_| _ = order.add());
         let mut plain = DiGraphMap::<u32, ()>::new();
         for (from, to) in edges(nodes) {
@@ -136,16 +136,16 @@
     };
     let before = resident();
     let mut history = History::default();
-    let batch = history.draft(Author(1), 0.0, (0..nodes).map(add).collect());
+    let batch = history.draft_batch(AuthorId(1), 0.0, (0..nodes).map(add).collect());
     let begun = Instant::now();
-    history.hear(batch);
+    history.receive_batch(batch);
     let (took, after) = (begun.elapsed(), resident());
-    assert_eq!(history.shape().len(), nodes as usize);
+    assert_eq!(history.topology().len(), nodes as usize);
     let bytes = (after.saturating_sub(before)) as f64 / f64::from(nodes);
     println!("{nodes} nodes in one batch: {took:?}, {bytes:.0} bytes a node with the batch and its way back");
     let mut plain = BTreeMap::<NodeId, Vec<Source>>::new();
-    for record in history.shape().records() {
-        plain.insert(record.node.id, history.shape().sources(record.node.id).collect());
+    for record in history.topology().records() {
+        plain.insert(record.node.id, history.topology().sources(record.node.id).collect());
     }
     let ids: Vec<NodeId> = (0..nodes).map(|id| node(id, Role::Parent).id).collect();
     let mut chance = Pcg64Mcg::seed_from_u64(3);
@@ -155,7 +155,7 @@
     group.bench_function("shape", |b| {
         b.iter(|| {
             n += 1;
-            history.shape().sources(asked[n % asked.len()]).next()
+            history.topology().sources(asked[n % asked.len()]).next()
         });
     });
     group.bench_function("ordered map", |b| {
@@ -177,7 +177,7 @@
 fn tables(c: &mut Criterion) {
     let keys: Vec<u64> = (0..65_536u64).map(|n| mix(n % 20_000, 4)).collect();
     let mut group = c.benchmark_group("memory of cold keys");
-    let (mut table, mut map) = (Recency::new(65_536, 60_000.0), HashMap::<u64, f64>::new());
+    let (mut table, mut map) = (RecentKeys::new(65_536, 60_000.0), HashMap::<u64, f64>::new());
     println!("memory of 65,536 keys: {} bytes", table.bytes());
     let (mut n, mut now) = (0, 1e12);
     group.bench_function("table", |b| {
@@ -198,11 +198,11 @@
     });
     group.finish();
     let mut group = c.benchmark_group("leases");
-    let mut leases = Leases::new(16_384);
+    let mut leases = LeaseTable::new(16_384);
     group.bench_function("bounded", |b| {
         b.iter(|| {
             (n, now) = (n + 1, now + 0.1);
-            let fetch = Fetch { source: NodeId(1), key: keys[n % keys.len()] };
+            let fetch = FetchKey { source: NodeId(1), key: keys[n % keys.len()] };
             if let Grant::Granted(id) = leases.ask(now, fetch, 200.0) {
                 if n % 3 == 0 {
                     leases.release(fetch, id);
--- a/crates/hierarchy/examples/crossing.rs
+++ b/crates/hierarchy/examples/crossing.rs
@@ -4,8 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use linnethook_hierarchy::passed::{Passed, TurnedAway};
-use linnethook_hierarchy::{Author, Batch, Change, Heard, History, Node, NodeId, Role, Source};
+use linnethook_hierarchy::loop_detection::{FillPath, PathRejection};
+use linnethook_hierarchy::{
+    AuthorId, Change, ChangeBatch, History, Node, NodeId, ReceiveOutcome, Role, Source,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -26,10 +28,10 @@
     // One mind for each hub cache, for each author, and for two routers.
     let minds = HUBS.end as usize + usize::from(AUTHORS) + 2;
     let mut all: Vec<History> = vec![History::default(); minds];
-    let begun = all[0].draft(Author(9), 0.0, first);
-    all.iter_mut().for_each(|mind| drop(mind.hear(begun.clone())));
+    let begun = all[0].draft_batch(AuthorId(9), 0.0, first);
+    all.iter_mut().for_each(|mind| drop(mind.receive_batch(begun.clone())));
     // By time, in milliseconds: who hears what then.
-    let mut post = BTreeMap::<(u64, usize, usize), Batch>::new();
+    let mut post = BTreeMap::<(u64, usize, usize), ChangeBatch>::new();
     let mut since = BTreeMap::<(NodeId, NodeId), u64>::new();
     let (mut spans, mut suspended) = (Vec::new(), 0u64);
     let (mut fills, mut round, mut twice, mut longest) = (0u64, 0u64, 0u64, 0usize);
@@ -37,8 +39,8 @@
         let now = n * 100;
         while post.first_key_value().is_some_and(|((at, ..), _)| *at <= now) {
             let Some(((_, mind, _), batch)) = post.pop_first() else { break };
-            let heard = all[mind].hear(batch);
-            assert!(!matches!(heard, Heard::Unusable(_)), "{heard:?}");
+            let heard = all[mind].receive_batch(batch);
+            assert!(!matches!(heard, ReceiveOutcome::Invalid(_)), "{heard:?}");
         }
         let author = chance.random_range(0..AUTHORS);
         let mind = HUBS.end as usize + usize::from(author);
@@ -47,19 +49,19 @@
         if child != source {
             sources.push(Source::new(NodeId(source), 0));
         }
-        let batch = all[mind].draft(
-            Author(author),
+        let batch = all[mind].draft_batch(
+            AuthorId(author),
             now as f64,
             vec![Change::Rerank { node: NodeId(child), sources }],
         );
-        all[mind].hear(batch.clone());
+        all[mind].receive_batch(batch.clone());
         for other in (0..minds).filter(|other| *other != mind) {
             post.insert((now + chance.random_range(1..2_000), other, n as usize), batch.clone());
         }
         // What one router has suspended, and for how long.
         let router = &all[minds - 1];
         let now_suspended: Vec<(NodeId, NodeId)> =
-            router.shape().suspended().map(|edge| (edge.from, edge.source.node)).collect();
+            router.topology().suspended_edges().map(|edge| (edge.from, edge.source.node)).collect();
         for edge in &now_suspended {
             since.entry(*edge).or_insert_with(|| {
                 suspended += 1;
@@ -77,20 +79,20 @@
         for _ in 0..20 {
             fills += 1;
             let mut at = NodeId(chance.random_range(HUBS));
-            let mut way = Passed::new(all[minds - 2].version());
+            let mut way = FillPath::new(all[minds - 2].version());
             loop {
-                match way.clone().by(&at.0.to_string()) {
+                match way.clone().append_node(&at.0.to_string()) {
                     Ok(longer) => way = longer,
-                    Err(TurnedAway::Loop { .. }) => {
+                    Err(PathRejection::Loop { .. }) => {
                         round += 1;
                         break;
                     }
-                    Err(TurnedAway::Hops) => break,
+                    Err(PathRejection::HopLimit) => break,
                 }
                 if at == ORIGIN {
                     break;
                 }
-                let Some(next) = all[at.0 as usize].shape().sources(at).next() else { break };
+                let Some(next) = all[at.0 as usize].topology().sources(at).next() else { break };
                 at = next.node;
             }
             let names: Vec<&str> = way.names().collect();
@@ -100,9 +102,9 @@
         }
     }
     for ((_, mind, _), batch) in std::mem::take(&mut post) {
-        all[mind].hear(batch);
+        all[mind].receive_batch(batch);
     }
-    let digests: std::collections::BTreeSet<u64> = all.iter().map(|mind| mind.shape().digest()).collect();
+    let digests: std::collections::BTreeSet<u64> = all.iter().map(|mind| mind.topology().digest()).collect();
     spans.sort_unstable();
     let at = |part: f64| spans.get(((spans.len().max(1) - 1) as f64 * part) as usize).copied().unwrap_or(0);
     println!("seed {seed}: {batches} batches of {AUTHORS} authors, one each 100 ms, heard within 2 s by {minds} minds");
--- a/crates/hierarchy/src/named.rs
+++ b/crates/hierarchy/src/change_spec.rs
@@ -9,12 +9,12 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::batch::{Author, Batch, Change, Serial};
-use crate::plan::{Flood, Plan};
-use crate::shape::{Node, NodeId, Role, Shape, Source};
+use crate::batch::{AuthorId, BatchId, Change, ChangeBatch};
+use crate::plan::{ChangePlan, OriginLoad, SourceChange, SourceLoad};
+use crate::topology::{Node, NodeId, Role, Source, Topology};
 
 /// The id of a name: the one by which the router knows the cache, parent or origin of that uid.
-pub fn id_of(name: &str) -> NodeId {
+pub fn node_id(name: &str) -> NodeId {
     NodeId(xxh3_64(name.as_bytes()))
 }
 
@@ -57,34 +57,109 @@
     /// The newest batch of each author that it was planned on.
     #[serde(default)]
     pub basis: Vec<(u16, u64)>,
-    pub at: Ms,
+    #[serde(rename = "at")]
+    pub effective_at: Ms,
     pub changes: Vec<ChangeSpec>,
 }
 
-/// A plan as it is shown.
+/// A plan as commands show it. Its lists of tuples are the form that scripts read.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanSpec {
     pub added: Vec<String>,
     pub removed: Vec<String>,
     pub altered: Vec<String>,
-    pub rerouted: Vec<(String, Vec<SourceSpec>, Vec<SourceSpec>)>,
-    pub loops: Vec<Vec<String>>,
-    pub resumed: usize,
-    /// Sources that get more to carry: before, after, the mean of the tier, and whether that is heavy.
-    pub pushes: Vec<(String, f64, f64, f64, bool)>,
-    /// Fills a second at the origin: now, and on top of that at the worst by a flip and by stages.
-    pub origin: (f64, f64, f64),
+    #[serde(rename = "rerouted")]
+    pub source_changes: Vec<SourceChangeSpec>,
+    #[serde(rename = "loops")]
+    pub cycles: Vec<Vec<String>>,
+    #[serde(rename = "resumed")]
+    pub resumed_edges: usize,
+    #[serde(rename = "pushes")]
+    pub source_loads: Vec<SourceLoadSpec>,
+    #[serde(rename = "origin")]
+    pub origin_load: OriginLoadSpec,
+}
+
+/// A node whose sources change, with the lists before and after.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(from = "SourceChangeTuple", into = "SourceChangeTuple")]
+pub struct SourceChangeSpec {
+    pub node: String,
+    pub before: Vec<SourceSpec>,
+    pub after: Vec<SourceSpec>,
+}
+
+type SourceChangeTuple = (String, Vec<SourceSpec>, Vec<SourceSpec>);
+
+impl From<SourceChangeTuple> for SourceChangeSpec {
+    fn from((node, before, after): SourceChangeTuple) -> Self {
+        Self { node, before, after }
+    }
+}
+
+impl From<SourceChangeSpec> for SourceChangeTuple {
+    fn from(spec: SourceChangeSpec) -> Self {
+        (spec.node, spec.before, spec.after)
+    }
+}
+
+/// A source that gets more to carry: child capacity per own capacity before, after, and on average over its tier.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(from = "SourceLoadTuple", into = "SourceLoadTuple")]
+pub struct SourceLoadSpec {
+    pub source: String,
+    pub before: f64,
+    pub after: f64,
+    pub tier_mean: f64,
+    pub is_heavy: bool,
+}
+
+type SourceLoadTuple = (String, f64, f64, f64, bool);
+
+impl From<SourceLoadTuple> for SourceLoadSpec {
+    fn from((source, before, after, tier_mean, is_heavy): SourceLoadTuple) -> Self {
+        Self { source, before, after, tier_mean, is_heavy }
+    }
+}
+
+impl From<SourceLoadSpec> for SourceLoadTuple {
+    fn from(spec: SourceLoadSpec) -> Self {
+        (spec.source, spec.before, spec.after, spec.tier_mean, spec.is_heavy)
+    }
+}
+
+/// Fills per second at the origin: now, and added at worst by an immediate and by a staged change.
+#[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
+#[serde(from = "OriginLoadTuple", into = "OriginLoadTuple")]
+pub struct OriginLoadSpec {
+    pub current: f64,
+    pub immediate: f64,
+    pub staged: f64,
+}
+
+type OriginLoadTuple = (f64, f64, f64);
+
+impl From<OriginLoadTuple> for OriginLoadSpec {
+    fn from((current, immediate, staged): OriginLoadTuple) -> Self {
+        Self { current, immediate, staged }
+    }
+}
+
+impl From<OriginLoadSpec> for OriginLoadTuple {
+    fn from(spec: OriginLoadSpec) -> Self {
+        (spec.current, spec.immediate, spec.staged)
+    }
 }
 
 /// The names of nodes and sites that were ever read, for as long as the shape has them.
 #[derive(Debug, Clone, Default)]
-pub struct Names {
+pub struct NameTable {
     nodes: BTreeMap<NodeId, String>,
     sites: BTreeMap<u32, String>,
 }
 
-impl Names {
-    pub fn of(&self, id: NodeId) -> String {
+impl NameTable {
+    pub fn node_name(&self, id: NodeId) -> String {
         self.nodes.get(&id).cloned().unwrap_or_else(|| format!("#{:016x}", id.0))
     }
 
@@ -93,7 +168,7 @@
     }
 
     fn id(&mut self, name: &str) -> NodeId {
-        let id = id_of(name);
+        let id = node_id(name);
         self.nodes.entry(id).or_insert_with(|| name.to_string());
         id
     }
@@ -121,7 +196,7 @@
     }
 
     /// Reads a change.
-    pub fn change(&mut self, spec: &ChangeSpec) -> Change {
+    pub fn resolve_change(&mut self, spec: &ChangeSpec) -> Change {
         match spec {
             ChangeSpec::Add(spec) => {
                 Change::Add { node: self.node(spec), sources: self.sources(&spec.sources) }
@@ -141,24 +216,24 @@
         }
     }
 
-    pub fn changes(&mut self, specs: &[ChangeSpec]) -> Vec<Change> {
-        specs.iter().map(|spec| self.change(spec)).collect()
+    pub fn resolve_changes(&mut self, specs: &[ChangeSpec]) -> Vec<Change> {
+        specs.iter().map(|spec| self.resolve_change(spec)).collect()
     }
 
     /// Reads a batch.
-    pub fn batch(&mut self, spec: &BatchSpec) -> Batch {
-        Batch {
-            serial: Serial { author: Author(spec.author), number: spec.number },
+    pub fn resolve_batch(&mut self, spec: &BatchSpec) -> ChangeBatch {
+        ChangeBatch {
+            id: BatchId { author: AuthorId(spec.author), number: spec.number },
             stamp: spec.stamp,
-            basis: spec.basis.iter().map(|(author, number)| (Author(*author), *number)).collect(),
-            at: spec.at,
-            changes: self.changes(&spec.changes),
+            basis: spec.basis.iter().map(|(author, number)| (AuthorId(*author), *number)).collect(),
+            effective_at: spec.effective_at,
+            changes: self.resolve_changes(&spec.changes),
         }
     }
 
     fn node_spec(&self, node: &Node, sources: &[Source]) -> NodeSpec {
         NodeSpec {
-            name: self.of(node.id),
+            name: self.node_name(node.id),
             role: node.role,
             site: self.site(node.site),
             tier: node.tier,
@@ -171,62 +246,80 @@
     fn change_spec(&self, change: &Change) -> ChangeSpec {
         match change {
             Change::Add { node, sources } => ChangeSpec::Add(self.node_spec(node, sources)),
-            Change::Remove { node } => ChangeSpec::Remove { node: self.of(*node) },
+            Change::Remove { node } => ChangeSpec::Remove { node: self.node_name(*node) },
             Change::Move { node, site, sources } => ChangeSpec::Move {
-                node: self.of(*node),
+                node: self.node_name(*node),
                 site: self.site(*site),
                 sources: self.source_specs(sources),
             },
             Change::Replace { old, new } => {
-                ChangeSpec::Replace { old: self.of(*old), new: self.node_spec(new, &[]) }
+                ChangeSpec::Replace { old: self.node_name(*old), new: self.node_spec(new, &[]) }
             }
             Change::Rerank { node, sources } => {
-                ChangeSpec::Rerank { node: self.of(*node), sources: self.source_specs(sources) }
+                ChangeSpec::Rerank { node: self.node_name(*node), sources: self.source_specs(sources) }
             }
             Change::Retire { node, retiring } => {
-                ChangeSpec::Retire { node: self.of(*node), retiring: *retiring }
+                ChangeSpec::Retire { node: self.node_name(*node), retiring: *retiring }
             }
         }
     }
 
     /// Writes a batch.
-    pub fn spec(&self, batch: &Batch) -> BatchSpec {
+    pub fn batch_spec(&self, batch: &ChangeBatch) -> BatchSpec {
         BatchSpec {
-            author: batch.serial.author.0,
-            number: batch.serial.number,
+            author: batch.id.author.0,
+            number: batch.id.number,
             stamp: batch.stamp,
             basis: batch.basis.iter().map(|(author, number)| (author.0, *number)).collect(),
-            at: batch.at,
+            effective_at: batch.effective_at,
             changes: batch.changes.iter().map(|change| self.change_spec(change)).collect(),
         }
     }
 
     fn source_specs(&self, sources: &[Source]) -> Vec<SourceSpec> {
-        sources.iter().map(|s| SourceSpec { name: self.of(s.node), rank: s.rank }).collect()
+        sources.iter().map(|s| SourceSpec { name: self.node_name(s.node), rank: s.rank }).collect()
+    }
+
+    fn source_change_spec(&self, change: &SourceChange) -> SourceChangeSpec {
+        SourceChangeSpec {
+            node: self.node_name(change.node),
+            before: self.source_specs(&change.before),
+            after: self.source_specs(&change.after),
+        }
+    }
+
+    fn source_load_spec(&self, load: &SourceLoad) -> SourceLoadSpec {
+        SourceLoadSpec {
+            source: self.node_name(load.source),
+            before: load.before,
+            after: load.after,
+            tier_mean: load.tier_mean,
+            is_heavy: load.is_heavy(),
+        }
     }
 
     /// Writes a plan.
-    pub fn plan(&self, plan: &Plan) -> PlanSpec {
-        let all = |ids: &[NodeId]| ids.iter().map(|id| self.of(*id)).collect::<Vec<_>>();
-        let Flood { now, flip, staged } = plan.origin;
-        let pushes = plan.pushes.iter();
+    pub fn plan_spec(&self, plan: &ChangePlan) -> PlanSpec {
+        let all = |ids: &[NodeId]| ids.iter().map(|id| self.node_name(*id)).collect::<Vec<_>>();
+
+        let OriginLoad { current, immediate, staged } = plan.origin_load;
         PlanSpec {
             added: all(&plan.added),
             removed: all(&plan.removed),
             altered: all(&plan.altered),
-            rerouted: (plan.rerouted.iter())
-                .map(|r| (self.of(r.node), self.source_specs(&r.before), self.source_specs(&r.after)))
+            source_changes: (plan.source_changes.iter())
+                .map(|change| self.source_change_spec(change))
                 .collect(),
-            loops: plan.loops.iter().map(|way| all(way)).collect(),
-            resumed: plan.resumed,
-            pushes: pushes.map(|p| (self.of(p.to), p.before, p.after, p.tier, p.is_heavy())).collect(),
-            origin: (now, flip, staged),
+            cycles: plan.cycles.iter().map(|cycle| all(cycle)).collect(),
+            resumed_edges: plan.resumed_edges,
+            source_loads: plan.source_loads.iter().map(|load| self.source_load_spec(load)).collect(),
+            origin_load: OriginLoadSpec { current, immediate, staged },
         }
     }
 
     /// All nodes of a shape, by name.
-    pub fn nodes(&self, shape: &Shape) -> Vec<NodeSpec> {
-        let spec = |record: &crate::shape::Record| {
+    pub fn node_specs(&self, shape: &Topology) -> Vec<NodeSpec> {
+        let spec = |record: &crate::topology::NodeRecord| {
             let sources: Vec<Source> = record.edges.iter().map(|edge| edge.source).collect();
             self.node_spec(&record.node, &sources)
         };
@@ -235,19 +328,24 @@
         all
     }
 
-    /// All names that are known: of nodes and of sites.
-    pub fn all(&self) -> (Vec<String>, Vec<String>) {
-        (self.nodes.values().cloned().collect(), self.sites.values().cloned().collect())
+    /// All node names, in the order of their ids.
+    pub fn node_names(&self) -> Vec<String> {
+        self.nodes.values().cloned().collect()
+    }
+
+    /// All site names, in the order of their ids.
+    pub fn site_names(&self) -> Vec<String> {
+        self.sites.values().cloned().collect()
     }
 
     /// Names that another router knows. An id follows from its name, so that none can be given to another.
-    pub fn learn(&mut self, nodes: &[String], sites: &[String]) {
+    pub fn add_names(&mut self, nodes: &[String], sites: &[String]) {
         nodes.iter().for_each(|name| _ = self.id(name));
         sites.iter().for_each(|name| _ = self.site_id(name));
     }
 
     /// Forgets the names of what the shape has not got.
-    pub fn retain(&mut self, shape: &Shape) {
+    pub fn retain(&mut self, shape: &Topology) {
         self.nodes.retain(|id, _| shape.node(*id).is_some());
         let sites: BTreeSet<u32> = shape.records().into_iter().map(|record| record.node.site).collect();
         self.sites.retain(|site, _| sites.contains(site));
@@ -262,7 +360,7 @@
     }
 
     /// The changes that make a shape the wanted one, the same whenever both are the same.
-    pub fn difference(&mut self, shape: &Shape, wanted: &[NodeSpec]) -> Vec<Change> {
+    pub fn changes_to_reach(&mut self, shape: &Topology, wanted: &[NodeSpec]) -> Vec<Change> {
         let (mut changes, mut removed) = (Vec::new(), Vec::new());
         let mut kept = BTreeSet::new();
         for spec in wanted {
@@ -302,58 +400,60 @@
 
 /// What is wrong with a list of nodes before any of it is used.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum BadShape {
+pub enum TopologyError {
     #[error("two nodes are named {0:?}")]
-    Twice(String),
+    DuplicateName(String),
     #[error("{node:?} names {source_name:?} as a source, which is no node")]
-    Unknown { node: String, source_name: String },
+    UnknownSource { node: String, source_name: String },
     #[error("{0:?} has no way to the origin")]
-    NoWay(String),
+    NoPathToOrigin(String),
     #[error("fills would go round: {}", .0.join(" -> "))]
-    Loop(Vec<String>),
+    Cycle(Vec<String>),
     #[error("there is no origin")]
     NoOrigin,
 }
 
-impl BadShape {
+impl TopologyError {
     /// The node that it is said of, where there is one.
     pub fn node(&self) -> Option<&str> {
         match self {
-            Self::Twice(node) | Self::NoWay(node) | Self::Unknown { node, .. } => Some(node),
-            Self::Loop(way) => way.first().map(String::as_str),
+            Self::DuplicateName(node) | Self::NoPathToOrigin(node) | Self::UnknownSource { node, .. } => {
+                Some(node)
+            }
+            Self::Cycle(way) => way.first().map(String::as_str),
             Self::NoOrigin => None,
         }
     }
 }
 
 /// Checks a whole shape as it is written: one name each, known sources, no loop, a way to the origin for all.
-pub fn check(nodes: &[NodeSpec]) -> Result<(), BadShape> {
+pub fn validate(nodes: &[NodeSpec]) -> Result<(), TopologyError> {
     let mut by_name = BTreeMap::new();
     for (n, node) in nodes.iter().enumerate() {
         if by_name.insert(node.name.as_str(), n).is_some() {
-            return Err(BadShape::Twice(node.name.clone()));
+            return Err(TopologyError::DuplicateName(node.name.clone()));
         }
     }
     let index = |name: &str| by_name.get(name).copied();
     for node in nodes {
         if let Some(source) = node.sources.iter().find(|source| index(&source.name).is_none()) {
             let source_name = source.name.clone();
-            return Err(BadShape::Unknown { node: node.name.clone(), source_name });
+            return Err(TopologyError::UnknownSource { node: node.name.clone(), source_name });
         }
     }
-    let mut order = crate::order::Order::default();
+    let mut order = crate::topological_order::TopologicalOrder::default();
     nodes.iter().for_each(|_| _ = order.add());
     for (n, node) in nodes.iter().enumerate() {
         for to in node.sources.iter().filter_map(|source| index(&source.name)) {
             if let Err(found) = order.link(n as u32, to as u32) {
                 // As a fill goes: from the node on, and back to it.
                 let way = std::iter::once(n).chain(found.0.into_iter().map(|index| index as usize));
-                return Err(BadShape::Loop(way.map(|index| nodes[index].name.clone()).collect()));
+                return Err(TopologyError::Cycle(way.map(|index| nodes[index].name.clone()).collect()));
             }
         }
     }
     if nodes.iter().all(|node| node.role != Role::Origin) {
-        return Err(BadShape::NoOrigin);
+        return Err(TopologyError::NoOrigin);
     }
     // Down from the origins: whoever is not met has no way up.
     let mut met = vec![false; nodes.len()];
@@ -364,7 +464,7 @@
         }
     }
     match met.iter().position(|met| !met) {
-        Some(n) => Err(BadShape::NoWay(nodes[n].name.clone())),
+        Some(n) => Err(TopologyError::NoPathToOrigin(nodes[n].name.clone())),
         None => Ok(()),
     }
 }
@@ -372,7 +472,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::history::{Heard, History};
+    use crate::history::{History, ReceiveOutcome};
 
     fn node(name: &str, role: Role, sources: &[&str]) -> NodeSpec {
         let rank = |(n, name): (usize, &&str)| SourceSpec { name: name.to_string(), rank: n as u16 };
@@ -398,7 +498,7 @@
 
     #[test]
     fn the_difference_makes_the_shape_the_wanted_one_and_is_then_nothing() {
-        let (mut names, mut history) = (Names::default(), History::default());
+        let (mut names, mut history) = (NameTable::default(), History::default());
         let mut other = wanted();
         other[1].site = "elsewhere".to_string();
         other[2].capacity = 9.0;
@@ -407,27 +507,27 @@
         let mut retired = wanted();
         retired[1].retiring = true;
         for shape in [wanted(), other, retired, wanted()[..3].to_vec(), wanted()] {
-            let changes = names.difference(history.shape(), &shape);
-            let batch = history.draft(Author(1), 0.0, changes);
-            let serial = batch.serial;
-            assert!(matches!(history.hear(batch), Heard::Taken(_)));
-            assert_eq!(history.verdict(serial), Some(Ok(())));
+            let changes = names.changes_to_reach(history.topology(), &shape);
+            let batch = history.draft_batch(AuthorId(1), 0.0, changes);
+            let batch_id = batch.id;
+            assert!(matches!(history.receive_batch(batch), ReceiveOutcome::Accepted(_)));
+            assert_eq!(history.outcome(batch_id), Some(Ok(())));
             let mut sorted = shape.clone();
             sorted.sort_by(|a, b| a.name.cmp(&b.name));
-            assert_eq!(names.nodes(history.shape()), sorted);
-            assert_eq!(names.difference(history.shape(), &shape), []);
+            assert_eq!(names.node_specs(history.topology()), sorted);
+            assert_eq!(names.changes_to_reach(history.topology(), &shape), []);
         }
-        names.retain(history.shape());
+        names.retain(history.topology());
         assert_eq!(names.len(), 4 + 1);
     }
 
     #[test]
     fn a_shape_that_could_not_work_is_told_from_one_that_could() {
-        assert_eq!(check(&wanted()), Ok(()));
+        assert_eq!(validate(&wanted()), Ok(()));
         let with = |change: fn(&mut Vec<NodeSpec>)| {
             let mut nodes = wanted();
             change(&mut nodes);
-            check(&nodes).expect_err("a bad shape").to_string()
+            validate(&nodes).expect_err("a bad shape").to_string()
         };
         let table = [
             (with(|n| n.push(n[3].clone())), "two nodes are named \"a\""),
--- a/crates/hierarchy/src/hierarchy.rs
+++ b/crates/hierarchy/src/hierarchy.rs
@@ -11,61 +11,66 @@
 use linnethook::ring::{fraction, mix};
 use serde::Serialize;
 
-use crate::batch::{Author, Basis, Batch, Bounds, Change, Key, Refusal, Serial};
-use crate::history::{Heard, History, Kept, Snapshot};
-use crate::lease::Fetch;
-use crate::passed::{HeldBack, HoldRule, HOPS};
-use crate::recency::Recency;
-use crate::shape::{NodeId, Role, Shape, Source};
-use crate::shield::{Counts, Fill, FillEnd, Over, Priority, Released, Shield, ShieldRule, Ticket, Verdict};
-use crate::stages::{Entered, Move, MoveId, Stage, StageRule, Stages};
+use crate::batch::{
+    AuthorId, BatchId, BatchLimits, BatchPosition, BatchRejection, Change, ChangeBatch, VersionVector,
+};
+use crate::history::{History, HistoryLimits, ReceiveOutcome, Snapshot};
+use crate::lease::FetchKey;
+use crate::loop_detection::{EdgeBackoff, EdgeBackoffConfig, MAX_HOPS};
+use crate::origin_shield::{
+    FillOutcome, FillRequest, OriginShield, Priority, QueuedDecision, ShieldConfig, ShieldCounters,
+    ShieldDecision, ShieldRejection, Ticket,
+};
+use crate::recent_keys::RecentKeys;
+use crate::rollout::{Migration, MigrationId, Rollout, RolloutConfig, RolloutStage, StageTransition};
+use crate::topology::{NodeId, Role, Source, Topology};
 
 /// Every figure of the hierarchy.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
-    pub bounds: Bounds,
-    pub kept: Kept,
-    pub hold: HoldRule,
-    pub stages: StageRule,
-    pub shield: ShieldRule,
+pub struct HierarchyConfig {
+    pub batch_limits: BatchLimits,
+    pub history_limits: HistoryLimits,
+    pub edge_backoff: EdgeBackoffConfig,
+    pub rollout: RolloutConfig,
+    pub shield: ShieldConfig,
     /// Whether children go over by stages, and whether fills pass the shield; both off is the plain flip.
-    pub staged: bool,
-    pub shielded: bool,
+    pub rollout_enabled: bool,
+    pub shield_enabled: bool,
     /// How long a node that retires may still be asked for what it holds.
-    pub retire: Ms,
+    pub retirement_grace: Ms,
     /// Cold keys that are remembered, and for how long.
-    pub keys: usize,
-    pub horizon: Ms,
+    pub recent_keys: usize,
+    pub recent_keys_horizon: Ms,
     /// The likelihood that a cache fills what was asked of it lately, and that such a fill goes on from its source
     /// to the origin, before that was seen; and the weight of one in what was seen.
-    pub likely_seen: f64,
-    pub weight: f64,
+    pub initial_fill_probability: f64,
+    pub sample_weight: f64,
     /// Children that sources are picked for here.
-    pub children: usize,
+    pub max_children: usize,
     /// A part is told anew when it has moved by that much.
-    pub grain: f64,
+    pub publish_step: f64,
     /// Fills that were turned away for the budget hold the stages back for so long.
-    pub short: Ms,
+    pub constrained_hold: Ms,
 }
 
-impl Default for Rules {
+impl Default for HierarchyConfig {
     fn default() -> Self {
         Self {
-            bounds: Bounds::default(),
-            kept: Kept::default(),
-            hold: HoldRule::default(),
-            stages: StageRule::default(),
-            shield: ShieldRule::default(),
-            staged: true,
-            shielded: true,
-            retire: 120_000.0,
-            keys: 65_536,
-            horizon: 120_000.0,
-            likely_seen: 0.1,
-            weight: 0.05,
-            children: 4_096,
-            grain: 1.0 / 128.0,
-            short: 500.0,
+            batch_limits: BatchLimits::default(),
+            history_limits: HistoryLimits::default(),
+            edge_backoff: EdgeBackoffConfig::default(),
+            rollout: RolloutConfig::default(),
+            shield: ShieldConfig::default(),
+            rollout_enabled: true,
+            shield_enabled: true,
+            retirement_grace: 120_000.0,
+            recent_keys: 65_536,
+            recent_keys_horizon: 120_000.0,
+            initial_fill_probability: 0.1,
+            sample_weight: 0.05,
+            max_children: 4_096,
+            publish_step: 1.0 / 128.0,
+            constrained_hold: 500.0,
         }
     }
 }
@@ -73,21 +78,21 @@
 /// The sources that the decision module may choose from for a cache's fills: lower ranks first, among equals an
 /// object has its own by hash.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Feeds {
-    /// For the objects whose hash with `salt` is below `part`.
-    pub now: Vec<Source>,
+pub struct FillSources {
+    /// For the objects whose hash with `salt` is below `fraction`.
+    pub current: Vec<Source>,
     /// For the others, as before the change that is on its way.
-    pub before: Vec<Source>,
-    pub part: f64,
+    pub previous: Vec<Source>,
+    pub fraction: f64,
     pub salt: u64,
 }
 
-impl Feeds {
+impl FillSources {
     /// The list that an object's fills run by.
     pub fn of(&self, object: u64) -> &[Source] {
-        match fraction(mix(object, self.salt)) < self.part {
-            true => &self.now,
-            false => &self.before,
+        match fraction(mix(object, self.salt)) < self.fraction {
+            true => &self.current,
+            false => &self.previous,
         }
     }
 }
@@ -97,12 +102,12 @@
 pub struct Hop {
     pub node: NodeId,
     /// It gives only what it holds.
-    pub only_held: bool,
+    pub cached_only: bool,
 }
 
 /// A fill that the decision module has picked.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Picked {
+pub struct SelectedFill {
     pub ticket: Ticket,
     pub child: NodeId,
     pub source: NodeId,
@@ -111,25 +116,40 @@
     pub key: u64,
     pub priority: Priority,
     pub bytes: f64,
-    pub joins: bool,
-    pub patience: Ms,
+    pub may_join: bool,
+    pub max_wait: Ms,
 }
 
 /// How a fill ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Brought {
+pub enum FillResult {
     /// The source had it, or had it from beside.
-    Held,
+    ServedFromCache,
     /// It came from the origin, by way of the source; or the source is the origin.
-    FromOrigin,
+    ServedFromOrigin,
     /// It came, and it is not told from where.
-    Somehow,
+    ServedFromUnknown,
     /// The cache had it all along: no fill took place.
-    NoFill,
+    AlreadyCached,
     /// The source refused, failed or could not be reached.
-    Nothing,
+    Failed,
     /// Whoever waited for it has left: it tells nothing.
-    Unknown,
+    Abandoned,
+}
+
+/// What follows from an update of an endpoint.
+#[derive(Debug, Clone, PartialEq, Default)]
+pub struct EndpointUpdate {
+    pub transitions: Vec<StageTransition>,
+    /// Queued fills from an endpoint that may not be used any more.
+    pub cancelled: Vec<Ticket>,
+}
+
+/// What follows from the passing of time.
+#[derive(Debug, Clone, PartialEq, Default)]
+pub struct TickOutcome {
+    pub decisions: Vec<QueuedDecision>,
+    pub transitions: Vec<StageTransition>,
 }
 
 /// What is known of a node beside its place in the shape.
@@ -145,8 +165,8 @@
     /// The list that fills run by where the wanted one has not warmed.
     settled: Vec<Source>,
     wanted: Vec<Source>,
-    by: Key,
-    told: Feeds,
+    by: BatchPosition,
+    told: FillSources,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -180,29 +200,39 @@
 
 /// What is shown to people.
 #[derive(Debug, Clone, Serialize)]
-pub struct View {
+pub struct HierarchyView {
     pub version: u64,
     pub digest: String,
     pub nodes: usize,
-    pub suspended: usize,
-    pub held_back: usize,
-    pub waiting_batches: usize,
-    pub moves: Vec<MoveView>,
+    #[serde(rename = "suspended")]
+    pub suspended_edges: usize,
+    #[serde(rename = "held_back")]
+    pub backed_off_edges: usize,
+    #[serde(rename = "waiting_batches")]
+    pub pending_batches: usize,
+    #[serde(rename = "moves")]
+    pub migrations: Vec<MigrationView>,
     pub budgets: Vec<BudgetView>,
-    pub counts: Counts,
+    #[serde(rename = "counts")]
+    pub counters: ShieldCounters,
 }
 
 #[derive(Debug, Clone, Serialize)]
-pub struct MoveView {
-    pub to: u64,
+pub struct MigrationView {
+    #[serde(rename = "to")]
+    pub target: u64,
     pub author: u16,
     pub number: u64,
-    pub stage: Stage,
-    pub part: f64,
-    pub tries: u32,
+    pub stage: RolloutStage,
+    #[serde(rename = "part")]
+    pub fraction: f64,
+    #[serde(rename = "tries")]
+    pub attempts: u32,
     /// Shares of late fills, by the new source and by the old ones.
-    pub late_new: f64,
-    pub late_old: f64,
+    #[serde(rename = "late_new")]
+    pub new_failure_ratio: f64,
+    #[serde(rename = "late_old")]
+    pub old_failure_ratio: f64,
 }
 
 #[derive(Debug, Clone, Serialize)]
@@ -219,12 +249,12 @@
 const SALT_CHILD: u64 = 0x6368_696c;
 
 pub struct Hierarchy {
-    rules: Rules,
+    config: HierarchyConfig,
     history: History,
-    stages: Stages,
-    shield: Shield,
-    held_back: HeldBack,
-    recency: Recency,
+    stages: Rollout,
+    shield: OriginShield,
+    held_back: EdgeBackoff,
+    recency: RecentKeys,
     swept: Ms,
     listed: BTreeMap<NodeId, Listed>,
     known: BTreeMap<NodeId, Known>,
@@ -236,13 +266,13 @@
 }
 
 impl Hierarchy {
-    pub fn new(rules: Rules) -> Self {
+    pub fn new(config: HierarchyConfig) -> Self {
         Self {
-            history: History::new(rules.bounds, rules.kept),
-            stages: Stages::new(rules.stages),
-            shield: Shield::new(rules.shield),
-            held_back: HeldBack::new(rules.hold),
-            recency: Recency::new(rules.keys, rules.horizon),
+            history: History::new(config.batch_limits, config.history_limits),
+            stages: Rollout::new(config.rollout),
+            shield: OriginShield::new(config.shield),
+            held_back: EdgeBackoff::new(config.edge_backoff),
+            recency: RecentKeys::new(config.recent_keys, config.recent_keys_horizon),
             swept: 0.0,
             listed: BTreeMap::new(),
             known: BTreeMap::new(),
@@ -250,23 +280,23 @@
             out: BTreeMap::new(),
             short_until: 0.0,
             changing: false,
-            rules,
+            config,
         }
     }
 
-    pub fn shape(&self) -> &Shape {
-        self.history.shape()
+    pub fn topology(&self) -> &Topology {
+        self.history.topology()
     }
 
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    pub fn shield(&self) -> &Shield {
+    pub fn shield(&self) -> &OriginShield {
         &self.shield
     }
 
-    pub fn stages(&self) -> &Stages {
+    pub fn rollout(&self) -> &Rollout {
         &self.stages
     }
 
@@ -278,17 +308,17 @@
     // ---- Changes.
 
     /// Takes in a batch, from wherever it comes.
-    pub fn hear(&mut self, now: Ms, batch: Batch) -> Heard {
-        let heard = self.history.hear(batch);
-        if matches!(heard, Heard::Taken(_)) {
+    pub fn receive_batch(&mut self, now: Ms, batch: ChangeBatch) -> ReceiveOutcome {
+        let heard = self.history.receive_batch(batch);
+        if matches!(heard, ReceiveOutcome::Accepted(_)) {
             self.reshaped(now);
         }
         heard
     }
 
     /// Begins from another router's shape: what that has settled counts as settled here too.
-    pub fn adopt(&mut self, now: Ms, snapshot: Snapshot) -> Result<(), Refusal> {
-        self.history.adopt(snapshot)?;
+    pub fn restore_snapshot(&mut self, now: Ms, snapshot: Snapshot) -> Result<(), BatchRejection> {
+        self.history.restore_snapshot(snapshot)?;
         self.reshaped(now);
         Ok(())
     }
@@ -298,18 +328,18 @@
     }
 
     /// A batch by that author on the present shape.
-    pub fn draft(&self, author: Author, at: Ms, changes: Vec<Change>) -> Batch {
-        self.history.draft(author, at, changes)
+    pub fn draft_batch(&self, author: AuthorId, effective_at: Ms, changes: Vec<Change>) -> ChangeBatch {
+        self.history.draft_batch(author, effective_at, changes)
     }
 
-    pub fn basis(&self) -> Basis {
+    pub fn basis(&self) -> VersionVector {
         self.history.basis()
     }
 
     /// Stops what a batch began, at once; the changes that take it back are for a batch of their own.
-    pub fn roll_back(&mut self, now: Ms, serial: Serial) -> Option<Vec<Change>> {
-        let changes = self.history.inverse(serial)?;
-        self.stages.stop(now, serial);
+    pub fn roll_back_batch(&mut self, now: Ms, batch_id: BatchId) -> Option<Vec<Change>> {
+        let changes = self.history.inverse_changes(batch_id)?;
+        self.stages.stop(now, batch_id);
         Some(changes)
     }
 
@@ -317,7 +347,7 @@
     fn reshaped(&mut self, now: Ms) {
         let children: Vec<NodeId> = self.children.keys().copied().collect();
         children.into_iter().for_each(|child| self.refresh(now, child));
-        let shape = self.history.shape();
+        let shape = self.history.topology();
         let retiring = |id: &NodeId| shape.node(*id).is_some_and(|node| node.retiring);
         self.known.retain(|id, _| shape.node(*id).is_some());
         self.listed.retain(|id, listed| listed.phase != Phase::Gone || shape.node(*id).is_some());
@@ -332,40 +362,40 @@
     }
 
     fn refresh(&mut self, now: Ms, id: NodeId) {
-        let shape = self.history.shape();
+        let shape = self.history.topology();
         let Some(record) = shape.record(id) else { return };
         let Some(child) = self.children.get_mut(&id) else { return };
         // Whoever retires is left by the same stages as one that is no source any more.
         let stays = |source: &Source| shape.node(source.node).is_some_and(|node| !node.retiring);
         let wanted: Vec<Source> = shape.sources(id).filter(stays).collect();
         let written = shape.sources(id).filter_map(|s| shape.record(s.node)).map(|record| record.node_by);
-        let by = written.fold(record.edges_by, Key::max);
+        let by = written.fold(record.edges_by, BatchPosition::max);
         if child.wanted == wanted {
             return;
         }
-        if child.settled.is_empty() || !self.rules.staged {
+        if child.settled.is_empty() || !self.config.rollout_enabled {
             child.settled.clone_from(&wanted);
         }
         child.wanted = wanted;
         child.by = by;
-        let at = self.history.took_effect(by).unwrap_or(now);
+        let at = self.history.effective_at(by).unwrap_or(now);
         for to in receivers(child) {
             let started = self.listed.get(&to).map_or(0.0, |listed| listed.started);
-            self.stages.begin(now, MoveId { to, by }, at, started);
+            self.stages.begin(now, MigrationId { target: to, position: by }, at, started);
         }
     }
 
     /// Forgets the goings over that no child is on any more.
     fn drop_moves(&mut self) {
-        let on: BTreeSet<MoveId> = self.children.values().flat_map(Child::moves).collect();
+        let on: BTreeSet<MigrationId> = self.children.values().flat_map(Child::moves).collect();
         self.stages.retain(|id| on.contains(&id));
     }
 
     // ---- What is known of nodes.
 
     /// Sources are picked for this cache from now on. False where there is no room for more.
-    pub fn watch(&mut self, now: Ms, child: NodeId) -> bool {
-        if !self.children.contains_key(&child) && self.children.len() >= self.rules.children {
+    pub fn track_child(&mut self, now: Ms, child: NodeId) -> bool {
+        if !self.children.contains_key(&child) && self.children.len() >= self.config.max_children {
             return false;
         }
         self.children.entry(child).or_default();
@@ -373,19 +403,19 @@
         true
     }
 
-    pub fn unwatch(&mut self, child: NodeId) {
+    pub fn untrack_child(&mut self, child: NodeId) {
         self.children.remove(&child);
         self.drop_moves();
     }
 
     /// A line of the list of caches. What waits for a fill from one that may not be used comes back.
-    pub fn listed(&mut self, now: Ms, id: NodeId, phase: Phase, started: Ms) -> (Vec<Entered>, Vec<Ticket>) {
+    pub fn update_endpoint(&mut self, now: Ms, id: NodeId, phase: Phase, started: Ms) -> EndpointUpdate {
         let before = self.listed.get(&id).copied();
         if phase == Phase::Gone {
-            self.unwatch(id);
+            self.untrack_child(id);
         }
         // One that the shape still names must not be taken for one that was never listed.
-        if phase == Phase::Gone && self.shape().node(id).is_none() {
+        if phase == Phase::Gone && self.topology().node(id).is_none() {
             self.listed.remove(&id);
         } else {
             self.listed.insert(id, Listed { phase, started });
@@ -398,13 +428,13 @@
             }
         }
         if phase == Phase::Ready {
-            return (Vec::new(), Vec::new());
+            return EndpointUpdate::default();
         }
-        (self.stages.lost(now, id), self.shield.withdraw(id))
+        EndpointUpdate { transitions: self.stages.lost(now, id), cancelled: self.shield.cancel_source(id) }
     }
 
     /// It has fallen over, or answers nothing, by what this router sees.
-    pub fn lost(&mut self, now: Ms, id: NodeId) -> Vec<Entered> {
+    pub fn endpoint_failed(&mut self, now: Ms, id: NodeId) -> Vec<StageTransition> {
         self.stages.lost(now, id)
     }
 
@@ -416,46 +446,49 @@
     /// Whether a node that retires may still be asked for what it holds.
     fn in_grace(&self, now: Ms, id: NodeId) -> bool {
         let since = self.known.get(&id).and_then(|known| known.retiring_since);
-        since.is_none_or(|since| now - since < self.rules.retire)
+        since.is_none_or(|since| now - since < self.config.retirement_grace)
     }
 
     fn is_retiring(&self, id: NodeId) -> bool {
-        self.shape().node(id).is_some_and(|node| node.retiring)
+        self.topology().node(id).is_some_and(|node| node.retiring)
     }
 
     // ---- Sources.
 
     /// What the decision module may choose from for a cache's fills.
-    pub fn feeds(&self, now: Ms, id: NodeId) -> Feeds {
-        let Some(child) = self.children.get(&id) else { return Feeds::default() };
+    pub fn fill_sources(&self, now: Ms, id: NodeId) -> FillSources {
+        let Some(child) = self.children.get(&id) else { return FillSources::default() };
         let version = self.version();
-        let free = |source: &&Source| !self.held_back.holds(now, id, source.node, version);
+        let free = |source: &&Source| !self.held_back.is_backed_off(now, id, source.node, version);
         let part = child.moves().map(|id| self.stages.part(now, id)).fold(1.0, f64::min);
-        let old = child
-            .settled
-            .iter()
-            .filter(|_| part < 1.0)
-            .filter(free)
-            .filter(|source| self.shape().node(source.node).is_some() && self.in_grace(now, source.node));
-        Feeds {
-            now: child.wanted.iter().filter(free).copied().collect(),
-            before: old.copied().collect(),
-            part,
+        let old =
+            child.settled.iter().filter(|_| part < 1.0).filter(free).filter(|source| {
+                self.topology().node(source.node).is_some() && self.in_grace(now, source.node)
+            });
+        FillSources {
+            current: child.wanted.iter().filter(free).copied().collect(),
+            previous: old.copied().collect(),
+            fraction: part,
             salt: child.by.stamp ^ SALT_GOING_OVER,
         }
     }
 
     /// The feeds that are other ones than were told last.
-    pub fn changed_feeds(&mut self, now: Ms) -> Vec<(NodeId, Feeds)> {
+    pub fn changed_fill_sources(&mut self, now: Ms) -> Vec<(NodeId, FillSources)> {
         let mut changed = Vec::new();
         let ids: Vec<NodeId> = self.children.keys().copied().collect();
         for id in ids {
-            let feeds = self.feeds(now, id);
-            let grain = self.rules.grain;
+            let feeds = self.fill_sources(now, id);
+            let grain = self.config.publish_step;
             let Some(child) = self.children.get_mut(&id) else { continue };
             let told = &child.told;
-            let near = (feeds.part - told.part).abs() < grain && (feeds.part < 1.0) == (told.part < 1.0);
-            if !(near && feeds.now == told.now && feeds.before == told.before && feeds.salt == told.salt) {
+            let near = (feeds.fraction - told.fraction).abs() < grain
+                && (feeds.fraction < 1.0) == (told.fraction < 1.0);
+            if !(near
+                && feeds.current == told.current
+                && feeds.previous == told.previous
+                && feeds.salt == told.salt)
+            {
                 child.told.clone_from(&feeds);
                 changed.push((id, feeds));
             }
@@ -466,32 +499,36 @@
     /// Where a source goes on that lacks what `child` wants of it: while it warms first sideways to the old one,
     /// which gives what it holds, then up to the origin by the ranks. Nothing that is barred is named, nor any
     /// node twice.
-    pub fn way(&self, now: Ms, child: NodeId, source: NodeId, object: u64) -> Vec<Hop> {
+    pub fn onward_path(&self, now: Ms, child: NodeId, source: NodeId, object: u64) -> Vec<Hop> {
         let mut way = Vec::new();
         let mut passed = vec![child, source];
-        let going_over = self.children.get(&child).filter(|child| child.moves().any(|id| id.to == source));
+        let going_over =
+            self.children.get(&child).filter(|child| child.moves().any(|id| id.target == source));
         if let Some(known) = going_over {
             let holds = |id: &NodeId| {
-                let parent = self.shape().node(*id).is_some_and(|node| node.role == Role::Parent);
+                let parent = self.topology().node(*id).is_some_and(|node| node.role == Role::Parent);
                 parent && *id != source && self.is_ready(*id) && self.in_grace(now, *id)
             };
             // By the hash that chose among them when they were the ones.
             let home = best(&known.settled).filter(holds).min_by_key(|id| place_above(object, id.0));
-            way.extend(home.map(|node| Hop { node, only_held: true }));
+            way.extend(home.map(|node| Hop { node, cached_only: true }));
             passed.extend(home);
         }
         let (mut at, version) = (source, self.version());
-        while passed.len() < HOPS {
+        while passed.len() < MAX_HOPS {
             let fit = |s: &Source| {
                 !passed.contains(&s.node)
                     && self.is_ready(s.node)
                     && !self.is_retiring(s.node)
-                    && !self.held_back.holds(now, at, s.node, version)
+                    && !self.held_back.is_backed_off(now, at, s.node, version)
             };
-            let next =
-                self.shape().sources(at).filter(fit).min_by_key(|s| (s.rank, place_above(object, s.node.0)));
+            let next = self
+                .topology()
+                .sources(at)
+                .filter(fit)
+                .min_by_key(|s| (s.rank, place_above(object, s.node.0)));
             let Some(next) = next else { break };
-            way.push(Hop { node: next.node, only_held: false });
+            way.push(Hop { node: next.node, cached_only: false });
             passed.push(next.node);
             at = next.node;
         }
@@ -503,14 +540,14 @@
     /// How likely something happens to what was last asked for so long ago: what was seen of others like it.
     fn likely(&self, age: Option<Ms>, seen: Option<&[Mean; AGES]>) -> (usize, f64) {
         let class = age_class(age);
-        let guess = if age.is_some() { self.rules.likely_seen } else { 1.0 };
+        let guess = if age.is_some() { self.config.initial_fill_probability } else { 1.0 };
         let mean = seen.map(|seen| seen[class]).filter(|mean| mean.seen > 0.0);
         (class, mean.map_or(guess, |mean| mean.value))
     }
 
     /// How likely a cache has to fill, with the class of what is remembered. What goes straight to a source does
     /// reach it.
-    fn fills(&self, now: Ms, picked: &Picked) -> (usize, f64) {
+    fn fills(&self, now: Ms, picked: &SelectedFill) -> (usize, f64) {
         if picked.child == picked.source {
             return (AGES - 1, 1.0);
         }
@@ -519,64 +556,77 @@
     }
 
     /// How likely a fill goes on from its source to the origin.
-    fn reach(&self, now: Ms, picked: &Picked) -> (usize, f64) {
+    fn reach(&self, now: Ms, picked: &SelectedFill) -> (usize, f64) {
         let age = self.recency.age(now, mix(picked.key, picked.source.0));
         self.likely(age, self.known.get(&picked.source).map(|known| &known.reach))
     }
 
     /// The tiers that a fill is likely to reach, and how likely. What gives only what it holds is not held back.
     fn tolls(source: NodeId, way: &[Hop], fills: f64, reach: f64) -> Vec<(NodeId, f64)> {
-        let above = way.iter().filter(|hop| !hop.only_held).map(|hop| (hop.node, fills * reach));
+        let above = way.iter().filter(|hop| !hop.cached_only).map(|hop| (hop.node, fills * reach));
         std::iter::once((source, fills)).chain(above).collect()
     }
 
     /// Asks for a picked fill to go.
-    pub fn send(&mut self, now: Ms, picked: &Picked) -> Verdict {
-        let way = self.way(now, picked.child, picked.source, picked.object);
+    pub fn request_fill(&mut self, now: Ms, picked: &SelectedFill) -> ShieldDecision {
+        let way = self.onward_path(now, picked.child, picked.source, picked.object);
         let (child_age, fills) = self.fills(now, picked);
         let (source_age, reach) = self.reach(now, picked);
-        let verdict = match self.rules.shielded {
-            true => self.shield.ask(
+        let verdict = match self.config.shield_enabled {
+            true => self.shield.request_fill(
                 now,
-                Fill {
+                FillRequest {
                     ticket: picked.ticket,
-                    fetch: Fetch { source: picked.source, key: picked.key },
+                    fetch: FetchKey { source: picked.source, key: picked.key },
                     priority: picked.priority,
                     bytes: picked.bytes,
-                    joins: picked.joins,
-                    patience: picked.patience,
+                    may_join: picked.may_join,
+                    max_wait: picked.max_wait,
                     tolls: Self::tolls(picked.source, &way, fills, reach),
-                    leased: fills >= 0.5,
+                    needs_lease: fills >= 0.5,
                 },
             ),
-            false => Verdict::Go,
+            false => ShieldDecision::Admit,
         };
-        if let Verdict::Over { why: Over::Budget | Over::Time, .. } = verdict {
-            self.short_until = now + self.rules.short;
-        }
-        if !matches!(verdict, Verdict::Over { .. }) {
-            let Picked { child, source, key, .. } = *picked;
+        if let ShieldDecision::Reject {
+            reason: ShieldRejection::BudgetExhausted | ShieldRejection::QueueTimeout,
+            ..
+        } = verdict
+        {
+            self.short_until = now + self.config.constrained_hold;
+        }
+        if !matches!(verdict, ShieldDecision::Reject { .. }) {
+            let SelectedFill { child, source, key, .. } = *picked;
             self.out.insert(picked.ticket, Out { child, source, key, ages: (child_age, source_age) });
         }
         verdict
     }
 
     /// How a fill ended that went.
-    pub fn ended(&mut self, now: Ms, ticket: Ticket, brought: Brought, late: bool) -> Vec<Released> {
+    pub fn complete_fill(
+        &mut self,
+        now: Ms,
+        ticket: Ticket,
+        brought: FillResult,
+        late: bool,
+    ) -> Vec<QueuedDecision> {
         let Some(out) = self.out.remove(&ticket) else { return Vec::new() };
-        let told = !matches!(brought, Brought::Unknown | Brought::NoFill);
+        let told = !matches!(brought, FillResult::Abandoned | FillResult::AlreadyCached);
         if told {
-            let by = self.children.get(&out.child).map(|child| MoveId { to: out.source, by: child.by });
+            let by = self
+                .children
+                .get(&out.child)
+                .map(|child| MigrationId { target: out.source, position: child.by });
             let on = by.filter(|id| self.stages.get(*id).is_some());
-            self.stages.report(on, out.source, late || brought == Brought::Nothing);
+            self.stages.report(on, out.source, late || brought == FillResult::Failed);
         }
         let (filled, reached) = match brought {
-            Brought::NoFill => (Some(false), Some(false)),
-            Brought::Held => (Some(true), Some(false)),
-            Brought::FromOrigin => (Some(true), Some(true)),
-            Brought::Somehow | Brought::Nothing | Brought::Unknown => (None, None),
+            FillResult::AlreadyCached => (Some(false), Some(false)),
+            FillResult::ServedFromCache => (Some(true), Some(false)),
+            FillResult::ServedFromOrigin => (Some(true), Some(true)),
+            FillResult::ServedFromUnknown | FillResult::Failed | FillResult::Abandoned => (None, None),
         };
-        let weight = self.rules.weight;
+        let weight = self.config.sample_weight;
         if let Some(filled) = filled.filter(|_| out.child != out.source) {
             let known = self.known.entry(out.child).or_default();
             known.fills[out.ages.0].add(f64::from(u8::from(filled)), weight);
@@ -585,47 +635,50 @@
             let known = self.known.entry(out.source).or_default();
             known.reach[out.ages.1].add(f64::from(u8::from(reached)), weight);
         }
-        if !matches!(brought, Brought::Nothing | Brought::Unknown) {
+        if !matches!(brought, FillResult::Failed | FillResult::Abandoned) {
             self.recency.note(now, mix(out.key, out.child.0 ^ SALT_CHILD));
         }
-        if matches!(brought, Brought::Held | Brought::FromOrigin | Brought::Somehow) {
+        if matches!(
+            brought,
+            FillResult::ServedFromCache | FillResult::ServedFromOrigin | FillResult::ServedFromUnknown
+        ) {
             self.recency.note(now, mix(out.key, out.source.0));
         }
-        let late = told.then_some(late || brought == Brought::Nothing);
-        let end = FillEnd { brought: brought != Brought::Nothing, late, filled, reached };
-        let released = self.shield.ended(now, ticket, end);
+        let late = told.then_some(late || brought == FillResult::Failed);
+        let end = FillOutcome { brought: brought != FillResult::Failed, late, filled, reached };
+        let released = self.shield.complete_fill(now, ticket, end);
         self.let_go(now, released)
     }
 
     /// Whoever wanted it has left before it went.
-    pub fn forget(&mut self, ticket: Ticket) {
-        self.shield.forget(ticket);
+    pub fn cancel_fill(&mut self, ticket: Ticket) {
+        self.shield.cancel_fill(ticket);
         self.out.remove(&ticket);
     }
 
     /// Whether a tier above what changes has hardly more room, or fills were turned away lately: what could be served
     /// as it is had better not be fetched anew now.
-    pub fn is_short(&self, now: Ms) -> bool {
+    pub fn is_constrained(&self, now: Ms) -> bool {
         now < self.short_until || self.shield.is_tight(now)
     }
 
     /// A node has found itself on the way of a fill that was sent on from `from`.
-    pub fn came_round(&mut self, now: Ms, from: NodeId, to: NodeId, version: u64) {
-        self.held_back.hold(now, from, to, version.max(self.version()));
+    pub fn report_loop(&mut self, now: Ms, from: NodeId, to: NodeId, version: u64) {
+        self.held_back.back_off(now, from, to, version.max(self.version()));
     }
 
-    fn let_go(&mut self, now: Ms, released: Vec<Released>) -> Vec<Released> {
+    fn let_go(&mut self, now: Ms, released: Vec<QueuedDecision>) -> Vec<QueuedDecision> {
         for word in &released {
-            if let Verdict::Over { .. } = word.verdict {
+            if let ShieldDecision::Reject { .. } = word.decision {
                 self.out.remove(&word.ticket);
-                self.short_until = now + self.rules.short;
+                self.short_until = now + self.config.constrained_hold;
             }
         }
         released
     }
 
     /// Lets time pass: the fills that may go by now, and the stages that were entered.
-    pub fn tick(&mut self, now: Ms) -> (Vec<Released>, Vec<Entered>) {
+    pub fn tick(&mut self, now: Ms) -> TickOutcome {
         if now - self.swept >= self.recency.sweep_every() {
             self.swept = now;
             self.recency.sweep(now);
@@ -633,11 +686,11 @@
         self.held_back.expire(now);
         self.see_ways_back(now);
         // Nor does a part rise while it is not known yet what is usual: what rises meanwhile would count as that.
-        let short = self.is_short(now) || self.shield.is_learning();
+        let short = self.is_constrained(now) || self.shield.is_learning();
         let listed = &self.listed;
         let ready = |id: NodeId| listed.get(&id).is_none_or(|listed| listed.phase == Phase::Ready);
         let entered = self.stages.tick(now, short, ready);
-        if entered.iter().any(|entered| entered.stage == Stage::Settled) {
+        if entered.iter().any(|entered| entered.stage == RolloutStage::Settled) {
             self.settle();
         }
         let changing = self.stages.are_under_way();
@@ -648,13 +701,13 @@
         }
         self.changing = changing;
         let released = self.shield.tick(now);
-        (self.let_go(now, released), entered)
+        TickOutcome { decisions: self.let_go(now, released), transitions: entered }
     }
 
     /// Holds the budgets of all tiers above the sources that children go over to. A tier that nothing reached before
     /// the change has no past that could be its measure: the stages alone hold it back.
     fn hold_tiers_above(&mut self, now: Ms) {
-        let fresh: BTreeSet<NodeId> = self.stages.iter().map(|(id, _)| id.to).collect();
+        let fresh: BTreeSet<NodeId> = self.stages.iter().map(|(id, _)| id.target).collect();
         let settled = self.children.values().flat_map(|child| &child.settled).map(|source| source.node);
         let before = self.and_above(settled.collect());
         for id in self.and_above(fresh.clone()).difference(&fresh).filter(|id| before.contains(id)) {
@@ -667,7 +720,7 @@
         let mut open: Vec<NodeId> = nodes.iter().copied().collect();
         let mut all = nodes;
         while let Some(id) = open.pop() {
-            let further = self.history.shape().sources(id).map(|source| source.node);
+            let further = self.history.topology().sources(id).map(|source| source.node);
             open.extend(further.filter(|id| all.insert(*id)));
         }
         all
@@ -675,10 +728,10 @@
 
     /// A change has a way back while something of the old list could be used.
     fn see_ways_back(&mut self, now: Ms) {
-        let mut none = BTreeMap::<MoveId, bool>::new();
+        let mut none = BTreeMap::<MigrationId, bool>::new();
         for child in self.children.values() {
             let old = best(&child.settled).any(|id| {
-                let parent = self.shape().node(id).is_some_and(|node| node.role == Role::Parent);
+                let parent = self.topology().node(id).is_some_and(|node| node.role == Role::Parent);
                 parent && self.is_ready(id) && self.in_grace(now, id)
             });
             for id in child.moves() {
@@ -691,7 +744,9 @@
     /// Children all of whose new sources have settled forget their old list.
     fn settle(&mut self) {
         for child in self.children.values_mut() {
-            let open = |id: MoveId| self.stages.get(id).is_some_and(|moved| moved.stage != Stage::Settled);
+            let open = |id: MigrationId| {
+                self.stages.get(id).is_some_and(|moved| moved.stage != RolloutStage::Settled)
+            };
             if !child.moves().any(open) {
                 child.settled.clone_from(&child.wanted);
             }
@@ -700,8 +755,8 @@
     }
 
     /// When `tick` has something to do.
-    pub fn next(&self, now: Ms) -> Ms {
-        let shield = self.shield.next(now);
+    pub fn next_deadline(&self, now: Ms) -> Ms {
+        let shield = self.shield.next_deadline(now);
         // A part that rises is told in steps.
         let step = self.stages.are_under_way().then_some(now + 100.0);
         let due = [shield, step, self.stages.next()].into_iter().flatten().reduce(f64::min);
@@ -709,45 +764,45 @@
     }
 
     /// The goings over that no child has finished.
-    pub fn moves(&self) -> impl Iterator<Item = (MoveId, &Move)> {
+    pub fn migrations(&self) -> impl Iterator<Item = (MigrationId, &Migration)> {
         self.stages.iter()
     }
 
     /// What people are shown.
-    pub fn view(&self, now: Ms) -> View {
-        let moves = self.stages.iter().map(|(id, moved)| MoveView {
-            to: id.to.0,
-            author: id.by.serial().author.0,
-            number: id.by.serial().number,
+    pub fn view(&self, now: Ms) -> HierarchyView {
+        let moves = self.stages.iter().map(|(id, moved)| MigrationView {
+            target: id.target.0,
+            author: id.position.batch_id().author.0,
+            number: id.position.batch_id().number,
             stage: moved.stage,
-            part: moved.part(now, self.stages.rule()),
-            tries: moved.tries(),
-            late_new: moved.late().0,
-            late_old: moved.late().1,
+            fraction: moved.part(now, self.stages.config()),
+            attempts: moved.tries(),
+            new_failure_ratio: moved.late().0,
+            old_failure_ratio: moved.late().1,
         });
         let budgets = self.shield.budgets(now).map(|(target, per_second, limit)| BudgetView {
             target: target.0,
             per_second,
             limit: limit.is_finite().then_some(limit),
         });
-        View {
+        HierarchyView {
             version: self.version(),
-            digest: format!("{:016x}", self.shape().digest()),
-            nodes: self.shape().len(),
-            suspended: self.shape().suspended().count(),
-            held_back: self.held_back.held(now).count(),
-            waiting_batches: self.history.waiting().count(),
-            moves: moves.collect(),
+            digest: format!("{:016x}", self.topology().digest()),
+            nodes: self.topology().len(),
+            suspended_edges: self.topology().suspended_edges().count(),
+            backed_off_edges: self.held_back.backed_off_edges(now).count(),
+            pending_batches: self.history.pending().count(),
+            migrations: moves.collect(),
             budgets: budgets.collect(),
-            counts: self.shield.counts(),
+            counters: self.shield.counters(),
         }
     }
 }
 
 impl Child {
     /// Its goings over that are on their way.
-    fn moves(&self) -> impl Iterator<Item = MoveId> + '_ {
-        receivers(self).into_iter().map(|to| MoveId { to, by: self.by })
+    fn moves(&self) -> impl Iterator<Item = MigrationId> + '_ {
+        receivers(self).into_iter().map(|to| MigrationId { target: to, position: self.by })
     }
 }
 
--- a/crates/hierarchy/src/history.rs
+++ b/crates/hierarchy/src/history.rs
@@ -8,56 +8,58 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::batch::{Author, Basis, Batch, Bounds, Change, Key, Refusal, Serial};
-use crate::shape::{id, Node, NodeId, Shape, Source, Step};
+use crate::batch::{
+    AuthorId, BatchId, BatchLimits, BatchPosition, BatchRejection, Change, ChangeBatch, VersionVector,
+};
+use crate::topology::{id, Node, NodeId, Source, Topology, UndoStep};
 
 /// How much is kept.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Kept {
+pub struct HistoryLimits {
     /// Batches that can still be taken back, to let a late one in before them.
-    pub batches: usize,
+    pub retained_batches: usize,
     /// Batches that wait for one before them.
-    pub waiting: usize,
+    pub pending_batches: usize,
 }
 
-impl Default for Kept {
+impl Default for HistoryLimits {
     fn default() -> Self {
-        Self { batches: 1_024, waiting: 256 }
+        Self { retained_batches: 1_024, pending_batches: 256 }
     }
 }
 
 /// What became of a batch that was heard.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Heard {
+pub enum ReceiveOutcome {
     /// It has its place in the history, with those that waited for it.
-    Taken(Vec<Serial>),
+    Accepted(Vec<BatchId>),
     /// It was heard before.
-    Repeated,
+    Duplicate,
     /// It waits for that batch, which has not been heard yet.
-    Waiting(Serial),
-    Unusable(Unusable),
+    Pending(BatchId),
+    Invalid(BatchError),
 }
 
 /// Why a batch can't have a place in the history at all.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
-    #[error("batch {0:?} was heard with other content")]
-    Contradicts(Serial),
-    #[error("its stamp is not above that of batch {0:?}, on which it was planned")]
-    Stamp(Serial),
+pub enum BatchError {
+    #[error("batch {0} was heard with other content")]
+    ConflictingContent(BatchId),
+    #[error("its stamp is not above that of batch {0}, on which it was planned")]
+    StampTooLow(BatchId),
     #[error("it belongs before what is kept of the history; the shape has to be learned anew")]
     TooOld,
     #[error("too many batches wait for others, or come from too many authors")]
-    Full,
+    LimitReached,
     #[error("batches are numbered from 1 on, a stamp is above 0, and figures are numbers")]
-    Figures,
+    InvalidFigures,
 }
 
 /// A batch with its place, and what it did.
 #[derive(Debug, Clone)]
-struct Entry {
-    batch: Batch,
-    verdict: Result<Vec<Step>, Refusal>,
+struct HistoryEntry {
+    batch: ChangeBatch,
+    verdict: Result<Vec<UndoStep>, BatchRejection>,
 }
 
 /// What is known of an author's batches.
@@ -70,9 +72,9 @@
 /// The present shape with its place in the history, for a router that has just started.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    records: Vec<Kin>,
-    known: Vec<(Author, u64, u64)>,
-    last: Key,
+    records: Vec<SnapshotRecord>,
+    known: Vec<(AuthorId, u64, u64)>,
+    last: BatchPosition,
 }
 
 impl Snapshot {
@@ -84,13 +86,13 @@
 
 /// A record as it is handed on.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-struct Kin {
+struct SnapshotRecord {
     node: Node,
-    node_by: Key,
+    node_by: BatchPosition,
     sources: Vec<Source>,
     /// Those of them that are in use.
     used: Vec<Id>,
-    edges_by: Key,
+    edges_by: BatchPosition,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -98,32 +100,32 @@
 
 #[derive(Debug, Clone, Default)]
 pub struct History {
-    bounds: Bounds,
-    kept: Kept,
-    shape: Shape,
-    entries: Vec<Entry>,
+    batch_limits: BatchLimits,
+    limits: HistoryLimits,
+    shape: Topology,
+    entries: Vec<HistoryEntry>,
     /// All up to here is part of the shape for good.
-    folded: Key,
-    known: BTreeMap<Author, Known>,
-    waiting: BTreeMap<Serial, Batch>,
+    folded: BatchPosition,
+    known: BTreeMap<AuthorId, Known>,
+    waiting: BTreeMap<BatchId, ChangeBatch>,
 }
 
 impl History {
-    pub fn new(bounds: Bounds, kept: Kept) -> Self {
-        Self { bounds, kept, ..Self::default() }
+    pub fn new(batch_limits: BatchLimits, limits: HistoryLimits) -> Self {
+        Self { batch_limits, limits, ..Self::default() }
     }
 
-    pub fn shape(&self) -> &Shape {
+    pub fn topology(&self) -> &Topology {
         &self.shape
     }
 
     /// The shape, for searches that need room of their own; the answers are those of `shape`.
-    pub fn shape_mut(&mut self) -> &mut Shape {
+    pub fn topology_mut(&mut self) -> &mut Topology {
         &mut self.shape
     }
 
     /// The newest batch of each author: what a plan made now is planned on.
-    pub fn basis(&self) -> Basis {
+    pub fn basis(&self) -> VersionVector {
         self.known.iter().map(|(author, known)| (*author, known.number)).collect()
     }
 
@@ -133,7 +135,7 @@
     }
 
     /// The next number of an author.
-    pub fn next_number(&self, author: Author) -> u64 {
+    pub fn next_number(&self, author: AuthorId) -> u64 {
         self.known.get(&author).map_or(1, |known| known.number + 1)
     }
 
@@ -143,122 +145,122 @@
     }
 
     /// Batches that wait for others, with what each waits for.
-    pub fn waiting(&self) -> impl Iterator<Item = (Serial, Serial)> + '_ {
-        self.waiting.iter().filter_map(|(serial, batch)| Some((*serial, self.missing(batch)?)))
+    pub fn pending(&self) -> impl Iterator<Item = (BatchId, BatchId)> + '_ {
+        self.waiting.iter().filter_map(|(batch_id, batch)| Some((*batch_id, self.missing(batch)?)))
     }
 
     /// The batches kept, in their order, with what became of each.
-    pub fn entries(&self) -> impl Iterator<Item = (&Batch, Result<(), &Refusal>)> {
+    pub fn entries(&self) -> impl Iterator<Item = (&ChangeBatch, Result<(), &BatchRejection>)> {
         self.entries.iter().map(|entry| (&entry.batch, entry.verdict.as_ref().map(|_| ())))
     }
 
     /// What became of a batch that is kept.
-    pub fn verdict(&self, serial: Serial) -> Option<Result<(), &Refusal>> {
-        let found = self.entries.iter().find(|entry| entry.batch.serial == serial)?;
+    pub fn outcome(&self, batch_id: BatchId) -> Option<Result<(), &BatchRejection>> {
+        let found = self.entries.iter().find(|entry| entry.batch.id == batch_id)?;
         Some(found.verdict.as_ref().map(|_| ()))
     }
 
     /// When the batch with that key takes effect, where it is kept.
-    pub fn took_effect(&self, key: Key) -> Option<f64> {
-        let n = self.entries.binary_search_by_key(&key, |entry| entry.batch.key()).ok()?;
-        Some(self.entries[n].batch.at)
+    pub fn effective_at(&self, key: BatchPosition) -> Option<f64> {
+        let n = self.entries.binary_search_by_key(&key, |entry| entry.batch.position()).ok()?;
+        Some(self.entries[n].batch.effective_at)
     }
 
     /// A batch by that author on the present shape.
-    pub fn draft(&self, author: Author, at: f64, changes: Vec<Change>) -> Batch {
-        Batch {
-            serial: Serial { author, number: self.next_number(author) },
+    pub fn draft_batch(&self, author: AuthorId, effective_at: f64, changes: Vec<Change>) -> ChangeBatch {
+        ChangeBatch {
+            id: BatchId { author, number: self.next_number(author) },
             stamp: self.next_stamp(),
             basis: self.basis(),
-            at,
+            effective_at,
             changes,
         }
     }
 
     /// Takes in a batch, from wherever it comes.
-    pub fn hear(&mut self, batch: Batch) -> Heard {
+    pub fn receive_batch(&mut self, batch: ChangeBatch) -> ReceiveOutcome {
         match self.admit(&batch) {
             Ok(()) => {}
             Err(heard) => return heard,
         }
         if let Some(missing) = self.missing(&batch) {
-            if self.waiting.len() >= self.kept.waiting {
-                return Heard::Unusable(Unusable::Full);
+            if self.waiting.len() >= self.limits.pending_batches {
+                return ReceiveOutcome::Invalid(BatchError::LimitReached);
             }
-            self.waiting.insert(batch.serial, batch);
-            return Heard::Waiting(missing);
+            self.waiting.insert(batch.id, batch);
+            return ReceiveOutcome::Pending(missing);
         }
-        let mut taken = vec![batch.serial];
+        let mut taken = vec![batch.id];
         if let Err(wrong) = self.insert(batch) {
-            return Heard::Unusable(wrong);
+            return ReceiveOutcome::Invalid(wrong);
         }
         // Those that waited for it, and those that waited for these.
         while let Some(ready) = self.waiting.values().find(|batch| self.missing(batch).is_none()) {
-            let serial = ready.serial;
-            let Some(batch) = self.waiting.remove(&serial) else { break };
+            let batch_id = ready.id;
+            let Some(batch) = self.waiting.remove(&batch_id) else { break };
             if self.insert(batch).is_ok() {
-                taken.push(serial);
+                taken.push(batch_id);
             }
         }
         self.fold();
-        Heard::Taken(taken)
+        ReceiveOutcome::Accepted(taken)
     }
 
-    fn admit(&self, batch: &Batch) -> Result<(), Heard> {
-        let Serial { author, number } = batch.serial;
+    fn admit(&self, batch: &ChangeBatch) -> Result<(), ReceiveOutcome> {
+        let BatchId { author, number } = batch.id;
         if number == 0 || batch.stamp == 0 || !batch.is_readable() {
-            return Err(Heard::Unusable(Unusable::Figures));
+            return Err(ReceiveOutcome::Invalid(BatchError::InvalidFigures));
         }
         let known = self.known.get(&author);
-        if known.is_none() && self.known.len() >= self.bounds.authors {
-            return Err(Heard::Unusable(Unusable::Full));
+        if known.is_none() && self.known.len() >= self.batch_limits.max_authors {
+            return Err(ReceiveOutcome::Invalid(BatchError::LimitReached));
         }
-        let same = |other: &Batch| match other == batch {
-            true => Heard::Repeated,
-            false => Heard::Unusable(Unusable::Contradicts(batch.serial)),
+        let same = |other: &ChangeBatch| match other == batch {
+            true => ReceiveOutcome::Duplicate,
+            false => ReceiveOutcome::Invalid(BatchError::ConflictingContent(batch.id)),
         };
-        if let Some(other) = self.waiting.get(&batch.serial) {
+        if let Some(other) = self.waiting.get(&batch.id) {
             return Err(same(other));
         }
         if known.is_some_and(|known| number <= known.number) {
-            let found = self.entries.iter().find(|entry| entry.batch.serial == batch.serial);
-            return Err(found.map_or(Heard::Repeated, |entry| same(&entry.batch)));
+            let found = self.entries.iter().find(|entry| entry.batch.id == batch.id);
+            return Err(found.map_or(ReceiveOutcome::Duplicate, |entry| same(&entry.batch)));
         }
         Ok(())
     }
 
     /// The first batch that has to be heard before it.
-    fn missing(&self, batch: &Batch) -> Option<Serial> {
-        let Serial { author, number } = batch.serial;
-        let lacks = |author: Author, seen: u64| {
+    fn missing(&self, batch: &ChangeBatch) -> Option<BatchId> {
+        let BatchId { author, number } = batch.id;
+        let lacks = |author: AuthorId, seen: u64| {
             let known = self.known.get(&author).map_or(0, |known| known.number);
-            (known < seen).then_some(Serial { author, number: known + 1 })
+            (known < seen).then_some(BatchId { author, number: known + 1 })
         };
         let others = batch.basis.iter().filter(|(other, _)| **other != author);
         lacks(author, number - 1).or_else(|| others.into_iter().find_map(|(author, n)| lacks(*author, *n)))
     }
 
     /// Gives a batch its place, and applies it and all after it.
-    fn insert(&mut self, batch: Batch) -> Result<(), Unusable> {
-        let key = batch.key();
+    fn insert(&mut self, batch: ChangeBatch) -> Result<(), BatchError> {
+        let key = batch.position();
         // Causes come before effects in the one order; an author's batches are in the order of their numbers.
-        let own = self.known.get(&batch.serial.author).copied().unwrap_or_default();
+        let own = self.known.get(&batch.id.author).copied().unwrap_or_default();
         if batch.stamp <= own.stamp {
-            return Err(Unusable::Stamp(Serial { number: own.number, ..batch.serial }));
+            return Err(BatchError::StampTooLow(BatchId { number: own.number, ..batch.id }));
         }
-        let above = |entry: &&Entry| {
-            let serial = entry.batch.serial;
+        let above = |entry: &&HistoryEntry| {
+            let batch_id = entry.batch.id;
             entry.batch.stamp >= batch.stamp
-                && batch.basis.get(&serial.author).is_some_and(|seen| serial.number <= *seen)
+                && batch.basis.get(&batch_id.author).is_some_and(|seen| batch_id.number <= *seen)
         };
         if let Some(cause) = self.entries.iter().find(above) {
-            return Err(Unusable::Stamp(cause.batch.serial));
+            return Err(BatchError::StampTooLow(cause.batch.id));
         }
         if key <= self.folded {
-            return Err(Unusable::TooOld);
+            return Err(BatchError::TooOld);
         }
-        self.known.insert(batch.serial.author, Known { number: batch.serial.number, stamp: batch.stamp });
-        let at = self.entries.partition_point(|entry| entry.batch.key() < key);
+        self.known.insert(batch.id.author, Known { number: batch.id.number, stamp: batch.stamp });
+        let at = self.entries.partition_point(|entry| entry.batch.position() < key);
         let mut after = self.entries.split_off(at);
         for entry in after.iter_mut().rev() {
             if let Ok(steps) = &mut entry.verdict {
@@ -267,28 +269,28 @@
         }
         let later = after.into_iter().map(|entry| entry.batch);
         for batch in std::iter::once(batch).chain(later) {
-            let verdict = batch.apply(&mut self.shape, &self.bounds);
-            self.entries.push(Entry { batch, verdict });
+            let verdict = batch.apply(&mut self.shape, &self.batch_limits);
+            self.entries.push(HistoryEntry { batch, verdict });
         }
         Ok(())
     }
 
     /// Lets go of the oldest batches; what they made stays.
     fn fold(&mut self) {
-        let over = self.entries.len().saturating_sub(self.kept.batches);
+        let over = self.entries.len().saturating_sub(self.limits.retained_batches);
         for entry in self.entries.drain(..over) {
-            self.folded = entry.batch.key();
+            self.folded = entry.batch.position();
         }
     }
 
     /// The changes that take a batch back: to the figures and sources from before it, where these still stand.
-    pub fn inverse(&self, serial: Serial) -> Option<Vec<Change>> {
-        let entry = self.entries.iter().find(|entry| entry.batch.serial == serial)?;
+    pub fn inverse_changes(&self, batch_id: BatchId) -> Option<Vec<Change>> {
+        let entry = self.entries.iter().find(|entry| entry.batch.id == batch_id)?;
         let steps = entry.verdict.as_ref().ok()?;
         // The first record written of each node is the one from before the batch.
         let (mut first, mut wished) = (BTreeMap::new(), BTreeMap::new());
         for step in steps {
-            if let Step::Wrote(id, before) = step {
+            if let UndoStep::RecordWritten(id, before) = step {
                 first.entry(*id).or_insert_with(|| before.as_deref());
                 let sources = before.as_deref().map(|record| record.edges.iter().map(|edge| edge.source));
                 wished.entry(*id).or_insert_with(|| sources.map(Iterator::collect::<Vec<Source>>));
@@ -320,7 +322,7 @@
 
     /// The present shape, to be handed to a router that has just started.
     pub fn snapshot(&self) -> Snapshot {
-        let kin = |record: &crate::shape::Record| Kin {
+        let kin = |record: &crate::topology::NodeRecord| SnapshotRecord {
             node: record.node,
             node_by: record.node_by,
             sources: record.edges.iter().map(|edge| edge.source).collect(),
@@ -330,17 +332,17 @@
         Snapshot {
             records: self.shape.records().into_iter().map(kin).collect(),
             known: self.known.iter().map(|(author, known)| (*author, known.number, known.stamp)).collect(),
-            last: self.entries.last().map_or(self.folded, |entry| entry.batch.key()),
+            last: self.entries.last().map_or(self.folded, |entry| entry.batch.position()),
         }
     }
 
     /// Begins again from another router's shape. What that router had not heard is lost here too, unless it is
     /// heard again; what is older than its last batch can't be taken in any more.
-    pub fn adopt(&mut self, snapshot: Snapshot) -> Result<(), Refusal> {
-        let mut shape = Shape::default();
+    pub fn restore_snapshot(&mut self, snapshot: Snapshot) -> Result<(), BatchRejection> {
+        let mut shape = Topology::default();
         let steps = &mut Vec::new();
-        if snapshot.records.len() > self.bounds.nodes {
-            return Err(Refusal::Over(self.bounds.nodes, "nodes"));
+        if snapshot.records.len() > self.batch_limits.max_nodes {
+            return Err(BatchRejection::LimitExceeded(self.batch_limits.max_nodes, "nodes"));
         }
         for kin in &snapshot.records {
             shape.put(kin.node, kin.node_by, steps);
@@ -348,7 +350,7 @@
         for kin in &snapshot.records {
             let unknown = kin.sources.iter().find(|source| shape.record(source.node).is_none());
             if let Some(source) = unknown {
-                return Err(Refusal::Unknown(source.node));
+                return Err(BatchRejection::UnknownNode(source.node));
             }
             shape.put_used(kin.node.id, &kin.sources, kin.edges_by, |id| kin.used.contains(&Id(id)));
         }
@@ -358,7 +360,8 @@
         self.known =
             snapshot.known.into_iter().map(|(a, number, stamp)| (a, Known { number, stamp })).collect();
         let known = &self.known;
-        self.waiting.retain(|serial, _| known.get(&serial.author).is_none_or(|k| serial.number > k.number));
+        self.waiting
+            .retain(|batch_id, _| known.get(&batch_id.author).is_none_or(|k| batch_id.number > k.number));
         Ok(())
     }
 }
--- a/crates/hierarchy/src/lease.rs
+++ b/crates/hierarchy/src/lease.rs
@@ -8,11 +8,11 @@
 use linnethook::interface::Ms;
 use rustc_hash::FxBuildHasher;
 
-use crate::shape::NodeId;
+use crate::topology::NodeId;
 
 /// What is being fetched, and from where.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Fetch {
+pub struct FetchKey {
     pub source: NodeId,
     /// The object's part, by hash.
     pub key: u64,
@@ -28,7 +28,7 @@
     /// Nobody else fetches it.
     Granted(LeaseId),
     /// Somebody does, since then.
-    Taken(LeaseId),
+    AlreadyLeased(LeaseId),
     /// There is no room to keep track of it: it goes without.
     Untracked,
 }
@@ -40,18 +40,18 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Leases {
+pub struct LeaseTable {
     most: usize,
     last: u64,
-    held: HashMap<Fetch, Lease, FxBuildHasher>,
-    by_end: BTreeSet<(u64, Fetch)>,
+    held: HashMap<FetchKey, Lease, FxBuildHasher>,
+    by_end: BTreeSet<(u64, FetchKey)>,
 }
 
 fn micros(at: Ms) -> u64 {
     (at * 1000.0) as u64
 }
 
-impl Leases {
+impl LeaseTable {
     pub fn new(most: usize) -> Self {
         Self { most, last: 0, held: HashMap::default(), by_end: BTreeSet::new() }
     }
@@ -65,10 +65,10 @@
     }
 
     /// Asks for the lease on a fetch, for that long at the most.
-    pub fn ask(&mut self, now: Ms, fetch: Fetch, span: Ms) -> Grant {
+    pub fn ask(&mut self, now: Ms, fetch: FetchKey, span: Ms) -> Grant {
         let at = micros(now);
         match self.held.get(&fetch).copied() {
-            Some(lease) if lease.until > at => return Grant::Taken(lease.id),
+            Some(lease) if lease.until > at => return Grant::AlreadyLeased(lease.id),
             Some(lease) => {
                 self.by_end.remove(&(lease.until, fetch));
             }
@@ -93,7 +93,7 @@
     }
 
     /// The fetch is over; a lease that has passed on to another by now stays with that one.
-    pub fn release(&mut self, fetch: Fetch, id: LeaseId) -> bool {
+    pub fn release(&mut self, fetch: FetchKey, id: LeaseId) -> bool {
         match self.held.get(&fetch) {
             Some(lease) if lease.id == id => {
                 self.by_end.remove(&(lease.until, fetch));
@@ -105,12 +105,12 @@
     }
 
     /// Whether somebody has the lease now.
-    pub fn is_taken(&self, now: Ms, fetch: Fetch) -> bool {
+    pub fn is_taken(&self, now: Ms, fetch: FetchKey) -> bool {
         self.held.get(&fetch).is_some_and(|lease| lease.until > micros(now))
     }
 
     /// The fetches whose leases have ended by themselves; each comes once.
-    pub fn expired(&mut self, now: Ms) -> Vec<Fetch> {
+    pub fn expired(&mut self, now: Ms) -> Vec<FetchKey> {
         let at = micros(now);
         let mut over = Vec::new();
         while let Some(&(until, fetch)) = self.by_end.first().filter(|(until, _)| *until <= at) {
--- a/crates/hierarchy/src/shield.rs
+++ b/crates/hierarchy/src/origin_shield.rs
@@ -11,9 +11,9 @@
 use rustc_hash::FxBuildHasher;
 use serde::Serialize;
 
-use crate::budget::{Budget, BudgetRule};
-use crate::lease::{Fetch, Grant, LeaseId, Leases};
-use crate::shape::NodeId;
+use crate::lease::{FetchKey, Grant, LeaseId, LeaseTable};
+use crate::rate_budget::{RateBudget, RateBudgetConfig};
+use crate::topology::NodeId;
 
 /// A request's name with whoever asks.
 pub type Ticket = u64;
@@ -22,26 +22,26 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
     /// Runs at the origin and is never held back.
-    Booking,
+    Write,
     /// Somebody waits for it.
     Demand,
     /// A copy that could still be served is renewed behind.
-    Renewal,
+    Revalidation,
 }
 
 /// A fill that is to go.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Fill {
+pub struct FillRequest {
     pub ticket: Ticket,
-    pub fetch: Fetch,
+    pub fetch: FetchKey,
     pub priority: Priority,
     pub bytes: f64,
     /// Whether it may join one that is under way where it goes.
-    pub joins: bool,
+    pub may_join: bool,
     /// Whether it will most likely take place. What a cache holds is asked for by many at once, and none waits.
-    pub leased: bool,
+    pub needs_lease: bool,
     /// How long it can wait and still be in time.
-    pub patience: Ms,
+    pub max_wait: Ms,
     /// The tiers that it will reach, with how likely: its source first.
     pub tolls: Vec<(NodeId, f64)>,
 }
@@ -49,43 +49,47 @@
 /// Why a fill does not go now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Over {
+pub enum ShieldRejection {
     /// Another fetches the same, and this one can't wait for it.
-    Fetched,
+    #[serde(rename = "fetched")]
+    FetchInProgress,
     /// The tiers above have more than they bear.
-    Budget,
+    #[serde(rename = "budget")]
+    BudgetExhausted,
     /// Too much waits already.
-    Queue,
+    #[serde(rename = "queue")]
+    QueueFull,
     /// It has waited as long as it could.
-    Time,
+    #[serde(rename = "time")]
+    QueueTimeout,
 }
 
 /// What is said of a fill.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Verdict {
-    Go,
+pub enum ShieldDecision {
+    Admit,
     /// It waits; one more word on it comes by then.
-    Wait {
+    Queue {
         until: Ms,
     },
     /// It does not go: only what is held, or an answer that says when to come back.
-    Over {
-        why: Over,
-        come_back: Ms,
+    Reject {
+        reason: ShieldRejection,
+        retry_after: Ms,
     },
 }
 
 /// The word on a fill that waited.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Released {
+pub struct QueuedDecision {
     pub ticket: Ticket,
-    /// Never [`Verdict::Wait`].
-    pub verdict: Verdict,
+    /// Never [`ShieldDecision::Queue`].
+    pub decision: ShieldDecision,
 }
 
 /// How a fill ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct FillEnd {
+pub struct FillOutcome {
     /// There is a copy now.
     pub brought: bool,
     pub late: Option<bool>,
@@ -96,32 +100,34 @@
 
 /// Every bound of the shield.
 #[derive(Debug, Clone, Copy)]
-pub struct ShieldRule {
-    pub budget: BudgetRule,
+pub struct ShieldConfig {
+    pub budget: RateBudgetConfig,
     /// How long a lease lasts at the most: a filler that is lost blocks no longer.
-    pub lease: Ms,
-    pub leases: usize,
+    pub lease_duration: Ms,
+    pub max_leases: usize,
     /// Fills that may wait, how many bytes they may want, and for how long.
-    pub waiting: usize,
-    pub waiting_bytes: f64,
-    pub wait: Ms,
+    pub max_queued: usize,
+    pub max_queued_bytes: f64,
+    pub max_wait: Ms,
     /// The least and the most that is said of when to come back.
-    pub come_back: (Ms, Ms),
+    pub min_retry_after: Ms,
+    pub max_retry_after: Ms,
     /// Targets of which a budget is kept.
-    pub targets: usize,
+    pub max_targets: usize,
 }
 
-impl Default for ShieldRule {
+impl Default for ShieldConfig {
     fn default() -> Self {
         Self {
-            budget: BudgetRule::default(),
-            lease: 1_500.0,
-            leases: 16_384,
-            waiting: 256,
-            waiting_bytes: 16.0 * 1024.0 * 1024.0,
-            wait: 150.0,
-            come_back: (50.0, 2_000.0),
-            targets: 1_024,
+            budget: RateBudgetConfig::default(),
+            lease_duration: 1_500.0,
+            max_leases: 16_384,
+            max_queued: 256,
+            max_queued_bytes: 16.0 * 1024.0 * 1024.0,
+            max_wait: 150.0,
+            min_retry_after: 50.0,
+            max_retry_after: 2_000.0,
+            max_targets: 1_024,
         }
     }
 }
@@ -129,51 +135,58 @@
 /// One that waits.
 #[derive(Debug, Clone)]
 struct Waiting {
-    fill: Fill,
+    fill: FillRequest,
     until: Ms,
 }
 
 /// One that went, until its end is reported.
 #[derive(Debug, Clone)]
 struct Out {
-    fetch: Fetch,
+    fetch: FetchKey,
     lease: Option<LeaseId>,
     tolls: Vec<(NodeId, f64)>,
 }
 
 /// What was let through and what was not.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Counts {
-    pub gone: u64,
+pub struct ShieldCounters {
+    #[serde(rename = "gone")]
+    pub admitted: u64,
     pub joined: u64,
-    pub waited: u64,
-    pub over_fetched: u64,
-    pub over_budget: u64,
-    pub over_queue: u64,
-    pub over_time: u64,
-    pub leases_lost: u64,
+    #[serde(rename = "waited")]
+    pub queued: u64,
+    #[serde(rename = "over_fetched")]
+    pub rejected_fetch_in_progress: u64,
+    #[serde(rename = "over_budget")]
+    pub rejected_budget: u64,
+    #[serde(rename = "over_queue")]
+    pub rejected_queue_full: u64,
+    #[serde(rename = "over_time")]
+    pub rejected_queue_timeout: u64,
+    #[serde(rename = "leases_lost")]
+    pub leases_expired: u64,
 }
 
 #[derive(Debug, Clone)]
-pub struct Shield {
-    rule: ShieldRule,
-    leases: Leases,
-    budgets: BTreeMap<NodeId, Budget>,
+pub struct OriginShield {
+    rule: ShieldConfig,
+    leases: LeaseTable,
+    budgets: BTreeMap<NodeId, RateBudget>,
     /// In the order in which they go: by priority, then by when they came.
     queue: BTreeMap<(Priority, u64), Waiting>,
     places: HashMap<Ticket, (Priority, u64), FxBuildHasher>,
     /// Those that wait for the end of a fetch, not for a budget.
-    behind: BTreeMap<Fetch, Vec<Ticket>>,
+    behind: BTreeMap<FetchKey, Vec<Ticket>>,
     queue_bytes: f64,
     last: u64,
     out: BTreeMap<Ticket, Out>,
-    counts: Counts,
+    counts: ShieldCounters,
 }
 
-impl Shield {
-    pub fn new(rule: ShieldRule) -> Self {
+impl OriginShield {
+    pub fn new(rule: ShieldConfig) -> Self {
         Self {
-            leases: Leases::new(rule.leases),
+            leases: LeaseTable::new(rule.max_leases),
             rule,
             budgets: BTreeMap::new(),
             queue: BTreeMap::new(),
@@ -182,11 +195,11 @@
             queue_bytes: 0.0,
             last: 0,
             out: BTreeMap::new(),
-            counts: Counts::default(),
+            counts: ShieldCounters::default(),
         }
     }
 
-    pub fn counts(&self) -> Counts {
+    pub fn counters(&self) -> ShieldCounters {
         self.counts
     }
 
@@ -200,38 +213,38 @@
         self.budgets.iter().map(move |(id, budget)| (*id, budget.rate(now), budget.limit(now)))
     }
 
-    pub fn budget(&self, target: NodeId) -> Option<&Budget> {
+    pub fn budget(&self, target: NodeId) -> Option<&RateBudget> {
         self.budgets.get(&target)
     }
 
-    fn budget_of(&mut self, now: Ms, target: NodeId) -> Option<&mut Budget> {
+    fn budget_of(&mut self, now: Ms, target: NodeId) -> Option<&mut RateBudget> {
         let rule = self.rule.budget;
-        if !self.budgets.contains_key(&target) && self.budgets.len() >= self.rule.targets {
+        if !self.budgets.contains_key(&target) && self.budgets.len() >= self.rule.max_targets {
             return None;
         }
-        Some(self.budgets.entry(target).or_insert_with(|| Budget::new(now, rule)))
+        Some(self.budgets.entry(target).or_insert_with(|| RateBudget::new(now, rule)))
     }
 
     /// Asks for a fill to go.
-    pub fn ask(&mut self, now: Ms, fill: Fill) -> Verdict {
-        if fill.priority == Priority::Booking {
+    pub fn request_fill(&mut self, now: Ms, fill: FillRequest) -> ShieldDecision {
+        if fill.priority == Priority::Write {
             self.go(now, &fill, None);
-            return Verdict::Go;
+            return ShieldDecision::Admit;
         }
         match self.try_go(now, &fill) {
-            Ok(()) => Verdict::Go,
+            Ok(()) => ShieldDecision::Admit,
             Err(why) => self.wait(now, fill, why),
         }
     }
 
     /// Lets it go if nobody fetches the same and the tiers above bear it.
-    fn try_go(&mut self, now: Ms, fill: &Fill) -> Result<(), Over> {
-        if fill.leased && self.leases.is_taken(now, fill.fetch) {
-            if !fill.joins {
-                return Err(Over::Fetched);
+    fn try_go(&mut self, now: Ms, fill: &FillRequest) -> Result<(), ShieldRejection> {
+        if fill.needs_lease && self.leases.is_taken(now, fill.fetch) {
+            if !fill.may_join {
+                return Err(ShieldRejection::FetchInProgress);
             }
             self.counts.joined += 1;
-            let joined = Fill { tolls: Vec::new(), ..fill.clone() };
+            let joined = FillRequest { tolls: Vec::new(), ..fill.clone() };
             self.go(now, &joined, None);
             return Ok(());
         }
@@ -239,19 +252,19 @@
             self.budgets.get(target).is_none_or(|budget| budget.admits(now, *cost))
         };
         if !fill.tolls.iter().all(bears) {
-            return Err(Over::Budget);
+            return Err(ShieldRejection::BudgetExhausted);
         }
-        let lease = fill.leased.then(|| self.leases.ask(now, fill.fetch, self.rule.lease));
+        let lease = fill.needs_lease.then(|| self.leases.ask(now, fill.fetch, self.rule.lease_duration));
         let lease = match lease {
             Some(Grant::Granted(id)) => Some(id),
-            Some(Grant::Taken(_) | Grant::Untracked) | None => None,
+            Some(Grant::AlreadyLeased(_) | Grant::Untracked) | None => None,
         };
         self.go(now, fill, lease);
         Ok(())
     }
 
-    fn go(&mut self, now: Ms, fill: &Fill, lease: Option<LeaseId>) {
-        self.counts.gone += 1;
+    fn go(&mut self, now: Ms, fill: &FillRequest, lease: Option<LeaseId>) {
+        self.counts.admitted += 1;
         for (target, cost) in &fill.tolls {
             if let Some(budget) = self.budget_of(now, *target) {
                 budget.spend(now, *cost);
@@ -264,47 +277,49 @@
         }
     }
 
-    fn wait(&mut self, now: Ms, fill: Fill, why: Over) -> Verdict {
+    fn wait(&mut self, now: Ms, fill: FillRequest, why: ShieldRejection) -> ShieldDecision {
         let delay = match why {
-            Over::Budget => self.delay(now, &fill),
+            ShieldRejection::BudgetExhausted => self.delay(now, &fill),
             _ => 0.0,
         };
-        let span = fill.patience.min(self.rule.wait);
-        let full =
-            self.queue.len() >= self.rule.waiting || self.queue_bytes + fill.bytes > self.rule.waiting_bytes;
-        if span <= 0.0 || delay > span || full || fill.priority == Priority::Renewal {
-            let why = if full && delay <= span { Over::Queue } else { why };
+        let span = fill.max_wait.min(self.rule.max_wait);
+        let full = self.queue.len() >= self.rule.max_queued
+            || self.queue_bytes + fill.bytes > self.rule.max_queued_bytes;
+        if span <= 0.0 || delay > span || full || fill.priority == Priority::Revalidation {
+            let why = if full && delay <= span { ShieldRejection::QueueFull } else { why };
             return self.over(why, delay);
         }
         self.last += 1;
-        self.counts.waited += 1;
+        self.counts.queued += 1;
         let (place, until) = ((fill.priority, self.last), now + span);
         self.queue_bytes += fill.bytes;
         self.places.insert(fill.ticket, place);
-        if why == Over::Fetched {
+        if why == ShieldRejection::FetchInProgress {
             self.behind.entry(fill.fetch).or_default().push(fill.ticket);
         }
         self.queue.insert(place, Waiting { fill, until });
-        Verdict::Wait { until }
+        ShieldDecision::Queue { until }
     }
 
     /// How long until its budgets bear it.
-    fn delay(&self, now: Ms, fill: &Fill) -> Ms {
+    fn delay(&self, now: Ms, fill: &FillRequest) -> Ms {
         let wait = |(target, cost): &(NodeId, f64)| {
             self.budgets.get(target).map_or(0.0, |budget| budget.wait(now, *cost))
         };
         fill.tolls.iter().map(wait).fold(0.0, f64::max)
     }
 
-    fn over(&mut self, why: Over, delay: Ms) -> Verdict {
+    fn over(&mut self, why: ShieldRejection, delay: Ms) -> ShieldDecision {
         *match why {
-            Over::Fetched => &mut self.counts.over_fetched,
-            Over::Budget => &mut self.counts.over_budget,
-            Over::Queue => &mut self.counts.over_queue,
-            Over::Time => &mut self.counts.over_time,
+            ShieldRejection::FetchInProgress => &mut self.counts.rejected_fetch_in_progress,
+            ShieldRejection::BudgetExhausted => &mut self.counts.rejected_budget,
+            ShieldRejection::QueueFull => &mut self.counts.rejected_queue_full,
+            ShieldRejection::QueueTimeout => &mut self.counts.rejected_queue_timeout,
         } += 1;
-        let (least, most) = self.rule.come_back;
-        Verdict::Over { why, come_back: delay.clamp(least, most) }
+        ShieldDecision::Reject {
+            reason: why,
+            retry_after: delay.clamp(self.rule.min_retry_after, self.rule.max_retry_after),
+        }
     }
 
     fn leave(&mut self, ticket: Ticket) -> Option<Waiting> {
@@ -321,12 +336,12 @@
     }
 
     /// Nobody waits for it any more. True where it was waiting here, and never went.
-    pub fn forget(&mut self, ticket: Ticket) -> bool {
+    pub fn cancel_fill(&mut self, ticket: Ticket) -> bool {
         self.leave(ticket).is_some()
     }
 
     /// Takes back all that wait for a fill from that source: it may not be used any more.
-    pub fn withdraw(&mut self, source: NodeId) -> Vec<Ticket> {
+    pub fn cancel_source(&mut self, source: NodeId) -> Vec<Ticket> {
         let meant = self.queue.values().filter(|waiting| waiting.fill.fetch.source == source);
         let meant: Vec<Ticket> = meant.map(|waiting| waiting.fill.ticket).collect();
         meant.iter().for_each(|ticket| drop(self.leave(*ticket)));
@@ -335,7 +350,7 @@
 
     /// How a fill ended that went: whether it brought a copy, and whether that was late and it reached the tiers
     /// above its source, as far as that is known.
-    pub fn ended(&mut self, now: Ms, ticket: Ticket, end: FillEnd) -> Vec<Released> {
+    pub fn complete_fill(&mut self, now: Ms, ticket: Ticket, end: FillOutcome) -> Vec<QueuedDecision> {
         let Some(out) = self.out.remove(&ticket) else { return Vec::new() };
         for (n, (target, cost)) in out.tolls.iter().enumerate() {
             let Some(budget) = self.budgets.get_mut(target) else { continue };
@@ -361,17 +376,17 @@
     }
 
     /// Those behind a fetch that is over: all of them where it brought a copy, else the first one tries.
-    fn follow(&mut self, now: Ms, fetch: Fetch, brought: bool) -> Vec<Released> {
+    fn follow(&mut self, now: Ms, fetch: FetchKey, brought: bool) -> Vec<QueuedDecision> {
         let mut released = Vec::new();
         let behind = self.behind.get(&fetch).cloned().unwrap_or_default();
         for ticket in behind {
             let Some(waiting) = self.leave(ticket) else { continue };
             if brought {
-                let held = Fill { tolls: Vec::new(), ..waiting.fill };
+                let held = FillRequest { tolls: Vec::new(), ..waiting.fill };
                 self.go(now, &held, None);
-                released.push(Released { ticket, verdict: Verdict::Go });
+                released.push(QueuedDecision { ticket, decision: ShieldDecision::Admit });
             } else if self.try_go(now, &waiting.fill).is_ok() {
-                released.push(Released { ticket, verdict: Verdict::Go });
+                released.push(QueuedDecision { ticket, decision: ShieldDecision::Admit });
             } else {
                 self.wait_on(waiting, self.leases.is_taken(now, fetch));
             }
@@ -392,11 +407,11 @@
     }
 
     /// Lets go what may by now, in its order, and ends what has waited too long.
-    pub fn tick(&mut self, now: Ms) -> Vec<Released> {
+    pub fn tick(&mut self, now: Ms) -> Vec<QueuedDecision> {
         let mut released = Vec::new();
         self.budgets.values_mut().for_each(|budget| budget.tick(now));
         for fetch in self.leases.expired(now) {
-            self.counts.leases_lost += 1;
+            self.counts.leases_expired += 1;
             released.extend(self.follow(now, fetch, false));
         }
         let waiting: Vec<Ticket> = self.queue.values().map(|waiting| waiting.fill.ticket).collect();
@@ -408,16 +423,19 @@
             if now >= waiting.until {
                 let delay = self.delay(now, &waiting.fill);
                 self.leave(ticket);
-                released.push(Released { ticket, verdict: self.over(Over::Time, delay) });
+                released.push(QueuedDecision {
+                    ticket,
+                    decision: self.over(ShieldRejection::QueueTimeout, delay),
+                });
             } else if !behind && !spent {
                 let fill = waiting.fill.clone();
                 match self.try_go(now, &fill) {
                     Ok(()) => {
                         self.leave(ticket);
-                        released.push(Released { ticket, verdict: Verdict::Go });
+                        released.push(QueuedDecision { ticket, decision: ShieldDecision::Admit });
                     }
                     // Those after it must not pass it by, unless they wait for something else.
-                    Err(Over::Budget) => spent = self.same_tolls(),
+                    Err(ShieldRejection::BudgetExhausted) => spent = self.same_tolls(),
                     Err(_) => {}
                 }
             }
@@ -433,7 +451,7 @@
     }
 
     /// When `tick` has something to do, as far as that is known.
-    pub fn next(&self, now: Ms) -> Option<Ms> {
+    pub fn next_deadline(&self, now: Ms) -> Option<Ms> {
         let ends = self.queue.values().map(|waiting| waiting.until).reduce(f64::min);
         let budget = self.queue.values().next().map(|first| now + self.delay(now, &first.fill).max(1.0));
         let lease = self.leases.next().filter(|_| !self.behind.is_empty());
@@ -455,7 +473,7 @@
 
     /// Whether what went to a tier above what changes is still being learned.
     pub fn is_learning(&self) -> bool {
-        self.budgets.values().any(Budget::is_learning)
+        self.budgets.values().any(RateBudget::is_learning)
     }
 
     /// No change is under way any more.
--- a/crates/hierarchy/src/plan.rs
+++ b/crates/hierarchy/src/plan.rs
@@ -8,30 +8,30 @@
 use linnethook::interface::Ms;
 use serde::Serialize;
 
-use crate::batch::{Batch, Refusal};
+use crate::batch::{BatchRejection, ChangeBatch};
 use crate::hierarchy::Hierarchy;
-use crate::history::{Heard, Unusable};
-use crate::shape::{Node, NodeId, Role, Shape, Source};
+use crate::history::{BatchError, ReceiveOutcome};
+use crate::topology::{Node, NodeId, Role, Source, Topology};
 
 /// What would change.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Plan {
+pub struct ChangePlan {
     pub added: Vec<NodeId>,
     pub removed: Vec<NodeId>,
     /// Nodes whose own figures change: site, capacity, retiring.
     pub altered: Vec<NodeId>,
     /// Nodes whose sources change, with the lists before and after.
-    pub rerouted: Vec<Rerouted>,
+    pub source_changes: Vec<SourceChange>,
     /// Edges that would not be used, each with the loop that it would close.
-    pub loops: Vec<Vec<NodeId>>,
-    pub pushes: Vec<Push>,
+    pub cycles: Vec<Vec<NodeId>>,
+    pub source_loads: Vec<SourceLoad>,
     /// Edges suspended now that would come back.
-    pub resumed: usize,
-    pub origin: Flood,
+    pub resumed_edges: usize,
+    pub origin_load: OriginLoad,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct Rerouted {
+pub struct SourceChange {
     pub node: NodeId,
     pub before: Vec<Source>,
     pub after: Vec<Source>,
@@ -39,76 +39,79 @@
 
 /// A source that gets more to carry.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Push {
-    pub to: NodeId,
+pub struct SourceLoad {
+    pub source: NodeId,
     /// The capacity of the nodes below it for each of its own, before and after, and the mean over its tier.
     pub before: f64,
     pub after: f64,
-    pub tier: f64,
+    pub tier_mean: f64,
 }
 
-impl Push {
+impl SourceLoad {
     /// Far more than others of its tier carry.
     pub fn is_heavy(&self) -> bool {
-        self.after > self.before && self.after > 1.5 * self.tier
+        self.after > self.before && self.after > 1.5 * self.tier_mean
     }
 }
 
 /// Fills a second that would reach the origin because of it, as this router sees its own.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
-pub struct Flood {
+pub struct OriginLoad {
     /// What goes to the origin now.
-    pub now: f64,
+    #[serde(rename = "now")]
+    pub current: f64,
     /// At the worst with all at once, and by stages.
-    pub flip: f64,
+    #[serde(rename = "flip")]
+    pub immediate: f64,
     pub staged: f64,
 }
 
 /// Why there is no plan.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum NoPlan {
+pub enum PlanError {
     #[error(transparent)]
-    Refused(Refusal),
+    Rejected(BatchRejection),
     #[error(transparent)]
-    Unusable(Unusable),
+    Invalid(BatchError),
     #[error("it was planned on batches that have not been heard here")]
-    Early,
+    UnknownBase,
     #[error("it was heard before")]
-    Repeated,
+    Duplicate,
 }
 
 impl Hierarchy {
     /// What a batch would do here and now.
-    pub fn plan(&self, now: Ms, batch: &Batch) -> Result<Plan, NoPlan> {
+    pub fn plan_batch(&self, now: Ms, batch: &ChangeBatch) -> Result<ChangePlan, PlanError> {
         let mut copy = self.history().clone();
-        match copy.hear(batch.clone()) {
-            Heard::Taken(_) => {}
-            Heard::Repeated => return Err(NoPlan::Repeated),
-            Heard::Waiting(_) => return Err(NoPlan::Early),
-            Heard::Unusable(wrong) => return Err(NoPlan::Unusable(wrong)),
+        match copy.receive_batch(batch.clone()) {
+            ReceiveOutcome::Accepted(_) => {}
+            ReceiveOutcome::Duplicate => return Err(PlanError::Duplicate),
+            ReceiveOutcome::Pending(_) => return Err(PlanError::UnknownBase),
+            ReceiveOutcome::Invalid(wrong) => return Err(PlanError::Invalid(wrong)),
         }
-        if let Some(Err(refusal)) = copy.verdict(batch.serial) {
-            return Err(NoPlan::Refused(refusal.clone()));
+        if let Some(Err(refusal)) = copy.outcome(batch.id) {
+            return Err(PlanError::Rejected(refusal.clone()));
         }
-        let (before, after) = (self.shape(), copy.shape());
+        let (before, after) = (self.topology(), copy.topology());
         let mut plan = differences(before, after);
-        plan.pushes = pushes(before, after, &plan.rerouted);
-        plan.origin = self.flood(now, &plan.rerouted);
+        plan.source_loads = source_loads(before, after, &plan.source_changes);
+        plan.origin_load = self.origin_load(now, &plan.source_changes);
         let was: Vec<(NodeId, NodeId)> =
-            before.suspended().map(|edge| (edge.from, edge.source.node)).collect();
-        let is: Vec<(NodeId, NodeId)> = after.suspended().map(|edge| (edge.from, edge.source.node)).collect();
-        plan.resumed = was.iter().filter(|(from, to)| after.allows(*from, *to)).count();
-        let shape = copy.shape_mut();
+            before.suspended_edges().map(|edge| (edge.from, edge.source.node)).collect();
+        let is: Vec<(NodeId, NodeId)> =
+            after.suspended_edges().map(|edge| (edge.from, edge.source.node)).collect();
+        plan.resumed_edges = was.iter().filter(|(from, to)| after.allows(*from, *to)).count();
+        let shape = copy.topology_mut();
         for (from, to) in is.into_iter().filter(|edge| !was.contains(edge)) {
-            plan.loops.extend(shape.would_loop(from, to));
+            plan.cycles.extend(shape.would_loop(from, to));
         }
         Ok(plan)
     }
 
     /// The fills that go by the sources that children leave are all first ones at the new source.
-    fn flood(&self, now: Ms, rerouted: &[Rerouted]) -> Flood {
+    fn origin_load(&self, now: Ms, rerouted: &[SourceChange]) -> OriginLoad {
         let rate = |id: NodeId| self.shield().budget(id).map_or(0.0, |budget| budget.rate(now));
-        let origins = self.shape().records().into_iter().filter(|r| r.node.role == Role::Origin);
+        let origins = self.topology().records().into_iter().filter(|r| r.node.role == Role::Origin);
         let now_there = origins.map(|record| rate(record.node.id)).sum();
         let best = |list: &[Source]| -> Vec<NodeId> {
             let first = list.iter().map(|source| source.rank).min();
@@ -116,34 +119,36 @@
         };
         // By the source that they leave: how many of its children do, and how many it has.
         let mut leaving = BTreeMap::<NodeId, f64>::new();
-        for Rerouted { before, after, .. } in rerouted {
+        for SourceChange { before, after, .. } in rerouted {
             let (old, new) = (best(before), best(after));
             for id in old.iter().filter(|id| !new.contains(id)) {
                 *leaving.entry(*id).or_default() += 1.0 / old.len() as f64;
             }
         }
         let flip = leaving.into_iter().map(|(id, count)| {
-            let children = self.shape().children(id).count().max(1);
+            let children = self.topology().children(id).count().max(1);
             rate(id) * (count / children as f64).min(1.0)
         });
-        let (flip, rule) = (flip.sum::<f64>(), self.stages().rule());
+        let (flip, rule) = (flip.sum::<f64>(), self.rollout().config());
         // What rises evenly over the warming adds, at its worst, what comes new in the time that an object needs
         // to be asked for again: taken as a second.
-        let staged = flip * (rule.first + (1.0 - rule.first) * (1_000.0 / rule.warm.max(1_000.0)));
-        Flood { now: now_there, flip, staged }
+        let staged = flip
+            * (rule.initial_fraction
+                + (1.0 - rule.initial_fraction) * (1_000.0 / rule.ramp_duration.max(1_000.0)));
+        OriginLoad { current: now_there, immediate: flip, staged }
     }
 }
 
-fn differences(before: &Shape, after: &Shape) -> Plan {
-    let mut plan = Plan {
+fn differences(before: &Topology, after: &Topology) -> ChangePlan {
+    let mut plan = ChangePlan {
         added: Vec::new(),
         removed: Vec::new(),
         altered: Vec::new(),
-        rerouted: Vec::new(),
-        loops: Vec::new(),
-        pushes: Vec::new(),
-        resumed: 0,
-        origin: Flood { now: 0.0, flip: 0.0, staged: 0.0 },
+        source_changes: Vec::new(),
+        cycles: Vec::new(),
+        source_loads: Vec::new(),
+        resumed_edges: 0,
+        origin_load: OriginLoad { current: 0.0, immediate: 0.0, staged: 0.0 },
     };
     for record in before.records() {
         if after.record(record.node.id).is_none() {
@@ -152,7 +157,8 @@
     }
     for record in after.records() {
         let id = record.node.id;
-        let sources = |shape: &Shape| shape.edges(id).iter().map(|edge| edge.source).collect::<Vec<Source>>();
+        let sources =
+            |shape: &Topology| shape.edges(id).iter().map(|edge| edge.source).collect::<Vec<Source>>();
         match before.node(id) {
             None => plan.added.push(id),
             Some(node) if *node != record.node => plan.altered.push(id),
@@ -160,13 +166,13 @@
         }
         let (was, is) = (sources(before), sources(after));
         if was != is && before.node(id).is_some() {
-            plan.rerouted.push(Rerouted { node: id, before: was, after: is });
+            plan.source_changes.push(SourceChange { node: id, before: was, after: is });
         }
     }
     plan
 }
 
-fn pushes(before: &Shape, after: &Shape, rerouted: &[Rerouted]) -> Vec<Push> {
+fn source_loads(before: &Topology, after: &Topology, rerouted: &[SourceChange]) -> Vec<SourceLoad> {
     let mut to: Vec<NodeId> = rerouted
         .iter()
         .flat_map(|r| r.after.iter().filter(|s| !r.before.contains(s)))
@@ -174,7 +180,7 @@
         .collect();
     to.sort_unstable();
     to.dedup();
-    let carried = |shape: &Shape, node: &Node| {
+    let carried = |shape: &Topology, node: &Node| {
         let first = |child: &NodeId| shape.sources(*child).next().is_some_and(|s| s.node == node.id);
         let below = shape.children(node.id).filter(first).filter_map(|child| shape.node(child));
         below.map(|child| child.capacity).sum::<f64>() / node.capacity
@@ -187,11 +193,11 @@
     };
     to.into_iter()
         .filter_map(|id| after.node(id).filter(|node| node.role == Role::Parent))
-        .map(|node| Push {
-            to: node.id,
+        .map(|node| SourceLoad {
+            source: node.id,
             before: before.node(node.id).map_or(0.0, |known| carried(before, known)),
             after: carried(after, node),
-            tier: of_tier(node.tier),
+            tier_mean: of_tier(node.tier),
         })
         .collect()
 }
--- a/crates/hierarchy/src/budget.rs
+++ b/crates/hierarchy/src/rate_budget.rs
@@ -10,56 +10,56 @@
 
 /// How a budget moves.
 #[derive(Debug, Clone, Copy)]
-pub struct BudgetRule {
+pub struct RateBudgetConfig {
     /// How far back the mean of what went there reaches.
-    pub span: Ms,
+    pub rate_window: Ms,
     /// The weight of a fill in the share of late ones, the share that is borne, the factor of a cut and the time
     /// between two.
-    pub weight: f64,
-    pub bear: f64,
-    pub cut: f64,
-    pub gap: Ms,
+    pub sample_weight: f64,
+    pub max_late_ratio: f64,
+    pub decrease_factor: f64,
+    pub decrease_interval: Ms,
     /// By what part of itself the limit grows in a second without trouble.
-    pub grow: f64,
+    pub growth_per_second: f64,
     /// So many times what goes there it is no limit any more.
-    pub open: f64,
+    pub unlimited_multiple: f64,
     /// While the shape changes, so many times what went there before may go.
     pub headroom: f64,
     /// How many seconds' fills may go at once: what comes by chance comes in heaps, the more so the less one router sees.
-    pub burst: f64,
+    pub burst_seconds: f64,
     /// Fills a second that may go in any case.
-    pub least: f64,
+    pub min_rate: f64,
     /// For how long something has to go there before that is known as what goes there.
-    pub learn: Ms,
+    pub learning_time: Ms,
 }
 
-impl Default for BudgetRule {
+impl Default for RateBudgetConfig {
     fn default() -> Self {
         Self {
-            span: 10_000.0,
-            weight: 0.05,
-            bear: 0.25,
-            cut: 0.8,
-            gap: 500.0,
-            grow: 0.1,
-            open: 4.0,
+            rate_window: 10_000.0,
+            sample_weight: 0.05,
+            max_late_ratio: 0.25,
+            decrease_factor: 0.8,
+            decrease_interval: 500.0,
+            growth_per_second: 0.1,
+            unlimited_multiple: 4.0,
             headroom: 1.15,
-            burst: 1.0,
-            least: 2.0,
-            learn: 5_000.0,
+            burst_seconds: 1.0,
+            min_rate: 2.0,
+            learning_time: 5_000.0,
         }
     }
 }
 
 /// Events a second, in which the past fades.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Rate {
+pub struct EventRate {
     sum: f64,
     at: Ms,
     since: Option<Ms>,
 }
 
-impl Rate {
+impl EventRate {
     pub fn add(&mut self, now: Ms, amount: f64, span: Ms) {
         self.since.get_or_insert(now);
         self.sum = (self.faded(now, span) + amount).max(0.0);
@@ -86,52 +86,60 @@
 
 /// What went there before the shape began to change.
 #[derive(Debug, Clone, Copy)]
-struct Ceiling {
+struct ChangeCeiling {
     limit: f64,
     /// When the change was over: from then on it grows.
     over: Option<Ms>,
 }
 
 #[derive(Debug, Clone, Copy)]
-pub struct Budget {
-    rule: BudgetRule,
-    rate: Rate,
+pub struct RateBudget {
+    rule: RateBudgetConfig,
+    rate: EventRate,
     gate: Gate,
     gate_at: Ms,
-    ceiling: Option<Ceiling>,
+    ceiling: Option<ChangeCeiling>,
     /// The shape changes, and what went there before is not known yet.
     learning: bool,
     allowance: Allowance,
 }
 
-impl Budget {
-    pub fn new(now: Ms, rule: BudgetRule) -> Self {
+impl RateBudget {
+    pub fn new(now: Ms, rule: RateBudgetConfig) -> Self {
         let mut allowance = Allowance::empty(now);
         allowance.spend(now, 0.0, 0.0, 0.0);
         let gate = Gate::new(f64::INFINITY);
-        Self { rule, rate: Rate::default(), gate, gate_at: now, ceiling: None, learning: false, allowance }
+        Self {
+            rule,
+            rate: EventRate::default(),
+            gate,
+            gate_at: now,
+            ceiling: None,
+            learning: false,
+            allowance,
+        }
     }
 
     /// Fills a second that go there.
     pub fn rate(&self, now: Ms) -> f64 {
-        self.rate.per_second(now, self.rule.span)
+        self.rate.per_second(now, self.rule.rate_window)
     }
 
     /// Fills a second that may go there; infinite without a limit.
     pub fn limit(&self, now: Ms) -> f64 {
         let ceiling = self.ceiling.map_or(f64::INFINITY, |ceiling| self.grown(now, &ceiling));
-        self.gate.limit.min(ceiling).max(self.rule.least)
+        self.gate.limit.min(ceiling).max(self.rule.min_rate)
     }
 
-    fn grown(&self, now: Ms, ceiling: &Ceiling) -> f64 {
+    fn grown(&self, now: Ms, ceiling: &ChangeCeiling) -> f64 {
         let seconds = ceiling.over.map_or(0.0, |over| (now - over).max(0.0) / 1000.0);
-        ceiling.limit * (1.0 + self.rule.grow).powf(seconds)
+        ceiling.limit * (1.0 + self.rule.growth_per_second).powf(seconds)
     }
 
     /// What may go in one go and the rate at which it fills, in fills and milliseconds.
     fn flow(&self, now: Ms) -> Option<(f64, f64)> {
         let limit = self.limit(now);
-        limit.is_finite().then(|| (limit / 1000.0, (limit * self.rule.burst).max(1.0)))
+        limit.is_finite().then(|| (limit / 1000.0, (limit * self.rule.burst_seconds).max(1.0)))
     }
 
     /// Whether so much more may go there now.
@@ -148,7 +156,7 @@
 
     /// Whether it is so near to its ceiling that a change had better stand still.
     pub fn is_tight(&self, now: Ms) -> bool {
-        let near = |ceiling: &Ceiling| {
+        let near = |ceiling: &ChangeCeiling| {
             let middle = (1.0 + 1.0 / self.rule.headroom) / 2.0;
             ceiling.over.is_none() && self.rate(now) > ceiling.limit * middle
         };
@@ -157,7 +165,7 @@
 
     /// It goes, whether it may or not; a negative cost is given back.
     pub fn spend(&mut self, now: Ms, cost: f64) {
-        self.rate.add(now, cost, self.rule.span);
+        self.rate.add(now, cost, self.rule.rate_window);
         if let Some((rate, most)) = self.flow(now) {
             self.allowance.spend(now, rate, most, cost);
         }
@@ -166,13 +174,13 @@
     /// How one ended that went there.
     pub fn report(&mut self, now: Ms, late: bool) {
         let rule = GateRule {
-            part: self.rule.weight,
-            span: self.rule.span,
-            bear: self.rule.bear,
-            cut: self.rule.cut,
-            gap: self.rule.gap,
+            part: self.rule.sample_weight,
+            span: self.rule.rate_window,
+            bear: self.rule.max_late_ratio,
+            cut: self.rule.decrease_factor,
+            gap: self.rule.decrease_interval,
             raise: 0.0,
-            least: self.rule.least,
+            least: self.rule.min_rate,
             most: f64::INFINITY,
         };
         self.gate.report(now, late, self.rate(now), &rule);
@@ -180,18 +188,19 @@
 
     /// Lets time pass: limits grow, and go where they limit nothing any more.
     pub fn tick(&mut self, now: Ms) {
-        let used = self.rate(now).max(self.rule.least);
+        let used = self.rate(now).max(self.rule.min_rate);
         let seconds = ((now - self.gate_at) / 1000.0).max(0.0);
         self.gate_at = now;
         let before = self.limit(now);
         if self.gate.limit.is_finite() {
-            self.gate.limit *= (1.0 + self.rule.grow).powf(seconds);
-            if self.gate.limit > used * self.rule.open {
+            self.gate.limit *= (1.0 + self.rule.growth_per_second).powf(seconds);
+            if self.gate.limit > used * self.rule.unlimited_multiple {
                 self.gate.limit = f64::INFINITY;
             }
         }
-        let open =
-            |ceiling: &Ceiling| ceiling.over.is_some() && self.grown(now, ceiling) > used * self.rule.open;
+        let open = |ceiling: &ChangeCeiling| {
+            ceiling.over.is_some() && self.grown(now, ceiling) > used * self.rule.unlimited_multiple
+        };
         if self.ceiling.as_ref().is_some_and(open) {
             self.ceiling = None;
         }
@@ -217,12 +226,12 @@
 
     /// Whether something went there for long enough to tell what goes there.
     fn is_known(&self, now: Ms) -> bool {
-        self.rate.age(now) >= self.rule.learn
+        self.rate.age(now) >= self.rule.learning_time
     }
 
     fn hold(&mut self, now: Ms) {
-        let limit = (self.rate(now) * self.rule.headroom).max(self.rule.least);
-        self.ceiling = Some(Ceiling { limit, over: None });
+        let limit = (self.rate(now) * self.rule.headroom).max(self.rule.min_rate);
+        self.ceiling = Some(ChangeCeiling { limit, over: None });
         self.learning = false;
         self.allowance = Allowance::empty(now);
     }
@@ -249,7 +258,7 @@
     use super::*;
 
     /// Offers so many fills a second for some seconds; how many went in the last one.
-    fn offer(budget: &mut Budget, from: Ms, seconds: u32, per_second: u32, late: bool) -> u32 {
+    fn offer(budget: &mut RateBudget, from: Ms, seconds: u32, per_second: u32, late: bool) -> u32 {
         let mut gone = 0;
         for second in 0..seconds {
             gone = 0;
@@ -268,14 +277,14 @@
 
     #[test]
     fn without_trouble_or_change_all_goes() {
-        let mut budget = Budget::new(0.0, BudgetRule::default());
+        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
         assert_eq!(offer(&mut budget, 0.0, 10, 200, false), 200);
         assert!((budget.rate(10_000.0) - 200.0).abs() < 20.0, "{}", budget.rate(10_000.0));
     }
 
     #[test]
     fn a_change_lets_no_flood_through_and_the_ceiling_goes_after_it() {
-        let mut budget = Budget::new(0.0, BudgetRule::default());
+        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
         offer(&mut budget, 0.0, 10, 50, false);
         budget.begin_change(10_000.0);
         let during = offer(&mut budget, 10_000.0, 5, 500, false);
@@ -291,7 +300,7 @@
     /// Without a past: nothing that the target bears is refused, and once it is known what goes there that is the limit.
     #[test]
     fn a_change_right_after_the_start_is_held_by_what_is_learned_within_it() {
-        let mut budget = Budget::new(0.0, BudgetRule::default());
+        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
         assert_eq!(offer(&mut budget, 0.0, 1, 50, false), 50);
         budget.begin_change(1_000.0);
         assert!(budget.is_learning() && !budget.is_tight(1_000.0));
@@ -300,7 +309,7 @@
         assert!(!budget.is_learning() && budget.is_changing());
         let flood = offer(&mut budget, 6_000.0, 5, 500, false);
         assert!((50..=70).contains(&flood), "{flood}");
-        let mut over = Budget::new(0.0, BudgetRule::default());
+        let mut over = RateBudget::new(0.0, RateBudgetConfig::default());
         over.begin_change(0.0);
         over.end_change(100.0);
         offer(&mut over, 200.0, 10, 50, false);
@@ -312,13 +321,13 @@
 
     #[test]
     fn a_target_that_is_late_gets_less_and_more_again_when_it_is_well() {
-        let mut budget = Budget::new(0.0, BudgetRule::default());
+        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
         offer(&mut budget, 0.0, 5, 100, false);
         let slow = offer(&mut budget, 5_000.0, 10, 100, true);
         assert!(slow < 40, "{slow}");
         let well = offer(&mut budget, 15_000.0, 60, 100, false);
         assert!(well >= 99, "{well}");
-        let never = Budget::new(0.0, BudgetRule::default()).wait(0.0, 1.0);
+        let never = RateBudget::new(0.0, RateBudgetConfig::default()).wait(0.0, 1.0);
         assert_eq!(never, 0.0);
     }
 }
--- a/crates/hierarchy/src/recency.rs
+++ b/crates/hierarchy/src/recent_keys.rs
@@ -18,14 +18,14 @@
 
 /// When keys were last seen, up to a horizon.
 #[derive(Debug, Clone)]
-pub struct Recency {
+pub struct RecentKeys {
     sets: Vec<[Cell; WAYS]>,
     /// Length of a tick: the horizon is a quarter of what a time can tell apart.
     tick: Ms,
     horizon: u16,
 }
 
-impl Recency {
+impl RecentKeys {
     /// Room for that many keys, rounded up to a power of two.
     pub fn new(keys: usize, horizon: Ms) -> Self {
         let sets = keys.div_ceil(WAYS).next_power_of_two();
--- a/crates/hierarchy/src/stages.rs
+++ b/crates/hierarchy/src/rollout.rs
@@ -13,54 +13,54 @@
 use linnethook::measure::Mean;
 use serde::Serialize;
 
-use crate::batch::{Key, Serial};
-use crate::shape::NodeId;
+use crate::batch::{BatchId, BatchPosition};
+use crate::topology::NodeId;
 
 /// How stages pass.
 #[derive(Debug, Clone, Copy)]
-pub struct StageRule {
+pub struct RolloutConfig {
     /// How long a change is told before it begins: all routers hear of it within that.
-    pub announce: Ms,
+    pub announcement: Ms,
     /// From the first objects to all of them.
-    pub warm: Ms,
+    pub ramp_duration: Ms,
     /// The part with which it begins.
-    pub first: f64,
+    pub initial_fraction: f64,
     /// How long after all went over it counts as settled: until then the old source is asked for what it holds.
-    pub settle: Ms,
+    pub settling_time: Ms,
     /// A source that has itself just started: how it may be loaded, and what part of that is asked of it.
-    pub cold: ColdStart,
-    pub cold_part: f64,
+    pub slow_start: ColdStart,
+    pub slow_start_fraction: f64,
     /// Harm: the weight of a fill in the share of late or failed ones, how many are needed to judge, the share
     /// that is too much, and how many times that of the old source.
-    pub weight: f64,
-    pub seen: f64,
-    pub harm: f64,
-    pub worse: f64,
+    pub sample_weight: f64,
+    pub min_samples: f64,
+    pub max_failure_ratio: f64,
+    pub max_failure_multiple: f64,
     /// For how long a change that was rolled back rests, longer each time, and how often it is tried.
-    pub rest: Ms,
-    pub longer: f64,
-    pub tries: u32,
+    pub retry_delay: Ms,
+    pub backoff_factor: f64,
+    pub max_attempts: u32,
     /// How long in all the warming may stand still while the tiers above are short.
-    pub held: Ms,
+    pub max_pause: Ms,
 }
 
-impl Default for StageRule {
+impl Default for RolloutConfig {
     fn default() -> Self {
         Self {
-            announce: 2_000.0,
-            warm: 30_000.0,
-            first: 0.02,
-            settle: 45_000.0,
-            cold: ColdStart::default(),
-            cold_part: 0.6,
-            weight: 0.05,
-            seen: 20.0,
-            harm: 0.3,
-            worse: 2.0,
-            rest: 10_000.0,
-            longer: 2.0,
-            tries: 3,
-            held: 600_000.0,
+            announcement: 2_000.0,
+            ramp_duration: 30_000.0,
+            initial_fraction: 0.02,
+            settling_time: 45_000.0,
+            slow_start: ColdStart::default(),
+            slow_start_fraction: 0.6,
+            sample_weight: 0.05,
+            min_samples: 20.0,
+            max_failure_ratio: 0.3,
+            max_failure_multiple: 2.0,
+            retry_delay: 10_000.0,
+            backoff_factor: 2.0,
+            max_attempts: 3,
+            max_pause: 600_000.0,
         }
     }
 }
@@ -68,21 +68,24 @@
 /// Why a change was rolled back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Harm {
+pub enum RollbackReason {
     /// Fills by the new source were late or failed far more often than by the old one.
-    Late,
+    #[serde(rename = "late")]
+    HighFailureRate,
     /// The new source drains, is gone, or has fallen over.
-    Lost,
+    #[serde(rename = "lost")]
+    SourceLost,
     /// Somebody asked for it.
-    Asked,
+    #[serde(rename = "asked")]
+    Requested,
 }
 
-impl fmt::Display for Harm {
+impl fmt::Display for RollbackReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Late => "fills by the new source were late or failed",
-            Self::Lost => "the new source drains, is gone or has fallen over",
-            Self::Asked => "somebody asked for it",
+            Self::HighFailureRate => "fills by the new source were late or failed",
+            Self::SourceLost => "the new source drains, is gone or has fallen over",
+            Self::Requested => "somebody asked for it",
         })
     }
 }
@@ -90,7 +93,7 @@
 /// How far a change has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Stage {
+pub enum RolloutStage {
     /// Its time has not come.
     Planned,
     /// All routers hear of it; fills run as before.
@@ -99,10 +102,10 @@
     /// All fills run by the new source, and the old list is forgotten.
     Settled,
     /// Fills run as before; it is tried again after a rest, so many times.
-    RolledBack(Harm),
+    RolledBack(RollbackReason),
 }
 
-impl Stage {
+impl RolloutStage {
     /// The name that commands print.
     pub fn name(self) -> &'static str {
         match self {
@@ -110,24 +113,39 @@
             Self::Announced => "announced",
             Self::Warming => "warming",
             Self::Settled => "settled",
-            Self::RolledBack(Harm::Late) => "rolledback(late)",
-            Self::RolledBack(Harm::Lost) => "rolledback(lost)",
-            Self::RolledBack(Harm::Asked) => "rolledback(asked)",
+            Self::RolledBack(RollbackReason::HighFailureRate) => "rolledback(late)",
+            Self::RolledBack(RollbackReason::SourceLost) => "rolledback(lost)",
+            Self::RolledBack(RollbackReason::Requested) => "rolledback(asked)",
         }
     }
 }
 
+/// The text in the router's log, in a form that does not follow the names of variants.
+impl fmt::Display for RolloutStage {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Planned => "Planned",
+            Self::Announced => "Announced",
+            Self::Warming => "Warming",
+            Self::Settled => "Settled",
+            Self::RolledBack(RollbackReason::HighFailureRate) => "RolledBack(Late)",
+            Self::RolledBack(RollbackReason::SourceLost) => "RolledBack(Lost)",
+            Self::RolledBack(RollbackReason::Requested) => "RolledBack(Asked)",
+        })
+    }
+}
+
 /// The going over of children to a new source, as one batch had it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct MoveId {
-    pub to: NodeId,
-    pub by: Key,
+pub struct MigrationId {
+    pub target: NodeId,
+    pub position: BatchPosition,
 }
 
 /// How far it has come, and what was seen of it.
 #[derive(Debug, Clone)]
-pub struct Move {
-    pub stage: Stage,
+pub struct Migration {
+    pub stage: RolloutStage,
     /// When the warming began or begins.
     begins: Ms,
     /// When the stage was entered.
@@ -146,38 +164,39 @@
 
 /// A stage that was entered, for the log.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Entered {
-    pub id: MoveId,
-    pub stage: Stage,
+pub struct StageTransition {
+    pub migration: MigrationId,
+    pub stage: RolloutStage,
     /// It is not tried again.
-    pub for_good: bool,
+    pub is_final: bool,
 }
 
-impl Move {
+impl Migration {
     /// The part of the objects that the new source is asked for now, from 0 to 1.
-    pub fn part(&self, now: Ms, rule: &StageRule) -> f64 {
+    pub fn part(&self, now: Ms, rule: &RolloutConfig) -> f64 {
         let ramp = match self.stage {
             // What is left of the old list is the way past all parents: the shield holds that back, and the new
             // source keeps what comes by it.
             _ if self.no_way_back => 1.0,
-            Stage::Settled => 1.0,
-            Stage::Planned | Stage::Announced | Stage::RolledBack(_) => 0.0,
-            Stage::Warming => {
-                let passed = (now - self.begins).max(0.0) / rule.warm.max(1.0);
-                (rule.first + (1.0 - rule.first) * passed).min(1.0)
+            RolloutStage::Settled => 1.0,
+            RolloutStage::Planned | RolloutStage::Announced | RolloutStage::RolledBack(_) => 0.0,
+            RolloutStage::Warming => {
+                let passed = (now - self.begins).max(0.0) / rule.ramp_duration.max(1.0);
+                (rule.initial_fraction + (1.0 - rule.initial_fraction) * passed).min(1.0)
             }
         };
         ramp.min(self.cold(now, rule))
     }
 
     /// What a source that has just started bears of its work, by the rule on cold starts.
-    fn cold(&self, now: Ms, rule: &StageRule) -> f64 {
+    fn cold(&self, now: Ms, rule: &RolloutConfig) -> f64 {
         let age = now - self.started;
-        if self.started <= 0.0 || rule.cold.warm_in <= 0.0 || age >= rule.cold.warm_in {
+        if self.started <= 0.0 || rule.slow_start.warm_in <= 0.0 || age >= rule.slow_start.warm_in {
             return 1.0;
         }
-        let least = rule.cold.from + (1.0 - rule.cold.from) * (age / rule.cold.warm_in).max(0.0);
-        (least * rule.cold.fall_multiple * rule.cold_part).min(1.0)
+        let least =
+            rule.slow_start.from + (1.0 - rule.slow_start.from) * (age / rule.slow_start.warm_in).max(0.0);
+        (least * rule.slow_start.fall_multiple * rule.slow_start_fraction).min(1.0)
     }
 
     /// The shares of late fills by the new source and by the old ones.
@@ -189,71 +208,73 @@
         self.tries
     }
 
-    fn enter(&mut self, now: Ms, stage: Stage) {
+    fn enter(&mut self, now: Ms, stage: RolloutStage) {
         self.stage = stage;
         self.since = now;
     }
 
-    fn is_harmful(&self, rule: &StageRule) -> bool {
-        let known = self.new.seen >= rule.seen;
-        known && self.new.value > rule.harm && self.new.value > self.old.value * rule.worse
+    fn is_harmful(&self, rule: &RolloutConfig) -> bool {
+        let known = self.new.seen >= rule.min_samples;
+        known
+            && self.new.value > rule.max_failure_ratio
+            && self.new.value > self.old.value * rule.max_failure_multiple
     }
 
     /// Gives it up for a while; for good once it was tried often enough.
-    fn roll_back(&mut self, now: Ms, harm: Harm, rule: &StageRule) {
-        self.enter(now, Stage::RolledBack(harm));
-        let rest = rule.rest * rule.longer.powi(self.tries.min(30) as i32);
-        self.tries = if harm == Harm::Asked { rule.tries } else { self.tries + 1 };
+    fn roll_back(&mut self, now: Ms, harm: RollbackReason, rule: &RolloutConfig) {
+        self.enter(now, RolloutStage::RolledBack(harm));
+        let rest = rule.retry_delay * rule.backoff_factor.powi(self.tries.min(30) as i32);
+        self.tries = if harm == RollbackReason::Requested { rule.max_attempts } else { self.tries + 1 };
         self.begins = now + rest;
         self.new = Mean::new(0.0);
     }
 
-    fn given_up(&self, rule: &StageRule) -> bool {
-        matches!(self.stage, Stage::RolledBack(_)) && self.tries >= rule.tries
+    fn given_up(&self, rule: &RolloutConfig) -> bool {
+        matches!(self.stage, RolloutStage::RolledBack(_)) && self.tries >= rule.max_attempts
     }
 }
 
 /// All goings over that are not settled and forgotten yet.
 #[derive(Debug, Clone, Default)]
-pub struct Stages {
-    rule: StageRule,
-    moves: BTreeMap<MoveId, Move>,
+pub struct Rollout {
+    rule: RolloutConfig,
+    moves: BTreeMap<MigrationId, Migration>,
 }
 
-impl Stages {
-    pub fn new(rule: StageRule) -> Self {
+impl Rollout {
+    pub fn new(rule: RolloutConfig) -> Self {
         Self { rule, moves: BTreeMap::new() }
     }
 
-    pub fn rule(&self) -> &StageRule {
+    pub fn config(&self) -> &RolloutConfig {
         &self.rule
     }
 
-    pub fn get(&self, id: MoveId) -> Option<&Move> {
+    pub fn get(&self, id: MigrationId) -> Option<&Migration> {
         self.moves.get(&id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (MoveId, &Move)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MigrationId, &Migration)> {
         self.moves.iter().map(|(id, moved)| (*id, moved))
     }
 
     /// Whether any is on its way.
     pub fn are_under_way(&self) -> bool {
-        let on = |m: &Move| matches!(m.stage, Stage::Announced | Stage::Warming);
+        let on = |m: &Migration| matches!(m.stage, RolloutStage::Announced | RolloutStage::Warming);
         self.moves.values().any(on)
     }
 
     /// The part of the objects that a source is asked for; all of them if it is not new.
-    pub fn part(&self, now: Ms, id: MoveId) -> f64 {
+    pub fn part(&self, now: Ms, id: MigrationId) -> f64 {
         self.moves.get(&id).map_or(1.0, |moved| moved.part(now, &self.rule))
     }
 
     /// A batch that takes effect at `at` gives children a new source. Hearing of it again changes nothing.
-    pub fn begin(&mut self, now: Ms, id: MoveId, at: Ms, started: Ms) {
-        let begins = at + self.rule.announce;
+    pub fn begin(&mut self, now: Ms, id: MigrationId, at: Ms, started: Ms) {
+        let begins = at + self.rule.announcement;
         // Who hears of it long after, as after a restart, is where the others are: not a turn on the old list.
-        let stage = if now >= begins { Stage::Warming } else { Stage::Planned };
-        self.moves.entry(id).or_insert_with(|| Move {
+        let stage = if now >= begins { RolloutStage::Warming } else { RolloutStage::Planned };
+        self.moves.entry(id).or_insert_with(|| Migration {
             stage,
             begins,
             since: now,
@@ -268,23 +289,23 @@
     }
 
     /// No child goes over there any more.
-    pub fn retain(&mut self, keep: impl Fn(MoveId) -> bool) {
+    pub fn retain(&mut self, keep: impl Fn(MigrationId) -> bool) {
         self.moves.retain(|id, _| keep(*id));
     }
 
-    pub fn no_way_back(&mut self, id: MoveId, none: bool) {
+    pub fn no_way_back(&mut self, id: MigrationId, none: bool) {
         if let Some(moved) = self.moves.get_mut(&id) {
             moved.no_way_back = none;
         }
     }
 
     /// How a fill by a source ended: for those on their way there, and those on their way from there.
-    pub fn report(&mut self, id: Option<MoveId>, from: NodeId, bad: bool) {
-        let (bad, weight) = (f64::from(u8::from(bad)), self.rule.weight);
+    pub fn report(&mut self, id: Option<MigrationId>, from: NodeId, bad: bool) {
+        let (bad, weight) = (f64::from(u8::from(bad)), self.rule.sample_weight);
         match id.and_then(|id| self.moves.get_mut(&id)) {
             Some(moved) => moved.new.add(bad, weight),
             None => {
-                let others = self.moves.iter_mut().filter(|(id, _)| id.to != from);
+                let others = self.moves.iter_mut().filter(|(id, _)| id.target != from);
                 others.for_each(|(_, moved)| moved.old.add(bad, weight));
             }
         }
@@ -292,36 +313,48 @@
 
     /// The node has started anew: it is cold.
     pub fn started(&mut self, node: NodeId, at: Ms) {
-        for (_, moved) in self.moves.iter_mut().filter(|(id, _)| id.to == node) {
+        for (_, moved) in self.moves.iter_mut().filter(|(id, _)| id.target == node) {
             moved.started = moved.started.max(at);
         }
     }
 
     /// The node drains, is gone or has fallen over.
-    pub fn lost(&mut self, now: Ms, node: NodeId) -> Vec<Entered> {
-        self.roll_back_if(now, Harm::Lost, |id, _| id.to == node)
+    pub fn lost(&mut self, now: Ms, node: NodeId) -> Vec<StageTransition> {
+        self.roll_back_if(now, RollbackReason::SourceLost, |id, _| id.target == node)
     }
 
     /// Somebody wants a batch's changes stopped.
-    pub fn stop(&mut self, now: Ms, by: Serial) -> Vec<Entered> {
-        self.roll_back_if(now, Harm::Asked, |id, _| id.by.serial() == by)
+    pub fn stop(&mut self, now: Ms, by: BatchId) -> Vec<StageTransition> {
+        self.roll_back_if(now, RollbackReason::Requested, |id, _| id.position.batch_id() == by)
     }
 
-    fn roll_back_if(&mut self, now: Ms, harm: Harm, which: impl Fn(MoveId, &Move) -> bool) -> Vec<Entered> {
+    fn roll_back_if(
+        &mut self,
+        now: Ms,
+        harm: RollbackReason,
+        which: impl Fn(MigrationId, &Migration) -> bool,
+    ) -> Vec<StageTransition> {
         let rule = self.rule;
         let mut entered = Vec::new();
         for (id, moved) in &mut self.moves {
-            let on = matches!(moved.stage, Stage::Announced | Stage::Warming | Stage::Planned);
+            let on = matches!(
+                moved.stage,
+                RolloutStage::Announced | RolloutStage::Warming | RolloutStage::Planned
+            );
             if on && which(*id, moved) {
                 moved.roll_back(now, harm, &rule);
-                entered.push(Entered { id: *id, stage: moved.stage, for_good: moved.given_up(&rule) });
+                entered.push(StageTransition {
+                    migration: *id,
+                    stage: moved.stage,
+                    is_final: moved.given_up(&rule),
+                });
             }
         }
         entered
     }
 
     /// Lets time pass. `short` says that the tiers above turn fills away: what warms stands still meanwhile.
-    pub fn tick(&mut self, now: Ms, short: bool, is_ready: impl Fn(NodeId) -> bool) -> Vec<Entered> {
+    pub fn tick(&mut self, now: Ms, short: bool, is_ready: impl Fn(NodeId) -> bool) -> Vec<StageTransition> {
         let rule = self.rule;
         let mut entered = Vec::new();
         for (id, moved) in &mut self.moves {
@@ -329,31 +362,39 @@
             moved.ticked = now;
             let stage = moved.stage;
             match stage {
-                Stage::Planned if now >= moved.begins - rule.announce => moved.enter(now, Stage::Announced),
-                Stage::Announced if now >= moved.begins => moved.enter(now, Stage::Warming),
-                Stage::Warming if moved.is_harmful(&rule) && !moved.no_way_back => {
-                    moved.roll_back(now, Harm::Late, &rule);
+                RolloutStage::Planned if now >= moved.begins - rule.announcement => {
+                    moved.enter(now, RolloutStage::Announced)
+                }
+                RolloutStage::Announced if now >= moved.begins => moved.enter(now, RolloutStage::Warming),
+                RolloutStage::Warming if moved.is_harmful(&rule) && !moved.no_way_back => {
+                    moved.roll_back(now, RollbackReason::HighFailureRate, &rule);
                 }
-                Stage::Warming if short && moved.held < rule.held => {
+                RolloutStage::Warming if short && moved.held < rule.max_pause => {
                     moved.held += passed;
                     moved.begins += passed;
                     moved.since += passed;
                 }
-                Stage::Warming => {
+                RolloutStage::Warming => {
                     let all = moved.part(now, &rule) >= 1.0;
-                    if all && now >= moved.begins + rule.warm + rule.settle {
-                        moved.enter(now, Stage::Settled);
+                    if all && now >= moved.begins + rule.ramp_duration + rule.settling_time {
+                        moved.enter(now, RolloutStage::Settled);
                     }
                 }
                 // Hysteresis: only after its rest, and not while it is still out.
-                Stage::RolledBack(_) if !moved.given_up(&rule) && now >= moved.begins && is_ready(id.to) => {
+                RolloutStage::RolledBack(_)
+                    if !moved.given_up(&rule) && now >= moved.begins && is_ready(id.target) =>
+                {
                     moved.begins = now;
-                    moved.enter(now, Stage::Warming);
+                    moved.enter(now, RolloutStage::Warming);
                 }
                 _ => {}
             }
             if moved.stage != stage {
-                entered.push(Entered { id: *id, stage: moved.stage, for_good: moved.given_up(&rule) });
+                entered.push(StageTransition {
+                    migration: *id,
+                    stage: moved.stage,
+                    is_final: moved.given_up(&rule),
+                });
             }
         }
         entered
@@ -361,10 +402,10 @@
 
     /// When the next stage is due, as far as that follows from the time.
     pub fn next(&self) -> Option<Ms> {
-        let due = |moved: &Move| match moved.stage {
-            Stage::Planned => Some(moved.begins - self.rule.announce),
-            Stage::Announced => Some(moved.begins),
-            Stage::RolledBack(_) if !moved.given_up(&self.rule) => Some(moved.begins),
+        let due = |moved: &Migration| match moved.stage {
+            RolloutStage::Planned => Some(moved.begins - self.rule.announcement),
+            RolloutStage::Announced => Some(moved.begins),
+            RolloutStage::RolledBack(_) if !moved.given_up(&self.rule) => Some(moved.begins),
             _ => None,
         };
         self.moves.values().filter_map(due).reduce(f64::min)
@@ -375,11 +416,11 @@
 mod tests {
     use super::*;
 
-    fn id() -> MoveId {
-        MoveId { to: NodeId(2), by: Key::default() }
+    fn id() -> MigrationId {
+        MigrationId { target: NodeId(2), position: BatchPosition::default() }
     }
 
-    fn run(stages: &mut Stages, from: Ms, to: Ms, short: bool) -> Vec<(Ms, Stage)> {
+    fn run(stages: &mut Rollout, from: Ms, to: Ms, short: bool) -> Vec<(Ms, RolloutStage)> {
         let mut seen = Vec::new();
         let mut now = from;
         while now <= to {
@@ -391,14 +432,18 @@
 
     #[test]
     fn a_change_passes_its_stages_and_its_part_follows_from_the_time_alone() {
-        let rule = StageRule::default();
-        let mut early = Stages::new(rule);
+        let rule = RolloutConfig::default();
+        let mut early = Rollout::new(rule);
         early.begin(0.0, id(), 1_000.0, 0.0);
         let seen = run(&mut early, 0.0, 90_000.0, false);
-        let stages = [(1_000.0, Stage::Announced), (3_000.0, Stage::Warming), (78_000.0, Stage::Settled)];
+        let stages = [
+            (1_000.0, RolloutStage::Announced),
+            (3_000.0, RolloutStage::Warming),
+            (78_000.0, RolloutStage::Settled),
+        ];
         assert_eq!(seen, stages);
         // One that hears of it in the middle is as far as the others.
-        let (mut early, mut late) = (Stages::new(rule), Stages::new(rule));
+        let (mut early, mut late) = (Rollout::new(rule), Rollout::new(rule));
         early.begin(0.0, id(), 1_000.0, 0.0);
         run(&mut early, 0.0, 17_900.0, false);
         late.begin(17_000.0, id(), 1_000.0, 0.0);
@@ -413,17 +458,18 @@
 
     #[test]
     fn who_hears_of_a_change_after_it_is_over_uses_the_new_source_at_once() {
-        let rule = StageRule::default();
-        let mut late = Stages::new(rule);
+        let rule = RolloutConfig::default();
+        let mut late = Rollout::new(rule);
         late.begin(500_000.0, id(), 1_000.0, 0.0);
         assert_eq!(late.part(500_000.0, id()), 1.0, "before any tick");
-        assert_eq!(run(&mut late, 500_000.0, 500_200.0, false), [(500_000.0, Stage::Settled)]);
+        assert_eq!(run(&mut late, 500_000.0, 500_200.0, false), [(500_000.0, RolloutStage::Settled)]);
     }
 
     #[test]
     fn a_cold_source_is_asked_for_no_more_than_it_bears() {
-        let cold = ColdStart { from: 0.07, warm_in: 20_000.0, fall_multiple: 2.0, window: 3_000.0 };
-        let mut stages = Stages::new(StageRule { cold, warm: 1.0, ..StageRule::default() });
+        let slow_start = ColdStart { from: 0.07, warm_in: 20_000.0, fall_multiple: 2.0, window: 3_000.0 };
+        let mut stages =
+            Rollout::new(RolloutConfig { slow_start, ramp_duration: 1.0, ..RolloutConfig::default() });
         stages.begin(0.0, id(), 0.0, 1_000.0);
         run(&mut stages, 0.0, 3_000.0, false);
         for (now, bears) in [(3_000.0, 0.07 + 0.93 * 0.1), (11_000.0, 0.07 + 0.93 * 0.5)] {
@@ -434,7 +480,7 @@
 
     #[test]
     fn harm_rolls_it_back_and_it_is_tried_again_later_each_time_and_not_for_ever() {
-        let mut stages = Stages::new(StageRule::default());
+        let mut stages = Rollout::new(RolloutConfig::default());
         stages.begin(0.0, id(), 0.0, 0.0);
         let mut times = Vec::new();
         let mut now = 0.0;
@@ -445,15 +491,15 @@
                     stages.report(Some(id()), NodeId(2), true);
                 }
             }
-            times.extend(stages.tick(now, false, |_| true).into_iter().map(|e| (now, e.stage, e.for_good)));
+            times.extend(stages.tick(now, false, |_| true).into_iter().map(|e| (now, e.stage, e.is_final)));
             now += 100.0;
         }
         let back: Vec<(Ms, bool)> = times
             .iter()
-            .filter(|(_, stage, _)| *stage == Stage::RolledBack(Harm::Late))
-            .map(|(at, _, for_good)| (*at, *for_good))
+            .filter(|(_, stage, _)| *stage == RolloutStage::RolledBack(RollbackReason::HighFailureRate))
+            .map(|(at, _, is_final)| (*at, *is_final))
             .collect();
-        assert_eq!(back.iter().map(|(_, for_good)| *for_good).collect::<Vec<_>>(), [false, false, true]);
+        assert_eq!(back.iter().map(|(_, is_final)| *is_final).collect::<Vec<_>>(), [false, false, true]);
         let gaps: Vec<Ms> = back.windows(2).map(|pair| pair[1].0 - pair[0].0).collect();
         assert!(gaps[0] >= 10_000.0 && gaps[1] >= 20_000.0, "{gaps:?}");
         assert_eq!(stages.part(now, id()), 0.0);
@@ -461,7 +507,7 @@
 
     #[test]
     fn late_fills_on_both_sides_are_not_the_changes_doing() {
-        let mut stages = Stages::new(StageRule::default());
+        let mut stages = Rollout::new(RolloutConfig::default());
         stages.begin(0.0, id(), 0.0, 0.0);
         run(&mut stages, 0.0, 3_000.0, false);
         for _ in 0..100 {
@@ -473,7 +519,7 @@
 
     #[test]
     fn what_warms_stands_still_while_the_tiers_above_are_short_but_not_for_ever() {
-        let mut stages = Stages::new(StageRule { held: 10_000.0, ..StageRule::default() });
+        let mut stages = Rollout::new(RolloutConfig { max_pause: 10_000.0, ..RolloutConfig::default() });
         stages.begin(0.0, id(), 0.0, 0.0);
         run(&mut stages, 0.0, 5_000.0, false);
         let part = stages.part(5_000.0, id());
@@ -485,14 +531,21 @@
 
     #[test]
     fn a_lost_source_is_left_at_once_and_tried_again_only_when_it_is_back() {
-        let mut stages = Stages::new(StageRule::default());
+        let mut stages = Rollout::new(RolloutConfig::default());
         stages.begin(0.0, id(), 0.0, 0.0);
         run(&mut stages, 0.0, 10_000.0, false);
         let entered = stages.lost(10_000.0, NodeId(2));
-        assert_eq!(entered, [Entered { id: id(), stage: Stage::RolledBack(Harm::Lost), for_good: false }]);
+        assert_eq!(
+            entered,
+            [StageTransition {
+                migration: id(),
+                stage: RolloutStage::RolledBack(RollbackReason::SourceLost),
+                is_final: false
+            }]
+        );
         assert_eq!(stages.part(10_000.0, id()), 0.0);
         assert!(stages.tick(40_000.0, false, |_| false).is_empty());
-        assert_eq!(stages.tick(41_000.0, false, |_| true)[0].stage, Stage::Warming);
+        assert_eq!(stages.tick(41_000.0, false, |_| true)[0].stage, RolloutStage::Warming);
         assert!(stages.part(41_000.0, id()) < 0.03, "from the beginning");
         // With nothing else left there is no rolling back.
         stages.no_way_back(id(), true);
--- a/crates/hierarchy/src/order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -1,18 +1,18 @@
 //! Owns a topological order of the edges in use, kept while edges come and go (Pearce and Kelly 2006).
 //!
-//! An edge goes from a node to one that it may fill from. [`Order::link`] refuses an edge that would close a
+//! An edge goes from a node to one that it may fill from. [`TopologicalOrder::link`] refuses an edge that would close a
 //! loop, at a cost that follows the nodes between its ends in the order and not the size of the graph.
 //! Must never hold an edge that is part of a loop.
 
 /// A node's place in the arena of its shape.
-pub type Index = u32;
+pub type NodeIndex = u32;
 
 /// The edges in use, and an order in which every edge runs upwards.
 #[derive(Debug, Clone, Default)]
-pub struct Order {
+pub struct TopologicalOrder {
     place: Vec<u32>,
-    up: Vec<Vec<Index>>,
-    down: Vec<Vec<Index>>,
+    up: Vec<Vec<NodeIndex>>,
+    down: Vec<Vec<NodeIndex>>,
     /// The last search that came by a node; saves clearing a set for each.
     seen: Vec<u32>,
     search: u32,
@@ -20,9 +20,9 @@
 
 /// What a new edge would have closed: the nodes from its upper end back to its lower end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Loop(pub Vec<Index>);
+pub struct Cycle(pub Vec<NodeIndex>);
 
-impl Order {
+impl TopologicalOrder {
     /// Nodes that were ever added.
     pub fn len(&self) -> usize {
         self.place.len()
@@ -33,8 +33,8 @@
     }
 
     /// Adds a node without edges, at the end of the order.
-    pub fn add(&mut self) -> Index {
-        let index = self.place.len() as Index;
+    pub fn add(&mut self) -> NodeIndex {
+        let index = self.place.len() as NodeIndex;
         self.place.push(index);
         self.up.push(Vec::new());
         self.down.push(Vec::new());
@@ -43,24 +43,24 @@
     }
 
     /// The nodes that a node's edges in use lead to.
-    pub fn above(&self, node: Index) -> &[Index] {
+    pub fn above(&self, node: NodeIndex) -> &[NodeIndex] {
         &self.up[node as usize]
     }
 
     /// The nodes whose edges in use lead to it.
-    pub fn below(&self, node: Index) -> &[Index] {
+    pub fn below(&self, node: NodeIndex) -> &[NodeIndex] {
         &self.down[node as usize]
     }
 
     /// Whether no edge in use leads to it or from it.
-    pub fn is_apart(&self, node: Index) -> bool {
+    pub fn is_apart(&self, node: NodeIndex) -> bool {
         self.above(node).is_empty() && self.below(node).is_empty()
     }
 
     /// Takes the edge into use, unless it would close a loop. An edge that is in use already stays.
-    pub fn link(&mut self, from: Index, to: Index) -> Result<(), Loop> {
+    pub fn link(&mut self, from: NodeIndex, to: NodeIndex) -> Result<(), Cycle> {
         if from == to {
-            return Err(Loop(vec![from]));
+            return Err(Cycle(vec![from]));
         }
         if self.up[from as usize].contains(&to) {
             return Ok(());
@@ -78,13 +78,13 @@
     }
 
     /// Takes an edge out of use. The order stays right.
-    pub fn unlink(&mut self, from: Index, to: Index) {
+    pub fn unlink(&mut self, from: NodeIndex, to: NodeIndex) {
         self.up[from as usize].retain(|node| *node != to);
         self.down[to as usize].retain(|node| *node != from);
     }
 
     /// Whether a fill that starts at `from` may come by `to`.
-    pub fn reaches(&mut self, from: Index, to: Index) -> bool {
+    pub fn reaches(&mut self, from: NodeIndex, to: NodeIndex) -> bool {
         let high = self.place[to as usize];
         from == to || (self.place[from as usize] < high && self.reach(from, to, high).is_err())
     }
@@ -99,7 +99,7 @@
     }
 
     /// All nodes above `start` up to that place; the way to `target` where it is among them.
-    fn reach(&mut self, start: Index, target: Index, high: u32) -> Result<Vec<Index>, Loop> {
+    fn reach(&mut self, start: NodeIndex, target: NodeIndex, high: u32) -> Result<Vec<NodeIndex>, Cycle> {
         let search = self.begin();
         let (mut found, mut way) = (Vec::new(), vec![(start, 0)]);
         self.seen[start as usize] = search;
@@ -112,7 +112,7 @@
                 continue;
             };
             if above == target {
-                return Err(Loop(way.iter().map(|(node, _)| *node).chain([target]).collect()));
+                return Err(Cycle(way.iter().map(|(node, _)| *node).chain([target]).collect()));
             }
             if self.place[above as usize] < high && self.seen[above as usize] != search {
                 self.seen[above as usize] = search;
@@ -123,7 +123,7 @@
     }
 
     /// All nodes below `start` down to that place.
-    fn reach_down(&mut self, start: Index, low: u32) -> Vec<Index> {
+    fn reach_down(&mut self, start: NodeIndex, low: u32) -> Vec<NodeIndex> {
         let search = self.begin();
         let mut found = vec![start];
         self.seen[start as usize] = search;
@@ -141,8 +141,8 @@
     }
 
     /// Deals the places that both sets hold out anew: first to those below, then to those above.
-    fn reorder(&mut self, mut below: Vec<Index>, mut above: Vec<Index>) {
-        let by_place = |order: &Self, nodes: &mut Vec<Index>| {
+    fn reorder(&mut self, mut below: Vec<NodeIndex>, mut above: Vec<NodeIndex>) {
+        let by_place = |order: &Self, nodes: &mut Vec<NodeIndex>| {
             nodes.sort_unstable_by_key(|node| order.place[*node as usize]);
         };
         by_place(self, &mut below);
--- a/crates/hierarchy/src/shape.rs
+++ b/crates/hierarchy/src/topology.rs
@@ -1,6 +1,6 @@
 //! Owns the shape: nodes, the sources that each may fill from, and which of these edges are in use.
 //!
-//! Every step leaves a [`Step`] in a journal, so that it can be taken back. Must never have a loop among the
+//! Every step leaves a [`UndoStep`] in a journal, so that it can be taken back. Must never have a loop among the
 //! edges in use, not for a moment either, nor depend on the order in which nodes were stored.
 
 use std::collections::{BTreeSet, HashMap};
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::batch::Key;
-use crate::order::{Index, Loop, Order};
+use crate::batch::BatchPosition;
+use crate::topological_order::{Cycle, NodeIndex, TopologicalOrder};
 
 /// A cache, a parent of any tier, or the origin: the name that the decision module has for it too.
 pub use linnethook::interface::CacheId as NodeId;
@@ -92,48 +92,48 @@
 
 /// All that is known of a node, and by which batch it was written last.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Record {
+pub struct NodeRecord {
     pub node: Node,
-    pub node_by: Key,
+    pub node_by: BatchPosition,
     pub edges: Vec<Edge>,
-    pub edges_by: Key,
+    pub edges_by: BatchPosition,
 }
 
 /// An edge that waits for its loop to go, in the order in which they may come back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Suspended {
-    pub by: Key,
+pub struct SuspendedEdge {
+    pub by: BatchPosition,
     pub from: NodeId,
     pub source: Source,
 }
 
 /// One step of a change, with what is needed to take it back.
 #[derive(Debug, Clone)]
-pub enum Step {
+pub enum UndoStep {
     /// The node's record before; `None` where there was none.
-    Wrote(NodeId, Option<Box<Record>>),
-    Linked(NodeId, NodeId),
-    Unlinked(NodeId, NodeId),
+    RecordWritten(NodeId, Option<Box<NodeRecord>>),
+    EdgeEnabled(NodeId, NodeId),
+    EdgeDisabled(NodeId, NodeId),
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Shape {
+pub struct Topology {
     /// A fixed hasher: nothing may differ between two runs.
-    places: HashMap<NodeId, Index, FxBuildHasher>,
-    slots: Vec<Option<Record>>,
+    places: HashMap<NodeId, NodeIndex, FxBuildHasher>,
+    slots: Vec<Option<NodeRecord>>,
     ids: Vec<NodeId>,
     /// Places of nodes that are gone, to be used again.
-    free: Vec<Index>,
-    order: Order,
+    free: Vec<NodeIndex>,
+    order: TopologicalOrder,
     /// By source: how many list it, in use or not.
     listed: Vec<u32>,
-    suspended: BTreeSet<Suspended>,
+    suspended: BTreeSet<SuspendedEdge>,
     nodes: usize,
     origins: usize,
     digest: u64,
 }
 
-impl Shape {
+impl Topology {
     /// Nodes in the shape.
     pub fn len(&self) -> usize {
         self.nodes
@@ -148,7 +148,7 @@
         self.digest
     }
 
-    pub fn record(&self, id: NodeId) -> Option<&Record> {
+    pub fn record(&self, id: NodeId) -> Option<&NodeRecord> {
         self.places.get(&id).and_then(|index| self.slots[*index as usize].as_ref())
     }
 
@@ -187,13 +187,13 @@
     }
 
     /// The edges that wait for a loop to go.
-    pub fn suspended(&self) -> impl Iterator<Item = &Suspended> {
+    pub fn suspended_edges(&self) -> impl Iterator<Item = &SuspendedEdge> {
         self.suspended.iter()
     }
 
     /// All records, by id.
-    pub fn records(&self) -> Vec<&Record> {
-        let mut all: Vec<&Record> = self.slots.iter().flatten().collect();
+    pub fn records(&self) -> Vec<&NodeRecord> {
+        let mut all: Vec<&NodeRecord> = self.slots.iter().flatten().collect();
         all.sort_by_key(|record| record.node.id);
         all
     }
@@ -217,34 +217,40 @@
                 self.order.unlink(from, to);
                 None
             }
-            Err(Loop(way)) => Some(way.into_iter().map(|index| self.ids[index as usize]).collect()),
+            Err(Cycle(way)) => Some(way.into_iter().map(|index| self.ids[index as usize]).collect()),
         }
     }
 
     // ---- Steps: what a change is made of.
 
     /// Writes a node's own figures; its sources stay.
-    pub fn put(&mut self, node: Node, by: Key, journal: &mut Vec<Step>) {
+    pub fn put(&mut self, node: Node, by: BatchPosition, journal: &mut Vec<UndoStep>) {
         let before = self.record(node.id).cloned();
         let record = match &before {
-            Some(record) => Record { node, node_by: by, ..record.clone() },
-            None => Record { node, node_by: by, edges: Vec::new(), edges_by: by },
+            Some(record) => NodeRecord { node, node_by: by, ..record.clone() },
+            None => NodeRecord { node, node_by: by, edges: Vec::new(), edges_by: by },
         };
         self.write(node.id, Some(record));
-        journal.push(Step::Wrote(node.id, before.map(Box::new)));
+        journal.push(UndoStep::RecordWritten(node.id, before.map(Box::new)));
     }
 
     /// Takes a node out. Nothing lists it any more.
-    pub fn take_out(&mut self, id: NodeId, by: Key, journal: &mut Vec<Step>) {
+    pub fn take_out(&mut self, id: NodeId, by: BatchPosition, journal: &mut Vec<UndoStep>) {
         self.put_sources(id, &[], by, journal);
         let before = self.record(id).cloned();
         self.write(id, None);
-        journal.push(Step::Wrote(id, before.map(Box::new)));
+        journal.push(UndoStep::RecordWritten(id, before.map(Box::new)));
     }
 
     /// Gives a node other sources. One that would close a loop is listed but not in use. True where an edge
     /// went out of use, so that a suspended one may come back.
-    pub fn put_sources(&mut self, id: NodeId, sources: &[Source], by: Key, journal: &mut Vec<Step>) -> bool {
+    pub fn put_sources(
+        &mut self,
+        id: NodeId,
+        sources: &[Source],
+        by: BatchPosition,
+        journal: &mut Vec<UndoStep>,
+    ) -> bool {
         let Some(before) = self.record(id).cloned() else { return false };
         let mut sources = sources.to_vec();
         sources.sort_unstable();
@@ -256,9 +262,9 @@
             freed |= !kept(edge);
         }
         let edges = sources.iter().map(|&source| Edge { source, in_use: false }).collect();
-        let record = Record { edges, edges_by: by, ..before.clone() };
+        let record = NodeRecord { edges, edges_by: by, ..before.clone() };
         self.write(id, Some(record));
-        journal.push(Step::Wrote(id, Some(Box::new(self.without_use(before)))));
+        journal.push(UndoStep::RecordWritten(id, Some(Box::new(self.without_use(before)))));
         for source in sources {
             self.try_link(id, source.node, journal);
         }
@@ -267,50 +273,56 @@
 
     /// Gives a node the sources of another router's shape, with only those in use that are so there. One that
     /// would close a loop all the same stays suspended.
-    pub fn put_used(&mut self, id: NodeId, sources: &[Source], by: Key, used: impl Fn(NodeId) -> bool) {
+    pub fn put_used(
+        &mut self,
+        id: NodeId,
+        sources: &[Source],
+        by: BatchPosition,
+        used: impl Fn(NodeId) -> bool,
+    ) {
         let Some(record) = self.record(id).cloned() else { return };
         let edges = sources.iter().map(|&source| Edge { source, in_use: false }).collect();
-        self.write(id, Some(Record { edges, edges_by: by, ..record }));
+        self.write(id, Some(NodeRecord { edges, edges_by: by, ..record }));
         for source in sources.iter().filter(|source| used(source.node)) {
             self.try_link(id, source.node, &mut Vec::new());
         }
     }
 
     /// Lets suspended edges come back whose loop has gone, the oldest first.
-    pub fn resume(&mut self, journal: &mut Vec<Step>) {
+    pub fn resume(&mut self, journal: &mut Vec<UndoStep>) {
         for edge in self.suspended.clone() {
             self.try_link(edge.from, edge.source.node, journal);
         }
     }
 
     /// Takes steps back, the last one first.
-    pub fn undo(&mut self, journal: Vec<Step>) {
+    pub fn undo(&mut self, journal: Vec<UndoStep>) {
         for step in journal.into_iter().rev() {
             match step {
-                Step::Wrote(id, before) => self.write(id, before.map(|record| *record)),
-                Step::Linked(from, to) => self.set_use(from, to, false),
-                Step::Unlinked(from, to) => self.set_use(from, to, true),
+                UndoStep::RecordWritten(id, before) => self.write(id, before.map(|record| *record)),
+                UndoStep::EdgeEnabled(from, to) => self.set_use(from, to, false),
+                UndoStep::EdgeDisabled(from, to) => self.set_use(from, to, true),
             }
         }
     }
 
-    fn without_use(&self, mut record: Record) -> Record {
+    fn without_use(&self, mut record: NodeRecord) -> NodeRecord {
         record.edges.iter_mut().for_each(|edge| edge.in_use = false);
         record
     }
 
-    fn try_link(&mut self, from: NodeId, to: NodeId, journal: &mut Vec<Step>) {
+    fn try_link(&mut self, from: NodeId, to: NodeId, journal: &mut Vec<UndoStep>) {
         let (a, b) = (self.place(from), self.place(to));
         if self.order.link(a, b).is_ok() {
             self.order.unlink(a, b);
             self.set_use(from, to, true);
-            journal.push(Step::Linked(from, to));
+            journal.push(UndoStep::EdgeEnabled(from, to));
         }
     }
 
-    fn unlink(&mut self, from: NodeId, to: NodeId, journal: &mut Vec<Step>) {
+    fn unlink(&mut self, from: NodeId, to: NodeId, journal: &mut Vec<UndoStep>) {
         self.set_use(from, to, false);
-        journal.push(Step::Unlinked(from, to));
+        journal.push(UndoStep::EdgeDisabled(from, to));
     }
 
     /// Takes an edge into use or out of it, in the record, the order and the list of suspended ones alike.
@@ -332,7 +344,7 @@
     }
 
     /// Replaces a record. Its edges in use are none, or are in the order already.
-    fn write(&mut self, id: NodeId, record: Option<Record>) {
+    fn write(&mut self, id: NodeId, record: Option<NodeRecord>) {
         let place = self.place(id) as usize;
         self.forget(id);
         self.slots[place] = record;
@@ -355,7 +367,7 @@
     }
 
     /// A node's place in the arena; a new one where it has none.
-    fn place(&mut self, id: NodeId) -> Index {
+    fn place(&mut self, id: NodeId) -> NodeIndex {
         if let Some(&index) = self.places.get(&id) {
             return index;
         }
@@ -381,7 +393,7 @@
         for edge in &record.edges {
             let source = self.place(edge.source.node) as usize;
             self.listed[source] -= 1;
-            self.suspended.remove(&Suspended { by: record.edges_by, from: id, source: edge.source });
+            self.suspended.remove(&SuspendedEdge { by: record.edges_by, from: id, source: edge.source });
         }
         self.slots[index] = Some(record);
     }
@@ -396,7 +408,7 @@
             let source = self.place(edge.source.node) as usize;
             self.listed[source] += 1;
             if !edge.in_use {
-                self.suspended.insert(Suspended { by: record.edges_by, from: id, source: edge.source });
+                self.suspended.insert(SuspendedEdge { by: record.edges_by, from: id, source: edge.source });
             }
         }
         self.slots[index] = Some(record);
@@ -404,7 +416,7 @@
 }
 
 /// A record's part of the shape's digest, over all that decides about fills.
-fn digest(record: &Record) -> u64 {
+fn digest(record: &NodeRecord) -> u64 {
     let Node { id, role, site, tier, capacity, retiring } = record.node;
     let mut hash = Xxh3::new();
     hash.update(&id.0.to_le_bytes());
--- a/crates/hierarchy/tests/convergence.rs
+++ b/crates/hierarchy/tests/convergence.rs
@@ -2,9 +2,10 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linnethook_hierarchy::order::{Index, Order};
+use linnethook_hierarchy::topological_order::{NodeIndex, TopologicalOrder};
 use linnethook_hierarchy::{
-    Author, Batch, Bounds, Change, Heard, History, Kept, Node, NodeId, Role, Shape, Source,
+    AuthorId, BatchLimits, Change, ChangeBatch, History, HistoryLimits, Node, NodeId, ReceiveOutcome, Role,
+    Source, Topology,
 };
 use petgraph::algo::{has_path_connecting, is_cyclic_directed};
 use petgraph::graphmap::DiGraphMap;
@@ -21,7 +22,7 @@
     fn the_order_refuses_what_a_full_search_refuses(
         steps in prop::collection::vec((0u32..24, 0u32..24, 0u8..4), 1..200)
     ) {
-        let (mut order, mut plain) = (Order::default(), DiGraphMap::<Index, ()>::new());
+        let (mut order, mut plain) = (TopologicalOrder::default(), DiGraphMap::<NodeIndex, ()>::new());
         for _ in 0..24 {
             let index = order.add();
             plain.add_node(index);
@@ -58,19 +59,19 @@
         let mut digests = BTreeSet::from([plain.digest()]);
         for _ in 0..3 {
             let mut router = History::default();
-            let mut order: Vec<&Batch> = batches.iter().chain(batches.iter().take(10)).collect();
+            let mut order: Vec<&ChangeBatch> = batches.iter().chain(batches.iter().take(10)).collect();
             shuffle(&mut chance, &mut order);
             for batch in order {
-                let heard = router.hear(batch.clone());
-                prop_assert!(!matches!(heard, Heard::Unusable(_)), "{heard:?}");
+                let heard = router.receive_batch(batch.clone());
+                prop_assert!(!matches!(heard, ReceiveOutcome::Invalid(_)), "{heard:?}");
             }
-            prop_assert_eq!(router.waiting().count(), 0);
-            digests.insert(router.shape().digest());
-            sound(router.shape_mut());
+            prop_assert_eq!(router.pending().count(), 0);
+            digests.insert(router.topology().digest());
+            sound(router.topology_mut());
             let text = serde_json::to_string(&router.snapshot()).expect("a snapshot is written");
             let mut started = History::default();
-            started.adopt(serde_json::from_str(&text).expect("and read")).expect("a shape");
-            digests.insert(started.shape().digest());
+            started.restore_snapshot(serde_json::from_str(&text).expect("and read")).expect("a shape");
+            digests.insert(started.topology().digest());
             prop_assert_eq!(started.basis(), router.basis());
         }
         prop_assert_eq!(digests.len(), 1);
@@ -81,17 +82,17 @@
     fn a_batch_undone_leaves_the_shape_as_it_was(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let batches = crossing(&mut chance, 2, 30);
-        let mut shape = Shape::default();
+        let mut shape = Topology::default();
         for batch in &batches {
-            let before = (shape.digest(), shape.len(), shape.suspended().count());
-            if let Ok(steps) = batch.apply(&mut shape, &Bounds::default()) {
+            let before = (shape.digest(), shape.len(), shape.suspended_edges().count());
+            if let Ok(steps) = batch.apply(&mut shape, &BatchLimits::default()) {
                 let after = shape.digest();
                 shape.undo(steps);
-                prop_assert_eq!((shape.digest(), shape.len(), shape.suspended().count()), before);
-                batch.apply(&mut shape, &Bounds::default()).expect("as before");
+                prop_assert_eq!((shape.digest(), shape.len(), shape.suspended_edges().count()), before);
+                batch.apply(&mut shape, &BatchLimits::default()).expect("as before");
                 prop_assert_eq!(shape.digest(), after);
             } else {
-                prop_assert_eq!((shape.digest(), shape.len(), shape.suspended().count()), before);
+                prop_assert_eq!((shape.digest(), shape.len(), shape.suspended_edges().count()), before);
             }
         }
     }
@@ -103,33 +104,33 @@
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut history = History::default();
         for batch in crossing(&mut chance, 1, 20) {
-            let before = lists(history.shape());
-            let serial = batch.serial;
-            history.hear(batch);
-            if history.verdict(serial).is_none_or(|verdict| verdict.is_err()) {
+            let before = lists(history.topology());
+            let batch_id = batch.id;
+            history.receive_batch(batch);
+            if history.outcome(batch_id).is_none_or(|verdict| verdict.is_err()) {
                 continue;
             }
-            let changes = history.inverse(serial).expect("it was applied");
-            let back = history.draft(Author(9), 0.0, changes);
+            let changes = history.inverse_changes(batch_id).expect("it was applied");
+            let back = history.draft_batch(AuthorId(9), 0.0, changes);
             let mut copy = history.clone();
-            let serial = back.serial;
-            copy.hear(back);
-            prop_assert_eq!(copy.verdict(serial), Some(Ok(())));
-            prop_assert_eq!(lists(copy.shape()), before);
+            let batch_id = back.id;
+            copy.receive_batch(back);
+            prop_assert_eq!(copy.outcome(batch_id), Some(Ok(())));
+            prop_assert_eq!(lists(copy.topology()), before);
         }
     }
 }
 
 type Lists = BTreeMap<NodeId, (u32, bool, Vec<Source>)>;
 
-fn lists(shape: &Shape) -> Lists {
+fn lists(shape: &Topology) -> Lists {
     let line = |id: NodeId| shape.edges(id).iter().map(|edge| edge.source).collect();
     let all = shape.records().into_iter().map(|record| record.node);
     all.map(|node| (node.id, (node.site, node.retiring, line(node.id)))).collect()
 }
 
 /// No loop among the edges in use, and none suspended that would close none.
-fn sound(shape: &mut Shape) {
+fn sound(shape: &mut Topology) {
     let mut plain = DiGraphMap::<u64, ()>::new();
     for record in shape.records() {
         for edge in record.edges.iter().filter(|edge| edge.in_use) {
@@ -137,7 +138,7 @@
         }
     }
     assert!(!is_cyclic_directed(&plain));
-    for edge in shape.suspended().copied().collect::<Vec<_>>() {
+    for edge in shape.suspended_edges().copied().collect::<Vec<_>>() {
         assert!(has_path_connecting(&plain, edge.source.node.0, edge.from.0, None));
         let found = shape.would_loop(edge.from, edge.source.node).expect("the loop it waits for");
         assert_eq!((found.first(), found.last()), (Some(&edge.source.node), Some(&edge.from)));
@@ -145,12 +146,12 @@
 }
 
 /// The plain model: all batches sorted, applied once from nothing.
-fn replay(batches: &[Batch]) -> Shape {
-    let mut sorted: Vec<&Batch> = batches.iter().collect();
-    sorted.sort_by_key(|batch| batch.key());
-    let mut shape = Shape::default();
+fn replay(batches: &[ChangeBatch]) -> Topology {
+    let mut sorted: Vec<&ChangeBatch> = batches.iter().collect();
+    sorted.sort_by_key(|batch| batch.position());
+    let mut shape = Topology::default();
     for batch in sorted {
-        let _ = batch.apply(&mut shape, &Bounds::default());
+        let _ = batch.apply(&mut shape, &BatchLimits::default());
     }
     shape
 }
@@ -166,28 +167,28 @@
 }
 
 /// Batches of several authors, each of whom knows a part of what the others have written.
-fn crossing(chance: &mut Pcg64Mcg, authors: u16, count: usize) -> Vec<Batch> {
+fn crossing(chance: &mut Pcg64Mcg, authors: u16, count: usize) -> Vec<ChangeBatch> {
     let mut minds: Vec<History> = (0..authors).map(|_| History::default()).collect();
     let origin = Change::Add { node: node(1, Role::Origin, 0), sources: Vec::new() };
     let parents = (2..8).map(|id| Change::Add {
         node: node(id, Role::Parent, id as u32 % 3),
         sources: vec![Source::new(NodeId(1), 9)],
     });
-    let first = minds[0].draft(Author(0), 0.0, std::iter::once(origin).chain(parents).collect());
-    minds.iter_mut().for_each(|mind| drop(mind.hear(first.clone())));
+    let first = minds[0].draft_batch(AuthorId(0), 0.0, std::iter::once(origin).chain(parents).collect());
+    minds.iter_mut().for_each(|mind| drop(mind.receive_batch(first.clone())));
     let mut all = vec![first];
     for n in 1..count {
         let author = chance.random_range(0..authors);
         // Now and then it hears what the others have written so far.
         if chance.random_range(0..3) == 0 {
             for batch in &all {
-                minds[usize::from(author)].hear(batch.clone());
+                minds[usize::from(author)].receive_batch(batch.clone());
             }
         }
         let changes = (0..chance.random_range(1..3)).map(|k| change(chance, (n * 4 + k) as u64)).collect();
         let mind = &mut minds[usize::from(author)];
-        let batch = mind.draft(Author(author), n as f64, changes);
-        mind.hear(batch.clone());
+        let batch = mind.draft_batch(AuthorId(author), n as f64, changes);
+        mind.receive_batch(batch.clone());
         all.push(batch);
     }
     all
@@ -216,8 +217,10 @@
 /// What each kind of bad batch is answered, and that bounds hold.
 #[test]
 fn bad_batches_are_refused_whole() {
-    let mut history =
-        History::new(Bounds { authors: 2, ..Bounds::default() }, Kept { batches: 4, waiting: 2 });
+    let mut history = History::new(
+        BatchLimits { max_authors: 2, ..BatchLimits::default() },
+        HistoryLimits { retained_batches: 4, pending_batches: 2 },
+    );
     let add = |id, sources: &[u64]| Change::Add {
         node: node(id, Role::Parent, 0),
         sources: sources.iter().map(|id| Source::new(NodeId(*id), 0)).collect(),
@@ -236,34 +239,46 @@
         ),
         (vec![origin(), capacity], "capacity"),
     ];
-    let mut serials = Vec::new();
+    let mut batch_ids = Vec::new();
     for (changes, reason) in table {
-        let batch = history.draft(Author(0), 0.0, changes);
-        serials.push(batch.serial);
-        assert!(matches!(history.hear(batch.clone()), Heard::Taken(_)));
-        let verdict = history.verdict(batch.serial).expect("kept").expect_err("refused").to_string();
+        let batch = history.draft_batch(AuthorId(0), 0.0, changes);
+        batch_ids.push(batch.id);
+        assert!(matches!(history.receive_batch(batch.clone()), ReceiveOutcome::Accepted(_)));
+        let verdict = history.outcome(batch.id).expect("kept").expect_err("refused").to_string();
         assert!(verdict.contains(reason), "{verdict}");
-        assert!(history.shape().is_empty());
-        assert_eq!(history.hear(batch.clone()), Heard::Repeated);
+        assert!(history.topology().is_empty());
+        assert_eq!(history.receive_batch(batch.clone()), ReceiveOutcome::Duplicate);
     }
-    assert!(history.verdict(serials[0]).is_none(), "only the newest are kept");
-    let good = history.draft(Author(0), 0.0, vec![origin(), add(2, &[1])]);
-    assert!(matches!(history.hear(good.clone()), Heard::Taken(_)));
-    let other = Batch { changes: vec![origin()], ..good };
-    assert!(matches!(history.hear(other), Heard::Unusable(_)), "the same name with other content");
+    assert!(history.outcome(batch_ids[0]).is_none(), "only the newest are kept");
+    let good = history.draft_batch(AuthorId(0), 0.0, vec![origin(), add(2, &[1])]);
+    assert!(matches!(history.receive_batch(good.clone()), ReceiveOutcome::Accepted(_)));
+    let other = ChangeBatch { changes: vec![origin()], ..good };
+    assert!(
+        matches!(history.receive_batch(other), ReceiveOutcome::Invalid(_)),
+        "the same name with other content"
+    );
     for (number, n) in [(3, 0), (4, 1), (5, 2)] {
-        let mut late = history.draft(Author(1), 0.0, vec![]);
-        late.serial.number = number;
-        let heard = history.hear(late);
-        assert_eq!(matches!(heard, Heard::Waiting(_)), n < 2, "{heard:?}");
+        let mut late = history.draft_batch(AuthorId(1), 0.0, vec![]);
+        late.id.number = number;
+        let heard = history.receive_batch(late);
+        assert_eq!(matches!(heard, ReceiveOutcome::Pending(_)), n < 2, "{heard:?}");
     }
-    assert!(matches!(history.hear(history.draft(Author(7), 0.0, vec![])), Heard::Taken(_)));
-    assert!(matches!(history.hear(history.draft(Author(8), 0.0, vec![])), Heard::Unusable(_)));
-    assert!(matches!(history.hear(history.draft(Author(7), f64::NAN, vec![])), Heard::Unusable(_)));
-    assert!(history.shape().arena() <= 2, "what was refused keeps no place");
-    let mut old = history.draft(Author(7), 0.0, vec![]);
+    assert!(matches!(
+        history.receive_batch(history.draft_batch(AuthorId(7), 0.0, vec![])),
+        ReceiveOutcome::Accepted(_)
+    ));
+    assert!(matches!(
+        history.receive_batch(history.draft_batch(AuthorId(8), 0.0, vec![])),
+        ReceiveOutcome::Invalid(_)
+    ));
+    assert!(matches!(
+        history.receive_batch(history.draft_batch(AuthorId(7), f64::NAN, vec![])),
+        ReceiveOutcome::Invalid(_)
+    ));
+    assert!(history.topology().arena() <= 2, "what was refused keeps no place");
+    let mut old = history.draft_batch(AuthorId(7), 0.0, vec![]);
     old.stamp = 1;
-    assert!(matches!(history.hear(old), Heard::Unusable(_)));
+    assert!(matches!(history.receive_batch(old), ReceiveOutcome::Invalid(_)));
 }
 
 /// Two changes that are fine alone and close a loop together: the later one is suspended, at routers that hear of
@@ -276,30 +291,30 @@
             |id| Change::Add { node: node(id, Role::Parent, 0), sources: vec![Source::new(NodeId(1), 9)] };
         let origin = Change::Add { node: node(1, Role::Origin, 0), sources: Vec::new() };
         let parents = (2..2 + count).map(add);
-        let first = base.draft(Author(0), 0.0, std::iter::once(origin).chain(parents).collect());
-        base.hear(first);
+        let first = base.draft_batch(AuthorId(0), 0.0, std::iter::once(origin).chain(parents).collect());
+        base.receive_batch(first);
         let around = |k: u64| {
             let sources = vec![Source::new(NodeId(2 + (k + 1) % count), 0), Source::new(NodeId(1), 9)];
             vec![Change::Rerank { node: NodeId(2 + k), sources }]
         };
-        let crossing: Vec<Batch> =
-            (0..count).map(|k| base.draft(Author(1 + k as u16), 0.0, around(k))).collect();
+        let crossing: Vec<ChangeBatch> =
+            (0..count).map(|k| base.draft_batch(AuthorId(1 + k as u16), 0.0, around(k))).collect();
         let (mut one, mut other) = (base.clone(), base.clone());
-        crossing.iter().for_each(|batch| drop(one.hear(batch.clone())));
-        crossing.iter().rev().for_each(|batch| drop(other.hear(batch.clone())));
-        assert_eq!(one.shape().digest(), other.shape().digest());
+        crossing.iter().for_each(|batch| drop(one.receive_batch(batch.clone())));
+        crossing.iter().rev().for_each(|batch| drop(other.receive_batch(batch.clone())));
+        assert_eq!(one.topology().digest(), other.topology().digest());
         for router in [&mut one, &mut other] {
-            let waits: Vec<NodeId> = router.shape().suspended().map(|edge| edge.from).collect();
+            let waits: Vec<NodeId> = router.topology().suspended_edges().map(|edge| edge.from).collect();
             assert_eq!(waits, [NodeId(1 + count)], "of {count}");
-            sound(router.shape_mut());
-            let back = router.draft(
-                Author(0),
+            sound(router.topology_mut());
+            let back = router.draft_batch(
+                AuthorId(0),
                 0.0,
                 vec![Change::Rerank { node: NodeId(2), sources: vec![Source::new(NodeId(1), 9)] }],
             );
-            router.hear(back);
-            assert_eq!(router.shape().suspended().count(), 0);
-            assert!(router.shape().allows(NodeId(1 + count), NodeId(2)));
+            router.receive_batch(back);
+            assert_eq!(router.topology().suspended_edges().count(), 0);
+            assert!(router.topology().allows(NodeId(1 + count), NodeId(2)));
         }
     }
 }
