--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -5,13 +5,13 @@
 use std::path::Path;
 
 use linnethook::interface::{Ms, Phase};
-use linnethook_hierarchy::hierarchy::{Feeds, Picked, Rules};
-use linnethook_hierarchy::named::Names;
-use linnethook_hierarchy::plan::NoPlan;
-use linnethook_hierarchy::shield::{Over, Priority, Released, Verdict};
-use linnethook_hierarchy::stages::{Entered, Harm, Stage};
+use linnethook_hierarchy::change_spec::NameTable;
+use linnethook_hierarchy::hierarchy::{FillSources, HierarchyConfig, SelectedFill};
+use linnethook_hierarchy::origin_shield::{Priority, QueuedDecision, ShieldDecision, ShieldRejection};
+use linnethook_hierarchy::plan::PlanError;
+use linnethook_hierarchy::rollout::{RollbackReason, RolloutStage, StageTransition};
 use linnethook_hierarchy::{
-    Author, Brought, Change, Heard, Hierarchy, Hop, Node, NodeId, Role, Serial, Source,
+    AuthorId, BatchId, Change, FillResult, Hierarchy, Hop, Node, NodeId, ReceiveOutcome, Role, Source,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -49,72 +49,72 @@
         }
     }
 
-    fn feeds(&mut self, feeds: &Feeds) {
-        self.sources(&feeds.now);
-        self.sources(&feeds.before);
-        self.float(feeds.part);
+    fn feeds(&mut self, feeds: &FillSources) {
+        self.sources(&feeds.current);
+        self.sources(&feeds.previous);
+        self.float(feeds.fraction);
         self.number(feeds.salt);
     }
 
     fn hops(&mut self, hops: &[Hop]) {
         for hop in hops {
             self.number(hop.node.0);
-            self.number(u64::from(hop.only_held));
+            self.number(u64::from(hop.cached_only));
         }
     }
 
-    fn verdict(&mut self, verdict: &Verdict) {
+    fn verdict(&mut self, verdict: &ShieldDecision) {
         match verdict {
-            Verdict::Go => self.word("go"),
-            Verdict::Wait { until } => {
+            ShieldDecision::Admit => self.word("go"),
+            ShieldDecision::Queue { until } => {
                 self.word("wait");
                 self.float(*until);
             }
-            Verdict::Over { why, come_back } => {
-                self.word(match why {
-                    Over::Fetched => "fetched",
-                    Over::Budget => "budget",
-                    Over::Queue => "queue",
-                    Over::Time => "time",
+            ShieldDecision::Reject { reason, retry_after } => {
+                self.word(match reason {
+                    ShieldRejection::FetchInProgress => "fetched",
+                    ShieldRejection::BudgetExhausted => "budget",
+                    ShieldRejection::QueueFull => "queue",
+                    ShieldRejection::QueueTimeout => "time",
                 });
-                self.float(*come_back);
+                self.float(*retry_after);
             }
         }
     }
 
-    fn released(&mut self, released: &[Released]) {
+    fn released(&mut self, released: &[QueuedDecision]) {
         for released in released {
             self.number(released.ticket);
-            self.verdict(&released.verdict);
+            self.verdict(&released.decision);
         }
     }
 
-    fn entered(&mut self, entered: &[Entered]) {
+    fn entered(&mut self, entered: &[StageTransition]) {
         for entered in entered {
-            self.number(entered.id.to.0);
-            self.number(entered.id.by.serial().number);
+            self.number(entered.migration.target.0);
+            self.number(entered.migration.position.batch_id().number);
             self.word(match entered.stage {
-                Stage::Planned => "planned",
-                Stage::Announced => "announced",
-                Stage::Warming => "warming",
-                Stage::Settled => "settled",
-                Stage::RolledBack(Harm::Late) => "late",
-                Stage::RolledBack(Harm::Lost) => "lost",
-                Stage::RolledBack(Harm::Asked) => "asked",
+                RolloutStage::Planned => "planned",
+                RolloutStage::Announced => "announced",
+                RolloutStage::Warming => "warming",
+                RolloutStage::Settled => "settled",
+                RolloutStage::RolledBack(RollbackReason::HighFailureRate) => "late",
+                RolloutStage::RolledBack(RollbackReason::SourceLost) => "lost",
+                RolloutStage::RolledBack(RollbackReason::Requested) => "asked",
             });
-            self.number(u64::from(entered.for_good));
+            self.number(u64::from(entered.is_final));
         }
     }
 
-    fn heard(&mut self, heard: &Heard) {
+    fn heard(&mut self, heard: &ReceiveOutcome) {
         match heard {
-            Heard::Taken(serials) => {
+            ReceiveOutcome::Accepted(batch_ids) => {
                 self.word("taken");
-                serials.iter().for_each(|serial| self.number(serial.number));
+                batch_ids.iter().for_each(|batch_id| self.number(batch_id.number));
             }
-            Heard::Repeated => self.word("repeated"),
-            Heard::Waiting(serial) => self.number(serial.number),
-            Heard::Unusable(wrong) => self.word(&wrong.to_string()),
+            ReceiveOutcome::Duplicate => self.word("repeated"),
+            ReceiveOutcome::Pending(batch_id) => self.number(batch_id.number),
+            ReceiveOutcome::Invalid(wrong) => self.word(&wrong.to_string()),
         }
     }
 }
@@ -125,7 +125,7 @@
 
 struct Script {
     hierarchy: Hierarchy,
-    names: Names,
+    names: NameTable,
     chance: Pcg64Mcg,
     trace: Trace,
     now: Ms,
@@ -133,22 +133,22 @@
     /// Fills that were let through, and those that wait.
     out: Vec<u64>,
     waiting: Vec<u64>,
-    batches: Vec<Serial>,
+    batches: Vec<BatchId>,
 }
 
 impl Script {
     fn new(seed: u64) -> Self {
-        let mut rules = Rules { retire: 5_000.0, ..Rules::default() };
-        rules.stages.warm = 6_000.0;
-        rules.stages.settle = 4_000.0;
-        rules.stages.rest = 1_500.0;
-        rules.stages.cold.warm_in = 4_000.0;
-        rules.shield.waiting = 12;
-        rules.shield.lease = 300.0;
-        rules.kept.batches = 30;
+        let mut config = HierarchyConfig { retirement_grace: 5_000.0, ..HierarchyConfig::default() };
+        config.rollout.ramp_duration = 6_000.0;
+        config.rollout.settling_time = 4_000.0;
+        config.rollout.retry_delay = 1_500.0;
+        config.rollout.slow_start.warm_in = 4_000.0;
+        config.shield.max_queued = 12;
+        config.shield.lease_duration = 300.0;
+        config.history_limits.retained_batches = 30;
         let mut script = Self {
-            hierarchy: Hierarchy::new(rules),
-            names: Names::default(),
+            hierarchy: Hierarchy::new(config),
+            names: NameTable::default(),
             chance: Pcg64Mcg::seed_from_u64(seed),
             trace: Trace::default(),
             now: 1e6,
@@ -167,7 +167,7 @@
             sources: vec![Source::new(NodeId(2), 0), Source::new(NodeId(3), 0), Source::new(ORIGIN, 9)],
         }));
         script.change(changes);
-        CACHES.for_each(|id| assert!(script.hierarchy.watch(script.now, NodeId(id))));
+        CACHES.for_each(|id| assert!(script.hierarchy.track_child(script.now, NodeId(id))));
         script
     }
 
@@ -176,18 +176,18 @@
     }
 
     fn change(&mut self, changes: Vec<Change>) {
-        let author = Author(self.chance.random_range(1..4));
-        let batch = self.hierarchy.draft(author, self.now, changes);
-        self.batches.push(batch.serial);
-        match self.hierarchy.plan(self.now, &batch) {
+        let author = AuthorId(self.chance.random_range(1..4));
+        let batch = self.hierarchy.draft_batch(author, self.now, changes);
+        self.batches.push(batch.id);
+        match self.hierarchy.plan_batch(self.now, &batch) {
             Ok(plan) => {
-                let plan = serde_json::to_string(&self.names.plan(&plan)).expect("a plan is written");
+                let plan = serde_json::to_string(&self.names.plan_spec(&plan)).expect("a plan is written");
                 self.trace.word(&plan);
             }
-            Err(why @ (NoPlan::Refused(_) | NoPlan::Unusable(_))) => self.trace.word(&why.to_string()),
+            Err(why @ (PlanError::Rejected(_) | PlanError::Invalid(_))) => self.trace.word(&why.to_string()),
             Err(_) => self.trace.word("no plan"),
         }
-        let heard = self.hierarchy.hear(self.now, batch);
+        let heard = self.hierarchy.receive_batch(self.now, batch);
         self.trace.heard(&heard);
     }
 
@@ -217,17 +217,17 @@
     fn fill(&mut self) {
         let child = self.any(CACHES);
         let object = (self.chance.random_range(0.0..1.0f64).powi(3) * 300.0) as u64;
-        let feeds = self.hierarchy.feeds(self.now, child);
+        let feeds = self.hierarchy.fill_sources(self.now, child);
         let straight = self.chance.random_range(0..20) == 0;
         let source = feeds.of(object).iter().min_by_key(|source| source.rank).map(|source| source.node);
         let Some(source) = source else { return self.trace.word("no source") };
         self.ticket += 1;
         let priority = match self.chance.random_range(0..10) {
-            0 => Priority::Booking,
-            1 | 2 => Priority::Renewal,
+            0 => Priority::Write,
+            1 | 2 => Priority::Revalidation,
             _ => Priority::Demand,
         };
-        let picked = Picked {
+        let picked = SelectedFill {
             ticket: self.ticket,
             child: if straight { source } else { child },
             source,
@@ -235,17 +235,17 @@
             key: linnethook::ring::mix(object, 3),
             priority,
             bytes: 1e4,
-            joins: self.chance.random_range(0..2) == 0,
-            patience: f64::from(self.chance.random_range(0..200u32)),
+            may_join: self.chance.random_range(0..2) == 0,
+            max_wait: f64::from(self.chance.random_range(0..200u32)),
         };
-        let way = self.hierarchy.way(self.now, child, source, object);
+        let way = self.hierarchy.onward_path(self.now, child, source, object);
         self.trace.hops(&way);
-        let verdict = self.hierarchy.send(self.now, &picked);
+        let verdict = self.hierarchy.request_fill(self.now, &picked);
         self.trace.verdict(&verdict);
         match verdict {
-            Verdict::Go => self.out.push(self.ticket),
-            Verdict::Wait { .. } => self.waiting.push(self.ticket),
-            Verdict::Over { .. } => {}
+            ShieldDecision::Admit => self.out.push(self.ticket),
+            ShieldDecision::Queue { .. } => self.waiting.push(self.ticket),
+            ShieldDecision::Reject { .. } => {}
         }
     }
 
@@ -255,25 +255,25 @@
         }
         let ticket = self.out.swap_remove(self.chance.random_range(0..self.out.len()));
         let brought = match self.chance.random_range(0..20) {
-            0..=6 => Brought::Held,
-            7..=13 => Brought::FromOrigin,
-            14 => Brought::Somehow,
-            15 | 16 => Brought::NoFill,
-            17 | 18 => Brought::Nothing,
-            _ => Brought::Unknown,
+            0..=6 => FillResult::ServedFromCache,
+            7..=13 => FillResult::ServedFromOrigin,
+            14 => FillResult::ServedFromUnknown,
+            15 | 16 => FillResult::AlreadyCached,
+            17 | 18 => FillResult::Failed,
+            _ => FillResult::Abandoned,
         };
         // In some spells most are late.
         let late =
             self.chance.random_range(0..10) < if (self.now / 10_000.0) as u64 % 4 == 3 { 6 } else { 1 };
-        let released = self.hierarchy.ended(self.now, ticket, brought, late);
+        let released = self.hierarchy.complete_fill(self.now, ticket, brought, late);
         self.release(&released);
     }
 
-    fn release(&mut self, released: &[Released]) {
+    fn release(&mut self, released: &[QueuedDecision]) {
         self.trace.released(released);
         for released in released {
             self.waiting.retain(|ticket| *ticket != released.ticket);
-            if released.verdict == Verdict::Go {
+            if released.decision == ShieldDecision::Admit {
                 self.out.push(released.ticket);
             }
         }
@@ -286,10 +286,10 @@
             1 => (Phase::Gone, 0.0),
             _ => (Phase::Ready, self.now),
         };
-        let (entered, withdrawn) = self.hierarchy.listed(self.now, id, phase, started);
-        self.trace.entered(&entered);
-        withdrawn.iter().for_each(|ticket| self.trace.number(*ticket));
-        self.waiting.retain(|ticket| !withdrawn.contains(ticket));
+        let update = self.hierarchy.update_endpoint(self.now, id, phase, started);
+        self.trace.entered(&update.transitions);
+        update.cancelled.iter().for_each(|ticket| self.trace.number(*ticket));
+        self.waiting.retain(|ticket| !update.cancelled.contains(ticket));
     }
 
     fn rare(&mut self) {
@@ -299,23 +299,23 @@
             3 => {
                 let (from, to) = (self.any(CACHES), self.any(PARENTS));
                 let version = self.hierarchy.version();
-                self.hierarchy.came_round(self.now, from, to, version);
+                self.hierarchy.report_loop(self.now, from, to, version);
             }
             4 if !self.batches.is_empty() && self.chance.random_range(0..4) == 0 => {
-                let serial = self.batches[self.chance.random_range(0..self.batches.len())];
-                if let Some(changes) = self.hierarchy.roll_back(self.now, serial) {
+                let batch_id = self.batches[self.chance.random_range(0..self.batches.len())];
+                if let Some(changes) = self.hierarchy.roll_back_batch(self.now, batch_id) {
                     self.change(changes);
                 }
             }
             4 => {
                 let id = self.any(PARENTS);
-                let entered = self.hierarchy.lost(self.now, id);
+                let entered = self.hierarchy.endpoint_failed(self.now, id);
                 self.trace.entered(&entered);
             }
             _ => {
                 let snapshot = self.hierarchy.snapshot();
                 self.trace.number(snapshot.version());
-                let adopted = self.hierarchy.adopt(self.now, snapshot);
+                let adopted = self.hierarchy.restore_snapshot(self.now, snapshot);
                 assert_eq!(adopted, Ok(()));
             }
         }
@@ -327,22 +327,22 @@
             0..=3 => self.rare(),
             4..=14 => {
                 if let Some(ticket) = self.waiting.pop() {
-                    self.hierarchy.forget(ticket);
+                    self.hierarchy.cancel_fill(ticket);
                 }
             }
             15..=549 => self.fill(),
             _ => self.end(),
         }
         if self.chance.random_range(0..3) == 0 {
-            let (released, entered) = self.hierarchy.tick(self.now);
-            self.release(&released);
-            self.trace.entered(&entered);
-            for (child, feeds) in self.hierarchy.changed_feeds(self.now) {
+            let outcome = self.hierarchy.tick(self.now);
+            self.release(&outcome.decisions);
+            self.trace.entered(&outcome.transitions);
+            for (child, feeds) in self.hierarchy.changed_fill_sources(self.now) {
                 self.trace.number(child.0);
                 self.trace.feeds(&feeds);
             }
-            self.trace.number(u64::from(self.hierarchy.is_short(self.now)));
-            self.trace.float(self.hierarchy.next(self.now));
+            self.trace.number(u64::from(self.hierarchy.is_constrained(self.now)));
+            self.trace.float(self.hierarchy.next_deadline(self.now));
         }
     }
 }
@@ -361,7 +361,7 @@
                 let _ = writeln!(text, "seed {seed} step {step}: {hash:016x}");
             }
         }
-        let counts = serde_json::to_string(&script.hierarchy.view(script.now).counts).expect("counts");
+        let counts = serde_json::to_string(&script.hierarchy.view(script.now).counters).expect("counts");
         let _ = writeln!(text, "seed {seed}: {counts}");
     }
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/decision_trace.txt");
--- a/crates/hierarchy/tests/golden.rs
+++ b/crates/hierarchy/tests/golden.rs
@@ -5,17 +5,19 @@
 use std::fmt::{Debug, Write as _};
 use std::path::Path;
 
-use linnethook_hierarchy::batch::{Author, Batch, Change, Key, Refusal, Serial};
-use linnethook_hierarchy::hierarchy::{BudgetView, MoveView, View};
-use linnethook_hierarchy::named::{
-    check, BadShape, BatchSpec, ChangeSpec, Names, NodeSpec, PlanSpec, SourceSpec,
+use linnethook_hierarchy::batch::{AuthorId, BatchId, BatchPosition, BatchRejection, Change, ChangeBatch};
+use linnethook_hierarchy::change_spec::{
+    validate, BatchSpec, ChangeSpec, NameTable, NodeSpec, OriginLoadSpec, PlanSpec, SourceChangeSpec,
+    SourceLoadSpec, SourceSpec, TopologyError,
 };
-use linnethook_hierarchy::passed::{Passed, TurnedAway, Unreadable, HOPS};
-use linnethook_hierarchy::plan::{Flood, NoPlan};
-use linnethook_hierarchy::shield::{Counts, Over};
-use linnethook_hierarchy::stages::{Harm, Stage};
+use linnethook_hierarchy::hierarchy::{BudgetView, HierarchyView, MigrationView};
+use linnethook_hierarchy::loop_detection::{FillPath, FillPathError, PathRejection, MAX_HOPS};
+use linnethook_hierarchy::origin_shield::{ShieldCounters, ShieldRejection};
+use linnethook_hierarchy::plan::{OriginLoad, PlanError};
+use linnethook_hierarchy::rollout::{RollbackReason, RolloutStage};
 use linnethook_hierarchy::{
-    Heard, Hierarchy, History, Node, NodeId, Role, Rules, Shape, Snapshot, Source, Unusable,
+    BatchError, Hierarchy, HierarchyConfig, History, Node, NodeId, ReceiveOutcome, Role, Snapshot, Source,
+    Topology,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -118,7 +120,7 @@
         number: 300,
         stamp: 70_000,
         basis: vec![(7, 299), (32_769, 2)],
-        at: 1_700_000_000_000.5,
+        effective_at: 1_700_000_000_000.5,
         changes: change_specs(),
     }
 }
@@ -127,8 +129,8 @@
 fn history() -> History {
     let mut history = History::default();
     let mut hear = |author: u16, changes: Vec<Change>| {
-        let batch = history.draft(Author(author), 1_000.0 * f64::from(author), changes);
-        assert!(matches!(history.hear(batch), Heard::Taken(_)));
+        let batch = history.draft_batch(AuthorId(author), 1_000.0 * f64::from(author), changes);
+        assert!(matches!(history.receive_batch(batch), ReceiveOutcome::Accepted(_)));
     };
     hear(1, changes()[..4].to_vec());
     hear(
@@ -146,66 +148,74 @@
     history
 }
 
-fn view() -> View {
+fn view() -> HierarchyView {
     let stages = [
-        Stage::Planned,
-        Stage::Announced,
-        Stage::Warming,
-        Stage::Settled,
-        Stage::RolledBack(Harm::Late),
-        Stage::RolledBack(Harm::Lost),
-        Stage::RolledBack(Harm::Asked),
+        RolloutStage::Planned,
+        RolloutStage::Announced,
+        RolloutStage::Warming,
+        RolloutStage::Settled,
+        RolloutStage::RolledBack(RollbackReason::HighFailureRate),
+        RolloutStage::RolledBack(RollbackReason::SourceLost),
+        RolloutStage::RolledBack(RollbackReason::Requested),
     ];
-    let moves = stages.map(|stage| MoveView {
-        to: 3,
+    let moves = stages.map(|stage| MigrationView {
+        target: 3,
         author: 7,
         number: 300,
         stage,
-        part: 0.25,
-        tries: 2,
-        late_new: 0.125,
-        late_old: 0.0,
+        fraction: 0.25,
+        attempts: 2,
+        new_failure_ratio: 0.125,
+        old_failure_ratio: 0.0,
     });
-    View {
+    HierarchyView {
         version: 70_000,
         digest: "00000000000000ff".to_string(),
         nodes: 4,
-        suspended: 1,
-        held_back: 2,
-        waiting_batches: 3,
-        moves: moves.to_vec(),
+        suspended_edges: 1,
+        backed_off_edges: 2,
+        pending_batches: 3,
+        migrations: moves.to_vec(),
         budgets: vec![
             BudgetView { target: 1, per_second: 2.5, limit: None },
             BudgetView { target: 2, per_second: 0.0, limit: Some(11.5) },
         ],
-        counts: counts(),
+        counters: counts(),
     }
 }
 
-fn counts() -> Counts {
-    Counts {
-        gone: 1,
+fn counts() -> ShieldCounters {
+    ShieldCounters {
+        admitted: 1,
         joined: 2,
-        waited: 3,
-        over_fetched: 4,
-        over_budget: 5,
-        over_queue: 6,
-        over_time: 7,
-        leases_lost: 300,
+        queued: 3,
+        rejected_fetch_in_progress: 4,
+        rejected_budget: 5,
+        rejected_queue_full: 6,
+        rejected_queue_timeout: 7,
+        leases_expired: 300,
     }
 }
 
+fn source_load(source: &str, before: f64, after: f64, tier_mean: f64, is_heavy: bool) -> SourceLoadSpec {
+    SourceLoadSpec { source: source.to_string(), before, after, tier_mean, is_heavy }
+}
+
 fn plan_spec() -> PlanSpec {
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<String>>();
     PlanSpec {
         added: names(&["a"]),
         removed: names(&["b", "c"]),
         altered: names(&["d"]),
-        rerouted: vec![("e".to_string(), vec![source("f", 0)], vec![source("g", 1), source("h", 2)])],
-        loops: vec![names(&["i", "j", "i"])],
-        resumed: 2,
-        pushes: vec![("k".to_string(), 0.5, 2.5, 1.25, true), ("l".to_string(), 0.0, 1.0, 1.0, false)],
-        origin: (12.5, 100.0, 4.25),
+        source_changes: vec![SourceChangeSpec {
+            node: "e".to_string(),
+            before: vec![source("f", 0)],
+            after: vec![source("g", 1), source("h", 2)],
+        }],
+        cycles: vec![names(&["i", "j", "i"])],
+        resumed_edges: 2,
+        source_loads: vec![source_load("k", 0.5, 2.5, 1.25, true), source_load("l", 0.0, 1.0, 1.0, false)],
+        origin_load: OriginLoadSpec { current: 12.5, immediate: 100.0, staged: 4.25 },
     }
 }
 
@@ -213,25 +223,25 @@
 fn encodings_of_batches_and_specs() {
     let mut encodings = Encodings::default();
     encodings.add_both_ways("Role", &[Role::Cache, Role::Parent, Role::Origin]);
-    encodings.add_both_ways("Author", &Author(300));
-    encodings.add_both_ways("Serial", &Serial { author: Author(300), number: 70_000 });
+    encodings.add_both_ways("Author", &AuthorId(300));
+    encodings.add_both_ways("Serial", &BatchId { author: AuthorId(300), number: 70_000 });
     encodings.add_both_ways("Node", &node(NodeId(u64::MAX), Role::Parent, 1));
     encodings.add_both_ways("Source", &Source::new(SOUTH, 300));
     for change in changes() {
         encodings.add_both_ways("Change", &change);
     }
-    let mut names = Names::default();
-    let batch: Batch = names.batch(&batch_spec());
+    let mut names = NameTable::default();
+    let batch: ChangeBatch = names.resolve_batch(&batch_spec());
     encodings.add_both_ways("Batch", &batch);
-    encodings.add_both_ways("Key", &batch.key());
-    encodings.add_both_ways("Key", &Key::default());
+    encodings.add_both_ways("Key", &batch.position());
+    encodings.add_both_ways("Key", &BatchPosition::default());
     encodings.add_both_ways("SourceSpec", &source("south", 300));
     encodings.add_both_ways("NodeSpec", &node_spec("cache-1", Role::Cache, vec![source("south", 0)]));
     for change in change_specs() {
         encodings.add_both_ways("ChangeSpec", &change);
     }
     encodings.add_both_ways("BatchSpec", &batch_spec());
-    encodings.add_both_ways("BatchSpec", &names.spec(&batch));
+    encodings.add_both_ways("BatchSpec", &names.batch_spec(&batch));
     encodings.add_both_ways("PlanSpec", &plan_spec());
     let without_basis = r#"{"author":1,"number":2,"stamp":3,"at":4.5,"changes":[]}"#;
     let read: BatchSpec = serde_json::from_str(without_basis).expect("the basis may be left out");
@@ -255,9 +265,9 @@
     let names = (snapshot.clone(), vec!["south".to_string()], vec!["hub".to_string()]);
     encodings.add_both_ways("Snapshot with names", &names);
     let mut restored = History::default();
-    restored.adopt(snapshot).expect("a good snapshot");
+    restored.restore_snapshot(snapshot).expect("a good snapshot");
     encodings.add_both_ways("Snapshot again", &restored.snapshot());
-    let digests = [history.shape(), restored.shape(), &Shape::default()].map(Shape::digest);
+    let digests = [history.topology(), restored.topology(), &Topology::default()].map(Topology::digest);
     let _ = writeln!(encodings.0, "digests {digests:016x?}");
     let _ = writeln!(encodings.0, "version {} next {}", history.version(), history.next_stamp());
     assert_golden("history.txt", &encodings.0);
@@ -268,16 +278,27 @@
     let mut encodings = Encodings::default();
     encodings.add("View", &view());
     encodings.add("Counts", &counts());
-    encodings.add("Over", &[Over::Fetched, Over::Budget, Over::Queue, Over::Time]);
-    encodings.add("Harm", &[Harm::Late, Harm::Lost, Harm::Asked]);
-    encodings.add("Flood", &Flood { now: 12.5, flip: 100.0, staged: 4.25 });
-    let mut hierarchy = Hierarchy::new(Rules::default());
-    let batch = hierarchy.draft(Author(1), 0.0, changes()[..4].to_vec());
-    hierarchy.hear(0.0, batch);
-    hierarchy.watch(0.0, CACHE);
+    encodings.add(
+        "Over",
+        &[
+            ShieldRejection::FetchInProgress,
+            ShieldRejection::BudgetExhausted,
+            ShieldRejection::QueueFull,
+            ShieldRejection::QueueTimeout,
+        ],
+    );
+    encodings.add(
+        "Harm",
+        &[RollbackReason::HighFailureRate, RollbackReason::SourceLost, RollbackReason::Requested],
+    );
+    encodings.add("Flood", &OriginLoad { current: 12.5, immediate: 100.0, staged: 4.25 });
+    let mut hierarchy = Hierarchy::new(HierarchyConfig::default());
+    let batch = hierarchy.draft_batch(AuthorId(1), 0.0, changes()[..4].to_vec());
+    hierarchy.receive_batch(0.0, batch);
+    hierarchy.track_child(0.0, CACHE);
     let sources = vec![Source::new(CENTRE, 0), Source::new(ORIGIN, 9)];
-    let batch = hierarchy.draft(Author(1), 1_000.0, vec![Change::Rerank { node: CACHE, sources }]);
-    hierarchy.hear(1_000.0, batch);
+    let batch = hierarchy.draft_batch(AuthorId(1), 1_000.0, vec![Change::Rerank { node: CACHE, sources }]);
+    hierarchy.receive_batch(1_000.0, batch);
     hierarchy.tick(1_000.0);
     encodings.add("View of a hierarchy", &hierarchy.view(1_500.0));
     assert_golden("views.txt", &encodings.0);
@@ -289,7 +310,7 @@
     for role in [Role::Cache, Role::Parent, Role::Origin] {
         let _ = writeln!(text, "role {}", role.name());
     }
-    for shown in view().moves {
+    for shown in view().migrations {
         let _ = writeln!(text, "stage {}", shown.stage.name());
     }
     assert_golden("names.txt", &text);
@@ -297,50 +318,54 @@
 
 #[test]
 fn texts_of_errors() {
-    let serial = Serial { author: Author(7), number: 300 };
+    let batch_id = BatchId { author: AuthorId(7), number: 300 };
     let refusals = [
-        Refusal::Unknown(SOUTH),
-        Refusal::Exists(SOUTH),
-        Refusal::StillListed(SOUTH),
-        Refusal::NoSource(SOUTH),
-        Refusal::OriginFills(ORIGIN),
-        Refusal::Itself(SOUTH),
-        Refusal::NoOrigin,
-        Refusal::Overtaken { node: SOUTH, by: serial },
-        Refusal::Over(32, "sources of a node"),
-        Refusal::Capacity(SOUTH),
+        BatchRejection::UnknownNode(SOUTH),
+        BatchRejection::NodeExists(SOUTH),
+        BatchRejection::StillReferenced(SOUTH),
+        BatchRejection::NoSource(SOUTH),
+        BatchRejection::OriginWithSource(ORIGIN),
+        BatchRejection::SelfReference(SOUTH),
+        BatchRejection::NoOrigin,
+        BatchRejection::Conflict { node: SOUTH, by: batch_id },
+        BatchRejection::LimitExceeded(32, "sources of a node"),
+        BatchRejection::InvalidCapacity(SOUTH),
     ];
     let unusable = [
-        Unusable::Contradicts(serial),
-        Unusable::Stamp(serial),
-        Unusable::TooOld,
-        Unusable::Full,
-        Unusable::Figures,
+        BatchError::ConflictingContent(batch_id),
+        BatchError::StampTooLow(batch_id),
+        BatchError::TooOld,
+        BatchError::LimitReached,
+        BatchError::InvalidFigures,
     ];
     let name = |name: &str| name.to_string();
     let shapes = [
-        BadShape::Twice(name("a")),
-        BadShape::Unknown { node: name("a"), source_name: name("b") },
-        BadShape::NoWay(name("a")),
-        BadShape::Loop(vec![name("a"), name("b"), name("a")]),
-        BadShape::NoOrigin,
+        TopologyError::DuplicateName(name("a")),
+        TopologyError::UnknownSource { node: name("a"), source_name: name("b") },
+        TopologyError::NoPathToOrigin(name("a")),
+        TopologyError::Cycle(vec![name("a"), name("b"), name("a")]),
+        TopologyError::NoOrigin,
     ];
     let plans = [
-        NoPlan::Refused(Refusal::NoOrigin),
-        NoPlan::Unusable(Unusable::TooOld),
-        NoPlan::Early,
-        NoPlan::Repeated,
+        PlanError::Rejected(BatchRejection::NoOrigin),
+        PlanError::Invalid(BatchError::TooOld),
+        PlanError::UnknownBase,
+        PlanError::Duplicate,
     ];
-    let paths = [TurnedAway::Loop { from: name("a"), to: name("b") }, TurnedAway::Hops];
+    let paths = [PathRejection::Loop { from: name("a"), to: name("b") }, PathRejection::HopLimit];
     let mut text = String::new();
     refusals.iter().for_each(|error| _ = writeln!(text, "batch {error}"));
     unusable.iter().for_each(|error| _ = writeln!(text, "history {error}"));
     shapes.iter().for_each(|error| _ = writeln!(text, "shape {error} {:?}", error.node()));
     plans.iter().for_each(|error| _ = writeln!(text, "plan {error}"));
     paths.iter().for_each(|error| _ = writeln!(text, "path {error}"));
-    [Unreadable::Long, Unreadable::Form].iter().for_each(|error| _ = writeln!(text, "field {error}"));
-    [Harm::Late, Harm::Lost, Harm::Asked].iter().for_each(|harm| _ = writeln!(text, "harm {harm}"));
-    let alone = check(&[node_spec("a", Role::Cache, Vec::new())]).expect_err("no origin");
+    [FillPathError::TooLong, FillPathError::Malformed]
+        .iter()
+        .for_each(|error| _ = writeln!(text, "field {error}"));
+    [RollbackReason::HighFailureRate, RollbackReason::SourceLost, RollbackReason::Requested]
+        .iter()
+        .for_each(|harm| _ = writeln!(text, "harm {harm}"));
+    let alone = validate(&[node_spec("a", Role::Cache, Vec::new())]).expect_err("no origin");
     let _ = writeln!(text, "check {alone}");
     assert_golden("texts.txt", &text);
 }
@@ -349,15 +374,17 @@
 fn token_of_a_fill_path() {
     let mut text = String::new();
     for written in ["0:", "7:", "7:a", "7:a+b", "18446744073709551615:cache-1+parent.south+#00ff"] {
-        let path = Passed::parse(written).expect("a good token");
+        let path = FillPath::parse(written).expect("a good token");
         assert_eq!(path.to_string(), written);
         let names: Vec<&str> = path.names().collect();
         let _ = writeln!(text, "{written} version {} names {names:?}", path.version);
     }
-    let long = (0..HOPS).try_fold(Passed::new(70_000), |path, n| path.by(&format!("n{n}"))).expect("so many");
+    let long = (0..MAX_HOPS)
+        .try_fold(FillPath::new(70_000), |path, n| path.append_node(&format!("n{n}")))
+        .expect("so many");
     let _ = writeln!(text, "{long}");
     for wrong in ["", "7", "x:a", "7:a++b", "7:a=b", "-1:a", "7:a b", "7:a>b", "7:a,b", "7:+"] {
-        let _ = writeln!(text, "{wrong:?} {}", Passed::parse(wrong).expect_err("a bad token"));
+        let _ = writeln!(text, "{wrong:?} {}", FillPath::parse(wrong).expect_err("a bad token"));
     }
     assert_golden("fill_path.txt", &text);
 }
--- a/crates/hierarchy/tests/moves.rs
+++ b/crates/hierarchy/tests/migrations.rs
@@ -5,11 +5,13 @@
 
 use linnethook::interface::{Ms, Phase};
 use linnethook::ring::mix;
-use linnethook_hierarchy::hierarchy::{Picked, Rules};
-use linnethook_hierarchy::plan::NoPlan;
-use linnethook_hierarchy::shield::{Priority, Verdict};
-use linnethook_hierarchy::stages::{Harm, Stage};
-use linnethook_hierarchy::{Author, Brought, Change, Heard, Hierarchy, Hop, Node, NodeId, Role, Source};
+use linnethook_hierarchy::hierarchy::{HierarchyConfig, SelectedFill};
+use linnethook_hierarchy::origin_shield::{Priority, ShieldDecision};
+use linnethook_hierarchy::plan::PlanError;
+use linnethook_hierarchy::rollout::{RollbackReason, RolloutStage};
+use linnethook_hierarchy::{
+    AuthorId, Change, FillResult, Hierarchy, Hop, Node, NodeId, ReceiveOutcome, Role, Source,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -26,7 +28,7 @@
     vec![Source::new(parent, 0), Source::new(ORIGIN, 9)]
 }
 
-fn fleet(rules: Rules) -> Hierarchy {
+fn fleet(rules: HierarchyConfig) -> Hierarchy {
     let mut hierarchy = Hierarchy::new(rules);
     let mut changes = vec![Change::Add { node: node(ORIGIN, Role::Origin, 9, 50.0), sources: vec![] }];
     for id in [SOUTH, CENTRE] {
@@ -34,17 +36,17 @@
         changes.push(Change::Add { node: node(id, Role::Parent, 1, 30.0), sources });
     }
     changes.extend(CACHES.map(|id| Change::Add { node: node(id, Role::Cache, 0, 8.0), sources: by(SOUTH) }));
-    let first = hierarchy.draft(Author(1), 0.0, changes);
-    assert!(matches!(hierarchy.hear(0.0, first), Heard::Taken(_)));
-    CACHES.into_iter().for_each(|id| assert!(hierarchy.watch(0.0, id)));
+    let first = hierarchy.draft_batch(AuthorId(1), 0.0, changes);
+    assert!(matches!(hierarchy.receive_batch(0.0, first), ReceiveOutcome::Accepted(_)));
+    CACHES.into_iter().for_each(|id| assert!(hierarchy.track_child(0.0, id)));
     hierarchy
 }
 
-fn exchange(hierarchy: &mut Hierarchy, now: Ms, to: NodeId) -> linnethook_hierarchy::Serial {
+fn exchange(hierarchy: &mut Hierarchy, now: Ms, to: NodeId) -> linnethook_hierarchy::BatchId {
     let changes = CACHES.map(|node| Change::Rerank { node, sources: by(to) }).to_vec();
-    let batch = hierarchy.draft(Author(1), now, changes);
-    assert!(matches!(hierarchy.hear(now, batch.clone()), Heard::Taken(_)));
-    batch.serial
+    let batch = hierarchy.draft_batch(AuthorId(1), now, changes);
+    assert!(matches!(hierarchy.receive_batch(now, batch.clone()), ReceiveOutcome::Accepted(_)));
+    batch.id
 }
 
 /// What reached the origin, and what was served, by second.
@@ -72,7 +74,7 @@
 }
 
 impl World {
-    fn new(rules: Rules, ways: bool) -> Self {
+    fn new(rules: HierarchyConfig, ways: bool) -> Self {
         let chance = Pcg64Mcg::seed_from_u64(7);
         let hierarchy = fleet(rules);
         let (copies, seconds) = (Copies::new(), Seconds::default());
@@ -112,13 +114,13 @@
             self.seconds.served[second] += 1;
             return;
         }
-        let feeds = self.hierarchy.feeds(self.now, cache);
+        let feeds = self.hierarchy.fill_sources(self.now, cache);
         let up = |source: &&Source| !self.down.contains(&source.node);
         let Some(source) = feeds.of(object).iter().filter(up).min_by_key(|s| s.rank).map(|s| s.node) else {
             return;
         };
         self.ticket += 1;
-        let picked = Picked {
+        let picked = SelectedFill {
             ticket: self.ticket,
             child: cache,
             source,
@@ -126,33 +128,37 @@
             key: object,
             priority: Priority::Demand,
             bytes: 1e4,
-            joins: false,
-            patience: 0.0,
+            may_join: false,
+            max_wait: 0.0,
         };
-        let way = self.hierarchy.way(self.now, cache, source, object);
-        let sideways = |hop: &Hop| self.ways && hop.only_held && self.holds(hop.node, object);
+        let way = self.hierarchy.onward_path(self.now, cache, source, object);
+        let sideways = |hop: &Hop| self.ways && hop.cached_only && self.holds(hop.node, object);
         let beside = way.first().is_some_and(sideways);
-        match self.hierarchy.send(self.now, &picked) {
-            Verdict::Go => {}
+        match self.hierarchy.request_fill(self.now, &picked) {
+            ShieldDecision::Admit => {}
             // Only what is held, there, at the source or beside it.
-            Verdict::Over { .. } => {
+            ShieldDecision::Reject { .. } => {
                 if self.holds(source, object) || beside {
                     self.seconds.served[second] += 1;
                     self.keep(cache, object, 20_000.0);
                 }
                 return;
             }
-            Verdict::Wait { .. } => panic!("it has no patience"),
+            ShieldDecision::Queue { .. } => panic!("it has no max_wait"),
         }
         let held = self.holds(source, object);
-        let brought = if held || (beside && source != ORIGIN) { Brought::Held } else { Brought::FromOrigin };
-        self.seconds.origin[second] += u32::from(brought == Brought::FromOrigin);
+        let brought = if held || (beside && source != ORIGIN) {
+            FillResult::ServedFromCache
+        } else {
+            FillResult::ServedFromOrigin
+        };
+        self.seconds.origin[second] += u32::from(brought == FillResult::ServedFromOrigin);
         if source != ORIGIN && !held {
             self.keep(source, object, 60_000.0);
         }
         self.keep(cache, object, 20_000.0);
         self.seconds.served[second] += 1;
-        self.hierarchy.ended(self.now, self.ticket, brought, false);
+        self.hierarchy.complete_fill(self.now, self.ticket, brought, false);
     }
 
     fn worst_over_steady(&self, change: usize) -> f64 {
@@ -170,19 +176,20 @@
 
 #[test]
 fn the_exchange_of_a_hub_cache_sends_no_flood_to_the_origin() {
-    let plain = Rules { staged: false, shielded: false, ..Rules::default() };
-    let run = |rules: Rules, ways: bool| {
+    let plain =
+        HierarchyConfig { rollout_enabled: false, shield_enabled: false, ..HierarchyConfig::default() };
+    let run = |rules: HierarchyConfig, ways: bool| {
         let mut world = World::new(rules, ways);
         world.run(120);
         let now = world.now;
         exchange(&mut world.hierarchy, now, CENTRE);
         world.run(180);
-        let moves = world.hierarchy.moves().count();
+        let moves = world.hierarchy.migrations().count();
         (world.worst_over_steady(120), world.served(120), moves)
     };
     let (flip, _, _) = run(plain, false);
-    let (platform, platform_served, _) = run(Rules::default(), false);
-    let (sideways, sideways_served, moves) = run(Rules::default(), true);
+    let (platform, platform_served, _) = run(HierarchyConfig::default(), false);
+    let (sideways, sideways_served, moves) = run(HierarchyConfig::default(), true);
     println!("worst over steady: flip {flip:.2}, staged {platform:.2}, with the way on {sideways:.2}");
     println!("served: staged {platform_served:.3}, with the way on {sideways_served:.3}");
     assert_eq!(moves, 0, "settled and forgotten");
@@ -194,104 +201,111 @@
 /// The old parent dies in the middle: nothing is left to go back to, and the shield holds the flood back.
 #[test]
 fn the_old_parent_dies_in_the_middle_of_the_warming() {
-    let mut world = World::new(Rules::default(), true);
+    let mut world = World::new(HierarchyConfig::default(), true);
     world.run(120);
     let now = world.now;
     exchange(&mut world.hierarchy, now, CENTRE);
     world.run(10);
     world.down.push(SOUTH);
-    world.hierarchy.listed(world.now, SOUTH, Phase::Gone, 0.0);
+    world.hierarchy.update_endpoint(world.now, SOUTH, Phase::Gone, 0.0);
     world.run(60);
     assert!(world.worst_over_steady(120) < 1.6, "{}", world.worst_over_steady(120));
-    let feeds = world.hierarchy.feeds(world.now, CACHES[0]);
-    assert_eq!((feeds.now[0].node, feeds.part), (CENTRE, 1.0));
+    let feeds = world.hierarchy.fill_sources(world.now, CACHES[0]);
+    assert_eq!((feeds.current[0].node, feeds.fraction), (CENTRE, 1.0));
 }
 
 #[test]
 fn a_new_parent_that_drains_or_does_harm_is_left_and_the_old_one_taken_again() {
-    let mut hierarchy = fleet(Rules::default());
-    let serial = exchange(&mut hierarchy, 0.0, CENTRE);
+    let mut hierarchy = fleet(HierarchyConfig::default());
+    let batch_id = exchange(&mut hierarchy, 0.0, CENTRE);
     let mut now = 0.0;
     let pass = |hierarchy: &mut Hierarchy, now: &mut Ms, until: Ms| {
         let mut entered = Vec::new();
         while *now < until {
             *now += 100.0;
-            entered.extend(hierarchy.tick(*now).1.into_iter().map(|e| e.stage));
+            entered.extend(hierarchy.tick(*now).transitions.into_iter().map(|e| e.stage));
         }
         entered
     };
-    assert_eq!(pass(&mut hierarchy, &mut now, 10_000.0), [Stage::Announced, Stage::Warming]);
-    let part = hierarchy.feeds(now, CACHES[0]).part;
+    assert_eq!(pass(&mut hierarchy, &mut now, 10_000.0), [RolloutStage::Announced, RolloutStage::Warming]);
+    let part = hierarchy.fill_sources(now, CACHES[0]).fraction;
     assert!((0.2..0.3).contains(&part), "{part}");
-    let (entered, _) = hierarchy.listed(now, CENTRE, Phase::Draining, 0.0);
-    assert_eq!(entered.first().map(|e| e.stage), Some(Stage::RolledBack(Harm::Lost)));
-    let feeds = hierarchy.feeds(now, CACHES[0]);
-    assert_eq!((feeds.part, feeds.of(7)[0].node), (0.0, SOUTH));
-    assert!(hierarchy.way(now, CACHES[0], SOUTH, 7).iter().all(|hop| hop.node != CENTRE));
+    let entered = hierarchy.update_endpoint(now, CENTRE, Phase::Draining, 0.0).transitions;
+    assert_eq!(entered.first().map(|e| e.stage), Some(RolloutStage::RolledBack(RollbackReason::SourceLost)));
+    let feeds = hierarchy.fill_sources(now, CACHES[0]);
+    assert_eq!((feeds.fraction, feeds.of(7)[0].node), (0.0, SOUTH));
+    assert!(hierarchy.onward_path(now, CACHES[0], SOUTH, 7).iter().all(|hop| hop.node != CENTRE));
     // It starts again at its address, empty: from the beginning, after a rest.
-    hierarchy.listed(now, CENTRE, Phase::Ready, now);
-    assert_eq!(pass(&mut hierarchy, &mut now, 25_000.0), [Stage::Warming]);
+    hierarchy.update_endpoint(now, CENTRE, Phase::Ready, now);
+    assert_eq!(pass(&mut hierarchy, &mut now, 25_000.0), [RolloutStage::Warming]);
     // Somebody rolls the batch back: at once by the stages, and then by a batch of its own.
-    let changes = hierarchy.roll_back(now, serial).expect("it was applied");
-    assert_eq!(hierarchy.feeds(now, CACHES[0]).part, 0.0);
-    let back = hierarchy.draft(Author(2), now, changes);
-    assert!(matches!(hierarchy.hear(now, back), Heard::Taken(_)));
-    let feeds = hierarchy.feeds(now, CACHES[0]);
-    assert_eq!((feeds.part, feeds.of(7)[0].node, hierarchy.moves().count()), (1.0, SOUTH, 0));
+    let changes = hierarchy.roll_back_batch(now, batch_id).expect("it was applied");
+    assert_eq!(hierarchy.fill_sources(now, CACHES[0]).fraction, 0.0);
+    let back = hierarchy.draft_batch(AuthorId(2), now, changes);
+    assert!(matches!(hierarchy.receive_batch(now, back), ReceiveOutcome::Accepted(_)));
+    let feeds = hierarchy.fill_sources(now, CACHES[0]);
+    assert_eq!((feeds.fraction, feeds.of(7)[0].node, hierarchy.migrations().count()), (1.0, SOUTH, 0));
 }
 
 /// Who retires is left by stages and asked for what it holds; past its grace it is named no more.
 #[test]
 fn a_retired_parent_serves_what_it_holds_until_its_grace() {
-    let rules = Rules { retire: 20_000.0, ..Rules::default() };
+    let rules = HierarchyConfig { retirement_grace: 20_000.0, ..HierarchyConfig::default() };
     let mut hierarchy = fleet(rules);
     let new = NodeId(4);
     let replace = Change::Replace { old: SOUTH, new: node(new, Role::Parent, 1, 30.0) };
-    let batch = hierarchy.draft(Author(1), 0.0, vec![replace]);
-    assert!(matches!(hierarchy.hear(0.0, batch), Heard::Taken(_)));
+    let batch = hierarchy.draft_batch(AuthorId(1), 0.0, vec![replace]);
+    assert!(matches!(hierarchy.receive_batch(0.0, batch), ReceiveOutcome::Accepted(_)));
     (0..100).for_each(|n| drop(hierarchy.tick(f64::from(n) * 100.0)));
-    let feeds = hierarchy.feeds(10_000.0, CACHES[0]);
-    assert_eq!((feeds.now[0].node, feeds.before[0].node), (new, SOUTH));
-    let way = hierarchy.way(10_000.0, CACHES[0], new, 7);
-    let held = Hop { node: SOUTH, only_held: true };
-    assert_eq!(way, [held, Hop { node: ORIGIN, only_held: false }]);
+    let feeds = hierarchy.fill_sources(10_000.0, CACHES[0]);
+    assert_eq!((feeds.current[0].node, feeds.previous[0].node), (new, SOUTH));
+    let way = hierarchy.onward_path(10_000.0, CACHES[0], new, 7);
+    let held = Hop { node: SOUTH, cached_only: true };
+    assert_eq!(way, [held, Hop { node: ORIGIN, cached_only: false }]);
     (100..210).for_each(|n| drop(hierarchy.tick(f64::from(n) * 100.0)));
-    assert_eq!(hierarchy.way(21_000.0, CACHES[0], new, 7), [Hop { node: ORIGIN, only_held: false }]);
-    assert!(hierarchy.feeds(21_000.0, CACHES[0]).before.iter().all(|source| source.node != SOUTH));
+    assert_eq!(
+        hierarchy.onward_path(21_000.0, CACHES[0], new, 7),
+        [Hop { node: ORIGIN, cached_only: false }]
+    );
+    assert!(hierarchy.fill_sources(21_000.0, CACHES[0]).previous.iter().all(|source| source.node != SOUTH));
 }
 
 /// An edge on which a fill came round is held back for a while, and a shape that both ends know is tried.
 #[test]
 fn an_edge_on_which_a_fill_came_round_is_left_for_a_while() {
-    let mut hierarchy = fleet(Rules::default());
-    hierarchy.came_round(0.0, CACHES[0], SOUTH, hierarchy.version());
-    assert_eq!(hierarchy.feeds(10.0, CACHES[0]).now, [Source::new(ORIGIN, 9)]);
-    assert_eq!(hierarchy.feeds(1_100.0, CACHES[0]).now, by(SOUTH));
-    hierarchy.came_round(2_000.0, SOUTH, ORIGIN, 0);
-    assert_eq!(hierarchy.way(2_010.0, CACHES[0], SOUTH, 7), []);
+    let mut hierarchy = fleet(HierarchyConfig::default());
+    hierarchy.report_loop(0.0, CACHES[0], SOUTH, hierarchy.version());
+    assert_eq!(hierarchy.fill_sources(10.0, CACHES[0]).current, [Source::new(ORIGIN, 9)]);
+    assert_eq!(hierarchy.fill_sources(1_100.0, CACHES[0]).current, by(SOUTH));
+    hierarchy.report_loop(2_000.0, SOUTH, ORIGIN, 0);
+    assert_eq!(hierarchy.onward_path(2_010.0, CACHES[0], SOUTH, 7), []);
 }
 
 #[test]
 fn a_plan_tells_what_would_change_and_changes_nothing() {
-    let mut world = World::new(Rules::default(), false);
+    let mut world = World::new(HierarchyConfig::default(), false);
     world.run(20);
-    let (now, before) = (world.now, world.hierarchy.shape().digest());
+    let (now, before) = (world.now, world.hierarchy.topology().digest());
     let hierarchy = &mut world.hierarchy;
     let mut changes: Vec<Change> = CACHES.map(|node| Change::Rerank { node, sources: by(CENTRE) }).to_vec();
     changes.push(Change::Rerank { node: SOUTH, sources: by(CENTRE) });
     changes.push(Change::Rerank { node: CENTRE, sources: by(SOUTH) });
-    let batch = hierarchy.draft(Author(1), now, changes);
-    let plan = hierarchy.plan(now, &batch).expect("a plan");
-    assert_eq!((plan.rerouted.len(), plan.loops.len()), (8, 1));
-    assert_eq!(plan.loops[0].first(), plan.loops[0].iter().find(|id| [SOUTH, CENTRE].contains(id)));
-    let push = plan.pushes.iter().find(|push| push.to == CENTRE).expect("it gets more");
+    let batch = hierarchy.draft_batch(AuthorId(1), now, changes);
+    let plan = hierarchy.plan_batch(now, &batch).expect("a plan");
+    assert_eq!((plan.source_changes.len(), plan.cycles.len()), (8, 1));
+    assert_eq!(plan.cycles[0].first(), plan.cycles[0].iter().find(|id| [SOUTH, CENTRE].contains(id)));
+    let push = plan.source_loads.iter().find(|push| push.source == CENTRE).expect("it gets more");
     assert!(push.is_heavy() && push.before == 0.0 && push.after > 1.0, "{push:?}");
-    assert!(plan.origin.flip > 10.0 * plan.origin.staged && plan.origin.staged > 0.0, "{:?}", plan.origin);
-    assert_eq!(hierarchy.shape().digest(), before);
-    let bad = hierarchy.draft(Author(1), now, vec![Change::Remove { node: NodeId(99) }]);
-    assert!(matches!(hierarchy.plan(now, &bad), Err(NoPlan::Refused(_))));
-    assert!(matches!(hierarchy.hear(now, batch.clone()), Heard::Taken(_)));
-    assert_eq!(hierarchy.plan(now, &batch), Err(NoPlan::Repeated));
+    assert!(
+        plan.origin_load.immediate > 10.0 * plan.origin_load.staged && plan.origin_load.staged > 0.0,
+        "{:?}",
+        plan.origin_load
+    );
+    assert_eq!(hierarchy.topology().digest(), before);
+    let bad = hierarchy.draft_batch(AuthorId(1), now, vec![Change::Remove { node: NodeId(99) }]);
+    assert!(matches!(hierarchy.plan_batch(now, &bad), Err(PlanError::Rejected(_))));
+    assert!(matches!(hierarchy.receive_batch(now, batch.clone()), ReceiveOutcome::Accepted(_)));
+    assert_eq!(hierarchy.plan_batch(now, &batch), Err(PlanError::Duplicate));
     let view = serde_json::to_value(hierarchy.view(now)).expect("a view");
     assert_eq!((view["suspended"].as_u64(), view["nodes"].as_u64()), (Some(1), Some(9)));
     assert!(!view["moves"].as_array().is_none_or(Vec::is_empty));
@@ -300,19 +314,19 @@
 /// Two routers that hear of a change at different times send an object the same way once both have.
 #[test]
 fn routers_come_to_the_same_parts() {
-    let (mut early, mut late) = (fleet(Rules::default()), fleet(Rules::default()));
+    let (mut early, mut late) = (fleet(HierarchyConfig::default()), fleet(HierarchyConfig::default()));
     let changes: Vec<Change> = CACHES.map(|node| Change::Rerank { node, sources: by(CENTRE) }).to_vec();
-    let batch = early.draft(Author(1), 0.0, changes);
-    early.hear(0.0, batch.clone());
+    let batch = early.draft_batch(AuthorId(1), 0.0, changes);
+    early.receive_batch(0.0, batch.clone());
     let mut differ = BTreeMap::new();
     for n in 0..400u32 {
         let now = f64::from(n) * 100.0;
         early.tick(now);
         late.tick(now);
         if n == 15 {
-            late.hear(now, batch.clone());
+            late.receive_batch(now, batch.clone());
         }
-        let way = |h: &Hierarchy, object| h.feeds(now, CACHES[0]).of(object).first().map(|s| s.node);
+        let way = |h: &Hierarchy, object| h.fill_sources(now, CACHES[0]).of(object).first().map(|s| s.node);
         let others = (0..500).filter(|object| way(&early, *object) != way(&late, *object)).count();
         differ.insert(n, others);
     }
--- a/crates/hierarchy/tests/shield.rs
+++ b/crates/hierarchy/tests/origin_shield.rs
@@ -2,29 +2,32 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use linnethook_hierarchy::budget::BudgetRule;
-use linnethook_hierarchy::lease::{Fetch, Grant, LeaseId, Leases};
-use linnethook_hierarchy::recency::Recency;
-use linnethook_hierarchy::shield::{Fill, FillEnd, Over, Priority, Released, Shield, ShieldRule, Verdict};
+use linnethook_hierarchy::lease::{FetchKey, Grant, LeaseId, LeaseTable};
+use linnethook_hierarchy::origin_shield::{
+    FillOutcome, FillRequest, OriginShield, Priority, QueuedDecision, ShieldConfig, ShieldDecision,
+    ShieldRejection,
+};
+use linnethook_hierarchy::rate_budget::RateBudgetConfig;
+use linnethook_hierarchy::recent_keys::RecentKeys;
 use linnethook_hierarchy::NodeId;
 use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn end(brought: bool, late: bool) -> FillEnd {
-    FillEnd { brought, late: Some(late), filled: None, reached: None }
+fn end(brought: bool, late: bool) -> FillOutcome {
+    FillOutcome { brought, late: Some(late), filled: None, reached: None }
 }
 
-fn fill(ticket: u64, key: u64, priority: Priority) -> Fill {
-    Fill {
+fn fill(ticket: u64, key: u64, priority: Priority) -> FillRequest {
+    FillRequest {
         ticket,
-        fetch: Fetch { source: NodeId(1), key },
+        fetch: FetchKey { source: NodeId(1), key },
         priority,
         bytes: 1_000.0,
-        joins: false,
-        leased: true,
-        patience: 1_000.0,
+        may_join: false,
+        needs_lease: true,
+        max_wait: 1_000.0,
         tolls: vec![(NodeId(1), 1.0), (NodeId(2), 0.5)],
     }
 }
@@ -36,19 +39,19 @@
     #[test]
     fn each_fill_gets_one_word_in_time(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let rule = ShieldRule { waiting: 20, waiting_bytes: 15_000.0, lease: 300.0, ..ShieldRule::default() };
-        let mut shield = Shield::new(rule);
+        let rule = ShieldConfig { max_queued: 20, max_queued_bytes: 15_000.0, lease_duration: 300.0, ..ShieldConfig::default() };
+        let mut shield = OriginShield::new(rule);
         let (mut now, mut last) = (0.0, 0u64);
         let mut waiting = BTreeMap::<u64, (f64, u64)>::new();
         let mut out = BTreeMap::<u64, (f64, u64)>::new();
-        let hear = |released: Vec<Released>, now: f64, waiting: &mut BTreeMap<u64, (f64, u64)>,
+        let hear = |released: Vec<QueuedDecision>, now: f64, waiting: &mut BTreeMap<u64, (f64, u64)>,
                         out: &mut BTreeMap<u64, (f64, u64)>| {
             for word in released {
                 let (_, key) = waiting.remove(&word.ticket).expect("it waited, and had no word yet");
-                match word.verdict {
-                    Verdict::Go => drop(out.insert(word.ticket, (now, key))),
-                    Verdict::Over { come_back, .. } => assert!((50.0..=2_000.0).contains(&come_back)),
-                    Verdict::Wait { .. } => panic!("it has waited already"),
+                match word.decision {
+                    ShieldDecision::Admit => drop(out.insert(word.ticket, (now, key))),
+                    ShieldDecision::Reject { retry_after, .. } => assert!((50.0..=2_000.0).contains(&retry_after)),
+                    ShieldDecision::Queue { .. } => panic!("it has waited already"),
                 }
             }
         };
@@ -61,21 +64,21 @@
                 0..=5 => {
                     last += 1;
                     let key = chance.random_range(0..8);
-                    let kinds = [Priority::Booking, Priority::Demand, Priority::Demand, Priority::Renewal];
+                    let kinds = [Priority::Write, Priority::Demand, Priority::Demand, Priority::Revalidation];
                     let priority = kinds[chance.random_range(0..4)];
                     let rivals = out.values().filter(|(since, k)| *k == key && now < since + 300.0).count();
-                    match shield.ask(now, fill(last, key, priority)) {
-                        Verdict::Go => {
+                    match shield.request_fill(now, fill(last, key, priority)) {
+                        ShieldDecision::Admit => {
                             // Those let go behind a fetch that brought a copy hit; they hold no lease.
-                            prop_assert!(priority == Priority::Booking || rivals == 0 || step > 0);
+                            prop_assert!(priority == Priority::Write || rivals == 0 || step > 0);
                             out.insert(last, (now, key));
                         }
-                        Verdict::Wait { until } => {
+                        ShieldDecision::Queue { until } => {
                             prop_assert!(priority == Priority::Demand && until <= now + 150.0);
                             waiting.insert(last, (until, key));
                         }
-                        Verdict::Over { why, .. } => {
-                            prop_assert!(priority != Priority::Booking && why != Over::Time);
+                        ShieldDecision::Reject { reason, .. } => {
+                            prop_assert!(priority != Priority::Write && reason != ShieldRejection::QueueTimeout);
                         }
                     }
                 }
@@ -83,13 +86,13 @@
                     if let Some(ticket) = out.keys().next().copied() {
                         out.remove(&ticket);
                         let brought = chance.random_range(0..3) > 0;
-                        let released = shield.ended(now, ticket, end(brought, !brought));
+                        let released = shield.complete_fill(now, ticket, end(brought, !brought));
                         hear(released, now, &mut waiting, &mut out);
                     }
                 }
                 8 => {
                     if let Some(ticket) = waiting.keys().next().copied() {
-                        prop_assert!(shield.forget(ticket));
+                        prop_assert!(shield.cancel_fill(ticket));
                         waiting.remove(&ticket);
                     }
                 }
@@ -100,9 +103,9 @@
             prop_assert!(waiting.values().all(|(until, _)| now < *until), "past its time");
             prop_assert_eq!(shield.kept().0, waiting.len());
             prop_assert!(waiting.len() <= 15);
-            prop_assert!(shield.next(now).is_some() || waiting.is_empty());
+            prop_assert!(shield.next_deadline(now).is_some() || waiting.is_empty());
         }
-        let mut withdrawn = shield.withdraw(NodeId(1));
+        let mut withdrawn = shield.cancel_source(NodeId(1));
         withdrawn.sort_unstable();
         prop_assert_eq!(withdrawn, waiting.keys().copied().collect::<Vec<_>>());
     }
@@ -111,19 +114,19 @@
     #[test]
     fn a_lease_is_held_by_one_and_ends_by_itself(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut leases = Leases::new(8);
-        let mut plain = BTreeMap::<Fetch, (LeaseId, f64)>::new();
+        let mut leases = LeaseTable::new(8);
+        let mut plain = BTreeMap::<FetchKey, (LeaseId, f64)>::new();
         let mut now = 0.0;
         for _ in 0..400 {
             now += chance.random_range(0..40) as f64;
-            let fetch = Fetch { source: NodeId(1), key: chance.random_range(0..12) };
+            let fetch = FetchKey { source: NodeId(1), key: chance.random_range(0..12) };
             plain.retain(|_, (_, until)| now < *until);
             match chance.random_range(0..3) {
                 0 | 1 => match leases.ask(now, fetch, 200.0) {
                     Grant::Granted(id) => {
                         prop_assert!(plain.insert(fetch, (id, now + 200.0)).is_none());
                     }
-                    Grant::Taken(id) => prop_assert_eq!(plain.get(&fetch).map(|held| held.0), Some(id)),
+                    Grant::AlreadyLeased(id) => prop_assert_eq!(plain.get(&fetch).map(|held| held.0), Some(id)),
                     Grant::Untracked => prop_assert_eq!(plain.len(), 8),
                 },
                 _ => {
@@ -143,7 +146,7 @@
     #[test]
     fn the_memory_of_cold_keys_is_near_a_plain_map(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let (mut table, mut plain) = (Recency::new(4_096, 60_000.0), HashMap::<u64, f64>::new());
+        let (mut table, mut plain) = (RecentKeys::new(4_096, 60_000.0), HashMap::<u64, f64>::new());
         let mut now = 1.7e12;
         for _ in 0..2_000 {
             now += chance.random_range(0..100) as f64;
@@ -170,43 +173,58 @@
 /// A filler that is lost blocks those behind it no longer than its lease, and then only one of them goes.
 #[test]
 fn a_lost_filler_does_not_block() {
-    let mut shield = Shield::new(ShieldRule { lease: 100.0, ..ShieldRule::default() });
-    assert_eq!(shield.ask(0.0, fill(1, 7, Priority::Demand)), Verdict::Go);
+    let mut shield = OriginShield::new(ShieldConfig { lease_duration: 100.0, ..ShieldConfig::default() });
+    assert_eq!(shield.request_fill(0.0, fill(1, 7, Priority::Demand)), ShieldDecision::Admit);
     for ticket in [2, 3] {
-        assert!(matches!(shield.ask(1.0, fill(ticket, 7, Priority::Demand)), Verdict::Wait { .. }));
+        assert!(matches!(
+            shield.request_fill(1.0, fill(ticket, 7, Priority::Demand)),
+            ShieldDecision::Queue { .. }
+        ));
     }
     assert_eq!(shield.tick(99.0), []);
-    assert_eq!(shield.tick(101.0), [Released { ticket: 2, verdict: Verdict::Go }]);
-    assert_eq!(shield.counts().leases_lost, 1);
+    assert_eq!(shield.tick(101.0), [QueuedDecision { ticket: 2, decision: ShieldDecision::Admit }]);
+    assert_eq!(shield.counters().leases_expired, 1);
     // What was lost ends after all: the lease is another's by now.
-    assert_eq!(shield.ended(110.0, 1, end(true, true)), []);
-    assert_eq!(shield.ended(120.0, 2, end(true, false)), [Released { ticket: 3, verdict: Verdict::Go }]);
+    assert_eq!(shield.complete_fill(110.0, 1, end(true, true)), []);
+    assert_eq!(
+        shield.complete_fill(120.0, 2, end(true, false)),
+        [QueuedDecision { ticket: 3, decision: ShieldDecision::Admit }]
+    );
 }
 
 /// Bookings first, then demand; renewals do not wait at all; what is over is told when to come back.
 #[test]
 fn what_is_over_the_budget_waits_in_order_or_is_told_when_to_come_back() {
-    let budget = BudgetRule { least: 10.0, ..BudgetRule::default() };
-    let mut shield = Shield::new(ShieldRule { budget, ..ShieldRule::default() });
+    let budget = RateBudgetConfig { min_rate: 10.0, ..RateBudgetConfig::default() };
+    let mut shield = OriginShield::new(ShieldConfig { budget, ..ShieldConfig::default() });
     for n in 0..100u32 {
         let at = f64::from(n) * 100.0;
-        assert_eq!(shield.ask(at, fill(u64::from(n), u64::from(n), Priority::Demand)), Verdict::Go);
-        shield.ended(at + 10.0, u64::from(n), end(true, false));
+        assert_eq!(
+            shield.request_fill(at, fill(u64::from(n), u64::from(n), Priority::Demand)),
+            ShieldDecision::Admit
+        );
+        shield.complete_fill(at + 10.0, u64::from(n), end(true, false));
     }
     shield.begin_change(10_000.0, NodeId(2));
-    let ask = |shield: &mut Shield, ticket, priority| shield.ask(10_001.0, fill(ticket, ticket, priority));
-    let said: Vec<Verdict> = (200..230).map(|n| ask(&mut shield, n, Priority::Demand)).collect();
-    let gone = said.iter().filter(|verdict| **verdict == Verdict::Go).count();
+    let ask = |shield: &mut OriginShield, ticket, priority| {
+        shield.request_fill(10_001.0, fill(ticket, ticket, priority))
+    };
+    let said: Vec<ShieldDecision> = (200..230).map(|n| ask(&mut shield, n, Priority::Demand)).collect();
+    let gone = said.iter().filter(|verdict| **verdict == ShieldDecision::Admit).count();
     assert!(gone <= 4, "{gone}");
-    assert!(said.iter().any(|verdict| matches!(verdict, Verdict::Wait { .. })));
-    assert!(matches!(ask(&mut shield, 300, Priority::Renewal), Verdict::Over { why: Over::Budget, .. }));
-    assert_eq!(ask(&mut shield, 301, Priority::Booking), Verdict::Go);
+    assert!(said.iter().any(|verdict| matches!(verdict, ShieldDecision::Queue { .. })));
+    assert!(matches!(
+        ask(&mut shield, 300, Priority::Revalidation),
+        ShieldDecision::Reject { reason: ShieldRejection::BudgetExhausted, .. }
+    ));
+    assert_eq!(ask(&mut shield, 301, Priority::Write), ShieldDecision::Admit);
     let mut words = Vec::new();
     (0..20).for_each(|n| words.extend(shield.tick(10_001.0 + f64::from(n) * 10.0)));
-    let first: Vec<u64> = words.iter().filter(|w| w.verdict == Verdict::Go).map(|w| w.ticket).collect();
+    let first: Vec<u64> =
+        words.iter().filter(|w| w.decision == ShieldDecision::Admit).map(|w| w.ticket).collect();
     assert!(first.is_sorted(), "{first:?}");
     assert!(words
         .iter()
-        .any(|w| matches!(w.verdict, Verdict::Over { why: Over::Time, come_back } if come_back >= 50.0)));
+        .any(|w| matches!(w.decision, ShieldDecision::Reject { reason: ShieldRejection::QueueTimeout, retry_after } if retry_after >= 50.0)));
     assert_eq!(shield.kept().0, 0);
 }
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -20,8 +20,8 @@
 use linnethook_gateway::codec::{put, Hello, Word, VERSIONS};
 use linnethook_gateway::session::{Session, SessionRule};
 use linnethook_gateway::site::{About, Fact, State};
-use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, SourceSpec};
-use linnethook_hierarchy::{Author, Change, Hierarchy, Node, NodeId, Role, Source};
+use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
+use linnethook_hierarchy::{AuthorId, Change, Hierarchy, Node, NodeId, Role, Source};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -278,7 +278,7 @@
 /// A hierarchy of so many nodes below two parents and the origin: a change, and the whole for one that lacks it.
 pub fn hierarchy(nodes: usize) -> Vec<Measured> {
     let (of, size) = ("nodes", nodes as f64);
-    let mut whole = Hierarchy::new(linnethook_hierarchy::Rules::default());
+    let mut whole = Hierarchy::new(linnethook_hierarchy::HierarchyConfig::default());
     let node = |id: u64, role, tier| Node {
         id: NodeId(id),
         role,
@@ -297,15 +297,15 @@
         (4..nodes as u64 + 4).map(|id| Change::Add { node: node(id, Role::Cache, 0), sources: parents() }),
     );
     let now = 1e12;
-    let batch = whole.draft(Author(7), now, changes);
-    whole.hear(now, batch);
+    let batch = whole.draft_batch(AuthorId(7), now, changes);
+    whole.receive_batch(now, batch);
     let turns = 50u64;
     let began = Instant::now();
     for n in 0..turns {
         let sources = vec![Source::new(NodeId(2 + n % 2), 0), Source::new(NodeId(3 - n % 2), 1)];
         let node = NodeId(4 + n % nodes as u64);
-        let batch = whole.draft(Author(7), now, vec![Change::Rerank { node, sources }]);
-        whole.hear(now, batch);
+        let batch = whole.draft_batch(AuthorId(7), now, vec![Change::Rerank { node, sources }]);
+        whole.receive_batch(now, batch);
         whole.tick(now + n as f64);
     }
     let hear = micros(began, turns as usize);
@@ -316,7 +316,7 @@
         number: 100_000,
         stamp: 1 << 30,
         basis: vec![(7_000, 99_999), (1, 12)],
-        at: now,
+        effective_at: now,
         changes: vec![ChangeSpec::Rerank {
             node: "s-00c41f7a".to_string(),
             sources: vec![names("p-0012ab34", 0), names("p-0012ab35", 1)],
--- a/crates/model/src/plan.rs
+++ b/crates/model/src/plan.rs
@@ -4,7 +4,7 @@
 
 use std::ops::Range;
 
-use linnethook_hierarchy::stages::StageRule;
+use linnethook_hierarchy::rollout::RolloutConfig;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -56,7 +56,7 @@
     /// For how long children may be on their way from one source to another. While the tiers above are short, the shield
     /// lets stages stand still.
     pub(crate) fn longest(&self) -> f64 {
-        let held = if self.shielded { StageRule::default().held } else { 0.0 };
+        let held = if self.shielded { RolloutConfig::default().max_pause } else { 0.0 };
         self.announce + self.warm + self.settle + held
     }
 }
--- a/crates/model/src/world/tiers.rs
+++ b/crates/model/src/world/tiers.rs
@@ -4,16 +4,17 @@
 
 use linnethook::interface::{CacheId, Event as Told, Feed, Feeds, Fill, Note, Phase, Status};
 use linnethook::ring::mix;
-use linnethook_hierarchy::shield::{Priority, Released, Verdict};
+use linnethook_hierarchy::origin_shield::{Priority, QueuedDecision, ShieldDecision};
 use linnethook_hierarchy::{
-    Author, Batch, Brought, Change, Hierarchy, Node, NodeId, Picked, Role, Rules, Source,
+    AuthorId, Change, ChangeBatch, FillResult, Hierarchy, HierarchyConfig, Node, NodeId, Role, SelectedFill,
+    Source,
 };
 
 use super::{micros, ms, Attempt, Event, Number, Stage, World, ORIGIN, PARENT, TOP};
 use crate::Micros;
 
 /// Who writes the changes of the shape.
-const AUTHOR: Author = Author(1);
+const AUTHOR: AuthorId = AuthorId(1);
 
 /// The hierarchies of all routers.
 #[derive(Default)]
@@ -22,7 +23,7 @@
     /// When each has something to do next, as far as an event is on its way.
     due: Vec<Micros>,
     /// Changes, and what each router hears of them.
-    batches: Vec<Batch>,
+    batches: Vec<ChangeBatch>,
 }
 
 /// A fill as the shield knows it.
@@ -30,15 +31,15 @@
     attempt.request << 8 | u64::from(attempt.number)
 }
 
-fn brought(status: Status, note: Option<Note>) -> Brought {
+fn brought(status: Status, note: Option<Note>) -> FillResult {
     match (status, note) {
-        (Status::Ok, Some(Note::Filled)) => Brought::Held,
-        (Status::Ok, Some(Note::FilledByOrigin)) => Brought::FromOrigin,
-        (Status::Ok, Some(Note::Hit | Note::Stale)) => Brought::NoFill,
-        (Status::Ok, _) => Brought::Somehow,
-        (Status::Cancelled | Status::Moot, _) | (_, Some(Note::NoPlace)) => Brought::Unknown,
-        (Status::ConnectFailed, _) | (Status::Full, None) => Brought::Unknown,
-        _ => Brought::Nothing,
+        (Status::Ok, Some(Note::Filled)) => FillResult::ServedFromCache,
+        (Status::Ok, Some(Note::FilledByOrigin)) => FillResult::ServedFromOrigin,
+        (Status::Ok, Some(Note::Hit | Note::Stale)) => FillResult::AlreadyCached,
+        (Status::Ok, _) => FillResult::ServedFromUnknown,
+        (Status::Cancelled | Status::Moot, _) | (_, Some(Note::NoPlace)) => FillResult::Abandoned,
+        (Status::ConnectFailed, _) | (Status::Full, None) => FillResult::Abandoned,
+        _ => FillResult::Failed,
     }
 }
 
@@ -70,18 +71,22 @@
             let node = Node { id: member.id, role, site, tier, capacity: member.weight, retiring: false };
             changes.push(Change::Add { node, sources });
         }
-        let mut rules = Rules { staged: rule.staged, shielded: rule.shielded, ..Rules::default() };
-        rules.stages.announce = rule.announce;
-        rules.stages.warm = rule.warm;
-        rules.stages.settle = rule.settle;
+        let mut rules = HierarchyConfig {
+            rollout_enabled: rule.staged,
+            shield_enabled: rule.shielded,
+            ..HierarchyConfig::default()
+        };
+        rules.rollout.announcement = rule.announce;
+        rules.rollout.ramp_duration = rule.warm;
+        rules.rollout.settling_time = rule.settle;
         for router in 0..self.brains.len() {
             let mut hierarchy = Hierarchy::new(rules);
-            hierarchy.hear(0.0, hierarchy.draft(AUTHOR, 0.0, changes.clone()));
+            hierarchy.receive_batch(0.0, hierarchy.draft_batch(AUTHOR, 0.0, changes.clone()));
             let zone = router / self.plan.routers.max(1);
             for server in &self.servers {
-                hierarchy.listed(0.0, server.member.id, server.member.phase, server.member.since);
+                hierarchy.update_endpoint(0.0, server.member.id, server.member.phase, server.member.since);
                 if server.member.kind == 0 && usize::from(server.member.zone) == zone {
-                    hierarchy.watch(0.0, server.member.id);
+                    hierarchy.track_child(0.0, server.member.id);
                 }
             }
             self.tiers.routers.push(hierarchy);
@@ -93,7 +98,7 @@
 
     fn note_shape(&mut self, now: Micros) {
         let Some(hierarchy) = self.tiers.routers.first() else { return };
-        let shape = hierarchy.shape();
+        let shape = hierarchy.topology();
         let place = |id: NodeId| self.server(id);
         let edges = self.servers.iter().enumerate().flat_map(|(n, server)| {
             let sources = shape.sources(server.member.id);
@@ -111,7 +116,7 @@
         let id = |n: usize| parents.clone().nth(n).map(|n| self.servers[n].member.id);
         let (Some(from), Some(to)) = (id(from), id(to)) else { return };
         let moved = |id: NodeId| {
-            let sources: Vec<Source> = first.shape().sources(id).collect();
+            let sources: Vec<Source> = first.topology().sources(id).collect();
             let changed = sources.iter().any(|source| source.node == from);
             let swap = |s: &Source| Source { node: if s.node == from { to } else { s.node }, ..*s };
             changed.then(|| Change::Rerank { node: id, sources: sources.iter().map(swap).collect() })
@@ -121,7 +126,7 @@
         if changes.is_empty() {
             return;
         }
-        self.tiers.batches.push(first.draft(AUTHOR, ms(now), changes));
+        self.tiers.batches.push(first.draft_batch(AUTHOR, ms(now), changes));
         let late = micros(self.list_late);
         self.queue.add(now + late, Event::Shape(self.tiers.batches.len() - 1));
     }
@@ -130,7 +135,7 @@
     pub(super) fn reshape(&mut self, now: Micros, n: usize) {
         let Some(batch) = self.tiers.batches.get(n).cloned() else { return };
         for router in 0..self.tiers.routers.len() {
-            self.tiers.routers[router].hear(ms(now), batch.clone());
+            self.tiers.routers[router].receive_batch(ms(now), batch.clone());
             self.tend(now, router);
         }
         self.note_shape(now);
@@ -140,12 +145,12 @@
     pub(super) fn list_tiers(&mut self, now: Micros, router: usize, server: usize) {
         let Some(hierarchy) = self.tiers.routers.get_mut(router) else { return };
         let member = self.servers[server].member;
-        let (_, withdrawn) = hierarchy.listed(ms(now), member.id, member.phase, member.since);
+        let cancelled = hierarchy.update_endpoint(ms(now), member.id, member.phase, member.since).cancelled;
         let own = usize::from(member.zone) == router / self.plan.routers.max(1);
         if member.kind == 0 && own && member.phase != Phase::Gone {
-            hierarchy.watch(ms(now), member.id);
+            hierarchy.track_child(ms(now), member.id);
         }
-        for ticket in withdrawn {
+        for ticket in cancelled {
             self.turn_back(now, ticket);
         }
         self.tend(now, router);
@@ -162,7 +167,7 @@
     /// Tells the decision module what has changed, and sees when the hierarchy is due again.
     fn tend(&mut self, now: Micros, router: usize) {
         self.tell_feeds(now, router);
-        let next = micros(self.tiers.routers[router].next(ms(now))).max(now + 1);
+        let next = micros(self.tiers.routers[router].next_deadline(ms(now))).max(now + 1);
         if next < self.tiers.due[router] {
             self.tiers.due[router] = next;
             self.queue.add(next, Event::Tend(router));
@@ -170,13 +175,13 @@
     }
 
     fn tell_feeds(&mut self, now: Micros, router: usize) {
-        let changed = self.tiers.routers[router].changed_feeds(ms(now));
+        let changed = self.tiers.routers[router].changed_fill_sources(ms(now));
         let all = |list: &[Source]| list.iter().map(|s| Feed { source: s.node, rank: s.rank }).collect();
         for (cache, lists) in changed {
             let feeds = Feeds {
-                now: all(&lists.now),
-                before: all(&lists.before),
-                part: lists.part,
+                now: all(&lists.current),
+                before: all(&lists.previous),
+                part: lists.fraction,
                 salt: lists.salt,
             };
             self.tell(now, router, &Told::Feeds { cache, feeds: Some(feeds) });
@@ -189,19 +194,19 @@
             return;
         }
         self.tiers.due[router] = Micros::MAX;
-        let (released, _) = self.tiers.routers[router].tick(ms(now));
+        let released = self.tiers.routers[router].tick(ms(now)).decisions;
         self.let_go(now, released);
         self.tend(now, router);
     }
 
-    fn let_go(&mut self, now: Micros, released: Vec<Released>) {
+    fn let_go(&mut self, now: Micros, released: Vec<QueuedDecision>) {
         for word in released {
             let number = self.by_id.get(&(word.ticket >> 8, (word.ticket & 255) as u8)).copied();
             let Some(number) = number else { continue };
-            match word.verdict {
-                Verdict::Go => self.goes(now, number),
-                Verdict::Over { come_back, .. } => self.only_held(now, number, come_back),
-                Verdict::Wait { .. } => {}
+            match word.decision {
+                ShieldDecision::Admit => self.goes(now, number),
+                ShieldDecision::Reject { retry_after, .. } => self.only_held(now, number, retry_after),
+                ShieldDecision::Queue { .. } => {}
             }
         }
     }
@@ -215,29 +220,29 @@
         let Some(client) = self.clients.get(&attempt.request) else { return self.goes(now, number) };
         let aim = self.aim(client.size);
         let left = ms(client.since) + aim - ms(now);
-        let picked = Picked {
+        let picked = SelectedFill {
             ticket: ticket(&attempt),
             child,
             source,
             object: mix(client.object, 1),
             key: attempt.key,
-            priority: if attempt.write { Priority::Booking } else { Priority::Demand },
+            priority: if attempt.write { Priority::Write } else { Priority::Demand },
             bytes: client.size,
-            joins: attempt.fill.is_some_and(|fill| fill.join),
-            patience: (left / 2.0).max(0.0),
+            may_join: attempt.fill.is_some_and(|fill| fill.join),
+            max_wait: (left / 2.0).max(0.0),
         };
         let hierarchy = &mut self.tiers.routers[attempt.router];
-        let verdict = hierarchy.send(ms(now), &picked);
+        let verdict = hierarchy.request_fill(ms(now), &picked);
         let version = hierarchy.version();
-        let hops = hierarchy.way(ms(now), child, source, picked.object);
-        let beside = hops.iter().find(|hop| hop.only_held).and_then(|hop| self.server(hop.node));
+        let hops = hierarchy.onward_path(ms(now), child, source, picked.object);
+        let beside = hops.iter().find(|hop| hop.cached_only).and_then(|hop| self.server(hop.node));
         if let Some(attempt) = self.attempts.get_mut(&number) {
             (attempt.tolled, attempt.beside, attempt.version) = (true, beside, Some(version));
         }
         match verdict {
-            Verdict::Go => self.goes(now, number),
-            Verdict::Wait { .. } => self.set_stage(number, Stage::Held),
-            Verdict::Over { come_back, .. } => self.only_held(now, number, come_back),
+            ShieldDecision::Admit => self.goes(now, number),
+            ShieldDecision::Queue { .. } => self.set_stage(number, Stage::Held),
+            ShieldDecision::Reject { retry_after, .. } => self.only_held(now, number, retry_after),
         }
         self.tend(now, attempt.router);
     }
@@ -268,7 +273,7 @@
     /// Nobody waits any more for a fill that the shield holds.
     pub(super) fn forget_held(&mut self, attempt: &Attempt) {
         if let Some(hierarchy) = self.tiers.routers.get_mut(attempt.router) {
-            hierarchy.forget(ticket(attempt));
+            hierarchy.cancel_fill(ticket(attempt));
         }
     }
 
@@ -281,7 +286,7 @@
         let late = ms(now - attempt.sent) > self.aim(size);
         let came = brought(attempt.status, attempt.note);
         let hierarchy = &mut self.tiers.routers[attempt.router];
-        let released = hierarchy.ended(ms(now), ticket(attempt), came, late);
+        let released = hierarchy.complete_fill(ms(now), ticket(attempt), came, late);
         self.let_go(now, released);
         self.tend(now, attempt.router);
     }
--- a/crates/operator/src/apart.rs
+++ b/crates/operator/src/apart.rs
@@ -9,8 +9,8 @@
 use std::process::{Child, Command, Stdio};
 
 use linnethook_fellows::place::Place;
-use linnethook_hierarchy::named::{ChangeSpec, NodeSpec};
-use linnethook_hierarchy::Rules;
+use linnethook_hierarchy::change_spec::{ChangeSpec, NodeSpec};
+use linnethook_hierarchy::HierarchyConfig;
 use nix::sys::resource::{setrlimit, Resource};
 use nix::unistd::alarm;
 use serde::{Deserialize, Serialize};
@@ -93,8 +93,8 @@
         let hierarchy = operator.hierarchy.map(|Hierarchy { part, nodes }| SentHierarchy {
             author: part.author,
             extended: part.extended,
-            staged: part.rules.staged,
-            shielded: part.rules.shielded,
+            staged: part.rules.rollout_enabled,
+            shielded: part.rules.shield_enabled,
             knobs: values(HIERARCHY, &part.rules),
             nodes,
         });
@@ -119,8 +119,8 @@
 impl From<Sent> for Operator {
     fn from(sent: Sent) -> Self {
         let hierarchy = sent.hierarchy.map(|sent| {
-            let (staged, shielded) = (sent.staged, sent.shielded);
-            let rules = Rules { staged, shielded, ..put(HIERARCHY, &sent.knobs) };
+            let (rollout_enabled, shield_enabled) = (sent.staged, sent.shielded);
+            let rules = HierarchyConfig { rollout_enabled, shield_enabled, ..put(HIERARCHY, &sent.knobs) };
             let part = HierarchyPart { author: sent.author, extended: sent.extended, rules };
             Hierarchy { part, nodes: sent.nodes }
         });
--- a/crates/operator/src/knobs.rs
+++ b/crates/operator/src/knobs.rs
@@ -3,7 +3,7 @@
 //! One table for each function of the operator file; the checks, the errors and the printed reference come from
 //! it. Must never hold a default that the package it is for does not have.
 
-use linnethook_hierarchy::Rules;
+use linnethook_hierarchy::HierarchyConfig as Rules;
 
 /// A number that can be set.
 pub struct Knob<T> {
@@ -75,7 +75,7 @@
         "seconds",
         (0.0, 600.0),
         SECONDS,
-        stages.announce,
+        rollout.announcement,
         "how long a change is told before it begins"
     ),
     knob!(
@@ -83,16 +83,23 @@
         "seconds",
         (0.1, 86_400.0),
         SECONDS,
-        stages.warm,
+        rollout.ramp_duration,
         "how long children take to go over to a new source"
     ),
-    knob!("first", "", (0.0, 1.0), 1.0, stages.first, "the part of the objects with which that begins"),
+    knob!(
+        "first",
+        "",
+        (0.0, 1.0),
+        1.0,
+        rollout.initial_fraction,
+        "the part of the objects with which that begins"
+    ),
     knob!(
         "settle",
         "seconds",
         (0.0, 86_400.0),
         SECONDS,
-        stages.settle,
+        rollout.settling_time,
         "how long the old source is still asked for what it holds"
     ),
     knob!(
@@ -100,7 +107,7 @@
         "seconds",
         (1.0, 86_400.0),
         SECONDS,
-        retire,
+        retirement_grace,
         "how long a node that retires is still named for what it holds"
     ),
     knob!(
@@ -108,25 +115,32 @@
         "",
         (0.01, 1.0),
         1.0,
-        stages.harm,
+        rollout.max_failure_ratio,
         "share of late or failed fills by a new source that rolls a change back"
     ),
-    knob!("worse", "", (1.0, 100.0), 1.0, stages.worse, "and so many times the share by the old source"),
+    knob!(
+        "worse",
+        "",
+        (1.0, 100.0),
+        1.0,
+        rollout.max_failure_multiple,
+        "and so many times the share by the old source"
+    ),
     knob!(
         "rest",
         "seconds",
         (0.1, 86_400.0),
         SECONDS,
-        stages.rest,
+        rollout.retry_delay,
         "pause before a change that was rolled back is tried again, doubled each time"
     ),
-    knob!(whole "tries", "", (1.0, 100.0), u32, stages.tries, "how often a change is tried"),
+    knob!(whole "tries", "", (1.0, 100.0), u32, rollout.max_attempts, "how often a change is tried"),
     knob!(
         "held",
         "seconds",
         (0.0, 86_400.0),
         SECONDS,
-        stages.held,
+        rollout.max_pause,
         "how long in all a change stands still while the tiers above are short"
     ),
     knob!(
@@ -142,7 +156,7 @@
         "",
         (0.01, 1.0),
         1.0,
-        shield.budget.bear,
+        shield.budget.max_late_ratio,
         "share of late fills above which a tier gets less"
     ),
     knob!(
@@ -150,7 +164,7 @@
         "",
         (0.001, 1.0),
         1.0,
-        shield.budget.grow,
+        shield.budget.growth_per_second,
         "part of itself by which a limit grows in a second without trouble"
     ),
     knob!(
@@ -158,7 +172,7 @@
         "fills a second",
         (0.1, 1e6),
         1.0,
-        shield.budget.least,
+        shield.budget.min_rate,
         "what may go to a tier in any case"
     ),
     knob!(
@@ -166,7 +180,7 @@
         "seconds",
         (0.1, 600.0),
         SECONDS,
-        shield.budget.learn,
+        shield.budget.learning_time,
         "how long something has to go to a tier before that is known as what goes there"
     ),
     knob!(
@@ -174,19 +188,26 @@
         "seconds",
         (0.01, 60.0),
         SECONDS,
-        shield.lease,
+        shield.lease_duration,
         "how long one fill keeps others of the same object waiting at the most"
     ),
-    knob!("wait", "seconds", (0.0, 10.0), SECONDS, shield.wait, "how long a fill may wait for its turn"),
-    knob!(whole "waiting", "fills", (0.0, 100_000.0), usize, shield.waiting, "how many may wait"),
-    knob!("waiting_bytes", "bytes", (0.0, 1e9), 1.0, shield.waiting_bytes, "and what they may want together"),
-    knob!(whole "leases", "", (1.0, 1e6), usize, shield.leases, "leases kept"),
-    knob!(whole "keys", "", (64.0, 1e8), usize, keys, "cold keys remembered, four bytes each"),
-    knob!("horizon", "seconds", (1.0, 86_400.0), SECONDS, horizon, "for how long"),
-    knob!(whole "nodes", "", (1.0, 1e6), usize, bounds.nodes, "nodes of a shape"),
-    knob!(whole "changes", "", (1.0, 1e6), usize, bounds.changes, "changes of a batch"),
-    knob!(whole "sources", "", (1.0, 255.0), usize, bounds.sources, "sources of a node"),
-    knob!(whole "batches", "", (1.0, 1e6), usize, kept.batches, "batches that can be taken back"),
+    knob!("wait", "seconds", (0.0, 10.0), SECONDS, shield.max_wait, "how long a fill may wait for its turn"),
+    knob!(whole "waiting", "fills", (0.0, 100_000.0), usize, shield.max_queued, "how many may wait"),
+    knob!(
+        "waiting_bytes",
+        "bytes",
+        (0.0, 1e9),
+        1.0,
+        shield.max_queued_bytes,
+        "and what they may want together"
+    ),
+    knob!(whole "leases", "", (1.0, 1e6), usize, shield.max_leases, "leases kept"),
+    knob!(whole "keys", "", (64.0, 1e8), usize, recent_keys, "cold keys remembered, four bytes each"),
+    knob!("horizon", "seconds", (1.0, 86_400.0), SECONDS, recent_keys_horizon, "for how long"),
+    knob!(whole "nodes", "", (1.0, 1e6), usize, batch_limits.max_nodes, "nodes of a shape"),
+    knob!(whole "changes", "", (1.0, 1e6), usize, batch_limits.max_changes, "changes of a batch"),
+    knob!(whole "sources", "", (1.0, 255.0), usize, batch_limits.max_sources, "sources of a node"),
+    knob!(whole "batches", "", (1.0, 1e6), usize, history_limits.retained_batches, "batches that can be taken back"),
 ];
 
 #[cfg(test)]
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -16,7 +16,7 @@
 
 use linnethook_fellows::fellows::Rules as FellowRules;
 use linnethook_fellows::place::Place;
-use linnethook_hierarchy::named::{self, ChangeSpec, NodeSpec};
+use linnethook_hierarchy::change_spec::{self, ChangeSpec, NodeSpec};
 
 use serde::{Deserialize, Serialize};
 
@@ -115,8 +115,8 @@
             }
             None => None,
             Some((at, part)) => {
-                if nodes.len() > part.rules.bounds.nodes {
-                    let most = part.rules.bounds.nodes;
+                if nodes.len() > part.rules.batch_limits.max_nodes {
+                    let most = part.rules.batch_limits.max_nodes;
                     return Err(wrong(
                         Some(at),
                         format!("{} nodes, expected {most} at the most", nodes.len()),
@@ -124,7 +124,8 @@
                 }
                 // Without nodes the shape comes from elsewhere.
                 if let Err(bad) =
-                    named::check(&nodes).or_else(|bad| if nodes.is_empty() { Ok(()) } else { Err(bad) })
+                    change_spec::validate(&nodes)
+                        .or_else(|bad| if nodes.is_empty() { Ok(()) } else { Err(bad) })
                 {
                     let place = bad.node().and_then(|name| nodes.iter().rposition(|node| node.name == name));
                     return Err(wrong(place.map(|n| places[n]).or(Some(at)), bad.to_string()));
--- a/crates/operator/src/script.rs
+++ b/crates/operator/src/script.rs
@@ -11,8 +11,8 @@
 use linnethook_fellows::place::Place;
 use linnethook_fellows::straggler::StragglerRule;
 use linnethook_gateway::gateway::Rules as GatewayRules;
-use linnethook_hierarchy::named::{ChangeSpec, NodeSpec, SourceSpec};
-use linnethook_hierarchy::{Role, Rules};
+use linnethook_hierarchy::change_spec::{ChangeSpec, NodeSpec, SourceSpec};
+use linnethook_hierarchy::{HierarchyConfig, Role};
 use serde::{Deserialize, Serialize};
 use starlark::collections::SmallMap;
 use starlark::environment::{Globals, GlobalsBuilder, Module};
@@ -81,7 +81,7 @@
 pub struct HierarchyPart {
     pub author: u16,
     pub extended: bool,
-    pub rules: Rules,
+    pub rules: HierarchyConfig,
 }
 
 /// The gateway's own side.
@@ -267,10 +267,10 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("hierarchy()", given);
-        let mut rules = Rules::default();
+        let mut rules = HierarchyConfig::default();
         arguments.knobs(HIERARCHY, &mut rules)?;
-        rules.staged = arguments.flag("staged", rules.staged)?;
-        rules.shielded = arguments.flag("shielded", rules.shielded)?;
+        rules.rollout_enabled = arguments.flag("staged", rules.rollout_enabled)?;
+        rules.shield_enabled = arguments.flag("shielded", rules.shield_enabled)?;
         let extended = arguments.flag("extended", false)?;
         let author = arguments.number("author", (1.0, 32_767.0), true)?.unwrap_or(1.0) as u16;
         arguments.end()?;
--- a/crates/operator/tests/file.rs
+++ b/crates/operator/tests/file.rs
@@ -31,8 +31,11 @@
     assert_eq!(operator.control.as_deref(), Some("/run/linnethook/control.sock"));
     assert!(operator.log.is_some_and(|log| log.json && log.lines_per_second == 50));
     let rules = hierarchy.part.rules;
-    assert_eq!((hierarchy.part.author, rules.stages.warm, rules.stages.tries), (7, 12_500.0, 2));
-    assert!(rules.staged && !rules.shielded && !hierarchy.part.extended);
+    assert_eq!(
+        (hierarchy.part.author, rules.rollout.ramp_duration, rules.rollout.max_attempts),
+        (7, 12_500.0, 2)
+    );
+    assert!(rules.rollout_enabled && !rules.shield_enabled && !hierarchy.part.extended);
     assert_eq!(hierarchy.nodes.len(), 6);
     let ranks: Vec<u16> = hierarchy.nodes[5].sources.iter().map(|source| source.rank).collect();
     assert_eq!(ranks, [0, 9]);
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -16,7 +16,9 @@
 use linnethook_fellows::straggler::State;
 use linnethook_fellows::summary::Group;
 use linnethook_gateway::gateway::{RouteLine, Status};
-use linnethook_hierarchy::named::{BatchSpec, NodeSpec, PlanSpec, SourceSpec};
+use linnethook_hierarchy::change_spec::{
+    BatchSpec, NodeSpec, OriginLoadSpec, PlanSpec, SourceChangeSpec, SourceLoadSpec, SourceSpec,
+};
 use linnethook_operator::script::Kind;
 use linnethook_operator::{apart, reference};
 use serde::Serialize;
@@ -255,7 +257,7 @@
     }
 }
 
-fn changes(file: &Path) -> Result<Vec<linnethook_hierarchy::named::ChangeSpec>, Failed> {
+fn changes(file: &Path) -> Result<Vec<linnethook_hierarchy::change_spec::ChangeSpec>, Failed> {
     let bytes = apart::run(&program()?, Kind::Changes, file);
     let changes = bytes.and_then(|bytes| apart::change_list(file, &bytes));
     changes.map_err(|wrong| Failed::Input(wrong.to_string()))
@@ -685,20 +687,22 @@
     for (what, names) in [("add", &plan.added), ("remove", &plan.removed), ("alter", &plan.altered)] {
         names.iter().for_each(|name| out += &format!("{what} {name}\n"));
     }
-    for (name, before, after) in &plan.rerouted {
+    for change in &plan.source_changes {
+        let SourceChangeSpec { node: name, before, after } = change;
         out += &format!("reroute {name}: {} -> {}\n", sources(before), sources(after));
     }
-    for way in &plan.loops {
+    for way in &plan.cycles {
         out += &format!("LOOP, the edge would be suspended: {}\n", way.join(" -> "));
     }
-    if plan.resumed > 0 {
-        out += &format!("{} suspended edges would come back\n", plan.resumed);
+    if plan.resumed_edges > 0 {
+        out += &format!("{} suspended edges would come back\n", plan.resumed_edges);
     }
-    for (to, before, after, tier, heavy) in &plan.pushes {
-        let heavy = if *heavy { "HEAVY, " } else { "" };
+    for load in &plan.source_loads {
+        let SourceLoadSpec { source: to, before, after, tier_mean: tier, is_heavy } = load;
+        let heavy = if *is_heavy { "HEAVY, " } else { "" };
         out += &format!("push {to}: {heavy}{before:.2} -> {after:.2} of the capacity below it for each of its own (tier {tier:.2})\n");
     }
-    let (now, flip, staged) = plan.origin;
+    let OriginLoadSpec { current: now, immediate: flip, staged } = plan.origin_load;
     out + &format!(
         "origin: {now:.1} fills a second now; on top, estimated at the worst, {flip:.1} at a flip and {staged:.1} by stages\n"
     )
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -17,7 +17,7 @@
 use linnethook_fellows::query::Asked;
 use linnethook_fellows::straggler::State;
 use linnethook_gateway::gateway::{RouteLine, Status};
-use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
+use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
 use serde::{Deserialize, Serialize};
 
 use crate::config::Limits;
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -14,7 +14,7 @@
 use linnethook_fellows::members::Change;
 use linnethook_fellows::query::Asked;
 use linnethook_fellows::straggler::{Seen, State, Straggler, Why};
-use linnethook_hierarchy::named::BatchSpec;
+use linnethook_hierarchy::change_spec::BatchSpec;
 use linnethook_operator::Fellows;
 use xxhash_rust::xxh3::xxh3_64;
 
--- a/crates/router/src/operator_digest.rs
+++ b/crates/router/src/operator_digest.rs
@@ -11,12 +11,11 @@
 use linnethook_fellows::straggler::StragglerRule;
 use linnethook_gateway::gateway::Rules as GatewayRules;
 use linnethook_gateway::pulse::PulseRule;
-use linnethook_hierarchy::budget::BudgetRule;
-use linnethook_hierarchy::named::{NodeSpec, SourceSpec};
-use linnethook_hierarchy::shape::Role;
-use linnethook_hierarchy::shield::ShieldRule;
-use linnethook_hierarchy::stages::StageRule;
-use linnethook_hierarchy::Rules as HierarchyRules;
+use linnethook_hierarchy::change_spec::{NodeSpec, SourceSpec};
+use linnethook_hierarchy::origin_shield::ShieldConfig;
+use linnethook_hierarchy::rate_budget::RateBudgetConfig;
+use linnethook_hierarchy::rollout::RolloutConfig;
+use linnethook_hierarchy::{HierarchyConfig, Role};
 use linnethook_operator::script::{HierarchyPart, Log, SiteSpec, StragglerPart, WatchPart};
 use linnethook_operator::Operator;
 use xxhash_rust::xxh3::xxh3_64;
@@ -112,22 +111,33 @@
     )
 }
 
-fn hierarchy_rules(rules: &HierarchyRules) -> Verbatim {
-    let bounds = &rules.bounds;
+fn hierarchy_rules(rules: &HierarchyConfig) -> Verbatim {
+    let bounds = &rules.batch_limits;
     let bounds = record(
         "Bounds",
         &[
-            ("changes", &bounds.changes),
-            ("sources", &bounds.sources),
-            ("nodes", &bounds.nodes),
-            ("authors", &bounds.authors),
+            ("changes", &bounds.max_changes),
+            ("sources", &bounds.max_sources),
+            ("nodes", &bounds.max_nodes),
+            ("authors", &bounds.max_authors),
         ],
     );
-    let kept = record("Kept", &[("batches", &rules.kept.batches), ("waiting", &rules.kept.waiting)]);
-    let hold = &rules.hold;
+    let kept = record(
+        "Kept",
+        &[
+            ("batches", &rules.history_limits.retained_batches),
+            ("waiting", &rules.history_limits.pending_batches),
+        ],
+    );
+    let hold = &rules.edge_backoff;
     let hold = record(
         "HoldRule",
-        &[("first", &hold.first), ("longer", &hold.longer), ("longest", &hold.longest), ("most", &hold.most)],
+        &[
+            ("first", &hold.initial),
+            ("longer", &hold.factor),
+            ("longest", &hold.max),
+            ("most", &hold.max_edges),
+        ],
     );
     record(
         "Rules",
@@ -135,24 +145,24 @@
             ("bounds", &bounds),
             ("kept", &kept),
             ("hold", &hold),
-            ("stages", &stage_rule(&rules.stages)),
+            ("stages", &stage_rule(&rules.rollout)),
             ("shield", &shield_rule(&rules.shield)),
-            ("staged", &rules.staged),
-            ("shielded", &rules.shielded),
-            ("retire", &rules.retire),
-            ("keys", &rules.keys),
-            ("horizon", &rules.horizon),
-            ("likely_seen", &rules.likely_seen),
-            ("weight", &rules.weight),
-            ("children", &rules.children),
-            ("grain", &rules.grain),
-            ("short", &rules.short),
+            ("staged", &rules.rollout_enabled),
+            ("shielded", &rules.shield_enabled),
+            ("retire", &rules.retirement_grace),
+            ("keys", &rules.recent_keys),
+            ("horizon", &rules.recent_keys_horizon),
+            ("likely_seen", &rules.initial_fill_probability),
+            ("weight", &rules.sample_weight),
+            ("children", &rules.max_children),
+            ("grain", &rules.publish_step),
+            ("short", &rules.constrained_hold),
         ],
     )
 }
 
-fn stage_rule(rule: &StageRule) -> Verbatim {
-    let cold = &rule.cold;
+fn stage_rule(rule: &RolloutConfig) -> Verbatim {
+    let cold = &rule.slow_start;
     let cold = record(
         "ColdStart",
         &[
@@ -165,55 +175,55 @@
     record(
         "StageRule",
         &[
-            ("announce", &rule.announce),
-            ("warm", &rule.warm),
-            ("first", &rule.first),
-            ("settle", &rule.settle),
+            ("announce", &rule.announcement),
+            ("warm", &rule.ramp_duration),
+            ("first", &rule.initial_fraction),
+            ("settle", &rule.settling_time),
             ("cold", &cold),
-            ("cold_part", &rule.cold_part),
-            ("weight", &rule.weight),
-            ("seen", &rule.seen),
-            ("harm", &rule.harm),
-            ("worse", &rule.worse),
-            ("rest", &rule.rest),
-            ("longer", &rule.longer),
-            ("tries", &rule.tries),
-            ("held", &rule.held),
+            ("cold_part", &rule.slow_start_fraction),
+            ("weight", &rule.sample_weight),
+            ("seen", &rule.min_samples),
+            ("harm", &rule.max_failure_ratio),
+            ("worse", &rule.max_failure_multiple),
+            ("rest", &rule.retry_delay),
+            ("longer", &rule.backoff_factor),
+            ("tries", &rule.max_attempts),
+            ("held", &rule.max_pause),
         ],
     )
 }
 
-fn shield_rule(rule: &ShieldRule) -> Verbatim {
+fn shield_rule(rule: &ShieldConfig) -> Verbatim {
     record(
         "ShieldRule",
         &[
             ("budget", &budget_rule(&rule.budget)),
-            ("lease", &rule.lease),
-            ("leases", &rule.leases),
-            ("waiting", &rule.waiting),
-            ("waiting_bytes", &rule.waiting_bytes),
-            ("wait", &rule.wait),
-            ("come_back", &rule.come_back),
-            ("targets", &rule.targets),
+            ("lease", &rule.lease_duration),
+            ("leases", &rule.max_leases),
+            ("waiting", &rule.max_queued),
+            ("waiting_bytes", &rule.max_queued_bytes),
+            ("wait", &rule.max_wait),
+            ("come_back", &(rule.min_retry_after, rule.max_retry_after)),
+            ("targets", &rule.max_targets),
         ],
     )
 }
 
-fn budget_rule(rule: &BudgetRule) -> Verbatim {
+fn budget_rule(rule: &RateBudgetConfig) -> Verbatim {
     record(
         "BudgetRule",
         &[
-            ("span", &rule.span),
-            ("weight", &rule.weight),
-            ("bear", &rule.bear),
-            ("cut", &rule.cut),
-            ("gap", &rule.gap),
-            ("grow", &rule.grow),
-            ("open", &rule.open),
+            ("span", &rule.rate_window),
+            ("weight", &rule.sample_weight),
+            ("bear", &rule.max_late_ratio),
+            ("cut", &rule.decrease_factor),
+            ("gap", &rule.decrease_interval),
+            ("grow", &rule.growth_per_second),
+            ("open", &rule.unlimited_multiple),
             ("headroom", &rule.headroom),
-            ("burst", &rule.burst),
-            ("least", &rule.least),
-            ("learn", &rule.learn),
+            ("burst", &rule.burst_seconds),
+            ("least", &rule.min_rate),
+            ("learn", &rule.learning_time),
         ],
     )
 }
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -272,15 +272,15 @@
 fn shown(upstream: &Upstream, now: Ms) -> Shown {
     let view = upstream.view(now);
     let (waiting_fills, out) = upstream.kept();
-    let moves = view.moves.iter().map(|m| MoveLine {
-        to: upstream.name(m.to),
+    let moves = view.migrations.iter().map(|m| MoveLine {
+        to: upstream.name(m.target),
         author: m.author,
         number: m.number,
         stage: m.stage.name().to_string(),
-        part: m.part,
-        tries: m.tries,
-        late_new: m.late_new,
-        late_old: m.late_old,
+        part: m.fraction,
+        tries: m.attempts,
+        late_new: m.new_failure_ratio,
+        late_old: m.old_failure_ratio,
     });
     let budgets = view.budgets.iter().map(|budget| BudgetLine {
         target: upstream.name(budget.target),
@@ -288,21 +288,21 @@
         limit: budget.limit,
     });
     let counts = [
-        ("gone", view.counts.gone),
-        ("joined", view.counts.joined),
-        ("waited", view.counts.waited),
-        ("over_fetched", view.counts.over_fetched),
-        ("over_budget", view.counts.over_budget),
-        ("over_queue", view.counts.over_queue),
-        ("over_time", view.counts.over_time),
-        ("leases_lost", view.counts.leases_lost),
+        ("gone", view.counters.admitted),
+        ("joined", view.counters.joined),
+        ("waited", view.counters.queued),
+        ("over_fetched", view.counters.rejected_fetch_in_progress),
+        ("over_budget", view.counters.rejected_budget),
+        ("over_queue", view.counters.rejected_queue_full),
+        ("over_time", view.counters.rejected_queue_timeout),
+        ("leases_lost", view.counters.leases_expired),
     ];
     Shown {
         version: view.version,
         nodes: view.nodes,
-        suspended: view.suspended,
-        held_back: view.held_back,
-        waiting_batches: view.waiting_batches,
+        suspended: view.suspended_edges,
+        held_back: view.backed_off_edges,
+        waiting_batches: view.pending_batches,
         waiting_fills,
         out,
         moves: moves.collect(),
--- a/crates/router/src/told.rs
+++ b/crates/router/src/told.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use linnethook_hierarchy::named::BatchSpec;
+use linnethook_hierarchy::change_spec::BatchSpec;
 use serde::de::{SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use serde_json::value::RawValue;
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/upstream.rs
@@ -5,13 +5,14 @@
 
 use std::collections::HashMap;
 
+use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, NameTable, NodeSpec, PlanSpec};
 use linnethook_hierarchy::history::Snapshot;
-use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, Names, NodeSpec, PlanSpec};
-use linnethook_hierarchy::passed::Passed;
-use linnethook_hierarchy::shield::{Priority, Released, Verdict};
-use linnethook_hierarchy::stages::Stage;
+use linnethook_hierarchy::loop_detection::FillPath;
+use linnethook_hierarchy::origin_shield::{Priority, QueuedDecision, ShieldDecision};
+use linnethook_hierarchy::rollout::{RolloutStage, StageTransition};
 use linnethook_hierarchy::{
-    Author, Brought, Feeds, Heard, Hierarchy, Hop, NodeId, Phase, Picked, Role, Serial, Source, View,
+    AuthorId, BatchId, FillResult, FillSources, Hierarchy, HierarchyView, Hop, NodeId, Phase, ReceiveOutcome,
+    Role, SelectedFill, Source,
 };
 use linnethook_operator::Hierarchy as Settings;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -67,10 +68,10 @@
 
 pub struct Upstream {
     hierarchy: Hierarchy,
-    names: Names,
+    names: NameTable,
     /// The author of the operator file's batches, and that of the control socket's.
-    file: Author,
-    socket: Author,
+    file: AuthorId,
+    socket: AuthorId,
     /// Whether nodes understand more than the platform's protocol.
     extended: bool,
     waiting: HashMap<Attempt, Waiting>,
@@ -101,15 +102,15 @@
     NodeId(place.number())
 }
 
-fn lists(feeds: &Feeds) -> Lists {
+fn lists(feeds: &FillSources) -> Lists {
     let all = |list: &[Source]| list.iter().map(|s| (Place::from_number(s.node.0), s.rank)).collect();
-    Lists { now: all(&feeds.now), before: all(&feeds.before), part: feeds.part, salt: feeds.salt }
+    Lists { now: all(&feeds.current), before: all(&feeds.previous), part: feeds.fraction, salt: feeds.salt }
 }
 
 /// The author of a router's control socket: half of the numbers are for these. Each start is another one, since none
 /// remembers how far the one before it had counted.
-fn socket_author(router: &str, start: Ms) -> Author {
-    Author(0x8000 | (xxh3_64_with_seed(router.as_bytes(), (start * 1_000.0) as u64) as u16))
+fn socket_author(router: &str, start: Ms) -> AuthorId {
+    AuthorId(0x8000 | (xxh3_64_with_seed(router.as_bytes(), (start * 1_000.0) as u64) as u16))
 }
 
 impl Upstream {
@@ -117,8 +118,8 @@
     pub fn new(now: Ms, router: &str, settings: &Settings) -> Result<Self, String> {
         let mut upstream = Self {
             hierarchy: Hierarchy::new(settings.part.rules),
-            names: Names::default(),
-            file: Author(settings.part.author),
+            names: NameTable::default(),
+            file: AuthorId(settings.part.author),
             socket: socket_author(router, now),
             extended: settings.part.extended,
             waiting: HashMap::new(),
@@ -129,9 +130,9 @@
             entered: Vec::new(),
         };
         if !settings.nodes.is_empty() {
-            let changes = upstream.names.difference(upstream.hierarchy.shape(), &settings.nodes);
+            let changes = upstream.names.changes_to_reach(upstream.hierarchy.topology(), &settings.nodes);
             // The same at all routers that read the same file.
-            let batch = upstream.hierarchy.draft(upstream.file, 0.0, changes);
+            let batch = upstream.hierarchy.draft_batch(upstream.file, 0.0, changes);
             upstream.take(now, batch)?;
         }
         Ok(upstream)
@@ -139,55 +140,56 @@
 
     // ---- Changes.
 
-    fn take(&mut self, now: Ms, batch: linnethook_hierarchy::Batch) -> Result<(), String> {
-        let serial = batch.serial;
+    fn take(&mut self, now: Ms, batch: linnethook_hierarchy::ChangeBatch) -> Result<(), String> {
+        let batch_id = batch.id;
         self.due = now;
         // What the operator file says each router reads by itself.
-        if let Some(news) = self.news.as_mut().filter(|news| serial.author != self.file && news.len() < NEWS)
+        if let Some(news) =
+            self.news.as_mut().filter(|news| batch_id.author != self.file && news.len() < NEWS)
         {
-            news.push(self.names.spec(&batch));
+            news.push(self.names.batch_spec(&batch));
         }
-        match self.hierarchy.hear(now, batch) {
-            Heard::Taken(_) => match self.hierarchy.history().verdict(serial) {
+        match self.hierarchy.receive_batch(now, batch) {
+            ReceiveOutcome::Accepted(_) => match self.hierarchy.history().outcome(batch_id) {
                 Some(Err(refusal)) => Err(refusal.to_string()),
                 _ => Ok(()),
             },
-            Heard::Repeated => Ok(()),
-            Heard::Waiting(missing) => {
+            ReceiveOutcome::Duplicate => Ok(()),
+            ReceiveOutcome::Pending(missing) => {
                 Err(format!("it waits for batch {} of author {}", missing.number, missing.author.0))
             }
-            Heard::Unusable(wrong) => Err(wrong.to_string()),
+            ReceiveOutcome::Invalid(wrong) => Err(wrong.to_string()),
         }
     }
 
     /// The operator file was read again: what differs from the present shape is one batch.
     pub fn reload(&mut self, now: Ms, nodes: &[NodeSpec]) -> Result<usize, String> {
-        let changes = self.names.difference(self.hierarchy.shape(), nodes);
+        let changes = self.names.changes_to_reach(self.hierarchy.topology(), nodes);
         let count = changes.len();
         if count > 0 {
-            let batch = self.hierarchy.draft(self.file, now, changes);
+            let batch = self.hierarchy.draft_batch(self.file, now, changes);
             self.take(now, batch)?;
-            self.names.retain(self.hierarchy.shape());
+            self.names.retain(self.hierarchy.topology());
         }
         Ok(count)
     }
 
     /// A batch that another has written.
     pub fn hear(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), String> {
-        let batch = self.names.batch(spec);
+        let batch = self.names.resolve_batch(spec);
         let taken = self.take(now, batch);
-        self.names.retain(self.hierarchy.shape());
+        self.names.retain(self.hierarchy.topology());
         taken
     }
 
     /// A batch that a fellow has passed on; what is wrong with it, unless it only waits for others.
     pub fn hear_of(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), String> {
-        let batch = self.names.batch(spec);
-        let serial = batch.serial;
+        let batch = self.names.resolve_batch(spec);
+        let batch_id = batch.id;
         let heard = self.take(now, batch);
-        self.names.retain(self.hierarchy.shape());
-        let waits = |(waiting, _): (Serial, Serial)| waiting == serial;
-        if heard.is_err() && self.hierarchy.history().waiting().any(waits) {
+        self.names.retain(self.hierarchy.topology());
+        let waits = |(waiting, _): (BatchId, BatchId)| waiting == batch_id;
+        if heard.is_err() && self.hierarchy.history().pending().any(waits) {
             return Ok(());
         }
         heard
@@ -195,7 +197,7 @@
 
     /// The whole shape with its place in the history, for a fellow that is too far behind.
     pub fn snapshot(&self) -> Vec<u8> {
-        let (nodes, sites) = self.names.all();
+        let (nodes, sites) = (self.names.node_names(), self.names.site_names());
         postcard::to_stdvec(&(self.hierarchy.snapshot(), nodes, sites)).unwrap_or_default()
     }
 
@@ -207,9 +209,9 @@
         if snapshot.version() < before.0 {
             return Err(format!("it is at version {}, this router at {}", snapshot.version(), before.0));
         }
-        self.hierarchy.adopt(now, snapshot).map_err(|wrong| wrong.to_string())?;
-        self.names.learn(&nodes, &sites);
-        self.names.retain(self.hierarchy.shape());
+        self.hierarchy.restore_snapshot(now, snapshot).map_err(|wrong| wrong.to_string())?;
+        self.names.add_names(&nodes, &sites);
+        self.names.retain(self.hierarchy.topology());
         self.due = now;
         Ok(())
     }
@@ -231,52 +233,52 @@
 
     /// The version and the digest of the shape.
     pub fn acts_on(&self) -> (u64, u64) {
-        (self.hierarchy.version(), self.hierarchy.shape().digest())
+        (self.hierarchy.version(), self.hierarchy.topology().digest())
     }
 
     /// What changes would do now.
     pub fn plan(&mut self, now: Ms, changes: &[ChangeSpec]) -> Result<PlanSpec, String> {
-        let read = self.names.changes(changes);
-        let batch = self.hierarchy.draft(self.socket, now, read);
-        let plan = self.hierarchy.plan(now, &batch).map(|plan| self.names.plan(&plan));
-        self.names.retain(self.hierarchy.shape());
+        let read = self.names.resolve_changes(changes);
+        let batch = self.hierarchy.draft_batch(self.socket, now, read);
+        let plan = self.hierarchy.plan_batch(now, &batch).map(|plan| self.names.plan_spec(&plan));
+        self.names.retain(self.hierarchy.topology());
         plan.map_err(|wrong| wrong.to_string())
     }
 
     /// Has changes take effect, as a batch of this router's control socket.
     pub fn apply(&mut self, now: Ms, changes: Vec<ChangeSpec>) -> Applied {
-        let read = self.names.changes(&changes);
-        let batch = self.hierarchy.draft(self.socket, now, read);
-        let spec = self.names.spec(&batch);
+        let read = self.names.resolve_changes(&changes);
+        let batch = self.hierarchy.draft_batch(self.socket, now, read);
+        let spec = self.names.batch_spec(&batch);
         let applied = match self.take(now, batch) {
             Ok(()) => Applied::Done(spec),
             Err(why) => Applied::No(why),
         };
-        self.names.retain(self.hierarchy.shape());
+        self.names.retain(self.hierarchy.topology());
         applied
     }
 
     /// Takes a batch back: its stages at once, and what it wrote by a batch of its own.
     pub fn roll_back(&mut self, now: Ms, author: u16, number: u64) -> Result<usize, String> {
-        let serial = Serial { author: Author(author), number };
-        let changes = self.hierarchy.roll_back(now, serial);
+        let batch_id = BatchId { author: AuthorId(author), number };
+        let changes = self.hierarchy.roll_back_batch(now, batch_id);
         let changes = changes.ok_or("no such batch is kept, or it was not applied")?;
         let count = changes.len();
-        let batch = self.hierarchy.draft(self.socket, now, changes);
+        let batch = self.hierarchy.draft_batch(self.socket, now, changes);
         self.take(now, batch).map(|()| count)
     }
 
-    pub fn view(&self, now: Ms) -> View {
+    pub fn view(&self, now: Ms) -> HierarchyView {
         self.hierarchy.view(now)
     }
 
     pub fn nodes(&self) -> Vec<NodeSpec> {
-        self.names.nodes(self.hierarchy.shape())
+        self.names.node_specs(self.hierarchy.topology())
     }
 
     /// A node's name, by its number.
     pub fn name(&self, id: u64) -> String {
-        self.names.of(NodeId(id))
+        self.names.node_name(NodeId(id))
     }
 
     // ---- What the decider is told.
@@ -293,22 +295,22 @@
                 (_, true) => Phase::Gone,
                 _ => Phase::Draining,
             };
-            let (entered, withdrawn) = self.hierarchy.listed(now, node(place), phase, target.started());
-            self.note(&entered);
-            back.extend(withdrawn.into_iter().filter_map(|ticket| self.turn_back(attempt(ticket))));
+            let update = self.hierarchy.update_endpoint(now, node(place), phase, target.started());
+            self.note(&update.transitions);
+            back.extend(update.cancelled.into_iter().filter_map(|ticket| self.turn_back(attempt(ticket))));
             if phase != Phase::Ready {
                 let to_it: Vec<Attempt> = (self.waiting.iter())
                     .filter(|(_, waiting)| waiting.ordered.place == place)
                     .map(|(attempt, _)| *attempt)
                     .collect();
                 for attempt in to_it {
-                    self.hierarchy.forget(ticket(attempt));
+                    self.hierarchy.cancel_fill(ticket(attempt));
                     back.extend(self.turn_back(attempt));
                 }
             }
-            let is_cache = self.hierarchy.shape().node(node(place)).is_none_or(|n| n.role == Role::Cache);
+            let is_cache = self.hierarchy.topology().node(node(place)).is_none_or(|n| n.role == Role::Cache);
             if phase != Phase::Gone && is_cache && own(target) {
-                self.hierarchy.watch(now, node(place));
+                self.hierarchy.track_child(now, node(place));
             }
         }
         back
@@ -316,29 +318,30 @@
 
     /// The sources that caches may be filled from, where these are other ones than were told last.
     pub fn changed(&mut self, now: Ms) -> Vec<(Place, Lists)> {
-        let changed = self.hierarchy.changed_feeds(now);
+        let changed = self.hierarchy.changed_fill_sources(now);
         changed.into_iter().map(|(id, feeds)| (Place::from_number(id.0), lists(&feeds))).collect()
     }
 
-    fn note(&mut self, entered: &[linnethook_hierarchy::stages::Entered]) {
+    fn note(&mut self, entered: &[StageTransition]) {
         for entered in entered {
             if self.news.is_some() && self.entered.len() < NEWS {
                 let stage = match entered.stage {
-                    Stage::Planned => 0,
-                    Stage::Announced => 1,
-                    Stage::Warming => 2,
-                    Stage::Settled => 3,
-                    Stage::RolledBack(_) => 4,
+                    RolloutStage::Planned => 0,
+                    RolloutStage::Announced => 1,
+                    RolloutStage::Warming => 2,
+                    RolloutStage::Settled => 3,
+                    RolloutStage::RolledBack(_) => 4,
                 };
-                self.entered.push((entered.id.to.0, stage));
+                self.entered.push((entered.migration.target.0, stage));
             }
-            let (to, serial) = (self.names.of(entered.id.to), entered.id.by.serial());
+            let (to, batch_id) =
+                (self.names.node_name(entered.migration.target), entered.migration.position.batch_id());
             log_line!(
                 to,
-                author = serial.author.0,
-                number = serial.number,
-                stage = ?entered.stage,
-                for_good = entered.for_good,
+                author = batch_id.author.0,
+                number = batch_id.number,
+                stage = %entered.stage,
+                for_good = entered.is_final,
                 "hierarchy: a change enters its next stage"
             );
         }
@@ -359,11 +362,11 @@
     /// What is to be done with an attempt; `None` where it waits.
     pub fn admit(&mut self, now: Ms, mut ordered: Ordered, asked: Asked) -> Option<Step> {
         // Renewals come last: what can still be served as it is waits for better times.
-        ordered.filling.renew &= !self.hierarchy.is_short(now);
+        ordered.filling.renew &= !self.hierarchy.is_constrained(now);
         let Some((child, source)) = self.ends(&ordered) else { return Some(Step::Send(ordered, None)) };
-        let priority = if asked.write { Priority::Booking } else { Priority::Demand };
+        let priority = if asked.write { Priority::Write } else { Priority::Demand };
         let left = asked.since + asked.aim - now;
-        let picked = Picked {
+        let picked = SelectedFill {
             ticket: ticket(ordered.attempt),
             child,
             source,
@@ -371,29 +374,31 @@
             key: xxh3_64_with_seed(&asked.object.to_le_bytes(), u64::from(asked.part)),
             priority,
             bytes: asked.bytes,
-            joins: ordered.filling.join,
+            may_join: ordered.filling.join,
             // Half of what is left of the wanted time, so that there is some left to be served in.
-            patience: (left / 2.0).max(0.0),
+            max_wait: (left / 2.0).max(0.0),
         };
         // What a source holds costs the tiers above nothing.
         if ordered.filling.only_held {
             return Some(self.send(now, ordered, asked, true));
         }
-        match self.hierarchy.send(now, &picked) {
-            Verdict::Go => Some(self.send(now, ordered, asked, false)),
-            Verdict::Wait { .. } => {
+        match self.hierarchy.request_fill(now, &picked) {
+            ShieldDecision::Admit => Some(self.send(now, ordered, asked, false)),
+            ShieldDecision::Queue { .. } => {
                 self.waiting.insert(ordered.attempt, Waiting { ordered, asked, since: now });
-                self.due = self.due.min(self.hierarchy.next(now));
+                self.due = self.due.min(self.hierarchy.next_deadline(now));
                 None
             }
-            Verdict::Over { come_back, .. } => Some(self.only_held(now, ordered, asked, come_back)),
+            ShieldDecision::Reject { retry_after, .. } => {
+                Some(self.only_held(now, ordered, asked, retry_after))
+            }
         }
     }
 
     /// Who fills, and from where; nothing where no fill may take place.
     fn ends(&self, ordered: &Ordered) -> Option<(NodeId, NodeId)> {
         let (child, source) = (node(ordered.place), ordered.filling.source.map(node));
-        let shape = self.hierarchy.shape();
+        let shape = self.hierarchy.topology();
         match source {
             // A sibling gives what it holds: no tier above is asked.
             Some(source) if shape.node(source).is_some_and(|n| n.role != Role::Cache) => {
@@ -429,17 +434,17 @@
     /// What goes with a fill where nodes understand it.
     fn way(&self, now: Ms, ordered: &Ordered, object: u64, held: bool) -> Option<Way> {
         let source = ordered.filling.source.filter(|_| self.extended)?;
-        let passed = Passed::new(self.hierarchy.version());
-        let hops = self.hierarchy.way(now, node(ordered.place), node(source), object);
+        let passed = FillPath::new(self.hierarchy.version());
+        let hops = self.hierarchy.onward_path(now, node(ordered.place), node(source), object);
         let named = |hop: &Hop| {
-            let name = self.names.of(hop.node);
-            if hop.only_held {
+            let name = self.names.node_name(hop.node);
+            if hop.cached_only {
                 format!("{name}:h")
             } else {
                 name
             }
         };
-        let via = hops.iter().filter(|hop| !held || hop.only_held).map(named).collect();
+        let via = hops.iter().filter(|hop| !held || hop.cached_only).map(named).collect();
         Some(Way { passed: passed.to_string(), via })
     }
 
@@ -455,16 +460,18 @@
         }
         let late = ending.took > out.aim;
         let brought = match (ending.end, ending.how) {
-            (End::Answered, Some(How::Filled)) => Brought::Held,
-            (End::Answered, Some(How::FilledByOrigin)) => Brought::FromOrigin,
-            (End::Answered, Some(How::Hit | How::Stale)) => Brought::NoFill,
-            (End::Answered, _) => Brought::Somehow,
-            (End::Cancelled | End::Moot, _) | (_, Some(How::NoPlace | How::CameRound)) => Brought::Unknown,
+            (End::Answered, Some(How::Filled)) => FillResult::ServedFromCache,
+            (End::Answered, Some(How::FilledByOrigin)) => FillResult::ServedFromOrigin,
+            (End::Answered, Some(How::Hit | How::Stale)) => FillResult::AlreadyCached,
+            (End::Answered, _) => FillResult::ServedFromUnknown,
+            (End::Cancelled | End::Moot, _) | (_, Some(How::NoPlace | How::CameRound)) => {
+                FillResult::Abandoned
+            }
             // It never reached the cache, or the cache did not take it: the source was not asked.
-            (End::Unreached, _) | (End::Full, None) => Brought::Unknown,
-            _ => Brought::Nothing,
+            (End::Unreached, _) | (End::Full, None) => FillResult::Abandoned,
+            _ => FillResult::Failed,
         };
-        let released = self.hierarchy.ended(now, ticket(ending.attempt), brought, late);
+        let released = self.hierarchy.complete_fill(now, ticket(ending.attempt), brought, late);
         self.go_on(now, released)
     }
 
@@ -472,22 +479,24 @@
     /// and this router can only leave the source by which it got there.
     fn came_round(&mut self, now: Ms, out: &Out, from: &str, to: &str, version: u64) {
         let id = |name: &str| NodeId(Place::of(name).number());
-        let known = self.hierarchy.shape().allows(id(from), id(to));
+        let known = self.hierarchy.topology().allows(id(from), id(to));
         let (a, b) = if known { (id(from), id(to)) } else { (out.child, out.source) };
         self.due = now;
-        self.hierarchy.came_round(now, a, b, version);
+        self.hierarchy.report_loop(now, a, b, version);
         log_line!(from, to, version, "hierarchy: a fill came round; an edge is held back for a while");
     }
 
-    fn go_on(&mut self, now: Ms, released: Vec<Released>) -> Vec<Step> {
+    fn go_on(&mut self, now: Ms, released: Vec<QueuedDecision>) -> Vec<Step> {
         let mut steps = Vec::new();
         for word in released {
             let Some(waiting) = self.waiting.remove(&attempt(word.ticket)) else { continue };
             let Waiting { mut ordered, asked, since } = waiting;
             ordered.timeout -= now - since;
-            steps.push(match word.verdict {
-                Verdict::Over { come_back, .. } => self.only_held(now, ordered, asked, come_back),
-                Verdict::Go | Verdict::Wait { .. } => self.send(now, ordered, asked, false),
+            steps.push(match word.decision {
+                ShieldDecision::Reject { retry_after, .. } => {
+                    self.only_held(now, ordered, asked, retry_after)
+                }
+                ShieldDecision::Admit | ShieldDecision::Queue { .. } => self.send(now, ordered, asked, false),
             });
         }
         steps
@@ -501,7 +510,7 @@
     /// An attempt is called off. Where it waits here it goes no further, and ends.
     pub fn cancel(&mut self, attempt: Attempt) -> Option<Step> {
         if self.waiting.contains_key(&attempt) {
-            self.hierarchy.forget(ticket(attempt));
+            self.hierarchy.cancel_fill(ticket(attempt));
         }
         self.turn_back(attempt)
     }
@@ -513,7 +522,7 @@
         of.sort_unstable();
         let mut ordered = Vec::new();
         for attempt in of {
-            self.hierarchy.forget(ticket(attempt));
+            self.hierarchy.cancel_fill(ticket(attempt));
             ordered.extend(self.waiting.remove(&attempt).map(|waiting| waiting.ordered));
         }
         ordered
@@ -531,10 +540,10 @@
 
     /// Lets time pass.
     pub fn tick(&mut self, now: Ms) -> Vec<Step> {
-        let (released, entered) = self.hierarchy.tick(now);
-        self.due = self.hierarchy.next(now);
-        self.note(&entered);
-        self.go_on(now, released)
+        let outcome = self.hierarchy.tick(now);
+        self.due = self.hierarchy.next_deadline(now);
+        self.note(&outcome.transitions);
+        self.go_on(now, outcome.decisions)
     }
 
     /// When `tick` is due.
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -4,7 +4,7 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_hierarchy::named::{ChangeSpec, NodeSpec};
+use linnethook_hierarchy::change_spec::{ChangeSpec, NodeSpec};
 use linnethook_hierarchy::Role;
 use linnethook_standins::checker::{judge, Breach, Rule, Rules};
 use linnethook_standins::faults::{Fault, When};
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, SourceSpec};
+use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
 use linnethook_toy::Journal;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -513,13 +513,13 @@
         node: node.to_string(),
         sources: sources(names),
     };
-    let at = crate::record::now();
+    let effective_at = crate::record::now();
     BatchSpec {
         author,
         number,
         stamp,
         basis: basis.to_vec(),
-        at,
+        effective_at,
         changes: lists.iter().map(change).collect(),
     }
 }
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_hierarchy::passed::{Passed, TurnedAway};
+use linnethook_hierarchy::loop_detection::{FillPath, PathRejection};
 use linnethook_toy::Answer;
 
 use crate::faults::{Fault, Script};
@@ -311,7 +311,7 @@
             thread::sleep(self.makeup.latency);
             return self.give_out(ask, class, &key);
         }
-        let passed = match text("passed").map(Passed::parse) {
+        let passed = match text("passed").map(FillPath::parse) {
             None => None,
             Some(Ok(passed)) => Some(passed),
             Some(Err(_)) => return Found::without("failed", "ORIGIN_ERR"),
@@ -331,14 +331,14 @@
                 },
             );
         }
-        let passed = match passed.map(|passed| (passed.version, passed.by(&self.name))) {
+        let passed = match passed.map(|passed| (passed.version, passed.append_node(&self.name))) {
             None => None,
             Some((_, Ok(passed))) => Some(passed),
-            Some((version, Err(TurnedAway::Loop { from, to }))) => {
+            Some((version, Err(PathRejection::Loop { from, to }))) => {
                 let more = format!(",round={version}:{from}>{to}");
                 return Found { more, ..Found::without("full", "LOOP") };
             }
-            Some((_, Err(TurnedAway::Hops))) => return Found::without("full", "LOOP"),
+            Some((_, Err(PathRejection::HopLimit))) => return Found::without("full", "LOOP"),
         };
         let fresh = self.makeup.fresh.get(class).copied().unwrap_or(0.0);
         let oldest = text("accept").and_then(|age| age.parse::<Ms>().ok()).filter(|age| *age > 0.0);
@@ -429,7 +429,7 @@
         asked: &Ask,
         key: &Key,
         hops: &[String],
-        passed: Option<&Passed>,
+        passed: Option<&FillPath>,
         oldest: Ms,
         told: bool,
     ) -> Found {
@@ -518,7 +518,7 @@
         let inner = &self.inner;
         let attempt = inner.attempts.fetch_add(1, Ordering::Relaxed);
         let text = |name: &str| ask.fields.get(name).cloned();
-        let passed = text("passed").and_then(|text| Passed::parse(&text).ok());
+        let passed = text("passed").and_then(|text| FillPath::parse(&text).ok());
         let asked = Asked {
             at: inner.name.clone(),
             id: ask.id.clone(),
@@ -528,7 +528,7 @@
             source: text("parent"),
             via: text("via").map(|via| via.split('+').map(str::to_string).collect()).unwrap_or_default(),
             only_held: hints(ask).any(|hint| hint == "h"),
-            passed: passed.iter().flat_map(Passed::names).map(str::to_string).collect(),
+            passed: passed.iter().flat_map(FillPath::names).map(str::to_string).collect(),
             version: passed.as_ref().map(|passed| passed.version),
             router: self.router.clone(),
         };
