--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -14,7 +14,7 @@
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
 use linnethook_audit::record::ChainLink;
 use linnethook_gateway::gateway::{RouteLine, Status};
-use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
+use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
 use linnethook_membership::aggregation::query::QueryTarget;
 use linnethook_membership::straggler::StragglerState;
 use linnethook_membership::view::RouterView;
