--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -724,3 +724,7 @@
         ClusterEvent::Frozen(ms) => log_line!(ms = *ms, "fellows: this process did nothing for {ms} ms"),
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/fleet.rs"]
+mod tests;
