--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -156,9 +156,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainLink {
     pub name: String,
+    #[serde(rename = "start")]
     pub incarnation: u64,
     /// From 1 on.
     pub number: u64,
+    #[serde(rename = "before")]
     pub previous_hash: RecordHash,
     pub version: u16,
     pub body: Vec<u8>,
