--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use linnethook::interface::{Ms, Phase};
+use linnethook::interface::{EndpointPhase, Ms};
 use linnethook_hierarchy::hierarchy::{Feeds, Picked, Rules};
 use linnethook_hierarchy::named::Names;
 use linnethook_hierarchy::plan::NoPlan;
@@ -142,7 +142,7 @@
         rules.stages.warm = 6_000.0;
         rules.stages.settle = 4_000.0;
         rules.stages.rest = 1_500.0;
-        rules.stages.cold.warm_in = 4_000.0;
+        rules.stages.cold.duration = 4_000.0;
         rules.shield.waiting = 12;
         rules.shield.lease = 300.0;
         rules.kept.batches = 30;
@@ -232,7 +232,7 @@
             child: if straight { source } else { child },
             source,
             object,
-            key: linnethook::ring::mix(object, 3),
+            key: linnethook::hash_ring::hash_pair(object, 3),
             priority,
             bytes: 1e4,
             joins: self.chance.random_range(0..2) == 0,
@@ -282,9 +282,9 @@
     fn list(&mut self) {
         let id = self.any(PARENTS);
         let (phase, started) = match self.chance.random_range(0..4) {
-            0 => (Phase::Draining, 0.0),
-            1 => (Phase::Gone, 0.0),
-            _ => (Phase::Ready, self.now),
+            0 => (EndpointPhase::Draining, 0.0),
+            1 => (EndpointPhase::Removed, 0.0),
+            _ => (EndpointPhase::Ready, self.now),
         };
         let (entered, withdrawn) = self.hierarchy.listed(self.now, id, phase, started);
         self.trace.entered(&entered);
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -66,6 +66,13 @@
     }
 }
 
+impl RequestClass {
+    /// The latency objective of a request whose answer takes `work` milliseconds to transfer.
+    pub fn objective_for(&self, work: Ms) -> Ms {
+        self.latency_objective + self.objective_stretch_ratio * work
+    }
+}
+
 /// How much an attempt's outcome reports about how the answer was produced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum OutcomeDetail {
--- /dev/null
+++ b/src/policy/fill_source.rs
@@ -0,0 +1,111 @@
+//! Fill sources: which parent, or the origin, a missing copy is filled from.
+
+use super::Policy;
+use crate::hash_ring::{hash_pair, unit_fraction};
+use crate::interface::{
+    EndpointId, EndpointPhase, FillInstruction, FillSource, FillSources, OutcomeDetail, Request,
+};
+use crate::records::{EndpointRecord, RequestRecord};
+
+/// Separates the hash that orders an object's parents from its other hashes.
+const SALT_PARENT: u64 = 0x7061_7265;
+
+/// A parent is slow while more than this share of its fills is late ...
+const SLOW_PARENT_LATE_RATIO: f64 = 0.25;
+/// ... and more than this multiple of the best parent's share.
+const SLOW_PARENT_RELATIVE_RATIO: f64 = 3.0;
+/// Share of requests that use a slow parent all the same, so that its recovery is noticed.
+const SLOW_PARENT_TRIAL_RATIO: f64 = 0.04;
+
+/// The rank of a parent for an object; the parent with the lowest one is the object's home.
+pub fn parent_rank_hash(object: u64, parent: u64) -> u64 {
+    hash_pair(object, parent ^ SALT_PARENT)
+}
+
+impl Policy {
+    /// The source that a copy is filled from, by `cache` or, if `None`, past the caches.
+    ///
+    /// Where the hierarchy defines the cache's sources, it is the usable one of the lowest priority number.
+    /// Else it is the object's first usable parent by [`parent_rank_hash`], or the origin without any.
+    pub(super) fn fill_source(
+        &self,
+        request: &RequestRecord,
+        cache: Option<EndpointId>,
+    ) -> Option<EndpointId> {
+        let object = request.request.object.0;
+        let is_acceptable = |id: &EndpointId| self.is_acceptable_source(request, *id);
+        let rank = |id: &EndpointId| parent_rank_hash(object, id.0);
+        let configured = match cache {
+            Some(cache) => self.fill_sources.get(&cache),
+            None => self.fill_sources.values().next(),
+        };
+        let Some(configured) = configured else {
+            let parents = self.parents().map(|record| record.endpoint.id);
+            return parents.filter(is_acceptable).min_by_key(rank).or(self.origin());
+        };
+        let is_origin = |id: EndpointId| Some(id) == self.origin();
+        let listed = sources_for_object(configured, object).iter();
+        let usable = listed.filter(|source| is_origin(source.endpoint) || is_acceptable(&source.endpoint));
+        let first = usable.min_by_key(|source| (source.priority, rank(&source.endpoint)));
+        first.map(|source| source.endpoint)
+    }
+
+    /// Whether the request may be filled from that parent: usable, not slow, and not failed before.
+    fn is_acceptable_source(&self, request: &RequestRecord, id: EndpointId) -> bool {
+        let is_trial = request.draw < SLOW_PARENT_TRIAL_RATIO;
+        self.is_usable(id, request.work)
+            && self.takes_object(id, request.request.object)
+            && !request.avoid.contains(&id)
+            && (is_trial || !self.is_slow_parent(id))
+    }
+
+    /// Whether fills from a parent are late far more often than from the best of the others.
+    ///
+    /// The link and the origin delay the fills of all parents alike, so that a parent beyond both limits
+    /// is slow by itself. Where outcomes do not report the time spent waiting for the origin, fills from
+    /// the origin itself are the comparison if there is no other parent.
+    pub(super) fn is_slow_parent(&self, id: EndpointId) -> bool {
+        let is_comparable = |other: &&EndpointRecord| {
+            let is_ready = other.endpoint.phase == EndpointPhase::Ready;
+            other.endpoint.id != id && is_ready && other.health.is_healthy()
+        };
+        let others = self.parents().filter(is_comparable);
+        let best_parent = others.map(|other| other.late_fill_ratio.value).reduce(f64::min);
+        let origin = self.origin().filter(|_| self.settings.outcome_detail != OutcomeDetail::Full);
+        let origin_ratio = origin.map(|id| self.endpoints[&id].late_fill_ratio.value);
+        let best = best_parent.or(origin_ratio).unwrap_or(f64::INFINITY);
+        let parent = self.endpoints.get(&id).filter(|record| self.settings.is_parent(&record.endpoint));
+        let late_ratio = parent.map_or(0.0, |record| record.late_fill_ratio.value);
+        late_ratio > SLOW_PARENT_LATE_RATIO && late_ratio > best * SLOW_PARENT_RELATIVE_RATIO
+    }
+
+    /// What a cache does without a copy that qualifies: fill it from `source`, the cache itself for none.
+    pub(super) fn fill_instruction(
+        &self,
+        request: &Request,
+        source: EndpointId,
+        retention: u8,
+        may_be_stale: bool,
+    ) -> FillInstruction {
+        let expires = self.settings.class(request.class).freshness_lifetime > 0.0;
+        FillInstruction {
+            source,
+            retention,
+            max_age: self.max_age(request, may_be_stale),
+            max_stale_age: self.max_age(request, true),
+            coalesce: self.settings.coalesces_fills,
+            only_if_cached: false,
+            revalidate: retention > 0 && expires,
+        }
+    }
+}
+
+/// The list that applies to the object while its cache's sources are being migrated.
+fn sources_for_object(sources: &FillSources, object: u64) -> &[FillSource] {
+    let has_migrated = unit_fraction(hash_pair(object, sources.salt)) < sources.migrated_ratio;
+    if has_migrated {
+        &sources.current
+    } else {
+        &sources.previous
+    }
+}
--- /dev/null
+++ b/src/policy/outlier_detection.rs
@@ -0,0 +1,289 @@
+//! Outlier detection: which endpoints are ejected, and how they recover.
+//!
+//! Failures are attributed to the endpoint or to its fill source; a share of them above a limit ejects it.
+//! An endpoint that has gone silent is ejected at once. After an ejection, single trial requests decide
+//! whether it recovers. A slow cache is not ejected, but serves a smaller share of its objects.
+
+use std::collections::BTreeMap;
+
+use super::load_estimate::MIN_SAMPLES;
+use super::Policy;
+use crate::endpoint_health::EjectionConfig;
+use crate::interface::{
+    AttemptId, AttemptOutcome, AttemptStatus, CacheStatus, EndpointId, Ms, OutcomeDetail,
+};
+use crate::records::{AttemptRecord, EndpointRecord};
+
+/// An endpoint is ejected by about the last seven outcomes.
+pub(super) const EJECTION: EjectionConfig = EjectionConfig {
+    outcome_weight: 0.15,
+    max_failure_ratio: 0.35,
+    base_duration: 500.0,
+    duration_growth: 2.0,
+    max_duration: 3_000.0,
+    recovery_successes: 4,
+};
+
+/// A cache that fails a larger share of the requests for its cached copies fails by itself, and not because
+/// of its fill source. Of parents: a larger share of fills than a sound one fails.
+pub(super) const MAX_FAILURE_RATIO: f64 = 0.15;
+
+/// An endpoint is silent when it has responded to nothing for this long ...
+const SILENCE: Ms = 300.0;
+/// ... and for this multiple of the usual time between its responses ...
+const SILENCE_INTERVALS: f64 = 6.0;
+/// ... with this many attempts overdue, or a single one while it is recovering.
+const SILENCE_OVERDUE_ATTEMPTS: usize = 2;
+
+/// A cache keeps all of its arc up to this multiple of the typical slowness, the lower median of the
+/// location's caches; a mean would follow the slow ones.
+const MAX_RELATIVE_SLOWNESS: f64 = 1.7;
+/// The least share of its arc that a slow cache keeps.
+const MIN_ARC_SHARE: f64 = 0.2;
+
+/// What an outcome says about an endpoint: `Some(true)` success, `Some(false)` failure, `None` nothing.
+type Verdict = Option<bool>;
+
+/// To whom an attempt's outcome is attributed.
+#[derive(Debug, Clone, Copy, PartialEq)]
+struct Attribution {
+    endpoint: Verdict,
+    source: Verdict,
+}
+
+impl Attribution {
+    const NOBODY: Self = Self { endpoint: None, source: None };
+
+    const fn endpoint(success: bool) -> Self {
+        Self { endpoint: Some(success), source: None }
+    }
+
+    const fn source(success: bool) -> Self {
+        Self { endpoint: None, source: Some(success) }
+    }
+}
+
+impl Policy {
+    /// Counts failures for cached copies at the endpoint, and failures of fills at their source.
+    pub(super) fn record_failure_ratios(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
+        let weight = EJECTION.outcome_weight;
+        let status = outcome.status;
+        if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
+            let is_conclusive =
+                matches!(status, AttemptStatus::Ok | AttemptStatus::Rejected | AttemptStatus::Error);
+            if !attempt.fills_from_above && is_conclusive {
+                let failed = status != AttemptStatus::Ok;
+                endpoint.failure_ratio.update(f64::from(u8::from(failed)), weight);
+            }
+        }
+        let used_source = matches!(status, AttemptStatus::Ok | AttemptStatus::Rejected)
+            && outcome.cache_status != Some(CacheStatus::Hit);
+        let source = attempt.source.filter(|_| attempt.fills_from_above && used_source);
+        if let Some(source) = source.and_then(|id| self.endpoints.get_mut(&id)) {
+            let rejected = status == AttemptStatus::Rejected;
+            source.failure_ratio.update(f64::from(u8::from(rejected)), weight);
+        }
+    }
+
+    /// Records an outcome in the health of the endpoint and of the parent that it filled from. Returns the
+    /// one that the request should avoid from now on.
+    pub(super) fn record_health(
+        &mut self,
+        attempt: &AttemptRecord,
+        outcome: &AttemptOutcome,
+        origin_rejected: bool,
+    ) -> Option<EndpointId> {
+        let attribution = self.attribute_outcome(attempt, outcome, origin_rejected);
+        let was_healthy = self.endpoints.get(&attempt.endpoint).is_some_and(|r| r.health.is_healthy());
+        self.record_connection_and_copy(attempt, outcome);
+        let is_parent = |id: &EndpointId| {
+            self.endpoints.get(id).is_some_and(|record| self.settings.is_parent(&record.endpoint))
+        };
+        let parent = attempt.source.filter(is_parent);
+        self.record_verdict(attempt.endpoint, attribution.endpoint);
+        if let Some(parent) = parent {
+            self.record_verdict(parent, attribution.source);
+        }
+        match outcome.status {
+            AttemptStatus::Ok | AttemptStatus::CacheMiss | AttemptStatus::NeverSent => None,
+            _ if attribution.source == Some(false) && parent.is_some() => parent,
+            AttemptStatus::Cancelled if attempt.fills_from_above && was_healthy => parent,
+            _ => Some(attempt.endpoint),
+        }
+    }
+
+    /// Decides whose success or failure an outcome is, by its status, by what is reported about the fill,
+    /// and else by whether the endpoint also fails requests that need no fill.
+    fn attribute_outcome(
+        &self,
+        attempt: &AttemptRecord,
+        outcome: &AttemptOutcome,
+        origin_rejected: bool,
+    ) -> Attribution {
+        let detail = self.settings.outcome_detail;
+        if outcome.status == AttemptStatus::Ok {
+            return attribute_success(attempt, outcome, detail);
+        }
+        let origin_impaired = !self.origin_admission.is_healthy();
+        let waited_long = outcome.source_wait > attempt.latency_objective / 2.0;
+        match outcome.cache_status {
+            // A parent whose slots are taken by what waits for a slow origin rejects, or keeps fills waiting
+            // until the cache gives up. Ejecting it for that would send all its fills to the origin.
+            Some(CacheStatus::SourceRejected) if origin_impaired => return Attribution::NOBODY,
+            Some(CacheStatus::SourceUnreachable) if origin_impaired && waited_long => {
+                return Attribution::NOBODY
+            }
+            Some(CacheStatus::SourceRejected | CacheStatus::SourceUnreachable) => {
+                return Attribution::source(false)
+            }
+            Some(CacheStatus::OriginFailed | CacheStatus::NoCapacity) => return Attribution::NOBODY,
+            _ if origin_rejected => return Attribution::NOBODY,
+            _ => {}
+        }
+        self.attribute_failure(attempt, outcome.status)
+    }
+
+    /// A failure of which nothing is reported about the fill.
+    fn attribute_failure(&self, attempt: &AttemptRecord, status: AttemptStatus) -> Attribution {
+        let record = self.endpoints.get(&attempt.endpoint);
+        let has_responded = record.is_some_and(|record| record.last_response_at > attempt.sent_at);
+        let fails_by_itself = record.is_some_and(|record| record.failure_ratio.value > MAX_FAILURE_RATIO);
+        let is_unreported = self.settings.outcome_detail != OutcomeDetail::Full;
+        let may_be_source = is_unreported && attempt.fills_from_above && !fails_by_itself;
+        match status {
+            AttemptStatus::Rejected | AttemptStatus::Error if may_be_source => Attribution::source(false),
+            // A rejection is due to load and not to health: ejecting the cache would move its load on.
+            AttemptStatus::Rejected => Attribution::NOBODY,
+            AttemptStatus::Error | AttemptStatus::ConnectFailed | AttemptStatus::Reset => {
+                Attribution::endpoint(false)
+            }
+            AttemptStatus::TimedOut if attempt.fills_from_above => Attribution::NOBODY,
+            AttemptStatus::TimedOut => Attribution::endpoint(has_responded),
+            AttemptStatus::Ok
+            | AttemptStatus::CacheMiss
+            | AttemptStatus::Cancelled
+            | AttemptStatus::NeverSent => Attribution::NOBODY,
+        }
+    }
+
+    /// Remembers a refused connection of an unhealthy endpoint, and the copy that an endpoint now caches.
+    fn record_connection_and_copy(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
+        let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
+        if outcome.status == AttemptStatus::ConnectFailed && !endpoint.health.is_healthy() {
+            endpoint.connect_failed_at = self.now;
+        }
+        let is_hit = outcome.cache_status == Some(CacheStatus::Hit);
+        if outcome.status == AttemptStatus::Ok && (attempt.caches_fill || is_hit) {
+            endpoint.cached_copies.insert(attempt.copy_key);
+        }
+    }
+
+    fn record_verdict(&mut self, id: EndpointId, verdict: Verdict) {
+        let Some(record) = self.endpoints.get_mut(&id) else { return };
+        if verdict == Some(true) && record.last_response_at < self.now {
+            record.record_response(self.now, EJECTION.outcome_weight);
+        }
+        record.health.record_outcome(self.now, verdict, &EJECTION);
+    }
+
+    /// Starts the recovery of every endpoint whose ejection has lasted its time.
+    pub(super) fn start_due_recoveries(&mut self) {
+        for record in self.endpoints.values_mut() {
+            record.health.start_due_recovery(self.now);
+        }
+    }
+
+    /// Ejects endpoints that have gone silent, and cancels what waits for them so that it is retried
+    /// elsewhere. Covers hung and vanished endpoints, long pauses and broken links alike.
+    pub(super) fn eject_silent_endpoints(&mut self) {
+        let overdue = self.count_overdue_attempts();
+        let mut silent = Vec::new();
+        for (id, count) in overdue {
+            if self.eject_if_silent(id, count) {
+                silent.push(id);
+            }
+        }
+        if !silent.is_empty() {
+            self.cancel_attempts_waiting_for(&silent);
+        }
+    }
+
+    /// The number of overdue attempts by endpoint and by fill source.
+    ///
+    /// A source counts only if the cache has responded since, or all that waits for a silent cache would
+    /// count against its parents, and not while the origin is slow.
+    fn count_overdue_attempts(&self) -> BTreeMap<EndpointId, usize> {
+        let mut counts: BTreeMap<EndpointId, usize> = BTreeMap::new();
+        for attempt in self.attempts.values().filter(|attempt| self.is_overdue(attempt)) {
+            *counts.entry(attempt.endpoint).or_default() += 1;
+            let record = self.endpoints.get(&attempt.endpoint);
+            let cache_responded = record.is_some_and(|record| record.last_response_at > attempt.sent_at);
+            let waits_for_source =
+                attempt.fills_from_above && cache_responded && !self.origin_admission.is_slow();
+            if let Some(source) = attempt.source.filter(|_| waits_for_source) {
+                *counts.entry(source).or_default() += 1;
+            }
+        }
+        counts
+    }
+
+    /// Ejects the endpoint if it is silent; returns whether it is. The origin is never ejected, and fills
+    /// from a parent that is ejected already go on: to cancel them would ask the origin again.
+    fn eject_if_silent(&mut self, id: EndpointId, overdue_attempts: usize) -> bool {
+        let now = self.now;
+        let Some(record) = self.endpoints.get_mut(&id) else { return false };
+        let min_silence = SILENCE.max(record.response_interval.value * SILENCE_INTERVALS);
+        let is_silent = now - record.last_response_at > min_silence;
+        let has_enough_overdue =
+            overdue_attempts >= SILENCE_OVERDUE_ATTEMPTS || record.health.is_recovering();
+        let is_local = self.settings.is_local_cache(&record.endpoint);
+        let is_ejectable = is_local || !record.health.is_ejected();
+        let is_origin = self.settings.is_origin(&record.endpoint);
+        if !is_silent || !has_enough_overdue || !is_ejectable || is_origin {
+            return false;
+        }
+        record.health.eject_if_admitted(now, &EJECTION);
+        true
+    }
+
+    fn cancel_attempts_waiting_for(&mut self, silent: &[EndpointId]) {
+        let waits = |attempt: &AttemptRecord| {
+            let source = attempt.source.filter(|_| attempt.fills_from_above);
+            silent.contains(&attempt.endpoint) || source.is_some_and(|source| silent.contains(&source))
+        };
+        let is_stuck = |id: AttemptId, attempt: &AttemptRecord| {
+            waits(attempt) && self.is_overdue(attempt) && self.may_cancel_for_retry(id)
+        };
+        let stuck = self.attempts.iter().filter(|(id, attempt)| is_stuck(**id, attempt));
+        let stuck: Vec<AttemptId> = stuck.map(|(id, _)| *id).collect();
+        for id in stuck {
+            self.cancel_attempt(id);
+        }
+    }
+
+    /// The share of its arc that a cache serves, from 0 to 1: less, the slower it is than its peers. Covers
+    /// caches that degrade without failing, or whose capacity is less than listed.
+    pub(super) fn slowness_share(&self, record: &EndpointRecord) -> f64 {
+        let share = if record.slowness.samples >= MIN_SAMPLES {
+            self.typical_slowness * MAX_RELATIVE_SLOWNESS / record.slowness.value
+        } else {
+            1.0
+        };
+        share.clamp(MIN_ARC_SHARE, 1.0)
+    }
+}
+
+/// A successful fill is a success of its source too, where it is reported or nothing ever is.
+fn attribute_success(
+    attempt: &AttemptRecord,
+    outcome: &AttemptOutcome,
+    detail: OutcomeDetail,
+) -> Attribution {
+    let is_reported_fill = matches!(
+        outcome.cache_status,
+        Some(CacheStatus::FilledByParent | CacheStatus::FilledByOrigin | CacheStatus::Coalesced)
+    );
+    let is_likely_fill = detail == OutcomeDetail::None && attempt.fills_from_above;
+    let source = (is_reported_fill || is_likely_fill).then_some(true);
+    Attribution { endpoint: Some(true), source }
+}
--- /dev/null
+++ b/src/policy/retry.rs
@@ -0,0 +1,187 @@
+//! Retries: which attempts may be repeated, how many, after which pause, and the final answer.
+
+use super::Policy;
+use crate::interface::{
+    Action, DeduplicationScope, Endpoint, EndpointId, Idempotence, Ms, RejectReason, RequestId,
+};
+use crate::records::RequestRecord;
+
+/// Retries that each request adds to the budget. A fault that fails a larger share of the requests would
+/// only grow by retries.
+const RETRIES_PER_REQUEST: f64 = 0.15;
+/// The most retries that the budget holds.
+const MAX_RETRY_BUDGET: f64 = 20.0;
+
+/// Pause before the first retry of a write; grows by as much with each attempt.
+const BACKOFF_STEP: Ms = 40.0;
+/// Retry-After of a rejection.
+const RETRY_AFTER: Ms = 50.0;
+/// Clock ticks that an attempt may take to be counted as sent.
+const SENT_SLACK_TICKS: f64 = 2.0;
+
+/// The retries that this router may still send: a token bucket filled by new requests.
+#[derive(Debug)]
+pub(super) struct RetryBudget {
+    retries: f64,
+}
+
+impl Default for RetryBudget {
+    fn default() -> Self {
+        Self { retries: MAX_RETRY_BUDGET }
+    }
+}
+
+impl RetryBudget {
+    /// Adds the share of one request.
+    pub(super) fn deposit(&mut self) {
+        self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
+    }
+
+    /// Takes one retry out; `false` if the budget is spent.
+    pub(super) fn withdraw(&mut self) -> bool {
+        if self.retries < 1.0 {
+            return false;
+        }
+        self.retries -= 1.0;
+        true
+    }
+}
+
+/// Whether a request without a usable route is tried again later.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum RetryDecision {
+    After(Ms),
+    /// The backoff would end after the time limit.
+    NoTime,
+    Never,
+}
+
+impl Policy {
+    /// The rule that forbids another attempt wherever it would go, if any.
+    pub(super) fn attempt_barred(&self, request: &RequestRecord, time_left: Ms) -> Option<RejectReason> {
+        let is_retry = request.attempts_sent > 0;
+        let first_endpoint = request.may_have_executed.map(|(_, endpoint)| endpoint);
+        if time_left <= 0.0 {
+            return Some(RejectReason::DeadlineExceeded);
+        }
+        if request.attempts_sent >= self.settings.max_attempts.max(1) {
+            return Some(RejectReason::AttemptsExhausted);
+        }
+        if is_retry && time_left < request.work {
+            return Some(RejectReason::DeadlineTooClose);
+        }
+        if request.nothing_cached {
+            return Some(request.fill_denied.unwrap_or(RejectReason::NothingCached));
+        }
+        if first_endpoint.is_some_and(|endpoint| !self.may_repeat_at(request, endpoint)) {
+            return Some(RejectReason::RepeatNotAllowed);
+        }
+        None
+    }
+
+    /// Whether idempotence allows another attempt at `endpoint`.
+    ///
+    /// An idempotent request may always be repeated. One with an idempotency key may be repeated within the
+    /// key's scope and window. Any other may be repeated only while no attempt can have been executed.
+    pub(super) fn may_repeat_at(&self, request: &RequestRecord, endpoint: EndpointId) -> bool {
+        let idempotence = self.settings.class(request.request.class).idempotence;
+        let is_idempotent = idempotence == Idempotence::Idempotent;
+        let may_run_parallel = is_idempotent && self.settings.parallel_attempts;
+        if request.attempts_in_flight > 0 && !may_run_parallel {
+            return false;
+        }
+        let Some((sent_at, first)) = request.may_have_executed else { return true };
+        match idempotence {
+            Idempotence::Idempotent => true,
+            Idempotence::NotIdempotent => false,
+            Idempotence::WithKey { scope, window } => {
+                let slack = SENT_SLACK_TICKS * self.settings.clock_resolution;
+                self.share_keys(scope, first, endpoint) && self.now + slack < sent_at + window
+            }
+        }
+    }
+
+    fn share_keys(&self, scope: DeduplicationScope, first: EndpointId, second: EndpointId) -> bool {
+        let (Some(first), Some(second)) = (self.endpoints.get(&first), self.endpoints.get(&second)) else {
+            return false;
+        };
+        is_in_scope(scope, &first.endpoint, &second.endpoint)
+    }
+
+    /// Decides what follows when no route is usable: a write has no other endpoint to go to and is tried
+    /// again after a randomised, linearly growing backoff; a read is not, nor is any first attempt.
+    pub(super) fn decide_backoff(
+        &mut self,
+        is_write: bool,
+        is_retry: bool,
+        id: RequestId,
+        time_left: Ms,
+    ) -> RetryDecision {
+        let attempts_sent = self.requests.get(&id).map_or(0, |request| request.attempts_sent);
+        let pause = BACKOFF_STEP * f64::from(1 + attempts_sent) * (0.5 + self.draw());
+        if !is_write || !is_retry {
+            RetryDecision::Never
+        } else if pause >= time_left {
+            RetryDecision::NoTime
+        } else {
+            RetryDecision::After(pause)
+        }
+    }
+
+    /// Sets a timer for the next attempt, for which every endpoint is allowed again.
+    pub(super) fn start_backoff(&mut self, id: RequestId, pause: Ms) {
+        self.last_timer_token = self.last_timer_token.wrapping_add(1).max(1);
+        self.backoffs.insert(self.last_timer_token, id);
+        self.actions.push(Action::SetTimer { at: self.now + pause, token: self.last_timer_token });
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.avoid.clear();
+        }
+    }
+
+    /// Sends the next attempt after a backoff; an unknown token is ignored.
+    pub(super) fn end_backoff(&mut self, token: u32) {
+        if let Some(id) = self.backoffs.remove(&token) {
+            self.dispatch_request(id);
+        }
+    }
+
+    /// Gives the request its final answer: a rejection if the client may safely retry, else a failure.
+    pub(super) fn give_up(&mut self, id: RequestId, reason: RejectReason) {
+        let Some(request) = self.requests.get(&id) else { return };
+        let final_answer = if self.client_may_retry(request) {
+            Action::Reject { request: id, retry_after: self.retry_after(), reason }
+        } else {
+            Action::Fail { request: id, reason }
+        };
+        self.actions.push(final_answer);
+        self.close_request(id);
+    }
+
+    /// A client's retry may be executed anywhere: safe for an idempotent request and for one whose key all
+    /// endpoints recognise, for any other only if no attempt can have been executed.
+    fn client_may_retry(&self, request: &RequestRecord) -> bool {
+        match self.settings.class(request.request.class).idempotence {
+            Idempotence::Idempotent | Idempotence::WithKey { scope: DeduplicationScope::All, .. } => true,
+            Idempotence::WithKey { .. } | Idempotence::NotIdempotent => {
+                request.may_have_executed.is_none() && request.attempts_in_flight == 0
+            }
+        }
+    }
+
+    /// The Retry-After of a rejection; 0 where it is not supported.
+    fn retry_after(&self) -> Ms {
+        if self.settings.supports_retry_after {
+            RETRY_AFTER.min(self.settings.max_retry_after)
+        } else {
+            0.0
+        }
+    }
+}
+
+fn is_in_scope(scope: DeduplicationScope, first: &Endpoint, second: &Endpoint) -> bool {
+    match scope {
+        DeduplicationScope::All => true,
+        DeduplicationScope::Zone => first.zone == second.zone,
+        DeduplicationScope::Cell => first.zone == second.zone && first.cell == second.cell,
+    }
+}
--- a/src/records.rs
+++ b/src/records.rs
@@ -3,7 +3,7 @@
 use crate::bloom_filter::RotatingBloomFilter;
 use crate::endpoint_health::EndpointHealth;
 use crate::estimators::{ConcurrencyLimit, Ewma, TimeWeightedMean, TokenBucket};
-use crate::interface::{Endpoint, EndpointId, FillInstruction, Ms, Request};
+use crate::interface::{Endpoint, EndpointId, FillInstruction, Ms, RejectReason, Request};
 
 /// What is known of a cache, a parent or the origin.
 #[derive(Debug)]
@@ -76,16 +76,6 @@
     }
 }
 
-/// What is known of the location's fill link and of its caches together.
-#[derive(Debug, Default)]
-pub struct FillLink {
-    /// Transfer time of this router's fills in flight.
-    pub filling: Ms,
-    pub mean_filling: TimeWeightedMean,
-    /// This router's mean number of attempts in flight at the location's caches, per unit of capacity.
-    pub mean_cache_load: f64,
-}
-
 /// One attempt in flight.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptRecord {
@@ -132,6 +122,8 @@
     pub owner_only: bool,
     /// Only a cached copy was allowed, and there was none.
     pub nothing_cached: bool,
+    /// Why the last attempt was allowed no fill, if it was not.
+    pub fill_denied: Option<RejectReason>,
     /// A random number from 0 up to 1, drawn once, that decides about probabilistic shedding.
     pub draw: f64,
     pub response_started: bool,
@@ -150,6 +142,7 @@
             avoid: Vec::new(),
             owner_only: false,
             nothing_cached: false,
+            fill_denied: None,
             draw,
             response_started: false,
         }
@@ -161,4 +154,18 @@
 pub struct Route {
     pub endpoint: EndpointId,
     pub fill: Option<FillInstruction>,
+    /// Why a missing copy may not be filled, if it may not.
+    pub fill_denied: Option<RejectReason>,
+}
+
+impl Route {
+    /// The endpoint answers without a fill.
+    pub fn without_fill(endpoint: EndpointId) -> Self {
+        Self { endpoint, fill: None, fill_denied: None }
+    }
+
+    /// The endpoint fills a missing copy as instructed.
+    pub fn with_fill(endpoint: EndpointId, fill: FillInstruction) -> Self {
+        Self { endpoint, fill: Some(fill), fill_denied: None }
+    }
 }
