--- a/crates/hierarchy/benches/structures.rs
+++ b/crates/hierarchy/benches/structures.rs
@@ -54,10 +54,10 @@
     let mut group = c.benchmark_group("insert an edge");
     for nodes in [1_000u32, 10_000, 100_000] {
         let mut order = TopologicalOrder::default();
-        (0..nodes).for_each(|_| _ = order.add());
+        (0..nodes).for_each(|_| _ = order.add_node());
         let mut plain = DiGraphMap::<u32, ()>::new();
         for (from, to) in edges(nodes) {
-            order.link(from, to).expect("no loop in a tree");
+            order.insert_edge(from, to).expect("no loop in a tree");
             plain.add_edge(from, to, ());
         }
         let wanted = inserts(nodes, 400);
@@ -65,10 +65,10 @@
         let mut ours = Vec::new();
         for (from, to) in &wanted {
             let begun = Instant::now();
-            let linked = black_box(order.link(*from, *to)).is_ok();
+            let linked = black_box(order.insert_edge(*from, *to)).is_ok();
             ours.push(begun.elapsed());
             if linked {
-                order.unlink(*from, *to);
+                order.remove_edge(*from, *to);
             }
         }
         let mut full = Vec::new();
@@ -93,8 +93,8 @@
             b.iter(|| {
                 let (from, to) = wanted[n % wanted.len()];
                 n += 1;
-                if order.link(from, to).is_ok() {
-                    order.unlink(from, to);
+                if order.insert_edge(from, to).is_ok() {
+                    order.remove_edge(from, to);
                 }
             });
         });
@@ -184,7 +184,7 @@
         b.iter(|| {
             (n, now) = (n + 1, now + 0.1);
             let key = keys[n % keys.len()];
-            table.note(now, key);
+            table.record(now, key);
             table.age(now, key ^ 1)
         });
     });
@@ -203,7 +203,7 @@
         b.iter(|| {
             (n, now) = (n + 1, now + 0.1);
             let fetch = FetchKey { source: NodeId(1), key: keys[n % keys.len()] };
-            if let Grant::Granted(id) = leases.ask(now, fetch, 200.0) {
+            if let Grant::Granted(id) = leases.acquire(now, fetch, 200.0) {
                 if n % 3 == 0 {
                     leases.release(fetch, id);
                 }
--- /dev/null
+++ b/crates/hierarchy/src/hierarchy/endpoints.rs
@@ -0,0 +1,59 @@
+//! What the endpoint list says of nodes, and since when nodes retire.
+
+use std::collections::BTreeMap;
+
+use linnethook::interface::{Ms, Phase};
+
+use crate::node::NodeId;
+use crate::topology::Topology;
+
+#[derive(Debug, Clone, Copy)]
+struct EndpointState {
+    phase: Phase,
+    started: Ms,
+}
+
+/// The phases of listed nodes, and the retirements of nodes of the topology.
+#[derive(Debug, Clone, Default)]
+pub(super) struct Endpoints {
+    states: BTreeMap<NodeId, EndpointState>,
+    retiring_since: BTreeMap<NodeId, Ms>,
+}
+
+impl Endpoints {
+    /// Records an entry of the endpoint list. Returns whether the node has restarted since the last one.
+    pub fn update(&mut self, id: NodeId, phase: Phase, started: Ms, topology: &Topology) -> bool {
+        let before = self.states.get(&id).copied();
+        // A removed node that the topology still contains must not look like one that was never listed.
+        if phase == Phase::Gone && topology.node(id).is_none() {
+            self.states.remove(&id);
+        } else {
+            self.states.insert(id, EndpointState { phase, started });
+        }
+        before.is_some_and(|before| started > before.started)
+    }
+
+    /// Follows a change of the topology.
+    pub fn topology_changed(&mut self, now: Ms, topology: &Topology) {
+        self.states.retain(|id, state| state.phase != Phase::Gone || topology.node(*id).is_some());
+        self.retiring_since.retain(|id, _| topology.node(*id).is_some_and(|node| node.retiring));
+        for record in topology.records().into_iter().filter(|record| record.node.retiring) {
+            self.retiring_since.entry(record.node.id).or_insert(now);
+        }
+    }
+
+    /// Whether a node may be used as a source at all. A node that was never listed may: the topology names it.
+    pub fn is_ready(&self, id: NodeId) -> bool {
+        self.states.get(&id).is_none_or(|state| state.phase == Phase::Ready)
+    }
+
+    /// When a node started, in milliseconds of Unix time; 0 if that is not known.
+    pub fn started(&self, id: NodeId) -> Ms {
+        self.states.get(&id).map_or(0.0, |state| state.started)
+    }
+
+    /// Whether a node may be asked for cached objects: it does not retire, or its grace has not ended.
+    pub fn is_within_grace(&self, now: Ms, id: NodeId, grace: Ms) -> bool {
+        self.retiring_since.get(&id).is_none_or(|since| now - since < grace)
+    }
+}
--- /dev/null
+++ b/crates/hierarchy/src/hierarchy/fill_sources.rs
@@ -0,0 +1,165 @@
+//! Which sources a child's fills may use, and where a source forwards a fill.
+
+use std::collections::BTreeSet;
+
+use linnethook::brain::place_above;
+use linnethook::interface::Ms;
+use linnethook::ring::{fraction, mix};
+
+use super::Hierarchy;
+use crate::loop_detection::MAX_HOPS;
+use crate::node::{preferred_sources, NodeId, Role, Source};
+
+/// Keeps the hash that selects migrating objects apart from all other hashes.
+const MIGRATION_SALT: u64 = 0x676f_6f76;
+
+/// The sources that the decision module may choose from for a cache's fills. Lower ranks come first; among equal ranks
+/// an object has its own source by hash.
+#[derive(Debug, Clone, PartialEq, Default)]
+pub struct FillSources {
+    /// For the objects whose hash with `salt` is below `fraction`.
+    pub current: Vec<Source>,
+    /// For all other objects, as before the change that is being rolled out.
+    pub previous: Vec<Source>,
+    /// From 0 to 1.
+    pub fraction: f64,
+    /// Changes with each batch, so that successive changes start with different objects.
+    pub salt: u64,
+}
+
+impl FillSources {
+    /// The sources for an object.
+    pub fn of(&self, object: u64) -> &[Source] {
+        if fraction(mix(object, self.salt)) < self.fraction {
+            &self.current
+        } else {
+            &self.previous
+        }
+    }
+
+    /// Whether a change from `published` is too small to be published.
+    fn is_close_to(&self, published: &Self, publish_step: f64) -> bool {
+        let is_fraction_close = (self.fraction - published.fraction).abs() < publish_step
+            && (self.fraction < 1.0) == (published.fraction < 1.0);
+        is_fraction_close
+            && self.current == published.current
+            && self.previous == published.previous
+            && self.salt == published.salt
+    }
+}
+
+/// Where a source forwards a fill that it can't serve.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Hop {
+    /// The node to ask next.
+    pub node: NodeId,
+    /// It is asked for a cached copy alone.
+    pub cached_only: bool,
+}
+
+impl Hierarchy {
+    /// The sources that the decision module may choose from for a child's fills now.
+    ///
+    /// The current list is the one that the topology gives the child. While a migration is in progress, the objects
+    /// outside its fraction use the settled list from before it, without nodes that were removed or whose retirement
+    /// grace has ended. Edges on which a loop was detected are left out of both lists.
+    pub fn fill_sources(&self, now: Ms, id: NodeId) -> FillSources {
+        let Some(child) = self.children.get(&id) else { return FillSources::default() };
+        let version = self.version();
+        let is_usable = |source: &&Source| !self.edge_backoff.is_backed_off(now, id, source.node, version);
+        let is_still_served = |source: &&Source| {
+            self.topology().node(source.node).is_some() && self.is_within_grace(now, source.node)
+        };
+        let fractions = child.migrations().map(|migration| self.rollout.fraction(now, migration));
+        let fraction = fractions.fold(1.0, f64::min);
+        let previous = if fraction < 1.0 { &child.settled[..] } else { &[] };
+        FillSources {
+            current: child.wanted.iter().filter(is_usable).copied().collect(),
+            previous: previous.iter().filter(is_usable).filter(is_still_served).copied().collect(),
+            fraction,
+            salt: child.written_by.stamp ^ MIGRATION_SALT,
+        }
+    }
+
+    /// The children whose fill sources have changed since they were published last, by id. They count as published.
+    pub fn changed_fill_sources(&mut self, now: Ms) -> Vec<(NodeId, FillSources)> {
+        let ids: Vec<NodeId> = self.children.keys().copied().collect();
+        let mut changed = Vec::new();
+        for id in ids {
+            let sources = self.fill_sources(now, id);
+            let Some(child) = self.children.get_mut(&id) else { continue };
+            if !sources.is_close_to(&child.published, self.config.publish_step) {
+                child.published.clone_from(&sources);
+                changed.push((id, sources));
+            }
+        }
+        changed
+    }
+
+    /// Where `source` forwards a fill of `child` that it can't serve.
+    ///
+    /// While the child migrates to the source, first to the old source, for a cached copy alone; then upwards to the
+    /// origin, at each node by rank and hash. Nodes that are not ready or retire, edges on which a loop was detected
+    /// and nodes already on the path are left out.
+    pub fn onward_path(&self, now: Ms, child: NodeId, source: NodeId, object: u64) -> Vec<Hop> {
+        let mut path = Vec::new();
+        let mut passed = vec![child, source];
+        if let Some(old_source) = self.old_source(now, child, source, object) {
+            path.push(Hop { node: old_source, cached_only: true });
+            passed.push(old_source);
+        }
+        let version = self.version();
+        let mut at = source;
+        while passed.len() < MAX_HOPS {
+            let is_usable = |next: &Source| {
+                !passed.contains(&next.node)
+                    && self.endpoints.is_ready(next.node)
+                    && !self.is_retiring(next.node)
+                    && !self.edge_backoff.is_backed_off(now, at, next.node, version)
+            };
+            let candidates = self.topology().sources(at).filter(is_usable);
+            let preference = |next: &Source| (next.rank, place_above(object, next.node.0));
+            let Some(next) = candidates.min_by_key(preference) else { break };
+            path.push(Hop { node: next.node, cached_only: false });
+            passed.push(next.node);
+            at = next.node;
+        }
+        path
+    }
+
+    /// The parent that filled an object before `child` began to migrate to `source`, by the hash that chose it then.
+    fn old_source(&self, now: Ms, child: NodeId, source: NodeId, object: u64) -> Option<NodeId> {
+        let child = self.children.get(&child)?;
+        if !child.migrations().any(|migration| migration.target == source) {
+            return None;
+        }
+        preferred_sources(&child.settled)
+            .filter(|id| *id != source && self.is_usable_parent(now, *id))
+            .min_by_key(|id| place_above(object, id.0))
+    }
+
+    /// Whether a node is a parent that may be asked for cached objects.
+    pub(super) fn is_usable_parent(&self, now: Ms, id: NodeId) -> bool {
+        let is_parent = self.topology().node(id).is_some_and(|node| node.role == Role::Parent);
+        is_parent && self.endpoints.is_ready(id) && self.is_within_grace(now, id)
+    }
+
+    /// Some nodes, and all nodes that they may fill from.
+    pub(super) fn with_nodes_above(&self, nodes: BTreeSet<NodeId>) -> BTreeSet<NodeId> {
+        let mut unvisited: Vec<NodeId> = nodes.iter().copied().collect();
+        let mut found = nodes;
+        while let Some(id) = unvisited.pop() {
+            let sources = self.topology().sources(id).map(|source| source.node);
+            unvisited.extend(sources.filter(|id| found.insert(*id)));
+        }
+        found
+    }
+
+    fn is_within_grace(&self, now: Ms, id: NodeId) -> bool {
+        self.endpoints.is_within_grace(now, id, self.config.retirement_grace)
+    }
+
+    fn is_retiring(&self, id: NodeId) -> bool {
+        self.topology().node(id).is_some_and(|node| node.retiring)
+    }
+}
--- a/crates/hierarchy/src/lease.rs
+++ b/crates/hierarchy/src/lease.rs
@@ -1,128 +1,131 @@
-//! Owns the leases on fills: one under way for a key and source, the others wait for it (Nishtala et al. 2013).
+//! Leases on fetches: one request at a time fetches a key from a source while others wait for it (Nishtala et al.
+//! 2013, "Scaling Memcache at Facebook").
 //!
-//! A lease ends by itself, so that a lost filler does not block. Must never let a lease outlive its time, keep
-//! more than its bound, or hold a fill back because the table is full.
+//! A lease expires by itself, so that a filler that is lost does not block others. A full table grants no lease but
+//! holds no fill back either.
 
 use std::collections::{BTreeSet, HashMap};
 
 use linnethook::interface::Ms;
 use rustc_hash::FxBuildHasher;
 
-use crate::topology::NodeId;
+use crate::node::NodeId;
 
-/// What is being fetched, and from where.
+/// What is fetched, and from where.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FetchKey {
+    /// The node it is fetched from.
     pub source: NodeId,
-    /// The object's part, by hash.
+    /// The hash of the object's part.
     pub key: u64,
 }
 
-/// A lease's name; never used again.
+/// The name of a lease. It is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(u64);
 
-/// What comes of asking for a lease.
+/// The answer to a request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Grant {
-    /// Nobody else fetches it.
+    /// The lease is granted: no other request fetches the key.
     Granted(LeaseId),
-    /// Somebody does, since then.
+    /// Another request has this lease.
     AlreadyLeased(LeaseId),
-    /// There is no room to keep track of it: it goes without.
+    /// The table is full: the fetch may go without a lease.
     Untracked,
 }
 
+/// Microseconds of Unix time, so that expiries can be ordered.
+type Micros = u64;
+
+fn micros(at: Ms) -> Micros {
+    (at * 1000.0) as Micros
+}
+
 #[derive(Debug, Clone, Copy)]
 struct Lease {
     id: LeaseId,
-    until: u64,
+    expires_at: Micros,
 }
 
+/// The leases granted at present, up to a bound.
 #[derive(Debug, Clone)]
 pub struct LeaseTable {
-    most: usize,
-    last: u64,
-    held: HashMap<FetchKey, Lease, FxBuildHasher>,
-    by_end: BTreeSet<(u64, FetchKey)>,
-}
-
-fn micros(at: Ms) -> u64 {
-    (at * 1000.0) as u64
+    max_leases: usize,
+    last_id: u64,
+    leases: HashMap<FetchKey, Lease, FxBuildHasher>,
+    by_expiry: BTreeSet<(Micros, FetchKey)>,
 }
 
 impl LeaseTable {
-    pub fn new(most: usize) -> Self {
-        Self { most, last: 0, held: HashMap::default(), by_end: BTreeSet::new() }
+    /// An empty table for that many leases.
+    pub fn new(max_leases: usize) -> Self {
+        Self { max_leases, last_id: 0, leases: HashMap::default(), by_expiry: BTreeSet::new() }
     }
 
+    /// Leases in the table, expired ones included that were not removed yet.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.leases.len()
     }
 
+    /// Whether the table has no lease.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.leases.is_empty()
     }
 
-    /// Asks for the lease on a fetch, for that long at the most.
-    pub fn ask(&mut self, now: Ms, fetch: FetchKey, span: Ms) -> Grant {
+    /// Requests the lease on a fetch, for that many milliseconds at most.
+    pub fn acquire(&mut self, now: Ms, fetch: FetchKey, duration: Ms) -> Grant {
         let at = micros(now);
-        match self.held.get(&fetch).copied() {
-            Some(lease) if lease.until > at => return Grant::AlreadyLeased(lease.id),
+        match self.leases.get(&fetch).copied() {
+            Some(lease) if lease.expires_at > at => return Grant::AlreadyLeased(lease.id),
             Some(lease) => {
-                self.by_end.remove(&(lease.until, fetch));
+                self.by_expiry.remove(&(lease.expires_at, fetch));
+            }
+            None if self.leases.len() >= self.max_leases && self.remove_first_expired(at).is_none() => {
+                return Grant::Untracked;
             }
-            None if self.held.len() >= self.most && !self.make_room(at) => return Grant::Untracked,
             None => {}
         }
-        self.last += 1;
-        let lease = Lease { id: LeaseId(self.last), until: micros(now + span) };
-        self.held.insert(fetch, lease);
-        self.by_end.insert((lease.until, fetch));
+        self.last_id += 1;
+        let lease = Lease { id: LeaseId(self.last_id), expires_at: micros(now + duration) };
+        self.leases.insert(fetch, lease);
+        self.by_expiry.insert((lease.expires_at, fetch));
         Grant::Granted(lease.id)
     }
 
-    /// Lets go of the one that ended first, if it has ended.
-    fn make_room(&mut self, at: u64) -> bool {
-        let Some(&(until, fetch)) = self.by_end.first().filter(|(until, _)| *until <= at) else {
-            return false;
-        };
-        self.by_end.remove(&(until, fetch));
-        self.held.remove(&fetch);
-        true
+    /// Removes the lease that expired first, if any has expired.
+    fn remove_first_expired(&mut self, at: Micros) -> Option<FetchKey> {
+        let &(expires_at, fetch) = self.by_expiry.first().filter(|(expires_at, _)| *expires_at <= at)?;
+        self.by_expiry.remove(&(expires_at, fetch));
+        self.leases.remove(&fetch);
+        Some(fetch)
     }
 
-    /// The fetch is over; a lease that has passed on to another by now stays with that one.
+    /// Releases a lease when its fetch has ended. Returns whether it was still the lease on that fetch.
     pub fn release(&mut self, fetch: FetchKey, id: LeaseId) -> bool {
-        match self.held.get(&fetch) {
+        match self.leases.get(&fetch) {
             Some(lease) if lease.id == id => {
-                self.by_end.remove(&(lease.until, fetch));
-                self.held.remove(&fetch);
+                self.by_expiry.remove(&(lease.expires_at, fetch));
+                self.leases.remove(&fetch);
                 true
             }
             _ => false,
         }
     }
 
-    /// Whether somebody has the lease now.
-    pub fn is_taken(&self, now: Ms, fetch: FetchKey) -> bool {
-        self.held.get(&fetch).is_some_and(|lease| lease.until > micros(now))
+    /// Whether a request has the lease on a fetch now.
+    pub fn is_leased(&self, now: Ms, fetch: FetchKey) -> bool {
+        self.leases.get(&fetch).is_some_and(|lease| lease.expires_at > micros(now))
     }
 
-    /// The fetches whose leases have ended by themselves; each comes once.
-    pub fn expired(&mut self, now: Ms) -> Vec<FetchKey> {
+    /// Removes all expired leases, and returns their fetches in order of expiry.
+    pub fn remove_expired(&mut self, now: Ms) -> Vec<FetchKey> {
         let at = micros(now);
-        let mut over = Vec::new();
-        while let Some(&(until, fetch)) = self.by_end.first().filter(|(until, _)| *until <= at) {
-            self.by_end.remove(&(until, fetch));
-            self.held.remove(&fetch);
-            over.push(fetch);
-        }
-        over
+        std::iter::from_fn(|| self.remove_first_expired(at)).collect()
     }
 
-    /// When the next one ends by itself.
-    pub fn next(&self) -> Option<Ms> {
-        self.by_end.first().map(|(until, _)| *until as f64 / 1000.0)
+    /// When the next lease expires, in milliseconds of Unix time.
+    pub fn next_expiry(&self) -> Option<Ms> {
+        self.by_expiry.first().map(|(expires_at, _)| *expires_at as f64 / 1000.0)
     }
 }
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -1,26 +1,37 @@
 //! The hierarchy of caches, parents and the origin, and how it changes while traffic runs.
 //!
-//! - [`topology`]: nodes, their sources, and which of these edges are in use;
-//! - [`topological_order`]: the order that keeps loops out, while edges come and go;
-//! - [`batch`]: changes, who wrote them and on what they were planned;
-//! - [`history`]: batches in the one order of all routers, whatever the order in which they are heard;
-//! - [`loop_detection`]: the way of a fill, and edges held back because one came round;
-//! - [`rollout`]: how children go over to a new source, and back where that does harm;
-//! - [`rate_budget`], [`lease`], [`recent_keys`]: what fills may go, each once, and what is remembered of cold keys;
-//! - [`origin_shield`]: which fills go now, which wait, and which are over what the tiers above bear;
-//! - [`hierarchy`]: all of it wired together, as one router sees it;
-//! - [`plan`]: what a batch would do, told before it is applied;
-//! - [`change_spec`]: changes as they are written, sent and shown.
+//! What the hierarchy is:
 //!
-//! No part reads a clock, a socket, a file or chance: times and seeds are arguments. `docs/hierarchy.md` weighs
-//! the ways that were open and says what is promised.
+//! - [`node`]: nodes and their sources;
+//! - [`topology`]: which node may fill from which, without cycles; [`topological_order`] finds these;
+//! - [`batch`], [`version`]: batches of changes, their names, their order, and why one is rejected;
+//! - [`history`]: the batches received, in the order that all routers share;
+//! - [`change_spec`]: nodes, changes and batches as they are written, sent and shown.
+//!
+//! How a change takes effect, and how fills are protected meanwhile:
+//!
+//! - [`rollout`]: children migrate to a new source in stages, and back if it does harm;
+//! - [`origin_shield`]: which fills go, wait or are rejected, by [`rate_budget`] and [`lease`];
+//! - [`loop_detection`], [`edge_backoff`]: a fill that returns to a node, and the edge that is excluded for it;
+//! - [`plan`]: what a batch would do, before it is applied;
+//! - [`hierarchy`]: all of it together, as one router sees it.
+//!
+//! [`recent_keys`] and [`event_rate`] are small structures that these use.
+//!
+//! No module reads a clock, a socket or a file or draws random numbers: times and seeds are arguments. Times are in
+//! milliseconds, `now` in milliseconds of Unix time. `docs/hierarchy.md` gives the design and what it guarantees.
+
+#![warn(missing_docs)]
 
 pub mod batch;
 pub mod change_spec;
+pub mod edge_backoff;
+pub mod event_rate;
 pub mod hierarchy;
 pub mod history;
 pub mod lease;
 pub mod loop_detection;
+pub mod node;
 pub mod origin_shield;
 pub mod plan;
 pub mod rate_budget;
@@ -28,12 +39,16 @@
 pub mod rollout;
 pub mod topological_order;
 pub mod topology;
+pub mod version;
 
-pub use batch::{
-    AuthorId, BatchId, BatchLimits, BatchPosition, BatchRejection, Change, ChangeBatch, VersionVector,
-};
 pub use linnethook::interface::Phase;
 
-pub use hierarchy::{FillResult, FillSources, Hierarchy, HierarchyConfig, HierarchyView, Hop, SelectedFill};
+pub use batch::{BatchLimits, BatchRejection, Change, ChangeBatch};
+pub use hierarchy::{
+    EndpointUpdate, FillResult, FillSources, Hierarchy, HierarchyConfig, HierarchyView, Hop, SelectedFill,
+    TickOutcome,
+};
 pub use history::{BatchError, History, HistoryLimits, ReceiveOutcome, Snapshot};
-pub use topology::{Edge, Node, NodeId, Role, Source, Topology};
+pub use node::{Node, NodeId, Role, Source};
+pub use topology::{Edge, Topology};
+pub use version::{AuthorId, BatchId, BatchPosition, VersionVector};
--- a/crates/hierarchy/src/plan.rs
+++ b/crates/hierarchy/src/plan.rs
@@ -1,7 +1,5 @@
-//! Owns what a batch would do, told before it is applied: what changes, which loops and pushes it makes, and how
-//! many more fills reach the origin.
-//!
-//! Works on a copy. Must never change the shape, nor call an estimate more than that.
+//! Forecasts what a batch would do before it is applied: what changes, which edges would be suspended, and how the load
+//! of sources and of the origin changes. The forecast works on a copy of the history.
 
 use std::collections::BTreeMap;
 
@@ -11,134 +9,169 @@
 use crate::batch::{BatchRejection, ChangeBatch};
 use crate::hierarchy::Hierarchy;
 use crate::history::{BatchError, ReceiveOutcome};
-use crate::topology::{Node, NodeId, Role, Source, Topology};
+use crate::node::{preferred_sources, Node, NodeId, Role, Source};
+use crate::topology::Topology;
 
-/// What would change.
+/// The load of a source is heavy above this multiple of the mean of its tier.
+const HEAVY_LOAD_RATIO: f64 = 1.5;
+
+/// The time in which a popular object is requested again, in milliseconds: what a ramp adds in that time arrives at
+/// the origin at once.
+const REREQUEST_INTERVAL: Ms = 1_000.0;
+
+/// What a batch would change.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangePlan {
+    /// Nodes that would be added.
     pub added: Vec<NodeId>,
+    /// Nodes that would be removed.
     pub removed: Vec<NodeId>,
-    /// Nodes whose own figures change: site, capacity, retiring.
+    /// Nodes whose own figures would change: site, capacity, retirement.
     pub altered: Vec<NodeId>,
-    /// Nodes whose sources change, with the lists before and after.
+    /// Nodes whose sources would change.
     pub source_changes: Vec<SourceChange>,
-    /// Edges that would not be used, each with the loop that it would close.
+    /// The cycles that edges of the batch would close; these edges would be suspended.
     pub cycles: Vec<Vec<NodeId>>,
+    /// Sources that would get more children.
     pub source_loads: Vec<SourceLoad>,
-    /// Edges suspended now that would come back.
+    /// Suspended edges that would be resumed.
     pub resumed_edges: usize,
+    /// The load of the origin.
     pub origin_load: OriginLoad,
 }
 
+/// A node whose sources would change, with the lists before and after.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SourceChange {
+    /// The node.
     pub node: NodeId,
+    /// Its present sources.
     pub before: Vec<Source>,
+    /// Its new sources.
     pub after: Vec<Source>,
 }
 
-/// A source that gets more to carry.
+/// The load of a source, as the capacity of the nodes that prefer it divided by its own.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SourceLoad {
+    /// The source.
     pub source: NodeId,
-    /// The capacity of the nodes below it for each of its own, before and after, and the mean over its tier.
+    /// Its present load.
     pub before: f64,
+    /// Its load after the change.
     pub after: f64,
+    /// The mean load of its tier after the change.
     pub tier_mean: f64,
 }
 
 impl SourceLoad {
-    /// Far more than others of its tier carry.
+    /// Whether the load would grow, and be far above that of others of the tier.
     pub fn is_heavy(&self) -> bool {
-        self.after > self.before && self.after > 1.5 * self.tier_mean
+        self.after > self.before && self.after > HEAVY_LOAD_RATIO * self.tier_mean
     }
 }
 
-/// Fills a second that would reach the origin because of it, as this router sees its own.
+/// Fills per second at the origin, from this router's own traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct OriginLoad {
-    /// What goes to the origin now.
+    /// The present rate.
     #[serde(rename = "now")]
     pub current: f64,
-    /// At the worst with all at once, and by stages.
+    /// What the change adds at worst if all children change sources at once.
     #[serde(rename = "flip")]
     pub immediate: f64,
+    /// What the change adds at worst if children migrate in stages.
     pub staged: f64,
 }
 
 /// Why there is no plan.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum PlanError {
+    /// The batch would be rejected.
     #[error(transparent)]
     Rejected(BatchRejection),
+    /// The batch can't have a place in the history.
     #[error(transparent)]
     Invalid(BatchError),
+    /// The batch is based on batches that were not received here.
     #[error("it was planned on batches that have not been heard here")]
     UnknownBase,
+    /// The batch was received before.
     #[error("it was heard before")]
     Duplicate,
 }
 
+/// An edge, from the node that fills to the source.
+type EdgeEnds = (NodeId, NodeId);
+
 impl Hierarchy {
-    /// What a batch would do here and now.
+    /// Forecasts what a batch would do here and now. Nothing is changed.
+    ///
+    /// # Errors
+    ///
+    /// The batch would not be applied.
     pub fn plan_batch(&self, now: Ms, batch: &ChangeBatch) -> Result<ChangePlan, PlanError> {
-        let mut copy = self.history().clone();
-        match copy.receive_batch(batch.clone()) {
+        let mut history = self.history().clone();
+        match history.receive_batch(batch.clone()) {
             ReceiveOutcome::Accepted(_) => {}
             ReceiveOutcome::Duplicate => return Err(PlanError::Duplicate),
             ReceiveOutcome::Pending(_) => return Err(PlanError::UnknownBase),
-            ReceiveOutcome::Invalid(wrong) => return Err(PlanError::Invalid(wrong)),
+            ReceiveOutcome::Invalid(error) => return Err(PlanError::Invalid(error)),
         }
-        if let Some(Err(refusal)) = copy.outcome(batch.id) {
-            return Err(PlanError::Rejected(refusal.clone()));
+        if let Some(Err(rejection)) = history.outcome(batch.id) {
+            return Err(PlanError::Rejected(rejection.clone()));
         }
-        let (before, after) = (self.topology(), copy.topology());
+        let (before, after) = (self.topology(), history.topology());
         let mut plan = differences(before, after);
         plan.source_loads = source_loads(before, after, &plan.source_changes);
         plan.origin_load = self.origin_load(now, &plan.source_changes);
-        let was: Vec<(NodeId, NodeId)> =
-            before.suspended_edges().map(|edge| (edge.from, edge.source.node)).collect();
-        let is: Vec<(NodeId, NodeId)> =
-            after.suspended_edges().map(|edge| (edge.from, edge.source.node)).collect();
-        plan.resumed_edges = was.iter().filter(|(from, to)| after.allows(*from, *to)).count();
-        let shape = copy.topology_mut();
-        for (from, to) in is.into_iter().filter(|edge| !was.contains(edge)) {
-            plan.cycles.extend(shape.would_loop(from, to));
+        let suspended_before = suspended_edges(before);
+        let suspended_after = suspended_edges(after);
+        let resumed = suspended_before.iter().filter(|(from, to)| after.allows(*from, *to));
+        plan.resumed_edges = resumed.count();
+        let topology = history.topology_mut();
+        for (from, to) in suspended_after.into_iter().filter(|edge| !suspended_before.contains(edge)) {
+            plan.cycles.extend(topology.cycle_closed_by(from, to));
         }
         Ok(plan)
     }
 
-    /// The fills that go by the sources that children leave are all first ones at the new source.
-    fn origin_load(&self, now: Ms, rerouted: &[SourceChange]) -> OriginLoad {
+    /// Forecasts the load of the origin: at worst, all fills by the sources that children leave miss at the new ones.
+    fn origin_load(&self, now: Ms, changes: &[SourceChange]) -> OriginLoad {
         let rate = |id: NodeId| self.shield().budget(id).map_or(0.0, |budget| budget.rate(now));
-        let origins = self.topology().records().into_iter().filter(|r| r.node.role == Role::Origin);
-        let now_there = origins.map(|record| rate(record.node.id)).sum();
-        let best = |list: &[Source]| -> Vec<NodeId> {
-            let first = list.iter().map(|source| source.rank).min();
-            list.iter().filter(|source| Some(source.rank) == first).map(|source| source.node).collect()
-        };
-        // By the source that they leave: how many of its children do, and how many it has.
-        let mut leaving = BTreeMap::<NodeId, f64>::new();
-        for SourceChange { before, after, .. } in rerouted {
-            let (old, new) = (best(before), best(after));
-            for id in old.iter().filter(|id| !new.contains(id)) {
-                *leaving.entry(*id).or_default() += 1.0 / old.len() as f64;
-            }
-        }
-        let flip = leaving.into_iter().map(|(id, count)| {
-            let children = self.topology().children(id).count().max(1);
-            rate(id) * (count / children as f64).min(1.0)
+        let records = self.topology().records().into_iter();
+        let origins = records.filter(|record| record.node.role == Role::Origin);
+        let current = origins.map(|record| rate(record.node.id)).sum();
+        let moved_rates = leaving_children(changes).into_iter().map(|(source, leaving)| {
+            let children = self.topology().children(source).count().max(1);
+            rate(source) * (leaving / children as f64).min(1.0)
         });
-        let (flip, rule) = (flip.sum::<f64>(), self.rollout().config());
-        // What rises evenly over the warming adds, at its worst, what comes new in the time that an object needs
-        // to be asked for again: taken as a second.
-        let staged = flip
-            * (rule.initial_fraction
-                + (1.0 - rule.initial_fraction) * (1_000.0 / rule.ramp_duration.max(1_000.0)));
-        OriginLoad { current: now_there, immediate: flip, staged }
+        let immediate = moved_rates.sum::<f64>();
+        let config = self.rollout().config();
+        let ramp_step = REREQUEST_INTERVAL / config.ramp_duration.max(REREQUEST_INTERVAL);
+        let staged = immediate * (config.initial_fraction + (1.0 - config.initial_fraction) * ramp_step);
+        OriginLoad { current, immediate, staged }
+    }
+}
+
+/// By source: how many children leave it. A child with several preferred sources counts as a part for each.
+fn leaving_children(changes: &[SourceChange]) -> BTreeMap<NodeId, f64> {
+    let mut leaving = BTreeMap::<NodeId, f64>::new();
+    for SourceChange { before, after, .. } in changes {
+        let old: Vec<NodeId> = preferred_sources(before).collect();
+        let new: Vec<NodeId> = preferred_sources(after).collect();
+        for id in old.iter().filter(|id| !new.contains(id)) {
+            *leaving.entry(*id).or_default() += 1.0 / old.len() as f64;
+        }
     }
+    leaving
 }
 
+fn suspended_edges(topology: &Topology) -> Vec<EdgeEnds> {
+    topology.suspended_edges().map(|edge| (edge.from, edge.source.node)).collect()
+}
+
+/// The plan with the differences of the nodes alone.
 fn differences(before: &Topology, after: &Topology) -> ChangePlan {
     let mut plan = ChangePlan {
         added: Vec::new(),
@@ -157,47 +190,53 @@
     }
     for record in after.records() {
         let id = record.node.id;
-        let sources =
-            |shape: &Topology| shape.edges(id).iter().map(|edge| edge.source).collect::<Vec<Source>>();
-        match before.node(id) {
-            None => plan.added.push(id),
-            Some(node) if *node != record.node => plan.altered.push(id),
-            Some(_) => {}
+        let Some(old) = before.record(id) else {
+            plan.added.push(id);
+            continue;
+        };
+        if old.node != record.node {
+            plan.altered.push(id);
         }
-        let (was, is) = (sources(before), sources(after));
-        if was != is && before.node(id).is_some() {
-            plan.source_changes.push(SourceChange { node: id, before: was, after: is });
+        let (before, after) = (old.listed_sources(), record.listed_sources());
+        if before != after {
+            plan.source_changes.push(SourceChange { node: id, before, after });
         }
     }
     plan
 }
 
-fn source_loads(before: &Topology, after: &Topology, rerouted: &[SourceChange]) -> Vec<SourceLoad> {
-    let mut to: Vec<NodeId> = rerouted
-        .iter()
-        .flat_map(|r| r.after.iter().filter(|s| !r.before.contains(s)))
-        .map(|s| s.node)
-        .collect();
-    to.sort_unstable();
-    to.dedup();
-    let carried = |shape: &Topology, node: &Node| {
-        let first = |child: &NodeId| shape.sources(*child).next().is_some_and(|s| s.node == node.id);
-        let below = shape.children(node.id).filter(first).filter_map(|child| shape.node(child));
-        below.map(|child| child.capacity).sum::<f64>() / node.capacity
-    };
-    let parents: Vec<&Node> = after.records().into_iter().map(|record| &record.node).collect();
-    let of_tier = |tier: u8| {
-        let peers = parents.iter().filter(|n| n.role == Role::Parent && n.tier == tier && !n.retiring);
-        let carried: Vec<f64> = peers.map(|node| carried(after, node)).collect();
-        carried.iter().sum::<f64>() / carried.len().max(1) as f64
-    };
-    to.into_iter()
-        .filter_map(|id| after.node(id).filter(|node| node.role == Role::Parent))
+/// The loads of all parents that get new children.
+fn source_loads(before: &Topology, after: &Topology, changes: &[SourceChange]) -> Vec<SourceLoad> {
+    let new_sources = changes.iter().flat_map(|change| {
+        let is_new = |source: &&Source| !change.before.contains(source);
+        change.after.iter().filter(is_new).map(|source| source.node)
+    });
+    let mut ids: Vec<NodeId> = new_sources.collect();
+    ids.sort_unstable();
+    ids.dedup();
+    let parents = ids.into_iter().filter_map(|id| after.node(id)).filter(|node| node.role == Role::Parent);
+    parents
         .map(|node| SourceLoad {
             source: node.id,
-            before: before.node(node.id).map_or(0.0, |known| carried(before, known)),
-            after: carried(after, node),
-            tier_mean: of_tier(node.tier),
+            before: before.node(node.id).map_or(0.0, |present| load(before, present)),
+            after: load(after, node),
+            tier_mean: mean_load_of_tier(after, node.tier),
         })
         .collect()
 }
+
+/// The capacity of the nodes that prefer a node, divided by its own.
+fn load(topology: &Topology, node: &Node) -> f64 {
+    let prefers_node =
+        |child: &NodeId| topology.sources(*child).next().is_some_and(|source| source.node == node.id);
+    let children = topology.children(node.id).filter(prefers_node);
+    let capacities = children.filter_map(|child| topology.node(child)).map(|child| child.capacity);
+    capacities.sum::<f64>() / node.capacity
+}
+
+fn mean_load_of_tier(topology: &Topology, tier: u8) -> f64 {
+    let nodes = topology.records().into_iter().map(|record| &record.node);
+    let peers = nodes.filter(|node| node.role == Role::Parent && node.tier == tier && !node.retiring);
+    let loads: Vec<f64> = peers.map(|node| load(topology, node)).collect();
+    loads.iter().sum::<f64>() / loads.len().max(1) as f64
+}
--- a/crates/hierarchy/src/rate_budget.rs
+++ b/crates/hierarchy/src/rate_budget.rs
@@ -1,35 +1,42 @@
-//! Owns the budgets of fills: how many a second may go to a parent or the origin.
+//! The rate of fills that may go to one parent or origin.
 //!
-//! A budget follows what its target bears: it is cut while what went there comes back late, and comes back in
-//! proportion to itself. While the shape changes it is also held near what went there before (slow start), so that
-//! a change alone can't send a flood. Who does not know yet what went there before learns that first, and meanwhile
-//! only what comes back late is a limit. Must never hold a figure of one deployment.
+//! Two limits apply, and the lower one counts:
+//!
+//! - the adaptive limit is cut while fills of the target end late, and grows back in proportion to itself;
+//! - the change ceiling holds the rate near its level from before a change of the topology, so that the change
+//!   alone can't flood the target. It applies only once that level is known.
+//!
+//! Without lateness and without a change there is no limit. No limit depends on the size of a deployment.
 
 use linnethook::interface::Ms;
 use linnethook::measure::{Allowance, Gate, GateRule};
 
-/// How a budget moves.
+use crate::event_rate::EventRate;
+
+/// How a budget adapts.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBudgetConfig {
-    /// How far back the mean of what went there reaches.
+    /// Window over which the rate of fills is averaged, in milliseconds.
     pub rate_window: Ms,
-    /// The weight of a fill in the share of late ones, the share that is borne, the factor of a cut and the time
-    /// between two.
+    /// Weight of one fill in the ratio of late fills.
     pub sample_weight: f64,
+    /// Ratio of late fills above which the adaptive limit is cut.
     pub max_late_ratio: f64,
+    /// Factor of one cut.
     pub decrease_factor: f64,
+    /// Shortest time between two cuts, in milliseconds.
     pub decrease_interval: Ms,
-    /// By what part of itself the limit grows in a second without trouble.
+    /// Growth of a limit per second, as a ratio of itself.
     pub growth_per_second: f64,
-    /// So many times what goes there it is no limit any more.
+    /// A limit is lifted when it exceeds the rate of fills by this factor.
     pub unlimited_multiple: f64,
-    /// While the shape changes, so many times what went there before may go.
+    /// The change ceiling, as a multiple of the rate before the change.
     pub headroom: f64,
-    /// How many seconds' fills may go at once: what comes by chance comes in heaps, the more so the less one router sees.
+    /// Burst size, as seconds of the limit. Arrivals at random come in clusters, the more so at low rates.
     pub burst_seconds: f64,
-    /// Fills a second that may go in any case.
+    /// The least value of a limit, in fills per second.
     pub min_rate: f64,
-    /// For how long something has to go there before that is known as what goes there.
+    /// For how long fills have to be seen before their rate counts as known, in milliseconds.
     pub learning_time: Ms,
 }
 
@@ -51,283 +58,191 @@
     }
 }
 
-/// Events a second, in which the past fades.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct EventRate {
-    sum: f64,
-    at: Ms,
-    since: Option<Ms>,
-}
-
-impl EventRate {
-    pub fn add(&mut self, now: Ms, amount: f64, span: Ms) {
-        self.since.get_or_insert(now);
-        self.sum = (self.faded(now, span) + amount).max(0.0);
-        self.at = now;
-    }
-
-    fn faded(&self, now: Ms, span: Ms) -> f64 {
-        self.sum * (-(now - self.at).max(0.0) / span).exp()
-    }
-
-    /// How long ago the first event was.
-    pub fn age(&self, now: Ms) -> Ms {
-        self.since.map_or(0.0, |since| now - since)
-    }
-
-    /// Per second; right from the start on, before a whole span has passed.
-    pub fn per_second(&self, now: Ms, span: Ms) -> f64 {
-        let Some(since) = self.since else { return 0.0 };
-        // The weight that the time since the first event has of all time, at least that of a fifth of a span.
-        let seen = 1.0 - (-(now - since).max(span / 5.0) / span).exp();
-        self.faded(now, span) / (span * seen) * 1000.0
-    }
-}
-
-/// What went there before the shape began to change.
+/// The limit that holds the rate near its level from before a change.
 #[derive(Debug, Clone, Copy)]
 struct ChangeCeiling {
+    /// Fills per second.
     limit: f64,
-    /// When the change was over: from then on it grows.
-    over: Option<Ms>,
+    /// When the change ended; the ceiling grows from then on.
+    ended_at: Option<Ms>,
 }
 
+/// The flow that a limit allows.
+struct Flow {
+    /// Fills per millisecond.
+    rate: f64,
+    /// Fills that may go at once.
+    burst: f64,
+}
+
+/// The budget of one target.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBudget {
-    rule: RateBudgetConfig,
+    config: RateBudgetConfig,
     rate: EventRate,
-    gate: Gate,
-    gate_at: Ms,
+    adaptive_limit: Gate,
+    adapted_at: Ms,
     ceiling: Option<ChangeCeiling>,
-    /// The shape changes, and what went there before is not known yet.
-    learning: bool,
+    /// A change is in progress, and the rate before it is not known yet.
+    is_learning: bool,
     allowance: Allowance,
 }
 
 impl RateBudget {
-    pub fn new(now: Ms, rule: RateBudgetConfig) -> Self {
+    /// A budget without a limit.
+    pub fn new(now: Ms, config: RateBudgetConfig) -> Self {
         let mut allowance = Allowance::empty(now);
         allowance.spend(now, 0.0, 0.0, 0.0);
-        let gate = Gate::new(f64::INFINITY);
         Self {
-            rule,
+            config,
             rate: EventRate::default(),
-            gate,
-            gate_at: now,
+            adaptive_limit: Gate::new(f64::INFINITY),
+            adapted_at: now,
             ceiling: None,
-            learning: false,
+            is_learning: false,
             allowance,
         }
     }
 
-    /// Fills a second that go there.
+    /// Fills per second that go to the target.
     pub fn rate(&self, now: Ms) -> f64 {
-        self.rate.per_second(now, self.rule.rate_window)
+        self.rate.per_second(now, self.config.rate_window)
     }
 
-    /// Fills a second that may go there; infinite without a limit.
+    /// Fills per second that may go to the target; infinite without a limit.
     pub fn limit(&self, now: Ms) -> f64 {
-        let ceiling = self.ceiling.map_or(f64::INFINITY, |ceiling| self.grown(now, &ceiling));
-        self.gate.limit.min(ceiling).max(self.rule.min_rate)
+        let ceiling = self.ceiling.map_or(f64::INFINITY, |ceiling| self.ceiling_at(now, &ceiling));
+        self.adaptive_limit.limit.min(ceiling).max(self.config.min_rate)
     }
 
-    fn grown(&self, now: Ms, ceiling: &ChangeCeiling) -> f64 {
-        let seconds = ceiling.over.map_or(0.0, |over| (now - over).max(0.0) / 1000.0);
-        ceiling.limit * (1.0 + self.rule.growth_per_second).powf(seconds)
+    fn ceiling_at(&self, now: Ms, ceiling: &ChangeCeiling) -> f64 {
+        let seconds = ceiling.ended_at.map_or(0.0, |ended_at| (now - ended_at).max(0.0) / 1000.0);
+        ceiling.limit * (1.0 + self.config.growth_per_second).powf(seconds)
     }
 
-    /// What may go in one go and the rate at which it fills, in fills and milliseconds.
-    fn flow(&self, now: Ms) -> Option<(f64, f64)> {
+    fn flow(&self, now: Ms) -> Option<Flow> {
         let limit = self.limit(now);
-        limit.is_finite().then(|| (limit / 1000.0, (limit * self.rule.burst_seconds).max(1.0)))
+        let burst = (limit * self.config.burst_seconds).max(1.0);
+        limit.is_finite().then(|| Flow { rate: limit / 1000.0, burst })
     }
 
-    /// Whether so much more may go there now.
+    /// Whether fills of that expected number may go now.
     pub fn admits(&self, now: Ms, cost: f64) -> bool {
-        self.flow(now).is_none_or(|(rate, most)| self.allowance.left(now, rate, most) >= cost.min(most))
+        self.flow(now)
+            .is_none_or(|flow| self.allowance.left(now, flow.rate, flow.burst) >= cost.min(flow.burst))
     }
 
-    /// How long until so much more may go, if nothing else does.
-    pub fn wait(&self, now: Ms, cost: f64) -> Ms {
-        self.flow(now).map_or(0.0, |(rate, most)| {
-            ((cost.min(most) - self.allowance.left(now, rate, most)) / rate).max(0.0)
+    /// Milliseconds until fills of that expected number may go, if no others do.
+    pub fn delay(&self, now: Ms, cost: f64) -> Ms {
+        self.flow(now).map_or(0.0, |flow| {
+            let missing = cost.min(flow.burst) - self.allowance.left(now, flow.rate, flow.burst);
+            (missing / flow.rate).max(0.0)
         })
     }
 
-    /// Whether it is so near to its ceiling that a change had better stand still.
-    pub fn is_tight(&self, now: Ms) -> bool {
-        let near = |ceiling: &ChangeCeiling| {
-            let middle = (1.0 + 1.0 / self.rule.headroom) / 2.0;
-            ceiling.over.is_none() && self.rate(now) > ceiling.limit * middle
-        };
-        self.ceiling.as_ref().is_some_and(near)
+    /// Whether the rate is so near the change ceiling that a rollout had better pause.
+    pub fn is_near_ceiling(&self, now: Ms) -> bool {
+        // Half way between the rate before the change and the ceiling.
+        let near_ratio = (1.0 + 1.0 / self.config.headroom) / 2.0;
+        self.ceiling
+            .is_some_and(|ceiling| ceiling.ended_at.is_none() && self.rate(now) > ceiling.limit * near_ratio)
     }
 
-    /// It goes, whether it may or not; a negative cost is given back.
+    /// Records fills that go, admitted or not. A negative cost is given back.
     pub fn spend(&mut self, now: Ms, cost: f64) {
-        self.rate.add(now, cost, self.rule.rate_window);
-        if let Some((rate, most)) = self.flow(now) {
-            self.allowance.spend(now, rate, most, cost);
+        self.rate.add(now, cost, self.config.rate_window);
+        if let Some(flow) = self.flow(now) {
+            self.allowance.spend(now, flow.rate, flow.burst, cost);
         }
     }
 
-    /// How one ended that went there.
-    pub fn report(&mut self, now: Ms, late: bool) {
+    /// Records whether a fill of the target ended late.
+    pub fn report(&mut self, now: Ms, is_late: bool) {
         let rule = GateRule {
-            part: self.rule.sample_weight,
-            span: self.rule.rate_window,
-            bear: self.rule.max_late_ratio,
-            cut: self.rule.decrease_factor,
-            gap: self.rule.decrease_interval,
+            part: self.config.sample_weight,
+            span: self.config.rate_window,
+            bear: self.config.max_late_ratio,
+            cut: self.config.decrease_factor,
+            gap: self.config.decrease_interval,
             raise: 0.0,
-            least: self.rule.min_rate,
+            least: self.config.min_rate,
             most: f64::INFINITY,
         };
-        self.gate.report(now, late, self.rate(now), &rule);
+        self.adaptive_limit.report(now, is_late, self.rate(now), &rule);
     }
 
-    /// Lets time pass: limits grow, and go where they limit nothing any more.
+    /// Lets limits grow, and lifts those that limit nothing any more.
     pub fn tick(&mut self, now: Ms) {
-        let used = self.rate(now).max(self.rule.min_rate);
-        let seconds = ((now - self.gate_at) / 1000.0).max(0.0);
-        self.gate_at = now;
-        let before = self.limit(now);
-        if self.gate.limit.is_finite() {
-            self.gate.limit *= (1.0 + self.rule.growth_per_second).powf(seconds);
-            if self.gate.limit > used * self.rule.unlimited_multiple {
-                self.gate.limit = f64::INFINITY;
-            }
-        }
-        let open = |ceiling: &ChangeCeiling| {
-            ceiling.over.is_some() && self.grown(now, ceiling) > used * self.rule.unlimited_multiple
+        let used = self.rate(now).max(self.config.min_rate);
+        let lifted_above = used * self.config.unlimited_multiple;
+        let was_unlimited = self.grow_adaptive_limit(now, lifted_above);
+        let is_lifted = |ceiling: &ChangeCeiling| {
+            ceiling.ended_at.is_some() && self.ceiling_at(now, ceiling) > lifted_above
         };
-        if self.ceiling.as_ref().is_some_and(open) {
+        if self.ceiling.as_ref().is_some_and(is_lifted) {
             self.ceiling = None;
         }
-        if self.learning && self.is_known(now) {
-            self.hold(now);
+        if self.is_learning && self.is_rate_known(now) {
+            self.set_ceiling(now);
         }
-        if before.is_infinite() && self.limit(now).is_finite() {
+        if was_unlimited && self.limit(now).is_finite() {
             self.allowance = Allowance::empty(now);
         }
     }
 
-    /// The shape begins to change: no more than before, and some headroom, until it is over.
+    /// Lets the adaptive limit grow. Returns whether there was no limit before.
+    fn grow_adaptive_limit(&mut self, now: Ms, lifted_above: f64) -> bool {
+        let seconds = ((now - self.adapted_at) / 1000.0).max(0.0);
+        self.adapted_at = now;
+        let was_unlimited = self.limit(now).is_infinite();
+        if self.adaptive_limit.limit.is_finite() {
+            self.adaptive_limit.limit *= (1.0 + self.config.growth_per_second).powf(seconds);
+            if self.adaptive_limit.limit > lifted_above {
+                self.adaptive_limit.limit = f64::INFINITY;
+            }
+        }
+        was_unlimited
+    }
+
+    /// A change of the topology begins: the change ceiling applies until it ends.
     pub fn begin_change(&mut self, now: Ms) {
-        let known = self.is_known(now);
+        let is_known = self.is_rate_known(now);
         match &mut self.ceiling {
-            // A further change in the course of one must not raise the ceiling by what this one let through.
-            Some(ceiling) => ceiling.over = None,
-            None if known => self.hold(now),
-            // A ceiling by what went there in a moment would refuse what it bears.
-            None => self.learning = true,
+            // A further change must not raise the ceiling by the fills that this one caused.
+            Some(ceiling) => ceiling.ended_at = None,
+            None if is_known => self.set_ceiling(now),
+            // A ceiling by the rate of a moment would refuse what the target can serve.
+            None => self.is_learning = true,
         }
     }
 
-    /// Whether something went there for long enough to tell what goes there.
-    fn is_known(&self, now: Ms) -> bool {
-        self.rate.age(now) >= self.rule.learning_time
+    /// Whether fills went to the target for long enough to know their rate.
+    fn is_rate_known(&self, now: Ms) -> bool {
+        self.rate.age(now) >= self.config.learning_time
     }
 
-    fn hold(&mut self, now: Ms) {
-        let limit = (self.rate(now) * self.rule.headroom).max(self.rule.min_rate);
-        self.ceiling = Some(ChangeCeiling { limit, over: None });
-        self.learning = false;
+    fn set_ceiling(&mut self, now: Ms) {
+        let limit = (self.rate(now) * self.config.headroom).max(self.config.min_rate);
+        self.ceiling = Some(ChangeCeiling { limit, ended_at: None });
+        self.is_learning = false;
         self.allowance = Allowance::empty(now);
     }
 
-    /// Whether the shape changes and it is not known yet what went there before.
+    /// Whether a change is in progress and the rate before it is not known yet.
     pub fn is_learning(&self) -> bool {
-        self.learning
+        self.is_learning
     }
 
+    /// The change has ended: the ceiling grows until it is lifted.
     pub fn end_change(&mut self, now: Ms) {
-        self.learning = false;
-        if let Some(ceiling) = self.ceiling.as_mut().filter(|ceiling| ceiling.over.is_none()) {
-            ceiling.over = Some(now);
+        self.is_learning = false;
+        if let Some(ceiling) = self.ceiling.as_mut().filter(|ceiling| ceiling.ended_at.is_none()) {
+            ceiling.ended_at = Some(now);
         }
     }
 
-    pub fn is_changing(&self) -> bool {
+    /// Whether the change ceiling applies, in a change or after it.
+    pub fn has_ceiling(&self) -> bool {
         self.ceiling.is_some()
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Offers so many fills a second for some seconds; how many went in the last one.
-    fn offer(budget: &mut RateBudget, from: Ms, seconds: u32, per_second: u32, late: bool) -> u32 {
-        let mut gone = 0;
-        for second in 0..seconds {
-            gone = 0;
-            for n in 0..per_second {
-                let now = from + f64::from(second) * 1000.0 + f64::from(n) * 1000.0 / f64::from(per_second);
-                budget.tick(now);
-                if budget.admits(now, 1.0) {
-                    budget.spend(now, 1.0);
-                    budget.report(now, late);
-                    gone += 1;
-                }
-            }
-        }
-        gone
-    }
-
-    #[test]
-    fn without_trouble_or_change_all_goes() {
-        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
-        assert_eq!(offer(&mut budget, 0.0, 10, 200, false), 200);
-        assert!((budget.rate(10_000.0) - 200.0).abs() < 20.0, "{}", budget.rate(10_000.0));
-    }
-
-    #[test]
-    fn a_change_lets_no_flood_through_and_the_ceiling_goes_after_it() {
-        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
-        offer(&mut budget, 0.0, 10, 50, false);
-        budget.begin_change(10_000.0);
-        let during = offer(&mut budget, 10_000.0, 5, 500, false);
-        assert!((50..=65).contains(&during), "{during}");
-        budget.begin_change(15_000.0);
-        let again = offer(&mut budget, 15_000.0, 5, 500, false);
-        assert!(again <= 65, "a second change in the course of the first: {again}");
-        budget.end_change(20_000.0);
-        let after = offer(&mut budget, 20_000.0, 40, 100, false);
-        assert!(after == 100 && !budget.is_changing(), "{after}");
-    }
-
-    /// Without a past: nothing that the target bears is refused, and once it is known what goes there that is the limit.
-    #[test]
-    fn a_change_right_after_the_start_is_held_by_what_is_learned_within_it() {
-        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
-        assert_eq!(offer(&mut budget, 0.0, 1, 50, false), 50);
-        budget.begin_change(1_000.0);
-        assert!(budget.is_learning() && !budget.is_tight(1_000.0));
-        assert_eq!(offer(&mut budget, 1_000.0, 3, 50, false), 50, "none of it is too much");
-        offer(&mut budget, 4_000.0, 2, 50, false);
-        assert!(!budget.is_learning() && budget.is_changing());
-        let flood = offer(&mut budget, 6_000.0, 5, 500, false);
-        assert!((50..=70).contains(&flood), "{flood}");
-        let mut over = RateBudget::new(0.0, RateBudgetConfig::default());
-        over.begin_change(0.0);
-        over.end_change(100.0);
-        offer(&mut over, 200.0, 10, 50, false);
-        assert!(
-            !over.is_learning() && over.limit(11_000.0).is_infinite(),
-            "it was over before that was known"
-        );
-    }
-
-    #[test]
-    fn a_target_that_is_late_gets_less_and_more_again_when_it_is_well() {
-        let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
-        offer(&mut budget, 0.0, 5, 100, false);
-        let slow = offer(&mut budget, 5_000.0, 10, 100, true);
-        assert!(slow < 40, "{slow}");
-        let well = offer(&mut budget, 15_000.0, 60, 100, false);
-        assert!(well >= 99, "{well}");
-        let never = RateBudget::new(0.0, RateBudgetConfig::default()).wait(0.0, 1.0);
-        assert_eq!(never, 0.0);
-    }
-}
--- a/crates/hierarchy/src/recent_keys.rs
+++ b/crates/hierarchy/src/recent_keys.rs
@@ -1,96 +1,112 @@
-//! Owns what is remembered of cold keys: when one was last fetched through a source, in four bytes a key.
+//! When keys were last fetched through a node, at four bytes a key.
 //!
-//! A set-associative table of fingerprints with a coarse time each: a full set loses its oldest. It may take one
-//! key for another (a fingerprint of 16 bits among eight: about one in eight thousand), and forgets under
-//! pressure; both only shift an estimate. Must never grow.
+//! A set-associative table of fingerprints with a coarse timestamp each, of constant size. A full set forgets its
+//! oldest key. Two keys of one set may share a fingerprint (16 bits among eight cells: about one key in eight
+//! thousand). Both errors only shift an estimate.
 
 use linnethook::interface::Ms;
 
-const WAYS: usize = 8;
+const CELLS_PER_SET: usize = 8;
+
+/// Timestamps wrap after four times as many ticks, so that ages up to the horizon are unambiguous.
+const HORIZON_TICKS: u16 = 1 << 14;
+
+/// The shortest tick, in milliseconds.
+const MIN_TICK: Ms = 1.0;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Cell {
-    /// 0 = empty.
-    print: u16,
+    /// 0 in an empty cell.
+    fingerprint: u16,
     /// In ticks, wrapping.
-    at: u16,
+    recorded_at: u16,
+}
+
+impl Cell {
+    /// Ticks since it was recorded; an empty cell is older than any other.
+    fn age(&self, now: u16) -> u32 {
+        match self.fingerprint {
+            0 => u32::MAX,
+            _ => u32::from(now.wrapping_sub(self.recorded_at)),
+        }
+    }
 }
 
-/// When keys were last seen, up to a horizon.
+/// When keys were last recorded, up to a horizon.
 #[derive(Debug, Clone)]
 pub struct RecentKeys {
-    sets: Vec<[Cell; WAYS]>,
-    /// Length of a tick: the horizon is a quarter of what a time can tell apart.
+    sets: Vec<[Cell; CELLS_PER_SET]>,
+    /// Milliseconds in a tick.
     tick: Ms,
-    horizon: u16,
 }
 
 impl RecentKeys {
-    /// Room for that many keys, rounded up to a power of two.
+    /// Room for that many keys, rounded up to a power of two, and a horizon in milliseconds.
     pub fn new(keys: usize, horizon: Ms) -> Self {
-        let sets = keys.div_ceil(WAYS).next_power_of_two();
-        let horizon_ticks = 1u16 << 14;
-        let tick = (horizon / f64::from(horizon_ticks)).max(1.0);
-        Self { sets: vec![[Cell::default(); WAYS]; sets], tick, horizon: horizon_ticks }
+        let sets = keys.div_ceil(CELLS_PER_SET).next_power_of_two();
+        let tick = (horizon / f64::from(HORIZON_TICKS)).max(MIN_TICK);
+        Self { sets: vec![[Cell::default(); CELLS_PER_SET]; sets], tick }
     }
 
-    fn tick_of(&self, now: Ms) -> u16 {
+    fn tick_at(&self, now: Ms) -> u16 {
         // Wraps on purpose.
         ((now / self.tick) as u64) as u16
     }
 
-    fn place(&self, key: u64) -> (usize, u16) {
+    /// The set of a key, and its fingerprint: the lower bits choose the one and the upper bits are the other.
+    fn set_and_fingerprint(&self, key: u64) -> (usize, u16) {
         let set = key as usize & (self.sets.len() - 1);
-        // The bits that chose the set tell nothing any more.
-        let print = (key >> 48) as u16;
-        (set, print.max(1))
+        let fingerprint = (key >> 48) as u16;
+        (set, fingerprint.max(1))
     }
 
-    /// Notes a key, in place of the one in its set that was seen longest ago.
-    pub fn note(&mut self, now: Ms, key: u64) {
-        let (set, print) = self.place(key);
-        let at = self.tick_of(now);
+    /// Records a key now. A full set forgets the key that was recorded longest ago.
+    pub fn record(&mut self, now: Ms, key: u64) {
+        let (set, fingerprint) = self.set_and_fingerprint(key);
+        let recorded_at = self.tick_at(now);
         let cells = &mut self.sets[set];
-        let same = cells.iter().position(|cell| cell.print == print);
+        let same_key = cells.iter().position(|cell| cell.fingerprint == fingerprint);
         let oldest = || {
-            let age = |cell: &Cell| match cell.print {
-                0 => u32::MAX,
-                _ => u32::from(at.wrapping_sub(cell.at)),
-            };
-            cells.iter().enumerate().max_by_key(|(_, cell)| age(cell)).map_or(0, |(n, _)| n)
+            let oldest = cells.iter().enumerate().max_by_key(|(_, cell)| cell.age(recorded_at));
+            oldest.map_or(0, |(index, _)| index)
         };
-        let n = same.unwrap_or_else(oldest);
-        cells[n] = Cell { print, at };
+        let index = same_key.unwrap_or_else(oldest);
+        cells[index] = Cell { fingerprint, recorded_at };
     }
 
-    /// How long ago the key was seen, to the tick; `None` past the horizon, or if it was forgotten.
+    /// Milliseconds since the key was recorded, to the tick. `None` beyond the horizon, or for a forgotten key.
     pub fn age(&self, now: Ms, key: u64) -> Option<Ms> {
-        let (set, print) = self.place(key);
-        let cell = self.sets[set].iter().find(|cell| cell.print == print)?;
-        let age = self.tick_of(now).wrapping_sub(cell.at);
-        (age <= self.horizon).then(|| f64::from(age) * self.tick)
+        let (set, fingerprint) = self.set_and_fingerprint(key);
+        let cell = self.sets[set].iter().find(|cell| cell.fingerprint == fingerprint)?;
+        let age = self.tick_at(now).wrapping_sub(cell.recorded_at);
+        (age <= HORIZON_TICKS).then(|| f64::from(age) * self.tick)
     }
 
-    /// Lets go of a key.
+    /// Forgets a key.
     pub fn forget(&mut self, key: u64) {
-        let (set, print) = self.place(key);
-        self.sets[set].iter_mut().filter(|cell| cell.print == print).for_each(|cell| *cell = Cell::default());
+        let (set, fingerprint) = self.set_and_fingerprint(key);
+        for cell in self.sets[set].iter_mut().filter(|cell| cell.fingerprint == fingerprint) {
+            *cell = Cell::default();
+        }
     }
 
-    /// Empties all cells past the horizon. To be called at least once in each horizon, or old times would wrap
-    /// round and look new.
+    /// Forgets all keys beyond the horizon. Has to be called once in each [`sweep_interval`](Self::sweep_interval),
+    /// or old timestamps would wrap and look new.
     pub fn sweep(&mut self, now: Ms) {
-        let (at, horizon) = (self.tick_of(now), self.horizon);
-        let past = |cell: &&mut Cell| cell.print != 0 && at.wrapping_sub(cell.at) > horizon;
-        self.sets.iter_mut().flatten().filter(past).for_each(|cell| *cell = Cell::default());
+        let now = self.tick_at(now);
+        for cell in self.sets.iter_mut().flatten() {
+            if cell.fingerprint != 0 && now.wrapping_sub(cell.recorded_at) > HORIZON_TICKS {
+                *cell = Cell::default();
+            }
+        }
     }
 
-    /// How often `sweep` is due.
-    pub fn sweep_every(&self) -> Ms {
-        f64::from(self.horizon) * self.tick
+    /// How often [`sweep`](Self::sweep) is due, in milliseconds.
+    pub fn sweep_interval(&self) -> Ms {
+        f64::from(HORIZON_TICKS) * self.tick
     }
 
-    /// Bytes of the table.
+    /// The size of the table in bytes.
     pub fn bytes(&self) -> usize {
         std::mem::size_of_val(&self.sets[..])
     }
--- /dev/null
+++ b/crates/hierarchy/src/rollout/migration.rs
@@ -0,0 +1,221 @@
+//! The migration of children to one new source: the fraction of objects it fills, and when its stages change.
+
+use linnethook::interface::Ms;
+use linnethook::measure::Mean;
+
+use super::{RollbackReason, RolloutConfig, RolloutStage};
+use crate::node::NodeId;
+use crate::version::BatchPosition;
+
+/// The largest exponent of the retry backoff.
+const MAX_BACKOFF_EXPONENT: u32 = 30;
+
+/// The migration of children to a new source by one batch.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct MigrationId {
+    /// The new source.
+    pub target: NodeId,
+    /// The batch that wrote it.
+    pub position: BatchPosition,
+}
+
+/// What a migration depends on beside its own state.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct Conditions {
+    /// The tiers above reject fills or are near their limits.
+    pub is_constrained: bool,
+    /// The new source may be used.
+    pub is_target_ready: bool,
+}
+
+/// How far a migration has come, and what was observed of it.
+#[derive(Debug, Clone)]
+pub struct Migration {
+    stage: RolloutStage,
+    /// When the ramp started or starts, pauses added.
+    ramp_start: Ms,
+    /// How long the ramp has paused in all.
+    paused: Ms,
+    attempts: u32,
+    new_failures: Mean,
+    old_failures: Mean,
+    /// When the new source last started; 0 if that is not known.
+    target_started: Ms,
+    has_no_fallback: bool,
+    last_tick: Ms,
+}
+
+impl Migration {
+    /// A migration by a batch that takes effect at `effective_at`, to a source that started at `target_started`.
+    pub(super) fn new(now: Ms, effective_at: Ms, target_started: Ms, config: &RolloutConfig) -> Self {
+        let ramp_start = effective_at + config.announcement;
+        // A router that receives the batch late, as after a restart, joins the others in the ramp.
+        let stage = if now >= ramp_start { RolloutStage::Warming } else { RolloutStage::Planned };
+        Self {
+            stage,
+            ramp_start,
+            paused: 0.0,
+            attempts: 0,
+            new_failures: Mean::new(0.0),
+            old_failures: Mean::new(0.0),
+            target_started,
+            has_no_fallback: false,
+            last_tick: now,
+        }
+    }
+
+    /// Its present stage.
+    pub fn stage(&self) -> RolloutStage {
+        self.stage
+    }
+
+    /// Rollbacks so far.
+    pub fn attempts(&self) -> u32 {
+        self.attempts
+    }
+
+    /// The ratio of late or failed fills by the new source, from 0 to 1.
+    pub fn new_failure_ratio(&self) -> f64 {
+        self.new_failures.value
+    }
+
+    /// The ratio of late or failed fills by the old sources, from 0 to 1.
+    pub fn old_failure_ratio(&self) -> f64 {
+        self.old_failures.value
+    }
+
+    /// The fraction of objects that the new source fills now, from 0 to 1.
+    ///
+    /// It rises linearly over the ramp, from the time of the batch alone, so that all routers agree on it. A source
+    /// that has itself just started gets no more than its slow start allows. Without a fallback the new source fills
+    /// all objects: the remaining old source is the origin, which the shield protects, and the new source caches
+    /// what it fills.
+    pub fn fraction(&self, now: Ms, config: &RolloutConfig) -> f64 {
+        let ramp = match self.stage {
+            _ if self.has_no_fallback => 1.0,
+            RolloutStage::Settled => 1.0,
+            RolloutStage::Planned | RolloutStage::Announced | RolloutStage::RolledBack(_) => 0.0,
+            RolloutStage::Warming => {
+                let progress = (now - self.ramp_start).max(0.0) / config.ramp_duration.max(1.0);
+                (config.initial_fraction + (1.0 - config.initial_fraction) * progress).min(1.0)
+            }
+        };
+        ramp.min(self.slow_start_fraction(now, config))
+    }
+
+    /// The fraction that a source that has just started can serve, by the slow start of caches.
+    fn slow_start_fraction(&self, now: Ms, config: &RolloutConfig) -> f64 {
+        let slow_start = &config.slow_start;
+        let age = now - self.target_started;
+        if self.target_started <= 0.0 || slow_start.warm_in <= 0.0 || age >= slow_start.warm_in {
+            return 1.0;
+        }
+        let capacity = slow_start.from + (1.0 - slow_start.from) * (age / slow_start.warm_in).max(0.0);
+        (capacity * slow_start.fall_multiple * config.slow_start_fraction).min(1.0)
+    }
+
+    /// Whether it is announced or warming.
+    pub(super) fn is_in_progress(&self) -> bool {
+        matches!(self.stage, RolloutStage::Announced | RolloutStage::Warming)
+    }
+
+    /// Whether it was rolled back and has no attempts left.
+    pub(super) fn is_abandoned(&self, config: &RolloutConfig) -> bool {
+        matches!(self.stage, RolloutStage::RolledBack(_)) && self.attempts >= config.max_attempts
+    }
+
+    /// Whether the new source does harm: its failure ratio is known, too high, and far above that of the old
+    /// sources, so that lateness on both sides is not blamed on the change.
+    fn has_high_failure_rate(&self, config: &RolloutConfig) -> bool {
+        self.new_failures.seen >= config.min_samples
+            && self.new_failures.value > config.max_failure_ratio
+            && self.new_failures.value > self.old_failures.value * config.max_failure_multiple
+    }
+
+    /// Records the end of a fill by the new source.
+    pub(super) fn record_new(&mut self, failure: f64, config: &RolloutConfig) {
+        self.new_failures.add(failure, config.sample_weight);
+    }
+
+    /// Records the end of a fill by an old source.
+    pub(super) fn record_old(&mut self, failure: f64, config: &RolloutConfig) {
+        self.old_failures.add(failure, config.sample_weight);
+    }
+
+    /// The new source has restarted with an empty cache.
+    pub(super) fn target_restarted(&mut self, at: Ms) {
+        self.target_started = self.target_started.max(at);
+    }
+
+    pub(super) fn set_has_no_fallback(&mut self, has_no_fallback: bool) {
+        self.has_no_fallback = has_no_fallback;
+    }
+
+    /// Rolls back if fills use the new source or soon will. The next attempt follows after a delay that grows with
+    /// each rollback; a requested rollback is final. Returns whether it rolled back.
+    pub(super) fn roll_back(&mut self, now: Ms, reason: RollbackReason, config: &RolloutConfig) -> bool {
+        if !self.is_in_progress() && self.stage != RolloutStage::Planned {
+            return false;
+        }
+        self.stage = RolloutStage::RolledBack(reason);
+        let exponent = self.attempts.min(MAX_BACKOFF_EXPONENT) as i32;
+        let delay = config.retry_delay * config.backoff_factor.powi(exponent);
+        self.attempts = match reason {
+            RollbackReason::Requested => config.max_attempts,
+            _ => self.attempts + 1,
+        };
+        self.ramp_start = now + delay;
+        self.new_failures = Mean::new(0.0);
+        true
+    }
+
+    /// Moves on to the next stage if that is due. This is the one place that decides when a migration goes on, pauses
+    /// or is rolled back for its failure rate. Returns whether the stage has changed.
+    pub(super) fn tick(&mut self, now: Ms, conditions: Conditions, config: &RolloutConfig) -> bool {
+        let elapsed = (now - self.last_tick).max(0.0);
+        self.last_tick = now;
+        let before = self.stage;
+        match self.stage {
+            RolloutStage::Planned if now >= self.ramp_start - config.announcement => {
+                self.stage = RolloutStage::Announced;
+            }
+            RolloutStage::Announced if now >= self.ramp_start => self.stage = RolloutStage::Warming,
+            RolloutStage::Warming => self.tick_warming(now, elapsed, conditions, config),
+            RolloutStage::RolledBack(_) if self.may_retry(now, conditions, config) => {
+                self.ramp_start = now;
+                self.stage = RolloutStage::Warming;
+            }
+            _ => {}
+        }
+        self.stage != before
+    }
+
+    fn tick_warming(&mut self, now: Ms, elapsed: Ms, conditions: Conditions, config: &RolloutConfig) {
+        if self.has_high_failure_rate(config) && !self.has_no_fallback {
+            self.roll_back(now, RollbackReason::HighFailureRate, config);
+        } else if conditions.is_constrained && self.paused < config.max_pause {
+            self.paused += elapsed;
+            self.ramp_start += elapsed;
+        } else {
+            let is_ramp_complete = self.fraction(now, config) >= 1.0;
+            if is_ramp_complete && now >= self.ramp_start + config.ramp_duration + config.settling_time {
+                self.stage = RolloutStage::Settled;
+            }
+        }
+    }
+
+    /// Whether a rolled-back migration may be tried again: after its delay, with the new source ready.
+    fn may_retry(&self, now: Ms, conditions: Conditions, config: &RolloutConfig) -> bool {
+        !self.is_abandoned(config) && now >= self.ramp_start && conditions.is_target_ready
+    }
+
+    /// When its stage changes next, as far as that follows from the time, in milliseconds of Unix time.
+    pub(super) fn next_deadline(&self, config: &RolloutConfig) -> Option<Ms> {
+        match self.stage {
+            RolloutStage::Planned => Some(self.ramp_start - config.announcement),
+            RolloutStage::Announced => Some(self.ramp_start),
+            RolloutStage::RolledBack(_) if !self.is_abandoned(config) => Some(self.ramp_start),
+            _ => None,
+        }
+    }
+}
--- a/crates/hierarchy/src/topological_order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -1,157 +1,171 @@
-//! Owns a topological order of the edges in use, kept while edges come and go (Pearce and Kelly 2006).
+//! A topological order of the edges in use, maintained as edges are inserted and removed (Pearce and Kelly 2006).
 //!
-//! An edge goes from a node to one that it may fill from. [`TopologicalOrder::link`] refuses an edge that would close a
-//! loop, at a cost that follows the nodes between its ends in the order and not the size of the graph.
-//! Must never hold an edge that is part of a loop.
+//! An edge leads from a node to one that it may fill from. [`TopologicalOrder::insert_edge`] refuses an edge that
+//! would close a cycle. Its cost depends on the nodes between the two ends in the order, not on the size of the
+//! graph.
 
-/// A node's place in the arena of its shape.
+/// The index of a node, given by [`TopologicalOrder::add_node`].
 pub type NodeIndex = u32;
 
-/// The edges in use, and an order in which every edge runs upwards.
+/// The edges in use, and an order of the nodes in which every edge leads upwards.
 #[derive(Debug, Clone, Default)]
 pub struct TopologicalOrder {
-    place: Vec<u32>,
-    up: Vec<Vec<NodeIndex>>,
-    down: Vec<Vec<NodeIndex>>,
-    /// The last search that came by a node; saves clearing a set for each.
-    seen: Vec<u32>,
-    search: u32,
+    /// By node: its position in the order.
+    positions: Vec<u32>,
+    successors: Vec<Vec<NodeIndex>>,
+    predecessors: Vec<Vec<NodeIndex>>,
+    /// By node: the last search that visited it, which saves clearing a set for each search.
+    visited_by: Vec<u32>,
+    last_search: u32,
 }
 
-/// What a new edge would have closed: the nodes from its upper end back to its lower end.
+/// The cycle that an edge would close: the nodes from the edge's end back to its start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cycle(pub Vec<NodeIndex>);
 
 impl TopologicalOrder {
     /// Nodes that were ever added.
     pub fn len(&self) -> usize {
-        self.place.len()
+        self.positions.len()
     }
 
+    /// Whether no node was added.
     pub fn is_empty(&self) -> bool {
-        self.place.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Adds a node without edges, at the end of the order.
-    pub fn add(&mut self) -> NodeIndex {
-        let index = self.place.len() as NodeIndex;
-        self.place.push(index);
-        self.up.push(Vec::new());
-        self.down.push(Vec::new());
-        self.seen.push(0);
+    /// Adds a node without edges at the end of the order.
+    pub fn add_node(&mut self) -> NodeIndex {
+        let index = self.positions.len() as NodeIndex;
+        self.positions.push(index);
+        self.successors.push(Vec::new());
+        self.predecessors.push(Vec::new());
+        self.visited_by.push(0);
         index
     }
 
-    /// The nodes that a node's edges in use lead to.
-    pub fn above(&self, node: NodeIndex) -> &[NodeIndex] {
-        &self.up[node as usize]
+    /// The nodes that a node's edges lead to.
+    pub fn successors(&self, node: NodeIndex) -> &[NodeIndex] {
+        &self.successors[node as usize]
     }
 
-    /// The nodes whose edges in use lead to it.
-    pub fn below(&self, node: NodeIndex) -> &[NodeIndex] {
-        &self.down[node as usize]
+    /// The nodes whose edges lead to a node.
+    pub fn predecessors(&self, node: NodeIndex) -> &[NodeIndex] {
+        &self.predecessors[node as usize]
     }
 
-    /// Whether no edge in use leads to it or from it.
-    pub fn is_apart(&self, node: NodeIndex) -> bool {
-        self.above(node).is_empty() && self.below(node).is_empty()
+    /// Whether a node has no edges.
+    pub fn is_isolated(&self, node: NodeIndex) -> bool {
+        self.successors(node).is_empty() && self.predecessors(node).is_empty()
     }
 
-    /// Takes the edge into use, unless it would close a loop. An edge that is in use already stays.
-    pub fn link(&mut self, from: NodeIndex, to: NodeIndex) -> Result<(), Cycle> {
+    /// Inserts an edge. Inserting it again changes nothing.
+    ///
+    /// # Errors
+    ///
+    /// The cycle that the edge would close; the order is unchanged.
+    pub fn insert_edge(&mut self, from: NodeIndex, to: NodeIndex) -> Result<(), Cycle> {
         if from == to {
             return Err(Cycle(vec![from]));
         }
-        if self.up[from as usize].contains(&to) {
+        if self.successors[from as usize].contains(&to) {
             return Ok(());
         }
-        let (low, high) = (self.place[to as usize], self.place[from as usize]);
-        if low < high {
-            // Only nodes placed between the two ends can be on a loop, or have to move.
-            let above = self.reach(to, from, high)?;
-            let below = self.reach_down(from, low);
+        let (lower, upper) = (self.positions[to as usize], self.positions[from as usize]);
+        if lower < upper {
+            // Only nodes between the two ends can be part of a cycle or have to move.
+            let above = self.find_successors(to, from, upper)?;
+            let below = self.find_predecessors(from, lower);
             self.reorder(below, above);
         }
-        self.up[from as usize].push(to);
-        self.down[to as usize].push(from);
+        self.successors[from as usize].push(to);
+        self.predecessors[to as usize].push(from);
         Ok(())
     }
 
-    /// Takes an edge out of use. The order stays right.
-    pub fn unlink(&mut self, from: NodeIndex, to: NodeIndex) {
-        self.up[from as usize].retain(|node| *node != to);
-        self.down[to as usize].retain(|node| *node != from);
+    /// Removes an edge. The order stays valid.
+    pub fn remove_edge(&mut self, from: NodeIndex, to: NodeIndex) {
+        self.successors[from as usize].retain(|node| *node != to);
+        self.predecessors[to as usize].retain(|node| *node != from);
     }
 
-    /// Whether a fill that starts at `from` may come by `to`.
+    /// Whether a path along the edges leads from one node to the other.
     pub fn reaches(&mut self, from: NodeIndex, to: NodeIndex) -> bool {
-        let high = self.place[to as usize];
-        from == to || (self.place[from as usize] < high && self.reach(from, to, high).is_err())
+        let upper = self.positions[to as usize];
+        from == to
+            || (self.positions[from as usize] < upper && self.find_successors(from, to, upper).is_err())
     }
 
-    fn begin(&mut self) -> u32 {
-        self.search = self.search.wrapping_add(1);
-        if self.search == 0 {
-            self.seen.fill(0);
-            self.search = 1;
+    fn begin_search(&mut self) -> u32 {
+        self.last_search = self.last_search.wrapping_add(1);
+        if self.last_search == 0 {
+            self.visited_by.fill(0);
+            self.last_search = 1;
         }
-        self.search
+        self.last_search
     }
 
-    /// All nodes above `start` up to that place; the way to `target` where it is among them.
-    fn reach(&mut self, start: NodeIndex, target: NodeIndex, high: u32) -> Result<Vec<NodeIndex>, Cycle> {
-        let search = self.begin();
-        let (mut found, mut way) = (Vec::new(), vec![(start, 0)]);
-        self.seen[start as usize] = search;
-        while let Some((node, next)) = way.last_mut() {
-            let (node, edge) = (*node, *next);
-            *next += 1;
-            let Some(&above) = self.up[node as usize].get(edge) else {
+    /// All nodes reachable from `start` below the position `upper`, by depth-first search; the path to `target` as
+    /// an error if it is among them.
+    fn find_successors(
+        &mut self,
+        start: NodeIndex,
+        target: NodeIndex,
+        upper: u32,
+    ) -> Result<Vec<NodeIndex>, Cycle> {
+        let search = self.begin_search();
+        let mut found = Vec::new();
+        // Nodes on the current path, each with the edge to follow next.
+        let mut path = vec![(start, 0)];
+        self.visited_by[start as usize] = search;
+        while let Some((node, next_edge)) = path.last_mut() {
+            let (node, edge) = (*node, *next_edge);
+            *next_edge += 1;
+            let Some(&successor) = self.successors[node as usize].get(edge) else {
                 found.push(node);
-                way.pop();
+                path.pop();
                 continue;
             };
-            if above == target {
-                return Err(Cycle(way.iter().map(|(node, _)| *node).chain([target]).collect()));
+            if successor == target {
+                return Err(Cycle(path.iter().map(|(node, _)| *node).chain([target]).collect()));
             }
-            if self.place[above as usize] < high && self.seen[above as usize] != search {
-                self.seen[above as usize] = search;
-                way.push((above, 0));
+            let is_below = self.positions[successor as usize] < upper;
+            if is_below && self.visited_by[successor as usize] != search {
+                self.visited_by[successor as usize] = search;
+                path.push((successor, 0));
             }
         }
         Ok(found)
     }
 
-    /// All nodes below `start` down to that place.
-    fn reach_down(&mut self, start: NodeIndex, low: u32) -> Vec<NodeIndex> {
-        let search = self.begin();
+    /// All nodes that reach `start` above the position `lower`, by breadth-first search.
+    fn find_predecessors(&mut self, start: NodeIndex, lower: u32) -> Vec<NodeIndex> {
+        let search = self.begin_search();
         let mut found = vec![start];
-        self.seen[start as usize] = search;
+        self.visited_by[start as usize] = search;
         let mut next = 0;
         while let Some(&node) = found.get(next) {
             next += 1;
-            for &below in &self.down[node as usize] {
-                if self.place[below as usize] > low && self.seen[below as usize] != search {
-                    self.seen[below as usize] = search;
-                    found.push(below);
+            for &predecessor in &self.predecessors[node as usize] {
+                let is_above = self.positions[predecessor as usize] > lower;
+                if is_above && self.visited_by[predecessor as usize] != search {
+                    self.visited_by[predecessor as usize] = search;
+                    found.push(predecessor);
                 }
             }
         }
         found
     }
 
-    /// Deals the places that both sets hold out anew: first to those below, then to those above.
+    /// Redistributes the positions of both sets: first to the nodes below, then to those above.
     fn reorder(&mut self, mut below: Vec<NodeIndex>, mut above: Vec<NodeIndex>) {
-        let by_place = |order: &Self, nodes: &mut Vec<NodeIndex>| {
-            nodes.sort_unstable_by_key(|node| order.place[*node as usize]);
-        };
-        by_place(self, &mut below);
-        by_place(self, &mut above);
+        below.sort_unstable_by_key(|node| self.positions[*node as usize]);
+        above.sort_unstable_by_key(|node| self.positions[*node as usize]);
         below.append(&mut above);
-        let mut places: Vec<u32> = below.iter().map(|node| self.place[*node as usize]).collect();
-        places.sort_unstable();
-        for (node, place) in below.into_iter().zip(places) {
-            self.place[node as usize] = place;
+        let mut positions: Vec<u32> = below.iter().map(|node| self.positions[*node as usize]).collect();
+        positions.sort_unstable();
+        for (node, position) in below.into_iter().zip(positions) {
+            self.positions[node as usize] = position;
         }
     }
 }
--- a/crates/hierarchy/tests/convergence.rs
+++ b/crates/hierarchy/tests/convergence.rs
@@ -19,22 +19,22 @@
 
     /// An edge is refused when, and only when, a full search finds a loop, and the loop named is one.
     #[test]
-    fn the_order_refuses_what_a_full_search_refuses(
+    fn the_order_refuses_an_edge_when_a_full_search_finds_a_cycle(
         steps in prop::collection::vec((0u32..24, 0u32..24, 0u8..4), 1..200)
     ) {
         let (mut order, mut plain) = (TopologicalOrder::default(), DiGraphMap::<NodeIndex, ()>::new());
         for _ in 0..24 {
-            let index = order.add();
+            let index = order.add_node();
             plain.add_node(index);
         }
         for (from, to, kind) in steps {
             if kind == 0 {
-                order.unlink(from, to);
+                order.remove_edge(from, to);
                 plain.remove_edge(from, to);
                 continue;
             }
             let closes = from == to || has_path_connecting(&plain, to, from, None);
-            match order.link(from, to) {
+            match order.insert_edge(from, to) {
                 Ok(()) => {
                     prop_assert!(!closes, "{from} to {to} closes a loop");
                     plain.add_edge(from, to, ());
@@ -52,7 +52,7 @@
     /// All routers end at the same shape, whatever the order in which they hear, and it is the shape of a plain
     /// replay; a router that starts from another's snapshot has it too.
     #[test]
-    fn all_routers_end_at_the_same_shape(seed in any::<u64>()) {
+    fn all_routers_converge_to_the_same_topology(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let batches = crossing(&mut chance, 4, 40);
         let plain = replay(&batches);
@@ -79,7 +79,7 @@
 
     /// What is taken back leaves nothing behind.
     #[test]
-    fn a_batch_undone_leaves_the_shape_as_it_was(seed in any::<u64>()) {
+    fn undoing_a_batch_restores_the_topology(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let batches = crossing(&mut chance, 2, 30);
         let mut shape = Topology::default();
@@ -100,7 +100,7 @@
     /// The inverse of the newest batch brings the shape from before it back, but for edges that the loop it
     /// made or freed has exchanged.
     #[test]
-    fn a_rollback_restores_what_stood_before(seed in any::<u64>()) {
+    fn inverse_changes_restore_the_source_lists(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut history = History::default();
         for batch in crossing(&mut chance, 1, 20) {
@@ -140,7 +140,7 @@
     assert!(!is_cyclic_directed(&plain));
     for edge in shape.suspended_edges().copied().collect::<Vec<_>>() {
         assert!(has_path_connecting(&plain, edge.source.node.0, edge.from.0, None));
-        let found = shape.would_loop(edge.from, edge.source.node).expect("the loop it waits for");
+        let found = shape.cycle_closed_by(edge.from, edge.source.node).expect("the loop it waits for");
         assert_eq!((found.first(), found.last()), (Some(&edge.source.node), Some(&edge.from)));
     }
 }
@@ -216,7 +216,7 @@
 
 /// What each kind of bad batch is answered, and that bounds hold.
 #[test]
-fn bad_batches_are_refused_whole() {
+fn invalid_batches_are_rejected_whole_and_limits_hold() {
     let mut history = History::new(
         BatchLimits { max_authors: 2, ..BatchLimits::default() },
         HistoryLimits { retained_batches: 4, pending_batches: 2 },
@@ -275,7 +275,7 @@
         history.receive_batch(history.draft_batch(AuthorId(7), f64::NAN, vec![])),
         ReceiveOutcome::Invalid(_)
     ));
-    assert!(history.topology().arena() <= 2, "what was refused keeps no place");
+    assert!(history.topology().slot_count() <= 2, "what was refused keeps no place");
     let mut old = history.draft_batch(AuthorId(7), 0.0, vec![]);
     old.stamp = 1;
     assert!(matches!(history.receive_batch(old), ReceiveOutcome::Invalid(_)));
@@ -284,7 +284,7 @@
 /// Two changes that are fine alone and close a loop together: the later one is suspended, at routers that hear of
 /// them in either order, and it comes back by itself. The same with three of which any two are fine.
 #[test]
-fn of_crossing_changes_that_close_a_loop_the_last_one_waits() {
+fn of_concurrent_changes_that_close_a_cycle_the_last_one_is_suspended() {
     for count in [2u64, 3] {
         let mut base = History::default();
         let add =
--- /dev/null
+++ b/crates/hierarchy/tests/loop_detection.rs
@@ -0,0 +1,54 @@
+//! The path of a fill, and edges excluded after a detected loop.
+
+use linnethook_hierarchy::edge_backoff::{EdgeBackoff, EdgeBackoffConfig};
+use linnethook_hierarchy::loop_detection::{FillPath, FillPathError, PathRejection, MAX_HOPS};
+use linnethook_hierarchy::NodeId;
+
+#[test]
+fn a_path_is_read_back_and_a_node_on_it_rejects_the_fill() {
+    let path = FillPath::new(7).append_node("a").and_then(|path| path.append_node("b")).expect("no loop yet");
+    assert_eq!(path.to_string(), "7:a+b");
+    let read = FillPath::parse("7:a+b").expect("what was written");
+    assert_eq!(read, path);
+    let back = read.clone().append_node("a").expect_err("a loop");
+    assert_eq!(back, PathRejection::Loop { from: "b".to_string(), to: "a".to_string() });
+    assert_eq!(FillPath::parse("3:").map(|path| path.names().count()), Ok(0));
+    let far = (0..MAX_HOPS)
+        .try_fold(FillPath::new(1), |path, n| path.append_node(&format!("n{n}")))
+        .expect("so many");
+    assert_eq!(far.append_node("one-more"), Err(PathRejection::HopLimit));
+}
+
+#[test]
+fn a_malformed_or_long_path_is_an_error() {
+    for text in ["", "7", "x:a", "7:a++b", "7:a=b", "-1:a", "7:a b", "18446744073709551616:a"] {
+        assert_eq!(FillPath::parse(text), Err(FillPathError::Malformed), "{text}");
+    }
+    let many = format!("1:{}", vec!["n"; MAX_HOPS + 1].join("+"));
+    let megabyte = format!("1:{}", "n".repeat(1 << 20));
+    assert_eq!(FillPath::parse(&many), Err(FillPathError::TooLong));
+    assert_eq!(FillPath::parse(&megabyte), Err(FillPathError::TooLong));
+}
+
+#[test]
+fn an_edge_is_excluded_longer_each_time_and_tried_at_a_newer_version() {
+    let (mut backoff, a, b) = (
+        EdgeBackoff::new(EdgeBackoffConfig { max_edges: 3, ..EdgeBackoffConfig::default() }),
+        NodeId(1),
+        NodeId(2),
+    );
+    backoff.back_off(0.0, a, b, 5);
+    backoff.back_off(10.0, a, b, 5);
+    assert!(
+        backoff.is_backed_off(1_005.0, a, b, 5)
+            && !backoff.is_backed_off(1_005.0, a, b, 6)
+            && !backoff.is_backed_off(1_005.0, b, a, 5)
+    );
+    assert!(!backoff.is_backed_off(1_011.0, a, b, 5));
+    backoff.back_off(1_500.0, a, b, 5);
+    assert!(backoff.is_backed_off(3_499.0, a, b, 5), "twice as long when it is found again soon after");
+    (10..20).for_each(|n| backoff.back_off(1_600.0, NodeId(n), b, 5));
+    assert_eq!(backoff.len(), 3);
+    backoff.expire(100_000.0);
+    assert!(backoff.is_empty());
+}
--- a/crates/hierarchy/tests/migrations.rs
+++ b/crates/hierarchy/tests/migrations.rs
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_exchange_of_a_hub_cache_sends_no_flood_to_the_origin() {
+fn replacing_a_parent_does_not_flood_the_origin() {
     let plain =
         HierarchyConfig { rollout_enabled: false, shield_enabled: false, ..HierarchyConfig::default() };
     let run = |rules: HierarchyConfig, ways: bool| {
@@ -200,7 +200,7 @@
 
 /// The old parent dies in the middle: nothing is left to go back to, and the shield holds the flood back.
 #[test]
-fn the_old_parent_dies_in_the_middle_of_the_warming() {
+fn the_old_parent_fails_during_the_ramp() {
     let mut world = World::new(HierarchyConfig::default(), true);
     world.run(120);
     let now = world.now;
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_new_parent_that_drains_or_does_harm_is_left_and_the_old_one_taken_again() {
+fn a_draining_new_parent_is_rolled_back_and_the_old_one_used_again() {
     let mut hierarchy = fleet(HierarchyConfig::default());
     let batch_id = exchange(&mut hierarchy, 0.0, CENTRE);
     let mut now = 0.0;
@@ -249,7 +249,7 @@
 
 /// Who retires is left by stages and asked for what it holds; past its grace it is named no more.
 #[test]
-fn a_retired_parent_serves_what_it_holds_until_its_grace() {
+fn a_retiring_parent_serves_cached_objects_until_its_grace_ends() {
     let rules = HierarchyConfig { retirement_grace: 20_000.0, ..HierarchyConfig::default() };
     let mut hierarchy = fleet(rules);
     let new = NodeId(4);
@@ -272,7 +272,7 @@
 
 /// An edge on which a fill came round is held back for a while, and a shape that both ends know is tried.
 #[test]
-fn an_edge_on_which_a_fill_came_round_is_left_for_a_while() {
+fn an_edge_with_a_detected_loop_is_excluded_for_a_while() {
     let mut hierarchy = fleet(HierarchyConfig::default());
     hierarchy.report_loop(0.0, CACHES[0], SOUTH, hierarchy.version());
     assert_eq!(hierarchy.fill_sources(10.0, CACHES[0]).current, [Source::new(ORIGIN, 9)]);
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_plan_tells_what_would_change_and_changes_nothing() {
+fn a_plan_forecasts_changes_and_changes_nothing() {
     let mut world = World::new(HierarchyConfig::default(), false);
     world.run(20);
     let (now, before) = (world.now, world.hierarchy.topology().digest());
@@ -313,7 +313,7 @@
 
 /// Two routers that hear of a change at different times send an object the same way once both have.
 #[test]
-fn routers_come_to_the_same_parts() {
+fn routers_agree_on_the_fractions() {
     let (mut early, mut late) = (fleet(HierarchyConfig::default()), fleet(HierarchyConfig::default()));
     let changes: Vec<Change> = CACHES.map(|node| Change::Rerank { node, sources: by(CENTRE) }).to_vec();
     let batch = early.draft_batch(AuthorId(1), 0.0, changes);
--- a/crates/hierarchy/tests/origin_shield.rs
+++ b/crates/hierarchy/tests/origin_shield.rs
@@ -5,7 +5,7 @@
 use linnethook_hierarchy::lease::{FetchKey, Grant, LeaseId, LeaseTable};
 use linnethook_hierarchy::origin_shield::{
     FillOutcome, FillRequest, OriginShield, Priority, QueuedDecision, ShieldConfig, ShieldDecision,
-    ShieldRejection,
+    ShieldRejection, TierCost,
 };
 use linnethook_hierarchy::rate_budget::RateBudgetConfig;
 use linnethook_hierarchy::recent_keys::RecentKeys;
@@ -15,8 +15,12 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn end(brought: bool, late: bool) -> FillOutcome {
-    FillOutcome { brought, late: Some(late), filled: None, reached: None }
+fn end(has_copy: bool, is_late: bool) -> FillOutcome {
+    FillOutcome { has_copy, is_late: Some(is_late), reached_source: None, reached_upper_tiers: None }
+}
+
+fn cost(target: u64, expected_fills: f64) -> TierCost {
+    TierCost { target: NodeId(target), expected_fills }
 }
 
 fn fill(ticket: u64, key: u64, priority: Priority) -> FillRequest {
@@ -28,7 +32,7 @@
         may_join: false,
         needs_lease: true,
         max_wait: 1_000.0,
-        tolls: vec![(NodeId(1), 1.0), (NodeId(2), 0.5)],
+        tier_costs: vec![cost(1, 1.0), cost(2, 0.5)],
     }
 }
 
@@ -37,7 +41,7 @@
 
     /// Whoever waits gets one word and no more, by its time; a fetch has one filler; bounds hold; bookings go.
     #[test]
-    fn each_fill_gets_one_word_in_time(seed in any::<u64>()) {
+    fn each_queued_fill_gets_one_decision_in_time(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let rule = ShieldConfig { max_queued: 20, max_queued_bytes: 15_000.0, lease_duration: 300.0, ..ShieldConfig::default() };
         let mut shield = OriginShield::new(rule);
@@ -101,7 +105,7 @@
             let released = shield.tick(now);
             hear(released, now, &mut waiting, &mut out);
             prop_assert!(waiting.values().all(|(until, _)| now < *until), "past its time");
-            prop_assert_eq!(shield.kept().0, waiting.len());
+            prop_assert_eq!(shield.occupancy().queued, waiting.len());
             prop_assert!(waiting.len() <= 15);
             prop_assert!(shield.next_deadline(now).is_some() || waiting.is_empty());
         }
@@ -112,7 +116,7 @@
 
     /// Leases against a plain map of when each ends.
     #[test]
-    fn a_lease_is_held_by_one_and_ends_by_itself(seed in any::<u64>()) {
+    fn a_lease_has_one_holder_and_expires(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let mut leases = LeaseTable::new(8);
         let mut plain = BTreeMap::<FetchKey, (LeaseId, f64)>::new();
@@ -122,7 +126,7 @@
             let fetch = FetchKey { source: NodeId(1), key: chance.random_range(0..12) };
             plain.retain(|_, (_, until)| now < *until);
             match chance.random_range(0..3) {
-                0 | 1 => match leases.ask(now, fetch, 200.0) {
+                0 | 1 => match leases.acquire(now, fetch, 200.0) {
                     Grant::Granted(id) => {
                         prop_assert!(plain.insert(fetch, (id, now + 200.0)).is_none());
                     }
@@ -136,22 +140,22 @@
                 }
             }
             prop_assert!(leases.len() <= 8);
-            prop_assert!(plain.keys().all(|fetch| leases.is_taken(now, *fetch)));
+            prop_assert!(plain.keys().all(|fetch| leases.is_leased(now, *fetch)));
         }
-        let ended = leases.expired(now + 1_000.0).len();
+        let ended = leases.remove_expired(now + 1_000.0).len();
         prop_assert!(leases.is_empty() && ended >= plain.len());
     }
 
     /// What the table says of a key is never older than true, and with room to spare it forgets little.
     #[test]
-    fn the_memory_of_cold_keys_is_near_a_plain_map(seed in any::<u64>()) {
+    fn recent_keys_are_near_a_plain_map(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let (mut table, mut plain) = (RecentKeys::new(4_096, 60_000.0), HashMap::<u64, f64>::new());
         let mut now = 1.7e12;
         for _ in 0..2_000 {
             now += chance.random_range(0..100) as f64;
             let key = linnethook::ring::mix(chance.random_range(0..1_000), 1);
-            table.note(now, key);
+            table.record(now, key);
             plain.insert(key, now);
         }
         let (mut lost, mut kept) = (0, 0);
@@ -172,7 +176,7 @@
 
 /// A filler that is lost blocks those behind it no longer than its lease, and then only one of them goes.
 #[test]
-fn a_lost_filler_does_not_block() {
+fn a_lost_filler_blocks_no_longer_than_its_lease() {
     let mut shield = OriginShield::new(ShieldConfig { lease_duration: 100.0, ..ShieldConfig::default() });
     assert_eq!(shield.request_fill(0.0, fill(1, 7, Priority::Demand)), ShieldDecision::Admit);
     for ticket in [2, 3] {
@@ -194,7 +198,7 @@
 
 /// Bookings first, then demand; renewals do not wait at all; what is over is told when to come back.
 #[test]
-fn what_is_over_the_budget_waits_in_order_or_is_told_when_to_come_back() {
+fn fills_over_the_budget_are_queued_in_order_or_rejected_with_retry_after() {
     let budget = RateBudgetConfig { min_rate: 10.0, ..RateBudgetConfig::default() };
     let mut shield = OriginShield::new(ShieldConfig { budget, ..ShieldConfig::default() });
     for n in 0..100u32 {
@@ -226,5 +230,5 @@
     assert!(words
         .iter()
         .any(|w| matches!(w.decision, ShieldDecision::Reject { reason: ShieldRejection::QueueTimeout, retry_after } if retry_after >= 50.0)));
-    assert_eq!(shield.kept().0, 0);
+    assert_eq!(shield.occupancy().queued, 0);
 }
