--- a/crates/hierarchy/src/hierarchy/endpoints.rs
+++ b/crates/hierarchy/src/hierarchy/endpoints.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use linnethook::interface::{Ms, Phase};
+use linnethook::interface::{EndpointPhase, Ms};
 
 use crate::node::NodeId;
 use crate::topology::Topology;
 
 #[derive(Debug, Clone, Copy)]
 struct EndpointState {
-    phase: Phase,
+    phase: EndpointPhase,
     started: Ms,
 }
 
@@ -22,10 +22,10 @@
 
 impl Endpoints {
     /// Records an entry of the endpoint list. Returns whether the node has restarted since the last one.
-    pub fn update(&mut self, id: NodeId, phase: Phase, started: Ms, topology: &Topology) -> bool {
+    pub fn update(&mut self, id: NodeId, phase: EndpointPhase, started: Ms, topology: &Topology) -> bool {
         let before = self.states.get(&id).copied();
         // A removed node that the topology still contains must not look like one that was never listed.
-        if phase == Phase::Gone && topology.node(id).is_none() {
+        if phase == EndpointPhase::Removed && topology.node(id).is_none() {
             self.states.remove(&id);
         } else {
             self.states.insert(id, EndpointState { phase, started });
@@ -35,7 +35,7 @@
 
     /// Follows a change of the topology.
     pub fn topology_changed(&mut self, now: Ms, topology: &Topology) {
-        self.states.retain(|id, state| state.phase != Phase::Gone || topology.node(*id).is_some());
+        self.states.retain(|id, state| state.phase != EndpointPhase::Removed || topology.node(*id).is_some());
         self.retiring_since.retain(|id, _| topology.node(*id).is_some_and(|node| node.retiring));
         for record in topology.records().into_iter().filter(|record| record.node.retiring) {
             self.retiring_since.entry(record.node.id).or_insert(now);
@@ -44,7 +44,7 @@
 
     /// Whether a node may be used as a source at all. A node that was never listed may: the topology names it.
     pub fn is_ready(&self, id: NodeId) -> bool {
-        self.states.get(&id).is_none_or(|state| state.phase == Phase::Ready)
+        self.states.get(&id).is_none_or(|state| state.phase == EndpointPhase::Ready)
     }
 
     /// When a node started, in milliseconds of Unix time; 0 if that is not known.
--- a/crates/hierarchy/src/hierarchy/fill_estimator.rs
+++ b/crates/hierarchy/src/hierarchy/fill_estimator.rs
@@ -5,9 +5,9 @@
 
 use std::collections::BTreeMap;
 
+use linnethook::estimators::Ewma;
+use linnethook::hash_ring::hash_pair;
 use linnethook::interface::Ms;
-use linnethook::measure::Mean;
-use linnethook::ring::mix;
 
 use super::{FillResult, HierarchyConfig, SelectedFill};
 use crate::node::NodeId;
@@ -39,9 +39,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct Observations {
     /// As a child: the ratio of requests that it had to fill.
-    fills: [Mean; AGE_CLASSES],
+    fills: [Ewma; AGE_CLASSES],
     /// As a source: the ratio of fills that it forwarded to the tiers above.
-    forwarded: [Mean; AGE_CLASSES],
+    forwarded: [Ewma; AGE_CLASSES],
 }
 
 /// An estimated probability, with the class of keys that it was observed on.
@@ -144,10 +144,10 @@
         self.estimate_by_age(age, self.observations.get(&fill.source).map(|observed| &observed.forwarded))
     }
 
-    fn estimate_by_age(&self, age: Option<Ms>, observed: Option<&[Mean; AGE_CLASSES]>) -> Estimate {
+    fn estimate_by_age(&self, age: Option<Ms>, observed: Option<&[Ewma; AGE_CLASSES]>) -> Estimate {
         let class = age_class(age);
         let initial = if age.is_some() { self.initial_probability } else { 1.0 };
-        let mean = observed.map(|observed| observed[class]).filter(|mean| mean.seen > 0.0);
+        let mean = observed.map(|observed| observed[class]).filter(|mean| mean.samples > 0.0);
         Estimate { class, probability: mean.map_or(initial, |mean| mean.value) }
     }
 
@@ -157,12 +157,12 @@
         if let Some(reached_source) = reach.reached_source.filter(|_| fill.child != fill.source) {
             let observed = self.observations.entry(fill.child).or_default();
             let sample = f64::from(u8::from(reached_source));
-            observed.fills[fill.classes.child].add(sample, self.sample_weight);
+            observed.fills[fill.classes.child].update_from_mean(sample, self.sample_weight);
         }
         if let (Some(true), Some(is_forwarded)) = (reach.reached_source, reach.reached_upper_tiers) {
             let observed = self.observations.entry(fill.source).or_default();
             let sample = f64::from(u8::from(is_forwarded));
-            observed.forwarded[fill.classes.source].add(sample, self.sample_weight);
+            observed.forwarded[fill.classes.source].update_from_mean(sample, self.sample_weight);
         }
         if !matches!(result, FillResult::Failed | FillResult::Abandoned) {
             self.recent_keys.record(now, child_key(fill.key, fill.child));
@@ -193,9 +193,9 @@
 }
 
 fn child_key(key: u64, child: NodeId) -> u64 {
-    mix(key, child.0 ^ CHILD_KEY_SALT)
+    hash_pair(key, child.0 ^ CHILD_KEY_SALT)
 }
 
 fn source_key(key: u64, source: NodeId) -> u64 {
-    mix(key, source.0)
+    hash_pair(key, source.0)
 }
--- a/crates/hierarchy/src/hierarchy/fill_sources.rs
+++ b/crates/hierarchy/src/hierarchy/fill_sources.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use linnethook::brain::place_above;
+use linnethook::hash_ring::{hash_pair, unit_fraction};
 use linnethook::interface::Ms;
-use linnethook::ring::{fraction, mix};
+use linnethook::policy::parent_rank_hash;
 
 use super::Hierarchy;
 use crate::loop_detection::MAX_HOPS;
@@ -30,7 +30,7 @@
 impl FillSources {
     /// The sources for an object.
     pub fn of(&self, object: u64) -> &[Source] {
-        if fraction(mix(object, self.salt)) < self.fraction {
+        if unit_fraction(hash_pair(object, self.salt)) < self.fraction {
             &self.current
         } else {
             &self.previous
@@ -118,7 +118,7 @@
                     && !self.edge_backoff.is_backed_off(now, at, next.node, version)
             };
             let candidates = self.topology().sources(at).filter(is_usable);
-            let preference = |next: &Source| (next.rank, place_above(object, next.node.0));
+            let preference = |next: &Source| (next.rank, parent_rank_hash(object, next.node.0));
             let Some(next) = candidates.min_by_key(preference) else { break };
             path.push(Hop { node: next.node, cached_only: false });
             passed.push(next.node);
@@ -135,7 +135,7 @@
         }
         preferred_sources(&child.settled)
             .filter(|id| *id != source && self.is_usable_parent(now, *id))
-            .min_by_key(|id| place_above(object, id.0))
+            .min_by_key(|id| parent_rank_hash(object, id.0))
     }
 
     /// Whether a node is a parent that may be asked for cached objects.
--- a/crates/hierarchy/src/hierarchy/mod.rs
+++ b/crates/hierarchy/src/hierarchy/mod.rs
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-use linnethook::interface::{Ms, Phase};
+use linnethook::interface::{EndpointPhase, Ms};
 
 use crate::batch::{BatchRejection, Change, ChangeBatch};
 use crate::edge_backoff::EdgeBackoff;
@@ -49,7 +49,7 @@
 
 /// What follows from an update of an endpoint.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct EndpointUpdate {
+pub struct EndpointUpdateOutcome {
     /// Migrations to the endpoint that were rolled back.
     pub transitions: Vec<StageTransition>,
     /// Queued fills from the endpoint, which may not be used any more.
@@ -195,18 +195,24 @@
     }
 
     /// Follows an entry of the endpoint list. `started` is in milliseconds of Unix time.
-    pub fn update_endpoint(&mut self, now: Ms, id: NodeId, phase: Phase, started: Ms) -> EndpointUpdate {
-        if phase == Phase::Gone {
+    pub fn update_endpoint(
+        &mut self,
+        now: Ms,
+        id: NodeId,
+        phase: EndpointPhase,
+        started: Ms,
+    ) -> EndpointUpdateOutcome {
+        if phase == EndpointPhase::Removed {
             self.untrack_child(id);
         }
         if self.endpoints.update(id, phase, started, self.history.topology()) {
             self.rollout.source_restarted(id, started);
             self.estimator.reset(id);
         }
-        if phase == Phase::Ready {
-            return EndpointUpdate::default();
+        if phase == EndpointPhase::Ready {
+            return EndpointUpdateOutcome::default();
         }
-        EndpointUpdate {
+        EndpointUpdateOutcome {
             transitions: self.rollout.source_lost(now, id),
             cancelled: self.shield.cancel_source(id),
         }
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -41,12 +41,12 @@
 pub mod topology;
 pub mod version;
 
-pub use linnethook::interface::Phase;
+pub use linnethook::interface::EndpointPhase;
 
 pub use batch::{BatchLimits, BatchRejection, Change, ChangeBatch};
 pub use hierarchy::{
-    EndpointUpdate, FillResult, FillSources, Hierarchy, HierarchyConfig, HierarchyView, Hop, SelectedFill,
-    TickOutcome,
+    EndpointUpdateOutcome, FillResult, FillSources, Hierarchy, HierarchyConfig, HierarchyView, Hop,
+    SelectedFill, TickOutcome,
 };
 pub use history::{BatchError, History, HistoryLimits, ReceiveOutcome, Snapshot};
 pub use node::{Node, NodeId, Role, Source};
--- a/crates/hierarchy/src/node.rs
+++ b/crates/hierarchy/src/node.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A cache, a parent of any tier, or the origin, by the id that the decision module uses as well.
-pub use linnethook::interface::CacheId as NodeId;
+pub use linnethook::interface::EndpointId as NodeId;
 
 /// What a node is in the hierarchy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/hierarchy/src/rate_budget.rs
+++ b/crates/hierarchy/src/rate_budget.rs
@@ -8,8 +8,8 @@
 //!
 //! Without lateness and without a change there is no limit. No limit depends on the size of a deployment.
 
+use linnethook::estimators::{ConcurrencyLimit, ConcurrencyLimitConfig, TokenBucket};
 use linnethook::interface::Ms;
-use linnethook::measure::{Allowance, Gate, GateRule};
 
 use crate::event_rate::EventRate;
 
@@ -80,23 +80,23 @@
 pub struct RateBudget {
     config: RateBudgetConfig,
     rate: EventRate,
-    adaptive_limit: Gate,
+    adaptive_limit: ConcurrencyLimit,
     adapted_at: Ms,
     ceiling: Option<ChangeCeiling>,
     /// A change is in progress, and the rate before it is not known yet.
     is_learning: bool,
-    allowance: Allowance,
+    allowance: TokenBucket,
 }
 
 impl RateBudget {
     /// A budget without a limit.
     pub fn new(now: Ms, config: RateBudgetConfig) -> Self {
-        let mut allowance = Allowance::empty(now);
+        let mut allowance = TokenBucket::empty(now);
         allowance.spend(now, 0.0, 0.0, 0.0);
         Self {
             config,
             rate: EventRate::default(),
-            adaptive_limit: Gate::new(f64::INFINITY),
+            adaptive_limit: ConcurrencyLimit::new(f64::INFINITY),
             adapted_at: now,
             ceiling: None,
             is_learning: false,
@@ -129,13 +129,13 @@
     /// Whether fills of that expected number may go now.
     pub fn admits(&self, now: Ms, cost: f64) -> bool {
         self.flow(now)
-            .is_none_or(|flow| self.allowance.left(now, flow.rate, flow.burst) >= cost.min(flow.burst))
+            .is_none_or(|flow| self.allowance.available(now, flow.rate, flow.burst) >= cost.min(flow.burst))
     }
 
     /// Milliseconds until fills of that expected number may go, if no others do.
     pub fn delay(&self, now: Ms, cost: f64) -> Ms {
         self.flow(now).map_or(0.0, |flow| {
-            let missing = cost.min(flow.burst) - self.allowance.left(now, flow.rate, flow.burst);
+            let missing = cost.min(flow.burst) - self.allowance.available(now, flow.rate, flow.burst);
             (missing / flow.rate).max(0.0)
         })
     }
@@ -158,17 +158,17 @@
 
     /// Records whether a fill of the target ended late.
     pub fn report(&mut self, now: Ms, is_late: bool) {
-        let rule = GateRule {
-            part: self.config.sample_weight,
-            span: self.config.rate_window,
-            bear: self.config.max_late_ratio,
-            cut: self.config.decrease_factor,
-            gap: self.config.decrease_interval,
-            raise: 0.0,
-            least: self.config.min_rate,
-            most: f64::INFINITY,
+        let rule = ConcurrencyLimitConfig {
+            observation_weight: self.config.sample_weight,
+            memory: self.config.rate_window,
+            max_late_ratio: self.config.max_late_ratio,
+            decrease_factor: self.config.decrease_factor,
+            decrease_interval: self.config.decrease_interval,
+            increase: 0.0,
+            min_limit: self.config.min_rate,
+            max_limit: f64::INFINITY,
         };
-        self.adaptive_limit.report(now, is_late, self.rate(now), &rule);
+        self.adaptive_limit.record(now, is_late, self.rate(now), &rule);
     }
 
     /// Lets limits grow, and lifts those that limit nothing any more.
@@ -186,7 +186,7 @@
             self.set_ceiling(now);
         }
         if was_unlimited && self.limit(now).is_finite() {
-            self.allowance = Allowance::empty(now);
+            self.allowance = TokenBucket::empty(now);
         }
     }
 
@@ -225,7 +225,7 @@
         let limit = (self.rate(now) * self.config.headroom).max(self.config.min_rate);
         self.ceiling = Some(ChangeCeiling { limit, ended_at: None });
         self.is_learning = false;
-        self.allowance = Allowance::empty(now);
+        self.allowance = TokenBucket::empty(now);
     }
 
     /// Whether a change is in progress and the rate before it is not known yet.
--- a/crates/hierarchy/src/rollout/config.rs
+++ b/crates/hierarchy/src/rollout/config.rs
@@ -1,6 +1,6 @@
 //! Durations and bounds of a rollout.
 
-use linnethook::interface::{ColdStart, Ms};
+use linnethook::interface::{Ms, SlowStart};
 
 /// How a rollout proceeds. Durations are in milliseconds.
 #[derive(Debug, Clone, Copy)]
@@ -14,7 +14,7 @@
     /// From the end of the ramp to the settled stage. Until then the old source is asked for cached objects.
     pub settling_time: Ms,
     /// How a source that has itself just started may be loaded.
-    pub slow_start: ColdStart,
+    pub slow_start: SlowStart,
     /// The part of that load that migrating children may use.
     pub slow_start_fraction: f64,
     /// Weight of one fill in a failure ratio. Late fills count as failed.
@@ -42,7 +42,7 @@
             ramp_duration: 30_000.0,
             initial_fraction: 0.02,
             settling_time: 45_000.0,
-            slow_start: ColdStart::default(),
+            slow_start: SlowStart::default(),
             slow_start_fraction: 0.6,
             sample_weight: 0.05,
             min_samples: 20.0,
--- a/crates/hierarchy/src/rollout/migration.rs
+++ b/crates/hierarchy/src/rollout/migration.rs
@@ -1,7 +1,7 @@
 //! The migration of children to one new source: the fraction of objects it fills, and when its stages change.
 
+use linnethook::estimators::Ewma;
 use linnethook::interface::Ms;
-use linnethook::measure::Mean;
 
 use super::{RollbackReason, RolloutConfig, RolloutStage};
 use crate::node::NodeId;
@@ -37,8 +37,8 @@
     /// How long the ramp has paused in all.
     paused: Ms,
     attempts: u32,
-    new_failures: Mean,
-    old_failures: Mean,
+    new_failures: Ewma,
+    old_failures: Ewma,
     /// When the new source last started; 0 if that is not known.
     target_started: Ms,
     has_no_fallback: bool,
@@ -56,8 +56,8 @@
             ramp_start,
             paused: 0.0,
             attempts: 0,
-            new_failures: Mean::new(0.0),
-            old_failures: Mean::new(0.0),
+            new_failures: Ewma::new(0.0),
+            old_failures: Ewma::new(0.0),
             target_started,
             has_no_fallback: false,
             last_tick: now,
@@ -107,11 +107,12 @@
     fn slow_start_fraction(&self, now: Ms, config: &RolloutConfig) -> f64 {
         let slow_start = &config.slow_start;
         let age = now - self.target_started;
-        if self.target_started <= 0.0 || slow_start.warm_in <= 0.0 || age >= slow_start.warm_in {
+        if self.target_started <= 0.0 || slow_start.duration <= 0.0 || age >= slow_start.duration {
             return 1.0;
         }
-        let capacity = slow_start.from + (1.0 - slow_start.from) * (age / slow_start.warm_in).max(0.0);
-        (capacity * slow_start.fall_multiple * config.slow_start_fraction).min(1.0)
+        let capacity = slow_start.initial_ratio
+            + (1.0 - slow_start.initial_ratio) * (age / slow_start.duration).max(0.0);
+        (capacity * slow_start.overload_multiple * config.slow_start_fraction).min(1.0)
     }
 
     /// Whether it is announced or warming.
@@ -127,19 +128,19 @@
     /// Whether the new source does harm: its failure ratio is known, too high, and far above that of the old
     /// sources, so that lateness on both sides is not blamed on the change.
     fn has_high_failure_rate(&self, config: &RolloutConfig) -> bool {
-        self.new_failures.seen >= config.min_samples
+        self.new_failures.samples >= config.min_samples
             && self.new_failures.value > config.max_failure_ratio
             && self.new_failures.value > self.old_failures.value * config.max_failure_multiple
     }
 
     /// Records the end of a fill by the new source.
     pub(super) fn record_new(&mut self, failure: f64, config: &RolloutConfig) {
-        self.new_failures.add(failure, config.sample_weight);
+        self.new_failures.update_from_mean(failure, config.sample_weight);
     }
 
     /// Records the end of a fill by an old source.
     pub(super) fn record_old(&mut self, failure: f64, config: &RolloutConfig) {
-        self.old_failures.add(failure, config.sample_weight);
+        self.old_failures.update_from_mean(failure, config.sample_weight);
     }
 
     /// The new source has restarted with an empty cache.
@@ -165,7 +166,7 @@
             _ => self.attempts + 1,
         };
         self.ramp_start = now + delay;
-        self.new_failures = Mean::new(0.0);
+        self.new_failures = Ewma::new(0.0);
         true
     }
 
--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use linnethook::interface::{Ms, Phase};
+use linnethook::interface::{EndpointPhase, Ms};
 use linnethook_hierarchy::change_spec::NameTable;
 use linnethook_hierarchy::hierarchy::{FillSources, HierarchyConfig, SelectedFill};
 use linnethook_hierarchy::origin_shield::{Priority, QueuedDecision, ShieldDecision, ShieldRejection};
@@ -142,7 +142,7 @@
         config.rollout.ramp_duration = 6_000.0;
         config.rollout.settling_time = 4_000.0;
         config.rollout.retry_delay = 1_500.0;
-        config.rollout.slow_start.warm_in = 4_000.0;
+        config.rollout.slow_start.duration = 4_000.0;
         config.shield.max_queued = 12;
         config.shield.lease_duration = 300.0;
         config.history_limits.retained_batches = 30;
@@ -232,7 +232,7 @@
             child: if straight { source } else { child },
             source,
             object,
-            key: linnethook::ring::mix(object, 3),
+            key: linnethook::hash_ring::hash_pair(object, 3),
             priority,
             bytes: 1e4,
             may_join: self.chance.random_range(0..2) == 0,
@@ -282,9 +282,9 @@
     fn list(&mut self) {
         let id = self.any(PARENTS);
         let (phase, started) = match self.chance.random_range(0..4) {
-            0 => (Phase::Draining, 0.0),
-            1 => (Phase::Gone, 0.0),
-            _ => (Phase::Ready, self.now),
+            0 => (EndpointPhase::Draining, 0.0),
+            1 => (EndpointPhase::Removed, 0.0),
+            _ => (EndpointPhase::Ready, self.now),
         };
         let update = self.hierarchy.update_endpoint(self.now, id, phase, started);
         self.trace.entered(&update.transitions);
--- a/crates/hierarchy/tests/migrations.rs
+++ b/crates/hierarchy/tests/migrations.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use linnethook::interface::{Ms, Phase};
-use linnethook::ring::mix;
+use linnethook::hash_ring::hash_pair;
+use linnethook::interface::{EndpointPhase, Ms};
 use linnethook_hierarchy::hierarchy::{HierarchyConfig, SelectedFill};
 use linnethook_hierarchy::origin_shield::{Priority, ShieldDecision};
 use linnethook_hierarchy::plan::PlanError;
@@ -109,7 +109,7 @@
     fn ask(&mut self, object: u64) {
         let second = self.seconds.asked.len() - 1;
         self.seconds.asked[second] += 1;
-        let cache = CACHES[(mix(object, 5) % 6) as usize];
+        let cache = CACHES[(hash_pair(object, 5) % 6) as usize];
         if self.holds(cache, object) {
             self.seconds.served[second] += 1;
             return;
@@ -207,7 +207,7 @@
     exchange(&mut world.hierarchy, now, CENTRE);
     world.run(10);
     world.down.push(SOUTH);
-    world.hierarchy.update_endpoint(world.now, SOUTH, Phase::Gone, 0.0);
+    world.hierarchy.update_endpoint(world.now, SOUTH, EndpointPhase::Removed, 0.0);
     world.run(60);
     assert!(world.worst_over_steady(120) < 1.6, "{}", world.worst_over_steady(120));
     let feeds = world.hierarchy.fill_sources(world.now, CACHES[0]);
@@ -230,13 +230,13 @@
     assert_eq!(pass(&mut hierarchy, &mut now, 10_000.0), [RolloutStage::Announced, RolloutStage::Warming]);
     let part = hierarchy.fill_sources(now, CACHES[0]).fraction;
     assert!((0.2..0.3).contains(&part), "{part}");
-    let entered = hierarchy.update_endpoint(now, CENTRE, Phase::Draining, 0.0).transitions;
+    let entered = hierarchy.update_endpoint(now, CENTRE, EndpointPhase::Draining, 0.0).transitions;
     assert_eq!(entered.first().map(|e| e.stage), Some(RolloutStage::RolledBack(RollbackReason::SourceLost)));
     let feeds = hierarchy.fill_sources(now, CACHES[0]);
     assert_eq!((feeds.fraction, feeds.of(7)[0].node), (0.0, SOUTH));
     assert!(hierarchy.onward_path(now, CACHES[0], SOUTH, 7).iter().all(|hop| hop.node != CENTRE));
     // It starts again at its address, empty: from the beginning, after a rest.
-    hierarchy.update_endpoint(now, CENTRE, Phase::Ready, now);
+    hierarchy.update_endpoint(now, CENTRE, EndpointPhase::Ready, now);
     assert_eq!(pass(&mut hierarchy, &mut now, 25_000.0), [RolloutStage::Warming]);
     // Somebody rolls the batch back: at once by the stages, and then by a batch of its own.
     let changes = hierarchy.roll_back_batch(now, batch_id).expect("it was applied");
--- a/crates/hierarchy/tests/rollout.rs
+++ b/crates/hierarchy/tests/rollout.rs
@@ -1,6 +1,6 @@
 //! The stages of migrations: how far each is, and when it pauses or is rolled back.
 
-use linnethook::interface::{ColdStart, Ms};
+use linnethook::interface::{Ms, SlowStart};
 use linnethook_hierarchy::rollout::{
     MigrationId, RollbackReason, Rollout, RolloutConfig, RolloutStage, StageTransition,
 };
@@ -57,7 +57,12 @@
 
 #[test]
 fn a_source_in_slow_start_fills_no_more_than_it_can_serve() {
-    let slow_start = ColdStart { from: 0.07, warm_in: 20_000.0, fall_multiple: 2.0, window: 3_000.0 };
+    let slow_start = SlowStart {
+        initial_ratio: 0.07,
+        duration: 20_000.0,
+        overload_multiple: 2.0,
+        overload_window: 3_000.0,
+    };
     let mut rollout =
         Rollout::new(RolloutConfig { slow_start, ramp_duration: 1.0, ..RolloutConfig::default() });
     rollout.start(0.0, id(), 0.0, 1_000.0);
--- a/crates/model/src/world/tiers.rs
+++ b/crates/model/src/world/tiers.rs
@@ -2,8 +2,11 @@
 //!
 //! Must never choose a source: what the hierarchy says is carried out, and what comes of it is told back.
 
-use linnethook::interface::{CacheId, Event as Told, Feed, Feeds, Fill, Note, Phase, Status};
-use linnethook::ring::mix;
+use linnethook::hash_ring::hash_pair;
+use linnethook::interface::{
+    AttemptStatus, CacheStatus, EndpointId, EndpointPhase, Event as PolicyEvent, FillInstruction, FillSource,
+    FillSources,
+};
 use linnethook_hierarchy::origin_shield::{Priority, QueuedDecision, ShieldDecision};
 use linnethook_hierarchy::{
     AuthorId, Change, ChangeBatch, FillResult, Hierarchy, HierarchyConfig, Node, NodeId, Role, SelectedFill,
@@ -31,14 +34,16 @@
     attempt.request << 8 | u64::from(attempt.number)
 }
 
-fn brought(status: Status, note: Option<Note>) -> FillResult {
+fn brought(status: AttemptStatus, note: Option<CacheStatus>) -> FillResult {
     match (status, note) {
-        (Status::Ok, Some(Note::Filled)) => FillResult::ServedFromCache,
-        (Status::Ok, Some(Note::FilledByOrigin)) => FillResult::ServedFromOrigin,
-        (Status::Ok, Some(Note::Hit | Note::Stale)) => FillResult::AlreadyCached,
-        (Status::Ok, _) => FillResult::ServedFromUnknown,
-        (Status::Cancelled | Status::Moot, _) | (_, Some(Note::NoPlace)) => FillResult::Abandoned,
-        (Status::ConnectFailed, _) | (Status::Full, None) => FillResult::Abandoned,
+        (AttemptStatus::Ok, Some(CacheStatus::FilledByParent)) => FillResult::ServedFromCache,
+        (AttemptStatus::Ok, Some(CacheStatus::FilledByOrigin)) => FillResult::ServedFromOrigin,
+        (AttemptStatus::Ok, Some(CacheStatus::Hit | CacheStatus::Stale)) => FillResult::AlreadyCached,
+        (AttemptStatus::Ok, _) => FillResult::ServedFromUnknown,
+        (AttemptStatus::Cancelled | AttemptStatus::NeverSent, _) | (_, Some(CacheStatus::NoCapacity)) => {
+            FillResult::Abandoned
+        }
+        (AttemptStatus::ConnectFailed, _) | (AttemptStatus::Rejected, None) => FillResult::Abandoned,
         _ => FillResult::Failed,
     }
 }
@@ -54,7 +59,7 @@
         // Whoever is a source comes before those that fill from it.
         for n in (0..self.servers.len()).rev() {
             let member = self.servers[n].member;
-            let (role, tier, sources) = match member.kind {
+            let (role, tier, sources) = match member.role {
                 ORIGIN => (Role::Origin, 3, Vec::new()),
                 TOP => (Role::Parent, 2, vec![Source::new(id(origin), 0)]),
                 PARENT => {
@@ -84,8 +89,13 @@
             hierarchy.receive_batch(0.0, hierarchy.draft_batch(AUTHOR, 0.0, changes.clone()));
             let zone = router / self.plan.routers.max(1);
             for server in &self.servers {
-                hierarchy.update_endpoint(0.0, server.member.id, server.member.phase, server.member.since);
-                if server.member.kind == 0 && usize::from(server.member.zone) == zone {
+                hierarchy.update_endpoint(
+                    0.0,
+                    server.member.id,
+                    server.member.phase,
+                    server.member.started_at,
+                );
+                if server.member.role == 0 && usize::from(server.member.zone) == zone {
                     hierarchy.track_child(0.0, server.member.id);
                 }
             }
@@ -121,7 +131,7 @@
             let swap = |s: &Source| Source { node: if s.node == from { to } else { s.node }, ..*s };
             changed.then(|| Change::Rerank { node: id, sources: sources.iter().map(swap).collect() })
         };
-        let caches = self.servers.iter().filter(|server| server.member.kind == 0);
+        let caches = self.servers.iter().filter(|server| server.member.role == 0);
         let changes: Vec<Change> = caches.filter_map(|server| moved(server.member.id)).collect();
         if changes.is_empty() {
             return;
@@ -145,9 +155,10 @@
     pub(super) fn list_tiers(&mut self, now: Micros, router: usize, server: usize) {
         let Some(hierarchy) = self.tiers.routers.get_mut(router) else { return };
         let member = self.servers[server].member;
-        let cancelled = hierarchy.update_endpoint(ms(now), member.id, member.phase, member.since).cancelled;
+        let cancelled =
+            hierarchy.update_endpoint(ms(now), member.id, member.phase, member.started_at).cancelled;
         let own = usize::from(member.zone) == router / self.plan.routers.max(1);
-        if member.kind == 0 && own && member.phase != Phase::Gone {
+        if member.role == 0 && own && member.phase != EndpointPhase::Removed {
             hierarchy.track_child(ms(now), member.id);
         }
         for ticket in cancelled {
@@ -159,9 +170,9 @@
     fn turn_back(&mut self, now: Micros, ticket: u64) {
         let Some(&number) = self.by_id.get(&(ticket >> 8, (ticket & 255) as u8)) else { return };
         if let Some(attempt) = self.attempts.get_mut(&number) {
-            attempt.note = Some(Note::NoPlace);
+            attempt.note = Some(CacheStatus::NoCapacity);
         }
-        self.end(now, number, Status::Full);
+        self.end(now, number, AttemptStatus::Rejected);
     }
 
     /// Tells the decision module what has changed, and sees when the hierarchy is due again.
@@ -176,15 +187,17 @@
 
     fn tell_feeds(&mut self, now: Micros, router: usize) {
         let changed = self.tiers.routers[router].changed_fill_sources(ms(now));
-        let all = |list: &[Source]| list.iter().map(|s| Feed { source: s.node, rank: s.rank }).collect();
+        let all = |list: &[Source]| {
+            list.iter().map(|s| FillSource { endpoint: s.node, priority: s.rank }).collect()
+        };
         for (cache, lists) in changed {
-            let feeds = Feeds {
-                now: all(&lists.current),
-                before: all(&lists.previous),
-                part: lists.fraction,
+            let feeds = FillSources {
+                current: all(&lists.current),
+                previous: all(&lists.previous),
+                migrated_ratio: lists.fraction,
                 salt: lists.salt,
             };
-            self.tell(now, router, &Told::Feeds { cache, feeds: Some(feeds) });
+            self.tell(now, router, &PolicyEvent::FillSources { cache, sources: Some(feeds) });
         }
     }
 
@@ -215,7 +228,7 @@
     pub(super) fn admit(&mut self, now: Micros, number: Number) {
         let Some(attempt) = self.attempts.get(&number).cloned() else { return };
         let ends = self.ends(attempt.server, attempt.fill.as_ref());
-        let held = attempt.fill.is_some_and(|fill| fill.only_held);
+        let held = attempt.fill.is_some_and(|fill| fill.only_if_cached);
         let (Some((child, source)), false) = (ends, held) else { return self.goes(now, number) };
         let Some(client) = self.clients.get(&attempt.request) else { return self.goes(now, number) };
         let aim = self.aim(client.size);
@@ -224,11 +237,11 @@
             ticket: ticket(&attempt),
             child,
             source,
-            object: mix(client.object, 1),
+            object: hash_pair(client.object, 1),
             key: attempt.key,
             priority: if attempt.write { Priority::Write } else { Priority::Demand },
             bytes: client.size,
-            may_join: attempt.fill.is_some_and(|fill| fill.join),
+            may_join: attempt.fill.is_some_and(|fill| fill.coalesce),
             max_wait: (left / 2.0).max(0.0),
         };
         let hierarchy = &mut self.tiers.routers[attempt.router];
@@ -248,14 +261,14 @@
     }
 
     /// Who fills, and from where; nothing where no tier above is asked.
-    fn ends(&self, server: usize, fill: Option<&Fill>) -> Option<(CacheId, CacheId)> {
+    fn ends(&self, server: usize, fill: Option<&FillInstruction>) -> Option<(EndpointId, EndpointId)> {
         let at = self.servers[server].member;
         let source = fill.map(|fill| fill.source).filter(|source| *source != at.id);
         match source.and_then(|source| self.server(source)) {
-            Some(source) if self.servers[source].member.kind != 0 => {
+            Some(source) if self.servers[source].member.role != 0 => {
                 Some((at.id, self.servers[source].member.id))
             }
-            None if at.kind != 0 => Some((at.id, at.id)),
+            None if at.role != 0 => Some((at.id, at.id)),
             _ => None,
         }
     }
@@ -264,7 +277,7 @@
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         attempt.tolled = false;
         if let Some(fill) = &mut attempt.fill {
-            fill.only_held = true;
+            fill.only_if_cached = true;
         }
         self.come_back.insert(attempt.request, come_back);
         self.goes(now, number);
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/upstream.rs
@@ -11,8 +11,8 @@
 use linnethook_hierarchy::origin_shield::{Priority, QueuedDecision, ShieldDecision};
 use linnethook_hierarchy::rollout::{RolloutStage, StageTransition};
 use linnethook_hierarchy::{
-    AuthorId, BatchId, FillResult, FillSources, Hierarchy, HierarchyView, Hop, NodeId, Phase, ReceiveOutcome,
-    Role, SelectedFill, Source,
+    AuthorId, BatchId, EndpointPhase, FillResult, FillSources, Hierarchy, HierarchyView, Hop, NodeId,
+    ReceiveOutcome, Role, SelectedFill, Source,
 };
 use linnethook_operator::Hierarchy as Settings;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -291,14 +291,14 @@
         for target in &hosts.targets {
             let place = Place::of(&target.uid);
             let phase = match (target.ready(), target.gone()) {
-                (true, _) => Phase::Ready,
-                (_, true) => Phase::Gone,
-                _ => Phase::Draining,
+                (true, _) => EndpointPhase::Ready,
+                (_, true) => EndpointPhase::Removed,
+                _ => EndpointPhase::Draining,
             };
             let update = self.hierarchy.update_endpoint(now, node(place), phase, target.started());
             self.note(&update.transitions);
             back.extend(update.cancelled.into_iter().filter_map(|ticket| self.turn_back(attempt(ticket))));
-            if phase != Phase::Ready {
+            if phase != EndpointPhase::Ready {
                 let to_it: Vec<Attempt> = (self.waiting.iter())
                     .filter(|(_, waiting)| waiting.ordered.place == place)
                     .map(|(attempt, _)| *attempt)
@@ -309,7 +309,7 @@
                 }
             }
             let is_cache = self.hierarchy.topology().node(node(place)).is_none_or(|n| n.role == Role::Cache);
-            if phase != Phase::Gone && is_cache && own(target) {
+            if phase != EndpointPhase::Removed && is_cache && own(target) {
                 self.hierarchy.track_child(now, node(place));
             }
         }
