--- a/crates/router/src/pool.rs
+++ b/crates/router/src/buffers.rs
@@ -1,43 +1,43 @@
-//! Owns the buffers: blocks of one size that are used again, and chains of them for what is longer.
-//!
-//! Must never touch a socket, know what the bytes mean, or hand out a block that is still in use.
+//! Buffers: reusable blocks of one size, and chains of them for longer messages.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice, Read, Write};
 use std::rc::Rc;
 
-/// Blocks of one size. Clones share them.
+/// A pool of blocks of one size. Clones share it.
 #[derive(Debug, Clone)]
-pub struct Pool(Rc<RefCell<Blocks>>);
+pub struct BufferPool(Rc<RefCell<Blocks>>);
 
 #[derive(Debug)]
 struct Blocks {
     free: Vec<Box<[u8]>>,
     size: usize,
-    /// How many free ones are kept.
-    keep: usize,
-    /// How many may be in use before the pool calls itself crowded.
-    most: usize,
+    /// Free blocks that are retained for reuse.
+    max_free: usize,
+    /// Blocks in use from which on the pool reports itself as exhausted.
+    max_in_use: usize,
     in_use: usize,
 }
 
-impl Pool {
-    pub fn new(size: usize, keep: usize, most: usize) -> Self {
-        Self(Rc::new(RefCell::new(Blocks { free: Vec::new(), size: size.max(1), keep, most, in_use: 0 })))
+impl BufferPool {
+    pub fn new(block_size: usize, max_free: usize, max_in_use: usize) -> Self {
+        let (free, size) = (Vec::new(), block_size.max(1));
+        Self(Rc::new(RefCell::new(Blocks { free, size, max_free, max_in_use, in_use: 0 })))
     }
 
-    /// Whether no more should be read in before something was passed on.
-    pub fn crowded(&self) -> bool {
+    /// Whether reading should pause until blocks are released. Blocks are handed out all the same.
+    pub fn is_exhausted(&self) -> bool {
         let blocks = self.0.borrow();
-        blocks.in_use >= blocks.most
+        blocks.in_use >= blocks.max_in_use
     }
 
+    /// Blocks in use.
     pub fn in_use(&self) -> usize {
         self.0.borrow().in_use
     }
 
-    fn block(&self) -> Block {
+    fn acquire(&self) -> Block {
         let mut blocks = self.0.borrow_mut();
         blocks.in_use += 1;
         let size = blocks.size;
@@ -45,10 +45,10 @@
         Block { bytes, start: 0, end: 0 }
     }
 
-    fn back(&self, block: Block) {
+    fn release(&self, block: Block) {
         let mut blocks = self.0.borrow_mut();
         blocks.in_use = blocks.in_use.saturating_sub(1);
-        if blocks.free.len() < blocks.keep {
+        if blocks.free.len() < blocks.max_free {
             blocks.free.push(block.bytes);
         }
     }
@@ -62,28 +62,28 @@
 }
 
 impl Block {
-    fn held(&self) -> &[u8] {
+    fn filled(&self) -> &[u8] {
         &self.bytes[self.start..self.end]
     }
 }
 
-/// Bytes in their order, over as many blocks as they need.
+/// A byte sequence over as many blocks as it needs.
 #[derive(Debug)]
-pub struct Chain {
-    pool: Pool,
+pub struct BufferChain {
+    pool: BufferPool,
     blocks: VecDeque<Block>,
     len: usize,
 }
 
-/// How many blocks one write hands to the system.
-const SLICES: usize = 16;
+/// Blocks that one write hands to the system.
+const SLICES_PER_WRITE: usize = 16;
 
-impl Chain {
-    pub fn new(pool: &Pool) -> Self {
+impl BufferChain {
+    pub fn new(pool: &BufferPool) -> Self {
         Self { pool: pool.clone(), blocks: VecDeque::new(), len: 0 }
     }
 
-    pub fn from_bytes(pool: &Pool, bytes: &[u8]) -> Self {
+    pub fn from_bytes(pool: &BufferPool, bytes: &[u8]) -> Self {
         let mut chain = Self::new(pool);
         chain.push(bytes);
         chain
@@ -97,7 +97,7 @@
         self.len == 0
     }
 
-    /// Adds bytes at the end.
+    /// Appends bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let last = self.tail();
@@ -109,45 +109,45 @@
         }
     }
 
-    /// The last block, with room in it.
+    /// The last block, with free space in it.
     fn tail(&mut self) -> &mut Block {
         if self.blocks.back().is_none_or(|block| block.end == block.bytes.len()) {
-            self.blocks.push_back(self.pool.block());
+            self.blocks.push_back(self.pool.acquire());
         }
         let last = self.blocks.len() - 1;
         &mut self.blocks[last]
     }
 
-    /// Adds another chain at the end without copying it.
+    /// Appends another chain without copying it.
     pub fn append(&mut self, mut other: Self) {
         self.len += std::mem::take(&mut other.len);
         self.blocks.append(&mut other.blocks);
     }
 
-    /// A second chain with the same bytes.
-    pub fn copy(&self) -> Self {
-        let mut copy = Self::new(&self.pool);
-        self.blocks.iter().for_each(|block| copy.push(block.held()));
-        copy
+    /// A second chain with a copy of the bytes.
+    pub fn duplicate(&self) -> Self {
+        let mut duplicate = Self::new(&self.pool);
+        self.blocks.iter().for_each(|block| duplicate.push(block.filled()));
+        duplicate
     }
 
     pub fn to_vec(&self) -> Vec<u8> {
-        self.blocks.iter().flat_map(|block| block.held()).copied().collect()
+        self.blocks.iter().flat_map(|block| block.filled()).copied().collect()
     }
 
-    /// The first bytes, as many as there are up to `into`'s length; they stay.
+    /// Copies the first bytes, as many as fit into `into`, and returns their number. The chain is not changed.
     pub fn peek(&self, into: &mut [u8]) -> usize {
         self.peek_at(0, into)
     }
 
-    /// The same from so many bytes on.
-    pub fn peek_at(&self, mut at: usize, into: &mut [u8]) -> usize {
+    /// The same from an offset on.
+    pub fn peek_at(&self, mut offset: usize, into: &mut [u8]) -> usize {
         let mut filled = 0;
         for block in &self.blocks {
-            let held = &block.held()[at.min(block.held().len())..];
-            at = at.saturating_sub(block.held().len());
-            let n = held.len().min(into.len() - filled);
-            into[filled..filled + n].copy_from_slice(&held[..n]);
+            let filled_part = &block.filled()[offset.min(block.filled().len())..];
+            offset = offset.saturating_sub(block.filled().len());
+            let n = filled_part.len().min(into.len() - filled);
+            into[filled..filled + n].copy_from_slice(&filled_part[..n]);
             filled += n;
             if filled == into.len() {
                 break;
@@ -161,42 +161,46 @@
         n = n.min(self.len);
         self.len -= n;
         while let Some(first) = self.blocks.front_mut() {
-            let here = first.held().len().min(n);
+            let here = first.filled().len().min(n);
             first.start += here;
             n -= here;
             if first.start < first.end {
                 break;
             }
             if let Some(block) = self.blocks.pop_front() {
-                self.pool.back(block);
+                self.pool.release(block);
             }
         }
     }
 
-    /// Takes the first `n` bytes off; whole blocks are moved, not copied.
-    pub fn take(&mut self, n: usize) -> Self {
+    /// Splits the first `n` bytes off; complete blocks are moved, not copied.
+    pub fn split_to(&mut self, n: usize) -> Self {
         let mut left = n.min(self.len);
-        let mut taken = Self::new(&self.pool);
+        let mut split = Self::new(&self.pool);
         while left > 0 {
             let Some(first) = self.blocks.front() else { break };
-            let here = first.held().len();
+            let here = first.filled().len();
             if here <= left {
                 if let Some(block) = self.blocks.pop_front() {
-                    taken.len += here;
-                    taken.blocks.push_back(block);
+                    split.len += here;
+                    split.blocks.push_back(block);
                 }
                 self.len -= here;
                 left -= here;
             } else {
-                taken.push(&first.held()[..left]);
+                split.push(&first.filled()[..left]);
                 self.consume(left);
                 left = 0;
             }
         }
-        taken
+        split
     }
 
-    /// Reads once; 0 means that the other side has ended.
+    /// Reads once; 0 means that the other side has closed its stream.
+    ///
+    /// # Errors
+    ///
+    /// Those of the reader.
     pub fn read_from(&mut self, mut from: impl Read) -> io::Result<usize> {
         let last = self.tail();
         let end = last.end;
@@ -205,18 +209,22 @@
             last.end += n;
             self.len += n;
         }
-        if self.blocks.back().is_some_and(|block| block.held().is_empty()) {
+        if self.blocks.back().is_some_and(|block| block.filled().is_empty()) {
             if let Some(block) = self.blocks.pop_back() {
-                self.pool.back(block);
+                self.pool.release(block);
             }
         }
         outcome
     }
 
-    /// Writes once and drops what was written.
+    /// Writes once, removes what was written, and returns how many bytes that were.
+    ///
+    /// # Errors
+    ///
+    /// Those of the writer.
     pub fn write_to(&mut self, mut to: impl Write) -> io::Result<usize> {
         let slices: Vec<IoSlice> =
-            self.blocks.iter().take(SLICES).map(|block| IoSlice::new(block.held())).collect();
+            self.blocks.iter().take(SLICES_PER_WRITE).map(|block| IoSlice::new(block.filled())).collect();
         let n = to.write_vectored(&slices)?;
         drop(slices);
         self.consume(n);
@@ -224,14 +232,14 @@
     }
 }
 
-impl Drop for Chain {
+impl Drop for BufferChain {
     fn drop(&mut self) {
         while let Some(block) = self.blocks.pop_front() {
-            self.pool.back(block);
+            self.pool.release(block);
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/pool.rs"]
+#[path = "../tests/unit/buffers.rs"]
 mod tests;
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 
 use crate::descriptors;
-use crate::told::Page;
+use crate::discovery::event::EventPage;
 
 pub type Failure = Box<dyn std::error::Error>;
 
@@ -21,7 +21,7 @@
     pub seed: String,
     limits: Platform,
     pub journal: SocketAddr,
-    pub known: Page,
+    pub known: EventPage,
     settings: serde_json::Value,
 }
 
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -20,12 +20,12 @@
 use linnethook_hierarchy::named::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
 use serde::{Deserialize, Serialize};
 
+use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
 use crate::decider::Ms;
 use crate::descriptors::{Purpose, Reserve};
+use crate::event_handler::EventHandler;
 use crate::log::log_line;
-use crate::pool::{Chain, Pool};
-use crate::wakes::Wakes;
 
 /// A command of this program, in postcard behind a length of four bytes.
 #[derive(Debug, Serialize, Deserialize)]
@@ -141,16 +141,16 @@
 struct Connection {
     stream: Rc<UnixStream>,
     token: RegistrationToken,
-    input: Chain,
-    output: Chain,
+    input: BufferChain,
+    output: BufferChain,
     /// It was answered; what is left is to be written.
     answered: bool,
     until: Ms,
 }
 
-pub struct Control<W: Wakes> {
+pub struct Control<W: EventHandler> {
     limits: Limits,
-    pool: Pool,
+    pool: BufferPool,
     reserve: Reserve,
     handle: LoopHandle<'static, W>,
     path: PathBuf,
@@ -161,11 +161,11 @@
     last: u64,
 }
 
-impl<W: Wakes> Control<W> {
+impl<W: EventHandler> Control<W> {
     /// Listens; a socket that a router before this one left behind is taken over, one in use is not.
     pub fn listen(
         limits: Limits,
-        pool: &Pool,
+        pool: &BufferPool,
         reserve: &Reserve,
         handle: LoopHandle<'static, W>,
         path: &Path,
@@ -182,7 +182,7 @@
         listener.set_nonblocking(true)?;
         let source = Generic::new(listener, Interest::READ, Mode::Level);
         let ready = |_: Readiness, listener: &mut NoIoDrop<UnixListener>, router: &mut W| {
-            Ok(if router.control_waits(listener) { PostAction::Continue } else { PostAction::Disable })
+            Ok(if router.accept_commands(listener) { PostAction::Continue } else { PostAction::Disable })
         };
         let listener = handle.insert_source(source, ready).map_err(|wrong| io::Error::other(wrong.error))?;
         let (pool, reserve, path) = (pool.clone(), reserve.clone(), path.to_path_buf());
@@ -214,11 +214,11 @@
             let stream = Rc::new(stream);
             let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
             let ready = move |_: Readiness, _: &mut _, router: &mut W| {
-                router.control_ready(id);
+                router.on_command_ready(id);
                 Ok(PostAction::Continue)
             };
             let Ok(token) = self.handle.insert_source(source, ready) else { continue };
-            let (input, output) = (Chain::new(&self.pool), Chain::new(&self.pool));
+            let (input, output) = (BufferChain::new(&self.pool), BufferChain::new(&self.pool));
             let until = now + self.limits.control_time;
             let connection = Connection { stream, token, input, output, answered: false, until };
             self.connections.insert(id, connection);
@@ -247,7 +247,7 @@
                 continue;
             }
             let length = u32::from_be_bytes(head) as usize;
-            if length > self.limits.control_message || self.pool.crowded() {
+            if length > self.limits.control_message || self.pool.is_exhausted() {
                 self.answer(id, &Answer::No("the question is too long, or buffers are short".to_string()));
                 return None;
             }
@@ -255,7 +255,7 @@
                 continue;
             }
             connection.input.consume(4);
-            let question = connection.input.take(length).to_vec();
+            let question = connection.input.split_to(length).to_vec();
             match postcard::from_bytes(&question) {
                 Ok(question) => return Some(question),
                 Err(wrong) => {
@@ -316,7 +316,7 @@
     }
 }
 
-impl<W: Wakes> Drop for Control<W> {
+impl<W: EventHandler> Drop for Control<W> {
     fn drop(&mut self) {
         // Whoever comes next takes it over in any case.
         let _ = std::fs::remove_file(&self.path);
--- /dev/null
+++ b/crates/router/src/discovery/client.rs
@@ -0,0 +1,248 @@
+//! Long polls of the journal service, one after the other over HTTP/1.1.
+//!
+//! A poll that fails is repeated from the last position received, so that no event is lost.
+
+use std::io;
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
+
+use crate::buffers::{BufferChain, BufferPool};
+use crate::config::Limits;
+use crate::decider::Ms;
+use crate::descriptors::{Purpose, Reserve};
+use crate::event_handler::EventHandler;
+use crate::log::log_line;
+use crate::upstream::connect;
+
+use super::event::WatchEvent;
+use super::http::decode_response;
+
+#[derive(Debug)]
+enum PollState {
+    Idle {
+        next_poll: Ms,
+    },
+    /// A poll is in flight.
+    Polling {
+        deadline: Ms,
+    },
+}
+
+#[derive(Debug)]
+struct Connection {
+    stream: Rc<TcpStream>,
+    token: RegistrationToken,
+    up: bool,
+    input: BufferChain,
+    output: BufferChain,
+}
+
+/// The client of the journal service.
+pub struct DiscoveryClient<W: EventHandler> {
+    limits: Limits,
+    buffers: BufferPool,
+    reserve: Reserve,
+    handle: LoopHandle<'static, W>,
+    address: SocketAddr,
+    position: u64,
+    state: PollState,
+    connection: Option<Connection>,
+    /// Polls that failed.
+    pub lost: u64,
+    pub bytes_in: u64,
+    pub bytes_out: u64,
+    last_response: Ms,
+}
+
+impl<W: EventHandler> DiscoveryClient<W> {
+    pub fn new(
+        limits: Limits,
+        buffers: &BufferPool,
+        reserve: &Reserve,
+        handle: LoopHandle<'static, W>,
+        address: SocketAddr,
+        position: u64,
+    ) -> Self {
+        Self {
+            limits,
+            buffers: buffers.clone(),
+            reserve: reserve.clone(),
+            handle,
+            address,
+            position,
+            state: PollState::Idle { next_poll: 0.0 },
+            connection: None,
+            lost: 0,
+            bytes_in: 0,
+            bytes_out: 0,
+            last_response: 0.0,
+        }
+    }
+
+    /// Polls another address from now on. A response that is incomplete is requested again.
+    ///
+    /// The poll in flight is dropped: the old address may hold it back long after the new one has events.
+    pub fn set_address(&mut self, now: Ms, address: SocketAddr) {
+        self.address = address;
+        self.drop_connection();
+        self.state = PollState::Idle { next_poll: now };
+    }
+
+    /// Until when it is no failure that nothing is received: the service may hold a poll back for so long.
+    pub fn silence_allowed_until(&self) -> Ms {
+        self.last_response + self.limits.journal_wait + self.limits.journal_late
+    }
+
+    /// The position of the last event received.
+    pub fn position(&self) -> u64 {
+        self.position
+    }
+
+    /// When [`Self::on_timer`] is due.
+    pub fn next_deadline(&self) -> Ms {
+        match self.state {
+            PollState::Idle { next_poll } => next_poll,
+            PollState::Polling { deadline } => deadline,
+        }
+    }
+
+    pub fn on_timer(&mut self, now: Ms) {
+        match self.state {
+            PollState::Idle { next_poll } if now >= next_poll => self.poll(now),
+            PollState::Polling { deadline } if now >= deadline => {
+                let up = self.connection.as_ref().is_some_and(|connection| connection.up);
+                self.fail_poll(now, if up { "no answer in time" } else { "not up in time" });
+            }
+            _ => {}
+        }
+    }
+
+    fn poll(&mut self, now: Ms) {
+        self.await_response(now);
+        if self.connection.is_none() {
+            // A connect is not held back by the service, so its deadline is shorter.
+            self.state = PollState::Polling { deadline: now + self.limits.journal_connect };
+            match self.connect() {
+                Ok(connection) => self.connection = Some(connection),
+                Err(error) => return self.fail_poll(now, &error.to_string()),
+            }
+        }
+        let wait = self.limits.journal_wait;
+        let request = format!(
+            "GET /journal?tail={}&max_wait={wait} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
+            self.position, self.address
+        );
+        if let Some(connection) = &mut self.connection {
+            connection.output.push(request.as_bytes());
+        }
+        self.flush(now);
+    }
+
+    fn await_response(&mut self, now: Ms) {
+        let deadline = now + self.limits.journal_wait + self.limits.journal_late;
+        self.state = PollState::Polling { deadline };
+    }
+
+    fn connect(&self) -> io::Result<Connection> {
+        let stream = Rc::new(self.reserve.open(Purpose::Discovery, || connect(self.address))?);
+        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
+        let ready = |readiness: Readiness, _: &mut _, handler: &mut W| {
+            handler.on_discovery_ready(readiness);
+            Ok(PostAction::Continue)
+        };
+        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let (input, output) = (BufferChain::new(&self.buffers), BufferChain::new(&self.buffers));
+        Ok(Connection { stream, token, up: false, input, output })
+    }
+
+    /// Ends the poll in flight; the next one starts from the same position after a pause.
+    fn fail_poll(&mut self, now: Ms, reason: &str) {
+        self.lost += 1;
+        log_line!("journal: poll from {} lost: {reason}", self.position);
+        self.drop_connection();
+        self.state = PollState::Idle { next_poll: now + self.limits.journal_pause };
+    }
+
+    fn drop_connection(&mut self) {
+        if let Some(connection) = self.connection.take() {
+            self.handle.remove(connection.token);
+        }
+    }
+
+    fn flush(&mut self, now: Ms) {
+        let Some(connection) = self.connection.as_mut().filter(|connection| connection.up) else { return };
+        while !connection.output.is_empty() {
+            match connection.output.write_to(&*connection.stream) {
+                Ok(n) => self.bytes_out += n as u64,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => return self.fail_poll(now, &error.to_string()),
+            }
+        }
+    }
+
+    /// Continues after the connection became ready, and returns the events received.
+    pub fn on_ready(&mut self, now: Ms, readiness: Readiness) -> Vec<WatchEvent> {
+        let writable = readiness.writable || readiness.error;
+        if !self.finish_connect(now, writable) {
+            return Vec::new();
+        }
+        self.flush(now);
+        let Some(connection) = self.connection.as_mut().filter(|connection| connection.up) else {
+            return Vec::new();
+        };
+        let mut failure = None;
+        while failure.is_none() {
+            match connection.input.read_from(&*connection.stream) {
+                Ok(0) => failure = Some("closed".to_string()),
+                Ok(n) => {
+                    self.bytes_in += n as u64;
+                    if connection.input.len() > self.limits.journal_answer {
+                        failure = Some("an answer of such a length".to_string());
+                    }
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) => failure = Some(error.to_string()),
+            }
+        }
+        let mut events = Vec::new();
+        match decode_response(&mut connection.input) {
+            Ok(None) => {}
+            Ok(Some(page)) => {
+                self.state = PollState::Idle { next_poll: now };
+                self.last_response = now;
+                // Events that were received before do not count twice.
+                events = page.entries.into_iter().filter(|event| event.pos > self.position).collect();
+                self.position = self.position.max(page.pos);
+            }
+            Err(error) => failure = Some(error.to_string()),
+        }
+        match failure {
+            Some(reason) if matches!(self.state, PollState::Polling { .. }) => self.fail_poll(now, &reason),
+            Some(_) => self.drop_connection(),
+            None => {}
+        }
+        events
+    }
+
+    /// Notes that a connect has succeeded; false where it has failed.
+    fn finish_connect(&mut self, now: Ms, writable: bool) -> bool {
+        let connecting = self.connection.as_mut().filter(|connection| !connection.up && writable);
+        let Some(connection) = connecting else { return true };
+        match connection.stream.take_error() {
+            Ok(None) => {
+                connection.up = true;
+                self.await_response(now);
+                true
+            }
+            Ok(Some(error)) | Err(error) => {
+                self.fail_poll(now, &error.to_string());
+                false
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/downstream/codec.rs
@@ -0,0 +1,223 @@
+//! The frames of clients: bytes to messages and back. What is not well formed is an error.
+
+use std::fmt;
+
+use crate::buffers::{BufferChain, BufferPool};
+
+/// The types of frames.
+mod frame_type {
+    pub const REQUEST: u8 = 65;
+    pub const ANSWER: u8 = 66;
+    pub const CANCEL: u8 = 67;
+    pub const READINESS_CHECK: u8 = 80;
+    pub const READINESS: u8 = 81;
+    pub const GO_AWAY: u8 = 90;
+}
+
+/// Bytes of the length field, and of the type and stream behind it.
+const LENGTH: usize = 4;
+const HEAD: usize = 5;
+
+/// A message of a client.
+#[derive(Debug)]
+pub enum ClientMessage {
+    Request { stream: u32, fields: Fields, body: BufferChain },
+    Cancel { stream: u32 },
+    ReadinessCheck { stream: u32 },
+}
+
+/// The final result of a request, or of a readiness check.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AnswerCode {
+    Served = 1,
+    Rejected = 2,
+    Failed = 3,
+}
+
+/// Names and values in the order of the frame.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct Fields(Vec<(String, String)>);
+
+impl From<Vec<(String, String)>> for Fields {
+    fn from(fields: Vec<(String, String)>) -> Self {
+        Self(fields)
+    }
+}
+
+impl Fields {
+    pub fn put(&mut self, name: &str, value: &str) {
+        self.0.push((name.to_string(), value.to_string()));
+    }
+
+    pub fn get(&self, name: &str) -> Option<&str> {
+        self.0.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+    }
+}
+
+/// How a frame breaks the protocol; the text is sent to the client.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum FrameError {
+    Length,
+    RequestOnStreamZero,
+    FieldsTruncated,
+    FieldNotText,
+    UnknownType,
+}
+
+impl fmt::Display for FrameError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::Length => "a frame of such a length",
+            Self::RequestOnStreamZero => "a request on stream 0",
+            Self::FieldsTruncated => "fields that pass the frame's end",
+            Self::FieldNotText => "a field that is not text",
+            Self::UnknownType => "a frame of such a type",
+        })
+    }
+}
+
+impl std::error::Error for FrameError {}
+
+/// The start of a frame.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct FrameHead {
+    /// Bytes of the whole frame.
+    pub length: usize,
+    /// The stream that it cancels, if it does.
+    pub cancels: Option<u32>,
+}
+
+/// The head of the frame at `offset` in `input`; `None` where it is incomplete or its length is invalid.
+pub fn peek_head(input: &BufferChain, offset: usize, max_frame: usize) -> Option<FrameHead> {
+    let mut head = [0; LENGTH + HEAD];
+    if input.peek_at(offset, &mut head) < head.len() {
+        return None;
+    }
+    let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
+    let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
+    if !(HEAD..=max_frame).contains(&length) {
+        return None;
+    }
+    let cancels = (head[4] == frame_type::CANCEL).then_some(stream);
+    Some(FrameHead { length: LENGTH + length, cancels })
+}
+
+/// Removes one message from `input` once it is complete; `max_frame` is in bytes, without the length field.
+///
+/// # Errors
+///
+/// A frame that breaks the protocol.
+pub fn decode(input: &mut BufferChain, max_frame: usize) -> Result<Option<ClientMessage>, FrameError> {
+    let mut head = [0; LENGTH + HEAD];
+    let seen = input.peek(&mut head);
+    if seen < LENGTH {
+        return Ok(None);
+    }
+    let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
+    if length < HEAD || length > max_frame {
+        return Err(FrameError::Length);
+    }
+    if input.len() < LENGTH + length {
+        return Ok(None);
+    }
+    let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
+    input.consume(LENGTH + HEAD);
+    let mut payload = input.split_to(length - HEAD);
+    match head[4] {
+        frame_type::REQUEST if stream == 0 => Err(FrameError::RequestOnStreamZero),
+        frame_type::REQUEST => {
+            let fields = decode_fields(&mut payload)?;
+            Ok(Some(ClientMessage::Request { stream, fields, body: payload }))
+        }
+        frame_type::CANCEL => Ok(Some(ClientMessage::Cancel { stream })),
+        frame_type::READINESS_CHECK => {
+            if !payload.is_empty() {
+                decode_fields(&mut payload)?;
+            }
+            Ok(Some(ClientMessage::ReadinessCheck { stream }))
+        }
+        _ => Err(FrameError::UnknownType),
+    }
+}
+
+fn decode_fields(payload: &mut BufferChain) -> Result<Fields, FrameError> {
+    let [count] = bytes(payload)?;
+    let mut fields = Vec::with_capacity(usize::from(count));
+    for _ in 0..count {
+        let [size] = bytes(payload)?;
+        let name = text(payload, usize::from(size))?;
+        let size = u16::from_be_bytes(bytes(payload)?);
+        fields.push((name, text(payload, usize::from(size))?));
+    }
+    Ok(Fields(fields))
+}
+
+fn bytes<const N: usize>(payload: &mut BufferChain) -> Result<[u8; N], FrameError> {
+    let mut value = [0; N];
+    if payload.peek(&mut value) < N {
+        return Err(FrameError::FieldsTruncated);
+    }
+    payload.consume(N);
+    Ok(value)
+}
+
+fn text(payload: &mut BufferChain, size: usize) -> Result<String, FrameError> {
+    if payload.len() < size {
+        return Err(FrameError::FieldsTruncated);
+    }
+    String::from_utf8(payload.split_to(size).to_vec()).map_err(|_| FrameError::FieldNotText)
+}
+
+/// Encodes the final answer of a stream; on stream 0, an error of the connection.
+pub fn encode_answer(
+    pool: &BufferPool,
+    stream: u32,
+    code: AnswerCode,
+    fields: &[(&str, &str)],
+    body: BufferChain,
+) -> BufferChain {
+    frame(pool, frame_type::ANSWER, stream, Some(code), fields, body)
+}
+
+/// Encodes the answer to a readiness check.
+pub fn encode_readiness(pool: &BufferPool, stream: u32, ready: bool) -> BufferChain {
+    let code = if ready { AnswerCode::Served } else { AnswerCode::Rejected };
+    frame(pool, frame_type::READINESS, stream, Some(code), &[], BufferChain::new(pool))
+}
+
+/// Encodes the announcement that no new request is accepted on this connection.
+pub fn encode_go_away(pool: &BufferPool) -> BufferChain {
+    frame(pool, frame_type::GO_AWAY, 0, None, &[], BufferChain::new(pool))
+}
+
+fn frame(
+    pool: &BufferPool,
+    kind: u8,
+    stream: u32,
+    code: Option<AnswerCode>,
+    fields: &[(&str, &str)],
+    body: BufferChain,
+) -> BufferChain {
+    let mut payload = Vec::new();
+    if let Some(code) = code {
+        payload.extend([code as u8, fields.len() as u8]);
+        for (name, value) in fields {
+            payload.push(name.len() as u8);
+            payload.extend(name.as_bytes());
+            payload.extend((value.len() as u16).to_be_bytes());
+            payload.extend(value.as_bytes());
+        }
+    }
+    let length = (HEAD + payload.len() + body.len()) as u32;
+    let mut out = BufferChain::new(pool);
+    out.push(&length.to_be_bytes());
+    out.push(&[kind]);
+    out.push(&stream.to_be_bytes());
+    out.push(&payload);
+    out.append(body);
+    out
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/downstream_codec.rs"]
+mod tests;
--- /dev/null
+++ b/crates/router/src/downstream/reader.rs
@@ -0,0 +1,185 @@
+//! Reading from clients: requests, cancellations and readiness checks, with a turn for each client.
+
+use std::io;
+
+use crate::decider::Ms;
+use crate::event_handler::EventHandler;
+
+use super::codec::{self, ClientMessage, Fields};
+use super::connection::ConnectionPhase;
+use super::request::parse_request;
+use super::writer::withdraw_request;
+use super::{ClientEvent, ClientId, ClientStream, Downstreams};
+use crate::buffers::BufferChain;
+
+impl<W: EventHandler> Downstreams<W> {
+    /// Reads what a client has sent, and writes what can be answered at once. Open requests of a client that is lost are
+    /// reported as cancelled.
+    pub fn read(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
+        self.read_turn(now, id, events);
+        // The socket may be writable without a further event for it.
+        self.flush(now, id, events);
+    }
+
+    fn read_turn(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
+        let mut has_unread_input = self.paused.remove(&id);
+        let mut budget = self.limits.read_turn;
+        while let Some(client) = self.clients.get_mut(&id) {
+            if client.phase == ConnectionPhase::Closing {
+                return;
+            }
+            let behind = client.is_open() && client.output.len() > self.limits.write_backlog;
+            if behind || budget == 0 || self.buffers.is_exhausted() {
+                // Its requests must not be forwarded for as long as its cancellations are not read.
+                self.paused.insert(id);
+                return self.scan_ahead(now, id, events);
+            }
+            if std::mem::take(&mut has_unread_input) {
+                self.decode_input(now, id, events);
+                continue;
+            }
+            let read = match client.input.read_from(&*client.stream) {
+                Ok(0) => return self.remove(id, events),
+                Ok(n) => n,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    client.last_read = now;
+                    return;
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+                Err(_) => return self.remove(id, events),
+            };
+            budget = budget.saturating_sub(read);
+            match &mut client.phase {
+                ConnectionPhase::Lingering { bytes, .. } => {
+                    client.input.consume(read);
+                    *bytes = bytes.saturating_sub(read);
+                    if *bytes == 0 {
+                        return self.remove(id, events);
+                    }
+                }
+                ConnectionPhase::Open | ConnectionPhase::Closing => self.decode_input(now, id, events),
+            }
+        }
+    }
+
+    /// Checks whether a client that is not read for now has left or cancels something; what else it sends is buffered
+    /// within a bound. While buffers are exhausted, each client may still use one block for that.
+    fn scan_ahead(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
+        let exhausted = self.buffers.is_exhausted();
+        let max_input = if exhausted { self.limits.block } else { self.limits.look_ahead };
+        let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) else { return };
+        client.last_read = now;
+        if client.read_ahead(max_input) {
+            return self.remove(id, events);
+        }
+        while let Some(head) = codec::peek_head(&client.input, client.scanned, self.limits.frame) {
+            client.scanned += head.length;
+            if let Some(ticket) = head.cancels.and_then(|stream| client.open.remove(&stream)) {
+                self.counts.withdrawn += u64::from(withdraw_request(ticket, events));
+            }
+        }
+    }
+
+    /// Checks whether a client has left or cancels something, unless that was done a moment ago: before something is sent
+    /// for it, in a turn that may last for long.
+    pub fn check(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
+        let Some(client) = self.clients.get(&id) else { return };
+        if now - client.last_read < self.limits.client_looked {
+            return;
+        }
+        let before = client.input.len();
+        self.scan_ahead(now, id, events);
+        // Other messages are handled in its next turn.
+        if self.clients.get(&id).is_some_and(|client| client.input.len() > before) {
+            self.paused.insert(id);
+        }
+    }
+
+    /// Reads on from clients whose reading was paused.
+    pub fn read_paused(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
+        self.relieve_buffers(now, events);
+        if !self.buffers.is_exhausted() {
+            for id in self.paused.clone() {
+                self.read(now, id, events);
+            }
+        }
+    }
+
+    /// Breaks off the clients with the longest incomplete messages while buffers are exhausted, so that a few clients can't
+    /// keep all others from being read.
+    fn relieve_buffers(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
+        while self.buffers.is_exhausted() {
+            let partial = self.clients.iter().filter(|(_, client)| client.partial_since.is_some());
+            let longest = partial.max_by_key(|(_, client)| (!client.proven, client.input.len()));
+            let Some(id) = longest.map(|(id, _)| *id) else { return };
+            self.break_off(now, id, "half a message while buffers are short", events);
+        }
+    }
+
+    /// Whether a client whose reading is paused could be read at once.
+    pub fn has_readable_paused(&self) -> bool {
+        let is_readable = |id| {
+            let client = self.clients.get(id);
+            client.is_some_and(|client| !client.is_open() || client.output.len() <= self.limits.write_backlog)
+        };
+        !self.buffers.is_exhausted() && self.paused.iter().any(is_readable)
+    }
+
+    fn decode_input(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
+        while let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) {
+            let message = match codec::decode(&mut client.input, self.limits.frame) {
+                Ok(Some(message)) => message,
+                Ok(None) => {
+                    client.scanned = 0;
+                    let is_partial = !client.input.is_empty();
+                    client.partial_since = is_partial.then(|| client.partial_since.unwrap_or(now));
+                    return;
+                }
+                Err(error) => return self.break_off(now, id, &error.to_string(), events),
+            };
+            (client.partial_since, client.last_used) = (None, now);
+            match message {
+                ClientMessage::Request { stream, fields, body } => {
+                    if let Err(reason) = self.add_request(id, stream, &fields, body, events) {
+                        return self.break_off(now, id, reason, events);
+                    }
+                }
+                ClientMessage::Cancel { stream } => {
+                    let Some(ticket) = client.open.remove(&stream) else { continue };
+                    self.counts.withdrawn += u64::from(withdraw_request(ticket, events));
+                }
+                ClientMessage::ReadinessCheck { stream } => {
+                    client.proven = true;
+                    let readiness = codec::encode_readiness(&self.buffers, stream, !self.draining);
+                    client.output.append(readiness);
+                }
+            }
+        }
+    }
+
+    /// Opens a request; the error is why its connection is to be broken off.
+    fn add_request(
+        &mut self,
+        id: ClientId,
+        stream: u32,
+        fields: &Fields,
+        body: BufferChain,
+        events: &mut Vec<ClientEvent>,
+    ) -> Result<(), &'static str> {
+        let Some(client) = self.clients.get_mut(&id) else { return Ok(()) };
+        if !client.streams.insert(stream, self.limits.client_streams) {
+            return Err("a stream that is not new");
+        }
+        if client.open.len() >= self.limits.client_streams {
+            return Err("more requests than may be open");
+        }
+        let client_stream = ClientStream { client: id, stream };
+        self.last_ticket += 1;
+        client.open.insert(stream, self.last_ticket);
+        match parse_request(client_stream, fields, body, &self.limits) {
+            Some(request) => events.push(ClientEvent::Request(self.last_ticket, Box::new(request))),
+            None => events.push(ClientEvent::Invalid(client_stream)),
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/router/src/downstream/timers.rs
@@ -0,0 +1,84 @@
+//! Deadlines of clients' connections, checked in a periodic sweep.
+
+use crate::decider::Ms;
+use crate::event_handler::EventHandler;
+use crate::log::log_line;
+
+use super::connection::{ClientConnection, ConnectionPhase};
+use super::{ClientEvent, ClientId, Downstreams};
+
+/// What a sweep does with a connection.
+enum SweepAction {
+    Keep,
+    Remove,
+    /// It is answered with an error first.
+    BreakOff(&'static str),
+}
+
+impl<W: EventHandler> Downstreams<W> {
+    /// When [`Self::on_timer`] is due.
+    pub fn next_deadline(&self) -> Ms {
+        self.next_sweep
+    }
+
+    /// Ends overdue connections: those with a message that stays incomplete, those that never sent a message, idle ones,
+    /// those that do not take their answers, and those whose time to linger is over.
+    pub fn on_timer(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
+        if now < self.next_sweep {
+            return;
+        }
+        self.next_sweep = now + self.limits.client_sweep;
+        let (mut removed, mut broken_off) = (Vec::new(), Vec::new());
+        for (&id, client) in &self.clients {
+            match self.sweep_action(now, id, client) {
+                SweepAction::Keep => {}
+                SweepAction::Remove => removed.push(id),
+                SweepAction::BreakOff(reason) => broken_off.push((id, reason)),
+            }
+        }
+        removed.into_iter().for_each(|id| self.remove(id, events));
+        for (id, reason) in broken_off {
+            self.counts.silent += 1;
+            self.break_off(now, id, reason, events);
+        }
+        self.refill_reserve(now, events);
+        self.resume_accepting(now);
+    }
+
+    fn sweep_action(&self, now: Ms, id: ClientId, client: &ClientConnection) -> SweepAction {
+        let limits = &self.limits;
+        let passed = |since: Ms, span: Ms| now - since > span;
+        let stalled = !client.output.is_empty() && passed(client.last_used, limits.client_stall);
+        let idle = client.is_idle() && passed(client.last_used, limits.client_idle);
+        let ended = matches!(client.phase, ConnectionPhase::Lingering { until, .. } if now >= until);
+        if stalled || idle || ended {
+            return SweepAction::Remove;
+        }
+        // A client whose reading is paused is not late.
+        if self.paused.contains(&id) || !client.is_open() {
+            return SweepAction::Keep;
+        }
+        if client.partial_since.is_some_and(|since| passed(since, limits.message)) {
+            return SweepAction::BreakOff("a message that does not end");
+        }
+        let never_answered = !client.proven && client.open.is_empty();
+        if never_answered && passed(client.accepted_at, limits.client_first) {
+            return SweepAction::BreakOff("nothing was asked");
+        }
+        SweepAction::Keep
+    }
+
+    fn resume_accepting(&mut self, now: Ms) {
+        // More descriptors may be available again after that time.
+        if self.short_since.is_some_and(|since| now - since > self.limits.client_idle) {
+            (self.max_clients, self.short_since) = (self.limits.clients, None);
+        }
+        if !self.accept_paused {
+            return;
+        }
+        self.accept_paused = false;
+        if let Some(error) = self.listener.as_ref().and_then(|token| self.handle.enable(token).err()) {
+            log_line!("the listener: {error}");
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/downstream/writer.rs
@@ -0,0 +1,120 @@
+//! Writing to clients: answers, and the end of a connection.
+
+use std::collections::HashSet;
+use std::io;
+use std::net::Shutdown;
+
+use crate::buffers::BufferChain;
+use crate::decider::{Ms, Ticket};
+use crate::event_handler::EventHandler;
+use crate::log::log_line;
+
+use super::codec::{self, AnswerCode};
+use super::connection::ConnectionPhase;
+use super::{ClientEvent, ClientId, ClientStream, Downstreams};
+
+impl<W: EventHandler> Downstreams<W> {
+    /// Gives the one final answer to a request, unless its client has cancelled it.
+    pub fn answer(
+        &mut self,
+        stream: ClientStream,
+        code: AnswerCode,
+        fields: &[(&str, &str)],
+        body: BufferChain,
+    ) {
+        let Some(client) = self.clients.get_mut(&stream.client) else { return };
+        if client.open.remove(&stream.stream).is_some() {
+            client.proven = true;
+            let answer = codec::encode_answer(&self.buffers, stream.stream, code, fields, body);
+            client.output.append(answer);
+        }
+    }
+
+    /// Answers a request that can't be used; a client that goes on sending such requests is broken off, since it may send
+    /// them at full speed.
+    pub fn reject_invalid(&mut self, now: Ms, stream: ClientStream, events: &mut Vec<ClientEvent>) {
+        let Some(client) = self.clients.get_mut(&stream.client) else { return };
+        if client.open.remove(&stream.stream).is_none() {
+            return;
+        }
+        client.invalid_requests += 1;
+        let body = BufferChain::new(&self.buffers);
+        let answer = codec::encode_answer(&self.buffers, stream.stream, AnswerCode::Failed, &[], body);
+        client.output.append(answer);
+        if client.invalid_requests >= self.limits.client_faults {
+            self.break_off(now, stream.client, "too many requests that can't be used", events);
+        }
+    }
+
+    /// Writes as much as a client takes.
+    pub fn flush(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
+        let Some(client) = self.clients.get_mut(&id) else { return };
+        while !client.output.is_empty() {
+            match client.output.write_to(&*client.stream) {
+                Ok(_) => client.last_used = now,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+                Err(_) => return self.remove(id, events),
+            }
+        }
+        if client.phase == ConnectionPhase::Closing {
+            // The shutdown fails where the client has ended the connection.
+            if client.stream.shutdown(Shutdown::Write).is_err() {
+                return self.remove(id, events);
+            }
+            let until = now + self.limits.linger;
+            client.phase = ConnectionPhase::Lingering { until, bytes: self.limits.linger_bytes };
+            self.read(now, id, events);
+        }
+    }
+
+    /// Ends a connection after a protocol error: its open requests are answered as failed and reported as cancelled, and the
+    /// client is sent the reason.
+    pub(super) fn break_off(&mut self, now: Ms, id: ClientId, reason: &str, events: &mut Vec<ClientEvent>) {
+        let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) else { return };
+        self.counts.malformed += 1;
+        log_line!("a client is broken off: {reason}");
+        client.phase = ConnectionPhase::Closing;
+        client.partial_since = None;
+        client.input = BufferChain::new(&self.buffers);
+        let mut streams: Vec<u32> = client.open.keys().copied().collect();
+        streams.sort_unstable();
+        for stream in streams {
+            let body = BufferChain::new(&self.buffers);
+            let answer = codec::encode_answer(&self.buffers, stream, AnswerCode::Failed, &[], body);
+            client.output.append(answer);
+        }
+        let body = BufferChain::from_bytes(&self.buffers, reason.as_bytes());
+        client.output.append(codec::encode_answer(&self.buffers, 0, AnswerCode::Failed, &[], body));
+        let open: HashSet<Ticket> = client.open.drain().map(|(_, ticket)| ticket).collect();
+        cancel_requests(open, events);
+        self.flush(now, id, events);
+    }
+
+    /// Removes a connection; its open requests are reported as cancelled.
+    pub(super) fn remove(&mut self, id: ClientId, events: &mut Vec<ClientEvent>) {
+        let Some(client) = self.clients.remove(&id) else { return };
+        self.paused.remove(&id);
+        self.handle.remove(client.token);
+        cancel_requests(client.open.into_values().collect(), events);
+    }
+}
+
+/// Cancels one request. True where it was withdrawn from `events`, so that it is never handled.
+pub(super) fn withdraw_request(ticket: Ticket, events: &mut Vec<ClientEvent>) -> bool {
+    let is_request = |event: &ClientEvent| matches!(event, ClientEvent::Request(own, _) if *own == ticket);
+    let Some(position) = events.iter().rposition(is_request) else {
+        events.push(ClientEvent::Cancelled(ticket));
+        return false;
+    };
+    events.remove(position);
+    true
+}
+
+/// Cancels requests; those that are still in `events` are withdrawn.
+fn cancel_requests(mut open: HashSet<Ticket>, events: &mut Vec<ClientEvent>) {
+    events.retain(|event| !matches!(event, ClientEvent::Request(ticket, _) if open.remove(ticket)));
+    let mut open: Vec<Ticket> = open.into_iter().collect();
+    open.sort_unstable();
+    events.extend(open.into_iter().map(ClientEvent::Cancelled));
+}
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -19,11 +19,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::account::{Auditor, Words};
-use crate::caches::Ordered;
 use crate::control::{Answer, Detail, FleetShown};
 use crate::decider::{End, Final, Ms, Place};
+use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::log::log_line;
-use crate::told::{Entry, Expire, Hosts, Target};
+use crate::upstream::AttemptOrder;
 use crate::Router;
 
 /// How often it is looked at what this router acts on, and who is behind.
@@ -34,7 +34,7 @@
     acts: Acts,
     looked: Ms,
     /// The caches of the own list, as the journal has them.
-    targets: BTreeMap<String, Target>,
+    targets: BTreeMap<String, EndpointEntry>,
     /// Those that fellows call drained, by the journal's numbers.
     barred: BTreeMap<String, u64>,
     drains: u64,
@@ -143,7 +143,7 @@
     }
 
     /// An attempt was sent, with the request's id.
-    pub fn sent(&mut self, now: Ms, ordered: &Ordered, id: &str, write: bool) {
+    pub fn sent(&mut self, now: Ms, ordered: &AttemptOrder, id: &str, write: bool) {
         let Some(audit) = &mut self.audit else { return };
         let at = self.core.clock.stamp(now);
         let to = ordered.place.number();
@@ -246,7 +246,7 @@
 
     /// Lines of the own journal at a number: what fellows know of a later one still holds, and what of them is news
     /// is passed on.
-    pub fn hosts(&mut self, now: Ms, hosts: &mut Hosts, number: u64) {
+    pub fn hosts(&mut self, now: Ms, hosts: &mut EndpointUpdate, number: u64) {
         if hosts.all {
             let listed = |name: &String| hosts.targets.iter().any(|target| target.uid == *name);
             self.targets.retain(|name, _| listed(name));
@@ -284,7 +284,7 @@
 
     /// The own journal has come that far: up to there it alone counts. The lines of caches that were barred by what
     /// lies before come back.
-    fn caught_up(&mut self, number: u64) -> Vec<Target> {
+    fn caught_up(&mut self, number: u64) -> Vec<EndpointEntry> {
         self.acts.journal = number;
         let past = self.barred.extract_if(.., |_, by| *by <= number);
         let names: Vec<String> = past.map(|(name, _)| name).collect();
@@ -292,7 +292,7 @@
     }
 
     /// What a fellow says of a cache by a number of the journal: its line from now on, where that is news here.
-    fn line(&mut self, name: &str, line: CacheLine, number: u64) -> Option<Target> {
+    fn line(&mut self, name: &str, line: CacheLine, number: u64) -> Option<EndpointEntry> {
         if number <= self.acts.journal {
             return None;
         }
@@ -332,20 +332,20 @@
     }
 }
 
-fn purge_key(expire: &Expire) -> Key {
-    match &expire.name {
+fn purge_key(expire: &PurgeEvent) -> Key {
+    match &expire.object {
         Some(name) => Key::Object(name.clone()),
-        None => Key::Group(expire.set),
+        None => Key::Group(expire.group),
     }
 }
 
-fn one(target: Target) -> Hosts {
-    Hosts { all: false, targets: vec![target] }
+fn one(target: EndpointEntry) -> EndpointUpdate {
+    EndpointUpdate { all: false, targets: vec![target] }
 }
 
 impl Router {
     /// An event of the own journal: fellows whose own is silent are to hear of it.
-    pub fn fleet_hears(&mut self, entry: &Entry) {
+    pub fn fleet_hears(&mut self, entry: &WatchEvent) {
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
         if let Some(expire) = &entry.expire {
@@ -395,7 +395,7 @@
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
         let looks = now - fleet.looked >= LOOK;
-        if let Some(upstream) = &mut self.upstream {
+        if let Some(upstream) = &mut self.hierarchy {
             for batch in upstream.news() {
                 let body = postcard::to_stdvec(&batch).unwrap_or_default();
                 if fleet.core.tell_batch(now, batch.author, batch.number, batch.stamp, body) {
@@ -415,11 +415,11 @@
                 }
             }
         }
-        let back = fleet.caught_up(self.journal.number());
+        let back = fleet.caught_up(self.discovery.position());
         fleet.core.acts(&fleet.acts);
         if looks {
             fleet.looked = now;
-            fleet.look(now, self.journal.sound_until());
+            fleet.look(now, self.discovery.silence_allowed_until());
         }
         fleet.account(now, false);
         fleet.core.tick(now);
@@ -430,7 +430,7 @@
     }
 
     /// A line of the list as it holds with what fellows know.
-    fn take_fellow_line(&mut self, target: Target) {
+    fn take_fellow_line(&mut self, target: EndpointEntry) {
         let now = self.clock.now();
         let mut hosts = one(target);
         if let Some(beyond) = &mut self.beyond {
@@ -471,12 +471,12 @@
                         fleet.purges += 1;
                         fleet.acts.purges += 1;
                         fleet.act(now, Act::Purge { number: purge.number, fellows: true });
-                        let (name, set) = match key {
+                        let (object, group) = match key {
                             Key::Object(name) => (Some(name), 0),
                             Key::Group(set) => (None, set),
                             _ => continue,
                         };
-                        let expire = Expire { name, set, stamp: purge.stamp };
+                        let expire = PurgeEvent { object, group, stamp: purge.stamp };
                         log_line!(
                             number = purge.number,
                             "fellows: a purge, by the journal as fellows have it"
@@ -488,7 +488,7 @@
                 Errand::Batch(body) => self.fellow_batch(&body),
                 Errand::Word { from, kind: WANT_SHAPE, bytes } => {
                     let asking = postcard::from_bytes::<u64>(&bytes);
-                    if let (Ok(asking), Some(upstream)) = (asking, &self.upstream) {
+                    if let (Ok(asking), Some(upstream)) = (asking, &self.hierarchy) {
                         for piece in pieces(asking, &upstream.snapshot(), fleet.fetch.rule()) {
                             fleet.core.send(&from, SHAPE, postcard::to_stdvec(&piece).unwrap_or_default());
                         }
@@ -518,7 +518,7 @@
 
     fn fellow_batch(&mut self, body: &[u8]) {
         let now = self.clock.now();
-        let (Some(upstream), Some(fleet)) = (&mut self.upstream, &mut self.fleet) else { return };
+        let (Some(upstream), Some(fleet)) = (&mut self.hierarchy, &mut self.fleet) else { return };
         let Ok(batch) = postcard::from_bytes::<BatchSpec>(body) else { return };
         let before = upstream.acts_on();
         if let Err(why) = upstream.hear_of(now, &batch) {
@@ -540,7 +540,7 @@
     /// A fellow's whole shape is there: this router was too far behind for batches.
     fn adopt(&mut self, from: &str, whole: &[u8]) {
         let now = self.clock.now();
-        let (Some(upstream), Some(fleet)) = (&mut self.upstream, &mut self.fleet) else { return };
+        let (Some(upstream), Some(fleet)) = (&mut self.hierarchy, &mut self.fleet) else { return };
         match upstream.adopt(now, whole) {
             Ok(()) => {
                 fleet.adopted += 1;
--- a/crates/router/src/upstream.rs
+++ b/crates/router/src/hierarchy_adapter.rs
@@ -16,10 +16,10 @@
 use linnethook_operator::Hierarchy as Settings;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::caches::{Ended, Ordered, Way};
 use crate::decider::{Attempt, End, How, Lists, Ms, Place, Ticket};
+use crate::discovery::event::{EndpointEntry, EndpointUpdate};
 use crate::log::log_line;
-use crate::told::{Hosts, Target};
+use crate::upstream::{AttemptOrder, CompletedAttempt, FillLoop, FillPath};
 
 /// What is known of the request that it is for.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -36,9 +36,9 @@
 /// What is to be done with an attempt now.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    Send(Ordered, Option<Way>),
+    Send(AttemptOrder, Option<FillPath>),
     /// It is not sent: it waited for its fill since then, and may not go.
-    TurnBack(Ordered, Ms),
+    TurnBack(AttemptOrder, Ms),
 }
 
 /// A fill that went.
@@ -53,7 +53,7 @@
 
 #[derive(Debug)]
 struct Waiting {
-    ordered: Ordered,
+    ordered: AttemptOrder,
     asked: Asked,
     since: Ms,
 }
@@ -65,7 +65,7 @@
     No(String),
 }
 
-pub struct Upstream {
+pub struct HierarchyAdapter {
     hierarchy: Hierarchy,
     names: Names,
     /// The author of the operator file's batches, and that of the control socket's.
@@ -112,7 +112,7 @@
     Author(0x8000 | (xxh3_64_with_seed(router.as_bytes(), (start * 1_000.0) as u64) as u16))
 }
 
-impl Upstream {
+impl HierarchyAdapter {
     /// Begins with the shape of the operator file, which is there since ever.
     pub fn new(now: Ms, router: &str, settings: &Settings) -> Result<Self, String> {
         let mut upstream = Self {
@@ -283,7 +283,12 @@
 
     /// Lines of the list of caches. `own` says which stand in this router's location. What waits for one that may
     /// not be used any more comes back.
-    pub fn hosts(&mut self, now: Ms, hosts: &Hosts, own: impl Fn(&Target) -> bool) -> Vec<Step> {
+    pub fn hosts(
+        &mut self,
+        now: Ms,
+        hosts: &EndpointUpdate,
+        own: impl Fn(&EndpointEntry) -> bool,
+    ) -> Vec<Step> {
         let mut back = Vec::new();
         self.due = now;
         for target in &hosts.targets {
@@ -347,17 +352,17 @@
     // ---- Fills.
 
     /// A fill by an edge that can't be vouched for: only what is held will do.
-    pub fn held_alone(&mut self, now: Ms, ordered: Ordered, asked: Asked, come_back: Ms) -> Step {
+    pub fn held_alone(&mut self, now: Ms, ordered: AttemptOrder, asked: Asked, come_back: Ms) -> Step {
         self.only_held(now, ordered, asked, come_back)
     }
 
     /// Whether an attempt may have a cache fill.
-    pub fn fills(&self, ordered: &Ordered) -> bool {
+    pub fn fills(&self, ordered: &AttemptOrder) -> bool {
         !ordered.filling.only_held && self.ends(ordered).is_some()
     }
 
     /// What is to be done with an attempt; `None` where it waits.
-    pub fn admit(&mut self, now: Ms, mut ordered: Ordered, asked: Asked) -> Option<Step> {
+    pub fn admit(&mut self, now: Ms, mut ordered: AttemptOrder, asked: Asked) -> Option<Step> {
         // Renewals come last: what can still be served as it is waits for better times.
         ordered.filling.renew &= !self.hierarchy.is_short(now);
         let Some((child, source)) = self.ends(&ordered) else { return Some(Step::Send(ordered, None)) };
@@ -391,7 +396,7 @@
     }
 
     /// Who fills, and from where; nothing where no fill may take place.
-    fn ends(&self, ordered: &Ordered) -> Option<(NodeId, NodeId)> {
+    fn ends(&self, ordered: &AttemptOrder) -> Option<(NodeId, NodeId)> {
         let (child, source) = (node(ordered.place), ordered.filling.source.map(node));
         let shape = self.hierarchy.shape();
         match source {
@@ -406,7 +411,7 @@
         }
     }
 
-    fn send(&mut self, now: Ms, ordered: Ordered, asked: Asked, held: bool) -> Step {
+    fn send(&mut self, now: Ms, ordered: AttemptOrder, asked: Asked, held: bool) -> Step {
         if let Some((child, source)) = self.ends(&ordered) {
             self.out.insert(ordered.attempt, Out { child, source, aim: asked.aim, held });
         }
@@ -415,7 +420,7 @@
     }
 
     /// It may not fill: what is held will do, also an ageing copy, at the source and beside it.
-    fn only_held(&mut self, now: Ms, mut ordered: Ordered, asked: Asked, come_back: Ms) -> Step {
+    fn only_held(&mut self, now: Ms, mut ordered: AttemptOrder, asked: Asked, come_back: Ms) -> Step {
         let filling = &mut ordered.filling;
         filling.only_held = true;
         filling.renew = false;
@@ -427,7 +432,7 @@
     }
 
     /// What goes with a fill where nodes understand it.
-    fn way(&self, now: Ms, ordered: &Ordered, object: u64, held: bool) -> Option<Way> {
+    fn way(&self, now: Ms, ordered: &AttemptOrder, object: u64, held: bool) -> Option<FillPath> {
         let source = ordered.filling.source.filter(|_| self.extended)?;
         let passed = Passed::new(self.hierarchy.version());
         let hops = self.hierarchy.way(now, node(ordered.place), node(source), object);
@@ -440,14 +445,14 @@
             }
         };
         let via = hops.iter().filter(|hop| !held || hop.only_held).map(named).collect();
-        Some(Way { passed: passed.to_string(), via })
+        Some(FillPath { passed: passed.to_string(), via })
     }
 
     /// How an attempt ended that went.
-    pub fn ended(&mut self, now: Ms, ended: &Ended) -> Vec<Step> {
+    pub fn ended(&mut self, now: Ms, ended: &CompletedAttempt) -> Vec<Step> {
         let ending = &ended.ending;
         let Some(out) = self.out.remove(&ending.attempt) else { return Vec::new() };
-        if let Some((from, to, version)) = &ended.round {
+        if let Some(FillLoop { from, to, version }) = &ended.fill_loop {
             self.came_round(now, &out, from, to, *version);
         }
         if out.held {
@@ -508,7 +513,7 @@
 
     /// Nobody waits for a request any more: what of it waits here goes no further, also where settings forbid calling
     /// off. There is nothing at a cache yet.
-    pub fn left(&mut self, left: Ticket) -> Vec<Ordered> {
+    pub fn left(&mut self, left: Ticket) -> Vec<AttemptOrder> {
         let mut of: Vec<Attempt> = self.waiting.keys().copied().filter(|a| a.ticket == left).collect();
         of.sort_unstable();
         let mut ordered = Vec::new();
@@ -549,5 +554,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/upstream.rs"]
+#[path = "../tests/unit/hierarchy_adapter.rs"]
 mod tests;
--- a/crates/router/src/links/beyond.rs
+++ b/crates/router/src/links/beyond.rs
@@ -16,13 +16,13 @@
 use linnethook_gateway::streams::Priority;
 use linnethook_operator::Gateway as Settings;
 
-use crate::caches::Parcel;
 use crate::config::{Failure, Limits};
 use crate::decider::{Ms, Wish};
+use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent};
+use crate::event_handler::EventHandler;
 use crate::links::sockets::Links;
 use crate::log::log_line;
-use crate::told::{Expire, Hosts, Target};
-use crate::wakes::Wakes;
+use crate::upstream::RequestMessage;
 
 /// A request as the gateway needs it again, should it go on elsewhere.
 #[derive(Debug, Clone)]
@@ -45,14 +45,14 @@
     }
 }
 
-pub struct Beyond<W: Wakes> {
+pub struct Beyond<W: EventHandler> {
     pub gateway: Gateway,
     pub links: Links<W>,
     /// Where the entries of the dials lead.
     pub addresses: Vec<SocketAddr>,
     classes: HashMap<String, Site>,
     /// The caches of the list, by name, as the own journal has them, and whether each stands at this site.
-    targets: BTreeMap<String, (Target, bool)>,
+    targets: BTreeMap<String, (EndpointEntry, bool)>,
     /// The share of requests refused here.
     refused: f64,
 }
@@ -61,7 +61,7 @@
 const WEIGHT: f64 = 0.02;
 const HEAVY: f64 = 3.0;
 
-impl<W: Wakes> Beyond<W> {
+impl<W: EventHandler> Beyond<W> {
     pub fn new(
         now: Ms,
         node: &str,
@@ -112,7 +112,7 @@
     }
 
     /// What the gateway is to know of a request.
-    pub fn wanted(&self, traveller: &Traveller, parcel: &Parcel) -> Wanted {
+    pub fn wanted(&self, traveller: &Traveller, parcel: &RequestMessage) -> Wanted {
         let wish = &traveller.wish;
         let priority = match (traveller.harmful, wish.part) {
             (true, _) => Priority::Booking,
@@ -136,7 +136,7 @@
     // ---- The list of caches.
 
     /// Lines of the own journal: what they say goes to other sites, and what those bar stays barred here.
-    pub fn hosts(&mut self, now: Ms, hosts: &mut Hosts, own: impl Fn(&Target) -> bool) {
+    pub fn hosts(&mut self, now: Ms, hosts: &mut EndpointUpdate, own: impl Fn(&EndpointEntry) -> bool) {
         if hosts.all {
             let listed: Vec<&str> = hosts.targets.iter().map(|target| target.uid.as_str()).collect();
             let gone: Vec<String> =
@@ -170,20 +170,20 @@
     }
 
     /// Another site has said something of a cache: its line as it holds from now on, where the own list has it.
-    pub fn barred(&self, name: &str) -> Option<Hosts> {
+    pub fn barred(&self, name: &str) -> Option<EndpointUpdate> {
         let (target, _) = self.targets.get(name)?;
         let mut target = target.clone();
         if target.ready() && self.gateway.bars(name) {
             target.bar();
         }
-        Some(Hosts { all: false, targets: vec![target] })
+        Some(EndpointUpdate { all: false, targets: vec![target] })
     }
 
     /// A purge of the own journal.
-    pub fn expired(&mut self, now: Ms, expire: &Expire) {
-        let about = match &expire.name {
+    pub fn expired(&mut self, now: Ms, expire: &PurgeEvent) {
+        let about = match &expire.object {
             Some(name) => About::Object(name.clone()),
-            None => About::Group(expire.set),
+            None => About::Group(expire.group),
         };
         self.gateway.say(now, about, Fact::Purged { stamp: expire.stamp });
     }
@@ -191,7 +191,7 @@
     /// How many caches take new work here, and how loaded the site is: the share of the open requests that there may
     /// be, or that of requests refused here.
     pub fn tell(&mut self, now: Ms, open: f64) {
-        let ready = |(name, (target, own)): &(&String, &(Target, bool))| {
+        let ready = |(name, (target, own)): &(&String, &(EndpointEntry, bool))| {
             *own && target.ready() && !self.gateway.bars(name)
         };
         let caches = self.targets.iter().filter(ready).count() as u32;
@@ -210,7 +210,7 @@
 }
 
 /// The fields of a request as clients write them.
-fn head(wish: &Wish, parcel: &Parcel) -> Fields {
+fn head(wish: &Wish, parcel: &RequestMessage) -> Fields {
     let mut head: Fields = Vec::with_capacity(9);
     let mut put = |name: &str, value: String| head.push((name.to_string(), value));
     put("c", parcel.class.clone());
@@ -224,7 +224,7 @@
     if wish.repeat {
         put("r", "1".to_string());
     }
-    parcel.known.iter().for_each(|known| put("known", known.clone()));
-    parcel.token.iter().for_each(|token| put("k", token.clone()));
+    parcel.client_copy.iter().for_each(|known| put("known", known.clone()));
+    parcel.idempotency_key.iter().for_each(|token| put("k", token.clone()));
     head
 }
--- a/crates/router/src/links/sockets.rs
+++ b/crates/router/src/links/sockets.rs
@@ -14,11 +14,11 @@
 use linnethook_gateway::gateway::{Conn, Gateway};
 use socket2::{Domain, Socket, Type};
 
-use crate::caches::connect;
 use crate::config::{Failure, Limits};
 use crate::decider::Ms;
+use crate::event_handler::EventHandler;
 use crate::log::log_line;
-use crate::wakes::Wakes;
+use crate::upstream::connect;
 
 struct Connection {
     stream: Rc<TcpStream>,
@@ -30,7 +30,7 @@
 }
 
 /// All connections of links.
-pub struct Links<W: Wakes> {
+pub struct Links<W: EventHandler> {
     limits: Limits,
     handle: LoopHandle<'static, W>,
     connections: BTreeMap<Conn, Connection>,
@@ -46,7 +46,7 @@
     pub bytes: [u64; 2],
 }
 
-impl<W: Wakes> Links<W> {
+impl<W: EventHandler> Links<W> {
     pub fn new(limits: Limits, handle: LoopHandle<'static, W>) -> Self {
         let block = vec![0; limits.link_block].into_boxed_slice();
         let (connections, held) = (BTreeMap::new(), BTreeSet::new());
@@ -69,7 +69,7 @@
         let address = listener.local_addr()?;
         let source = Generic::new(listener, Interest::READ, Mode::Level);
         let ready = |_: Readiness, listener: &mut NoIoDrop<TcpListener>, router: &mut W| {
-            Ok(if router.link_waits(listener) { PostAction::Continue } else { PostAction::Disable })
+            Ok(if router.accept_links(listener) { PostAction::Continue } else { PostAction::Disable })
         };
         self.listener = Some(self.handle.insert_source(source, ready).map_err(|wrong| wrong.error)?);
         Ok(address)
@@ -109,7 +109,7 @@
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let ready = move |readiness: Readiness, _: &mut _, router: &mut W| {
-            router.link_ready(conn, readiness);
+            router.on_link_ready(conn, readiness);
             Ok(PostAction::Continue)
         };
         let token = self.handle.insert_source(source, ready).map_err(|w| io::Error::other(w.error))?;
--- a/crates/router/src/links/wiring.rs
+++ b/crates/router/src/links/wiring.rs
@@ -9,19 +9,19 @@
 use linnethook_gateway::site::{About, Fact};
 use linnethook_gateway::transfer::Copy;
 
-use crate::caches::{Brought, Made};
-use crate::clients::{self, Asker};
+use crate::buffers::BufferChain;
 use crate::decider::{Final, News, Ticket};
-use crate::frames::Fields;
+use crate::discovery::event::PurgeEvent;
+use crate::downstream::codec::Fields;
+use crate::downstream::{parse_request, ClientStream};
+use crate::hierarchy_adapter::Asked;
 use crate::links::beyond::Traveller;
 use crate::log::log_line;
-use crate::pool::Chain;
-use crate::told::Expire;
-use crate::upstream::Asked;
+use crate::upstream::{CopyVersion, ResponsePayload};
 use crate::{Held, Router};
 
 /// Requests from other sites have no connection of a client.
-const NOBODY: Asker = Asker { client: 0, stream: 0 };
+const NOBODY: ClientStream = ClientStream { client: 0, stream: 0 };
 
 pub fn is_foreign(ticket: Ticket) -> bool {
     ticket >= FOREIGN
@@ -33,7 +33,7 @@
         let now = self.clock.now();
         let (Some(beyond), Some(held)) = (&mut self.beyond, self.requests.held.get(&ticket)) else { return };
         let Some(traveller) = &held.traveller else { return };
-        let wanted = beyond.wanted(traveller, &held.parcel);
+        let wanted = beyond.wanted(traveller, &held.message);
         beyond.gateway.ask(now, ticket, wanted);
         self.carry_beyond();
     }
@@ -48,7 +48,7 @@
         if !beyond.gateway.home_is_unable(traveller.need()) {
             return false;
         }
-        let wanted = beyond.wanted(traveller, &held.parcel);
+        let wanted = beyond.wanted(traveller, &held.message);
         beyond.gateway.ask_beyond_home(now, ticket, wanted)
     }
 
@@ -62,16 +62,16 @@
     }
 
     /// The answer to a request from another site goes back there.
-    pub fn answer_beyond(&mut self, ticket: Ticket, answer: Final, brought: Brought) {
+    pub fn answer_beyond(&mut self, ticket: Ticket, answer: Final, brought: ResponsePayload) {
         let now = self.clock.now();
         let reply = match (answer, brought) {
-            (Final::Served, Brought::Body(body, made)) => {
+            (Final::Served, ResponsePayload::Body(body, version)) => {
                 let body = Bytes::from(body.to_vec());
                 let length = body.len() as u64;
-                let copy = made.map(|Made { tag, dated }| Copy { tag, dated, length });
+                let copy = version.map(|CopyVersion { tag, issued }| Copy { tag, dated: issued, length });
                 Reply::Served { head: Vec::new(), body, copy }
             }
-            (Final::Served, Brought::Unchanged) => {
+            (Final::Served, ResponsePayload::NotModified) => {
                 let head = vec![("valid".to_string(), "1".to_string())];
                 Reply::Served { head, body: Bytes::new(), copy: None }
             }
@@ -104,9 +104,9 @@
                     beyond.gateway.gone(now, ticket);
                     self.counters.given_up += 1;
                     self.requests.remove(ticket);
-                    self.upstream.as_mut().and_then(|upstream| upstream.come_back(ticket));
+                    self.hierarchy.as_mut().and_then(|upstream| upstream.come_back(ticket));
                     let orders = self.decider.report(now, News::Left(ticket));
-                    self.carry_out(orders, Brought::Nothing);
+                    self.carry_out(orders, ResponsePayload::Empty);
                 }
                 Errand::Heard(about, fact) => self.heard_of(about, fact),
                 Errand::Fellow { name, start, up } => self.fellow(&name, start, up),
@@ -124,7 +124,7 @@
         let mut wish = traveller.wish.clone();
         wish.budget = (traveller.deadline - now).max(0.0);
         let orders = self.decider.pick(now, ticket, &wish);
-        self.carry_out(orders, Brought::Nothing);
+        self.carry_out(orders, ResponsePayload::Empty);
     }
 
     /// The final answer that the gateway has for a request.
@@ -138,17 +138,19 @@
             }
             return;
         }
-        let holds = self.requests.held.get(&ticket).is_some_and(|held| held.parcel.known.is_some());
+        let holds = self.requests.held.get(&ticket).is_some_and(|held| held.message.client_copy.is_some());
         let (answer, brought) = match reply {
-            Reply::Served { head, .. } if valid(&head) && holds => (Final::Served, Brought::Unchanged),
-            Reply::Served { head, .. } if valid(&head) => (Final::Failed, Brought::Nothing),
+            Reply::Served { head, .. } if valid(&head) && holds => {
+                (Final::Served, ResponsePayload::NotModified)
+            }
+            Reply::Served { head, .. } if valid(&head) => (Final::Failed, ResponsePayload::Empty),
             Reply::Served { body, .. } => {
-                (Final::Served, Brought::Body(Chain::from_bytes(&self.pool, &body), None))
+                (Final::Served, ResponsePayload::Body(BufferChain::from_bytes(&self.buffers, &body), None))
             }
             Reply::Refused { wait } => {
-                (Final::Refused { wait: wait.min(self.decider.longest_wait()) }, Brought::Nothing)
+                (Final::Refused { wait: wait.min(self.decider.longest_wait()) }, ResponsePayload::Empty)
             }
-            Reply::Failed => (Final::Failed, Brought::Nothing),
+            Reply::Failed => (Final::Failed, ResponsePayload::Empty),
         };
         self.finish(ticket, answer, brought);
     }
@@ -159,10 +161,10 @@
         let Came { ticket, head, body, left, passed } = came;
         let mut fields = Fields::from(head);
         fields.put("d", &format!("{}", (left + self.limits.way).min(self.limits.wait)));
-        let body = Chain::from_bytes(&self.pool, &body);
-        let taken = clients::taken(NOBODY, &fields, body, &self.limits);
-        let taken = taken.filter(|t| self.decider.knows(&t.wish) && !self.requests.clashes(&t.parcel));
-        let crowded = self.requests.len() >= self.limits.open || self.pool.crowded();
+        let body = BufferChain::from_bytes(&self.buffers, &body);
+        let taken = parse_request(NOBODY, &fields, body, &self.limits);
+        let taken = taken.filter(|t| self.decider.knows(&t.wish) && !self.requests.clashes(&t.message));
+        let crowded = self.requests.len() >= self.limits.open || self.buffers.is_exhausted();
         let Some(taken) = taken.filter(|_| !crowded) else {
             self.counters.unusable += u64::from(!crowded);
             if let Some(beyond) = &mut self.beyond {
@@ -177,8 +179,8 @@
             return;
         }
         self.counters.taken_in += 1;
-        self.counters.taken_in_bytes += taken.parcel.body.len() as u64;
-        let held = self.held(now, NOBODY, taken.wish, taken.parcel, passed);
+        self.counters.taken_in_bytes += taken.message.body.len() as u64;
+        let held = self.held(now, NOBODY, taken.wish, taken.message, passed);
         self.requests.insert(ticket, held);
         self.ask_gateway(ticket);
     }
@@ -187,9 +189,9 @@
     pub(crate) fn held(
         &self,
         now: f64,
-        asker: Asker,
+        asker: ClientStream,
         wish: crate::decider::Wish,
-        parcel: crate::caches::Parcel,
+        parcel: crate::upstream::RequestMessage,
         passed: Vec<String>,
     ) -> Held {
         let (aim, write) = self.decider.wanted(&wish);
@@ -201,7 +203,7 @@
             let deadline = now + wish.budget;
             Box::new(Traveller { wish, harmful, write, aim, deadline, passed })
         });
-        Held { asker, parcel, asked, traveller }
+        Held { asker, message: parcel, asked, traveller }
     }
 
     /// Another site was told of a drain or a purge.
@@ -223,9 +225,11 @@
                 }
             }
             (About::Object(name), Fact::Purged { stamp }) => {
-                self.purged(Expire { name: Some(name), set: 0, stamp })
+                self.purged(PurgeEvent { object: Some(name), group: 0, stamp })
+            }
+            (About::Group(set), Fact::Purged { stamp }) => {
+                self.purged(PurgeEvent { object: None, group: set, stamp })
             }
-            (About::Group(set), Fact::Purged { stamp }) => self.purged(Expire { name: None, set, stamp }),
             _ => {}
         }
     }
@@ -235,10 +239,10 @@
         self.beyond.as_ref().is_some_and(|beyond| beyond.crosses())
     }
 
-    pub(crate) fn purged(&mut self, expire: Expire) {
+    pub(crate) fn purged(&mut self, expire: PurgeEvent) {
         if let Some(news) = expire.news() {
             let orders = self.decider.report(self.clock.now(), news);
-            self.carry_out(orders, Brought::Nothing);
+            self.carry_out(orders, ResponsePayload::Empty);
         }
     }
 
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -4,33 +4,30 @@
 
 mod account;
 mod audit;
-mod caches;
+mod buffers;
 mod cli;
-mod clients;
 mod config;
 mod control;
 mod counters;
 mod decider;
 mod descriptors;
+mod discovery;
+mod downstream;
+mod event_handler;
 mod fleet;
-mod frames;
 #[cfg(test)]
 #[path = "../tests/unit/golden.rs"]
 mod golden;
 #[cfg(test)]
 #[path = "../tests/unit/hex.rs"]
 mod hex;
+mod hierarchy_adapter;
 mod hollow;
-mod journal;
 mod links;
 mod log;
 mod operator_digest;
-mod pool;
-mod resp;
 mod steer;
-mod told;
 mod upstream;
-mod wakes;
 
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -45,26 +42,26 @@
 use linnethook_operator::script::Kind;
 use linnethook_operator::{apart, Operator};
 
-use caches::{Brought, Caches, Ordered, Parcel};
+use buffers::{BufferChain, BufferPool};
 use cli::{Cli, Command};
-use clients::{Asker, ClientId, Clients, Said, Taken};
 use config::{Config, Failure, Limits};
 use control::Control;
 use counters::Counters;
 use decider::{Decider, End, Final, Ms, News, Order, Ticket, Wish};
 use descriptors::Reserve;
+use discovery::event::{EndpointUpdate, WatchEvent};
+use discovery::DiscoveryClient;
+use downstream::codec::AnswerCode;
+use downstream::{ClientEvent, ClientId, ClientRequest, ClientStream, Downstreams};
+use event_handler::EventHandler;
 use fleet::Fleet;
-use frames::Code;
-use journal::Journal;
+use hierarchy_adapter::{Asked, HierarchyAdapter, Step};
 use links::beyond::{Beyond, Traveller};
 use links::is_foreign;
 use links::sockets::Links;
 use log::log_line;
-use pool::{Chain, Pool};
 use steer::Evaluation;
-use told::{Entry, Hosts};
-use upstream::{Asked, Step, Upstream};
-use wakes::Wakes;
+use upstream::{AttemptOrder, RequestMessage, ResponsePayload, Upstreams};
 
 /// Unix milliseconds at the start and a clock that never goes back: stamps compare, and time never jumps.
 #[derive(Debug, Clone, Copy)]
@@ -86,8 +83,8 @@
 
 /// A request that is open: who asked, and what is passed on.
 struct Held {
-    asker: Asker,
-    parcel: Parcel,
+    asker: ClientStream,
+    message: RequestMessage,
     asked: Asked,
     /// What its gateway needs of it; nothing without one.
     traveller: Option<Box<Traveller>>,
@@ -107,22 +104,22 @@
     }
 
     /// Whether the id is open for another object: caches tell requests by their ids alone.
-    fn clashes(&self, parcel: &Parcel) -> bool {
+    fn clashes(&self, parcel: &RequestMessage) -> bool {
         self.ids.get(&parcel.id).is_some_and(|(object, _)| *object != parcel.object)
     }
 
     fn insert(&mut self, ticket: Ticket, held: Held) {
-        let id = self.ids.entry(held.parcel.id.clone()).or_insert_with(|| (held.parcel.object.clone(), 0));
+        let id = self.ids.entry(held.message.id.clone()).or_insert_with(|| (held.message.object.clone(), 0));
         id.1 += 1;
         self.held.insert(ticket, held);
     }
 
     fn remove(&mut self, ticket: Ticket) -> Option<Held> {
         let held = self.held.remove(&ticket)?;
-        if let Some((_, count)) = self.ids.get_mut(&held.parcel.id) {
+        if let Some((_, count)) = self.ids.get_mut(&held.message.id) {
             *count -= 1;
             if *count == 0 {
-                self.ids.remove(&held.parcel.id);
+                self.ids.remove(&held.message.id);
             }
         }
         Some(held)
@@ -145,16 +142,16 @@
     /// The file that `LB_CONFIG` names, read again at each SIGHUP.
     path: PathBuf,
     limits: Limits,
-    pool: Pool,
+    buffers: BufferPool,
     reserve: Reserve,
     decider: Decider,
-    clients: Clients<Self>,
-    caches: Caches<Self>,
-    journal: Journal<Self>,
+    downstreams: Downstreams<Self>,
+    upstreams: Upstreams<Self>,
+    discovery: DiscoveryClient<Self>,
     requests: Requests,
     /// The operator file and what it switches on; nothing on the platform.
     operator: Option<PathBuf>,
-    upstream: Option<Upstream>,
+    hierarchy: Option<HierarchyAdapter>,
     control: Option<Control<Self>>,
     beyond: Option<Beyond<Self>>,
     fleet: Option<Fleet>,
@@ -178,7 +175,7 @@
         let links = operator.as_ref().is_some_and(|(_, operator)| operator.gateway.is_some());
         let limits = if links { config.limits.beside_links() } else { config.limits };
         let reserve = Reserve::take(limits.reserve)?;
-        let pool = Pool::new(limits.block, limits.blocks_kept, limits.blocks_most);
+        let buffers = BufferPool::new(limits.block, limits.blocks_kept, limits.blocks_most);
         // What is watched has to be right before anything begins.
         let watch = operator.as_ref().and_then(|(_, operator)| operator.watch.as_ref());
         let told = |watch| Ok::<_, Failure>((config.with(&steer::changes(watch))?, watch.every * 1000.0));
@@ -190,14 +187,21 @@
             path: path.to_path_buf(),
             limits,
             decider: Decider::new(config.told, config.seed),
-            clients: Clients::new(limits, &pool, &reserve, handle.clone()),
-            caches: Caches::new(limits, &pool, &reserve, handle.clone()),
-            journal: Journal::new(limits, &pool, &reserve, handle.clone(), config.file.journal, known.pos),
-            pool,
+            downstreams: Downstreams::new(limits, &buffers, &reserve, handle.clone()),
+            upstreams: Upstreams::new(limits, &buffers, &reserve, handle.clone()),
+            discovery: DiscoveryClient::new(
+                limits,
+                &buffers,
+                &reserve,
+                handle.clone(),
+                config.file.journal,
+                known.pos,
+            ),
+            buffers,
             reserve,
             requests: Requests::default(),
             operator: None,
-            upstream: None,
+            hierarchy: None,
             control: None,
             beyond: None,
             fleet: None,
@@ -218,18 +222,18 @@
         }
         router.learn(known.entries);
         router.tick_fleet();
-        // Clients come only once the list is known.
-        let address = router.clients.listen(config.file.listen)?;
+        // Clients are accepted only once the list is known.
+        let address = router.downstreams.listen(config.file.listen)?;
         log_line!("{} listens on {address}", config.file.name);
         Ok(router)
     }
 
     /// Takes in events of the journal, in their order.
-    fn learn(&mut self, entries: Vec<Entry>) {
+    fn learn(&mut self, entries: Vec<WatchEvent>) {
         let now = self.clock.now();
         for entry in entries {
             self.counters.journal_events += 1;
-            if let (Some(batch), Some(upstream)) = (&entry.shape, &mut self.upstream) {
+            if let (Some(batch), Some(upstream)) = (&entry.shape, &mut self.hierarchy) {
                 if let Err(why) = upstream.hear(now, batch) {
                     log_line!("hierarchy: batch {}/{}: {why}", batch.author, batch.number);
                 }
@@ -250,13 +254,13 @@
                 match expire.news() {
                     Some(news) => {
                         if let News::Expired { object, group, .. } = news {
-                            self.caches.purged(now, object, group);
+                            self.upstreams.withdraw_purged(now, object, group);
                         }
                         if let Some(beyond) = &mut self.beyond {
                             beyond.expired(now, expire);
                         }
                         let orders = self.decider.report(now, news);
-                        self.carry_out(orders, Brought::Nothing);
+                        self.carry_out(orders, ResponsePayload::Empty);
                     }
                     None => log_line!("journal: a purge that can't be read, event {}", entry.pos),
                 }
@@ -265,16 +269,16 @@
     }
 
     /// Takes in lines of the list of caches.
-    fn take_hosts(&mut self, hosts: &Hosts) {
+    fn take_hosts(&mut self, hosts: &EndpointUpdate) {
         let now = self.clock.now();
-        self.caches.hosts(now, &hosts.targets, hosts.all);
+        self.upstreams.update_endpoints(now, &hosts.targets, hosts.all);
         self.list_upstream(hosts);
         let orders = self.decider.report(now, hosts.news());
-        self.carry_out(orders, Brought::Nothing);
+        self.carry_out(orders, ResponsePayload::Empty);
     }
 
     /// Does what was ordered. `brought` is what the attempt that was just reported has brought.
-    fn carry_out(&mut self, orders: Vec<Order>, brought: Brought) {
+    fn carry_out(&mut self, orders: Vec<Order>, brought: ResponsePayload) {
         let now = self.clock.now();
         let mut brought = Some(brought);
         for order in orders {
@@ -283,15 +287,15 @@
                     let Some(held) = self.requests.held.get(&attempt.ticket) else {
                         // Its client left while these orders were carried out. Without an end the attempt would
                         // count as in flight at its cache for good.
-                        self.caches.drop_unsent(now, attempt, place);
+                        self.upstreams.cancel_unsent(now, attempt, place);
                         continue;
                     };
                     let asked = held.asked;
-                    let ordered = Ordered { attempt, place, timeout, filling };
+                    let ordered = AttemptOrder { attempt, place, timeout, filling };
                     // What can't be vouched for is not done; what is held will do.
                     let out = self.fleet.as_mut().filter(|_| !asked.write && filling.source.is_some());
                     let out = out.and_then(|fleet| fleet.shuts_out(now, asked.object));
-                    let step = match (&mut self.upstream, out) {
+                    let step = match (&mut self.hierarchy, out) {
                         (Some(upstream), Some(wait)) if upstream.fills(&ordered) => {
                             Some(upstream.held_alone(now, ordered, asked, wait))
                         }
@@ -301,25 +305,25 @@
                     self.take(step);
                 }
                 Order::Cancel(attempt) => {
-                    match self.upstream.as_mut().and_then(|upstream| upstream.cancel(attempt)) {
+                    match self.hierarchy.as_mut().and_then(|upstream| upstream.cancel(attempt)) {
                         Some(Step::TurnBack(ordered, _)) => {
-                            self.caches.drop_unsent(now, attempt, ordered.place);
+                            self.upstreams.cancel_unsent(now, attempt, ordered.place);
                         }
-                        _ => self.caches.cancel(now, attempt),
+                        _ => self.upstreams.cancel(now, attempt),
                     }
                 }
                 Order::Answer { ticket, answer } => {
-                    self.answer(ticket, answer, brought.take().unwrap_or(Brought::Nothing));
+                    self.answer(ticket, answer, brought.take().unwrap_or(ResponsePayload::Empty));
                 }
                 Order::WakeAt(at) => self.wake = Some(self.wake.map_or(at, |wake| wake.min(at))),
-                Order::Probe(place) => self.caches.probe(now, place),
+                Order::Probe(place) => self.upstreams.send_health_check(now, place),
                 Order::Note(line) => log_line!("{line}"),
             }
         }
     }
 
     /// The answer of this site's decisions to a request.
-    fn answer(&mut self, ticket: Ticket, answer: Final, brought: Brought) {
+    fn answer(&mut self, ticket: Ticket, answer: Final, brought: ResponsePayload) {
         if self.crosses() {
             self.ended_here(ticket, answer);
             if matches!(answer, Final::Refused { .. }) && self.goes_beyond(ticket) {
@@ -330,8 +334,8 @@
     }
 
     /// The one final answer to whoever asked.
-    fn finish(&mut self, ticket: Ticket, answer: Final, brought: Brought) {
-        let come_back = self.upstream.as_mut().and_then(|upstream| upstream.come_back(ticket));
+    fn finish(&mut self, ticket: Ticket, answer: Final, brought: ResponsePayload) {
+        let come_back = self.hierarchy.as_mut().and_then(|upstream| upstream.come_back(ticket));
         if is_foreign(ticket) {
             if self.requests.remove(ticket).is_some() {
                 self.answer_beyond(ticket, answer, brought);
@@ -343,17 +347,17 @@
         if let Some(fleet) = &mut self.fleet {
             fleet.answered(self.clock.now(), answer);
         }
-        let nothing = Chain::new(&self.pool);
+        let nothing = BufferChain::new(&self.buffers);
         let client = held.asker.client;
         match (answer, brought) {
-            (Final::Served, Brought::Body(body, _)) => {
+            (Final::Served, ResponsePayload::Body(body, _)) => {
                 self.counters.served += 1;
                 self.counters.served_bytes += body.len() as u64;
-                self.clients.answer(held.asker, Code::Served, &[], body);
+                self.downstreams.answer(held.asker, AnswerCode::Served, &[], body);
             }
-            (Final::Served, Brought::Unchanged) => {
+            (Final::Served, ResponsePayload::NotModified) => {
                 self.counters.served += 1;
-                self.clients.answer(held.asker, Code::Served, &[("valid", "1")], nothing);
+                self.downstreams.answer(held.asker, AnswerCode::Served, &[("valid", "1")], nothing);
             }
             (Final::Refused { wait }, _) => {
                 self.counters.refused += 1;
@@ -363,50 +367,50 @@
                 let wait = told;
                 let wait = format!("{}", wait.ceil());
                 let fields: &[(&str, &str)] = if wait == "0" { &[] } else { &[("w", &wait)] };
-                self.clients.answer(held.asker, Code::Refused, fields, nothing);
+                self.downstreams.answer(held.asker, AnswerCode::Rejected, fields, nothing);
             }
-            (Final::Failed, _) | (Final::Served, Brought::Nothing) => {
+            (Final::Failed, _) | (Final::Served, ResponsePayload::Empty) => {
                 self.counters.failed += 1;
-                self.clients.answer(held.asker, Code::Failed, &[], nothing);
+                self.downstreams.answer(held.asker, AnswerCode::Failed, &[], nothing);
             }
         }
         let mut said = Vec::new();
-        self.clients.flush(self.clock.now(), client, &mut said);
+        self.downstreams.flush(self.clock.now(), client, &mut said);
         self.hear(said);
     }
 
     /// Takes in what clients have said.
-    fn hear(&mut self, said: Vec<Said>) {
+    fn hear(&mut self, said: Vec<ClientEvent>) {
         for said in said {
             let now = self.clock.now();
             match said {
-                Said::Request(ticket, taken) => {
+                ClientEvent::Request(ticket, taken) => {
                     self.counters.taken_in += 1;
-                    self.counters.taken_in_bytes += taken.parcel.body.len() as u64;
-                    let asker = taken.asker;
+                    self.counters.taken_in_bytes += taken.message.body.len() as u64;
+                    let asker = taken.stream;
                     // Its connection may have been broken off over one before it.
-                    if !self.clients.waits_for(asker, ticket) {
+                    if !self.downstreams.is_open(asker, ticket) {
                         continue;
                     }
-                    if !self.decider.knows(&taken.wish) || self.requests.clashes(&taken.parcel) {
+                    if !self.decider.knows(&taken.wish) || self.requests.clashes(&taken.message) {
                         self.turn_away(asker);
                         continue;
                     }
                     let leaving = matches!(self.run, Run::Leaving(_));
                     let crowded = leaving || self.requests.len() >= self.limits.open;
                     if let Some(wait) = self.barred_for_now(now, &taken.wish) {
-                        let Taken { wish, parcel, .. } = *taken;
-                        let held = self.held(now, asker, wish, parcel, Vec::new());
+                        let ClientRequest { wish, message, .. } = *taken;
+                        let held = self.held(now, asker, wish, message, Vec::new());
                         self.requests.insert(ticket, held);
-                        self.finish(ticket, Final::Refused { wait }, Brought::Nothing);
+                        self.finish(ticket, Final::Refused { wait }, ResponsePayload::Empty);
                         continue;
                     }
-                    let Taken { wish, parcel, .. } = *taken;
+                    let ClientRequest { wish, message, .. } = *taken;
                     if self.crosses() {
-                        let held = self.held(now, asker, wish, parcel, Vec::new());
+                        let held = self.held(now, asker, wish, message, Vec::new());
                         self.requests.insert(ticket, held);
                         if crowded {
-                            self.finish(ticket, Final::Refused { wait: 0.0 }, Brought::Nothing);
+                            self.finish(ticket, Final::Refused { wait: 0.0 }, ResponsePayload::Empty);
                         } else {
                             self.ask_gateway(ticket);
                         }
@@ -415,31 +419,31 @@
                     let (aim, write) = self.decider.wanted(&wish);
                     let Wish { object, part, size_kb, .. } = wish;
                     let asked = Asked { object, part, write, bytes: size_kb * 1000.0, aim, since: now };
-                    self.requests.insert(ticket, Held { asker, parcel, asked, traveller: None });
+                    self.requests.insert(ticket, Held { asker, message, asked, traveller: None });
                     if crowded {
-                        self.answer(ticket, Final::Refused { wait: 0.0 }, Brought::Nothing);
+                        self.answer(ticket, Final::Refused { wait: 0.0 }, ResponsePayload::Empty);
                         continue;
                     }
                     let orders = self.decider.pick(now, ticket, &wish);
-                    self.carry_out(orders, Brought::Nothing);
+                    self.carry_out(orders, ResponsePayload::Empty);
                 }
-                Said::GivenUp(ticket) => {
+                ClientEvent::Cancelled(ticket) => {
                     self.counters.given_up += 1;
                     self.requests.remove(ticket);
-                    self.caches.left(now, ticket);
-                    let unsent = self.upstream.as_mut().map(|upstream| upstream.left(ticket));
+                    self.upstreams.withdraw_request(now, ticket);
+                    let unsent = self.hierarchy.as_mut().map(|upstream| upstream.left(ticket));
                     for ordered in unsent.unwrap_or_default() {
-                        self.caches.drop_unsent(now, ordered.attempt, ordered.place);
+                        self.upstreams.cancel_unsent(now, ordered.attempt, ordered.place);
                     }
-                    self.upstream.as_mut().and_then(|upstream| upstream.come_back(ticket));
+                    self.hierarchy.as_mut().and_then(|upstream| upstream.come_back(ticket));
                     if let Some(beyond) = self.beyond.as_mut().filter(|beyond| beyond.crosses()) {
                         beyond.gateway.gone(now, ticket);
                         self.carry_beyond();
                     }
                     let orders = self.decider.report(now, News::Left(ticket));
-                    self.carry_out(orders, Brought::Nothing);
+                    self.carry_out(orders, ResponsePayload::Empty);
                 }
-                Said::Unreadable(asker) => {
+                ClientEvent::Invalid(asker) => {
                     self.counters.taken_in += 1;
                     self.turn_away(asker);
                 }
@@ -452,7 +456,7 @@
     pub(crate) fn look_at(&mut self, ticket: Ticket) {
         let Some(client) = self.requests.held.get(&ticket).map(|held| held.asker.client) else { return };
         let mut said = Vec::new();
-        self.clients.look(self.clock.now(), client, &mut said);
+        self.downstreams.check(self.clock.now(), client, &mut said);
         self.hear(said);
     }
 
@@ -464,11 +468,11 @@
     }
 
     /// Answers a request that can't be used, and so never reached the decider.
-    fn turn_away(&mut self, asker: Asker) {
+    fn turn_away(&mut self, asker: ClientStream) {
         self.counters.unusable += 1;
         let mut said = Vec::new();
-        self.clients.turn_away(self.clock.now(), asker, &mut said);
-        self.clients.flush(self.clock.now(), asker.client, &mut said);
+        self.downstreams.reject_invalid(self.clock.now(), asker, &mut said);
+        self.downstreams.flush(self.clock.now(), asker.client, &mut said);
         self.hear(said);
     }
 
@@ -476,35 +480,37 @@
     fn settle(&mut self) {
         loop {
             let now = self.clock.now();
-            if let Some(ended) = self.caches.next_ended() {
-                self.count(ended.ending.end, &ended.brought);
+            if let Some(ended) = self.upstreams.next_completed() {
+                self.count(ended.ending.end, &ended.payload);
                 let attempt = ended.ending.attempt;
                 let held = self.requests.held.get(&attempt.ticket).filter(|held| held.asked.write);
                 if let (Some(fleet), Some(held)) = (&mut self.fleet, held) {
-                    fleet.write_ended(now, &held.parcel.id, attempt.number, ended.ending.end);
+                    fleet.write_ended(now, &held.message.id, attempt.number, ended.ending.end);
                 }
-                if let Some(upstream) = &mut self.upstream {
+                if let Some(upstream) = &mut self.hierarchy {
                     let steps = upstream.ended(now, &ended);
                     self.take(steps);
                 }
                 let orders = self.decider.report(now, News::Ended(ended.ending));
-                self.carry_out(orders, ended.brought);
-            } else if let Some(probed) = self.caches.next_probed() {
-                let news = News::Probed { place: probed.place, well: probed.well, gauges: probed.gauges };
+                self.carry_out(orders, ended.payload);
+            } else if let Some(probed) = self.upstreams.next_health_check() {
+                let news = News::Probed { place: probed.place, well: probed.healthy, gauges: probed.gauges };
                 let orders = self.decider.report(now, news);
-                self.carry_out(orders, Brought::Nothing);
-            } else if let Some((connection, tickets)) = self.caches.next_waiting() {
+                self.carry_out(orders, ResponsePayload::Empty);
+            } else if let Some((connection, tickets)) = self.upstreams.next_stalled() {
                 tickets.into_iter().for_each(|ticket| self.look_at(ticket));
-                self.caches.write_on(self.clock.now(), connection);
+                self.upstreams.write_queued(self.clock.now(), connection);
             } else {
                 return;
             }
         }
     }
 
-    fn count(&mut self, end: End, brought: &Brought) {
+    fn count(&mut self, end: End, brought: &ResponsePayload) {
         let counter = match end {
-            End::Answered if matches!(brought, Brought::Unchanged) => &mut self.counters.ended_unchanged,
+            End::Answered if matches!(brought, ResponsePayload::NotModified) => {
+                &mut self.counters.ended_unchanged
+            }
             End::Answered => &mut self.counters.ended_data,
             End::Failed => &mut self.counters.ended_failed,
             End::Full => &mut self.counters.ended_full,
@@ -521,15 +527,15 @@
     /// All that is due by now.
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.caches.tick(now);
+        self.upstreams.on_timer(now);
         self.settle();
         if self.wake.is_some_and(|wake| wake <= now) {
             self.wake = None;
             let orders = self.decider.tick(now);
-            self.carry_out(orders, Brought::Nothing);
+            self.carry_out(orders, ResponsePayload::Empty);
             self.settle();
         }
-        if let Some(upstream) = self.upstream.as_mut().filter(|upstream| upstream.is_due(now)) {
+        if let Some(upstream) = self.hierarchy.as_mut().filter(|upstream| upstream.is_due(now)) {
             let steps = upstream.tick(now);
             self.take(steps);
             self.tell_feeds();
@@ -548,17 +554,19 @@
                 log_line!("{watched}");
             }
         }
-        self.journal.tick(now);
+        self.discovery.on_timer(now);
         let mut said = Vec::new();
-        self.clients.tick(now, &mut said);
-        self.clients.read_held(now, &mut said);
+        self.downstreams.on_timer(now, &mut said);
+        self.downstreams.read_paused(now, &mut said);
         self.hear(said);
         self.settle();
     }
 
     /// How long nothing is due.
     fn rest(&self) -> Duration {
-        if self.clients.waits() || self.beyond.as_ref().is_some_and(|beyond| beyond.links.waits()) {
+        if self.downstreams.has_readable_paused()
+            || self.beyond.as_ref().is_some_and(|beyond| beyond.links.waits())
+        {
             return Duration::ZERO;
         }
         let now = self.clock.now();
@@ -570,15 +578,26 @@
             Run::Stopping(since) => Some(since + self.limits.stop_most),
             Run::Leaving(until) => Some(until),
         };
-        let upstream = self.upstream.as_ref().map(Upstream::next);
+        let upstream = self.hierarchy.as_ref().map(HierarchyAdapter::next);
         let control = self.control.as_ref().and_then(Control::next);
-        let (journal, clients) = (Some(self.journal.next()), Some(self.clients.next()));
+        let (journal, clients) =
+            (Some(self.discovery.next_deadline()), Some(self.downstreams.next_deadline()));
         let beyond = self.beyond.as_ref().map(|beyond| {
             let connects = beyond.links.next().unwrap_or(f64::INFINITY);
             beyond.gateway.next(now).min(connects)
         });
         let fleet = self.fleet.as_ref().map(|fleet| fleet.next(now));
-        let next = [self.wake, self.caches.next(), journal, clients, stop, upstream, control, beyond, fleet];
+        let next = [
+            self.wake,
+            self.upstreams.next_deadline(),
+            journal,
+            clients,
+            stop,
+            upstream,
+            control,
+            beyond,
+            fleet,
+        ];
         let next = next.into_iter().flatten().reduce(Ms::min).unwrap_or(now + 1000.0);
         Duration::from_secs_f64((next - now).clamp(0.0, 1000.0) / 1000.0)
     }
@@ -593,7 +612,7 @@
             log_line!("stopping, {} requests open", self.decider.owed());
             self.run = Run::Stopping(self.clock.now());
             let mut said = Vec::new();
-            self.clients.stop(self.clock.now(), &mut said);
+            self.downstreams.begin_drain(self.clock.now(), &mut said);
             self.leave_fleet();
             if let Some(beyond) = &mut self.beyond {
                 beyond.gateway.stop();
@@ -611,7 +630,7 @@
         match self.reserve.lend(|| Config::read(&self.path)) {
             Ok(config) => {
                 log_line!(always "reloaded: the journal is at {}", config.file.journal);
-                self.journal.go_over(self.clock.now(), config.file.journal);
+                self.discovery.set_address(self.clock.now(), config.file.journal);
             }
             Err(failure) => log_line!(always "not reloaded: {failure}"),
         }
@@ -625,12 +644,12 @@
         let open: Vec<Ticket> = self.requests.held.keys().copied().collect();
         for ticket in open {
             let now = self.clock.now();
-            self.finish(ticket, Final::Failed, Brought::Nothing);
+            self.finish(ticket, Final::Failed, ResponsePayload::Empty);
             if let Some(beyond) = &mut self.beyond {
                 beyond.gateway.gone(now, ticket);
             }
             let orders = self.decider.report(now, News::Left(ticket));
-            self.carry_out(orders, Brought::Nothing);
+            self.carry_out(orders, ResponsePayload::Empty);
         }
     }
 
@@ -641,11 +660,11 @@
         self.run = Run::Leaving(now + self.limits.stop_last);
         let mut said = Vec::new();
         // What has arrived by now is owed an answer.
-        self.clients.read_all(now, &mut said);
+        self.downstreams.read_all(now, &mut said);
         self.hear(said);
         self.settle();
         let mut said = Vec::new();
-        self.clients.let_go(now, &mut said);
+        self.downstreams.close_finished(now, &mut said);
         self.hear(said);
     }
 
@@ -654,24 +673,26 @@
         let Run::Leaving(until) = self.run else { return false };
         let now = self.clock.now();
         let mut said = Vec::new();
-        self.clients.let_go(now, &mut said);
+        self.downstreams.close_finished(now, &mut said);
         self.hear(said);
-        self.clients.len() == 0 || now >= until
+        self.downstreams.len() == 0 || now >= until
     }
 
     fn print_counters(&self) {
+        let counts = self.downstreams.counts;
         let counters = Counters {
-            clients: self.clients.accepted,
-            malformed: self.clients.malformed,
-            silent: self.clients.silent,
-            made_room: self.clients.made_room,
-            taken_back: self.clients.taken_back,
-            connects: self.caches.connects,
-            journal_lost: self.journal.lost,
+            clients: counts.accepted,
+            malformed: counts.malformed,
+            silent: counts.silent,
+            made_room: counts.displaced,
+            taken_back: counts.withdrawn,
+            connects: self.upstreams.connects,
+            journal_lost: self.discovery.lost,
             ..self.counters
         };
-        let (open, out, buffers) = (self.decider.owed(), self.caches.out(), self.pool.in_use());
-        let (clients, (peers, connections)) = (self.clients.len(), self.caches.kept());
+        let (open, out, buffers) = (self.decider.owed(), self.upstreams.in_flight(), self.buffers.in_use());
+        let (clients, peers) = (self.downstreams.len(), self.upstreams.endpoint_count());
+        let connections = self.upstreams.connection_count();
         let links = self.beyond.as_ref().map_or(String::new(), |beyond| {
             let Links { accepted, bytes: [came, went], .. } = &beyond.links;
             format!(
@@ -681,7 +702,8 @@
         });
         let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!(" {fleet}"));
         let watched = self.decider.watched().map_or(String::new(), |watched| format!(" {watched}"));
-        let (number, [came, went]) = (self.journal.number(), self.journal.bytes);
+        let (number, came, went) =
+            (self.discovery.position(), self.discovery.bytes_in, self.discovery.bytes_out);
         log_line!(always "{counters} journal_number={number} journal_bytes_in={came} journal_bytes_out={went} \
             held_clients={clients} held_caches={peers} held_connections={connections} \
             open={open} out={out} buffers={buffers}{links}{fleet}{watched}");
@@ -693,54 +715,53 @@
         let passed = self.clock.now() - since;
         // What is at another site is owed by the gateway and not by the decider.
         let across = self.crosses() && self.requests.len() > 0;
-        let answered = self.decider.owed() == 0 && !across && self.clients.settled();
+        let answered = self.decider.owed() == 0 && !across && self.downstreams.is_settled();
         passed >= self.limits.stop_most || (passed >= self.limits.stop_least && answered)
     }
 }
 
-impl Wakes for Router {
-    fn client_waits(&mut self, listener: &TcpListener) -> bool {
+impl EventHandler for Router {
+    fn accept_clients(&mut self, listener: &TcpListener) -> bool {
         let mut said = Vec::new();
-        let room = self.clients.accept(self.clock.now(), listener, &mut said);
+        let room = self.downstreams.accept(self.clock.now(), listener, &mut said);
         self.hear(said);
         self.settle();
         room
     }
 
-    fn client_ready(&mut self, id: ClientId, readiness: Readiness) {
+    fn on_client_ready(&mut self, id: ClientId, readiness: Readiness) {
         let now = self.clock.now();
         let mut said = Vec::new();
         if readiness.writable {
-            self.clients.flush(now, id, &mut said);
+            self.downstreams.flush(now, id, &mut said);
         }
         if readiness.readable || readiness.error {
-            self.clients.read(now, id, &mut said);
+            self.downstreams.read(now, id, &mut said);
         }
         self.hear(said);
         let mut said = Vec::new();
-        self.clients.flush(now, id, &mut said);
+        self.downstreams.flush(now, id, &mut said);
         self.hear(said);
         self.settle();
     }
 
-    fn cache_ready(&mut self, id: u64, readiness: Readiness) {
-        let readable = readiness.readable || readiness.error;
-        self.caches.ready(self.clock.now(), id, readable, readiness.writable || readiness.error);
+    fn on_upstream_ready(&mut self, id: u64, readiness: Readiness) {
+        self.upstreams.on_ready(self.clock.now(), id, readiness);
         self.settle();
     }
 
-    fn journal_ready(&mut self, readiness: Readiness) {
-        let entries = self.journal.ready(self.clock.now(), readiness.writable || readiness.error);
+    fn on_discovery_ready(&mut self, readiness: Readiness) {
+        let entries = self.discovery.on_ready(self.clock.now(), readiness);
         self.learn(entries);
         self.settle();
     }
 
-    fn control_waits(&mut self, listener: &UnixListener) -> bool {
+    fn accept_commands(&mut self, listener: &UnixListener) -> bool {
         let now = self.clock.now();
         self.control.as_mut().is_none_or(|control| control.accept(now, listener))
     }
 
-    fn link_waits(&mut self, listener: &TcpListener) -> bool {
+    fn accept_links(&mut self, listener: &TcpListener) -> bool {
         let now = self.clock.now();
         let beyond = self.beyond.as_mut();
         let room = beyond.is_none_or(|beyond| beyond.links.accept(now, listener, &mut beyond.gateway));
@@ -748,12 +769,12 @@
         room
     }
 
-    fn link_ready(&mut self, id: u64, readiness: Readiness) {
+    fn on_link_ready(&mut self, id: u64, readiness: Readiness) {
         self.link_is_ready(id, readiness);
         self.settle();
     }
 
-    fn control_ready(&mut self, id: u64) {
+    fn on_command_ready(&mut self, id: u64) {
         let question = self.control.as_mut().and_then(|control| {
             control.flush(id);
             control.read(id)
@@ -820,7 +841,7 @@
     }
     // Nothing new comes in any more: what the account says last is the last.
     let (now, mut said) = (router.clock.now(), Vec::new());
-    router.clients.close(now, &mut said);
+    router.downstreams.close_all(now, &mut said);
     router.hear(said);
     router.fail_open();
     if router.fleet.is_some() {
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -15,17 +15,17 @@
 use linnethook_operator::{apart, Operator};
 use serde_json::{json, Map, Value};
 
-use crate::caches::Brought;
 use crate::cli;
 use crate::config::Failure;
 use crate::control::{Answer, BudgetLine, Control, MoveLine, Question, Shown};
 use crate::decider::{Ms, News};
+use crate::discovery::event::EndpointUpdate;
 use crate::fleet::Fleet;
+use crate::hierarchy_adapter::{Applied, HierarchyAdapter, Step};
 use crate::links::beyond::Beyond;
 use crate::log::log_line;
 use crate::operator_digest;
-use crate::told::Hosts;
-use crate::upstream::{Applied, Step, Upstream};
+use crate::upstream::ResponsePayload;
 use crate::Router;
 
 /// What `watch()` changes, by the names that the settings have.
@@ -65,30 +65,30 @@
     ) -> Result<(), Failure> {
         let now = self.clock.now();
         if let Some(hierarchy) = &operator.hierarchy {
-            self.upstream = Some(Upstream::new(now, name, hierarchy)?);
+            self.hierarchy = Some(HierarchyAdapter::new(now, name, hierarchy)?);
         }
         if let Some(gateway) = &operator.gateway {
             let beyond = Beyond::new(now, name, seed, gateway, self.limits, self.handle.clone())?;
-            self.caches.tells_copies = beyond.crosses();
+            self.upstreams.reports_versions = beyond.crosses();
             self.beyond = Some(beyond);
             if let Some(fellows) = &gateway.fellows {
                 self.fleet =
                     Some(Fleet::new(now, name, fellows, settings, operator_digest::digest(operator)));
-                self.upstream.iter_mut().for_each(Upstream::tells_fellows);
+                self.hierarchy.iter_mut().for_each(HierarchyAdapter::tells_fellows);
             }
         }
         if let Some(path) = &operator.control {
             let (limits, handle) = (self.limits, self.handle.clone());
-            let control = Control::listen(limits, &self.pool, &self.reserve, handle, Path::new(path));
+            let control = Control::listen(limits, &self.buffers, &self.reserve, handle, Path::new(path));
             self.control = Some(control.map_err(|wrong| format!("control socket {path}: {wrong}"))?);
         }
         Ok(())
     }
 
     /// Tells the hierarchy of the list, and takes back what waits for those that may not be used any more.
-    pub fn list_upstream(&mut self, hosts: &Hosts) {
+    pub fn list_upstream(&mut self, hosts: &EndpointUpdate) {
         let now = self.clock.now();
-        let Some(upstream) = &mut self.upstream else { return };
+        let Some(upstream) = &mut self.hierarchy else { return };
         let decider = &self.decider;
         let steps = upstream.hosts(now, hosts, |target| decider.is_own(&target.host()));
         self.take(steps);
@@ -98,10 +98,10 @@
     /// Tells the decider of what caches may be filled from, where that has changed.
     pub fn tell_feeds(&mut self) {
         let now = self.clock.now();
-        let changed = self.upstream.as_mut().map(|upstream| upstream.changed(now)).unwrap_or_default();
+        let changed = self.hierarchy.as_mut().map(|upstream| upstream.changed(now)).unwrap_or_default();
         for (place, lists) in changed {
             let orders = self.decider.report(now, News::Feeds { place, lists });
-            self.carry_out(orders, Brought::Nothing);
+            self.carry_out(orders, ResponsePayload::Empty);
         }
     }
 
@@ -113,17 +113,17 @@
                 Step::Send(ordered, way) => {
                     self.look_at(ordered.attempt.ticket);
                     let Some(held) = self.requests.held.get(&ordered.attempt.ticket) else {
-                        self.caches.drop_unsent(now, ordered.attempt, ordered.place);
+                        self.upstreams.cancel_unsent(now, ordered.attempt, ordered.place);
                         continue;
                     };
                     self.counters.sent += 1;
                     if let Some(fleet) = &mut self.fleet {
-                        fleet.sent(now, &ordered, &held.parcel.id, held.asked.write);
+                        fleet.sent(now, &ordered, &held.message.id, held.asked.write);
                     }
-                    self.caches.send(now, &ordered, &held.parcel, way.as_ref());
+                    self.upstreams.send(now, &ordered, &held.message, way.as_ref());
                 }
                 Step::TurnBack(ordered, since) => {
-                    self.caches.turn_back(now, ordered.attempt, ordered.place, since);
+                    self.upstreams.reject_unsent(now, ordered.attempt, ordered.place, since);
                 }
             }
         }
@@ -184,7 +184,7 @@
             log_line!(always "{}: read again, the settings of fellows(...) hold", file.display());
         }
         let taken = self.fleet.is_some() && fellows.is_some();
-        let (Some(upstream), Some(hierarchy)) = (&mut self.upstream, &operator.hierarchy) else {
+        let (Some(upstream), Some(hierarchy)) = (&mut self.hierarchy, &operator.hierarchy) else {
             if !taken {
                 log_line!(always "{}: read again; nothing in it can change while this runs", file.display());
             }
@@ -235,7 +235,7 @@
 
     fn reply_upstream(&mut self, question: Question) -> Answer {
         let now = self.clock.now();
-        let Some(upstream) = &mut self.upstream else {
+        let Some(upstream) = &mut self.hierarchy else {
             return Answer::No("the hierarchy is off: the operator file has no hierarchy()".to_string());
         };
         match question {
@@ -269,7 +269,7 @@
 }
 
 /// What of the hierarchy is shown to people.
-fn shown(upstream: &Upstream, now: Ms) -> Shown {
+fn shown(upstream: &HierarchyAdapter, now: Ms) -> Shown {
     let view = upstream.view(now);
     let (waiting_fills, out) = upstream.kept();
     let moves = view.moves.iter().map(|m| MoveLine {
--- /dev/null
+++ b/crates/router/src/upstream/mod.rs
@@ -0,0 +1,126 @@
+//! Connections to caches, parents and the origin, and the attempts in flight on them.
+//!
+//! - [`codec`]: the protocol of caches, bytes to messages and back;
+//! - [`connection`]: one connection, with its queue and what is open on it;
+//! - [`pool`]: the endpoints, and which connection a message takes;
+//! - [`attempt`]: attempts from the order to their outcome;
+//! - [`health_check`]: health checks and their results;
+//! - [`response`]: what the fields of a reply say;
+//! - [`timers`]: deadlines of all of these.
+//!
+//! This module never chooses where a request goes, and never reports an attempt as not executed that may have been:
+//! only an attempt that was not written in full, or one that the other side reports so, counts as not executed.
+
+mod attempt;
+mod codec;
+mod connection;
+mod health_check;
+mod pool;
+mod response;
+mod timers;
+
+use std::collections::{BTreeSet, HashMap, VecDeque};
+
+use calloop::{LoopHandle, Readiness};
+
+use crate::buffers::BufferPool;
+use crate::config::Limits;
+use crate::decider::{Ms, Place};
+use crate::descriptors::Reserve;
+use crate::event_handler::EventHandler;
+
+use attempt::AttemptTable;
+use connection::Connection;
+use health_check::HealthChecks;
+use pool::Endpoint;
+
+pub use attempt::{AttemptOrder, CompletedAttempt, FillPath, RequestMessage, ResponsePayload};
+pub use connection::{connect, ConnectionId};
+pub use response::{CopyVersion, FillLoop};
+
+/// All connections to caches, parents and the origin. Outcomes are queued here until the router takes them.
+pub struct Upstreams<W: EventHandler> {
+    limits: Limits,
+    buffers: BufferPool,
+    reserve: Reserve,
+    handle: LoopHandle<'static, W>,
+    endpoints: HashMap<Place, Endpoint>,
+    connections: HashMap<ConnectionId, Connection>,
+    last_id: ConnectionId,
+    attempts: AttemptTable,
+    health_checks: HealthChecks,
+    completed: VecDeque<CompletedAttempt>,
+    /// Connections that accept data again while their next attempt has been queued for a while: its client is checked
+    /// before it is written.
+    stalled: BTreeSet<ConnectionId>,
+    /// Whether completed attempts name the version of the copy that was served.
+    pub reports_versions: bool,
+    /// Connections opened since the start.
+    pub connects: u64,
+}
+
+impl<W: EventHandler> Upstreams<W> {
+    pub fn new(
+        limits: Limits,
+        buffers: &BufferPool,
+        reserve: &Reserve,
+        handle: LoopHandle<'static, W>,
+    ) -> Self {
+        Self {
+            limits,
+            buffers: buffers.clone(),
+            reserve: reserve.clone(),
+            handle,
+            endpoints: HashMap::new(),
+            connections: HashMap::new(),
+            last_id: 0,
+            attempts: AttemptTable::default(),
+            health_checks: HealthChecks::default(),
+            completed: VecDeque::new(),
+            stalled: BTreeSet::new(),
+            reports_versions: false,
+            connects: 0,
+        }
+    }
+
+    /// The next attempt that has completed.
+    pub fn next_completed(&mut self) -> Option<CompletedAttempt> {
+        self.completed.pop_front()
+    }
+
+    /// Attempts in flight.
+    pub fn in_flight(&self) -> usize {
+        self.attempts.len()
+    }
+
+    pub fn endpoint_count(&self) -> usize {
+        self.endpoints.len()
+    }
+
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
+    }
+
+    /// Continues after the event loop has reported a connection as ready.
+    pub fn on_ready(&mut self, now: Ms, id: ConnectionId, readiness: Readiness) {
+        let readable = readiness.readable || readiness.error;
+        let writable = readiness.writable || readiness.error;
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        if !connection.is_up() {
+            match connection.connect_result() {
+                Ok(()) if writable => {
+                    connection.set_up();
+                    self.note_activity(now, id);
+                }
+                Ok(()) => return,
+                Err(error) => return self.close(now, id, &error.to_string()),
+            }
+        }
+        if writable {
+            self.flush(now, id);
+        }
+        if readable {
+            self.read(now, id);
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/upstream/pool.rs
@@ -0,0 +1,308 @@
+//! The endpoints and their connections: which connection a message takes, and when connections are opened and closed.
+
+use std::collections::HashSet;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use calloop::generic::Generic;
+use calloop::{Interest, Mode, PostAction, Readiness};
+use socket2::SockRef;
+
+use crate::decider::{End, Ms, Place};
+use crate::descriptors::{ran_out, Purpose};
+use crate::discovery::event::EndpointEntry;
+use crate::event_handler::EventHandler;
+use crate::log::log_line;
+
+use super::connection::{connect, Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
+use super::Upstreams;
+
+/// A cache, parent or the origin, as the endpoint list has it.
+#[derive(Debug)]
+pub(super) struct Endpoint {
+    pub uid: String,
+    address: SocketAddr,
+    started: Ms,
+    /// When something was last received from it.
+    pub last_activity: Ms,
+    connections: Vec<ConnectionId>,
+}
+
+impl<W: EventHandler> Upstreams<W> {
+    /// Applies an update of the endpoint list. An endpoint that is gone or was restarted gets fresh connections: another
+    /// process may answer at its address now.
+    pub fn update_endpoints(&mut self, now: Ms, targets: &[EndpointEntry], complete: bool) {
+        let mut gone = Vec::new();
+        if complete {
+            let listed: HashSet<Place> = targets.iter().map(|target| Place::of(&target.uid)).collect();
+            gone.extend(self.endpoints.keys().filter(|place| !listed.contains(place)));
+        }
+        self.withdraw_for_unusable(now, targets, &gone);
+        let mut replaced = Vec::new();
+        for target in targets {
+            let place = Place::of(&target.uid);
+            if target.gone() {
+                gone.push(place);
+            } else if let Some(address) = target.endpoint {
+                if self.update_endpoint(place, target, address) {
+                    replaced.push(place);
+                }
+            }
+        }
+        for place in replaced {
+            let endpoint = self.endpoints.get_mut(&place);
+            let connections = endpoint.map(|endpoint| std::mem::take(&mut endpoint.connections));
+            self.drain(connections.unwrap_or_default());
+        }
+        // Endpoints are replaced all day: those that are gone must not accumulate.
+        for place in gone {
+            let connections = self.endpoints.remove(&place).map(|endpoint| endpoint.connections);
+            self.drain(connections.unwrap_or_default());
+        }
+    }
+
+    /// Withdraws what is queued for, or fills from, an endpoint that drains, is gone or was replaced: it was ordered by an
+    /// older list.
+    fn withdraw_for_unusable(&mut self, now: Ms, targets: &[EndpointEntry], gone: &[Place]) {
+        let mut unusable: HashSet<Place> = gone.iter().copied().collect();
+        let is_unusable = |target: &&EndpointEntry| !target.ready() || self.is_replaced(target);
+        unusable.extend(targets.iter().filter(is_unusable).map(|target| Place::of(&target.uid)));
+        self.withdraw(now, End::TimedOut, |place, queued| {
+            unusable.contains(&place) || queued.source.is_some_and(|source| unusable.contains(&source))
+        });
+    }
+
+    /// Whether a line of the list names another process, or another address, than the known one.
+    fn is_replaced(&self, target: &EndpointEntry) -> bool {
+        let known = self.endpoints.get(&Place::of(&target.uid)).zip(target.endpoint);
+        known.is_some_and(|(endpoint, address)| {
+            endpoint.address != address || endpoint.started != target.started()
+        })
+    }
+
+    /// Stores an endpoint; true where it replaces another process or address.
+    fn update_endpoint(&mut self, place: Place, target: &EndpointEntry, address: SocketAddr) -> bool {
+        let started = target.started();
+        match self.endpoints.get_mut(&place) {
+            Some(endpoint) if endpoint.address == address && endpoint.started == started => false,
+            Some(endpoint) => {
+                (endpoint.address, endpoint.started) = (address, started);
+                true
+            }
+            None => {
+                let uid = target.uid.clone();
+                let (last_activity, connections) = (0.0, Vec::new());
+                let endpoint = Endpoint { uid, address, started, last_activity, connections };
+                self.endpoints.insert(place, endpoint);
+                false
+            }
+        }
+    }
+
+    /// Lets connections finish what is open on them, and then closes them.
+    fn drain(&mut self, connections: Vec<ConnectionId>) {
+        for id in connections {
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.draining = true;
+            }
+            self.close_if_drained(id);
+        }
+    }
+
+    /// A connection for a message under that id: an idle one, a new one, or, at the limit of connections, the one with
+    /// the fewest open messages.
+    ///
+    /// Each attempt gets a connection for itself where possible: a machine that has vanished reads no cancellation, and
+    /// what is open there stays open until its connection is closed.
+    pub(super) fn connection_for(&mut self, now: Ms, place: Place, id: &str) -> Option<ConnectionId> {
+        let endpoint = self.endpoints.get(&place)?;
+        let max_streams = self.limits.cache_streams;
+        let known = endpoint.connections.iter().filter_map(|id| self.connections.get(id).map(|c| (*id, c)));
+        let usable: Vec<(ConnectionId, &Connection)> =
+            known.filter(|(_, connection)| connection.accepts(id, max_streams)).collect();
+        // The most recently used one, so that the others become old enough to be closed.
+        let idle = usable.iter().filter(|(_, connection)| connection.is_idle());
+        let latest = idle.max_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used));
+        if let Some((found, _)) = latest {
+            return Some(*found);
+        }
+        let least_loaded = usable.iter().min_by_key(|(_, connection)| connection.open.len());
+        let least_loaded = least_loaded.map(|(found, _)| *found);
+        let address = endpoint.address;
+        if endpoint.connections.len() >= self.limits.cache_connections
+            || (self.connections.len() >= self.limits.connections && !self.close_longest_idle())
+        {
+            return least_loaded;
+        }
+        let mut opened = self.open_connection(now, place, address);
+        if opened.as_ref().is_err_and(ran_out) && self.close_longest_idle() {
+            opened = self.open_connection(now, place, address);
+        }
+        match opened {
+            Ok(opened) => Some(opened),
+            Err(error) => {
+                log_line!("connect to {address}: {error}");
+                least_loaded
+            }
+        }
+    }
+
+    /// Closes the connection that has been idle for longest; false where each has something open.
+    ///
+    /// Without this an endpoint could not be reached because others were busy a while ago.
+    fn close_longest_idle(&mut self) -> bool {
+        let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
+        let oldest = idle.min_by(|(m, a), (n, b)| a.last_used.total_cmp(&b.last_used).then(m.cmp(n)));
+        let oldest = oldest.map(|(id, _)| *id);
+        oldest.is_some_and(|id| self.remove(id).is_some())
+    }
+
+    fn open_connection(&mut self, now: Ms, place: Place, address: SocketAddr) -> io::Result<ConnectionId> {
+        let stream = Rc::new(self.reserve.open(Purpose::Cache, || connect(address))?);
+        // Bytes that the system holds can't be withdrawn any more.
+        if let Err(error) = SockRef::from(&*stream).set_send_buffer_size(self.limits.cache_send) {
+            log_line!("a connection to {address} keeps its send buffer: {error}");
+        }
+        self.connects += 1;
+        self.last_id += 1;
+        let id = self.last_id;
+        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
+        let ready = move |readiness: Readiness, _: &mut _, handler: &mut W| {
+            handler.on_upstream_ready(id, readiness);
+            Ok(PostAction::Continue)
+        };
+        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let deadline = now + self.limits.connect;
+        let connection = Connection::new(place, stream, token, &self.buffers, now, deadline);
+        self.connections.insert(id, connection);
+        if let Some(endpoint) = self.endpoints.get_mut(&place) {
+            endpoint.connections.push(id);
+        }
+        Ok(id)
+    }
+
+    /// Notes that something was received on a connection.
+    pub(super) fn note_activity(&mut self, now: Ms, id: ConnectionId) {
+        let place = self.connections.get(&id).map(|connection| connection.endpoint);
+        if let Some(endpoint) = place.and_then(|place| self.endpoints.get_mut(&place)) {
+            endpoint.last_activity = now;
+        }
+    }
+
+    /// Closes idle connections to an endpoint that has been silent since `sent`: they may be as dead as the one on which
+    /// an attempt was abandoned, and new ones show whether it still accepts any.
+    pub(super) fn close_idle_if_silent(&mut self, place: Place, sent: Ms) {
+        let Some(endpoint) = self.endpoints.get(&place).filter(|endpoint| endpoint.last_activity < sent)
+        else {
+            return;
+        };
+        for id in endpoint.connections.clone() {
+            if self.connections.get(&id).is_some_and(Connection::is_idle) {
+                self.remove(id);
+            }
+        }
+    }
+
+    pub(super) fn read(&mut self, now: Ms, id: ConnectionId) {
+        loop {
+            let Some(connection) = self.connections.get_mut(&id) else { return };
+            match connection.read() {
+                Ok(0) => return self.close(now, id, "closed"),
+                Ok(_) => self.note_activity(now, id),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    return self.close_if_out_of_step(now, id);
+                }
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
+                Err(error) => return self.close(now, id, &error.to_string()),
+            }
+            loop {
+                let Some(connection) = self.connections.get_mut(&id) else { return };
+                match connection.next_reply(self.limits.string) {
+                    Ok(Some(reply)) => self.on_reply(now, id, reply),
+                    Ok(None) => break,
+                    Err(error) => return self.close(now, id, &error.to_string()),
+                }
+            }
+        }
+    }
+
+    pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
+        self.write(now, id, now - self.limits.client_looked);
+    }
+
+    /// Writes what is queued, however long it has been queued.
+    pub fn write_queued(&mut self, now: Ms, id: ConnectionId) {
+        self.write(now, id, f64::NEG_INFINITY);
+    }
+
+    /// Writes what the system takes, but no attempt that was queued before `oldest`.
+    fn write(&mut self, now: Ms, id: ConnectionId, oldest: Ms) {
+        let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.is_up()) else {
+            return;
+        };
+        match connection.write(oldest) {
+            Ok(WriteProgress::Done) => {}
+            Ok(WriteProgress::Stalled) => _ = self.stalled.insert(id),
+            Err(error) => self.close(now, id, &error.to_string()),
+        }
+    }
+
+    /// Closes a connection that does not take a cancellation at once: until it does, the cancelled message may be
+    /// executed while a retry is in flight.
+    pub(super) fn close_if_cancellation_waits(&mut self, now: Ms, id: ConnectionId) {
+        if self.connections.get(&id).is_some_and(Connection::has_unsent_cancellation) {
+            self.close(now, id, "it takes no more");
+        }
+    }
+
+    /// Closes a connection on which a reply has begun though nothing is open: the reply to the next message would come
+    /// behind it, if at all.
+    fn close_if_out_of_step(&mut self, now: Ms, id: ConnectionId) {
+        if self.connections.get(&id).is_some_and(Connection::has_unexpected_input) {
+            log_line!("an answer that nobody asked for ends its connection");
+            self.close(now, id, "an answer that nobody asked for");
+        }
+    }
+
+    pub(super) fn close_if_drained(&mut self, id: ConnectionId) {
+        if self.connections.get(&id).is_some_and(Connection::is_drained) {
+            self.remove(id);
+        }
+    }
+
+    pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
+        let connection = self.connections.remove(&id)?;
+        self.handle.remove(connection.token);
+        if let Some(endpoint) = self.endpoints.get_mut(&connection.endpoint) {
+            endpoint.connections.retain(|&other| other != id);
+        }
+        Some(connection)
+    }
+
+    /// Closes a connection and ends all that is open on it. What was not written in full was not executed.
+    pub(super) fn close(&mut self, now: Ms, id: ConnectionId, reason: &str) {
+        let Some(connection) = self.remove(id) else { return };
+        let place = connection.endpoint;
+        if !connection.open.is_empty() {
+            let address = self.endpoints.get(&place).map(|endpoint| endpoint.address.to_string());
+            let (address, count) = (address.unwrap_or_default(), connection.open.len());
+            log_line!("connection to {address} ended with {count} open: {reason}");
+        }
+        let mut open: Vec<Exchange> = connection.open.into_values().collect();
+        open.sort_by_key(|exchange| match exchange.owner {
+            ExchangeOwner::Attempt(attempt) => Some(attempt),
+            ExchangeOwner::HealthCheck => None,
+        });
+        for exchange in open {
+            match exchange.owner {
+                ExchangeOwner::HealthCheck => self.health_checks.fail(place),
+                ExchangeOwner::Attempt(attempt) => {
+                    let Some(in_flight) = self.attempts.remove(attempt) else { continue };
+                    let end = if exchange.fully_sent { End::Broken } else { End::Unreached };
+                    self.complete(now, attempt, place, in_flight.sent, end);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/router/src/upstream/response.rs
@@ -0,0 +1,62 @@
+//! What the fields of a reply say.
+
+use crate::decider::{How, Ms};
+
+use super::codec::FieldList;
+
+/// Tells a copy from other copies of the same object.
+#[derive(Debug, Clone, PartialEq)]
+pub struct CopyVersion {
+    pub tag: String,
+    /// When the origin issued it, in Unix milliseconds.
+    pub issued: Ms,
+}
+
+impl CopyVersion {
+    pub(super) fn of_reply(fields: &FieldList) -> Option<Self> {
+        let issued = fields.get("dated")?.parse().ok()?;
+        Some(Self { tag: fields.get("digest")?.to_string(), issued })
+    }
+}
+
+/// An edge of the hierarchy by which a fill came back to a node that it had passed.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct FillLoop {
+    pub from: String,
+    pub to: String,
+    /// The version of the hierarchy by which the fill was sent.
+    pub version: u64,
+}
+
+impl FillLoop {
+    /// Reads `7:hub-a>hub-b`.
+    pub(super) fn parse(text: &str) -> Option<Self> {
+        let (version, edge) = text.split_once(':')?;
+        let (from, to) = edge.split_once('>')?;
+        Some(Self { from: from.to_string(), to: to.to_string(), version: version.parse().ok()? })
+    }
+}
+
+/// How a cache came to its reply, by the protocol's name for it.
+pub(super) fn cache_result(name: &str) -> Option<How> {
+    Some(match name {
+        "HIT" => How::Hit,
+        "MISS" => How::Filled,
+        "MISS_ORIGIN" => How::FilledByOrigin,
+        "COLLAPSED" => How::Joined,
+        "STALE" => How::Stale,
+        "UP_BUSY" => How::SourceRefused,
+        "UP_DOWN" => How::SourceUnreached,
+        "UP_MISS" => How::SourceLacks,
+        "NO_FILL" => How::NoPlace,
+        "ORIGIN_ERR" => How::OriginFailed,
+        "LOOP" => How::CameRound,
+        _ => return None,
+    })
+}
+
+/// The values of a load report, as in `inflight:7;util:0.61`.
+pub(super) fn load_report(fields: &FieldList) -> Vec<(String, f64)> {
+    let pairs = fields.get("gauges").unwrap_or_default().split(';').filter_map(|pair| pair.split_once(':'));
+    pairs.filter_map(|(name, value)| Some((name.to_string(), value.parse().ok()?))).collect()
+}
--- /dev/null
+++ b/crates/router/src/upstream/timers.rs
@@ -0,0 +1,55 @@
+//! Deadlines of attempts, health checks, connects, queued messages and idle connections.
+
+use crate::decider::{End, Ms};
+use crate::event_handler::EventHandler;
+
+use super::Upstreams;
+
+impl<W: EventHandler> Upstreams<W> {
+    /// When [`Self::on_timer`] is due.
+    pub fn next_deadline(&self) -> Option<Ms> {
+        let attempts = self.attempts.next_deadline();
+        let health_checks = self.health_checks.next_deadline();
+        let connections = self.connections.values().map(|connection| {
+            connection.connect_deadline().unwrap_or(connection.last_used + self.limits.idle)
+        });
+        let up = self.connections.values().filter(|connection| connection.is_up());
+        let queues = up.filter_map(|connection| {
+            connection.queue.front().map(|queued| queued.queued_at + self.limits.connect)
+        });
+        attempts.into_iter().chain(health_checks).chain(connections).chain(queues).reduce(Ms::min)
+    }
+
+    /// Ends what is overdue: attempts, health checks, connects, and connections that nobody uses.
+    pub fn on_timer(&mut self, now: Ms) {
+        while let Some(attempt) = self.attempts.pop_overdue(now) {
+            self.abandon(now, attempt, End::TimedOut);
+        }
+        self.time_out_health_checks(now);
+        // What has been queued for so long would be sent on grounds that are out of date.
+        let oldest = now - self.limits.connect;
+        self.withdraw(now, End::TimedOut, |_, queued| queued.queued_at <= oldest);
+        self.close_overdue_connections(now);
+    }
+
+    fn close_overdue_connections(&mut self, now: Ms) {
+        let (mut late, mut idle) = (Vec::new(), Vec::new());
+        for (&id, connection) in &mut self.connections {
+            match connection.connect_deadline() {
+                Some(deadline) if now >= deadline => late.push(id),
+                None if now >= connection.last_used + self.limits.idle => {
+                    // One with open messages is checked again after the same time.
+                    connection.last_used = now;
+                    if connection.open.is_empty() {
+                        idle.push(id);
+                    }
+                }
+                _ => {}
+            }
+        }
+        late.into_iter().for_each(|id| self.close(now, id, "not up in time"));
+        for id in idle {
+            self.remove(id);
+        }
+    }
+}
--- a/crates/router/tests/unit/pool.rs
+++ b/crates/router/tests/unit/buffers.rs
@@ -1,18 +1,18 @@
-//! Unit tests of `src/pool.rs`, a part of its module.
+//! Unit tests of `src/buffers.rs`, a part of its module.
 
 use super::*;
 
 #[test]
 fn long_messages_chain_blocks_and_give_them_back() {
-    let pool = Pool::new(4, 2, 100);
-    let mut chain = Chain::from_bytes(&pool, b"hello, world");
+    let pool = BufferPool::new(4, 2, 100);
+    let mut chain = BufferChain::from_bytes(&pool, b"hello, world");
     assert_eq!((chain.len(), pool.in_use()), (12, 3));
     let mut start = [0; 5];
     assert_eq!(chain.peek(&mut start), 5);
     assert_eq!(&start, b"hello");
-    let head = chain.take(6);
+    let head = chain.split_to(6);
     assert_eq!((head.to_vec(), chain.to_vec()), (b"hello,".to_vec(), b" world".to_vec()));
-    let mut both = head.copy();
+    let mut both = head.duplicate();
     both.append(chain);
     assert_eq!(both.to_vec(), b"hello, world");
     drop(head);
@@ -32,10 +32,10 @@
             Err(io::ErrorKind::WouldBlock.into())
         }
     }
-    let pool = Pool::new(4, 2, 1);
-    let mut chain = Chain::new(&pool);
+    let pool = BufferPool::new(4, 2, 1);
+    let mut chain = BufferChain::new(&pool);
     assert!(chain.read_from(Blocked).is_err());
     assert_eq!(pool.in_use(), 0);
     assert_eq!(chain.read_from(&b"abc"[..]).expect("bytes"), 3);
-    assert!(pool.crowded());
+    assert!(pool.is_exhausted());
 }
--- a/crates/router/tests/unit/journal.rs
+++ b/crates/router/tests/unit/discovery.rs
@@ -1,8 +1,9 @@
-//! Unit tests of `src/journal.rs`, a part of its module.
+//! Unit tests of `src/discovery/http.rs and event.rs`, a part of its module.
 
 use super::*;
+use crate::buffers::BufferPool;
 use crate::decider::News;
-use crate::told::Expire;
+use crate::discovery::event::PurgeEvent;
 
 const PAGE: &str = r#"{"pos":43,"entries":[
     {"pos":41,"hosts":{"rev":7,"all":false,"targets":[{"uid":"s-1","endpoint":"127.1.0.9:8080","az":"east",
@@ -10,14 +11,14 @@
     {"pos":42,"hosts":{"targets":[{"uid":"s-2","endpoint":"nowhere","state":"Ready"}]}},
     {"pos":43,"expire":{"name":"7f3a9c21e0b4d655","stamp":1764576000123}}]}"#;
 
-fn read_by_bytes(bytes: &[u8]) -> Page {
-    let pool = Pool::new(16, 4, 100);
-    let mut input = Chain::new(&pool);
+fn read_by_bytes(bytes: &[u8]) -> EventPage {
+    let pool = BufferPool::new(16, 4, 100);
+    let mut input = BufferChain::new(&pool);
     for byte in bytes {
-        assert!(answer(&mut input).expect("well formed").is_none());
+        assert!(decode_response(&mut input).expect("well formed").is_none());
         input.push(&[*byte]);
     }
-    let page = answer(&mut input).expect("well formed").expect("whole");
+    let page = decode_response(&mut input).expect("well formed").expect("whole");
     assert!(input.is_empty());
     page
 }
@@ -33,7 +34,7 @@
     for bytes in [plain, chunked] {
         let page = read_by_bytes(bytes.as_bytes());
         assert_eq!(page.pos, 43);
-        let purge = page.entries.last().and_then(|entry| entry.expire.as_ref()).and_then(Expire::news);
+        let purge = page.entries.last().and_then(|entry| entry.expire.as_ref()).and_then(PurgeEvent::news);
         let object = Some(0x7f3a_9c21_e0b4_d655);
         assert_eq!(purge, Some(News::Expired { object, group: 0, stamp: 1_764_576_000_123.0 }));
     }
@@ -42,7 +43,7 @@
 /// With the whole page refused for it, the router would ask for the same page for ever.
 #[test]
 fn an_event_that_cannot_be_read_does_not_hide_the_others() {
-    let page: Page = serde_json::from_str(PAGE).expect("a page");
+    let page: EventPage = serde_json::from_str(PAGE).expect("a page");
     assert_eq!(page.entries.iter().map(|entry| entry.pos).collect::<Vec<u64>>(), [41, 43]);
 }
 
@@ -50,18 +51,21 @@
 #[test]
 fn a_name_that_stands_twice_counts_where_it_stands_last() {
     let text = r#"{"pos":8,"entries":[{"pos":7,"expire":{"stamp":1,"stamp":5,"set":3}},{"pos":8}]}"#;
-    let page: Page = serde_json::from_str(text).expect("a page");
-    let told: Vec<_> =
-        page.entries.iter().map(|entry| (entry.pos, entry.expire.as_ref().and_then(Expire::news))).collect();
-    assert_eq!(told, [(7, Some(News::Expired { object: None, group: 3, stamp: 5.0 })), (8, None)]);
+    let page: EventPage = serde_json::from_str(text).expect("a page");
+    let purges: Vec<_> = page
+        .entries
+        .iter()
+        .map(|entry| (entry.pos, entry.expire.as_ref().and_then(PurgeEvent::news)))
+        .collect();
+    assert_eq!(purges, [(7, Some(News::Expired { object: None, group: 3, stamp: 5.0 })), (8, None)]);
 }
 
 #[test]
 fn what_is_no_page_is_an_error() {
-    let pool = Pool::new(16, 4, 100);
+    let pool = BufferPool::new(16, 4, 100);
     for bytes in
         ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n", "nonsense\r\n\r\n"]
     {
-        assert!(answer(&mut Chain::from_bytes(&pool, bytes.as_bytes())).is_err(), "{bytes}");
+        assert!(decode_response(&mut BufferChain::from_bytes(&pool, bytes.as_bytes())).is_err(), "{bytes}");
     }
 }
--- a/crates/router/tests/unit/frames.rs
+++ b/crates/router/tests/unit/downstream_codec.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/frames.rs`, a part of its module.
+//! Unit tests of `src/downstream/codec.rs`, a part of its module.
 
 use super::*;
 
@@ -14,7 +14,7 @@
     }
     payload.extend(body);
     let mut out = ((HEAD + payload.len()) as u32).to_be_bytes().to_vec();
-    out.push(REQUEST);
+    out.push(frame_type::REQUEST);
     out.extend(stream.to_be_bytes());
     out.extend(payload);
     out
@@ -22,14 +22,15 @@
 
 #[test]
 fn a_request_is_read_however_its_bytes_come() {
-    let pool = Pool::new(7, 4, 100);
+    let pool = BufferPool::new(7, 4, 100);
     let sent = request(9, &[("c", "video"), ("chunk", "3")], b"some bytes");
-    let mut input = Chain::new(&pool);
+    let mut input = BufferChain::new(&pool);
     for (n, byte) in sent.iter().enumerate() {
         assert!(decode(&mut input, LONGEST).expect("well formed").is_none(), "after {n} bytes");
         input.push(&[*byte]);
     }
-    let Some(Message::Request { stream, fields, body }) = decode(&mut input, LONGEST).expect("whole") else {
+    let Some(ClientMessage::Request { stream, fields, body }) = decode(&mut input, LONGEST).expect("whole")
+    else {
         panic!("no request")
     };
     assert_eq!((stream, fields.get("c"), fields.get("chunk")), (9, Some("video"), Some("3")));
@@ -39,7 +40,7 @@
 
 #[test]
 fn what_is_malformed_is_an_error() {
-    let pool = Pool::new(64, 4, 100);
+    let pool = BufferPool::new(64, 4, 100);
     let cases: [&[u8]; 6] = [
         &[0, 0, 0, 4, 65],
         &[0xff, 0, 0, 0],
@@ -49,24 +50,24 @@
         &[0, 0, 0, 10, 65, 0, 0, 0, 1, 1, 1, 0xff, 0, 0],
     ];
     for bytes in cases {
-        assert!(decode(&mut Chain::from_bytes(&pool, bytes), LONGEST).is_err(), "{bytes:?}");
+        assert!(decode(&mut BufferChain::from_bytes(&pool, bytes), LONGEST).is_err(), "{bytes:?}");
     }
 }
 
 /// Nothing that a client can send may end the router, or be kept after it was read.
 #[test]
 fn random_bytes_are_messages_or_errors() {
-    let pool = Pool::new(64, 4, 100);
+    let pool = BufferPool::new(64, 4, 100);
     let mut seed = 7u64;
     let mut next = move || {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         (seed >> 33) as u8
     };
     for round in 0..2000 {
-        let mut input = Chain::new(&pool);
+        let mut input = BufferChain::new(&pool);
         // Every other one begins like a request of a fair length.
         if round % 2 == 0 {
-            input.push(&[0, 0, 0, 20 + next() % 60, REQUEST, 0, 0, 0, 1, next() % 4]);
+            input.push(&[0, 0, 0, 20 + next() % 60, frame_type::REQUEST, 0, 0, 0, 1, next() % 4]);
         }
         let bytes: Vec<u8> = (0..200).map(|_| next()).collect();
         input.push(&bytes);
@@ -78,27 +79,27 @@
 
 #[test]
 fn answers_stand_as_the_protocol_says() {
-    let pool = Pool::new(64, 4, 100);
-    let body = Chain::from_bytes(&pool, b"xy");
-    let out = answer(&pool, 5, Code::Refused, &[("w", "50")], body).to_vec();
+    let pool = BufferPool::new(64, 4, 100);
+    let body = BufferChain::from_bytes(&pool, b"xy");
+    let out = encode_answer(&pool, 5, AnswerCode::Rejected, &[("w", "50")], body).to_vec();
     assert_eq!(out, [0, 0, 0, 15, 66, 0, 0, 0, 5, 2, 1, 1, b'w', 0, 2, b'5', b'0', b'x', b'y']);
-    assert_eq!(no_more(&pool).to_vec(), [0, 0, 0, 5, 90, 0, 0, 0, 0]);
-    assert_eq!(ready(&pool, 2, true).to_vec(), [0, 0, 0, 7, 81, 0, 0, 0, 2, 1, 0]);
+    assert_eq!(encode_go_away(&pool).to_vec(), [0, 0, 0, 5, 90, 0, 0, 0, 0]);
+    assert_eq!(encode_readiness(&pool, 2, true).to_vec(), [0, 0, 0, 7, 81, 0, 0, 0, 2, 1, 0]);
 }
 
 #[test]
 fn frames_to_clients_are_the_same_bytes() {
-    let pool = Pool::new(64, 4, 100);
-    let body = |bytes: &[u8]| Chain::from_bytes(&pool, bytes);
+    let pool = BufferPool::new(64, 4, 100);
+    let body = |bytes: &[u8]| BufferChain::from_bytes(&pool, bytes);
     let frames = [
         ("request", body(&request(9, &[("c", "video"), ("i", "9b1f")], b"some bytes"))),
-        ("served", answer(&pool, 5, Code::Served, &[], body(b"xy"))),
-        ("valid", answer(&pool, 5, Code::Served, &[("valid", "1")], body(b""))),
-        ("refused", answer(&pool, 70_000, Code::Refused, &[("w", "250")], body(b""))),
-        ("failed", answer(&pool, 0, Code::Failed, &[], body(b"a frame of such a type"))),
-        ("ready", ready(&pool, 2, true)),
-        ("not ready", ready(&pool, 2, false)),
-        ("no more", no_more(&pool)),
+        ("served", encode_answer(&pool, 5, AnswerCode::Served, &[], body(b"xy"))),
+        ("valid", encode_answer(&pool, 5, AnswerCode::Served, &[("valid", "1")], body(b""))),
+        ("refused", encode_answer(&pool, 70_000, AnswerCode::Rejected, &[("w", "250")], body(b""))),
+        ("failed", encode_answer(&pool, 0, AnswerCode::Failed, &[], body(b"a frame of such a type"))),
+        ("ready", encode_readiness(&pool, 2, true)),
+        ("not ready", encode_readiness(&pool, 2, false)),
+        ("no more", encode_go_away(&pool)),
     ];
     let lines = frames.iter().map(|(name, frame)| format!("{name}: {}\n", crate::hex::hex(&frame.to_vec())));
     crate::golden::assert_golden("client_frames.txt", &lines.collect::<String>());
--- a/crates/router/tests/unit/upstream.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/upstream.rs`, a part of its module: the snapshot that one router gives to another.
+//! Unit tests of `src/hierarchy_adapter.rs`, a part of its module: the snapshot that one router gives to another.
 
 use linnethook_operator::{Bounds, Operator};
 
@@ -13,17 +13,17 @@
 node("cache-1", site = "shop", capacity = 8, sources = ["parent", ("origin", 9)])
 "#;
 
-fn upstream(text: &str) -> Upstream {
+fn adapter(text: &str) -> HierarchyAdapter {
     let operator = Operator::read("operator.star", text, &Bounds::default()).expect("a good file");
-    Upstream::new(1_000.0, "n0", &operator.hierarchy.expect("a hierarchy")).expect("a shape")
+    HierarchyAdapter::new(1_000.0, "n0", &operator.hierarchy.expect("a hierarchy")).expect("a shape")
 }
 
 #[test]
 fn a_snapshot_is_the_same_bytes_and_is_adopted_whole() {
-    let snapshot = upstream(FILE).snapshot();
+    let snapshot = adapter(FILE).snapshot();
     assert_golden("hierarchy_snapshot.txt", &format!("{}\n", hex(&snapshot)));
-    let mut late = upstream("hierarchy(author = 8)");
+    let mut late = adapter("hierarchy(author = 8)");
     late.adopt(2_000.0, &snapshot).expect("it is newer");
-    assert_eq!(late.acts_on(), upstream(FILE).acts_on());
+    assert_eq!(late.acts_on(), adapter(FILE).acts_on());
     assert_eq!(late.snapshot(), snapshot);
 }
--- a/crates/router/tests/unit/resp.rs
+++ b/crates/router/tests/unit/upstream_codec.rs
@@ -1,28 +1,31 @@
-//! Unit tests of `src/resp.rs`, a part of its module.
+//! Unit tests of `src/upstream/codec.rs`, a part of its module.
 
 use super::*;
 
 #[test]
 fn an_answer_is_read_however_its_bytes_come() {
-    let pool = Pool::new(5, 4, 100);
+    let pool = BufferPool::new(5, 4, 100);
     let sent = b"*4\r\n$4\r\n9b1f\r\n$4\r\ndata\r\n$21\r\nres=HIT,digest=4be0c1\r\n$6\r\n\r\nbody\r\n";
-    let (mut input, mut decoder) = (Chain::new(&pool), Decoder::default());
+    let (mut input, mut decoder) = (BufferChain::new(&pool), ReplyDecoder::default());
     for (n, byte) in sent.iter().enumerate() {
         assert!(decoder.decode(&mut input, 100).expect("well formed").is_none(), "after {n} bytes");
         input.push(&[*byte]);
     }
     let reply = decoder.decode(&mut input, 100).expect("well formed").expect("whole");
-    assert_eq!((reply.id.as_str(), reply.word), ("9b1f", Word::Data));
+    assert_eq!((reply.id.as_str(), reply.status), ("9b1f", ReplyStatus::Data));
     assert_eq!((reply.fields.get("res"), reply.fields.get("first")), (Some("HIT"), None));
     assert_eq!(reply.body.to_vec(), b"\r\nbody");
     input.push(b"*4\r\n$1\r\na\r\n$6\r\nabsent\r\n$1\r\n-\r\n$0\r\n\r\n");
     let reply = decoder.decode(&mut input, 100).expect("well formed").expect("whole");
-    assert_eq!((reply.word, reply.fields, reply.body.len()), (Word::Absent, Pairs::default(), 0));
+    assert_eq!(
+        (reply.status, reply.fields, reply.body.len()),
+        (ReplyStatus::Absent, FieldList::default(), 0)
+    );
 }
 
 #[test]
 fn what_is_malformed_is_an_error() {
-    let pool = Pool::new(64, 4, 100);
+    let pool = BufferPool::new(64, 4, 100);
     for bytes in [
         &b"+OK\r\n"[..],
         b"*9\r\n",
@@ -33,15 +36,19 @@
         b"*4\r\n$1\r\na\r\n$4\r\ndada\r\n$1\r\n-\r\n$0\r\n\r\n",
         b"*11111111111111111111111111",
     ] {
-        let mut input = Chain::from_bytes(&pool, bytes);
-        assert!(Decoder::default().decode(&mut input, 100).is_err(), "{:?}", String::from_utf8_lossy(bytes));
+        let mut input = BufferChain::from_bytes(&pool, bytes);
+        assert!(
+            ReplyDecoder::default().decode(&mut input, 100).is_err(),
+            "{:?}",
+            String::from_utf8_lossy(bytes)
+        );
     }
 }
 
 /// Nothing that a cache can answer may end the router, or be kept after it was read.
 #[test]
 fn random_bytes_are_answers_or_errors() {
-    let pool = Pool::new(64, 4, 100);
+    let pool = BufferPool::new(64, 4, 100);
     let mut seed = 7u64;
     let mut next = move || {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -54,7 +61,7 @@
             let at = usize::from(next()) % bytes.len();
             bytes[at] = next();
         }
-        let (mut input, mut decoder) = (Chain::from_bytes(&pool, &bytes), Decoder::default());
+        let (mut input, mut decoder) = (BufferChain::from_bytes(&pool, &bytes), ReplyDecoder::default());
         while let Ok(Some(_)) = decoder.decode(&mut input, 100) {}
         drop((input, decoder));
         assert_eq!(pool.in_use(), 0);
@@ -63,28 +70,28 @@
 
 #[test]
 fn requests_stand_as_the_protocol_says() {
-    let pool = Pool::new(8, 4, 100);
-    let mut fields = Pairs::default();
+    let pool = BufferPool::new(8, 4, 100);
+    let mut fields = FieldList::default();
     fields.push("kind", "video");
     fields.push("seg", 3);
-    let out = ask(&pool, "9b1f", &fields, Chain::from_bytes(&pool, b"xy"));
+    let out = encode_request(&pool, "9b1f", &fields, BufferChain::from_bytes(&pool, b"xy"));
     let text = "*4\r\n$3\r\nASK\r\n$4\r\n9b1f\r\n$16\r\nkind=video,seg=3\r\n$2\r\nxy\r\n";
     assert_eq!(String::from_utf8_lossy(&out.to_vec()), text);
-    assert_eq!(quit(&pool, "a").to_vec(), b"*2\r\n$4\r\nQUIT\r\n$1\r\na\r\n");
-    assert_eq!(Pairs::default().to_string(), "-");
+    assert_eq!(encode_cancellation(&pool, "a").to_vec(), b"*2\r\n$4\r\nQUIT\r\n$1\r\na\r\n");
+    assert_eq!(FieldList::default().to_string(), "-");
 }
 
 #[test]
 fn messages_to_caches_are_the_same_bytes() {
-    let pool = Pool::new(64, 4, 100);
-    let mut fields = Pairs::default();
+    let pool = BufferPool::new(64, 4, 100);
+    let mut fields = FieldList::default();
     fields.push("kind", "video");
     fields.push("ms", 250.0);
     let messages = [
-        ask(&pool, "9b1f", &fields, Chain::from_bytes(&pool, b"body\r\n")),
-        ask(&pool, "9b1f", &Pairs::default(), Chain::new(&pool)),
-        quit(&pool, "9b1f"),
-        info(&pool, "probe-1"),
+        encode_request(&pool, "9b1f", &fields, BufferChain::from_bytes(&pool, b"body\r\n")),
+        encode_request(&pool, "9b1f", &FieldList::default(), BufferChain::new(&pool)),
+        encode_cancellation(&pool, "9b1f"),
+        encode_health_check(&pool, "probe-1"),
     ];
     let lines = messages.iter().map(|message| format!("{}\n", message.to_vec().escape_ascii()));
     crate::golden::assert_golden("cache_messages.txt", &lines.collect::<String>());
