--- /dev/null
+++ b/crates/router/src/clock.rs
@@ -0,0 +1,24 @@
+//! The clock of the process.
+
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+use crate::decider::Ms;
+
+/// Unix milliseconds at the start, continued by a monotonic clock: times compare with those of other processes and never
+/// go back.
+#[derive(Debug, Clone, Copy)]
+pub struct Clock {
+    start: Instant,
+    start_unix: Ms,
+}
+
+impl Clock {
+    pub fn new() -> Self {
+        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Self { start: Instant::now(), start_unix: unix.as_secs_f64() * 1000.0 }
+    }
+
+    pub fn now(&self) -> Ms {
+        self.start_unix + self.start.elapsed().as_secs_f64() * 1000.0
+    }
+}
--- /dev/null
+++ b/crates/router/src/event_loop.rs
@@ -0,0 +1,168 @@
+//! The event loop of a router: its signals, its sockets, and its life from the start to the end.
+
+use std::net::TcpListener;
+use std::os::unix::net::UnixListener;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use calloop::signals::{Signal, Signals};
+use calloop::{EventLoop, Readiness};
+use linnethook_operator::script::Kind;
+use linnethook_operator::{apart, Operator};
+
+use crate::cli;
+use crate::config::{Config, Failure};
+use crate::downstream::ClientId;
+use crate::event_handler::EventHandler;
+use crate::log::{self, log_line};
+use crate::router::Router;
+
+/// The signals that a process of routers handles.
+pub const SIGNALS: [Signal; 4] = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
+
+/// Turns after the last request in which other routers can be told of the end, and how long one may take.
+const LAST_TURNS: usize = 4;
+const LAST_TURN: Duration = Duration::from_millis(5);
+
+/// Evaluates the operator file at the start, in a child process.
+///
+/// # Errors
+///
+/// A file that can't be read or evaluated.
+pub fn read_operator(file: &Path) -> Result<Operator, Failure> {
+    let program = cli::program().map_err(|failed| failed.text().to_string())?;
+    let operator = apart::run(&program, Kind::Operator, file).and_then(|bytes| apart::operator(file, &bytes));
+    Ok(operator?)
+}
+
+/// Runs the one router of this process until it has ended.
+///
+/// # Errors
+///
+/// A configuration or operator file that can't be used, and errors of the system.
+pub fn run(arguments: &cli::Run) -> Result<(), Failure> {
+    let file = arguments.operator.clone();
+    let operator = file.map(|file| read_operator(&file).map(|operator| (file, operator))).transpose()?;
+    log::begin(operator.as_ref().and_then(|(_, operator)| operator.log).is_some_and(|log| log.json));
+    let path = std::env::var_os("LB_CONFIG").ok_or("LB_CONFIG names no configuration")?;
+    let path = PathBuf::from(path);
+    let config = Config::read(&path)?;
+    if config.limits.descriptors < config.file.sockets() {
+        log_line!(
+            always "the configuration promises {} descriptors, the system gives {}",
+            config.file.sockets(), config.limits.descriptors
+        );
+    }
+    let events: EventLoop<'static, Router> = EventLoop::try_new()?;
+    let signals = Signals::new(&SIGNALS)?;
+    let on_signal = |event: calloop::signals::Event, _: &mut (), router: &mut Router| {
+        router.on_signal(event.signal());
+    };
+    events.handle().insert_source(signals, on_signal).map_err(|error| error.error)?;
+    serve(events, &path, config, operator)
+}
+
+/// Runs a router on this thread until it has ended; `events` delivers its signals already.
+///
+/// # Errors
+///
+/// Settings of the operator file that can't be used, and errors of the system.
+pub fn serve(
+    mut events: EventLoop<'static, Router>,
+    path: &Path,
+    config: Config,
+    operator: Option<(PathBuf, Operator)>,
+) -> Result<(), Failure> {
+    let log_settings = operator.as_ref().and_then(|(_, operator)| operator.log);
+    log::hold_to(log_settings.map_or(config.limits.log_lines, |log| log.lines_per_second));
+    let mut router = Router::new(path, config, operator, &events.handle())?;
+    while !router.is_drained() {
+        events.dispatch(router.time_to_deadline(), &mut router)?;
+        router.on_timer();
+    }
+    router.begin_close();
+    while !router.is_closed() {
+        events.dispatch(router.time_to_deadline(), &mut router)?;
+        router.on_timer();
+    }
+    // From here on no request is accepted, so that the last record of the audit log is the last.
+    router.close_clients();
+    if router.has_fleet() {
+        router.end_account();
+        for _ in 0..LAST_TURNS {
+            events.dispatch(LAST_TURN, &mut router)?;
+            router.on_timer();
+        }
+    }
+    router.print_counters();
+    Ok(())
+}
+
+impl EventHandler for Router {
+    fn accept_clients(&mut self, listener: &TcpListener) -> bool {
+        let mut events = Vec::new();
+        let accepts_more = self.downstreams.accept(self.clock.now(), listener, &mut events);
+        self.on_client_events(events);
+        self.process_outcomes();
+        accepts_more
+    }
+
+    fn on_client_ready(&mut self, id: ClientId, readiness: Readiness) {
+        let now = self.clock.now();
+        let mut events = Vec::new();
+        if readiness.writable {
+            self.downstreams.flush(now, id, &mut events);
+        }
+        if readiness.readable || readiness.error {
+            self.downstreams.read(now, id, &mut events);
+        }
+        self.on_client_events(events);
+        let mut events = Vec::new();
+        self.downstreams.flush(now, id, &mut events);
+        self.on_client_events(events);
+        self.process_outcomes();
+    }
+
+    fn on_upstream_ready(&mut self, id: u64, readiness: Readiness) {
+        self.upstreams.on_ready(self.clock.now(), id, readiness);
+        self.process_outcomes();
+    }
+
+    fn on_discovery_ready(&mut self, readiness: Readiness) {
+        let events = self.discovery.on_ready(self.clock.now(), readiness);
+        self.on_watch_events(events);
+        self.process_outcomes();
+    }
+
+    fn accept_commands(&mut self, listener: &UnixListener) -> bool {
+        let now = self.clock.now();
+        self.control.as_mut().is_none_or(|control| control.accept(now, listener))
+    }
+
+    fn on_command_ready(&mut self, id: u64) {
+        let question = self.control.as_mut().and_then(|control| {
+            control.flush(id);
+            control.read(id)
+        });
+        let Some(question) = question else { return };
+        let answer = self.reply(question);
+        if let Some(control) = &mut self.control {
+            control.answer(id, &answer);
+        }
+        self.tell_feeds();
+    }
+
+    fn accept_links(&mut self, listener: &TcpListener) -> bool {
+        let now = self.clock.now();
+        let beyond = self.beyond.as_mut();
+        let accepts_more =
+            beyond.is_none_or(|beyond| beyond.links.accept(now, listener, &mut beyond.gateway));
+        self.carry_beyond();
+        accepts_more
+    }
+
+    fn on_link_ready(&mut self, id: u64, readiness: Readiness) {
+        self.link_is_ready(id, readiness);
+        self.process_outcomes();
+    }
+}
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -23,8 +23,8 @@
 use crate::decider::{End, Final, Ms, Place};
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::log::log_line;
+use crate::router::Router;
 use crate::upstream::AttemptOrder;
-use crate::Router;
 
 /// How often it is looked at what this router acts on, and who is behind.
 const LOOK: Ms = 200.0;
@@ -437,7 +437,7 @@
             let decider = &self.decider;
             beyond.hosts(now, &mut hosts, |target| decider.is_own(&target.host()));
         }
-        self.take_hosts(&hosts);
+        self.apply_endpoint_update(&hosts);
     }
 
     /// Does what the core wants done, until it wants nothing more.
--- a/crates/router/src/hollow.rs
+++ b/crates/router/src/hollow.rs
@@ -13,7 +13,9 @@
 use linnethook_operator::Operator;
 
 use crate::config::{Config, Failure};
-use crate::{log, operator, serve, Router, SIGNALS};
+use crate::event_loop::{read_operator, serve, SIGNALS};
+use crate::log;
+use crate::router::Router;
 
 /// The routers of this process as its first thread sees them.
 #[derive(Default)]
@@ -57,7 +59,8 @@
     for path in files {
         // One after another: each is read by a process of its own.
         let file = path.with_extension("star");
-        let operator = file.exists().then(|| operator(&file)).transpose()?.map(|operator| (file, operator));
+        let operator =
+            file.exists().then(|| read_operator(&file)).transpose()?.map(|operator| (file, operator));
         parts.push((path.clone(), Config::read(path)?, operator));
     }
     let json = |(_, operator): &(PathBuf, Operator)| operator.log.is_some_and(|log| log.json);
@@ -108,7 +111,7 @@
     let events: EventLoop<'static, Router> = EventLoop::try_new()?;
     let signalled = |event: Event<Signal>, _: &mut (), router: &mut Router| {
         if let Event::Msg(signal) = event {
-            router.signalled(signal);
+            router.on_signal(signal);
         }
     };
     events.handle().insert_source(signals, signalled).map_err(|wrong| wrong.error.to_string())?;
--- a/crates/router/src/links/wiring.rs
+++ b/crates/router/src/links/wiring.rs
@@ -17,8 +17,9 @@
 use crate::hierarchy_adapter::Asked;
 use crate::links::beyond::Traveller;
 use crate::log::log_line;
+use crate::requests::OpenRequest;
+use crate::router::Router;
 use crate::upstream::{CopyVersion, ResponsePayload};
-use crate::{Held, Router};
 
 /// Requests from other sites have no connection of a client.
 const NOBODY: ClientStream = ClientStream { client: 0, stream: 0 };
@@ -31,7 +32,7 @@
     /// A request that is open goes wherever the gateway says.
     pub fn ask_gateway(&mut self, ticket: Ticket) {
         let now = self.clock.now();
-        let (Some(beyond), Some(held)) = (&mut self.beyond, self.requests.held.get(&ticket)) else { return };
+        let (Some(beyond), Some(held)) = (&mut self.beyond, self.requests.get(ticket)) else { return };
         let Some(traveller) = &held.traveller else { return };
         let wanted = beyond.wanted(traveller, &held.message);
         beyond.gateway.ask(now, ticket, wanted);
@@ -41,7 +42,7 @@
     /// The home has refused a request: whether it goes to another site instead.
     pub fn goes_beyond(&mut self, ticket: Ticket) -> bool {
         let now = self.clock.now();
-        let (Some(beyond), Some(held)) = (&mut self.beyond, self.requests.held.get(&ticket)) else {
+        let (Some(beyond), Some(held)) = (&mut self.beyond, self.requests.get(ticket)) else {
             return false;
         };
         let Some(traveller) = held.traveller.as_ref().filter(|_| !is_foreign(ticket)) else { return false };
@@ -55,7 +56,7 @@
     /// How a request ended at home, for the gateway to learn from.
     pub fn ended_here(&mut self, ticket: Ticket, answer: Final) {
         let now = self.clock.now();
-        let (Some(beyond), Some(held)) = (&mut self.beyond, self.requests.held.get(&ticket)) else { return };
+        let (Some(beyond), Some(held)) = (&mut self.beyond, self.requests.get(ticket)) else { return };
         let Some(traveller) = &held.traveller else { return };
         let refused = matches!(answer, Final::Refused { .. });
         beyond.ended(now, traveller, is_foreign(ticket), refused, answer != Final::Served);
@@ -106,7 +107,7 @@
                     self.requests.remove(ticket);
                     self.hierarchy.as_mut().and_then(|upstream| upstream.come_back(ticket));
                     let orders = self.decider.report(now, News::Left(ticket));
-                    self.carry_out(orders, ResponsePayload::Empty);
+                    self.execute(orders, ResponsePayload::Empty);
                 }
                 Errand::Heard(about, fact) => self.heard_of(about, fact),
                 Errand::Fellow { name, start, up } => self.fellow(&name, start, up),
@@ -118,13 +119,13 @@
 
     fn pick_at_home(&mut self, ticket: Ticket) {
         let now = self.clock.now();
-        let Some(traveller) = self.requests.held.get(&ticket).and_then(|held| held.traveller.as_ref()) else {
+        let Some(traveller) = self.requests.get(ticket).and_then(|held| held.traveller.as_ref()) else {
             return;
         };
         let mut wish = traveller.wish.clone();
         wish.budget = (traveller.deadline - now).max(0.0);
         let orders = self.decider.pick(now, ticket, &wish);
-        self.carry_out(orders, ResponsePayload::Empty);
+        self.execute(orders, ResponsePayload::Empty);
     }
 
     /// The final answer that the gateway has for a request.
@@ -138,7 +139,7 @@
             }
             return;
         }
-        let holds = self.requests.held.get(&ticket).is_some_and(|held| held.message.client_copy.is_some());
+        let holds = self.requests.get(ticket).is_some_and(|held| held.message.client_copy.is_some());
         let (answer, brought) = match reply {
             Reply::Served { head, .. } if valid(&head) && holds => {
                 (Final::Served, ResponsePayload::NotModified)
@@ -163,7 +164,7 @@
         fields.put("d", &format!("{}", (left + self.limits.way).min(self.limits.wait)));
         let body = BufferChain::from_bytes(&self.buffers, &body);
         let taken = parse_request(NOBODY, &fields, body, &self.limits);
-        let taken = taken.filter(|t| self.decider.knows(&t.wish) && !self.requests.clashes(&t.message));
+        let taken = taken.filter(|t| self.decider.knows(&t.wish) && !self.requests.id_conflicts(&t.message));
         let crowded = self.requests.len() >= self.limits.open || self.buffers.is_exhausted();
         let Some(taken) = taken.filter(|_| !crowded) else {
             self.counters.unusable += u64::from(!crowded);
@@ -193,7 +194,7 @@
         wish: crate::decider::Wish,
         parcel: crate::upstream::RequestMessage,
         passed: Vec<String>,
-    ) -> Held {
+    ) -> OpenRequest {
         let (aim, write) = self.decider.wanted(&wish);
         let bytes = wish.size_kb * 1000.0;
         let asked = Asked { object: wish.object, part: wish.part, write, bytes, aim, since: now };
@@ -203,7 +204,7 @@
             let deadline = now + wish.budget;
             Box::new(Traveller { wish, harmful, write, aim, deadline, passed })
         });
-        Held { asker, message: parcel, asked, traveller }
+        OpenRequest { stream: asker, message: parcel, asked, traveller }
     }
 
     /// Another site was told of a drain or a purge.
@@ -217,7 +218,7 @@
                         "gateway: another site says that {name} is {}",
                         if hosts.targets[0].ready() { "back" } else { "drained" }
                     );
-                    self.take_hosts(&hosts);
+                    self.apply_endpoint_update(&hosts);
                 }
                 let open = self.requests.len() as f64 / self.limits.open.max(1) as f64;
                 if let Some(beyond) = &mut self.beyond {
@@ -242,7 +243,7 @@
     pub(crate) fn purged(&mut self, expire: PurgeEvent) {
         if let Some(news) = expire.news() {
             let orders = self.decider.report(self.clock.now(), news);
-            self.carry_out(orders, ResponsePayload::Empty);
+            self.execute(orders, ResponsePayload::Empty);
         }
     }
 
--- /dev/null
+++ b/crates/router/src/router.rs
@@ -0,0 +1,695 @@
+//! One router: its state, and the dispatch between its parts.
+//!
+//! The router decides nothing. Orders come from the policy, by way of [`Decider`]; bytes are read and written by
+//! [`Downstreams`] and [`Upstreams`].
+
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use calloop::signals::Signal;
+use calloop::LoopHandle;
+use linnethook_operator::Operator;
+
+use crate::buffers::{BufferChain, BufferPool};
+use crate::clock::Clock;
+use crate::config::{Config, Failure, Limits};
+use crate::control::Control;
+use crate::counters::Counters;
+use crate::decider::{Decider, End, Final, Ms, News, Order, Ticket, Wish};
+use crate::descriptors::Reserve;
+use crate::discovery::event::{EndpointUpdate, PurgeEvent, WatchEvent};
+use crate::discovery::DiscoveryClient;
+use crate::downstream::codec::AnswerCode;
+use crate::downstream::{ClientEvent, ClientRequest, ClientStream, Downstreams};
+use crate::fleet::Fleet;
+use crate::hierarchy_adapter::{Asked, HierarchyAdapter, Step};
+use crate::links::beyond::Beyond;
+use crate::links::is_foreign;
+use crate::links::sockets::Links;
+use crate::log::log_line;
+use crate::requests::{OpenRequest, OpenRequests};
+use crate::steer::{self, Evaluation};
+use crate::upstream::{AttemptOrder, CompletedAttempt, ResponsePayload, Upstreams};
+
+/// The phases of a router's run.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum RunPhase {
+    Serving,
+    /// Since when it finishes its open requests.
+    Draining {
+        since: Ms,
+    },
+    /// Until when the last answers may be written; new requests are rejected.
+    Closing {
+        until: Ms,
+    },
+}
+
+/// How often the counts of the shadow policy are logged.
+#[derive(Debug, Clone, Copy)]
+struct ShadowReport {
+    interval: Ms,
+    next: Ms,
+}
+
+/// One router.
+pub struct Router {
+    pub(crate) clock: Clock,
+    /// The file that `LB_CONFIG` names, read again at each SIGHUP.
+    config_path: PathBuf,
+    pub(crate) limits: Limits,
+    pub(crate) buffers: BufferPool,
+    pub(crate) reserve: Reserve,
+    pub(crate) decider: Decider,
+    pub(crate) downstreams: Downstreams<Self>,
+    pub(crate) upstreams: Upstreams<Self>,
+    pub(crate) discovery: DiscoveryClient<Self>,
+    pub(crate) requests: OpenRequests,
+    /// The operator file and what it enables; `None` without one.
+    pub(crate) operator: Option<PathBuf>,
+    pub(crate) hierarchy: Option<HierarchyAdapter>,
+    pub(crate) control: Option<Control<Self>>,
+    pub(crate) beyond: Option<Beyond<Self>>,
+    pub(crate) fleet: Option<Fleet>,
+    /// The evaluation of the operator file in progress.
+    pub(crate) evaluation: Option<Evaluation>,
+    pub(crate) handle: LoopHandle<'static, Self>,
+    /// When the policy's next timer is due.
+    policy_timer: Option<Ms>,
+    phase: RunPhase,
+    pub(crate) counters: Counters,
+    shadow_report: Option<ShadowReport>,
+}
+
+impl Router {
+    /// Starts a router: it applies the endpoint list of its configuration, and then listens.
+    ///
+    /// # Errors
+    ///
+    /// Settings of the operator file that can't be used, and errors of the system.
+    pub fn new(
+        config_path: &Path,
+        config: Config,
+        operator: Option<(PathBuf, Operator)>,
+        handle: &LoopHandle<'static, Self>,
+    ) -> Result<Self, Failure> {
+        let has_gateway = operator.as_ref().is_some_and(|(_, operator)| operator.gateway.is_some());
+        let limits = if has_gateway { config.limits.beside_links() } else { config.limits };
+        let reserve = Reserve::take(limits.reserve)?;
+        let buffers = BufferPool::new(limits.block, limits.blocks_kept, limits.blocks_most);
+        // Errors in the shadow policy's settings are reported before anything starts.
+        let shadow = operator.as_ref().and_then(|(_, operator)| operator.watch.as_ref());
+        let shadow_settings =
+            |shadow| Ok::<_, Failure>((config.with(&steer::changes(shadow))?, shadow.every * 1000.0));
+        let shadow = shadow.map(shadow_settings).transpose()?;
+        let settings_digest = operator.as_ref().map_or(0, |_| config.settings_digest());
+        let known = config.file.known;
+        let journal = config.file.journal;
+        let mut router = Self {
+            clock: Clock::new(),
+            config_path: config_path.to_path_buf(),
+            limits,
+            decider: Decider::new(config.told, config.seed),
+            downstreams: Downstreams::new(limits, &buffers, &reserve, handle.clone()),
+            upstreams: Upstreams::new(limits, &buffers, &reserve, handle.clone()),
+            discovery: DiscoveryClient::new(limits, &buffers, &reserve, handle.clone(), journal, known.pos),
+            buffers,
+            reserve,
+            requests: OpenRequests::default(),
+            operator: None,
+            hierarchy: None,
+            control: None,
+            beyond: None,
+            fleet: None,
+            evaluation: None,
+            handle: handle.clone(),
+            policy_timer: None,
+            phase: RunPhase::Serving,
+            counters: Counters::default(),
+            shadow_report: None,
+        };
+        if let Some((settings, interval)) = shadow {
+            router.decider.watch(settings, config.seed);
+            router.shadow_report = Some(ShadowReport { interval, next: router.clock.now() + interval });
+        }
+        if let Some((file, operator)) = operator {
+            router.switch_on(&config.file.name, config.seed, settings_digest, &operator)?;
+            router.operator = Some(file);
+        }
+        router.on_watch_events(known.entries);
+        router.tick_fleet();
+        // Clients are accepted only once the endpoint list is known.
+        let address = router.downstreams.listen(config.file.listen)?;
+        log_line!("{} listens on {address}", config.file.name);
+        Ok(router)
+    }
+
+    // ---- Discovery.
+
+    /// Applies watch events in their order.
+    pub(crate) fn on_watch_events(&mut self, events: Vec<WatchEvent>) {
+        let now = self.clock.now();
+        for event in events {
+            self.counters.journal_events += 1;
+            if let (Some(batch), Some(hierarchy)) = (&event.shape, &mut self.hierarchy) {
+                if let Err(reason) = hierarchy.hear(now, batch) {
+                    log_line!("hierarchy: batch {}/{}: {reason}", batch.author, batch.number);
+                }
+                self.tell_feeds();
+            }
+            self.fleet_hears(&event);
+            if let Some(mut update) = event.hosts {
+                if let Some(fleet) = &mut self.fleet {
+                    fleet.hosts(now, &mut update, event.pos);
+                }
+                if let Some(beyond) = &mut self.beyond {
+                    let decider = &self.decider;
+                    beyond.hosts(now, &mut update, |target| decider.is_own(&target.host()));
+                }
+                self.apply_endpoint_update(&update);
+            }
+            if let Some(purge) = &event.expire {
+                self.apply_purge(now, purge, event.pos);
+            }
+        }
+    }
+
+    /// Applies an update of the endpoint list.
+    pub(crate) fn apply_endpoint_update(&mut self, update: &EndpointUpdate) {
+        let now = self.clock.now();
+        self.upstreams.update_endpoints(now, &update.targets, update.all);
+        self.list_upstream(update);
+        let orders = self.decider.report(now, update.news());
+        self.execute(orders, ResponsePayload::Empty);
+    }
+
+    /// Applies a purge of the own journal.
+    fn apply_purge(&mut self, now: Ms, purge: &PurgeEvent, position: u64) {
+        let Some(news) = purge.news() else {
+            return log_line!("journal: a purge that can't be read, event {position}");
+        };
+        if let News::Expired { object, group, .. } = news {
+            self.upstreams.withdraw_purged(now, object, group);
+        }
+        if let Some(beyond) = &mut self.beyond {
+            beyond.expired(now, purge);
+        }
+        let orders = self.decider.report(now, news);
+        self.execute(orders, ResponsePayload::Empty);
+    }
+
+    // ---- Orders of the policy.
+
+    /// Executes orders. `payload` is what the attempt that was just reported carried.
+    pub(crate) fn execute(&mut self, orders: Vec<Order>, payload: ResponsePayload) {
+        let now = self.clock.now();
+        let mut payload = Some(payload);
+        for order in orders {
+            match order {
+                Order::Send { attempt, place, timeout, filling } => {
+                    self.send(now, AttemptOrder { attempt, place, timeout, filling });
+                }
+                Order::Cancel(attempt) => {
+                    match self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.cancel(attempt)) {
+                        Some(Step::TurnBack(order, _)) => {
+                            self.upstreams.cancel_unsent(now, attempt, order.place);
+                        }
+                        _ => self.upstreams.cancel(now, attempt),
+                    }
+                }
+                Order::Answer { ticket, answer } => {
+                    self.on_decided(ticket, answer, payload.take().unwrap_or(ResponsePayload::Empty));
+                }
+                Order::WakeAt(at) => {
+                    self.policy_timer = Some(self.policy_timer.map_or(at, |due| due.min(at)))
+                }
+                Order::Probe(place) => self.upstreams.send_health_check(now, place),
+                Order::Note(line) => log_line!("{line}"),
+            }
+        }
+    }
+
+    /// Sends an attempt, unless its fill has to wait or is not admitted.
+    fn send(&mut self, now: Ms, order: AttemptOrder) {
+        let Some(request) = self.requests.get(order.attempt.ticket) else {
+            // Its client left while orders were executed. Without an end the attempt would count as in flight at its
+            // endpoint for good.
+            return self.upstreams.cancel_unsent(now, order.attempt, order.place);
+        };
+        let asked = request.asked;
+        // A straggler starts no fills: cached copies are served.
+        let fleet = self.fleet.as_mut().filter(|_| !asked.write && order.filling.source.is_some());
+        let shut_out = fleet.and_then(|fleet| fleet.shuts_out(now, asked.object));
+        let step = match (&mut self.hierarchy, shut_out) {
+            (Some(hierarchy), Some(wait)) if hierarchy.fills(&order) => {
+                Some(hierarchy.held_alone(now, order, asked, wait))
+            }
+            (Some(hierarchy), _) => hierarchy.admit(now, order, asked),
+            (None, _) => Some(Step::Send(order, None)),
+        };
+        self.take(step);
+    }
+
+    // ---- Answers.
+
+    /// Handles the answer of this site's policy to a request.
+    fn on_decided(&mut self, ticket: Ticket, answer: Final, payload: ResponsePayload) {
+        if self.crosses() {
+            self.ended_here(ticket, answer);
+            if matches!(answer, Final::Refused { .. }) && self.goes_beyond(ticket) {
+                return self.carry_beyond();
+            }
+        }
+        self.finish(ticket, answer, payload);
+    }
+
+    /// Gives the one final answer to a request.
+    pub(crate) fn finish(&mut self, ticket: Ticket, answer: Final, payload: ResponsePayload) {
+        let retry_after = self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
+        if is_foreign(ticket) {
+            if self.requests.remove(ticket).is_some() {
+                self.answer_beyond(ticket, answer, payload);
+                self.carry_beyond();
+            }
+            return;
+        }
+        let Some(request) = self.requests.remove(ticket) else { return };
+        if let Some(fleet) = &mut self.fleet {
+            fleet.answered(self.clock.now(), answer);
+        }
+        self.answer_client(request.stream, answer, payload, retry_after);
+        let mut events = Vec::new();
+        self.downstreams.flush(self.clock.now(), request.stream.client, &mut events);
+        self.on_client_events(events);
+    }
+
+    fn answer_client(
+        &mut self,
+        stream: ClientStream,
+        answer: Final,
+        payload: ResponsePayload,
+        retry_after: Option<Ms>,
+    ) {
+        let empty = BufferChain::new(&self.buffers);
+        match (answer, payload) {
+            (Final::Served, ResponsePayload::Body(body, _)) => {
+                self.counters.served += 1;
+                self.counters.served_bytes += body.len() as u64;
+                self.downstreams.answer(stream, AnswerCode::Served, &[], body);
+            }
+            (Final::Served, ResponsePayload::NotModified) => {
+                self.counters.served += 1;
+                self.downstreams.answer(stream, AnswerCode::Served, &[("valid", "1")], empty);
+            }
+            (Final::Refused { wait }, _) => {
+                self.counters.refused += 1;
+                let wait = format!("{}", self.retry_after(wait, retry_after).ceil());
+                let fields: &[(&str, &str)] = if wait == "0" { &[] } else { &[("w", &wait)] };
+                self.downstreams.answer(stream, AnswerCode::Rejected, fields, empty);
+            }
+            (Final::Failed, _) | (Final::Served, ResponsePayload::Empty) => {
+                self.counters.failed += 1;
+                self.downstreams.answer(stream, AnswerCode::Failed, &[], empty);
+            }
+        }
+    }
+
+    /// The policy's Retry-After, or that of the hierarchy where it is later; 0 stays 0, for none.
+    fn retry_after(&self, wait: Ms, from_hierarchy: Option<Ms>) -> Ms {
+        let longest = self.decider.longest_wait();
+        from_hierarchy.filter(|_| wait > 0.0).map_or(wait, |at| wait.max(at.min(longest)))
+    }
+
+    // ---- Clients.
+
+    /// Handles what was received from clients.
+    pub(crate) fn on_client_events(&mut self, events: Vec<ClientEvent>) {
+        for event in events {
+            match event {
+                ClientEvent::Request(ticket, request) => self.on_request(ticket, *request),
+                ClientEvent::Cancelled(ticket) => self.on_cancelled(ticket),
+                ClientEvent::Invalid(stream) => {
+                    self.counters.taken_in += 1;
+                    self.reject_invalid(stream);
+                }
+            }
+        }
+    }
+
+    fn on_request(&mut self, ticket: Ticket, request: ClientRequest) {
+        let now = self.clock.now();
+        self.counters.taken_in += 1;
+        self.counters.taken_in_bytes += request.message.body.len() as u64;
+        let ClientRequest { stream, wish, message } = request;
+        // Its connection may have been broken off for an earlier request.
+        if !self.downstreams.is_open(stream, ticket) {
+            return;
+        }
+        if !self.decider.knows(&wish) || self.requests.id_conflicts(&message) {
+            return self.reject_invalid(stream);
+        }
+        let closing = matches!(self.phase, RunPhase::Closing { .. });
+        let overloaded = closing || self.requests.len() >= self.limits.open;
+        let shut_out = self.barred_for_now(now, &wish);
+        if shut_out.is_some() || self.crosses() {
+            let open = self.held(now, stream, wish, message, Vec::new());
+            self.requests.insert(ticket, open);
+            return match shut_out {
+                Some(wait) => self.finish(ticket, Final::Refused { wait }, ResponsePayload::Empty),
+                None if overloaded => {
+                    self.finish(ticket, Final::Refused { wait: 0.0 }, ResponsePayload::Empty);
+                }
+                None => self.ask_gateway(ticket),
+            };
+        }
+        let (aim, write) = self.decider.wanted(&wish);
+        let Wish { object, part, size_kb, .. } = wish;
+        let asked = Asked { object, part, write, bytes: size_kb * 1000.0, aim, since: now };
+        self.requests.insert(ticket, OpenRequest { stream, message, asked, traveller: None });
+        if overloaded {
+            return self.on_decided(ticket, Final::Refused { wait: 0.0 }, ResponsePayload::Empty);
+        }
+        let orders = self.decider.pick(now, ticket, &wish);
+        self.execute(orders, ResponsePayload::Empty);
+    }
+
+    fn on_cancelled(&mut self, ticket: Ticket) {
+        let now = self.clock.now();
+        self.counters.given_up += 1;
+        self.requests.remove(ticket);
+        self.upstreams.withdraw_request(now, ticket);
+        let unsent = self.hierarchy.as_mut().map(|hierarchy| hierarchy.left(ticket));
+        for order in unsent.unwrap_or_default() {
+            self.upstreams.cancel_unsent(now, order.attempt, order.place);
+        }
+        self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
+        if let Some(beyond) = self.beyond.as_mut().filter(|beyond| beyond.crosses()) {
+            beyond.gateway.gone(now, ticket);
+            self.carry_beyond();
+        }
+        let orders = self.decider.report(now, News::Left(ticket));
+        self.execute(orders, ResponsePayload::Empty);
+    }
+
+    /// Checks whether a client has left or cancels something, before anything is sent for it: its cancellation may have
+    /// arrived in the course of this turn.
+    pub(crate) fn check_client(&mut self, ticket: Ticket) {
+        let Some(client) = self.requests.get(ticket).map(|request| request.stream.client) else { return };
+        let mut events = Vec::new();
+        self.downstreams.check(self.clock.now(), client, &mut events);
+        self.on_client_events(events);
+    }
+
+    /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
+    pub(crate) fn barred_for_now(&mut self, now: Ms, wish: &Wish) -> Option<Ms> {
+        let fleet = self.fleet.as_mut().filter(|_| self.decider.does_harm(wish))?;
+        let wait = fleet.shuts_out(now, wish.object)?;
+        Some(wait.min(self.decider.longest_wait()))
+    }
+
+    /// Answers a request that can't be used; the policy never sees it.
+    fn reject_invalid(&mut self, stream: ClientStream) {
+        self.counters.unusable += 1;
+        let mut events = Vec::new();
+        self.downstreams.reject_invalid(self.clock.now(), stream, &mut events);
+        self.downstreams.flush(self.clock.now(), stream.client, &mut events);
+        self.on_client_events(events);
+    }
+
+    // ---- Outcomes of attempts.
+
+    /// Reports outcomes to the policy until there are no more.
+    pub(crate) fn process_outcomes(&mut self) {
+        loop {
+            let now = self.clock.now();
+            if let Some(completed) = self.upstreams.next_completed() {
+                self.on_completed(now, completed);
+            } else if let Some(check) = self.upstreams.next_health_check() {
+                let news = News::Probed { place: check.place, well: check.healthy, gauges: check.gauges };
+                let orders = self.decider.report(now, news);
+                self.execute(orders, ResponsePayload::Empty);
+            } else if let Some((connection, tickets)) = self.upstreams.next_stalled() {
+                tickets.into_iter().for_each(|ticket| self.check_client(ticket));
+                self.upstreams.write_queued(self.clock.now(), connection);
+            } else {
+                return;
+            }
+        }
+    }
+
+    fn on_completed(&mut self, now: Ms, completed: CompletedAttempt) {
+        let end = completed.ending.end;
+        self.count_outcome(end, &completed.payload);
+        let attempt = completed.ending.attempt;
+        let write = self.requests.get(attempt.ticket).filter(|request| request.asked.write);
+        if let (Some(fleet), Some(request)) = (&mut self.fleet, write) {
+            fleet.write_ended(now, &request.message.id, attempt.number, end);
+        }
+        if let Some(hierarchy) = &mut self.hierarchy {
+            let steps = hierarchy.ended(now, &completed);
+            self.take(steps);
+        }
+        let orders = self.decider.report(now, News::Ended(completed.ending));
+        self.execute(orders, completed.payload);
+    }
+
+    fn count_outcome(&mut self, end: End, payload: &ResponsePayload) {
+        let counters = &mut self.counters;
+        let counter = match end {
+            End::Answered if matches!(payload, ResponsePayload::NotModified) => &mut counters.ended_unchanged,
+            End::Answered => &mut counters.ended_data,
+            End::Failed => &mut counters.ended_failed,
+            End::Full => &mut counters.ended_full,
+            End::Absent => &mut counters.ended_absent,
+            End::Moot => &mut counters.ended_moot,
+            End::TimedOut => &mut counters.ended_timed_out,
+            End::Unreached => &mut counters.ended_unreached,
+            End::Broken => &mut counters.ended_broken,
+            End::Cancelled => &mut counters.ended_cancelled,
+        };
+        *counter += 1;
+    }
+
+    // ---- Timers.
+
+    /// Does all that is due.
+    pub fn on_timer(&mut self) {
+        let now = self.clock.now();
+        self.upstreams.on_timer(now);
+        self.process_outcomes();
+        if self.policy_timer.is_some_and(|due| due <= now) {
+            self.policy_timer = None;
+            let orders = self.decider.tick(now);
+            self.execute(orders, ResponsePayload::Empty);
+            self.process_outcomes();
+        }
+        if let Some(hierarchy) = self.hierarchy.as_mut().filter(|hierarchy| hierarchy.is_due(now)) {
+            let steps = hierarchy.tick(now);
+            self.take(steps);
+            self.tell_feeds();
+            self.process_outcomes();
+        }
+        if let Some(control) = &mut self.control {
+            control.tick(now);
+        }
+        if self.beyond.is_some() {
+            self.tick_beyond();
+            self.process_outcomes();
+        }
+        self.log_shadow_report(now);
+        self.discovery.on_timer(now);
+        let mut events = Vec::new();
+        self.downstreams.on_timer(now, &mut events);
+        self.downstreams.read_paused(now, &mut events);
+        self.on_client_events(events);
+        self.process_outcomes();
+    }
+
+    fn log_shadow_report(&mut self, now: Ms) {
+        let Some(report) = self.shadow_report.as_mut().filter(|report| report.next <= now) else { return };
+        report.next = now + report.interval;
+        if let Some(counts) = self.decider.watched() {
+            log_line!("{counts}");
+        }
+    }
+
+    /// The time until the next deadline.
+    pub fn time_to_deadline(&self) -> Duration {
+        let links_wait = self.beyond.as_ref().is_some_and(|beyond| beyond.links.waits());
+        if self.downstreams.has_readable_paused() || links_wait {
+            return Duration::ZERO;
+        }
+        let now = self.clock.now();
+        let beyond = self.beyond.as_ref().map(|beyond| {
+            let connects = beyond.links.next().unwrap_or(f64::INFINITY);
+            beyond.gateway.next(now).min(connects)
+        });
+        let deadlines = [
+            self.policy_timer,
+            self.upstreams.next_deadline(),
+            Some(self.discovery.next_deadline()),
+            Some(self.downstreams.next_deadline()),
+            self.phase_deadline(now),
+            self.hierarchy.as_ref().map(HierarchyAdapter::next),
+            self.control.as_ref().and_then(Control::next),
+            beyond,
+            self.fleet.as_ref().map(|fleet| fleet.next(now)),
+        ];
+        let next = deadlines.into_iter().flatten().reduce(Ms::min).unwrap_or(now + 1000.0);
+        Duration::from_secs_f64((next - now).clamp(0.0, 1000.0) / 1000.0)
+    }
+
+    fn phase_deadline(&self, now: Ms) -> Option<Ms> {
+        match self.phase {
+            RunPhase::Serving => None,
+            RunPhase::Draining { since } if now < since + self.limits.stop_least => {
+                Some(since + self.limits.stop_least)
+            }
+            RunPhase::Draining { since } => Some(since + self.limits.stop_most),
+            RunPhase::Closing { until } => Some(until),
+        }
+    }
+
+    // ---- Signals.
+
+    pub fn on_signal(&mut self, signal: Signal) {
+        match signal {
+            Signal::SIGUSR1 => self.print_counters(),
+            Signal::SIGHUP => self.reload(),
+            _ => self.begin_drain(),
+        }
+    }
+
+    /// Reads the configuration again. Only the journal's address can change at runtime; a file that can't be read changes
+    /// nothing.
+    fn reload(&mut self) {
+        self.counters.reloads += 1;
+        match self.reserve.lend(|| Config::read(&self.config_path)) {
+            Ok(config) => {
+                log_line!(always "reloaded: the journal is at {}", config.file.journal);
+                self.discovery.set_address(self.clock.now(), config.file.journal);
+            }
+            Err(error) => log_line!(always "not reloaded: {error}"),
+        }
+        self.read_operator();
+    }
+
+    pub fn print_counters(&self) {
+        let connections = self.downstreams.counts;
+        let counters = Counters {
+            clients: connections.accepted,
+            malformed: connections.malformed,
+            silent: connections.silent,
+            made_room: connections.displaced,
+            taken_back: connections.withdrawn,
+            connects: self.upstreams.connects,
+            journal_lost: self.discovery.lost,
+            ..self.counters
+        };
+        let discovery = format!(
+            "journal_number={} journal_bytes_in={} journal_bytes_out={}",
+            self.discovery.position(),
+            self.discovery.bytes_in,
+            self.discovery.bytes_out
+        );
+        let gauges = format!(
+            "held_clients={} held_caches={} held_connections={} open={} out={} buffers={}",
+            self.downstreams.len(),
+            self.upstreams.endpoint_count(),
+            self.upstreams.connection_count(),
+            self.decider.owed(),
+            self.upstreams.in_flight(),
+            self.buffers.in_use()
+        );
+        let links = self.beyond.as_ref().map_or(String::new(), |beyond| {
+            let Links { accepted, bytes: [bytes_in, bytes_out], .. } = &beyond.links;
+            let count = beyond.links.len();
+            format!(" links={count} links_accepted={accepted} link_bytes_in={bytes_in} link_bytes_out={bytes_out}")
+        });
+        let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!(" {fleet}"));
+        let shadow = self.decider.watched().map_or(String::new(), |counts| format!(" {counts}"));
+        log_line!(always "{counters} {discovery} {gauges}{links}{fleet}{shadow}");
+    }
+
+    // ---- Shutdown.
+
+    /// Begins the graceful shutdown: open requests are finished, and clients are asked to send no new ones.
+    fn begin_drain(&mut self) {
+        if self.phase != RunPhase::Serving {
+            return;
+        }
+        log_line!("stopping, {} requests open", self.decider.owed());
+        self.phase = RunPhase::Draining { since: self.clock.now() };
+        let mut events = Vec::new();
+        self.downstreams.begin_drain(self.clock.now(), &mut events);
+        self.leave_fleet();
+        if let Some(beyond) = &mut self.beyond {
+            beyond.gateway.stop();
+            self.carry_beyond();
+        }
+        self.on_client_events(events);
+        self.process_outcomes();
+    }
+
+    /// Whether the drain is over: all is answered and no new requests are expected, or its time is up.
+    pub fn is_drained(&self) -> bool {
+        let RunPhase::Draining { since } = self.phase else { return false };
+        let passed = self.clock.now() - since;
+        // The gateway owes the answers to requests at other sites, and the policy does not count these.
+        let at_other_sites = self.crosses() && self.requests.len() > 0;
+        let answered = self.decider.owed() == 0 && !at_other_sites && self.downstreams.is_settled();
+        passed >= self.limits.stop_most || (passed >= self.limits.stop_least && answered)
+    }
+
+    /// Answers all that is open, and lets the last answers leave.
+    pub fn begin_close(&mut self) {
+        self.fail_open_requests();
+        let now = self.clock.now();
+        self.phase = RunPhase::Closing { until: now + self.limits.stop_last };
+        let mut events = Vec::new();
+        // What has arrived by now is owed an answer.
+        self.downstreams.read_all(now, &mut events);
+        self.on_client_events(events);
+        self.process_outcomes();
+        let mut events = Vec::new();
+        self.downstreams.close_finished(now, &mut events);
+        self.on_client_events(events);
+    }
+
+    /// Whether all clients have taken their last answers, or had the time to.
+    pub fn is_closed(&mut self) -> bool {
+        let RunPhase::Closing { until } = self.phase else { return false };
+        let now = self.clock.now();
+        let mut events = Vec::new();
+        self.downstreams.close_finished(now, &mut events);
+        self.on_client_events(events);
+        self.downstreams.len() == 0 || now >= until
+    }
+
+    /// Ends the remaining connections of clients.
+    pub fn close_clients(&mut self) {
+        let mut events = Vec::new();
+        self.downstreams.close_all(self.clock.now(), &mut events);
+        self.on_client_events(events);
+        self.fail_open_requests();
+    }
+
+    /// Whether other routers are to be told of the end.
+    pub fn has_fleet(&self) -> bool {
+        self.fleet.is_some()
+    }
+
+    /// Answers all open requests as failed: the platform kills the process before their outcomes are known.
+    fn fail_open_requests(&mut self) {
+        let open: Vec<Ticket> = self.requests.tickets().collect();
+        for ticket in open {
+            let now = self.clock.now();
+            self.finish(ticket, Final::Failed, ResponsePayload::Empty);
+            if let Some(beyond) = &mut self.beyond {
+                beyond.gateway.gone(now, ticket);
+            }
+            let orders = self.decider.report(now, News::Left(ticket));
+            self.execute(orders, ResponsePayload::Empty);
+        }
+    }
+}
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -25,8 +25,8 @@
 use crate::links::beyond::Beyond;
 use crate::log::log_line;
 use crate::operator_digest;
+use crate::router::Router;
 use crate::upstream::ResponsePayload;
-use crate::Router;
 
 /// What `watch()` changes, by the names that the settings have.
 pub fn changes(watch: &WatchPart) -> Value {
@@ -101,7 +101,7 @@
         let changed = self.hierarchy.as_mut().map(|upstream| upstream.changed(now)).unwrap_or_default();
         for (place, lists) in changed {
             let orders = self.decider.report(now, News::Feeds { place, lists });
-            self.carry_out(orders, ResponsePayload::Empty);
+            self.execute(orders, ResponsePayload::Empty);
         }
     }
 
@@ -111,8 +111,8 @@
         for step in steps {
             match step {
                 Step::Send(ordered, way) => {
-                    self.look_at(ordered.attempt.ticket);
-                    let Some(held) = self.requests.held.get(&ordered.attempt.ticket) else {
+                    self.check_client(ordered.attempt.ticket);
+                    let Some(held) = self.requests.get(ordered.attempt.ticket) else {
                         self.upstreams.cancel_unsent(now, ordered.attempt, ordered.place);
                         continue;
                     };
