--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -1,17 +1,60 @@
-//! Owns what the router is told at its start: `LB_CONFIG`, and the `Limits` made from it.
+//! The configuration that `LB_CONFIG` names, and the limits of the transport that follow from it.
 //!
-//! Must never hold a figure that decides about requests; those are the brain's.
+//! No figure here decides about requests; those are the policy's.
 
+use std::fmt;
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-use linnethook_settings::{Told, Transport};
+use linnethook_settings::{Told, Transport, Wrong as SettingError};
 use serde::Deserialize;
 
 use crate::descriptors;
 use crate::discovery::event::EventPage;
 
-pub type Failure = Box<dyn std::error::Error>;
+/// What is wrong with the configuration.
+#[derive(Debug)]
+pub enum ConfigError {
+    /// The file can't be read.
+    Read(io::Error),
+    /// It is not JSON, or a field is missing or of another type.
+    Format(serde_json::Error),
+    Setting(SettingError),
+    Seed,
+    /// A setting that the operator file's `watch()` changes.
+    ShadowSetting(SettingError),
+    /// One of these in a file.
+    File {
+        path: PathBuf,
+        source: Box<ConfigError>,
+    },
+}
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Read(error) => error.fmt(f),
+            Self::Format(error) => error.fmt(f),
+            Self::Setting(error) => write!(f, "settings.{error}"),
+            Self::Seed => f.write_str("a seed that is not hexadecimal"),
+            Self::ShadowSetting(error) => write!(f, "watch(): settings.{error}"),
+            Self::File { path, source } => write!(f, "{}: {source}", path.display()),
+        }
+    }
+}
+
+impl std::error::Error for ConfigError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Read(error) => Some(error),
+            Self::Format(error) => Some(error),
+            Self::Setting(error) | Self::ShadowSetting(error) => Some(error),
+            Self::File { source, .. } => Some(source),
+            Self::Seed => None,
+        }
+    }
+}
 
 /// The file that `LB_CONFIG` names.
 #[derive(Debug, Deserialize)]
@@ -49,18 +92,27 @@
 }
 
 impl Config {
-    pub fn read(path: &Path) -> Result<Self, Failure> {
-        let text = std::fs::read(path).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
-        Self::decode(&text, descriptors::soft_limit())
-            .map_err(|wrong| format!("{}: {wrong}", path.display()).into())
+    /// Reads the configuration of a file.
+    ///
+    /// # Errors
+    ///
+    /// A file that can't be read or used; the error names it.
+    pub fn read(path: &Path) -> Result<Self, ConfigError> {
+        let text = std::fs::read(path).map_err(ConfigError::Read);
+        let config = text.and_then(|text| Self::decode(&text, descriptors::soft_limit()));
+        config.map_err(|error| ConfigError::File { path: path.to_path_buf(), source: Box::new(error) })
     }
 
-    /// Reads it, for a process that may have that many descriptors, whatever it promises.
-    pub fn decode(text: &[u8], descriptors: usize) -> Result<Self, Failure> {
-        let file: File = serde_json::from_slice(text)?;
-        let told = linnethook_settings::decode(&serde_json::to_vec(&file.settings)?);
-        let told = told.map_err(|wrong| format!("settings.{wrong}"))?;
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| "a seed that is not hexadecimal")?;
+    /// Decodes a configuration for a process that may have `descriptors` of them, however many it promises.
+    ///
+    /// # Errors
+    ///
+    /// A text that is no configuration, or a setting that can't be used.
+    pub fn decode(text: &[u8], descriptors: usize) -> Result<Self, ConfigError> {
+        let file: File = serde_json::from_slice(text).map_err(ConfigError::Format)?;
+        let settings = serde_json::to_vec(&file.settings).map_err(ConfigError::Format)?;
+        let told = linnethook_settings::decode(&settings).map_err(ConfigError::Setting)?;
+        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Seed)?;
         let longest = told.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
         let limits = Limits::new(file.limits, descriptors, told.transport, longest);
         Ok(Self { file, told, seed, limits })
@@ -72,11 +124,15 @@
         xxhash_rust::xxh3::xxh3_64(self.file.settings.to_string().as_bytes())
     }
 
-    /// The settings as they would be with these changes.
-    pub fn with(&self, changes: &serde_json::Value) -> Result<Told, Failure> {
+    /// The settings with some of them changed, for the shadow policy.
+    ///
+    /// # Errors
+    ///
+    /// A changed setting that can't be used.
+    pub fn with(&self, changes: &serde_json::Value) -> Result<Told, ConfigError> {
         let settings = linnethook_settings::changed(&self.file.settings, changes);
-        let told = linnethook_settings::decode(&serde_json::to_vec(&settings)?);
-        told.map_err(|wrong| format!("watch(): settings.{wrong}").into())
+        let settings = serde_json::to_vec(&settings).map_err(ConfigError::Format)?;
+        linnethook_settings::decode(&settings).map_err(ConfigError::ShadowSetting)
     }
 }
 
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -8,7 +8,6 @@
 use calloop::{Interest, Mode, PostAction, Readiness};
 use socket2::{Domain, Socket, Type};
 
-use crate::config::Failure;
 use crate::decider::Ms;
 use crate::descriptors::ran_out;
 use crate::event_handler::EventHandler;
@@ -24,7 +23,7 @@
     /// # Errors
     ///
     /// Errors of the system, among them an address in use.
-    pub fn listen(&mut self, address: SocketAddr) -> Result<SocketAddr, Failure> {
+    pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
@@ -36,7 +35,8 @@
         let ready = |_: Readiness, listener: &mut NoIoDrop<TcpListener>, handler: &mut W| {
             Ok(if handler.accept_clients(listener) { PostAction::Continue } else { PostAction::Disable })
         };
-        self.listener = Some(self.handle.insert_source(source, ready).map_err(|error| error.error)?);
+        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        self.listener = Some(token);
         Ok(address)
     }
 
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -11,11 +11,12 @@
 use linnethook_operator::{apart, Operator};
 
 use crate::cli;
-use crate::config::{Config, Failure};
+use crate::config::Config;
 use crate::downstream::ClientId;
 use crate::event_handler::EventHandler;
 use crate::log::{self, log_line};
 use crate::router::Router;
+use crate::start_error::StartError;
 
 /// The signals that a process of routers handles.
 pub const SIGNALS: [Signal; 4] = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
@@ -29,8 +30,8 @@
 /// # Errors
 ///
 /// A file that can't be read or evaluated.
-pub fn read_operator(file: &Path) -> Result<Operator, Failure> {
-    let program = cli::program().map_err(|failed| failed.text().to_string())?;
+pub fn read_operator(file: &Path) -> Result<Operator, StartError> {
+    let program = cli::program()?;
     let operator = apart::run(&program, Kind::Operator, file).and_then(|bytes| apart::operator(file, &bytes));
     Ok(operator?)
 }
@@ -40,11 +41,11 @@
 /// # Errors
 ///
 /// A configuration or operator file that can't be used, and errors of the system.
-pub fn run(arguments: &cli::Run) -> Result<(), Failure> {
+pub fn run(arguments: &cli::Run) -> Result<(), StartError> {
     let file = arguments.operator.clone();
     let operator = file.map(|file| read_operator(&file).map(|operator| (file, operator))).transpose()?;
     log::begin(operator.as_ref().and_then(|(_, operator)| operator.log).is_some_and(|log| log.json));
-    let path = std::env::var_os("LB_CONFIG").ok_or("LB_CONFIG names no configuration")?;
+    let path = std::env::var_os("LB_CONFIG").ok_or(StartError::NoConfig)?;
     let path = PathBuf::from(path);
     let config = Config::read(&path)?;
     if config.limits.descriptors < config.file.sockets() {
@@ -72,7 +73,7 @@
     path: &Path,
     config: Config,
     operator: Option<(PathBuf, Operator)>,
-) -> Result<(), Failure> {
+) -> Result<(), StartError> {
     let log_settings = operator.as_ref().and_then(|(_, operator)| operator.log);
     log::hold_to(log_settings.map_or(config.limits.log_lines, |log| log.lines_per_second));
     let mut router = Router::new(path, config, operator, &events.handle())?;
@@ -154,15 +155,18 @@
 
     fn accept_links(&mut self, listener: &TcpListener) -> bool {
         let now = self.clock.now();
-        let beyond = self.beyond.as_mut();
-        let accepts_more =
-            beyond.is_none_or(|beyond| beyond.links.accept(now, listener, &mut beyond.gateway));
-        self.carry_beyond();
+        let remote_sites = self.remote_sites.as_mut();
+        let accepts_more = remote_sites.is_none_or(|remote_sites| remote_sites.accept(now, listener));
+        self.run_remote_sites();
         accepts_more
     }
 
     fn on_link_ready(&mut self, id: u64, readiness: Readiness) {
-        self.link_is_ready(id, readiness);
+        let now = self.clock.now();
+        if let Some(remote_sites) = &mut self.remote_sites {
+            remote_sites.on_link_ready(now, id, readiness);
+        }
+        self.run_remote_sites();
         self.process_outcomes();
     }
 }
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -433,9 +433,9 @@
     fn take_fellow_line(&mut self, target: EndpointEntry) {
         let now = self.clock.now();
         let mut hosts = one(target);
-        if let Some(beyond) = &mut self.beyond {
+        if let Some(beyond) = &mut self.remote_sites {
             let decider = &self.decider;
-            beyond.hosts(now, &mut hosts, |target| decider.is_own(&target.host()));
+            beyond.on_endpoint_update(now, &mut hosts, |target| decider.is_own(&target.host()));
         }
         self.apply_endpoint_update(&hosts);
     }
@@ -444,7 +444,7 @@
     fn carry_fleet(&mut self) {
         loop {
             let now = self.clock.now();
-            let (Some(fleet), Some(beyond)) = (&mut self.fleet, &mut self.beyond) else { return };
+            let (Some(fleet), Some(beyond)) = (&mut self.fleet, &mut self.remote_sites) else { return };
             let Some(action) = fleet.core.next_action() else { break };
             match action {
                 Errand::Say(said) => beyond.gateway.tell_fellows(now, said),
@@ -481,8 +481,8 @@
                             number = purge.number,
                             "fellows: a purge, by the journal as fellows have it"
                         );
-                        beyond.expired(now, &expire);
-                        self.purged(expire);
+                        beyond.announce_purge(now, &expire);
+                        self.purged(&expire);
                     }
                 }
                 Errand::Batch(body) => self.fellow_batch(&body),
@@ -513,7 +513,7 @@
                 Errand::Note(note) => say(&note),
             }
         }
-        self.carry_beyond();
+        self.run_remote_sites();
     }
 
     fn fellow_batch(&mut self, body: &[u8]) {
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,7 +5,7 @@
 //! - [`requests`]: the open requests;
 //! - [`decider`]: the policy, with its events and actions;
 //! - [`hierarchy_adapter`]: the hierarchy of caches, and the admission of fills;
-//! - [`links`], [`fleet`], [`account`]: other sites, other routers, and the audit log;
+//! - [`remote_sites`], [`fleet`], [`account`]: other sites, other routers, and the audit log;
 //! - [`control`], [`steer`], [`cli`], [`audit`]: the control socket, what it does, and the commands;
 //! - [`config`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`]: the rest.
 
@@ -31,12 +31,13 @@
 #[path = "../tests/unit/hex.rs"]
 mod hex;
 mod hierarchy_adapter;
-mod hollow;
-mod links;
 mod log;
+mod multi_router;
 mod operator_digest;
+mod remote_sites;
 mod requests;
 mod router;
+mod start_error;
 mod steer;
 mod upstream;
 
@@ -46,15 +47,15 @@
 use clap::Parser;
 
 use cli::{Cli, Command};
-use config::Failure;
 use log::log_line;
+use start_error::StartError;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     match cli.command {
         None => exit_code(event_loop::run(&cli.run)),
         Some(Command::Run(arguments)) => exit_code(event_loop::run(&arguments)),
-        Some(Command::Hollow { configs }) => exit_code(hollow::run(&configs)),
+        Some(Command::Hollow { configs }) => exit_code(multi_router::run(&configs)),
         Some(command) => run_command(&command),
     }
 }
@@ -74,7 +75,7 @@
     }
 }
 
-fn exit_code(result: Result<(), Failure>) -> ExitCode {
+fn exit_code(result: Result<(), StartError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/crates/router/src/links/sockets.rs
+++ b/crates/router/src/remote_sites/links.rs
@@ -1,7 +1,4 @@
-//! Owns the connections of links with other sites: dialled, taken in, read and written.
-//!
-//! Must never look into a frame, hold more of a connection's output than a few blocks, or read one without end while
-//! others wait.
+//! The connections of links with other sites: connected, accepted, read and written. Frames are the gateway's.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind, Read, Write};
@@ -14,78 +11,104 @@
 use linnethook_gateway::gateway::{Conn, Gateway};
 use socket2::{Domain, Socket, Type};
 
-use crate::config::{Failure, Limits};
+use crate::config::Limits;
 use crate::decider::Ms;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::upstream::connect;
 
+/// Links that may wait to be accepted.
+const LINK_BACKLOG: i32 = 64;
+
 struct Connection {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    /// What the gateway has handed over and the system has not taken yet.
+    /// What the gateway has handed over and the system has not accepted yet.
     output: BytesMut,
-    /// Not up yet: until when, and for which entry of the dials.
-    dialling: Option<(Ms, usize)>,
+    /// `None` once it is up, and for accepted ones.
+    connecting: Option<Connecting>,
+}
+
+/// A connect in progress.
+#[derive(Debug, Clone, Copy)]
+struct Connecting {
+    deadline: Ms,
+    /// The gateway's number for the address.
+    dialer: usize,
 }
 
 /// All connections of links.
-pub struct Links<W: EventHandler> {
+pub struct SiteLinks<W: EventHandler> {
     limits: Limits,
     handle: LoopHandle<'static, W>,
     connections: BTreeMap<Conn, Connection>,
     last: Conn,
-    /// Read in part only, so that others had their turn.
-    held: BTreeSet<Conn>,
+    /// Connections whose reading is paused: others have their turn.
+    paused: BTreeSet<Conn>,
     block: Box<[u8]>,
     listener: Option<RegistrationToken>,
-    /// When the listener is looked at again: those that wait could not be taken in.
-    again: Option<Ms>,
+    /// When the listener is enabled again after a failed accept.
+    resume_accepting: Option<Ms>,
     pub accepted: u64,
-    /// Bytes that came in and went out.
-    pub bytes: [u64; 2],
+    pub bytes_in: u64,
+    pub bytes_out: u64,
 }
 
-impl<W: EventHandler> Links<W> {
+impl<W: EventHandler> SiteLinks<W> {
     pub fn new(limits: Limits, handle: LoopHandle<'static, W>) -> Self {
         let block = vec![0; limits.link_block].into_boxed_slice();
-        let (connections, held) = (BTreeMap::new(), BTreeSet::new());
-        let (listener, again, bytes) = (None, None, [0; 2]);
-        Self { limits, handle, connections, last: 0, held, block, listener, again, accepted: 0, bytes }
+        Self {
+            limits,
+            handle,
+            connections: BTreeMap::new(),
+            last: 0,
+            paused: BTreeSet::new(),
+            block,
+            listener: None,
+            resume_accepting: None,
+            accepted: 0,
+            bytes_in: 0,
+            bytes_out: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Starts to listen for gateways of other sites; the address comes back.
-    pub fn listen(&mut self, address: SocketAddr) -> Result<SocketAddr, Failure> {
+    /// Listens for gateways of other sites; the address that it got is returned.
+    ///
+    /// # Errors
+    ///
+    /// Errors of the system, among them an address in use.
+    pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
-        socket.listen(64)?;
+        socket.listen(LINK_BACKLOG)?;
         let listener = TcpListener::from(socket);
         let address = listener.local_addr()?;
         let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let ready = |_: Readiness, listener: &mut NoIoDrop<TcpListener>, router: &mut W| {
-            Ok(if router.accept_links(listener) { PostAction::Continue } else { PostAction::Disable })
+        let ready = |_: Readiness, listener: &mut NoIoDrop<TcpListener>, handler: &mut W| {
+            Ok(if handler.accept_links(listener) { PostAction::Continue } else { PostAction::Disable })
         };
-        self.listener = Some(self.handle.insert_source(source, ready).map_err(|wrong| wrong.error)?);
+        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        self.listener = Some(token);
         Ok(address)
     }
 
-    /// Takes in those that wait, a few at a turn; beyond the most they are closed at once. False where they can't be
-    /// taken in now.
+    /// Accepts a bounded number of links; those above the limit are closed at once. False where no more can be accepted for
+    /// now.
     pub fn accept(&mut self, now: Ms, listener: &TcpListener, gateway: &mut Gateway) -> bool {
         for _ in 0..self.limits.accept_turn {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(wrong) if wrong.kind() == ErrorKind::WouldBlock => return true,
-                Err(wrong) => {
-                    // Guards against a turn without end where descriptors are short.
-                    log_line!("a link's listener: {wrong}");
-                    self.again = Some(now + self.limits.client_sweep);
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
+                Err(error) => {
+                    // Without the pause the loop would spin where descriptors are short.
+                    log_line!("a link's listener: {error}");
+                    self.resume_accepting = Some(now + self.limits.client_sweep);
                     return false;
                 }
             };
@@ -93,50 +116,50 @@
             if self.connections.len() >= self.limits.links {
                 continue;
             }
-            match self.take_in(stream, None) {
+            match self.add(stream, None) {
                 Ok(conn) => gateway.opened(now, conn, None),
-                Err(wrong) => log_line!("a link could not be taken in: {wrong}"),
+                Err(error) => log_line!("a link could not be taken in: {error}"),
             }
         }
         true
     }
 
-    fn take_in(&mut self, stream: TcpStream, dialling: Option<(Ms, usize)>) -> io::Result<Conn> {
+    fn add(&mut self, stream: TcpStream, connecting: Option<Connecting>) -> io::Result<Conn> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.last += 1;
         let conn = self.last;
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = move |readiness: Readiness, _: &mut _, router: &mut W| {
-            router.on_link_ready(conn, readiness);
+        let ready = move |readiness: Readiness, _: &mut _, handler: &mut W| {
+            handler.on_link_ready(conn, readiness);
             Ok(PostAction::Continue)
         };
         let token = self.handle.insert_source(source, ready).map_err(|w| io::Error::other(w.error))?;
-        self.connections.insert(conn, Connection { stream, token, output: BytesMut::new(), dialling });
+        self.connections.insert(conn, Connection { stream, token, output: BytesMut::new(), connecting });
         Ok(conn)
     }
 
-    /// Begins to connect for an entry of the dials.
+    /// Starts a connect for the gateway's number of an address.
     pub fn dial(&mut self, now: Ms, dialer: usize, address: SocketAddr, gateway: &mut Gateway) {
-        let until = now + self.limits.connect;
-        let dialled = match self.connections.len() < self.limits.links {
-            true => connect(address).and_then(|stream| self.take_in(stream, Some((until, dialer)))),
+        let connecting = Connecting { deadline: now + self.limits.connect, dialer };
+        let started = match self.connections.len() < self.limits.links {
+            true => connect(address).and_then(|stream| self.add(stream, Some(connecting))),
             false => Err(io::Error::other("as many connections of links as may be")),
         };
-        if let Err(wrong) = dialled {
-            log_line!("a link to {address}: {wrong}");
+        if let Err(error) = started {
+            log_line!("a link to {address}: {error}");
             gateway.dial_failed(now, dialer);
         }
     }
 
-    /// Goes on after a connection became ready.
+    /// Continues after a connection became ready.
     pub fn ready(&mut self, now: Ms, conn: Conn, readiness: Readiness, gateway: &mut Gateway) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
-        if let Some((_, dialer)) = connection.dialling {
+        if let Some(Connecting { dialer, .. }) = connection.connecting {
             match connection.stream.take_error() {
                 Ok(None) if readiness.writable => {
-                    connection.dialling = None;
+                    connection.connecting = None;
                     gateway.opened(now, conn, Some(dialer));
                 }
                 Ok(None) => return,
@@ -155,42 +178,42 @@
     }
 
     fn read(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
-        self.held.remove(&conn);
+        self.paused.remove(&conn);
         let mut budget = self.limits.link_turn;
         while let Some(connection) = self.connections.get_mut(&conn) {
             if budget == 0 {
-                self.held.insert(conn);
+                self.paused.insert(conn);
                 return;
             }
             match (&*connection.stream).read(&mut self.block) {
-                Ok(0) => return self.lose(now, conn, gateway),
+                Ok(0) => return self.on_lost(now, conn, gateway),
                 Ok(n) => {
                     budget = budget.saturating_sub(n);
-                    self.bytes[0] += n as u64;
+                    self.bytes_in += n as u64;
                     gateway.came(now, conn, &self.block[..n]);
                 }
-                Err(wrong) if wrong.kind() == ErrorKind::WouldBlock => return,
-                Err(wrong) if wrong.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.lose(now, conn, gateway),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return self.on_lost(now, conn, gateway),
             }
         }
     }
 
-    /// Whether somebody who was held back could be read on at once.
-    pub fn waits(&self) -> bool {
-        !self.held.is_empty()
+    /// Whether the reading of a connection is paused.
+    pub fn has_paused(&self) -> bool {
+        !self.paused.is_empty()
     }
 
-    /// Goes on with those that were held back.
-    pub fn read_held(&mut self, now: Ms, gateway: &mut Gateway) {
-        for conn in std::mem::take(&mut self.held) {
+    /// Reads on from connections whose reading was paused.
+    pub fn read_paused(&mut self, now: Ms, gateway: &mut Gateway) {
+        for conn in std::mem::take(&mut self.paused) {
             self.read(now, conn, gateway);
         }
     }
 
-    /// Writes as much as the other side takes.
+    /// Writes as much as the system accepts.
     pub fn write(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
-        while let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.dialling.is_none()) {
+        while let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.connecting.is_none()) {
             if connection.output.is_empty() {
                 connection.output.clear();
                 gateway.pull(conn, self.limits.link_block, &mut connection.output);
@@ -201,48 +224,51 @@
             match (&*connection.stream).write(&connection.output) {
                 Ok(n) => {
                     connection.output.advance(n);
-                    self.bytes[1] += n as u64;
+                    self.bytes_out += n as u64;
                     gateway.wrote(conn, n);
                 }
-                Err(wrong) if wrong.kind() == ErrorKind::WouldBlock => return,
-                Err(wrong) if wrong.kind() == ErrorKind::Interrupted => {}
-                Err(_) => return self.lose(now, conn, gateway),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(_) => return self.on_lost(now, conn, gateway),
             }
         }
     }
 
-    fn lose(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
+    fn on_lost(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
         self.close(conn);
         gateway.closed(now, conn);
     }
 
-    /// Ends a connection.
+    /// Closes a connection; the gateway is not told.
     pub fn close(&mut self, conn: Conn) {
-        self.held.remove(&conn);
+        self.paused.remove(&conn);
         if let Some(connection) = self.connections.remove(&conn) {
             self.handle.remove(connection.token);
         }
     }
 
-    /// Gives up connects that take too long.
-    pub fn tick(&mut self, now: Ms, gateway: &mut Gateway) {
-        if self.again.take_if(|again| now >= *again).is_some() {
-            if let Some(wrong) = self.listener.as_ref().and_then(|token| self.handle.enable(token).err()) {
-                log_line!("a link's listener: {wrong}");
+    /// Abandons connects that take too long.
+    pub fn on_timer(&mut self, now: Ms, gateway: &mut Gateway) {
+        if self.resume_accepting.take_if(|due| now >= *due).is_some() {
+            if let Some(error) = self.listener.as_ref().and_then(|token| self.handle.enable(token).err()) {
+                log_line!("a link's listener: {error}");
             }
         }
-        let late = |connection: &Connection| connection.dialling.filter(|(until, _)| now >= *until);
-        let late: Vec<(Conn, usize)> =
-            self.connections.iter().filter_map(|(conn, c)| late(c).map(|(_, n)| (*conn, n))).collect();
+        let is_late = |connecting: &Connecting| now >= connecting.deadline;
+        let late = self.connections.iter().filter_map(|(conn, connection)| {
+            connection.connecting.filter(is_late).map(|connecting| (*conn, connecting.dialer))
+        });
+        let late: Vec<(Conn, usize)> = late.collect();
         for (conn, dialer) in late {
             self.close(conn);
             gateway.dial_failed(now, dialer);
         }
     }
 
-    /// When `tick` is due.
-    pub fn next(&self) -> Option<Ms> {
-        let dialling = self.connections.values().filter_map(|c| c.dialling.map(|(until, _)| until));
-        dialling.chain(self.again).reduce(f64::min)
+    /// When [`Self::on_timer`] is due.
+    pub fn next_deadline(&self) -> Option<Ms> {
+        let connecting = self.connections.values().filter_map(|connection| connection.connecting);
+        let deadlines = connecting.map(|connecting| connecting.deadline);
+        deadlines.chain(self.resume_accepting).reduce(f64::min)
     }
 }
--- /dev/null
+++ b/crates/router/src/remote_sites/requests.rs
@@ -0,0 +1,143 @@
+//! Requests that cross sites, and their answers: between the terms of the gateway and those of the router.
+
+use bytes::Bytes;
+use linnethook_gateway::across::Wanted;
+use linnethook_gateway::codec::Fields as GatewayFields;
+use linnethook_gateway::gateway::{Came, Reply};
+use linnethook_gateway::home::Need;
+use linnethook_gateway::routes::Site;
+use linnethook_gateway::streams::Priority;
+use linnethook_gateway::transfer::Copy;
+
+use crate::buffers::{BufferChain, BufferPool};
+use crate::config::Limits;
+use crate::decider::{Final, Ms, Wish};
+use crate::downstream::codec::Fields;
+use crate::downstream::{parse_request, ClientRequest, ClientStream};
+use crate::upstream::{CopyVersion, RequestMessage, ResponsePayload};
+
+/// Requests from other sites have no connection of a client.
+pub const NO_CLIENT: ClientStream = ClientStream { client: 0, stream: 0 };
+
+/// A request as the gateway needs it again, should it be forwarded.
+#[derive(Debug, Clone)]
+pub struct CrossSiteRequest {
+    pub wish: Wish,
+    /// A second execution would do harm.
+    pub not_idempotent: bool,
+    pub write: bool,
+    /// The latency objective, in milliseconds.
+    pub objective: Ms,
+    pub deadline: Ms,
+    /// Sites that it has passed.
+    pub passed: Vec<String>,
+}
+
+impl CrossSiteRequest {
+    pub fn need(&self) -> Need {
+        if self.write {
+            Need::Write
+        } else {
+            Need::Read
+        }
+    }
+}
+
+/// What the gateway needs to forward a request; `home` is the site that its class is bound to.
+pub(super) fn forward_spec(
+    request: &CrossSiteRequest,
+    message: &RequestMessage,
+    home: Option<Site>,
+) -> Wanted {
+    let priority = match (request.not_idempotent, request.wish.part) {
+        (true, _) => Priority::Booking,
+        (false, 0) => Priority::First,
+        _ => Priority::Rest,
+    };
+    Wanted {
+        object: request.wish.object,
+        write: request.write,
+        harmful: request.not_idempotent,
+        home,
+        priority,
+        aim: request.objective,
+        deadline: request.deadline,
+        passed: request.passed.clone(),
+        head: request_fields(&request.wish, message),
+        body: Bytes::from(message.body.to_vec()),
+    }
+}
+
+/// The fields of a request as clients write them.
+fn request_fields(wish: &Wish, message: &RequestMessage) -> GatewayFields {
+    let mut fields: GatewayFields = Vec::with_capacity(9);
+    let mut put = |name: &str, value: String| fields.push((name.to_string(), value));
+    put("c", message.class.clone());
+    put("i", message.id.clone());
+    put("o", message.object.clone());
+    put("chunk", message.part.clone());
+    put("tag", wish.group.to_string());
+    if wish.size_kb > 0.0 {
+        put("m", wish.size_kb.to_string());
+    }
+    if wish.repeat {
+        put("r", "1".to_string());
+    }
+    message.client_copy.iter().for_each(|tag| put("known", tag.clone()));
+    message.idempotency_key.iter().for_each(|key| put("k", key.clone()));
+    fields
+}
+
+/// Reads a request from another site; `None` where it can't be used.
+pub fn parse_remote_request(came: &Came, buffers: &BufferPool, limits: &Limits) -> Option<ClientRequest> {
+    let mut fields = Fields::from(came.head.clone());
+    fields.put("d", &format!("{}", (came.left + limits.way).min(limits.wait)));
+    let body = BufferChain::from_bytes(buffers, &came.body);
+    parse_request(NO_CLIENT, &fields, body, limits)
+}
+
+/// The reply to another site for an answer of this site.
+pub fn reply_of(answer: Final, payload: ResponsePayload) -> Reply {
+    match (answer, payload) {
+        (Final::Served, ResponsePayload::Body(body, version)) => {
+            let body = Bytes::from(body.to_vec());
+            let length = body.len() as u64;
+            let copy = version.map(|CopyVersion { tag, issued }| Copy { tag, dated: issued, length });
+            Reply::Served { head: Vec::new(), body, copy }
+        }
+        (Final::Served, ResponsePayload::NotModified) => {
+            let head = vec![("valid".to_string(), "1".to_string())];
+            Reply::Served { head, body: Bytes::new(), copy: None }
+        }
+        (Final::Refused { wait }, _) => Reply::Refused { wait },
+        (Final::Served | Final::Failed, _) => Reply::Failed,
+    }
+}
+
+/// The answer to a client for a reply of another site; `holds_copy` is whether the client has a copy of its own.
+pub fn answer_of(
+    reply: Reply,
+    holds_copy: bool,
+    buffers: &BufferPool,
+    max_retry_after: Ms,
+) -> (Final, ResponsePayload) {
+    match reply {
+        Reply::Served { head, .. } if is_not_modified(&head) && holds_copy => {
+            (Final::Served, ResponsePayload::NotModified)
+        }
+        Reply::Served { head, .. } if is_not_modified(&head) => (Final::Failed, ResponsePayload::Empty),
+        Reply::Served { body, .. } => {
+            let body = BufferChain::from_bytes(buffers, &body);
+            (Final::Served, ResponsePayload::Body(body, None))
+        }
+        Reply::Refused { wait } => {
+            (Final::Refused { wait: wait.min(max_retry_after) }, ResponsePayload::Empty)
+        }
+        Reply::Failed => (Final::Failed, ResponsePayload::Empty),
+    }
+}
+
+/// Whether the copy that the client holds is the current one.
+fn is_not_modified(head: &GatewayFields) -> bool {
+    head.iter().any(|(name, value)| name == "valid" && value == "1")
+}
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -5,7 +5,7 @@
 use crate::decider::Ticket;
 use crate::downstream::ClientStream;
 use crate::hierarchy_adapter::Asked;
-use crate::links::beyond::Traveller;
+use crate::remote_sites::CrossSiteRequest;
 use crate::upstream::RequestMessage;
 
 /// A request without its final answer.
@@ -14,7 +14,7 @@
     pub message: RequestMessage,
     pub asked: Asked,
     /// What the gateway needs of it; `None` where there is no gateway.
-    pub traveller: Option<Box<Traveller>>,
+    pub cross_site: Option<Box<CrossSiteRequest>>,
 }
 
 /// The open requests with their ids.
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -8,11 +8,12 @@
 
 use calloop::signals::Signal;
 use calloop::LoopHandle;
+use linnethook_gateway::gateway::{Came, Reply};
 use linnethook_operator::Operator;
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::clock::Clock;
-use crate::config::{Config, Failure, Limits};
+use crate::config::{Config, ConfigError, Limits};
 use crate::control::Control;
 use crate::counters::Counters;
 use crate::decider::{Decider, End, Final, Ms, News, Order, Ticket, Wish};
@@ -23,13 +24,15 @@
 use crate::downstream::{ClientEvent, ClientRequest, ClientStream, Downstreams};
 use crate::fleet::Fleet;
 use crate::hierarchy_adapter::{Asked, HierarchyAdapter, Step};
-use crate::links::beyond::Beyond;
-use crate::links::is_foreign;
-use crate::links::sockets::Links;
 use crate::log::log_line;
+use crate::remote_sites::{
+    answer_of, is_remote, parse_remote_request, reply_of, CrossSiteRequest, LocalOutcome, RemoteSites,
+    SiteEffect,
+};
 use crate::requests::{OpenRequest, OpenRequests};
+use crate::start_error::StartError;
 use crate::steer::{self, Evaluation};
-use crate::upstream::{AttemptOrder, CompletedAttempt, ResponsePayload, Upstreams};
+use crate::upstream::{AttemptOrder, CompletedAttempt, RequestMessage, ResponsePayload, Upstreams};
 
 /// The phases of a router's run.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -69,7 +72,7 @@
     pub(crate) operator: Option<PathBuf>,
     pub(crate) hierarchy: Option<HierarchyAdapter>,
     pub(crate) control: Option<Control<Self>>,
-    pub(crate) beyond: Option<Beyond<Self>>,
+    pub(crate) remote_sites: Option<RemoteSites<Self>>,
     pub(crate) fleet: Option<Fleet>,
     /// The evaluation of the operator file in progress.
     pub(crate) evaluation: Option<Evaluation>,
@@ -92,7 +95,7 @@
         config: Config,
         operator: Option<(PathBuf, Operator)>,
         handle: &LoopHandle<'static, Self>,
-    ) -> Result<Self, Failure> {
+    ) -> Result<Self, StartError> {
         let has_gateway = operator.as_ref().is_some_and(|(_, operator)| operator.gateway.is_some());
         let limits = if has_gateway { config.limits.beside_links() } else { config.limits };
         let reserve = Reserve::take(limits.reserve)?;
@@ -100,7 +103,7 @@
         // Errors in the shadow policy's settings are reported before anything starts.
         let shadow = operator.as_ref().and_then(|(_, operator)| operator.watch.as_ref());
         let shadow_settings =
-            |shadow| Ok::<_, Failure>((config.with(&steer::changes(shadow))?, shadow.every * 1000.0));
+            |shadow| Ok::<_, ConfigError>((config.with(&steer::changes(shadow))?, shadow.every * 1000.0));
         let shadow = shadow.map(shadow_settings).transpose()?;
         let settings_digest = operator.as_ref().map_or(0, |_| config.settings_digest());
         let known = config.file.known;
@@ -119,7 +122,7 @@
             operator: None,
             hierarchy: None,
             control: None,
-            beyond: None,
+            remote_sites: None,
             fleet: None,
             evaluation: None,
             handle: handle.clone(),
@@ -162,9 +165,9 @@
                 if let Some(fleet) = &mut self.fleet {
                     fleet.hosts(now, &mut update, event.pos);
                 }
-                if let Some(beyond) = &mut self.beyond {
+                if let Some(remote_sites) = &mut self.remote_sites {
                     let decider = &self.decider;
-                    beyond.hosts(now, &mut update, |target| decider.is_own(&target.host()));
+                    remote_sites.on_endpoint_update(now, &mut update, |entry| decider.is_own(&entry.host()));
                 }
                 self.apply_endpoint_update(&update);
             }
@@ -191,8 +194,8 @@
         if let News::Expired { object, group, .. } = news {
             self.upstreams.withdraw_purged(now, object, group);
         }
-        if let Some(beyond) = &mut self.beyond {
-            beyond.expired(now, purge);
+        if let Some(remote_sites) = &mut self.remote_sites {
+            remote_sites.announce_purge(now, purge);
         }
         let orders = self.decider.report(now, news);
         self.execute(orders, ResponsePayload::Empty);
@@ -255,9 +258,9 @@
     /// Handles the answer of this site's policy to a request.
     fn on_decided(&mut self, ticket: Ticket, answer: Final, payload: ResponsePayload) {
         if self.crosses() {
-            self.ended_here(ticket, answer);
-            if matches!(answer, Final::Refused { .. }) && self.goes_beyond(ticket) {
-                return self.carry_beyond();
+            self.record_local_outcome(ticket, answer);
+            if matches!(answer, Final::Refused { .. }) && self.forward_rejected(ticket) {
+                return self.run_remote_sites();
             }
         }
         self.finish(ticket, answer, payload);
@@ -266,10 +269,10 @@
     /// Gives the one final answer to a request.
     pub(crate) fn finish(&mut self, ticket: Ticket, answer: Final, payload: ResponsePayload) {
         let retry_after = self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
-        if is_foreign(ticket) {
+        if is_remote(ticket) {
             if self.requests.remove(ticket).is_some() {
-                self.answer_beyond(ticket, answer, payload);
-                self.carry_beyond();
+                self.reply_to_site(ticket, reply_of(answer, payload));
+                self.run_remote_sites();
             }
             return;
         }
@@ -352,7 +355,7 @@
         let overloaded = closing || self.requests.len() >= self.limits.open;
         let shut_out = self.barred_for_now(now, &wish);
         if shut_out.is_some() || self.crosses() {
-            let open = self.held(now, stream, wish, message, Vec::new());
+            let open = self.open_request(now, stream, wish, message, Vec::new());
             self.requests.insert(ticket, open);
             return match shut_out {
                 Some(wait) => self.finish(ticket, Final::Refused { wait }, ResponsePayload::Empty),
@@ -362,10 +365,8 @@
                 None => self.ask_gateway(ticket),
             };
         }
-        let (aim, write) = self.decider.wanted(&wish);
-        let Wish { object, part, size_kb, .. } = wish;
-        let asked = Asked { object, part, write, bytes: size_kb * 1000.0, aim, since: now };
-        self.requests.insert(ticket, OpenRequest { stream, message, asked, traveller: None });
+        let open = OpenRequest { stream, message, asked: self.asked(now, &wish), cross_site: None };
+        self.requests.insert(ticket, open);
         if overloaded {
             return self.on_decided(ticket, Final::Refused { wait: 0.0 }, ResponsePayload::Empty);
         }
@@ -383,9 +384,9 @@
             self.upstreams.cancel_unsent(now, order.attempt, order.place);
         }
         self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
-        if let Some(beyond) = self.beyond.as_mut().filter(|beyond| beyond.crosses()) {
-            beyond.gateway.gone(now, ticket);
-            self.carry_beyond();
+        if let Some(remote_sites) = self.remote_sites.as_mut().filter(|sites| sites.forwards_requests()) {
+            remote_sites.gateway.gone(now, ticket);
+            self.run_remote_sites();
         }
         let orders = self.decider.report(now, News::Left(ticket));
         self.execute(orders, ResponsePayload::Empty);
@@ -470,6 +471,197 @@
         *counter += 1;
     }
 
+    // ---- Other sites.
+
+    /// Whether requests can go to other sites.
+    pub(crate) fn crosses(&self) -> bool {
+        self.remote_sites.as_ref().is_some_and(RemoteSites::forwards_requests)
+    }
+
+    /// A request with what the gateway needs of it; `passed` are the sites that it has passed.
+    fn open_request(
+        &self,
+        now: Ms,
+        stream: ClientStream,
+        wish: Wish,
+        message: RequestMessage,
+        passed: Vec<String>,
+    ) -> OpenRequest {
+        let asked = self.asked(now, &wish);
+        let cross_site = self.crosses().then(|| {
+            let not_idempotent = self.decider.does_harm(&wish);
+            let (objective, write) = (asked.aim, asked.write);
+            let deadline = now + wish.budget;
+            Box::new(CrossSiteRequest { wish, not_idempotent, write, objective, deadline, passed })
+        });
+        OpenRequest { stream, message, asked, cross_site }
+    }
+
+    fn asked(&self, now: Ms, wish: &Wish) -> Asked {
+        let (aim, write) = self.decider.wanted(wish);
+        let bytes = wish.size_kb * 1000.0;
+        Asked { object: wish.object, part: wish.part, write, bytes, aim, since: now }
+    }
+
+    /// Lets the gateway choose the site that decides about a request.
+    fn ask_gateway(&mut self, ticket: Ticket) {
+        let now = self.clock.now();
+        let (Some(remote_sites), Some(open)) = (&mut self.remote_sites, self.requests.get(ticket)) else {
+            return;
+        };
+        let Some(request) = &open.cross_site else { return };
+        let spec = remote_sites.forward_spec(request, &open.message);
+        remote_sites.gateway.ask(now, ticket, spec);
+        self.run_remote_sites();
+    }
+
+    /// Forwards a request that was rejected here, where the gateway has a site for it.
+    fn forward_rejected(&mut self, ticket: Ticket) -> bool {
+        let now = self.clock.now();
+        let (Some(remote_sites), Some(open)) = (&mut self.remote_sites, self.requests.get(ticket)) else {
+            return false;
+        };
+        let Some(request) = open.cross_site.as_ref().filter(|_| !is_remote(ticket)) else { return false };
+        if !remote_sites.gateway.home_is_unable(request.need()) {
+            return false;
+        }
+        let spec = remote_sites.forward_spec(request, &open.message);
+        remote_sites.gateway.ask_beyond_home(now, ticket, spec)
+    }
+
+    fn record_local_outcome(&mut self, ticket: Ticket, answer: Final) {
+        let now = self.clock.now();
+        let (Some(remote_sites), Some(open)) = (&mut self.remote_sites, self.requests.get(ticket)) else {
+            return;
+        };
+        let Some(request) = &open.cross_site else { return };
+        let rejected = matches!(answer, Final::Refused { .. });
+        let failed = answer != Final::Served;
+        let outcome = LocalOutcome { remote: is_remote(ticket), rejected, failed };
+        remote_sites.record_outcome(now, request, outcome);
+    }
+
+    fn reply_to_site(&mut self, ticket: Ticket, reply: Reply) {
+        let now = self.clock.now();
+        if let Some(remote_sites) = &mut self.remote_sites {
+            remote_sites.gateway.reply(now, ticket, reply);
+        }
+    }
+
+    /// Does what the gateway asks for, until it asks for nothing more.
+    pub(crate) fn run_remote_sites(&mut self) {
+        loop {
+            let Some(remote_sites) = &mut self.remote_sites else { return };
+            let Some(effect) = remote_sites.next_effect(&self.clock) else { return };
+            match effect {
+                SiteEffect::Decide(ticket) => self.decide_here(ticket),
+                SiteEffect::Answer(ticket, reply) => self.answer_from_site(ticket, reply),
+                SiteEffect::Serve(request) => self.on_remote_request(&request),
+                SiteEffect::Cancel(ticket) => self.on_remote_cancelled(ticket),
+                SiteEffect::EndpointChanged(name) => self.on_remote_endpoint(&name),
+                SiteEffect::Purge(purge) => self.purged(&purge),
+                SiteEffect::PeerLink { name, start, up } => self.fellow(&name, start, up),
+                SiteEffect::PeerEntry { name, key, entry } => self.fellow_said(&name, &key, &entry),
+            }
+        }
+    }
+
+    fn decide_here(&mut self, ticket: Ticket) {
+        let now = self.clock.now();
+        let open = self.requests.get(ticket);
+        let Some(request) = open.and_then(|open| open.cross_site.as_ref()) else { return };
+        let mut wish = request.wish.clone();
+        wish.budget = (request.deadline - now).max(0.0);
+        let orders = self.decider.pick(now, ticket, &wish);
+        self.execute(orders, ResponsePayload::Empty);
+    }
+
+    /// The final answer that the gateway has for a request.
+    fn answer_from_site(&mut self, ticket: Ticket, reply: Reply) {
+        if is_remote(ticket) {
+            // It was forwarded to a third site.
+            self.requests.remove(ticket);
+            return self.reply_to_site(ticket, reply);
+        }
+        let open = self.requests.get(ticket);
+        let holds_copy = open.is_some_and(|open| open.message.client_copy.is_some());
+        let (answer, payload) = answer_of(reply, holds_copy, &self.buffers, self.decider.longest_wait());
+        self.finish(ticket, answer, payload);
+    }
+
+    /// A request from another site: this site decides about it, or another one that it has not passed.
+    fn on_remote_request(&mut self, remote: &Came) {
+        let now = self.clock.now();
+        let ticket = remote.ticket;
+        let request = parse_remote_request(remote, &self.buffers, &self.limits);
+        let is_usable = |request: &ClientRequest| {
+            self.decider.knows(&request.wish) && !self.requests.id_conflicts(&request.message)
+        };
+        let request = request.filter(is_usable);
+        let overloaded = self.requests.len() >= self.limits.open || self.buffers.is_exhausted();
+        let Some(request) = request.filter(|_| !overloaded) else {
+            self.counters.unusable += u64::from(!overloaded);
+            return self.reply_to_site(ticket, Reply::Refused { wait: 0.0 });
+        };
+        if let Some(wait) = self.barred_for_now(now, &request.wish) {
+            return self.reply_to_site(ticket, Reply::Refused { wait });
+        }
+        self.counters.taken_in += 1;
+        self.counters.taken_in_bytes += request.message.body.len() as u64;
+        let ClientRequest { stream, wish, message } = request;
+        let open = self.open_request(now, stream, wish, message, remote.passed.clone());
+        self.requests.insert(ticket, open);
+        self.ask_gateway(ticket);
+    }
+
+    fn on_remote_cancelled(&mut self, ticket: Ticket) {
+        let now = self.clock.now();
+        if let Some(remote_sites) = &mut self.remote_sites {
+            remote_sites.gateway.gone(now, ticket);
+        }
+        self.counters.given_up += 1;
+        self.requests.remove(ticket);
+        self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
+        let orders = self.decider.report(now, News::Left(ticket));
+        self.execute(orders, ResponsePayload::Empty);
+    }
+
+    /// Another site has announced a drain, or its end.
+    fn on_remote_endpoint(&mut self, name: &str) {
+        let now = self.clock.now();
+        let update = self.remote_sites.as_ref().and_then(|remote_sites| remote_sites.current_entry(name));
+        if let Some(update) = update {
+            let state = if update.targets[0].ready() { "back" } else { "drained" };
+            log_line!("gateway: another site says that {name} is {state}");
+            self.apply_endpoint_update(&update);
+        }
+        let open_ratio = self.open_ratio();
+        if let Some(remote_sites) = &mut self.remote_sites {
+            remote_sites.report_load(now, open_ratio);
+        }
+    }
+
+    /// Another site, or another router, has announced a purge.
+    pub(crate) fn purged(&mut self, purge: &PurgeEvent) {
+        if let Some(news) = purge.news() {
+            let orders = self.decider.report(self.clock.now(), news);
+            self.execute(orders, ResponsePayload::Empty);
+        }
+    }
+
+    fn on_remote_sites_timer(&mut self) {
+        let (now, open_ratio) = (self.clock.now(), self.open_ratio());
+        let Some(remote_sites) = &mut self.remote_sites else { return };
+        remote_sites.on_timer(now, open_ratio);
+        self.run_remote_sites();
+        self.tick_fleet();
+    }
+
+    /// The share of the open requests that there may be.
+    fn open_ratio(&self) -> f64 {
+        self.requests.len() as f64 / self.limits.open.max(1) as f64
+    }
+
     // ---- Timers.
 
     /// Does all that is due.
@@ -492,8 +684,8 @@
         if let Some(control) = &mut self.control {
             control.tick(now);
         }
-        if self.beyond.is_some() {
-            self.tick_beyond();
+        if self.remote_sites.is_some() {
+            self.on_remote_sites_timer();
             self.process_outcomes();
         }
         self.log_shadow_report(now);
@@ -515,15 +707,11 @@
 
     /// The time until the next deadline.
     pub fn time_to_deadline(&self) -> Duration {
-        let links_wait = self.beyond.as_ref().is_some_and(|beyond| beyond.links.waits());
+        let links_wait = self.remote_sites.as_ref().is_some_and(RemoteSites::has_readable_links);
         if self.downstreams.has_readable_paused() || links_wait {
             return Duration::ZERO;
         }
         let now = self.clock.now();
-        let beyond = self.beyond.as_ref().map(|beyond| {
-            let connects = beyond.links.next().unwrap_or(f64::INFINITY);
-            beyond.gateway.next(now).min(connects)
-        });
         let deadlines = [
             self.policy_timer,
             self.upstreams.next_deadline(),
@@ -532,7 +720,7 @@
             self.phase_deadline(now),
             self.hierarchy.as_ref().map(HierarchyAdapter::next),
             self.control.as_ref().and_then(Control::next),
-            beyond,
+            self.remote_sites.as_ref().map(|remote_sites| remote_sites.next_deadline(now)),
             self.fleet.as_ref().map(|fleet| fleet.next(now)),
         ];
         let next = deadlines.into_iter().flatten().reduce(Ms::min).unwrap_or(now + 1000.0);
@@ -601,11 +789,9 @@
             self.upstreams.in_flight(),
             self.buffers.in_use()
         );
-        let links = self.beyond.as_ref().map_or(String::new(), |beyond| {
-            let Links { accepted, bytes: [bytes_in, bytes_out], .. } = &beyond.links;
-            let count = beyond.links.len();
-            format!(" links={count} links_accepted={accepted} link_bytes_in={bytes_in} link_bytes_out={bytes_out}")
-        });
+        let remote_sites = self.remote_sites.as_ref();
+        let links =
+            remote_sites.map_or(String::new(), |remote_sites| format!(" {}", remote_sites.counters()));
         let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!(" {fleet}"));
         let shadow = self.decider.watched().map_or(String::new(), |counts| format!(" {counts}"));
         log_line!(always "{counters} {discovery} {gauges}{links}{fleet}{shadow}");
@@ -623,9 +809,9 @@
         let mut events = Vec::new();
         self.downstreams.begin_drain(self.clock.now(), &mut events);
         self.leave_fleet();
-        if let Some(beyond) = &mut self.beyond {
-            beyond.gateway.stop();
-            self.carry_beyond();
+        if let Some(remote_sites) = &mut self.remote_sites {
+            remote_sites.gateway.stop();
+            self.run_remote_sites();
         }
         self.on_client_events(events);
         self.process_outcomes();
@@ -685,8 +871,8 @@
         for ticket in open {
             let now = self.clock.now();
             self.finish(ticket, Final::Failed, ResponsePayload::Empty);
-            if let Some(beyond) = &mut self.beyond {
-                beyond.gateway.gone(now, ticket);
+            if let Some(remote_sites) = &mut self.remote_sites {
+                remote_sites.gateway.gone(now, ticket);
             }
             let orders = self.decider.report(now, News::Left(ticket));
             self.execute(orders, ResponsePayload::Empty);
--- /dev/null
+++ b/crates/router/src/start_error.rs
@@ -0,0 +1,89 @@
+//! Why a router does not start, or ends early.
+
+use std::fmt;
+use std::io;
+
+use linnethook_operator::Wrong as OperatorError;
+
+use crate::cli::Failed as CommandError;
+use crate::config::ConfigError;
+
+/// An error that ends the process with exit code 1.
+#[derive(Debug)]
+pub enum StartError {
+    /// `LB_CONFIG` is not set.
+    NoConfig,
+    Config(ConfigError),
+    /// The operator file can't be evaluated.
+    Operator(OperatorError),
+    /// The process that evaluates the operator file can't be started.
+    Evaluation(CommandError),
+    /// The hierarchy of the operator file can't be used.
+    Hierarchy(String),
+    ControlSocket {
+        path: String,
+        source: io::Error,
+    },
+    /// An error of the system, for instance an address in use.
+    System(io::Error),
+    EventLoop(calloop::Error),
+    /// One of several routers of this process.
+    Router(String),
+}
+
+impl fmt::Display for StartError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::NoConfig => f.write_str("LB_CONFIG names no configuration"),
+            Self::Config(error) => error.fmt(f),
+            Self::Operator(error) => error.fmt(f),
+            Self::Evaluation(error) => f.write_str(error.text()),
+            Self::Hierarchy(reason) | Self::Router(reason) => f.write_str(reason),
+            Self::ControlSocket { path, source } => write!(f, "control socket {path}: {source}"),
+            Self::System(error) => error.fmt(f),
+            Self::EventLoop(error) => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for StartError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Config(error) => Some(error),
+            Self::Operator(error) => Some(error),
+            Self::ControlSocket { source, .. } | Self::System(source) => Some(source),
+            Self::EventLoop(error) => Some(error),
+            Self::NoConfig | Self::Evaluation(_) | Self::Hierarchy(_) | Self::Router(_) => None,
+        }
+    }
+}
+
+impl From<ConfigError> for StartError {
+    fn from(error: ConfigError) -> Self {
+        Self::Config(error)
+    }
+}
+
+impl From<OperatorError> for StartError {
+    fn from(error: OperatorError) -> Self {
+        Self::Operator(error)
+    }
+}
+
+impl From<CommandError> for StartError {
+    fn from(error: CommandError) -> Self {
+        Self::Evaluation(error)
+    }
+}
+
+impl From<io::Error> for StartError {
+    fn from(error: io::Error) -> Self {
+        Self::System(error)
+    }
+}
+
+impl From<calloop::Error> for StartError {
+    fn from(error: calloop::Error) -> Self {
+        Self::EventLoop(error)
+    }
+}
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -16,16 +16,16 @@
 use serde_json::{json, Map, Value};
 
 use crate::cli;
-use crate::config::Failure;
 use crate::control::{Answer, BudgetLine, Control, MoveLine, Question, Shown};
 use crate::decider::{Ms, News};
 use crate::discovery::event::EndpointUpdate;
 use crate::fleet::Fleet;
 use crate::hierarchy_adapter::{Applied, HierarchyAdapter, Step};
-use crate::links::beyond::Beyond;
 use crate::log::log_line;
 use crate::operator_digest;
+use crate::remote_sites::RemoteSites;
 use crate::router::Router;
+use crate::start_error::StartError;
 use crate::upstream::ResponsePayload;
 
 /// What `watch()` changes, by the names that the settings have.
@@ -62,15 +62,16 @@
         seed: u64,
         settings: u64,
         operator: &Operator,
-    ) -> Result<(), Failure> {
+    ) -> Result<(), StartError> {
         let now = self.clock.now();
         if let Some(hierarchy) = &operator.hierarchy {
-            self.hierarchy = Some(HierarchyAdapter::new(now, name, hierarchy)?);
+            self.hierarchy =
+                Some(HierarchyAdapter::new(now, name, hierarchy).map_err(StartError::Hierarchy)?);
         }
         if let Some(gateway) = &operator.gateway {
-            let beyond = Beyond::new(now, name, seed, gateway, self.limits, self.handle.clone())?;
-            self.upstreams.reports_versions = beyond.crosses();
-            self.beyond = Some(beyond);
+            let beyond = RemoteSites::new(now, name, seed, gateway, self.limits, self.handle.clone())?;
+            self.upstreams.reports_versions = beyond.forwards_requests();
+            self.remote_sites = Some(beyond);
             if let Some(fellows) = &gateway.fellows {
                 self.fleet =
                     Some(Fleet::new(now, name, fellows, settings, operator_digest::digest(operator)));
@@ -80,7 +81,8 @@
         if let Some(path) = &operator.control {
             let (limits, handle) = (self.limits, self.handle.clone());
             let control = Control::listen(limits, &self.buffers, &self.reserve, handle, Path::new(path));
-            self.control = Some(control.map_err(|wrong| format!("control socket {path}: {wrong}"))?);
+            let control = control.map_err(|source| StartError::ControlSocket { path: path.clone(), source });
+            self.control = Some(control?);
         }
         Ok(())
     }
@@ -213,7 +215,7 @@
 
     fn reply_beyond(&mut self, question: Question) -> Answer {
         let now = self.clock.now();
-        let Some(beyond) = &mut self.beyond else {
+        let Some(beyond) = &mut self.remote_sites else {
             return Answer::No("the gateway is off: the operator file has no gateway()".to_string());
         };
         let gateway = &mut beyond.gateway;
@@ -226,7 +228,7 @@
                 }
                 let how = if drained { "left alone" } else { "used again" };
                 log_line!(always "gateway: {site} is {how}, by its operators");
-                self.carry_beyond();
+                self.run_remote_sites();
                 Answer::Done(format!("{site} is {how}"))
             }
             _ => Answer::No("a question of another part".to_string()),
