--- a/crates/audit/src/audit_log.rs
+++ b/crates/audit/src/audit_log.rs
@@ -1,7 +1,7 @@
-//! Owns one router's own account: what it does is counted, and written down span by span.
+//! One router's own audit log: what it does is counted, and recorded span by span.
 //!
-//! A span ends where what is acted on changes, after a time, or once it is full. Must never change a record that was
-//! written, nor keep more than its bounds.
+//! A span ends where the versions that the router acts on change, after a time, or when it is full. A record that was
+//! written never changes, and the log in memory is bounded.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,17 +12,20 @@
 
 use crate::record::{AuditedAction, ChainLink, Record, RecordHash, Span, Tally, WriteAttempt, WriteOutcome};
 
+/// The limits of audit logs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AuditLogConfig {
     /// The longest span.
     pub max_span: Ms,
-    /// Kinds of acts, and bookings, that one span tells apart.
+    /// How many kinds of actions a span counts separately.
     pub max_action_kinds: usize,
+    /// How many attempts of non-idempotent requests a span lists, and how many outcomes.
     pub max_write_attempts: usize,
-    /// Bytes of the own account that are kept in memory, and of each fellow's.
+    /// Bytes of the own log that are kept in memory.
     pub max_log_bytes: usize,
+    /// Bytes of each other router's log that are kept.
     pub max_replica_bytes: usize,
-    /// How many fellows keep a copy.
+    /// How many peers keep a replica of the own log.
     pub replica_count: usize,
 }
 
@@ -39,7 +42,7 @@
     }
 }
 
-/// The span that is open.
+/// The span that is not yet recorded.
 #[derive(Debug, Default)]
 struct OpenSpan {
     started_at: Timestamp,
@@ -51,13 +54,23 @@
     omitted_actions: u64,
 }
 
+impl OpenSpan {
+    fn new(now: Ms, at: Timestamp) -> Self {
+        Self { started_at: at, opened_at: now, ..Self::default() }
+    }
+
+    fn is_empty(&self) -> bool {
+        self.counts.is_empty() && self.write_attempts.is_empty() && self.write_outcomes.is_empty()
+    }
+}
+
+/// The audit log of this incarnation of a router.
 pub struct AuditLog {
     config: AuditLogConfig,
     name: String,
     incarnation: u64,
     versions: ActiveVersions,
     open_span: OpenSpan,
-    last_timestamp: Timestamp,
     last_number: u64,
     head: RecordHash,
     links: VecDeque<ChainLink>,
@@ -66,170 +79,166 @@
 }
 
 impl AuditLog {
+    /// The log of a router that starts now.
     pub fn new(
         now: Ms,
         at: Timestamp,
-        rules: AuditLogConfig,
+        config: AuditLogConfig,
         name: &str,
-        start: u64,
-        acts_on: ActiveVersions,
+        incarnation: u64,
+        versions: ActiveVersions,
     ) -> Self {
-        let mut account = Self {
-            config: rules,
+        let mut log = Self {
+            config,
             name: name.to_string(),
-            incarnation: start,
-            versions: acts_on,
-            open_span: OpenSpan { started_at: at, opened_at: now, ..OpenSpan::default() },
-            last_timestamp: at,
+            incarnation,
+            versions,
+            open_span: OpenSpan::new(now, at),
             last_number: 0,
             head: [0; 32],
             links: VecDeque::new(),
             bytes: 0,
             is_closed: false,
         };
-        account.append(&Record::Started { at, wall_clock: now });
-        account
+        log.append(&Record::Started { at, wall_clock: now });
+        log
     }
 
+    /// The router.
     pub fn name(&self) -> &str {
         &self.name
     }
 
+    /// Its incarnation.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The number of the newest link, and its hash.
+    /// The number of the newest record, and its hash.
     pub fn head(&self) -> (u64, RecordHash) {
         (self.last_number, self.head)
     }
 
-    pub fn set_config(&mut self, rules: AuditLogConfig) {
-        self.config = rules;
+    /// Applies other limits.
+    pub fn set_config(&mut self, config: AuditLogConfig) {
+        self.config = config;
     }
 
-    /// Something was done.
-    pub fn record_action(&mut self, at: Timestamp, act: AuditedAction) {
-        self.last_timestamp = at;
-        let full = self.open_span.counts.len() >= self.config.max_action_kinds;
-        match self.open_span.counts.get_mut(&act) {
+    /// Counts an action.
+    pub fn record_action(&mut self, at: Timestamp, action: AuditedAction) {
+        let is_full = self.open_span.counts.len() >= self.config.max_action_kinds;
+        match self.open_span.counts.get_mut(&action) {
             Some(tally) => {
                 tally.count += 1;
                 tally.last = at;
             }
-            None if full => self.open_span.omitted_actions += 1,
-            None => _ = self.open_span.counts.insert(act, Tally { count: 1, first: at, last: at }),
+            None if is_full => self.open_span.omitted_actions += 1,
+            None => {
+                self.open_span.counts.insert(action, Tally { count: 1, first: at, last: at });
+            }
         }
     }
 
-    /// An attempt of what must not run twice.
-    pub fn record_write_attempt(&mut self, booking: WriteAttempt) {
-        self.record_action(booking.at, AuditedAction::WriteAttempt { target: booking.target });
+    /// Records an attempt of a non-idempotent request.
+    pub fn record_write_attempt(&mut self, attempt: WriteAttempt) {
+        self.record_action(attempt.at, AuditedAction::WriteAttempt { target: attempt.target });
         match self.open_span.write_attempts.len() < self.config.max_write_attempts {
-            true => self.open_span.write_attempts.push(booking),
+            true => self.open_span.write_attempts.push(attempt),
             false => self.open_span.omitted_writes += 1,
         }
     }
 
-    pub fn record_write_outcome(&mut self, end: WriteOutcome) {
-        self.last_timestamp = end.at;
+    /// Records how an attempt of a non-idempotent request ended.
+    pub fn record_write_outcome(&mut self, outcome: WriteOutcome) {
         match self.open_span.write_outcomes.len() < self.config.max_write_attempts {
-            true => self.open_span.write_outcomes.push(end),
+            true => self.open_span.write_outcomes.push(outcome),
             false => self.open_span.omitted_writes += 1,
         }
     }
 
-    fn is_empty(&self) -> bool {
-        let open = &self.open_span;
-        open.counts.is_empty() && open.write_attempts.is_empty() && open.write_outcomes.is_empty()
-    }
-
-    /// Whether what is acted on differs from what the open span tells. Counts of drains and purges are acts themselves.
-    fn differs(&self, acts_on: &ActiveVersions) -> bool {
-        let told =
-            |a: &ActiveVersions| (a.settings_digest, a.operator_digest, a.hierarchy, a.journal_position);
-        told(&self.versions) != told(acts_on) || self.versions.build != acts_on.build
+    /// Whether the versions are others than those of the open span. Drains and purges are actions themselves and do not
+    /// end a span.
+    fn differs(&self, versions: &ActiveVersions) -> bool {
+        let own = &self.versions;
+        own.settings_digest != versions.settings_digest
+            || own.operator_digest != versions.operator_digest
+            || own.hierarchy != versions.hierarchy
+            || own.journal_position != versions.journal_position
+            || own.build != versions.build
     }
 
-    /// Whether a span is to be written down now.
-    pub fn is_due(&self, now: Ms, acts_on: &ActiveVersions) -> bool {
-        let full = self.open_span.write_attempts.len() >= self.config.max_write_attempts
+    /// Whether the open span is to be recorded.
+    pub fn is_due(&self, now: Ms, versions: &ActiveVersions) -> bool {
+        let is_full = self.open_span.write_attempts.len() >= self.config.max_write_attempts
             || self.open_span.counts.len() >= self.config.max_action_kinds;
-        full || now >= self.next_deadline() || self.differs(acts_on)
+        is_full || now >= self.next_deadline() || self.differs(versions)
     }
 
-    /// What is acted on from now on; what was done before is written down as done on what held then.
+    /// Sets what the router acts on. What it did before is recorded with the versions before.
     pub fn set_versions(
         &mut self,
         now: Ms,
         at: Timestamp,
-        acts_on: &ActiveVersions,
-        names: impl Fn(u64) -> Option<String>,
+        versions: &ActiveVersions,
+        node_name: impl Fn(u64) -> Option<String>,
     ) {
-        if !self.differs(acts_on) {
-            return;
+        if self.differs(versions) {
+            self.close_span(now, at, node_name);
+            self.versions.clone_from(versions);
         }
-        self.close_span(now, at, names);
-        self.versions.clone_from(acts_on);
     }
 
-    /// Writes the open span down, where it is due.
-    pub fn tick(&mut self, now: Ms, at: Timestamp, names: impl Fn(u64) -> Option<String>) {
+    /// Records the open span, if it is due.
+    pub fn tick(&mut self, now: Ms, at: Timestamp, node_name: impl Fn(u64) -> Option<String>) {
         if self.is_due(now, &self.versions) {
-            self.close_span(now, at, names);
+            self.close_span(now, at, node_name);
         }
     }
 
-    /// When `tick` is due.
+    /// When [`AuditLog::tick`] is due.
     pub fn next_deadline(&self) -> Ms {
         self.open_span.opened_at + self.config.max_span
     }
 
-    /// Ends the open span.
-    pub fn close_span(&mut self, now: Ms, at: Timestamp, names: impl Fn(u64) -> Option<String>) {
+    /// Records the open span and opens another one. An empty span goes on, unless it has the full length: a record of
+    /// it shows that nothing is missing.
+    pub fn close_span(&mut self, now: Ms, at: Timestamp, node_name: impl Fn(u64) -> Option<String>) {
         if self.is_closed {
             return;
         }
-        let empty = self.is_empty();
-        let open = std::mem::replace(
-            &mut self.open_span,
-            OpenSpan { started_at: at, opened_at: now, ..OpenSpan::default() },
-        );
-        // Nothing done for a whole span is worth a line, too: it tells that nothing is missing.
-        if empty && now - open.opened_at < self.config.max_span {
-            self.open_span.started_at = open.started_at;
-            self.open_span.opened_at = open.opened_at;
+        let OpenSpan { started_at, opened_at, .. } = self.open_span;
+        if self.open_span.is_empty() && now - opened_at < self.config.max_span {
+            self.open_span = OpenSpan::new(opened_at, started_at);
             return;
         }
-        let mut counts: Vec<(AuditedAction, Tally)> = open.counts.into_iter().collect();
-        counts.sort_by_key(|(act, _)| *act);
-        let mut ids: Vec<u64> = counts.iter().flat_map(|(act, _)| ids(act)).collect();
-        ids.sort_unstable();
-        ids.dedup();
-        let names = ids.into_iter().filter_map(|id| Some((id, names(id)?))).collect();
+        let span = std::mem::replace(&mut self.open_span, OpenSpan::new(now, at));
+        let mut counts: Vec<(AuditedAction, Tally)> = span.counts.into_iter().collect();
+        counts.sort_by_key(|(action, _)| *action);
+        let node_names = node_names(&counts, node_name);
         self.append(&Record::Span(Box::new(Span {
-            from: open.started_at,
+            from: span.started_at,
             to: at,
-            wall_clock: (open.opened_at, now),
+            wall_clock: (span.opened_at, now),
             versions: self.versions.clone(),
             counts,
-            write_attempts: open.write_attempts,
-            write_outcomes: open.write_outcomes,
-            omitted_writes: open.omitted_writes,
-            omitted_actions: open.omitted_actions,
-            node_names: names,
+            write_attempts: span.write_attempts,
+            write_outcomes: span.write_outcomes,
+            omitted_writes: span.omitted_writes,
+            omitted_actions: span.omitted_actions,
+            node_names,
         })));
     }
 
-    /// It ends as it should.
-    pub fn finish(&mut self, now: Ms, at: Timestamp, names: impl Fn(u64) -> Option<String>) {
+    /// Closes the log: the router shuts down gracefully.
+    pub fn finish(&mut self, now: Ms, at: Timestamp, node_name: impl Fn(u64) -> Option<String>) {
         if !self.is_closed {
-            self.close_span(now, at, names);
+            self.close_span(now, at, node_name);
             self.append(&Record::Closed { at });
             self.is_closed = true;
         }
     }
 
+    /// Appends a record. The oldest ones make room.
     fn append(&mut self, record: &Record) {
         self.last_number += 1;
         let link = ChainLink::new(&self.name, self.incarnation, self.last_number, self.head, record);
@@ -242,22 +251,34 @@
         }
     }
 
-    /// The links from a number on, as far as they are kept.
+    /// The records from that number on, as far as they are kept.
     pub fn records_from(&self, number: u64) -> impl Iterator<Item = &ChainLink> {
         self.links.iter().filter(move |link| link.number >= number)
     }
 
+    /// The size of the log in memory.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 }
 
-/// The nodes that an act names.
-fn ids(act: &AuditedAction) -> Vec<u64> {
-    match act {
-        AuditedAction::Attempt { target: to }
-        | AuditedAction::WriteAttempt { target: to }
-        | AuditedAction::RolloutStage { target: to, .. } => vec![*to],
+/// The names of all nodes of these actions, by id, as far as they are known.
+fn node_names(
+    counts: &[(AuditedAction, Tally)],
+    node_name: impl Fn(u64) -> Option<String>,
+) -> Vec<(u64, String)> {
+    let mut ids: Vec<u64> = counts.iter().flat_map(|(action, _)| node_ids(action)).collect();
+    ids.sort_unstable();
+    ids.dedup();
+    ids.into_iter().filter_map(|id| Some((id, node_name(id)?))).collect()
+}
+
+/// The nodes of an action.
+fn node_ids(action: &AuditedAction) -> Vec<u64> {
+    match action {
+        AuditedAction::Attempt { target }
+        | AuditedAction::WriteAttempt { target }
+        | AuditedAction::RolloutStage { target, .. } => vec![*target],
         AuditedAction::Fill { child, source } => vec![*child, *source],
         AuditedAction::Drain { cache, .. } | AuditedAction::CacheRestored { cache, .. } => vec![*cache],
         AuditedAction::Refused
--- a/crates/audit/src/replicas.rs
+++ b/crates/audit/src/replicas.rs
@@ -1,118 +1,160 @@
-//! Owns the accounts of fellows that are kept here, link by link.
+//! Replicas of other routers' audit logs, record by record.
 //!
-//! A link is taken where it hangs on the one before it; one further on says what is missing. Must never take two links
-//! for one place, nor close a gap by anything but the links that belong there.
+//! A record is taken in where it follows the one before it; a later one tells which records are missing. No two records
+//! take one place, and a gap is closed only by the records that belong there.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::record::{ChainLink, RecordHash};
 
-/// What came of a link.
+/// What an insertion did.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaOutcome {
+    /// The record was new.
     New,
+    /// The record is known.
     Known,
-    /// Those from that number on are to be asked for first.
+    /// The records from that number on have to be requested first.
     Missing(u64),
-    /// Another link has this place, or what hangs before it is another one.
+    /// The record contradicts one that is kept: another one has its place or precedes it.
     Forked,
 }
 
+/// The replica of the log of one incarnation of one router.
 #[derive(Debug, Clone, Default)]
 struct LogReplica {
     links: VecDeque<ChainLink>,
     bytes: usize,
-    head: (u64, RecordHash),
-    /// The first link that there is to be had.
+    last_number: u64,
+    head: RecordHash,
+    /// The first record that the owner still has.
     first_number: u64,
-    /// Links that contradict what is kept: the first few.
+    /// Records that contradict the kept ones: the first few.
     forks: Vec<ChainLink>,
 }
 
+/// How much is kept.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReplicaSizes {
+    /// The number of logs.
+    pub logs: usize,
+    /// The number of records of all logs.
+    pub records: usize,
+    /// Bytes of all records.
+    pub bytes: usize,
+}
+
+/// The replicas that this router keeps.
 #[derive(Debug, Clone, Default)]
 pub struct LogReplicas {
     max_bytes_per_log: usize,
     bytes: usize,
+    /// By name and incarnation.
     logs: BTreeMap<(String, u64), LogReplica>,
 }
 
-/// Starts of which copies are kept, bytes of all of them, contradicting links of each.
+/// The number of logs that are kept.
 const MAX_LOGS: usize = 4_096;
+/// Bytes of all logs together.
 const MAX_TOTAL_BYTES: usize = 32 << 20;
+/// The number of contradicting records that are kept of each log.
 const MAX_FORKS: usize = 4;
 
 impl LogReplicas {
-    /// So many bytes of each account.
-    pub fn new(bytes: usize) -> Self {
-        Self { max_bytes_per_log: bytes, bytes: 0, logs: BTreeMap::new() }
+    /// Replicas of at most that many bytes each.
+    pub fn new(max_bytes_per_log: usize) -> Self {
+        Self { max_bytes_per_log, bytes: 0, logs: BTreeMap::new() }
     }
 
-    pub fn set_max_bytes(&mut self, bytes: usize) {
-        self.max_bytes_per_log = bytes;
+    /// Sets how many bytes of each log are kept.
+    pub fn set_max_bytes(&mut self, max_bytes_per_log: usize) {
+        self.max_bytes_per_log = max_bytes_per_log;
     }
 
-    /// Takes in a link. The oldest of an account makes room.
+    /// Takes in a record. The oldest records of its log make room.
     pub fn insert(&mut self, link: ChainLink) -> ReplicaOutcome {
         let key = (link.name.clone(), link.incarnation);
         if !self.logs.contains_key(&key) && self.logs.len() >= MAX_LOGS || self.bytes > MAX_TOTAL_BYTES {
-            // The oldest start of all makes room.
-            let oldest = self.logs.keys().min_by_key(|(_, start)| *start).cloned();
-            let dropped = oldest.and_then(|oldest| self.logs.remove(&oldest));
-            self.bytes -= dropped.map_or(0, |copy| copy.bytes);
+            self.remove_oldest_log();
         }
-        let copy = self.logs.entry(key).or_default();
-        let (number, hash) = copy.head;
-        if link.number <= number {
-            let known = copy.links.iter().find(|known| known.number == link.number);
-            return match known {
-                Some(known) if *known == link => ReplicaOutcome::Known,
-                Some(_) => copy.record_fork(link),
-                // It made room long ago: nothing can be said of it.
-                None => ReplicaOutcome::Known,
-            };
+        let log = self.logs.entry(key).or_default();
+        if link.number <= log.last_number {
+            return log.insert_known(link);
         }
-        let begins = copy.links.is_empty();
-        // Whoever begins to keep an account late begins where the owner's own memory begins: `begin` says where.
-        if link.number > number + 1 && !(begins && link.number == copy.first_number) {
-            return ReplicaOutcome::Missing(number + 1);
+        let is_first = log.links.is_empty();
+        // A replica that begins late begins with the first record that the owner still has.
+        let is_late_begin = is_first && link.number == log.first_number;
+        if link.number > log.last_number + 1 && !is_late_begin {
+            return ReplicaOutcome::Missing(log.last_number + 1);
         }
-        if !begins && link.previous_hash != hash {
-            return copy.record_fork(link);
+        if !is_first && link.previous_hash != log.head {
+            return log.record_fork(link);
         }
-        copy.head = (link.number, link.hash());
-        copy.bytes += link.size_estimate();
         self.bytes += link.size_estimate();
-        copy.links.push_back(link);
-        while copy.bytes > self.max_bytes_per_log && copy.links.len() > 1 {
-            let oldest = copy.links.pop_front().map_or(0, |link| link.size_estimate());
-            copy.bytes -= oldest;
-            self.bytes -= oldest;
-        }
+        log.append(link);
+        self.bytes -= log.remove_oldest(self.max_bytes_per_log);
         ReplicaOutcome::New
     }
 
-    /// An account's owner has nothing before that link any more.
-    pub fn set_first_number(&mut self, name: &str, start: u64, number: u64) {
-        self.logs.entry((name.to_string(), start)).or_default().first_number = number;
+    /// Removes the log of the oldest incarnation.
+    fn remove_oldest_log(&mut self) {
+        let oldest = self.logs.keys().min_by_key(|(_, incarnation)| *incarnation).cloned();
+        let removed = oldest.and_then(|oldest| self.logs.remove(&oldest));
+        self.bytes -= removed.map_or(0, |log| log.bytes);
+    }
+
+    /// Records that the owner of a log has nothing before that record any more.
+    pub fn set_first_number(&mut self, name: &str, incarnation: u64, number: u64) {
+        self.logs.entry((name.to_string(), incarnation)).or_default().first_number = number;
     }
 
-    /// The next number that is wanted of an account.
-    pub fn next_number(&self, name: &str, start: u64) -> u64 {
-        self.logs.get(&(name.to_string(), start)).map_or(1, |copy| copy.head.0 + 1)
+    /// The number of the next record that a log lacks.
+    pub fn next_number(&self, name: &str, incarnation: u64) -> u64 {
+        self.logs.get(&(name.to_string(), incarnation)).map_or(1, |log| log.last_number + 1)
     }
 
+    /// All records, those that contradict others included.
     pub fn iter(&self) -> impl Iterator<Item = &ChainLink> {
-        self.logs.values().flat_map(|copy| copy.links.iter().chain(&copy.forks))
+        self.logs.values().flat_map(|log| log.links.iter().chain(&log.forks))
     }
 
-    /// Accounts, links and bytes that are kept.
-    pub fn sizes(&self) -> (usize, usize, usize) {
-        let links = self.logs.values().map(|copy| copy.links.len()).sum();
-        (self.logs.len(), links, self.logs.values().map(|copy| copy.bytes).sum())
+    /// How much is kept.
+    pub fn sizes(&self) -> ReplicaSizes {
+        ReplicaSizes {
+            logs: self.logs.len(),
+            records: self.logs.values().map(|log| log.links.len()).sum(),
+            bytes: self.logs.values().map(|log| log.bytes).sum(),
+        }
     }
 }
 
 impl LogReplica {
+    fn append(&mut self, link: ChainLink) {
+        self.last_number = link.number;
+        self.head = link.hash();
+        self.bytes += link.size_estimate();
+        self.links.push_back(link);
+    }
+
+    /// Removes the oldest records down to that size, except the newest one. The bytes that were removed.
+    fn remove_oldest(&mut self, max_bytes: usize) -> usize {
+        let before = self.bytes;
+        while self.bytes > max_bytes && self.links.len() > 1 {
+            self.bytes -= self.links.pop_front().map_or(0, |link| link.size_estimate());
+        }
+        before - self.bytes
+    }
+
+    /// Takes in a record whose number is not new.
+    fn insert_known(&mut self, link: ChainLink) -> ReplicaOutcome {
+        let known = self.links.iter().find(|known| known.number == link.number);
+        match known {
+            Some(known) if *known != link => self.record_fork(link),
+            // One that has made room already cannot be compared.
+            Some(_) | None => ReplicaOutcome::Known,
+        }
+    }
+
     fn record_fork(&mut self, link: ChainLink) -> ReplicaOutcome {
         if self.forks.len() < MAX_FORKS && !self.forks.contains(&link) {
             self.forks.push(link);
--- a/crates/audit/tests/audit_logs.rs
+++ b/crates/audit/tests/audit_logs.rs
@@ -80,7 +80,7 @@
     let accounts = VerifiedLogs::new(killed.iter().chain(&next).cloned());
     let last = killed[3].decode_record().map(|record| record.covered_until());
     let began = next[0].decode_record().map(|record| record.covered_until());
-    let gap = Finding::Gap { name: "a".to_string(), start: 1_000, after: 4, from: last, to: began };
+    let gap = Finding::Gap { name: "a".to_string(), incarnation: 1_000, after: 4, from: last, to: began };
     assert_eq!(accounts.findings, [gap]);
     // One in the middle.
     let accounts = VerifiedLogs::new(next.iter().filter(|link| link.number != 2).cloned());
@@ -100,10 +100,14 @@
     bad[2] = ChainLink::new("a", 1_000, 3, bad[2].previous_hash, &Record::Span(span));
     // Alone: what follows does not hang on it.
     let alone = VerifiedLogs::new(bad.clone());
-    assert!(alone.findings.contains(&Finding::Broken { name: "a".to_string(), start: 1_000, number: 4 }));
+    assert!(alone.findings.contains(&Finding::Broken {
+        name: "a".to_string(),
+        incarnation: 1_000,
+        number: 4
+    }));
     // Beside a copy: two for one place, and the copy on which the rest hangs is the one that counts.
     let both = VerifiedLogs::new(bad.into_iter().chain(good.clone()));
-    assert_eq!(both.findings, [Finding::Fork { name: "a".to_string(), start: 1_000, number: 3 }]);
+    assert_eq!(both.findings, [Finding::Fork { name: "a".to_string(), incarnation: 1_000, number: 3 }]);
     assert_eq!(both.attempts_of_request("a-2").len(), 1);
     let other = links(&account("a", 1_000, 2, true));
     assert!(VerifiedLogs::new(good.into_iter().chain(other))
@@ -131,7 +135,7 @@
     // Room is made for the newest by the oldest.
     let mut small = LogReplicas::new(all[1].size_estimate() * 2);
     all.iter().for_each(|link| _ = small.insert(link.clone()));
-    assert!(small.sizes().1 < all.len());
+    assert!(small.sizes().records < all.len());
     let found = VerifiedLogs::new(small.iter().cloned()).findings;
     assert!(matches!(&found[..], [Finding::Gap { after: 0, .. }]), "{found:?}");
 }
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -166,10 +166,10 @@
     let (name, start) = ("r1".to_string(), 7);
     let (from, to) = (Some(stamp(1)), None);
     let findings = [
-        Finding::Gap { name: name.clone(), start, after: 3, from, to },
-        Finding::Fork { name: name.clone(), start, number: 3 },
-        Finding::Broken { name: name.clone(), start, number: 3 },
-        Finding::Unreadable { name, start, number: 3 },
+        Finding::Gap { name: name.clone(), incarnation: start, after: 3, from, to },
+        Finding::Fork { name: name.clone(), incarnation: start, number: 3 },
+        Finding::Broken { name: name.clone(), incarnation: start, number: 3 },
+        Finding::Unreadable { name, incarnation: start, number: 3 },
     ];
     add("findings", support::json::to_string(&findings));
     add("span", support::json::to_string(&span()));
--- a/crates/membership/src/actions.rs
+++ b/crates/membership/src/actions.rs
@@ -7,77 +7,99 @@
 use crate::membership::MemberChange;
 use crate::view::RouterView;
 
-/// A key and an entry, as bytes.
+/// The key and the value of an entry or a message, as bytes.
 pub type EncodedEntry = (Vec<u8>, Vec<u8>);
 
-/// What is to be done.
+/// Something for the owner of the cluster to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClusterAction {
-    /// To all fellows that there is a link with; whoever comes later gets it too.
+    /// Send these entries to all peers, and to every peer that connects later.
     Broadcast(Vec<EncodedEntry>),
-    /// Need not be said to those that come later any more.
+    /// Do not send the entry of this key to peers that connect from now on.
     Retract(Vec<u8>),
-    /// To that fellow alone.
+    /// Send these entries to one peer.
     SendTo(String, Vec<EncodedEntry>),
-    /// No links with fellows any more.
+    /// Close all links with peers and open no more.
     CloseLinks,
-    /// News of the journal from elsewhere, with its number.
+    /// The state of a cache in the endpoint list, from another router's journal.
     CacheChanged {
+        /// The cache.
         name: String,
+        /// Its state.
         status: CacheStatus,
+        /// The position in the journal.
         journal_position: u64,
     },
+    /// A purge from another router's journal.
     Purged {
+        /// The object or the group that is purged.
         key: EntryKey,
+        /// Which copies are purged.
         purge: Purge,
     },
-    /// A batch of the hierarchy, as whoever told it has written it.
+    /// A change batch of the hierarchy, as its author encoded it.
     BatchReceived(Vec<u8>),
-    /// A word of another part, from one fellow alone.
+    /// A message of another part of the router, from one peer.
     Message {
+        /// The peer.
         from: String,
+        /// The tag of the message.
         kind: u8,
+        /// Its body.
         bytes: Vec<u8>,
     },
-    /// What a site answered to a question that was asked here.
+    /// The answer of a site to a query of this router.
     Answer {
+        /// The query.
         id: u64,
+        /// The site.
         location: Location,
+        /// Its routers.
         routers: Vec<RouterView>,
     },
+    /// Something to log.
     Event(ClusterEvent),
 }
 
-/// Something that people are told.
+/// An event for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClusterEvent {
+    /// The membership of a router changed.
     Member {
+        /// The router.
         name: String,
+        /// Its incarnation.
         incarnation: u64,
+        /// What changed.
         change: MemberChange,
     },
-    /// A process under this router's name that started later, at that time: it is refused.
+    /// A later incarnation under this router's name was rejected.
     NameConflict {
+        /// The rejected incarnation.
         incarnation: u64,
     },
-    /// This process is the later one: the name is held by that start.
+    /// This process is the later incarnation of its name and was rejected.
     Refused {
+        /// The incarnation that holds the name.
         holder: u64,
     },
-    /// This process was frozen, and a later one holds its name.
+    /// This process was frozen and yields its name to a later incarnation.
     Yielded {
+        /// The incarnation that holds the name.
         holder: u64,
     },
-    /// It did nothing for so long, in milliseconds.
+    /// This process did not run for so many milliseconds.
     Frozen(u64),
 }
 
-/// Whether this router takes part.
+/// Whether this router takes part in the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Participation {
+    /// It does.
     #[serde(rename = "Takes")]
     Active,
-    /// Another start of the name holds it.
+    /// It was rejected; the incarnation that holds the name.
     Refused(u64),
+    /// It yielded; the incarnation that holds the name.
     Yielded(u64),
 }
--- a/crates/membership/src/aggregation/location.rs
+++ b/crates/membership/src/aggregation/location.rs
@@ -1,79 +1,85 @@
-//! Owns where a router stands in the tree of the fleet: the names from the outermost part down to its site.
-//!
-//! Must never take two places for one because their names run together, nor a place for one within itself only.
+//! Topology locations: the names of nested regions, from the outermost region down to a site.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Names of a place, and bytes of each.
+/// The most names a location has.
 pub const MAX_DEPTH: usize = 6;
+/// The longest name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// The names from the outermost part inwards; none stands for the whole fleet.
+/// A location as its names, the outermost region first. No name at all is the whole fleet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Location(Vec<String>);
 
+/// Why a text is not a location.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum LocationError {
+    /// Too many names; the number found.
     #[error("expected 1 to {MAX_DEPTH} names with / between them, got {0}")]
     Depth(usize),
+    /// A name that is empty, too long, or not printable ASCII without spaces.
     #[error("expected names of 1 to {MAX_NAME_BYTES} letters, digits or signs without /, got {0:?}")]
     Name(String),
 }
 
 impl Location {
-    /// Reads names with `/` between them, the outermost first.
+    /// Parses names separated by `/`, the outermost region first.
     ///
     /// # Errors
     ///
-    /// Too many names, or one that is empty, too long or of other signs.
+    /// Too many names, or a name that is empty, too long or not printable ASCII.
     pub fn parse(text: &str) -> Result<Self, LocationError> {
         let names: Vec<String> = text.split('/').map(str::to_string).collect();
         if names.len() > MAX_DEPTH {
             return Err(LocationError::Depth(names.len()));
         }
-        let plain = |name: &String| {
-            (1..=MAX_NAME_BYTES).contains(&name.len()) && name.bytes().all(|byte| byte.is_ascii_graphic())
-        };
-        match names.iter().find(|name| !plain(name)) {
-            Some(bad) => Err(LocationError::Name(bad.chars().take(MAX_NAME_BYTES).collect())),
+        match names.iter().find(|name| !is_valid_name(name)) {
+            Some(name) => Err(LocationError::Name(name.chars().take(MAX_NAME_BYTES).collect())),
             None => Ok(Self(names)),
         }
     }
 
-    /// How many names it has: 0 for the whole fleet.
+    /// The number of names: 0 for the whole fleet.
     pub fn depth(&self) -> usize {
         self.0.len()
     }
 
-    /// The place around it that has so many names.
+    /// The enclosing location of that depth, or this one where it is not deeper.
     pub fn ancestor(&self, depth: usize) -> Self {
         Self(self.0[..depth.min(self.0.len())].to_vec())
     }
 
-    /// How many of the outermost names both have.
+    /// How many of the outermost names both locations share.
     pub fn common_depth(&self, other: &Self) -> usize {
-        self.0.iter().zip(&other.0).take_while(|(a, b)| a == b).count()
+        let pairs = self.0.iter().zip(&other.0);
+        pairs.take_while(|(own, theirs)| own == theirs).count()
     }
 
-    /// Whether another place is within this one, or is this one.
+    /// Whether the other location is this one or lies within it.
     pub fn contains(&self, other: &Self) -> bool {
         self.common_depth(other) == self.depth()
     }
 
-    /// Whether it stands right within that one.
+    /// Whether this location lies directly within that one.
     pub fn is_child_of(&self, parent: &Self) -> bool {
         self.depth() == parent.depth() + 1 && parent.contains(self)
     }
 
-    /// Whether a place that was heard is one at all.
+    /// Whether a received location obeys the rules of [`Location::parse`].
     pub fn is_valid(&self) -> bool {
-        (1..=MAX_DEPTH).contains(&self.depth()) && Self::parse(&self.to_string()).as_ref() == Ok(self)
+        let is_depth_valid = (1..=MAX_DEPTH).contains(&self.depth());
+        is_depth_valid && Self::parse(&self.to_string()).as_ref() == Ok(self)
     }
 }
 
+fn is_valid_name(name: &str) -> bool {
+    let is_length_valid = (1..=MAX_NAME_BYTES).contains(&name.len());
+    is_length_valid && name.bytes().all(|byte| byte.is_ascii_graphic())
+}
+
 impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0.join("/"))
--- a/crates/membership/src/aggregation/query.rs
+++ b/crates/membership/src/aggregation/query.rs
@@ -1,7 +1,7 @@
-//! Owns questions for the detail of another place: passed on from link to link, answered by the router that speaks for
-//! the site, and answered back the way that the question came.
+//! Queries for the routers of another site, forwarded from link to link and answered along the same route.
 //!
-//! Must never pass a question on twice, nor further than its hops, nor keep more of them than its bound.
+//! A router forwards each query once, and only while the query has hops left. The routes it remembers are bounded in
+//! number and age.
 
 use std::collections::BTreeMap;
 
@@ -10,47 +10,62 @@
 use crate::aggregation::location::Location;
 use crate::Ms;
 
-/// What is asked for.
+/// The site whose routers a query asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryTarget {
-    /// The site that knows a router by name.
+    /// The site that knows a router of this name.
     Router(String),
-    /// A site.
+    /// The site at this location.
     Site(Location),
 }
 
+/// A query as it travels.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query {
+    /// Identifies the query on its route and its answer on the way back.
     pub id: u64,
-    /// Links that it may pass yet.
+    /// How many more links it may cross.
     pub hops_left: u8,
+    /// The site it asks for.
     pub target: QueryTarget,
 }
 
-/// Links that a question may pass, questions that are remembered, and for how long.
+/// How many links a new query may cross.
 pub const MAX_HOPS: u8 = 64;
+/// How many queries are remembered at a time.
 const MAX_REMEMBERED: usize = 256;
+/// How long a query is remembered, in milliseconds.
 const RETENTION_MS: Ms = 30_000.0;
 
+/// Where a query came from.
+#[derive(Debug, Clone)]
+struct Route {
+    /// The peer that sent it first; none for a query of this router.
+    previous_hop: Option<String>,
+    received_at: Ms,
+}
+
+/// The routes of recent queries.
 #[derive(Debug, Clone, Default)]
 pub struct QueryRoutes {
-    /// Who asked first here; nobody for the own ones.
-    routes: BTreeMap<u64, (Option<String>, Ms)>,
+    routes: BTreeMap<u64, Route>,
 }
 
 impl QueryRoutes {
-    /// Whether a question is new and there is room for it; from then on it is remembered.
+    /// Remembers a query and where it came from. False where it is known already or too many are remembered.
     pub fn register(&mut self, now: Ms, id: u64, from: Option<&str>) -> bool {
-        self.routes.retain(|_, (_, at)| now - *at < RETENTION_MS);
-        let fits = self.routes.len() < MAX_REMEMBERED && !self.routes.contains_key(&id);
-        if fits {
-            self.routes.insert(id, (from.map(str::to_string), now));
+        self.routes.retain(|_, route| now - route.received_at < RETENTION_MS);
+        let is_accepted = self.routes.len() < MAX_REMEMBERED && !self.routes.contains_key(&id);
+        if is_accepted {
+            let route = Route { previous_hop: from.map(str::to_string), received_at: now };
+            self.routes.insert(id, route);
         }
-        fits
+        is_accepted
     }
 
-    /// The way back: a fellow, or nobody where it was asked here.
+    /// Where the answer to a query goes: a peer, or `Some(None)` where this router asked itself. `None` for a query that
+    /// is not remembered.
     pub fn return_link(&self, id: u64) -> Option<Option<&str>> {
-        self.routes.get(&id).map(|(from, _)| from.as_deref())
+        self.routes.get(&id).map(|route| route.previous_hop.as_deref())
     }
 }
--- a/crates/membership/src/aggregation/scope.rs
+++ b/crates/membership/src/aggregation/scope.rs
@@ -1,7 +1,7 @@
-//! Owns how far a fact goes: which fellows with a link are told it, and what waits for each of them.
+//! How far an entry travels: which linked peers it is for, and which entries wait for each of them.
 //!
-//! A fact is for all whose places have so many of the outermost names in common with this router's. Must never let
-//! one go over a link to a place that it is not for, nor before it is known where the other end stands.
+//! An entry has a depth: it is for all routers whose locations share that many of the outermost names with this
+//! router's. Nothing is sent over a link before the location at its other end is known.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,35 +11,44 @@
 use crate::gossip::entry::EntryKey;
 use crate::Ms;
 
-/// The first word over a link, and again where its shape has changed: where its sender stands.
+/// The first message over a link, repeated when the sender moves to another version of the hierarchy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkHandshake {
+    /// Where the sender is.
     pub location: Location,
-    /// The version and the digest of the hierarchy that it acts on.
+    /// The version and the digest of the hierarchy that the sender acts on.
     pub hierarchy: (u64, u64),
-    /// Whether it knows of lazy links: told behind the rest, where an older build does not look.
+    /// Whether the sender supports lazy links. Encoded behind the other fields, where older builds do not look.
     #[serde(skip)]
     pub supports_lazy_links: bool,
 }
 
+/// Encodes `supports_lazy_links`; nothing is encoded where it is false.
+const LAZY_LINKS_FLAG: u8 = 1;
+
 impl LinkHandshake {
+    /// The handshake as bytes.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = postcard::to_stdvec(self).unwrap_or_default();
-        bytes.extend(self.supports_lazy_links.then_some(1));
+        if self.supports_lazy_links {
+            bytes.push(LAZY_LINKS_FLAG);
+        }
         bytes
     }
 
+    /// Reads a handshake; `None` for bytes that are not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
-        let (greeting, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
-        Some(Self { supports_lazy_links: rest.first() == Some(&1), ..greeting })
+        let (handshake, rest) = postcard::take_from_bytes::<Self>(bytes).ok()?;
+        let supports_lazy_links = rest.first() == Some(&LAZY_LINKS_FLAG);
+        Some(Self { supports_lazy_links, ..handshake })
     }
 }
 
-/// Where the other end of a link stands.
+/// What is known of the location at the other end of a link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum PeerLocation {
     Unknown,
-    /// A build without places, or a router without one: it is taken as of this site.
+    /// An older build or a router without a location: it is treated as one of this site.
     SameSite,
     Known(LinkHandshake),
 }
@@ -47,34 +56,37 @@
 #[derive(Debug, Clone)]
 struct ScopedLink {
     location: PeerLocation,
-    /// What it is to be told: by urgency, then by key.
+    /// Entries to send, by urgency and then by key.
     pending: BTreeSet<(u8, Vec<u8>)>,
-    /// When something was told over it last.
     last_sent: Ms,
 }
 
+/// The links of a router that has a location.
 #[derive(Debug, Clone)]
 pub struct ScopedLinks {
     location: Location,
     links: BTreeMap<String, ScopedLink>,
-    /// Whose turn it is.
+    /// The link served first last time: the next one in order goes first the next time.
     next_turn: String,
 }
 
-/// Whether a fact of that kind goes link by link, as far as it is for. All others are told to everybody.
+/// Whether entries of that kind are sent link by link according to their depth. All others are broadcast.
 pub fn is_scoped(key: &EntryKey) -> bool {
     matches!(key, EntryKey::Router(_) | EntryKey::VersionUpdate(_) | EntryKey::Summary(_))
 }
 
 impl ScopedLinks {
-    pub fn new(place: Location) -> Self {
-        Self { location: place, links: BTreeMap::new(), next_turn: String::new() }
+    /// The links of a router at that location; none yet.
+    pub fn new(location: Location) -> Self {
+        Self { location, links: BTreeMap::new(), next_turn: String::new() }
     }
 
+    /// The location of this router.
     pub fn location(&self) -> &Location {
         &self.location
     }
 
+    /// Adds a link whose other end is unknown so far.
     pub fn add_link(&mut self, name: &str) {
         let link = ScopedLink {
             location: PeerLocation::Unknown,
@@ -84,124 +96,128 @@
         self.links.insert(name.to_string(), link);
     }
 
+    /// Removes a link and everything that waits for it.
     pub fn remove_link(&mut self, name: &str) {
         self.links.remove(name);
     }
 
+    /// Whether there is no link.
     pub fn is_empty(&self) -> bool {
         self.links.is_empty()
     }
 
-    /// A greeting came; whether it was not known before where that one stands.
-    pub fn record_handshake(&mut self, name: &str, greeting: LinkHandshake) -> bool {
+    /// Records a handshake. True where the location at the other end was unknown before.
+    pub fn record_handshake(&mut self, name: &str, handshake: LinkHandshake) -> bool {
         let Some(link) = self.links.get_mut(name) else { return false };
-        let before = std::mem::replace(&mut link.location, PeerLocation::Known(greeting));
+        let before = std::mem::replace(&mut link.location, PeerLocation::Known(handshake));
         before == PeerLocation::Unknown
     }
 
-    /// A fellow that says statements and has not greeted has no place; whether that is news.
+    /// Treats a peer that sent a status without a handshake as one of this site. True where its location was unknown.
     pub fn mark_without_location(&mut self, name: &str) -> bool {
-        let Some(link) = self.links.get_mut(name).filter(|link| link.location == PeerLocation::Unknown)
-        else {
-            return false;
-        };
-        link.location = PeerLocation::SameSite;
-        true
+        let Some(link) = self.links.get_mut(name) else { return false };
+        let was_unknown = link.location == PeerLocation::Unknown;
+        if was_unknown {
+            link.location = PeerLocation::SameSite;
+        }
+        was_unknown
     }
 
-    /// How many names the other end of a link has in common; nothing while that is not known.
+    /// How many names the location at the other end shares with this router's; `None` while it is unknown.
     pub fn common_depth(&self, name: &str) -> Option<usize> {
         match &self.links.get(name)?.location {
             PeerLocation::Unknown => None,
             PeerLocation::SameSite => Some(self.location.depth()),
-            PeerLocation::Known(greeting) => Some(self.location.common_depth(&greeting.location)),
+            PeerLocation::Known(handshake) => Some(self.location.common_depth(&handshake.location)),
         }
     }
 
-    /// Whether a fellow with a link is of this site, or is taken as such.
+    /// Whether a linked peer is of this site, or is treated as such.
     pub fn is_same_site(&self, name: &str) -> bool {
         match self.links.get(name).map(|link| &link.location) {
             Some(PeerLocation::SameSite) => true,
-            Some(PeerLocation::Known(greeting)) => greeting.location == self.location,
+            Some(PeerLocation::Known(handshake)) => handshake.location == self.location,
             Some(PeerLocation::Unknown) | None => false,
         }
     }
 
-    /// Fellows of other sites with a link, and how they greeted.
+    /// Linked peers of other sites, with their handshakes.
     pub fn remote_peers(&self) -> impl Iterator<Item = (&String, &LinkHandshake)> {
         self.links.iter().filter_map(|(name, link)| match &link.location {
-            PeerLocation::Known(greeting) if greeting.location != self.location => Some((name, greeting)),
+            PeerLocation::Known(handshake) if handshake.location != self.location => Some((name, handshake)),
             _ => None,
         })
     }
 
-    /// All with a link that know of places.
+    /// Linked peers that have told their location.
     pub fn peers_with_location(&self) -> impl Iterator<Item = &String> {
-        let placed = |link: &ScopedLink| matches!(link.location, PeerLocation::Known(_));
-        self.links.iter().filter(move |(_, link)| placed(link)).map(|(name, _)| name)
+        let has_location = |link: &ScopedLink| matches!(link.location, PeerLocation::Known(_));
+        self.links.iter().filter(move |(_, link)| has_location(link)).map(|(name, _)| name)
     }
 
-    /// All that a fact is for, but the one that told it.
-    pub fn recipients(&self, depth: usize, but: Option<&str>) -> Vec<String> {
-        let fits = |name: &&String| {
-            but != Some(name.as_str()) && self.common_depth(name).is_some_and(|common| common >= depth)
+    /// Linked peers that an entry of that depth is for, except the one it came from.
+    pub fn recipients(&self, depth: usize, except: Option<&str>) -> Vec<String> {
+        let is_recipient = |name: &&String| {
+            let is_in_scope = self.common_depth(name).is_some_and(|common| common >= depth);
+            except != Some(name.as_str()) && is_in_scope
         };
-        self.links.keys().filter(fits).cloned().collect()
+        self.links.keys().filter(is_recipient).cloned().collect()
     }
 
-    /// A fact waits for one fellow, if it is for it.
+    /// Queues an entry for a peer, if it is for that peer.
     pub fn enqueue(&mut self, name: &str, urgency: u8, key: &[u8], depth: usize) {
-        let fits = self.common_depth(name).is_some_and(|common| common >= depth);
-        if let Some(link) = self.links.get_mut(name).filter(|_| fits) {
+        let is_in_scope = self.common_depth(name).is_some_and(|common| common >= depth);
+        if let Some(link) = self.links.get_mut(name).filter(|_| is_in_scope) {
             link.pending.insert((urgency, key.to_vec()));
         }
     }
 
-    /// That one has the fact already.
+    /// Takes an entry out of a peer's queue: the peer has it already.
     pub fn dequeue(&mut self, name: &str, urgency: u8, key: &[u8]) {
         if let Some(link) = self.links.get_mut(name).filter(|link| !link.pending.is_empty()) {
             link.pending.remove(&(urgency, key.to_vec()));
         }
     }
 
-    /// What waits for a fellow first of all.
+    /// The urgency and the key of the first entry that waits for a peer.
     pub fn first_pending(&self, name: &str) -> Option<&(u8, Vec<u8>)> {
         self.links.get(name)?.pending.first()
     }
 
+    /// Removes the first entry that waits for a peer.
     pub fn pop_pending(&mut self, name: &str) {
         if let Some(link) = self.links.get_mut(name) {
             link.pending.pop_first();
         }
     }
 
-    /// Fellows for whom something waits and that were told nothing for so long, each the first in its turn.
+    /// Peers with waiting entries whose links have been quiet for that long, in round-robin order.
     pub fn links_ready_to_send(&mut self, now: Ms, quiet: Ms) -> Vec<String> {
-        let waits = |(name, link): (&String, &ScopedLink)| {
-            (!link.pending.is_empty() && now >= link.last_sent + quiet).then(|| name.clone())
-        };
-        let mut names: Vec<String> = self.links.iter().filter_map(waits).collect();
-        let after = names.iter().position(|name| *name > self.next_turn).unwrap_or(0);
-        names.rotate_left(after);
-        if let Some(first) = names.first() {
-            self.next_turn.clone_from(first);
+        let is_ready = |link: &ScopedLink| !link.pending.is_empty() && now >= link.last_sent + quiet;
+        let ready = self.links.iter().filter(|(_, link)| is_ready(link));
+        let mut names: Vec<String> = ready.map(|(name, _)| name.clone()).collect();
+        let first = names.iter().position(|name| *name > self.next_turn).unwrap_or(0);
+        names.rotate_left(first);
+        if let Some(name) = names.first() {
+            self.next_turn.clone_from(name);
         }
         names
     }
 
-    /// Something is told over a link.
+    /// Records that something was sent over a link.
     pub fn mark_sent(&mut self, now: Ms, name: &str) {
         if let Some(link) = self.links.get_mut(name) {
             link.last_sent = now;
         }
     }
 
-    /// Since when nothing was told over the link over which something waits, and of several the longest.
+    /// The earliest time at which a link with waiting entries was last sent something.
     pub fn oldest_send(&self) -> Option<Ms> {
-        let waits = self.links.values().filter(|link| !link.pending.is_empty());
-        waits.map(|link| link.last_sent).reduce(f64::min)
+        let waiting = self.links.values().filter(|link| !link.pending.is_empty());
+        waiting.map(|link| link.last_sent).reduce(f64::min)
     }
 
+    /// How many entries wait on all links together.
     pub fn pending_count(&self) -> usize {
         self.links.values().map(|link| link.pending.len()).sum()
     }
--- a/crates/membership/src/aggregation/summary.rs
+++ b/crates/membership/src/aggregation/summary.rs
@@ -1,8 +1,9 @@
-//! Owns what is known of a place as a whole: counts of its routers, how far they are, and who is behind.
+//! Summaries of whole locations: how many routers they have, how far these have come, and which are stragglers.
 //!
-//! Summaries of parts merge in any order to that of the whole. Must never count a router twice, lose one from the
-//! totals, or name more than its bounds.
+//! Summaries of disjoint locations merge, in any order, into the summary of all of them. No router is counted twice
+//! and the totals lose none, while everything that is listed one by one is bounded.
 
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
@@ -11,106 +12,124 @@
 use crate::membership::MemberState;
 use crate::versions::ActiveVersions;
 
-/// Groups that are told one by one, the largest first; and stragglers that are named.
+/// How many version groups a published summary lists.
 pub const MAX_GROUPS: usize = 4;
+/// How many stragglers a summary names.
 pub const MAX_NAMED_STRAGGLERS: usize = 8;
 
-/// What the routers of a group act on alike.
+/// What all routers of a group act on alike.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VersionGroup {
-    /// A digest of build, settings and operator file.
+    /// A digest of the build, the settings and the operator file.
     #[serde(rename = "make")]
     pub build_digest: u32,
-    /// The hierarchy's version, and the upper half of its digest.
+    /// The version of the hierarchy.
     #[serde(rename = "version")]
     pub hierarchy_version: u64,
+    /// The upper half of the hierarchy's digest.
     #[serde(rename = "shape")]
     pub hierarchy_digest: u32,
 }
 
 impl VersionGroup {
-    pub fn from_versions(acts: &ActiveVersions) -> Self {
-        let make =
-            xxh3_64(format!("{}/{}/{}", acts.build, acts.settings_digest, acts.operator_digest).as_bytes());
+    /// The group of a router that acts on these versions.
+    pub fn from_versions(versions: &ActiveVersions) -> Self {
+        let ActiveVersions { build, settings_digest, operator_digest, .. } = versions;
+        let build_digest = xxh3_64(format!("{build}/{settings_digest}/{operator_digest}").as_bytes());
+        let (hierarchy_version, hierarchy_digest) = versions.hierarchy;
         Self {
-            build_digest: (make >> 32) as u32,
-            hierarchy_version: acts.hierarchy.0,
-            hierarchy_digest: (acts.hierarchy.1 >> 32) as u32,
+            build_digest: (build_digest >> 32) as u32,
+            hierarchy_version,
+            hierarchy_digest: (hierarchy_digest >> 32) as u32,
         }
     }
 }
 
-/// A count that only grows, over several routers.
+/// The smallest and the largest value of a counter over several routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ValueRange {
+    /// The smallest value.
     pub min: u64,
+    /// The largest value.
     pub max: u64,
 }
 
-/// How far routers have come: all of it moves by itself while nothing goes wrong.
+/// How far routers have come. All of it changes by itself in normal operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
-    /// Of the journal's number; `None` where no router counts.
+    /// The routers' positions in the journal; `None` where no router counts.
     pub journal_position: Option<ValueRange>,
-    /// Drains and purges heeded, by all together.
+    /// Drains that all routers together have applied.
     pub drains_applied: u64,
+    /// Purges that all routers together have applied.
     pub purges_applied: u64,
 }
 
+/// The routers of a location.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Summary {
+    /// Routers that are alive and not about to leave.
     pub alive: u64,
+    /// Routers that cannot be reached and may be dead.
     pub suspect: u64,
+    /// Routers that are considered dead.
     pub dead: u64,
-    /// Alive and about to end, or ended as they said.
+    /// Routers that are shutting down or have left.
     pub leaving: u64,
-    /// Routers of places of which nothing is heard any more.
+    /// Routers of locations that no fresh summary covers.
     pub unreachable: u64,
+    /// How far the routers that are alive have come.
     pub progress: Progress,
-    /// Of those that are alive or leave, by what they act on.
+    /// Routers that are alive, by what they act on.
     pub groups: BTreeMap<VersionGroup, u64>,
+    /// Routers of groups that are not listed.
     pub other_routers: u64,
-    /// Stragglers: the first by their names, and how many there are.
+    /// The first stragglers by name.
     pub stragglers: Vec<String>,
+    /// The number of all stragglers.
     pub straggler_count: u64,
 }
 
 impl Summary {
-    /// Counts one router in.
+    /// Counts one more router.
     pub fn add_router(
         &mut self,
         name: &str,
-        standing: MemberState,
+        state: MemberState,
         leaving: bool,
-        acts: &ActiveVersions,
+        versions: &ActiveVersions,
         straggler: bool,
     ) {
-        let one = match standing {
-            MemberState::Left => Self { leaving: 1, ..Self::default() },
-            MemberState::Suspect => Self { suspect: 1, ..Self::default() },
-            MemberState::Dead => Self { dead: 1, ..Self::default() },
-            MemberState::Alive => Self {
-                alive: u64::from(!leaving),
-                leaving: u64::from(leaving),
-                progress: Progress {
-                    journal_position: Some(ValueRange {
-                        min: acts.journal_position,
-                        max: acts.journal_position,
-                    }),
-                    drains_applied: acts.drains_applied,
-                    purges_applied: acts.purges_applied,
-                },
-                groups: BTreeMap::from([(VersionGroup::from_versions(acts), 1)]),
-                ..Self::default()
-            },
-        };
-        self.merge(&one);
+        self.merge(&Self::of_one_router(state, leaving, versions));
         if straggler {
             self.straggler_count += 1;
             self.add_straggler_names(std::iter::once(name.to_string()));
         }
     }
 
+    fn of_one_router(state: MemberState, leaving: bool, versions: &ActiveVersions) -> Self {
+        match state {
+            MemberState::Left => Self { leaving: 1, ..Self::default() },
+            MemberState::Suspect => Self { suspect: 1, ..Self::default() },
+            MemberState::Dead => Self { dead: 1, ..Self::default() },
+            MemberState::Alive => {
+                let position = versions.journal_position;
+                let progress = Progress {
+                    journal_position: Some(ValueRange { min: position, max: position }),
+                    drains_applied: versions.drains_applied,
+                    purges_applied: versions.purges_applied,
+                };
+                Self {
+                    alive: u64::from(!leaving),
+                    leaving: u64::from(leaving),
+                    progress,
+                    groups: BTreeMap::from([(VersionGroup::from_versions(versions), 1)]),
+                    ..Self::default()
+                }
+            }
+        }
+    }
+
     fn add_straggler_names(&mut self, names: impl Iterator<Item = String>) {
         self.stragglers.extend(names);
         self.stragglers.sort_unstable();
@@ -118,7 +137,7 @@
         self.stragglers.truncate(MAX_NAMED_STRAGGLERS);
     }
 
-    /// Another part that has no router in common with this one.
+    /// Adds a summary that has no router in common with this one.
     pub fn merge(&mut self, other: &Self) {
         self.alive = self.alive.saturating_add(other.alive);
         self.suspect = self.suspect.saturating_add(other.suspect);
@@ -127,13 +146,7 @@
         self.unreachable = self.unreachable.saturating_add(other.unreachable);
         self.other_routers = self.other_routers.saturating_add(other.other_routers);
         self.straggler_count = self.straggler_count.saturating_add(other.straggler_count);
-        let (mine, theirs) = (&mut self.progress, &other.progress);
-        mine.drains_applied = mine.drains_applied.saturating_add(theirs.drains_applied);
-        mine.purges_applied = mine.purges_applied.saturating_add(theirs.purges_applied);
-        mine.journal_position = match (mine.journal_position, theirs.journal_position) {
-            (Some(a), Some(b)) => Some(ValueRange { min: a.min.min(b.min), max: a.max.max(b.max) }),
-            (one, other) => one.or(other),
-        };
+        self.progress.merge(&other.progress);
         for (group, count) in &other.groups {
             let known = self.groups.entry(*group).or_default();
             *known = known.saturating_add(*count);
@@ -141,72 +154,88 @@
         self.add_straggler_names(other.stragglers.iter().cloned());
     }
 
-    /// A part of which nothing is heard any more: how many there were is known, and nothing else. Its stragglers stay
-    /// named.
+    /// Adds a summary that is no longer fresh: only the number of its routers and its stragglers still count.
     pub fn merge_unreachable(&mut self, other: &Self) {
         self.unreachable = self.unreachable.saturating_add(other.routers());
         self.straggler_count = self.straggler_count.saturating_add(other.straggler_count);
         self.add_straggler_names(other.stragglers.iter().cloned());
     }
 
-    /// All routers that it counts.
+    /// The number of all routers, whatever their state.
     pub fn routers(&self) -> u64 {
         [self.suspect, self.dead, self.leaving, self.unreachable]
             .iter()
             .fold(self.alive, |sum, count| sum.saturating_add(*count))
     }
 
-    /// The least version of the hierarchy that a router of its groups acts on.
+    /// The oldest version of the hierarchy that a listed group acts on.
     pub fn oldest_hierarchy(&self) -> Option<u64> {
         self.groups.keys().map(|group| group.hierarchy_version).min()
     }
 
-    /// As it is told: the largest groups one by one, and always the oldest; the rest together.
+    /// The summary as it is published: with the largest groups and always the oldest one, the rest as a total.
     pub fn truncated(mut self) -> Self {
-        if self.groups.len() > MAX_GROUPS {
-            let oldest = self.groups.keys().min_by_key(|group| (group.hierarchy_version, **group)).copied();
-            let mut by_size: Vec<(VersionGroup, u64)> = self.groups.into_iter().collect();
-            by_size.sort_unstable_by_key(|(group, count)| {
-                (Some(*group) != oldest, std::cmp::Reverse(*count), *group)
-            });
-            let rest = by_size.split_off(MAX_GROUPS);
-            self.other_routers =
-                rest.iter().fold(self.other_routers, |sum, (_, count)| sum.saturating_add(*count));
-            self.groups = by_size.into_iter().collect();
+        if self.groups.len() <= MAX_GROUPS {
+            return self;
         }
+        let oldest = self.groups.keys().min_by_key(|group| (group.hierarchy_version, **group)).copied();
+        let mut by_size: Vec<(VersionGroup, u64)> = self.groups.into_iter().collect();
+        by_size.sort_unstable_by_key(|(group, count)| (Some(*group) != oldest, Reverse(*count), *group));
+        let rest = by_size.split_off(MAX_GROUPS);
+        self.other_routers =
+            rest.iter().fold(self.other_routers, |sum, (_, count)| sum.saturating_add(*count));
+        self.groups = by_size.into_iter().collect();
         self
     }
 
-    /// Whether another summary tells anything else but progress.
+    /// Whether the other summary differs in anything except progress.
     pub fn differs_beyond_progress(&self, other: &Self) -> bool {
-        let steady = |summary: &Self| Self { progress: Progress::default(), ..summary.clone() };
-        steady(self) != steady(other)
+        let without_progress = |summary: &Self| Self { progress: Progress::default(), ..summary.clone() };
+        without_progress(self) != without_progress(other)
     }
 
-    /// Whether another summary tells only that all routers have gone over to another hierarchy together.
+    /// Whether the only difference to the other summary is that all routers act on another hierarchy there.
     pub fn is_hierarchy_transition(&self, other: &Self) -> bool {
-        let one = |summary: &Self| match summary.groups.iter().collect::<Vec<_>>()[..] {
-            [(group, _)] if summary.other_routers == 0 => Some(*group),
-            _ => None,
-        };
-        let (Some(before), Some(after)) = (one(self), one(other)) else { return false };
-        let alike = |summary: &Self| Self { groups: BTreeMap::new(), ..summary.clone() };
-        before != after
-            && before.build_digest == after.build_digest
-            && !alike(self).differs_beyond_progress(&alike(other))
+        let (Some(before), Some(after)) = (self.only_group(), other.only_group()) else { return false };
+        let without_groups = |summary: &Self| Self { groups: BTreeMap::new(), ..summary.clone() };
+        let differs_otherwise = without_groups(self).differs_beyond_progress(&without_groups(other));
+        before != after && before.build_digest == after.build_digest && !differs_otherwise
+    }
+
+    /// The group of all routers, where there is only one.
+    fn only_group(&self) -> Option<VersionGroup> {
+        let mut groups = self.groups.keys();
+        let group = groups.next()?;
+        let is_only_one = groups.next().is_none() && self.other_routers == 0;
+        is_only_one.then_some(*group)
     }
 
-    /// Whether a summary that was heard keeps to the bounds.
+    /// Whether a received summary obeys the bounds.
     pub fn is_valid(&self) -> bool {
-        let named = self.stragglers.len() <= MAX_NAMED_STRAGGLERS
-            && self.stragglers.len() as u64 <= self.straggler_count;
-        named && self.groups.len() <= MAX_GROUPS && self.stragglers.is_sorted()
+        let named = self.stragglers.len();
+        let are_names_valid = named <= MAX_NAMED_STRAGGLERS && named as u64 <= self.straggler_count;
+        are_names_valid && self.groups.len() <= MAX_GROUPS && self.stragglers.is_sorted()
+    }
+}
+
+impl Progress {
+    fn merge(&mut self, other: &Self) {
+        self.drains_applied = self.drains_applied.saturating_add(other.drains_applied);
+        self.purges_applied = self.purges_applied.saturating_add(other.purges_applied);
+        self.journal_position = match (self.journal_position, other.journal_position) {
+            (Some(own), Some(theirs)) => {
+                Some(ValueRange { min: own.min.min(theirs.min), max: own.max.max(theirs.max) })
+            }
+            (own, theirs) => own.or(theirs),
+        };
     }
 }
 
-/// A summary as it is told: by whom.
+/// A summary with the router that published it.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct SummaryReport {
+    /// The name of the router.
     pub reported_by: String,
+    /// The summary.
     pub summary: Summary,
 }
--- a/crates/membership/src/aggregation/tree.rs
+++ b/crates/membership/src/aggregation/tree.rs
@@ -1,8 +1,8 @@
-//! Owns what this router says of places as a whole: for which it speaks, what their summaries are, and when one is told.
+//! Which locations this router aggregates, and when it publishes their summaries.
 //!
-//! The first by name of those alive in a site speaks for it; whoever speaks for the first part of a place that is heard
-//! of speaks for the place. Must never speak for a place that another one speaks for better, nor sum up a part of which
-//! nothing is heard any more as if it were there.
+//! The first router by name that is alive in a site aggregates the site. Whichever router aggregates the first child
+//! location with a fresh summary also aggregates the parent. A router stops aggregating a location for a while where
+//! another one does it better. A summary that is no longer fresh counts only as unreachable routers.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -13,19 +13,27 @@
 use crate::hybrid_clock::Timestamp;
 use crate::Ms;
 
+/// When summaries and progress are published.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AggregationConfig {
-    /// How far routers have come is said so often by itself; a change of the hierarchy is said at once.
+    /// How often a router reports its progress. A change of the hierarchy is reported at once.
     pub progress_interval: Ms,
-    /// News of a place is gathered until none has come for so long, and for three times as long at the most, before its
-    /// summary is told.
+    /// A changed summary is published once nothing has changed for this long, and after
+    /// [`MAX_GATHER_FACTOR`] times this long at the latest.
     pub gather_delay: Ms,
-    /// A summary is told again after so long; one that was not for three times as long is not relied on any more.
+    /// How often an unchanged summary is published again. It stays fresh for [`VALIDITY_FACTOR`] times this long.
     pub renew_interval: Ms,
-    /// That a place has gone over to another hierarchy as a whole is told at once, and so often at the most.
+    /// A location's complete transition to another hierarchy is published at once, but no more often than this.
     pub transition_interval: Ms,
 }
 
+/// Changes are gathered for at most this many times the gather delay.
+pub const MAX_GATHER_FACTOR: f64 = 3.0;
+/// A summary is fresh for this many times the renew interval.
+pub const VALIDITY_FACTOR: f64 = 3.0;
+/// The number of summaries that are kept.
+const MAX_RECEIVED: usize = 4_096;
+
 impl Default for AggregationConfig {
     fn default() -> Self {
         Self {
@@ -37,276 +45,302 @@
     }
 }
 
-/// A summary as it was heard last.
+/// The newest known summary of a location.
 #[derive(Debug, Clone)]
 pub struct ReceivedSummary {
+    /// The summary and its aggregator.
     pub report: SummaryReport,
+    /// Which of several reports is newer.
     pub revision: Revision,
-    /// By the own clock.
+    /// When it was received, by the clock of this router.
     pub received_at: Ms,
 }
 
-/// What this router has told of a place that it speaks for.
+/// What this router published of a location that it aggregates.
 #[derive(Debug, Clone)]
 struct PublishedSummary {
     summary: Summary,
     revision: Revision,
     published_at: Ms,
-    /// Since when there is news.
+    /// Since when there is a change to publish.
     pending_since: Option<Ms>,
-    /// What would be told, and since when.
+    /// The summary as it is now, and since when.
     latest: Summary,
     latest_since: Ms,
-    /// When it was told last that all have gone over to another hierarchy, if it was.
+    /// When a transition to another hierarchy was published last.
     last_transition: Option<Ms>,
-    /// Another one told it after this router did.
+    /// Another router has published a newer one.
     superseded: bool,
 }
 
-/// Another one that speaks for the same place.
+/// Another router that aggregates the same location.
 #[derive(Debug, Clone, Default)]
 struct RivalAggregator {
     name: String,
     reports: u32,
     last_report: Ms,
-    /// It speaks better: until then this router does not.
+    /// Until then this router leaves the location to it.
     yield_until: Ms,
 }
 
+/// A summary to publish.
+#[derive(Debug, Clone, PartialEq)]
+pub struct DueReport {
+    /// The summarized location.
+    pub location: Location,
+    /// The summary, with this router as its aggregator.
+    pub report: SummaryReport,
+    /// Newer than all known reports of the location.
+    pub revision: Revision,
+}
+
+/// Summaries of locations: those received, and those that this router publishes.
 #[derive(Debug, Clone)]
 pub struct SummaryTree {
     config: AggregationConfig,
     router: String,
     location: Location,
     received: BTreeMap<Location, ReceivedSummary>,
-    /// By depth.
+    /// By depth of the location.
     published: BTreeMap<usize, PublishedSummary>,
     rivals: BTreeMap<usize, RivalAggregator>,
-    /// It knows too little to speak before.
+    /// Until then too little is known to publish anything.
     silent_until: Ms,
     deadline: Ms,
 }
 
-/// So many times as long news is gathered at the most.
-const MAX_GATHER_FACTOR: f64 = 3.0;
-/// Summaries that are kept.
-const MAX_RECEIVED: usize = 4_096;
-
 impl SummaryTree {
-    /// Before `from` it says nothing.
-    pub fn new(rule: AggregationConfig, me: &str, place: Location, from: Ms) -> Self {
-        let (heard, mine, rivals) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+    /// The tree of a router at a location, which publishes nothing before `silent_until`.
+    pub fn new(config: AggregationConfig, router: &str, location: Location, silent_until: Ms) -> Self {
         Self {
-            config: rule,
-            router: me.to_string(),
-            location: place,
-            received: heard,
-            published: mine,
-            rivals,
-            silent_until: from,
-            deadline: from,
+            config,
+            router: router.to_string(),
+            location,
+            received: BTreeMap::new(),
+            published: BTreeMap::new(),
+            rivals: BTreeMap::new(),
+            silent_until,
+            deadline: silent_until,
         }
     }
 
-    pub fn set_config(&mut self, rule: AggregationConfig) {
-        self.config = rule;
+    /// Applies other settings.
+    pub fn set_config(&mut self, config: AggregationConfig) {
+        self.config = config;
     }
 
-    /// It knows too little again: it was frozen.
-    pub fn stay_silent_until(&mut self, from: Ms) {
-        self.silent_until = self.silent_until.max(from);
+    /// Publishes nothing until then: the process was frozen, and what it knows may be outdated.
+    pub fn stay_silent_until(&mut self, until: Ms) {
+        self.silent_until = self.silent_until.max(until);
         self.published.clear();
         self.deadline = self.deadline.max(self.silent_until);
     }
 
-    /// How long a summary is relied on.
+    /// How long a summary is fresh.
     pub fn validity(&self) -> Ms {
-        self.config.renew_interval * 3.0
+        self.config.renew_interval * VALIDITY_FACTOR
     }
 
-    pub fn is_fresh(&self, now: Ms, clock: Timestamp, heard: &ReceivedSummary) -> bool {
-        let by_order = clock.ms.saturating_sub(heard.revision.0) as f64;
-        now - heard.received_at < self.validity() && by_order < self.validity()
+    /// Whether a summary is fresh, by this router's clock and by the clock that orders events of several routers.
+    pub fn is_fresh(&self, now: Ms, clock: Timestamp, received: &ReceivedSummary) -> bool {
+        let age_by_revision = clock.ms.saturating_sub(received.revision.0) as f64;
+        now - received.received_at < self.validity() && age_by_revision < self.validity()
     }
 
+    /// The newest known summary of each location.
     pub fn received(&self) -> &BTreeMap<Location, ReceivedSummary> {
         &self.received
     }
 
-    /// Whether it says something of that place now.
-    pub fn aggregates(&self, place: &Location) -> bool {
-        place.contains(&self.location) && self.published.contains_key(&place.depth())
+    /// Whether this router aggregates that location now.
+    pub fn aggregates(&self, location: &Location) -> bool {
+        location.contains(&self.location) && self.published.contains_key(&location.depth())
     }
 
-    /// A summary came that is newer than the one that was known.
-    pub fn receive(&mut self, now: Ms, place: Location, told: SummaryReport, order: Revision) {
+    /// Takes in a summary that is newer than the known one.
+    pub fn receive(&mut self, now: Ms, location: Location, report: SummaryReport, revision: Revision) {
         self.deadline = now;
-        if place.contains(&self.location) {
-            self.record_rival(now, place.depth(), &told, order);
+        if location.contains(&self.location) {
+            self.record_rival(now, location.depth(), &report, revision);
         }
-        if self.received.len() < MAX_RECEIVED || self.received.contains_key(&place) {
-            self.received.insert(place, ReceivedSummary { report: told, revision: order, received_at: now });
+        if self.received.len() < MAX_RECEIVED || self.received.contains_key(&location) {
+            self.received.insert(location, ReceivedSummary { report, revision, received_at: now });
         }
     }
 
-    /// Another one spoke for a place of which this router has told something. It may be about to hear of this one, or
-    /// not hear of it for long: then the one that counts more alive goes on, and of equal ones the first by name.
-    fn record_rival(&mut self, now: Ms, depth: usize, told: &SummaryReport, order: Revision) {
-        let Some(mine) = self.published.get_mut(&depth).filter(|mine| order > mine.revision) else { return };
-        mine.superseded = true;
-        // Its own word from an earlier start.
-        if told.reported_by == self.router {
+    /// Another router published a summary of a location that this router aggregates. Each may not know of the other
+    /// yet, or not for long: then the one that counts more routers alive goes on, and of equal ones the first by name.
+    fn record_rival(&mut self, now: Ms, depth: usize, report: &SummaryReport, revision: Revision) {
+        let published = self.published.get_mut(&depth);
+        let Some(published) = published.filter(|published| revision > published.revision) else { return };
+        published.superseded = true;
+        let is_own_earlier_incarnation = report.reported_by == self.router;
+        if is_own_earlier_incarnation {
             return;
         }
         let rival = self.rivals.entry(depth).or_default();
-        if rival.name != told.reported_by || now - rival.last_report > self.config.renew_interval {
-            *rival = RivalAggregator { name: told.reported_by.clone(), ..RivalAggregator::default() };
+        if rival.name != report.reported_by || now - rival.last_report > self.config.renew_interval {
+            *rival = RivalAggregator { name: report.reported_by.clone(), ..RivalAggregator::default() };
         }
         rival.reports += 1;
         rival.last_report = now;
-        let better =
-            (told.summary.alive, Reverse(&told.reported_by)) > (mine.summary.alive, Reverse(&self.router));
-        if better && rival.reports > 1 {
+        let theirs = (report.summary.alive, Reverse(&report.reported_by));
+        let is_better = theirs > (published.summary.alive, Reverse(&self.router));
+        if is_better && rival.reports > 1 {
             rival.reports = 0;
             rival.yield_until = now + self.config.renew_interval;
         }
     }
 
-    /// A place that is not known any more.
-    pub fn forget(&mut self, place: &Location) {
-        self.received.remove(place);
+    /// Forgets the summary of a location.
+    pub fn forget(&mut self, location: &Location) {
+        self.received.remove(location);
         self.deadline = 0.0;
     }
 
-    /// Something in the site has changed.
+    /// Records that something in the site has changed.
     pub fn mark_changed(&mut self, now: Ms) {
         self.deadline = self.deadline.min(now);
     }
 
-    /// The parts of a place put together, as far as they are heard of.
-    pub fn summarize(&self, now: Ms, clock: Timestamp, of: &Location) -> Summary {
-        let mut sum = Summary::default();
-        for (_, heard) in self.received.iter().filter(|(place, _)| place.is_child_of(of)) {
-            match self.is_fresh(now, clock, heard) {
-                true => sum.merge(&heard.report.summary),
-                false => sum.merge_unreachable(&heard.report.summary),
+    /// The merged summaries of all child locations.
+    pub fn summarize(&self, now: Ms, clock: Timestamp, parent: &Location) -> Summary {
+        let mut total = Summary::default();
+        let children = self.received.iter().filter(|(location, _)| location.is_child_of(parent));
+        for (_, child) in children {
+            match self.is_fresh(now, clock, child) {
+                true => total.merge(&child.report.summary),
+                false => total.merge_unreachable(&child.report.summary),
             }
         }
-        sum
+        total
     }
 
-    /// Whether the own part of a place is the first that is heard of.
-    fn own_child_is_first(&self, now: Ms, clock: Timestamp, of: &Location) -> bool {
-        let own = self.location.ancestor(of.depth() + 1);
-        let fresh = |(place, heard): (&Location, &ReceivedSummary)| {
-            (place.is_child_of(of) && self.is_fresh(now, clock, heard)).then(|| place.clone())
+    /// Whether this router's own child location is the first one with a fresh summary.
+    fn own_child_is_first(&self, now: Ms, clock: Timestamp, parent: &Location) -> bool {
+        let own_child = self.location.ancestor(parent.depth() + 1);
+        let is_fresh_child = |(location, received): &(&Location, &ReceivedSummary)| {
+            location.is_child_of(parent) && self.is_fresh(now, clock, received)
         };
-        self.received.iter().find_map(fresh) == Some(own)
+        let first = self.received.iter().find(is_fresh_child);
+        first.is_some_and(|(location, _)| *location == own_child)
     }
 
-    /// What is to be told by now, from the site outwards; `first` where no one before this router is alive in it.
+    /// The summaries to publish now, from the site outwards. `is_first_in_site` says that no router with an earlier
+    /// name is alive in the site.
     pub fn due_reports(
         &mut self,
         now: Ms,
         clock: Timestamp,
         site: &Summary,
-        first: bool,
-    ) -> Vec<(Location, SummaryReport, Revision)> {
-        let mut out = Vec::new();
+        is_first_in_site: bool,
+    ) -> Vec<DueReport> {
+        let mut reports = Vec::new();
         self.deadline = now + self.config.renew_interval;
         if now < self.silent_until {
             self.deadline = self.silent_until;
-            return out;
+            return reports;
         }
-        let mut speaks = first;
+        let mut is_aggregator = is_first_in_site;
         for depth in (1..=self.location.depth()).rev() {
-            let place = self.location.ancestor(depth);
-            let whole = depth == self.location.depth();
-            speaks = speaks && (whole || self.own_child_is_first(now, clock, &place));
-            let until = self.rivals.get(&depth).map_or(0.0, |rival| rival.yield_until);
-            if !speaks || now < until {
-                speaks = false;
+            let location = self.location.ancestor(depth);
+            let is_site = depth == self.location.depth();
+            is_aggregator = is_aggregator && (is_site || self.own_child_is_first(now, clock, &location));
+            let yield_until = self.rivals.get(&depth).map_or(0.0, |rival| rival.yield_until);
+            if !is_aggregator || now < yield_until {
+                is_aggregator = false;
                 self.published.remove(&depth);
                 continue;
             }
-            let sum = if whole { site.clone() } else { self.summarize(now, clock, &place) };
-            if let Some(told) = self.due_report(now, clock, &place, sum.truncated()) {
-                out.push(told);
-            }
+            let summary = if is_site { site.clone() } else { self.summarize(now, clock, &location) };
+            reports.extend(self.due_report(now, clock, location, summary.truncated()));
         }
-        out
+        reports
     }
 
+    /// The report of one location, if it is due; else the deadline is moved forward to when it will be.
     fn due_report(
         &mut self,
         now: Ms,
         clock: Timestamp,
-        place: &Location,
+        location: Location,
         summary: Summary,
-    ) -> Option<(Location, SummaryReport, Revision)> {
-        let AggregationConfig {
-            gather_delay: gather, renew_interval: renew, transition_interval: moves, ..
-        } = self.config;
-        let known = self.received.get(place);
-        let depth = place.depth();
-        let mut moved = None;
-        if let Some(mine) = self.published.get_mut(&depth) {
-            if mine.latest.differs_beyond_progress(&summary) {
-                mine.latest.clone_from(&summary);
-                mine.latest_since = now;
+    ) -> Option<DueReport> {
+        let depth = location.depth();
+        let mut last_transition = None;
+        if let Some(published) = self.published.get_mut(&depth) {
+            let due_at = published.due_at(now, &summary, &self.config);
+            last_transition = published.last_transition;
+            if published.summary.groups != summary.groups {
+                last_transition = Some(now);
             }
-            moved = mine.last_transition;
-            // What comes one after another is told together, once no more has come for a while.
-            let gathered = mine.latest_since + gather;
-            let at = if !mine.superseded && mine.summary.is_hierarchy_transition(&summary) {
-                mine.pending_since = None;
-                gathered.max(moved.map_or(0.0, |moved| moved + moves))
-            } else if mine.superseded || mine.summary.differs_beyond_progress(&summary) {
-                let first = *mine.pending_since.get_or_insert(now);
-                gathered.min(first + gather * MAX_GATHER_FACTOR)
-            } else {
-                mine.pending_since = None;
-                f64::INFINITY
-            };
-            // Nor is a summary renewed in the middle of a change.
-            let renewed = (mine.published_at + renew)
-                .max(gathered.min(mine.published_at + renew + gather * MAX_GATHER_FACTOR));
-            let at = at.max(mine.published_at + gather).min(renewed);
-            if mine.summary.groups != summary.groups {
-                moved = Some(now);
-            }
-            if now < at {
-                self.deadline = self.deadline.min(at);
+            if now < due_at {
+                self.deadline = self.deadline.min(due_at);
                 return None;
             }
         }
-        // Above whatever was told of it, by whomever.
-        let known = known.map_or(0, |heard| heard.revision.0.saturating_add(1));
-        let order = (clock.ms.max(known), 0);
-        let told = SummaryReport { reported_by: self.router.clone(), summary: summary.clone() };
-        let seen = summary.clone();
-        self.published.insert(
-            depth,
-            PublishedSummary {
-                summary,
-                revision: order,
-                published_at: now,
-                pending_since: None,
-                latest: seen,
-                latest_since: now,
-                last_transition: moved,
-                superseded: false,
-            },
-        );
-        self.received.insert(
-            place.clone(),
-            ReceivedSummary { report: told.clone(), revision: order, received_at: now },
-        );
-        Some((place.clone(), told, order))
+        Some(self.publish(now, clock, location, summary, last_transition))
+    }
+
+    fn publish(
+        &mut self,
+        now: Ms,
+        clock: Timestamp,
+        location: Location,
+        summary: Summary,
+        last_transition: Option<Ms>,
+    ) -> DueReport {
+        // Newer than everything that any router has published of the location.
+        let known = self.received.get(&location);
+        let after_known = known.map_or(0, |received| received.revision.0.saturating_add(1));
+        let revision = (clock.ms.max(after_known), 0);
+        let report = SummaryReport { reported_by: self.router.clone(), summary: summary.clone() };
+        let published = PublishedSummary {
+            latest: summary.clone(),
+            summary,
+            revision,
+            published_at: now,
+            pending_since: None,
+            latest_since: now,
+            last_transition,
+            superseded: false,
+        };
+        self.published.insert(location.depth(), published);
+        let received = ReceivedSummary { report: report.clone(), revision, received_at: now };
+        self.received.insert(location.clone(), received);
+        DueReport { location, report, revision }
     }
 
-    /// When something may be to be told.
+    /// When a report may be due.
     pub fn next_deadline(&self) -> Ms {
         self.deadline
     }
 }
+
+impl PublishedSummary {
+    /// When the next report is due, given the summary as it is now.
+    fn due_at(&mut self, now: Ms, summary: &Summary, config: &AggregationConfig) -> Ms {
+        if self.latest.differs_beyond_progress(summary) {
+            self.latest.clone_from(summary);
+            self.latest_since = now;
+        }
+        let max_gather = config.gather_delay * MAX_GATHER_FACTOR;
+        // Changes in quick succession are published together, once no more have come for a while.
+        let gathered_at = self.latest_since + config.gather_delay;
+        let change_at = if !self.superseded && self.summary.is_hierarchy_transition(summary) {
+            self.pending_since = None;
+            let transition_at = self.last_transition.map_or(0.0, |last| last + config.transition_interval);
+            gathered_at.max(transition_at)
+        } else if self.superseded || self.summary.differs_beyond_progress(summary) {
+            let pending_since = *self.pending_since.get_or_insert(now);
+            gathered_at.min(pending_since + max_gather)
+        } else {
+            self.pending_since = None;
+            f64::INFINITY
+        };
+        // A renewal waits for a change that is being gathered, too.
+        let renew_at = self.published_at + config.renew_interval;
+        let renew_at = renew_at.max(gathered_at.min(renew_at + max_gather));
+        change_at.max(self.published_at + config.gather_delay).min(renew_at)
+    }
+}
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -9,30 +9,37 @@
 use crate::versions::NEWEST_STATUS_VERSION;
 use crate::Ms;
 
-/// All that can be set.
+/// All settings of a [`crate::cluster::Cluster`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MembershipConfig {
+    /// When an unreachable router is suspect, dead and forgotten.
     pub timeouts: MembershipTimeouts,
+    /// When a snapshot is requested from a peer.
     pub snapshot_transfer: SnapshotTransferConfig,
+    /// How much is sent to all peers together.
     pub rate_limit: RateLimitConfig,
+    /// How many entries are kept.
     pub table_limits: TableLimits,
-    /// What has changed is said so often at the most, and so many bytes of it in one go.
+    /// How often entries are sent.
     pub flush_interval: Ms,
+    /// Bytes of the entries that are sent in one message.
     pub bundle_bytes: usize,
-    /// How often tables are compared by digests.
+    /// How often peers compare their tables by digests.
     pub comparison_interval: Ms,
-    /// How long purges, and lines of caches that are back or gone, are passed on.
+    /// How long purges, and caches that are ready again or removed, are kept.
     pub purge_retention: Ms,
-    /// Batches of the hierarchy that are passed on: the newest.
+    /// How many change batches of the hierarchy are kept: the newest ones.
     pub max_batches: usize,
-    /// A process that did nothing for so long was frozen; so long afterwards it leaves its name to a later start. No
-    /// longer than it takes to suspect one, or a frozen one could be replaced and not know why.
+    /// A process that did not run for this long was frozen. At most the time after which a router is suspect, or a
+    /// frozen process could be replaced without noticing.
     pub freeze_threshold: Ms,
+    /// How long after a freeze a process yields its name to a later incarnation.
     pub yield_window: Ms,
-    /// The version of what this router says of itself.
+    /// The version in which this router writes its status.
     pub status_version: u16,
-    /// Where routers have places.
+    /// When summaries of locations are published.
     pub aggregation: AggregationConfig,
+    /// Which links carry complete entries.
     pub plumtree: PlumtreeConfig,
 }
 
--- a/crates/membership/src/gossip/entry.rs
+++ b/crates/membership/src/gossip/entry.rs
@@ -1,4 +1,4 @@
-//! The envelope of everything that routers gossip: a key, a revision that orders entries of one key, and a body.
+//! The form of everything that routers gossip: a key, a revision that orders entries of one key, and a body.
 //!
 //! A fleet runs two builds at a time during an upgrade. The revision is therefore kept outside the body, a newer body
 //! version starts with all fields of the older one, and an entry that this build cannot read is forwarded unchanged.
@@ -8,90 +8,123 @@
 use crate::aggregation::location::Location;
 use crate::Ms;
 
-/// What a fact is about. A later fact of the same key takes the place of an earlier one.
+/// What an entry is about. A newer entry replaces an older one of the same key.
+///
+/// The order of the variants is part of the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EntryKey {
-    /// What a router says of itself.
+    /// The status of a router, by its name.
     Router(String),
-    /// Two processes under one name.
+    /// A name that two processes use.
     NameConflict(String),
-    /// A line of the list of caches, as the journal had it at a number.
+    /// The state of a cache in the endpoint list, by the cache's name.
     Cache(String),
-    /// A purge.
+    /// A purge of one object.
     Object(String),
+    /// A purge of a group of objects.
     Group(u32),
-    /// A batch of the hierarchy, by author and number.
+    /// A change batch of the hierarchy, by author and number.
     Batch(u16, u64),
-    /// The version below which nobody is to act, by people.
+    /// The version floor that an operator has set.
     Floor,
-    /// How far a router of a site has come; what else it says of itself is as it was.
+    /// An update of the fast-changing versions in a router's status, by its name.
     VersionUpdate(String),
-    /// A place as a whole.
+    /// The summary of a location.
     Summary(Location),
 }
 
 impl EntryKey {
+    /// The key as bytes.
     pub fn encode(&self) -> Vec<u8> {
-        // Keys hold nothing that postcard can't write.
+        // Postcard can encode every key.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// `None` for a kind that a newer build has.
+    /// Reads a key; `None` for a kind that only a newer build knows.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match postcard::take_from_bytes(bytes) {
             Ok((key, [])) => Some(key),
             _ => None,
         }
     }
+
+    /// How soon an entry of that key is sent, 0 first. `None` is a kind that only a newer build knows.
+    pub fn urgency(key: Option<&Self>) -> u8 {
+        match key {
+            Some(Self::NameConflict(_) | Self::Floor) => 0,
+            Some(Self::Cache(_) | Self::Object(_) | Self::Group(_)) => 1,
+            Some(Self::Router(_) | Self::VersionUpdate(_) | Self::Summary(_)) => 2,
+            Some(Self::Batch(..)) => 3,
+            None => 4,
+        }
+    }
 }
 
-/// How new a fact is: a start or a number of the journal first.
+/// How soon an entry with that encoded key is sent, 0 first.
+pub fn urgency(key: &[u8]) -> u8 {
+    EntryKey::urgency(EntryKey::decode(key).as_ref())
+}
+
+/// Which of several entries of a key is newer: an incarnation, a position in the journal or a time first, then a number
+/// that orders entries of the same one.
 pub type Revision = (u64, u64);
 
-/// A fact as it travels.
+/// An entry as it travels.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipEntry {
+    /// Which of several entries of the key is newer.
     pub revision: Revision,
+    /// The version of the body's format.
     pub body_version: u16,
+    /// The body, by the key's kind.
     pub body: Vec<u8>,
 }
 
 impl GossipEntry {
-    pub fn new<T: Serialize>(order: Revision, version: u16, body: &T) -> Self {
-        Self { revision: order, body_version: version, body: postcard::to_stdvec(body).unwrap_or_default() }
+    /// An entry with that body.
+    pub fn new<T: Serialize>(revision: Revision, body_version: u16, body: &T) -> Self {
+        Self { revision, body_version, body: postcard::to_stdvec(body).unwrap_or_default() }
     }
 
+    /// The entry as bytes.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
+    /// Reads an entry; `None` for bytes that are not one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         postcard::from_bytes(bytes).ok()
     }
 
-    /// The body, whatever a newer version has behind it.
+    /// Reads the body, ignoring what a newer version has appended to it.
     pub fn decode_body<'a, T: Deserialize<'a>>(&'a self) -> Option<T> {
         postcard::take_from_bytes(&self.body).ok().map(|(body, _)| body)
     }
 }
 
-/// How a cache stands by the journal.
+/// The state of a cache in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CacheStatus {
+    /// Whether it takes new work.
     pub ready: bool,
+    /// Whether it was removed from the list.
     pub removed: bool,
+    /// When the cache was started.
     pub started_at: Ms,
 }
 
-/// A purge by the journal.
+/// A purge in the journal.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Purge {
+    /// Copies older than this are purged.
     pub issued_at: Ms,
-    /// The journal's number.
+    /// The position of the purge in the journal.
     pub journal_position: u64,
 }
 
-/// Stamps are ordered by their microseconds.
-pub fn micros(stamp: Ms) -> u64 {
-    (stamp.max(0.0) * 1_000.0) as u64
+const MICROS_PER_MS: f64 = 1_000.0;
+
+/// A time in whole microseconds, by which purges are ordered.
+pub fn micros(time: Ms) -> u64 {
+    (time.max(0.0) * MICROS_PER_MS) as u64
 }
--- a/crates/membership/src/gossip/entry_table.rs
+++ b/crates/membership/src/gossip/entry_table.rs
@@ -1,8 +1,7 @@
-//! Owns all facts that are known, the newest of each key, and the digests by which two tables are compared.
+//! All known entries, the newest of each key, with digests by which two routers compare their tables.
 //!
-//! A fact may be for the places around this router only down to some depth: digests are kept by depth, so that two
-//! routers with only some places in common compare only what is for both. Must never let an older fact take the place
-//! of a newer one, nor keep more than its bounds.
+//! An entry of depth N is only for routers that share the outermost N names of this router's location. Digests are kept
+//! by depth, so that two routers compare only the entries that are for both.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +11,16 @@
 use crate::gossip::entry::{EntryKey, GossipEntry};
 use crate::Ms;
 
-/// How much is kept.
+/// How much a table keeps.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TableLimits {
+    /// The number of entries.
     pub entries: usize,
-    /// Bytes of one, and of all.
+    /// Bytes of one entry.
     pub entry_bytes: usize,
+    /// Bytes of all entries together.
     pub total_bytes: usize,
-    /// Facts of kinds that only a newer build knows, which are passed on as they came.
+    /// The number of entries of kinds that only a newer build knows. They are forwarded unchanged.
     pub unknown_entries: usize,
 }
 
@@ -29,13 +30,14 @@
     }
 }
 
-/// What came of a fact that was heard.
+/// What an insertion did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InsertOutcome {
+    /// The entry was new, or newer than the known one.
     Inserted,
-    /// It is known, or a newer one is.
+    /// The entry is known, or a newer one is.
     Stale,
-    /// There is no room for it, or it is too long.
+    /// A limit of the table does not allow the entry.
     Rejected,
 }
 
@@ -44,154 +46,183 @@
     entry: GossipEntry,
     bytes: usize,
     received_at: Ms,
-    /// How many names of a place both ends must have in common for it to be told; 0 for all.
+    /// How many names of their locations two routers must share for one to send it to the other; 0 for all routers.
     depth: usize,
 }
 
-/// Parts of a table that are compared one by one.
+/// How many partitions of a table are compared separately.
 pub const PARTITIONS: usize = 16;
+
+/// A digest of each partition: the wrapping sum over its entries, which does not depend on their order.
 pub type PartitionDigests = [u64; PARTITIONS];
 
+/// All known entries.
 #[derive(Debug, Clone, Default)]
 pub struct EntryTable {
     limits: TableLimits,
     entries: BTreeMap<Vec<u8>, StoredEntry>,
     bytes: usize,
+    /// The number of entries of unknown kinds.
     unknown: usize,
-    /// By depth.
+    /// By depth of the entries.
     digests: [PartitionDigests; MAX_DEPTH + 1],
 }
 
-/// The part that a key belongs to.
-pub fn part(key: &[u8]) -> usize {
+/// The partition of a key.
+pub fn partition(key: &[u8]) -> usize {
     (xxh3_64(key) % PARTITIONS as u64) as usize
 }
 
 fn digest(key: &[u8], entry: &GossipEntry) -> u64 {
     let (first, second) = entry.revision;
-    let order = [first.to_le_bytes(), second.to_le_bytes()].concat();
-    xxh3_64_with_seed(&entry.body, xxh3_64_with_seed(&order, xxh3_64(key)))
+    let revision = [first.to_le_bytes(), second.to_le_bytes()].concat();
+    xxh3_64_with_seed(&entry.body, xxh3_64_with_seed(&revision, xxh3_64(key)))
+}
+
+fn is_unknown_kind(key: &[u8]) -> bool {
+    EntryKey::decode(key).is_none()
 }
 
 impl EntryTable {
-    pub fn new(kept: TableLimits) -> Self {
-        Self { limits: kept, ..Self::default() }
+    /// An empty table.
+    pub fn new(limits: TableLimits) -> Self {
+        Self { limits, ..Self::default() }
     }
 
-    /// Other bounds; what is beyond them stays until a newer fact takes its place or it ends.
-    pub fn set_limits(&mut self, kept: TableLimits) {
-        self.limits = kept;
+    /// Applies other limits. Entries beyond them stay until they are replaced or removed.
+    pub fn set_limits(&mut self, limits: TableLimits) {
+        self.limits = limits;
     }
 
+    /// The number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether there is no entry.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
+    /// Bytes of all keys and bodies.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
+    /// The newest entry of a key.
     pub fn get(&self, key: &[u8]) -> Option<&GossipEntry> {
-        self.entries.get(key).map(|held| &held.entry)
+        self.entries.get(key).map(|stored| &stored.entry)
     }
 
+    /// All entries, by key.
     pub fn iter(&self) -> impl Iterator<Item = (&Vec<u8>, &GossipEntry)> {
-        self.entries.iter().map(|(key, held)| (key, &held.entry))
+        self.entries.iter().map(|(key, stored)| (key, &stored.entry))
     }
 
-    /// By part: the sum over its facts, which does not depend on the order in which they came.
+    /// The digests of all entries.
     pub fn digests(&self) -> PartitionDigests {
         self.digests_within(MAX_DEPTH)
     }
 
-    /// The same over facts that may be told where so many names are common.
-    pub fn digests_within(&self, common: usize) -> PartitionDigests {
-        let mut sum: PartitionDigests = [0; PARTITIONS];
-        for digests in self.digests.iter().take(common + 1) {
-            sum.iter_mut().zip(digests).for_each(|(sum, part)| *sum = sum.wrapping_add(*part));
+    /// The digests of the entries that are for a router which shares that many names.
+    pub fn digests_within(&self, common_depth: usize) -> PartitionDigests {
+        let mut total: PartitionDigests = [0; PARTITIONS];
+        for digests in self.digests.iter().take(common_depth + 1) {
+            for (sum, digest) in total.iter_mut().zip(digests) {
+                *sum = sum.wrapping_add(*digest);
+            }
         }
-        sum
+        total
     }
 
-    /// How many names must be common for a fact to be told.
+    /// The depth of an entry: how many names must be shared for it to be sent; 0 where it is unknown.
     pub fn depth(&self, key: &[u8]) -> usize {
-        self.entries.get(key).map_or(0, |held| held.depth)
+        self.entries.get(key).map_or(0, |stored| stored.depth)
     }
 
-    /// Keys of facts that may be told where so many names are common.
-    pub fn keys_within(&self, common: usize) -> impl Iterator<Item = &Vec<u8>> {
-        self.entries.iter().filter(move |(_, held)| held.depth <= common).map(|(key, _)| key)
+    /// The keys of entries that are for a router which shares that many names.
+    pub fn keys_within(&self, common_depth: usize) -> impl Iterator<Item = &Vec<u8>> {
+        self.entries.iter().filter(move |(_, stored)| stored.depth <= common_depth).map(|(key, _)| key)
     }
 
-    /// Takes in a fact that is for all.
+    /// Inserts an entry that is for all routers.
     pub fn insert(&mut self, now: Ms, key: &[u8], entry: GossipEntry) -> InsertOutcome {
         self.insert_within(now, key, entry, 0)
     }
 
-    /// Takes in a fact that is told where so many names are common.
+    /// Inserts an entry that is for routers which share that many names.
     pub fn insert_within(&mut self, now: Ms, key: &[u8], entry: GossipEntry, depth: usize) -> InsertOutcome {
-        let depth = depth.min(MAX_DEPTH);
-        let newer =
-            |known: &StoredEntry| (entry.revision, &entry.body) > (known.entry.revision, &known.entry.body);
         let known = self.entries.get(key);
-        if known.is_some_and(|known| !newer(known)) {
+        // Of two entries with one revision the one with the greater body counts, at every router.
+        let is_newer = |known: &GossipEntry| (entry.revision, &entry.body) > (known.revision, &known.body);
+        if known.is_some_and(|known| !is_newer(&known.entry)) {
             return InsertOutcome::Stale;
         }
         let bytes = key.len() + entry.body.len();
-        let before = known.map_or(0, |known| known.bytes);
-        let strange = known.is_none() && EntryKey::decode(key).is_none();
-        let full = known.is_none() && self.entries.len() >= self.limits.entries
-            || bytes > self.limits.entry_bytes
-            || self.bytes - before + bytes > self.limits.total_bytes
-            || strange && self.unknown >= self.limits.unknown_entries;
-        if full {
+        if !self.has_room(key, bytes) {
             return InsertOutcome::Rejected;
         }
         self.remove(key);
-        self.unknown += usize::from(EntryKey::decode(key).is_none());
+        let depth = depth.min(MAX_DEPTH);
+        self.unknown += usize::from(is_unknown_kind(key));
         self.bytes += bytes;
-        let sum = &mut self.digests[depth][part(key)];
+        let sum = &mut self.digests[depth][partition(key)];
         *sum = sum.wrapping_add(digest(key, &entry));
         self.entries.insert(key.to_vec(), StoredEntry { entry, bytes, received_at: now, depth });
         InsertOutcome::Inserted
     }
 
+    /// Whether the limits allow an entry of that key and size, in place of the known one.
+    fn has_room(&self, key: &[u8], bytes: usize) -> bool {
+        let replaced_bytes = self.entries.get(key).map(|known| known.bytes);
+        let is_new_key = replaced_bytes.is_none();
+        let total_bytes = self.bytes - replaced_bytes.unwrap_or(0) + bytes;
+        let is_table_full = is_new_key && self.entries.len() >= self.limits.entries;
+        let is_unknown_full =
+            is_new_key && is_unknown_kind(key) && self.unknown >= self.limits.unknown_entries;
+        let is_too_large = bytes > self.limits.entry_bytes || total_bytes > self.limits.total_bytes;
+        !is_table_full && !is_unknown_full && !is_too_large
+    }
+
+    /// Removes an entry; false where there is none.
     pub fn remove(&mut self, key: &[u8]) -> bool {
-        let Some(held) = self.entries.remove(key) else { return false };
-        self.unknown -= usize::from(EntryKey::decode(key).is_none());
-        self.bytes -= held.bytes;
-        let sum = &mut self.digests[held.depth][part(key)];
-        *sum = sum.wrapping_sub(digest(key, &held.entry));
+        let Some(removed) = self.entries.remove(key) else { return false };
+        self.unknown -= usize::from(is_unknown_kind(key));
+        self.bytes -= removed.bytes;
+        let sum = &mut self.digests[removed.depth][partition(key)];
+        *sum = sum.wrapping_sub(digest(key, &removed.entry));
         true
     }
 
-    /// When a fact was heard.
+    /// When an entry was received.
     pub fn received_at(&self, key: &[u8]) -> Option<Ms> {
-        self.entries.get(key).map(|held| held.received_at)
+        self.entries.get(key).map(|stored| stored.received_at)
     }
 
-    /// Keys of facts that were heard before that and end.
-    pub fn keys_older_than(&self, before: Ms, ends: impl Fn(&EntryKey) -> bool) -> Vec<Vec<u8>> {
-        let old = |(key, held): &(&Vec<u8>, &StoredEntry)| {
-            held.received_at < before && EntryKey::decode(key).is_none_or(|key| ends(&key))
+    /// The keys of expiring entries that were received before that time. Entries of unknown kinds always expire.
+    pub fn keys_older_than(&self, before: Ms, expires: impl Fn(&EntryKey) -> bool) -> Vec<Vec<u8>> {
+        let is_old = |(key, stored): &(&Vec<u8>, &StoredEntry)| {
+            stored.received_at < before && EntryKey::decode(key).is_none_or(|key| expires(&key))
         };
-        self.entries.iter().filter(old).map(|(key, _)| key.clone()).collect()
+        self.entries.iter().filter(is_old).map(|(key, _)| key.clone()).collect()
     }
 
-    /// The facts of the parts in which another table differs.
+    /// The entries of the partitions whose digests differ from those of another table.
     pub fn differing(&self, other: &PartitionDigests) -> Vec<(Vec<u8>, GossipEntry)> {
         self.differing_within(other, MAX_DEPTH)
     }
 
-    /// The same of facts that may be told where so many names are common.
-    pub fn differing_within(&self, other: &PartitionDigests, common: usize) -> Vec<(Vec<u8>, GossipEntry)> {
-        let mine = self.digests_within(common);
-        let differs = |key: &[u8]| mine[part(key)] != other[part(key)];
-        let facts = self.entries.iter().filter(|(key, held)| held.depth <= common && differs(key));
-        facts.map(|(key, held)| (key.clone(), held.entry.clone())).collect()
+    /// The same for entries that are for a router which shares that many names.
+    pub fn differing_within(
+        &self,
+        other: &PartitionDigests,
+        common_depth: usize,
+    ) -> Vec<(Vec<u8>, GossipEntry)> {
+        let own = self.digests_within(common_depth);
+        let differs = |key: &[u8]| own[partition(key)] != other[partition(key)];
+        let is_missing =
+            |(key, stored): &(&Vec<u8>, &StoredEntry)| stored.depth <= common_depth && differs(key);
+        let missing = self.entries.iter().filter(is_missing);
+        missing.map(|(key, stored)| (key.clone(), stored.entry.clone())).collect()
     }
 }
--- a/crates/membership/src/gossip/plumtree.rs
+++ b/crates/membership/src/gossip/plumtree.rs
@@ -1,10 +1,10 @@
-//! Owns over which links what is new goes whole, and over which only the word that it is here: one broadcast tree for
-//! each key, grown by what comes twice (Plumtree, Leitão and others 2007).
+//! Over which links a new entry is sent complete, and over which only its digest: one broadcast tree for each key
+//! (Plumtree, Leitão et al. 2007).
 //!
-//! All links are eager at first. Over which a fact comes a second time is pruned for its key, at both ends, and is lazy
-//! from then on: a digest of each new fact goes over it. A fact of which only digests come is asked for, and the link
-//! that it then comes over is eager again. Must never prune the link over which a fact came first, make one lazy whose
-//! other end knows nothing of it, nor leave a fact that another one has for good.
+//! All links are eager at first. A link over which an entry arrives a second time is pruned for the entry's key at both
+//! ends: it is lazy for that key from then on, and carries only digests of new entries. An entry of which only digests
+//! arrive is requested (grafted), and the link it then arrives over is eager again. The link over which an entry arrived
+//! first is never pruned, nor is a link whose other end does not support lazy links.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,13 +13,14 @@
 use crate::gossip::entry::{EntryKey, Revision};
 use crate::Ms;
 
+/// The settings of the broadcast trees.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlumtreeConfig {
     /// Whether links are pruned at all.
     pub lazy_links: bool,
-    /// Digests of new facts go over a lazy link so often at the most, where nothing else goes over it.
+    /// How often digests of new entries are sent over a lazy link that carries nothing else.
     pub announce_interval: Ms,
-    /// A fact of which a digest came is waited for so long before it is asked for, and before it is asked for elsewhere.
+    /// How long an announced entry is waited for before it is requested, and before it is requested from another peer.
     pub graft_timeout: Ms,
 }
 
@@ -29,74 +30,82 @@
     }
 }
 
-/// Of a key, or of a fact: its key and its order.
+/// A digest of a key, or of an entry's key and revision.
 pub type Digest = u32;
 
-/// Digests of a word, and keys that are lazy on one link.
+/// The most digests of one message, and the most keys for which one link is lazy.
 const MAX_DIGESTS: usize = 4_096;
-/// Facts whose digests are known, and for how long.
+/// The number of entries whose digests are remembered.
 const MAX_SEEN: usize = 8_192;
+/// How long the digest of an entry is remembered, in milliseconds.
 const SEEN_RETENTION_MS: Ms = 60_000.0;
-/// Facts that are missing, and links that each may be asked of.
+/// The number of announced entries that are missing.
 const MAX_MISSING: usize = 4_096;
+/// The number of peers that one missing entry may be requested from.
 const MAX_GRAFT_LINKS: usize = 8;
 
 #[derive(Debug, Clone, Default)]
 struct PeerLink {
-    /// Whether the other end knows of lazy links.
     supports_lazy_links: bool,
+    /// Digests of the keys for which the link is lazy.
     lazy_keys: BTreeSet<Digest>,
-    /// What is here and not told yet, by key.
+    /// Digests of new entries that were not announced yet, by key.
     pending_ihave: BTreeMap<Vec<u8>, Digest>,
     pending_prune: BTreeSet<Digest>,
     pending_graft: BTreeSet<Digest>,
 }
 
-/// A fact that is or was here.
+/// An entry that this router has or had.
 #[derive(Debug, Clone)]
 struct SeenEntry {
     key: Vec<u8>,
-    /// Over which link it came first; none for an own one.
+    /// The peer it arrived from first; none for an entry of this router.
     received_from: Option<String>,
 }
 
+/// An entry that was announced and has not arrived.
 #[derive(Debug, Clone)]
 struct MissingEntry {
     retry_at: Ms,
+    /// The peers that announced it and were not asked yet.
     announced_by: VecDeque<String>,
 }
 
-/// What is to be told over one link, as digests.
+/// What is to be sent over one link, as digests.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PlumtreeMessages {
-    /// Keys of which no more is wanted.
+    /// Keys of which no more complete entries are wanted.
     pub prune: Vec<Digest>,
-    /// Facts that are here.
+    /// Entries that this router has.
     pub ihave: Vec<Digest>,
-    /// Facts that are wanted.
+    /// Entries that this router requests.
     pub graft: Vec<Digest>,
 }
 
-/// How many facts' digests are known, how many are missing, and the most keys that are lazy on one link.
+/// How much is remembered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlumtreeSizes {
+    /// Entries whose digests are remembered.
     pub seen: usize,
+    /// Announced entries that have not arrived.
     pub missing: usize,
+    /// The most keys for which one link is lazy.
     pub lazy: usize,
 }
 
+/// The broadcast trees as one router sees them.
 #[derive(Debug, Clone)]
 pub struct Plumtree {
     config: PlumtreeConfig,
     links: BTreeMap<String, PeerLink>,
     seen: BTreeMap<Digest, SeenEntry>,
-    /// When each came that was seen, the oldest first.
+    /// When each entry was seen first, the oldest first.
     seen_order: VecDeque<(Ms, Digest)>,
     missing: BTreeMap<Digest, MissingEntry>,
     last_announced: Ms,
 }
 
-/// Whether facts of that kind go over lazy links as digests: those that are told again and again.
+/// Whether entries of that kind use lazy links: the kinds that are published again and again.
 pub fn uses_lazy_links(key: &EntryKey) -> bool {
     matches!(key, EntryKey::VersionUpdate(_) | EntryKey::Summary(_))
 }
@@ -106,33 +115,51 @@
 }
 
 fn entry_digest(key: &[u8], (first, second): Revision) -> Digest {
-    let order = [first.to_le_bytes(), second.to_le_bytes()].concat();
-    xxh3_64_with_seed(&order, xxh3_64(key)) as Digest
+    let revision = [first.to_le_bytes(), second.to_le_bytes()].concat();
+    xxh3_64_with_seed(&revision, xxh3_64(key)) as Digest
 }
 
-/// Digests as a word carries them.
+/// Digests as the body of a message.
 pub fn encode_digests(digests: &[Digest]) -> Vec<u8> {
     digests.iter().flat_map(|digest| digest.to_le_bytes()).collect()
 }
 
-/// Nothing where there are too many, or a part of one.
+/// Reads the body of a message; `None` where it has too many digests or ends within one.
 pub fn decode_digests(bytes: &[u8]) -> Option<Vec<Digest>> {
-    let whole =
-        bytes.len().is_multiple_of(size_of::<Digest>()) && bytes.len() <= MAX_DIGESTS * size_of::<Digest>();
-    let read = |part: &[u8]| part.try_into().ok().map(Digest::from_le_bytes);
-    whole.then(|| bytes.chunks_exact(size_of::<Digest>()).filter_map(read).collect())
+    let size = size_of::<Digest>();
+    let is_valid = bytes.len().is_multiple_of(size) && bytes.len() <= MAX_DIGESTS * size;
+    if !is_valid {
+        return None;
+    }
+    let read = |chunk: &[u8]| chunk.try_into().ok().map(Digest::from_le_bytes);
+    Some(bytes.chunks_exact(size).filter_map(read).collect())
 }
 
 impl PlumtreeMessages {
+    /// Whether there is nothing to send.
     pub fn is_empty(&self) -> bool {
         self.prune.is_empty() && self.ihave.is_empty() && self.graft.is_empty()
     }
+
+    /// The size in bytes of all messages: a tag and the digests of each.
+    fn bytes(&self) -> usize {
+        let kinds = [&self.prune, &self.ihave, &self.graft];
+        let sent = kinds.iter().filter(|digests| !digests.is_empty());
+        sent.map(|digests| 1 + digests.len() * size_of::<Digest>()).sum()
+    }
+}
+
+impl PeerLink {
+    fn has_urgent_messages(&self) -> bool {
+        !self.pending_prune.is_empty() || !self.pending_graft.is_empty()
+    }
 }
 
 impl Plumtree {
-    pub fn new(rule: PlumtreeConfig) -> Self {
+    /// No link, and nothing seen.
+    pub fn new(config: PlumtreeConfig) -> Self {
         Self {
-            config: rule,
+            config,
             links: BTreeMap::new(),
             seen: BTreeMap::new(),
             seen_order: VecDeque::new(),
@@ -141,39 +168,48 @@
         }
     }
 
-    /// Other times; whether links are pruned stays as it was told to those that there are links with.
-    pub fn set_config(&mut self, rule: PlumtreeConfig) {
-        self.config = PlumtreeConfig { lazy_links: self.config.lazy_links, ..rule };
+    /// Applies other times. Whether links are pruned stays as the peers were told in the handshake.
+    pub fn set_config(&mut self, config: PlumtreeConfig) {
+        self.config = PlumtreeConfig { lazy_links: self.config.lazy_links, ..config };
     }
 
+    /// Whether this router prunes links.
     pub fn uses_lazy_links(&self) -> bool {
         self.config.lazy_links
     }
 
+    /// Adds a link, eager for all keys.
     pub fn add_link(&mut self, name: &str) {
         self.links.insert(name.to_string(), PeerLink::default());
     }
 
+    /// Removes a link.
     pub fn remove_link(&mut self, name: &str) {
         self.links.remove(name);
     }
 
-    /// The other end of a link has said whether it knows of lazy links.
-    pub fn set_lazy_support(&mut self, name: &str, able: bool) {
+    /// Records whether the other end of a link supports lazy links.
+    pub fn set_lazy_support(&mut self, name: &str, is_supported: bool) {
         if let Some(link) = self.links.get_mut(name) {
-            link.supports_lazy_links = able && self.config.lazy_links;
+            link.supports_lazy_links = is_supported && self.config.lazy_links;
         }
     }
 
+    /// The link with a peer, where both ends support lazy links.
+    fn lazy_capable_link(&mut self, name: &str) -> Option<&mut PeerLink> {
+        self.links.get_mut(name).filter(|link| link.supports_lazy_links)
+    }
+
     fn is_lazy_digest(&self, name: &str, key: Digest) -> bool {
         self.links.get(name).is_some_and(|link| link.lazy_keys.contains(&key))
     }
 
+    /// Whether a link is lazy for a key.
     pub fn is_lazy(&self, name: &str, key: &[u8]) -> bool {
         self.is_lazy_digest(name, key_digest(key))
     }
 
-    /// How much is kept.
+    /// How much is remembered.
     pub fn sizes(&self) -> PlumtreeSizes {
         PlumtreeSizes {
             seen: self.seen.len(),
@@ -182,9 +218,9 @@
         }
     }
 
-    /// A fact is new here, by itself or over a link: that link is eager.
-    pub fn record_new(&mut self, now: Ms, key: &[u8], order: Revision, from: Option<&str>) {
-        let digest = entry_digest(key, order);
+    /// Records an entry that is new, from a peer or from this router. The link it arrived over is eager for its key.
+    pub fn record_new(&mut self, now: Ms, key: &[u8], revision: Revision, from: Option<&str>) {
+        let digest = entry_digest(key, revision);
         self.missing.remove(&digest);
         if let Some(link) = from.and_then(|from| self.links.get_mut(from)) {
             link.lazy_keys.remove(&key_digest(key));
@@ -194,86 +230,92 @@
         if self.seen.insert(digest, seen).is_none() {
             self.seen_order.push_back((now, digest));
         }
-        let old = |(at, _): &(Ms, Digest)| now - at >= SEEN_RETENTION_MS;
-        while self.seen_order.len() > MAX_SEEN || self.seen_order.front().is_some_and(old) {
+        self.forget_old_entries(now);
+    }
+
+    fn forget_old_entries(&mut self, now: Ms) {
+        let is_old = |(seen_at, _): &(Ms, Digest)| now - seen_at >= SEEN_RETENTION_MS;
+        while self.seen_order.len() > MAX_SEEN || self.seen_order.front().is_some_and(is_old) {
             if let Some((_, digest)) = self.seen_order.pop_front() {
                 self.seen.remove(&digest);
             }
         }
     }
 
-    /// A fact came that was here: the link is pruned for its key, if another one stays that it comes over.
-    pub fn record_duplicate(&mut self, from: &str, key: &[u8], order: Revision) {
-        let Some(seen) = self.seen.get(&entry_digest(key, order)) else { return };
-        let by_key = key_digest(key);
-        let stays = match seen.received_from.as_deref() {
+    /// Records an entry that was known. The link is pruned for its key, if the entry arrived first over another link
+    /// that is still there and eager.
+    pub fn record_duplicate(&mut self, from: &str, key: &[u8], revision: Revision) {
+        let Some(seen) = self.seen.get(&entry_digest(key, revision)) else { return };
+        let key_digest = key_digest(key);
+        let has_eager_source = match seen.received_from.as_deref() {
             None => true,
             Some(first) => {
-                first != from && self.links.contains_key(first) && !self.is_lazy_digest(first, by_key)
+                let is_linked = self.links.contains_key(first);
+                first != from && is_linked && !self.is_lazy_digest(first, key_digest)
             }
         };
-        let Some(link) = self.links.get_mut(from).filter(|link| link.supports_lazy_links) else { return };
+        let Some(link) = self.lazy_capable_link(from) else { return };
         link.pending_ihave.remove(key);
-        if stays && link.lazy_keys.len() < MAX_DIGESTS {
-            link.lazy_keys.insert(by_key);
-            link.pending_prune.insert(by_key);
+        if has_eager_source && link.lazy_keys.len() < MAX_DIGESTS {
+            link.lazy_keys.insert(key_digest);
+            link.pending_prune.insert(key_digest);
         }
     }
 
-    /// A fact that is new here is to be told over a lazy link.
-    pub fn queue_ihave(&mut self, name: &str, key: &[u8], order: Revision) {
-        if let Some(link) = self.links.get_mut(name).filter(|link| link.pending_ihave.len() < MAX_DIGESTS) {
-            link.pending_ihave.insert(key.to_vec(), entry_digest(key, order));
+    /// Queues the digest of a new entry for a lazy link.
+    pub fn queue_ihave(&mut self, name: &str, key: &[u8], revision: Revision) {
+        let link = self.links.get_mut(name);
+        if let Some(link) = link.filter(|link| link.pending_ihave.len() < MAX_DIGESTS) {
+            link.pending_ihave.insert(key.to_vec(), entry_digest(key, revision));
         }
     }
 
-    /// A fact is not kept any more: what was known of its key ends.
+    /// Forgets a key whose entry was removed.
     pub fn forget(&mut self, key: &[u8]) {
-        let by_key = key_digest(key);
+        let digest = key_digest(key);
         for link in self.links.values_mut() {
-            link.lazy_keys.remove(&by_key);
+            link.lazy_keys.remove(&digest);
             link.pending_ihave.remove(key);
         }
     }
 
-    // ---- What the other ends say.
-
+    /// Handles a peer's request for digests only of these keys.
     pub fn handle_prune(&mut self, from: &str, keys: &[Digest]) {
-        if let Some(link) = self.links.get_mut(from).filter(|link| link.supports_lazy_links) {
+        if let Some(link) = self.lazy_capable_link(from) {
             let room = MAX_DIGESTS.saturating_sub(link.lazy_keys.len());
             link.lazy_keys.extend(keys.iter().take(room));
         }
     }
 
-    pub fn handle_ihave(&mut self, now: Ms, from: &str, facts: &[Digest]) {
+    /// Handles a peer's announcement of these entries: those that do not arrive soon are requested.
+    pub fn handle_ihave(&mut self, now: Ms, from: &str, entries: &[Digest]) {
         let Some(link) = self.links.get_mut(from).filter(|link| link.supports_lazy_links) else { return };
-        for digest in facts {
+        for digest in entries {
             if self.seen.contains_key(digest) {
-                link.pending_ihave.retain(|_, here| here != digest);
+                link.pending_ihave.retain(|_, own| own != digest);
                 continue;
             }
-            if self.missing.len() < MAX_MISSING || self.missing.contains_key(digest) {
-                let due = now + self.config.graft_timeout;
-                let missing = self
-                    .missing
-                    .entry(*digest)
-                    .or_insert(MissingEntry { retry_at: due, announced_by: VecDeque::new() });
-                if missing.announced_by.len() < MAX_GRAFT_LINKS
-                    && !missing.announced_by.iter().any(|name| name == from)
-                {
-                    missing.announced_by.push_back(from.to_string());
-                }
+            if self.missing.len() >= MAX_MISSING && !self.missing.contains_key(digest) {
+                continue;
+            }
+            let retry_at = now + self.config.graft_timeout;
+            let unannounced = || MissingEntry { retry_at, announced_by: VecDeque::new() };
+            let missing = self.missing.entry(*digest).or_insert_with(unannounced);
+            let is_known = missing.announced_by.iter().any(|name| name == from);
+            if missing.announced_by.len() < MAX_GRAFT_LINKS && !is_known {
+                missing.announced_by.push_back(from.to_string());
             }
         }
     }
 
-    /// Facts that the other end lacks: the link is eager for them, and their keys are to be told now.
-    pub fn handle_graft(&mut self, from: &str, facts: &[Digest]) -> Vec<Vec<u8>> {
+    /// Handles a peer's request for these entries: the link is eager for their keys again. The keys of the entries to
+    /// send.
+    pub fn handle_graft(&mut self, from: &str, entries: &[Digest]) -> Vec<Vec<u8>> {
         let Some(link) = self.links.get_mut(from).filter(|link| link.supports_lazy_links) else {
             return Vec::new();
         };
-        let seen = &self.seen;
-        let keys: Vec<Vec<u8>> = facts.iter().filter_map(|fact| Some(seen.get(fact)?.key.clone())).collect();
+        let known = entries.iter().filter_map(|digest| self.seen.get(digest));
+        let keys: Vec<Vec<u8>> = known.map(|seen| seen.key.clone()).collect();
         for key in &keys {
             link.lazy_keys.remove(&key_digest(key));
             link.pending_ihave.remove(key);
@@ -281,16 +323,15 @@
         keys
     }
 
-    // ---- Time.
-
-    /// What did not come in time is asked for.
+    /// Requests the announced entries that have not arrived in time, from one announcing peer after another.
     pub fn tick(&mut self, now: Ms) {
-        let (links, graft) = (&mut self.links, self.config.graft_timeout);
+        let links = &mut self.links;
+        let graft_timeout = self.config.graft_timeout;
         self.missing.retain(|digest, missing| {
             if now < missing.retry_at {
                 return true;
             }
-            missing.retry_at = now + graft;
+            missing.retry_at = now + graft_timeout;
             while let Some(name) = missing.announced_by.pop_front() {
                 if let Some(link) = links.get_mut(&name) {
                     link.pending_graft.insert(*digest);
@@ -305,32 +346,27 @@
         now >= self.last_announced + self.config.announce_interval
     }
 
-    /// Over which links something is to be told now.
+    /// The links over which messages are to be sent now.
     pub fn links_with_messages(&self, now: Ms) -> Vec<String> {
-        let announces = self.announcement_is_due(now);
-        let waits = |link: &PeerLink| {
-            !link.pending_prune.is_empty()
-                || !link.pending_graft.is_empty()
-                || announces && !link.pending_ihave.is_empty()
-        };
-        self.links.iter().filter(|(_, link)| waits(link)).map(|(name, _)| name.clone()).collect()
+        let is_announcing = self.announcement_is_due(now);
+        let has_messages =
+            |link: &PeerLink| link.has_urgent_messages() || is_announcing && !link.pending_ihave.is_empty();
+        self.links.iter().filter(|(_, link)| has_messages(link)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// All that is to be told over a link, and how many bytes that is.
+    /// All messages for a link, and their size in bytes.
     pub fn pending_messages(&self, name: &str) -> (PlumtreeMessages, usize) {
         let Some(link) = self.links.get(name) else { return (PlumtreeMessages::default(), 0) };
-        let words = PlumtreeMessages {
+        let messages = PlumtreeMessages {
             prune: link.pending_prune.iter().copied().take(MAX_DIGESTS).collect(),
             ihave: link.pending_ihave.values().copied().collect(),
             graft: link.pending_graft.iter().copied().take(MAX_DIGESTS).collect(),
         };
-        let kinds = [&words.prune, &words.ihave, &words.graft];
-        let bytes =
-            kinds.iter().filter(|digests| !digests.is_empty()).map(|digests| 1 + digests.len() * 4).sum();
-        (words, bytes)
+        let bytes = messages.bytes();
+        (messages, bytes)
     }
 
-    /// It was told.
+    /// Records that the pending messages of a link were sent.
     pub fn mark_sent(&mut self, name: &str) {
         if let Some(link) = self.links.get_mut(name) {
             link.pending_prune.clear();
@@ -339,21 +375,23 @@
         }
     }
 
-    /// All links have had their turn.
+    /// Records that all links have had their turn.
     pub fn finish_round(&mut self, now: Ms) {
         if self.announcement_is_due(now) {
             self.last_announced = now;
         }
     }
 
-    /// When something is to be told, or asked for.
+    /// When messages are to be sent or a request is due.
     pub fn next_deadline(&self) -> Ms {
-        if self.links.values().any(|link| !link.pending_prune.is_empty() || !link.pending_graft.is_empty()) {
+        if self.links.values().any(PeerLink::has_urgent_messages) {
             return f64::NEG_INFINITY;
         }
-        let announces = self.links.values().any(|link| !link.pending_ihave.is_empty());
-        let announces =
-            if announces { self.last_announced + self.config.announce_interval } else { f64::INFINITY };
-        self.missing.values().map(|missing| missing.retry_at).fold(announces, f64::min)
+        let has_announcements = self.links.values().any(|link| !link.pending_ihave.is_empty());
+        let announce_at = match has_announcements {
+            true => self.last_announced + self.config.announce_interval,
+            false => f64::INFINITY,
+        };
+        self.missing.values().map(|missing| missing.retry_at).fold(announce_at, f64::min)
     }
 }
--- a/crates/membership/src/gossip/rate_limit.rs
+++ b/crates/membership/src/gossip/rate_limit.rs
@@ -1,13 +1,13 @@
-//! Owns how many bytes may be said: so many a second, saved up to a bound.
-//!
-//! Must never let more through in a second than its rate and what was saved up, whatever there is to say.
+//! The send budget of a router: a token bucket over bytes.
 
 use crate::Ms;
 
+/// How much may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimitConfig {
-    /// Bytes a second, and how many seconds' bytes may be saved up.
+    /// The rate at which the bucket fills.
     pub bytes_per_second: f64,
+    /// The size of the bucket, as seconds of the rate.
     pub burst_seconds: f64,
 }
 
@@ -17,6 +17,16 @@
     }
 }
 
+impl RateLimitConfig {
+    /// The size of the bucket in bytes.
+    fn burst_bytes(&self) -> f64 {
+        self.bytes_per_second * self.burst_seconds
+    }
+}
+
+const MS_PER_SECOND: f64 = 1_000.0;
+
+/// A token bucket; one token is one byte.
 #[derive(Debug, Clone, Copy)]
 pub struct TokenBucket {
     config: RateLimitConfig,
@@ -25,35 +35,38 @@
 }
 
 impl TokenBucket {
-    pub fn new(now: Ms, rule: RateLimitConfig) -> Self {
-        Self { config: rule, tokens: rule.bytes_per_second * rule.burst_seconds, refilled_at: now }
+    /// A full bucket.
+    pub fn new(now: Ms, config: RateLimitConfig) -> Self {
+        Self { config, tokens: config.burst_bytes(), refilled_at: now }
     }
 
-    pub fn set_config(&mut self, rule: RateLimitConfig) {
-        self.config = rule;
+    /// Applies other settings from now on.
+    pub fn set_config(&mut self, config: RateLimitConfig) {
+        self.config = config;
     }
 
     fn refill(&mut self, now: Ms) {
-        let gained = (now - self.refilled_at).max(0.0) / 1_000.0 * self.config.bytes_per_second;
-        self.tokens = (self.tokens + gained).min(self.config.bytes_per_second * self.config.burst_seconds);
+        let seconds = (now - self.refilled_at).max(0.0) / MS_PER_SECOND;
+        let gained = seconds * self.config.bytes_per_second;
+        self.tokens = (self.tokens + gained).min(self.config.burst_bytes());
         self.refilled_at = now;
     }
 
-    /// Whether half of all that can be saved up would be left after so many.
+    /// Whether half of a full bucket would be left after that many bytes.
     pub fn has_ample_tokens(&mut self, now: Ms, bytes: usize) -> bool {
         self.refill(now);
-        self.tokens - bytes as f64 >= self.config.bytes_per_second * self.config.burst_seconds / 2.0
+        self.tokens - bytes as f64 >= self.config.burst_bytes() / 2.0
     }
 
-    /// Whether so many may be said now; then they count. What is longer than all that can be saved up goes once all
-    /// of that is there, and is paid off afterwards.
+    /// Takes tokens for that many bytes; false, and nothing is taken, where there are too few. A message that is larger
+    /// than the bucket passes when the bucket is full and leaves it in debt.
     pub fn try_consume(&mut self, now: Ms, bytes: usize) -> bool {
         self.refill(now);
-        let most = self.config.bytes_per_second * self.config.burst_seconds;
-        let may = self.tokens >= (bytes as f64).min(most);
-        if may {
+        let required = (bytes as f64).min(self.config.burst_bytes());
+        let is_allowed = self.tokens >= required;
+        if is_allowed {
             self.tokens -= bytes as f64;
         }
-        may
+        is_allowed
     }
 }
--- a/crates/membership/src/hybrid_clock.rs
+++ b/crates/membership/src/hybrid_clock.rs
@@ -1,7 +1,7 @@
-//! Owns the time by which acts of several routers are ordered: a hybrid logical clock (Kulkarni and others 2014).
+//! A hybrid logical clock (Kulkarni et al. 2014): the time that orders events of several routers.
 //!
-//! It follows the system's clock where that is ahead, and counts on where a message proves that it is behind. Must
-//! never go back, nor give a message that was heard a later time than what follows from it.
+//! It follows the system clock where that is ahead, and counts on from the newest timestamp received where the system
+//! clock is behind. It never goes back.
 
 use std::fmt;
 
@@ -9,46 +9,54 @@
 
 use crate::Ms;
 
-/// Milliseconds, and a count within them.
+/// A time in whole milliseconds, and a counter that orders events of the same millisecond.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Timestamp {
+    /// Unix time in milliseconds.
     pub ms: u64,
+    /// Orders events within the millisecond.
     #[serde(rename = "count")]
     pub counter: u32,
 }
 
+impl Timestamp {
+    /// The smallest timestamp that is later than this one.
+    fn successor(self) -> Self {
+        match self.counter.checked_add(1) {
+            Some(counter) => Self { ms: self.ms, counter },
+            None => Self { ms: self.ms + 1, counter: 0 },
+        }
+    }
+}
+
 impl fmt::Display for Timestamp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.ms, self.counter)
     }
 }
 
+/// The clock of one router.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct HybridClock {
     last: Timestamp,
 }
 
 impl HybridClock {
-    /// The time of something that happens here: later than all before.
+    /// The timestamp of a local event: later than all timestamps issued or observed before.
     pub fn next_timestamp(&mut self, now: Ms) -> Timestamp {
         let ms = now.max(0.0) as u64;
-        self.last = if ms > self.last.ms { Timestamp { ms, counter: 0 } } else { self.successor(self.last) };
+        let is_system_clock_ahead = ms > self.last.ms;
+        self.last = if is_system_clock_ahead { Timestamp { ms, counter: 0 } } else { self.last.successor() };
         self.last
     }
 
-    fn successor(&self, stamp: Timestamp) -> Timestamp {
-        match stamp.counter.checked_add(1) {
-            Some(count) => Timestamp { ms: stamp.ms, counter: count },
-            None => Timestamp { ms: stamp.ms + 1, counter: 0 },
-        }
-    }
-
-    /// A message with that time was heard: what follows is later.
-    pub fn observe(&mut self, now: Ms, other: Timestamp) {
-        self.last = self.last.max(other);
+    /// Records a timestamp received from another router: all later timestamps are greater.
+    pub fn observe(&mut self, now: Ms, received: Timestamp) {
+        self.last = self.last.max(received);
         self.next_timestamp(now);
     }
 
+    /// The newest timestamp issued or observed.
     pub fn last(&self) -> Timestamp {
         self.last
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,8 +1,8 @@
-//! Owns who is there: a router is alive while it can be reached over links that both of their ends tell of.
+//! Which routers are alive: those that can be reached over links that both of their ends report.
 //!
-//! Links are watched by their own pulse; what is passed on is only that one came up or went down, so that nothing is
-//! said while nothing changes. Must never take a router for alive by the word of one that can't be reached itself, nor
-//! an earlier start for a later one.
+//! Heartbeats watch the links themselves; routers gossip only that a link came up or went down, so nothing is sent while
+//! nothing changes. A report counts only while its sender can be reached, and an earlier incarnation never replaces a
+//! later one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,11 +11,14 @@
 use crate::versions::{RouterStatus, VersionUpdate};
 use crate::Ms;
 
+/// How long a router is unreachable before its state changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MembershipTimeouts {
-    /// Out of reach for so long: suspected, then gone, then forgotten.
+    /// Before it is suspect.
     pub suspect_after: Ms,
+    /// Before it is considered dead.
     pub dead_after: Ms,
+    /// Before a dead router, or one that has left, is forgotten.
     pub forget_after: Ms,
 }
 
@@ -25,15 +28,18 @@
     }
 }
 
+/// The state of a router as the others see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
+    /// It can be reached.
     Alive,
-    /// Out of reach: cut off, frozen or dead.
+    /// It cannot be reached: partitioned, frozen or dead.
     #[serde(rename = "Suspected")]
     Suspect,
+    /// It could not be reached for long.
     #[serde(rename = "Gone")]
     Dead,
-    /// It has said that it ends.
+    /// It announced a graceful shutdown and cannot be reached any more.
     Left,
 }
 
@@ -49,195 +55,242 @@
     }
 }
 
-/// What has become of a router.
+/// A change of a router's membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberChange {
+    /// Its first status arrived.
     Joined,
-    /// Under the same name, after that start.
+    /// It runs in another incarnation than this one now.
     Restarted(u64),
-    /// It stands otherwise from now on.
+    /// Its state is another one now.
     StateChanged(MemberState),
+    /// It was unreachable for so long that it is forgotten.
     Forgotten,
 }
 
+/// A router's change of membership.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct MemberEvent {
+    /// The router.
+    pub name: String,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// What changed.
+    pub change: MemberChange,
+}
+
+/// Another router.
 #[derive(Debug, Clone)]
 pub struct Member {
+    /// The time of its start, in microseconds.
     pub incarnation: u64,
+    /// What it last reported.
     pub status: RouterStatus,
+    /// Its state.
     pub state: MemberState,
+    /// When it entered the state.
     pub state_since: Ms,
-    /// Out of reach since then.
     unreachable_since: Option<Ms>,
 }
 
+impl Member {
+    fn new(now: Ms, incarnation: u64, status: RouterStatus) -> Self {
+        let state = MemberState::Alive;
+        Self { incarnation, status, state, state_since: now, unreachable_since: None }
+    }
+
+    /// How long it has been unreachable.
+    fn unreachable_for(&self, now: Ms) -> Ms {
+        self.unreachable_since.map_or(0.0, |since| now - since)
+    }
+
+    fn next_state(&self, now: Ms, timeouts: &MembershipTimeouts) -> MemberState {
+        let unreachable_for = self.unreachable_for(now);
+        match self.unreachable_since {
+            None => MemberState::Alive,
+            Some(_) if self.status.leaving => MemberState::Left,
+            Some(_) if unreachable_for >= timeouts.dead_after => MemberState::Dead,
+            Some(_) if unreachable_for >= timeouts.suspect_after => MemberState::Suspect,
+            Some(_) => self.state,
+        }
+    }
+
+    /// When its state changes by time alone; `None` while it can be reached.
+    fn deadline(&self, timeouts: &MembershipTimeouts) -> Option<Ms> {
+        let unreachable_since = self.unreachable_since?;
+        let after = match self.state {
+            MemberState::Alive => timeouts.suspect_after,
+            MemberState::Suspect => timeouts.dead_after,
+            MemberState::Dead | MemberState::Left => timeouts.forget_after,
+        };
+        Some(unreachable_since + after)
+    }
+}
+
+/// All other routers, and the links of this one.
 #[derive(Debug, Clone)]
 pub struct MemberList {
     timeouts: MembershipTimeouts,
-    own: (String, u64),
+    /// The name of this router.
+    own: String,
+    /// Peers and their incarnations.
     links: BTreeSet<(String, u64)>,
     members: BTreeMap<String, Member>,
-    /// Something changed by which others may be within reach or out of it.
+    /// A link or a status changed: other routers may be reachable now.
     reachability_changed: bool,
-    /// When somebody who is out of reach stands otherwise by the time alone.
+    /// When a state changes by time alone.
     deadline: Ms,
 }
 
 impl MemberList {
-    pub fn new(rule: MembershipTimeouts, name: &str, start: u64) -> Self {
-        let (links, all) = (BTreeSet::new(), BTreeMap::new());
+    /// The list of a router by that name, without members.
+    pub fn new(timeouts: MembershipTimeouts, name: &str) -> Self {
         Self {
-            timeouts: rule,
-            own: (name.to_string(), start),
-            links,
-            members: all,
+            timeouts,
+            own: name.to_string(),
+            links: BTreeSet::new(),
+            members: BTreeMap::new(),
             reachability_changed: true,
             deadline: f64::INFINITY,
         }
     }
 
-    pub fn set_timeouts(&mut self, rule: MembershipTimeouts) {
-        self.timeouts = rule;
+    /// Applies other timeouts.
+    pub fn set_timeouts(&mut self, timeouts: MembershipTimeouts) {
+        self.timeouts = timeouts;
         self.reachability_changed = true;
     }
 
+    /// A member by its name.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name)
     }
 
+    /// All members by name, without this router.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Member)> {
         self.members.iter()
     }
 
-    /// The own links, with the starts at their other ends.
+    /// The links of this router: the peers' names and incarnations.
     pub fn links(&self) -> impl Iterator<Item = &(String, u64)> {
         self.links.iter()
     }
 
-    /// An own link came up, or its last connection went down.
-    pub fn set_link(&mut self, name: &str, start: u64, up: bool) {
-        let link = (name.to_string(), start);
-        self.reachability_changed |= if up { self.links.insert(link) } else { self.links.remove(&link) };
+    /// Records that a link of this router came up, or that its last connection went down.
+    pub fn set_link(&mut self, name: &str, incarnation: u64, is_up: bool) {
+        let link = (name.to_string(), incarnation);
+        let has_changed = if is_up { self.links.insert(link) } else { self.links.remove(&link) };
+        self.reachability_changed |= has_changed;
     }
 
-    /// What a router says of itself; the newest that is known.
+    /// Takes in the status of a router, the newest one known. A change of its incarnation is returned.
     pub fn update_status(
         &mut self,
         now: Ms,
         name: &str,
-        start: u64,
-        statement: RouterStatus,
+        incarnation: u64,
+        status: RouterStatus,
     ) -> Option<MemberChange> {
-        if name == self.own.0 {
+        if name == self.own {
             return None;
         }
         self.reachability_changed = true;
-        let fresh = Member {
-            incarnation: start,
-            status: statement,
-            state: MemberState::Alive,
-            state_since: now,
-            unreachable_since: None,
-        };
         let Some(known) = self.members.get_mut(name) else {
-            self.members.insert(name.to_string(), fresh);
+            self.members.insert(name.to_string(), Member::new(now, incarnation, status));
             return Some(MemberChange::Joined);
         };
-        if known.incarnation < start {
-            let before = std::mem::replace(known, fresh);
+        if known.incarnation < incarnation {
+            let before = std::mem::replace(known, Member::new(now, incarnation, status));
             return Some(MemberChange::Restarted(before.incarnation));
         }
-        if known.incarnation == start {
-            known.status = fresh.status;
+        if known.incarnation == incarnation {
+            known.status = status;
         }
         None
     }
 
-    /// How far a router has come since it last said all of itself.
-    pub fn apply_version_update(&mut self, name: &str, start: u64, step: &VersionUpdate) {
-        if let Some(member) = self.members.get_mut(name).filter(|member| member.incarnation == start) {
-            step.apply_to(&mut member.status.versions);
+    /// Applies an update to the status of a router in that incarnation.
+    pub fn apply_version_update(&mut self, name: &str, incarnation: u64, update: &VersionUpdate) {
+        let member = self.members.get_mut(name);
+        if let Some(member) = member.filter(|member| member.incarnation == incarnation) {
+            update.apply_to(&mut member.status.versions);
         }
     }
 
-    /// A start that does not count any more.
-    pub fn remove_incarnation(&mut self, name: &str, start: u64) {
-        if self.members.get(name).is_some_and(|member| member.incarnation == start) {
+    /// Removes a router, if it is known in that incarnation.
+    pub fn remove_incarnation(&mut self, name: &str, incarnation: u64) {
+        if self.members.get(name).is_some_and(|member| member.incarnation == incarnation) {
             self.members.remove(name);
             self.reachability_changed = true;
         }
     }
 
-    /// Those that can be reached: by an own link, or by one that both ends tell of, from one that can be.
+    /// The routers that can be reached: over a link of this router, or over one that both ends report from another
+    /// router that can be reached.
     fn reachable(&self) -> BTreeSet<&str> {
-        let own = self.links.iter().filter(|(name, start)| {
-            self.members.get(name).is_some_and(|member| member.incarnation == *start)
-        });
-        let mut reached: BTreeSet<&str> = own.map(|(name, _)| name.as_str()).collect();
-        let mut open: Vec<&str> = reached.iter().copied().collect();
-        while let Some(at) = open.pop() {
-            let Some(here) = self.members.get(at) else { continue };
-            for (name, start) in &here.status.links {
-                let Some(there) = self.members.get(name).filter(|there| there.incarnation == *start) else {
-                    continue;
-                };
-                let back = there.status.links.iter().any(|(n, s)| n == at && *s == here.incarnation);
-                if back && reached.insert(name) {
-                    open.push(name);
+        let is_current = |name: &String, incarnation: u64| {
+            self.members.get(name).is_some_and(|m| m.incarnation == incarnation)
+        };
+        let peers = self.links.iter().filter(|(name, incarnation)| is_current(name, *incarnation));
+        let mut reachable: BTreeSet<&str> = peers.map(|(name, _)| name.as_str()).collect();
+        let mut unvisited: Vec<&str> = reachable.iter().copied().collect();
+        while let Some(name) = unvisited.pop() {
+            let Some(member) = self.members.get(name) else { continue };
+            for (peer_name, peer_incarnation) in &member.status.links {
+                let peer = self.members.get(peer_name);
+                let Some(peer) = peer.filter(|peer| peer.incarnation == *peer_incarnation) else { continue };
+                let reports_link =
+                    |(end, incarnation): &(String, u64)| end == name && *incarnation == member.incarnation;
+                if peer.status.links.iter().any(reports_link) && reachable.insert(peer_name) {
+                    unvisited.push(peer_name);
                 }
             }
         }
-        reached
+        reachable
+    }
+
+    fn update_reachability(&mut self, now: Ms) {
+        let reachable: BTreeSet<String> = self.reachable().into_iter().map(str::to_string).collect();
+        for (name, member) in &mut self.members {
+            member.unreachable_since = match reachable.contains(name) {
+                true => None,
+                false => Some(member.unreachable_since.unwrap_or(now)),
+            };
+        }
     }
 
-    /// Lets time pass; what has become of whom.
-    pub fn tick(&mut self, now: Ms) -> Vec<(String, u64, MemberChange)> {
+    /// Applies all changes that are due, and returns them.
+    pub fn tick(&mut self, now: Ms) -> Vec<MemberEvent> {
         if !self.reachability_changed && now < self.deadline {
             return Vec::new();
         }
         if std::mem::take(&mut self.reachability_changed) {
-            let reached: BTreeSet<String> = self.reachable().into_iter().map(str::to_string).collect();
-            for (name, member) in &mut self.members {
-                member.unreachable_since = match (reached.contains(name), member.unreachable_since) {
-                    (true, _) => None,
-                    (false, since) => Some(since.unwrap_or(now)),
-                };
-            }
+            self.update_reachability(now);
         }
-        let mut changes = Vec::new();
-        let rule = self.timeouts;
+        let mut events = Vec::new();
+        let timeouts = self.timeouts;
         self.members.retain(|name, member| {
-            let out = member.unreachable_since.map_or(0.0, |since| now - since);
-            let standing = match member.unreachable_since {
-                None => MemberState::Alive,
-                Some(_) if member.status.leaving => MemberState::Left,
-                Some(_) if out >= rule.dead_after => MemberState::Dead,
-                Some(_) if out >= rule.suspect_after => MemberState::Suspect,
-                Some(_) => member.state,
+            let mut report = |change| {
+                events.push(MemberEvent { name: name.clone(), incarnation: member.incarnation, change });
             };
-            if standing != member.state {
-                (member.state, member.state_since) = (standing, now);
-                changes.push((name.clone(), member.incarnation, MemberChange::StateChanged(standing)));
+            let state = member.next_state(now, &timeouts);
+            if state != member.state {
+                (member.state, member.state_since) = (state, now);
+                report(MemberChange::StateChanged(state));
             }
-            let ended = matches!(standing, MemberState::Dead | MemberState::Left) && out >= rule.forget_after;
-            if ended {
-                changes.push((name.clone(), member.incarnation, MemberChange::Forgotten));
+            let has_ended = matches!(state, MemberState::Dead | MemberState::Left);
+            let is_forgotten = has_ended && member.unreachable_for(now) >= timeouts.forget_after;
+            if is_forgotten {
+                report(MemberChange::Forgotten);
             }
-            !ended
+            !is_forgotten
         });
-        let due = |member: &Member| {
-            let since = member.unreachable_since?;
-            let after = match member.state {
-                MemberState::Alive => self.timeouts.suspect_after,
-                MemberState::Suspect => self.timeouts.dead_after,
-                MemberState::Dead | MemberState::Left => self.timeouts.forget_after,
-            };
-            Some(since + after)
-        };
-        self.deadline = self.members.values().filter_map(due).fold(f64::INFINITY, f64::min);
-        changes
+        let deadlines = self.members.values().filter_map(|member| member.deadline(&timeouts));
+        self.deadline = deadlines.fold(f64::INFINITY, f64::min);
+        events
     }
 
-    /// When `tick` has something to do; never, where nothing follows from the time.
+    /// When [`MemberList::tick`] has something to do; infinite where no state changes by time alone.
     pub fn next_deadline(&self, now: Ms) -> Ms {
         match self.reachability_changed {
             true => now,
--- a/crates/membership/src/snapshot_transfer.rs
+++ b/crates/membership/src/snapshot_transfer.rs
@@ -1,21 +1,22 @@
-//! Owns how a router that can't catch up by facts alone gets the whole from a fellow: when it asks, whom, and how the
-//! pieces come together.
+//! How a router that gossip alone cannot bring up to date gets a complete snapshot from a peer.
 //!
-//! Must never hand on anything but a whole of one answer, keep more than its bound, or wait for a fellow that says
-//! nothing more.
+//! Only the chunks of one answer make a snapshot. The size is bounded, and a peer that stops sending is replaced by
+//! another one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Ms;
 
+/// When a snapshot is requested, and its limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SnapshotTransferConfig {
-    /// Behind a fellow for so long, it asks: facts would have come by then.
+    /// How long a router is behind a peer before it requests a snapshot: gossip would have arrived by then.
     pub start_after: Ms,
-    /// Nothing came for so long: another one is asked.
+    /// How long a peer may send nothing before another one is asked.
     pub peer_timeout: Ms,
-    /// Bytes of a whole, and of a piece.
+    /// The largest snapshot, in bytes.
     pub max_bytes: usize,
+    /// The size of a chunk, in bytes.
     pub chunk_bytes: usize,
 }
 
@@ -25,30 +26,42 @@
     }
 }
 
-/// A piece of a whole.
+/// A part of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// Which asking it answers.
+    /// The request that it answers.
     pub request_id: u64,
+    /// Its position among the chunks, from 0.
     pub index: u32,
+    /// The number of chunks.
     pub total: u32,
+    /// Its part of the snapshot.
     pub bytes: Vec<u8>,
 }
 
-/// Cuts a whole into pieces; nothing where it is too long.
-pub fn split_snapshot(asking: u64, whole: &[u8], rule: &SnapshotTransferConfig) -> Vec<SnapshotChunk> {
-    if whole.len() > rule.max_bytes || whole.is_empty() {
+/// Splits a snapshot into chunks; none where it is empty or larger than the limit.
+pub fn split_snapshot(
+    request_id: u64,
+    snapshot: &[u8],
+    config: &SnapshotTransferConfig,
+) -> Vec<SnapshotChunk> {
+    if snapshot.len() > config.max_bytes || snapshot.is_empty() {
         return Vec::new();
     }
-    let of = whole.len().div_ceil(rule.chunk_bytes) as u32;
-    let cut = whole.chunks(rule.chunk_bytes).zip(0..);
-    cut.map(|(bytes, number)| SnapshotChunk {
-        request_id: asking,
-        index: number,
-        total: of,
-        bytes: bytes.to_vec(),
-    })
-    .collect()
+    let total = snapshot.len().div_ceil(config.chunk_bytes) as u32;
+    let numbered = snapshot.chunks(config.chunk_bytes).zip(0..);
+    let chunk =
+        |(bytes, index): (&[u8], u32)| SnapshotChunk { request_id, index, total, bytes: bytes.to_vec() };
+    numbered.map(chunk).collect()
+}
+
+/// A request for a snapshot to send now.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct SnapshotRequest {
+    /// The peer to ask.
+    pub peer: String,
+    /// The number that the chunks of the answer carry.
+    pub request_id: u64,
 }
 
 #[derive(Debug, Clone)]
@@ -60,80 +73,91 @@
     bytes: Vec<u8>,
 }
 
+/// The transfer of a snapshot to this router.
 #[derive(Debug, Clone, Default)]
 pub struct SnapshotTransfer {
     config: SnapshotTransferConfig,
     active: Option<ActiveTransfer>,
-    /// Since when some fellow has been ahead.
+    /// Since when some peer has been ahead.
     behind_since: Option<Ms>,
-    /// Whom it asked last, so that another one is next.
+    /// The peer that was asked last: the next one by name is asked next.
     last_peer: Option<String>,
     request_count: u64,
 }
 
 impl SnapshotTransfer {
-    pub fn new(rule: SnapshotTransferConfig) -> Self {
-        Self { config: rule, ..Self::default() }
+    /// No transfer yet.
+    pub fn new(config: SnapshotTransferConfig) -> Self {
+        Self { config, ..Self::default() }
     }
 
-    /// Looks at who is ahead of this router; whom to ask now, and with which number.
-    pub fn next_request(&mut self, now: Ms, ahead: &[&str]) -> Option<(String, u64)> {
-        if ahead.is_empty() {
-            (self.behind_since, self.active) = (None, None);
+    /// The request that is due, given the peers that are ahead of this router.
+    pub fn next_request(&mut self, now: Ms, peers_ahead: &[&str]) -> Option<SnapshotRequest> {
+        if peers_ahead.is_empty() {
+            self.behind_since = None;
+            self.active = None;
             return None;
         }
-        let since = *self.behind_since.get_or_insert(now);
-        if let Some(under) = &self.active {
-            let there = ahead.contains(&under.peer.as_str());
-            if there && now - under.last_chunk_at < self.config.peer_timeout {
+        let behind_since = *self.behind_since.get_or_insert(now);
+        if let Some(active) = &self.active {
+            let is_peer_ahead = peers_ahead.contains(&active.peer.as_str());
+            if is_peer_ahead && now - active.last_chunk_at < self.config.peer_timeout {
                 return None;
             }
             self.active = None;
-        } else if now - since < self.config.start_after {
+        } else if now - behind_since < self.config.start_after {
             return None;
         }
-        // The one after whom it asked last, in the order of their names, and so round.
-        let after =
-            ahead.iter().filter(|name| self.last_peer.as_deref().is_none_or(|last| **name > last)).min();
-        let of = after.or(ahead.iter().min())?.to_string();
+        let peer = self.next_peer(peers_ahead)?.to_string();
         self.request_count += 1;
-        self.last_peer = Some(of.clone());
+        self.last_peer = Some(peer.clone());
+        let request_id = self.request_count;
         self.active = Some(ActiveTransfer {
-            request_id: self.request_count,
-            peer: of.clone(),
+            request_id,
+            peer: peer.clone(),
             last_chunk_at: now,
             next_index: 0,
             bytes: Vec::new(),
         });
-        Some((of, self.request_count))
+        Some(SnapshotRequest { peer, request_id })
+    }
+
+    /// The peer after the one that was asked last, in the order of their names, starting over after the last one.
+    fn next_peer<'a>(&self, peers: &[&'a str]) -> Option<&'a str> {
+        let is_after_last = |name: &&&str| self.last_peer.as_deref().is_none_or(|last| **name > last);
+        let following = peers.iter().filter(is_after_last).min();
+        following.or(peers.iter().min()).copied()
     }
 
-    /// A piece came; the whole, once all have in their order.
-    pub fn receive_chunk(&mut self, now: Ms, from: &str, piece: &SnapshotChunk) -> Option<Vec<u8>> {
-        let under = self.active.as_mut()?;
-        let fits =
-            under.request_id == piece.request_id && under.peer == from && under.next_index == piece.index;
-        if !fits || under.bytes.len() + piece.bytes.len() > self.config.max_bytes {
+    /// Takes in a chunk. The complete snapshot, once all chunks have arrived in order.
+    pub fn receive_chunk(&mut self, now: Ms, from: &str, chunk: &SnapshotChunk) -> Option<Vec<u8>> {
+        let active = self.active.as_mut()?;
+        let is_answer = active.request_id == chunk.request_id && active.peer == from;
+        let is_next = active.next_index == chunk.index;
+        if !is_answer || !is_next || active.bytes.len() + chunk.bytes.len() > self.config.max_bytes {
             return None;
         }
-        under.last_chunk_at = now;
-        under.next_index += 1;
-        under.bytes.extend(&piece.bytes);
-        if under.next_index < piece.total {
+        active.last_chunk_at = now;
+        active.next_index += 1;
+        active.bytes.extend(&chunk.bytes);
+        if active.next_index < chunk.total {
             return None;
         }
         self.behind_since = None;
-        self.active.take().map(|under| under.bytes)
+        self.active.take().map(|active| active.bytes)
     }
 
-    pub fn set_config(&mut self, rule: SnapshotTransferConfig) {
-        self.config = rule;
+    /// Applies other settings.
+    pub fn set_config(&mut self, config: SnapshotTransferConfig) {
+        self.config = config;
     }
 
+    /// The settings.
     pub fn config(&self) -> &SnapshotTransferConfig {
         &self.config
     }
 
+    /// Whether a transfer is active.
     pub fn is_active(&self) -> bool {
         self.active.is_some()
     }
--- a/crates/membership/src/straggler.rs
+++ b/crates/membership/src/straggler.rs
@@ -1,21 +1,25 @@
-//! Owns whether a router is behind what the fleet has settled, or knows too little to vouch for what it does, and what
-//! follows: it is given time to catch up, then shuts itself out, and comes back by stages.
+//! Routers that act on a hierarchy below the version floor, or know too little to vouch for what they do.
 //!
-//! Must never shut out a router whose own journal speaks for what it does and that knows of nothing newer: a cut alone
-//! is no reason.
+//! [`StragglerDetector`] decides whether this router is one: it first gets time to catch up, then excludes itself, and
+//! comes back over a recovery ramp. A network partition alone never excludes a router whose journal is up to date.
+//! [`FloorMonitor`] tells which other routers are stragglers, whose news does not count.
+
+use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use crate::Ms;
 
+/// When a router excludes itself, and how it comes back.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StragglerConfig {
-    /// Behind for so long, and it is shut out.
+    /// How long a router may act below the version floor before it is excluded.
     pub grace_period: Ms,
-    /// Without a fellow and without a word of its journal for so long, likewise.
+    /// How long a router may be without a reachable peer and without its journal before it is excluded.
     pub isolation_timeout: Ms,
-    /// How long it takes to come back, and when clients may ask again.
+    /// How long a router takes to come back.
     pub recovery_ramp: Ms,
+    /// The Retry-After of requests that an excluded router rejects.
     pub retry_after: Ms,
 }
 
@@ -30,12 +34,12 @@
     }
 }
 
-/// Why a router is shut out.
+/// Why a router is excluded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ExclusionReason {
-    /// It acts on an older hierarchy than the floor.
+    /// It acts on a hierarchy below the version floor.
     Behind,
-    /// It hears nobody, and its journal is silent too.
+    /// It reaches no peer, and its journal is silent too.
     #[serde(rename = "Blind")]
     Isolated,
 }
@@ -50,31 +54,37 @@
     }
 }
 
+/// The state of this router.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum StragglerState {
+    /// It acts on the floor or above.
     #[serde(rename = "Well")]
     UpToDate,
-    /// Behind since then; it still has time.
+    /// It has acted below the floor since that time, and still has time to catch up.
     #[serde(rename = "Late")]
     Lagging(Ms),
+    /// It is excluded.
     #[serde(rename = "Out")]
     Excluded(ExclusionReason),
-    /// Since when it comes back.
+    /// It has been coming back since that time.
     #[serde(rename = "Returning")]
     Recovering(Ms),
 }
 
-/// What is known at a time.
+/// What is known of this router at a time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StragglerObservation {
-    /// The version acted on here, and the one below which nobody is to act.
+    /// The version of the hierarchy that it acts on.
     pub own_version: u64,
+    /// The version below which no router is to act.
     pub floor: u64,
-    /// Since when there is no fellow within reach, and since when the journal has been silent for longer than it may be.
+    /// Since when no peer can be reached; `None` while one can.
     pub isolated_since: Option<Ms>,
+    /// Until when the journal is considered up to date.
     pub journal_valid_until: Ms,
 }
 
+/// Decides whether this router is a straggler.
 #[derive(Debug, Clone, Copy)]
 pub struct StragglerDetector {
     config: StragglerConfig,
@@ -82,46 +92,57 @@
 }
 
 impl StragglerDetector {
-    pub fn new(rule: StragglerConfig) -> Self {
-        Self { config: rule, state: StragglerState::UpToDate }
+    /// A router that is up to date.
+    pub fn new(config: StragglerConfig) -> Self {
+        Self { config, state: StragglerState::UpToDate }
     }
 
-    pub fn set_config(&mut self, rule: StragglerConfig) {
-        self.config = rule;
+    /// Applies other settings.
+    pub fn set_config(&mut self, config: StragglerConfig) {
+        self.config = config;
     }
 
+    /// The settings.
     pub fn config(&self) -> StragglerConfig {
         self.config
     }
 
+    /// The state as of the last observation.
     pub fn state(&self) -> StragglerState {
         self.state
     }
 
-    /// Looks at what is known; the state that is entered, if it is another one.
-    pub fn observe(&mut self, now: Ms, seen: &StragglerObservation) -> Option<StragglerState> {
-        let behind = seen.own_version < seen.floor;
-        let silent = seen.isolated_since.map_or(0.0, |since| now - since.max(seen.journal_valid_until));
-        let blind = silent >= self.config.isolation_timeout;
+    /// Takes in an observation. The state that is entered, if it is another one.
+    pub fn observe(&mut self, now: Ms, observation: &StragglerObservation) -> Option<StragglerState> {
         let before = self.state;
-        self.state = match before {
-            _ if blind => StragglerState::Excluded(ExclusionReason::Isolated),
-            StragglerState::Lagging(since) if behind && now - since >= self.config.grace_period => {
+        self.state = self.next_state(now, observation);
+        (self.state != before).then_some(self.state)
+    }
+
+    fn next_state(&self, now: Ms, observation: &StragglerObservation) -> StragglerState {
+        let StragglerConfig { grace_period, isolation_timeout, recovery_ramp, .. } = self.config;
+        let without_news = |since: Ms| now - since.max(observation.journal_valid_until);
+        let is_isolated = observation.isolated_since.map_or(0.0, without_news) >= isolation_timeout;
+        if is_isolated {
+            return StragglerState::Excluded(ExclusionReason::Isolated);
+        }
+        let is_behind = observation.own_version < observation.floor;
+        match self.state {
+            StragglerState::Lagging(since) if is_behind && now - since >= grace_period => {
                 StragglerState::Excluded(ExclusionReason::Behind)
             }
-            StragglerState::Lagging(since) if behind => StragglerState::Lagging(since),
-            StragglerState::Excluded(_) if behind => StragglerState::Excluded(ExclusionReason::Behind),
-            _ if behind => StragglerState::Lagging(now),
+            StragglerState::Lagging(since) if is_behind => StragglerState::Lagging(since),
+            StragglerState::Excluded(_) if is_behind => StragglerState::Excluded(ExclusionReason::Behind),
+            _ if is_behind => StragglerState::Lagging(now),
             StragglerState::Excluded(_) => StragglerState::Recovering(now),
-            StragglerState::Recovering(since) if now - since < self.config.recovery_ramp => {
+            StragglerState::Recovering(since) if now - since < recovery_ramp => {
                 StragglerState::Recovering(since)
             }
             _ => StragglerState::UpToDate,
-        };
-        (self.state != before).then_some(self.state)
+        }
     }
 
-    /// The part of what it must vouch for that it may do: all, none, or a part that rises.
+    /// The share of its work that the router may do: 1, 0, or a share that rises along the recovery ramp.
     pub fn admitted_ratio(&self, now: Ms) -> f64 {
         match self.state {
             StragglerState::UpToDate | StragglerState::Lagging(_) => 1.0,
@@ -133,13 +154,61 @@
     }
 }
 
-/// The version that a majority of a roll of voters acts on, or a newer one; those that were never heard act on none.
+/// The newest version that a majority of the voters acts on. A voter that was never heard of acts on none.
 pub fn majority_version(versions: &[Option<u64>]) -> u64 {
     let mut known: Vec<u64> = versions.iter().map(|version| version.unwrap_or(0)).collect();
     known.sort_unstable_by(|a, b| b.cmp(a));
     known.get(versions.len() / 2).copied().unwrap_or(0)
 }
 
+/// Which routers of the fleet act below the version floor, and for how long.
+#[derive(Debug, Clone)]
+pub struct FloorMonitor {
+    floor: u64,
+    grace_period: Ms,
+    behind_since: BTreeMap<String, Ms>,
+}
+
+impl Default for FloorMonitor {
+    fn default() -> Self {
+        Self { floor: 0, grace_period: f64::INFINITY, behind_since: BTreeMap::new() }
+    }
+}
+
+impl FloorMonitor {
+    /// The version below which no router is to act.
+    pub fn floor(&self) -> u64 {
+        self.floor
+    }
+
+    /// Sets the floor, and how long a router may act below it before it is a straggler. Another floor starts anew.
+    pub fn set_floor(&mut self, floor: u64, grace_period: Ms) {
+        self.grace_period = grace_period;
+        if self.floor != floor {
+            self.floor = floor;
+            self.behind_since.clear();
+        }
+    }
+
+    /// Whether any router was below the floor when last updated.
+    pub fn is_any_behind(&self) -> bool {
+        !self.behind_since.is_empty()
+    }
+
+    /// Records all routers that act below the floor now.
+    pub fn update(&mut self, now: Ms, behind: BTreeSet<String>) {
+        self.behind_since.retain(|name, _| behind.contains(name));
+        for name in behind {
+            self.behind_since.entry(name).or_insert(now);
+        }
+    }
+
+    /// Whether a router has acted below the floor for longer than the grace period.
+    pub fn is_straggler(&self, now: Ms, name: &str) -> bool {
+        self.behind_since.get(name).is_some_and(|since| now - since >= self.grace_period)
+    }
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/straggler.rs"]
 mod tests;
--- a/crates/membership/src/versions.rs
+++ b/crates/membership/src/versions.rs
@@ -5,71 +5,83 @@
 use crate::aggregation::location::Location;
 use crate::gossip::entry::{GossipEntry, Revision};
 
-/// The versions of [`RouterStatus`] that this build writes and reads.
+/// The newest version of [`RouterStatus`] that a router without a location writes.
 pub const NEWEST_STATUS_VERSION: u16 = 2;
-
-/// The version that says where the router stands; told where it has a place.
+/// The version of [`RouterStatus`] that a router with a location writes.
 pub const LOCATED_STATUS_VERSION: u16 = 3;
 
-/// What a router acts on. Digests are told where the whole is too long.
+/// What a router acts on; digests stand for what is long.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ActiveVersions {
+    /// The version of the program.
     pub build: String,
+    /// A digest of the settings.
     #[serde(rename = "settings")]
     pub settings_digest: u64,
+    /// A digest of the operator file.
     #[serde(rename = "operator")]
     pub operator_digest: u64,
-    /// The version and the digest of the hierarchy; 0 where it is off.
+    /// The version and the digest of the hierarchy; 0 where there is none.
     #[serde(rename = "shape")]
     pub hierarchy: (u64, u64),
-    /// The last number taken of the journal.
+    /// The last position of the journal that was applied.
     #[serde(rename = "journal")]
     pub journal_position: u64,
-    /// Since version 2: drains and purges heeded in this start, from the journal and from fellows.
+    /// Drains applied in this incarnation, from the journal or from gossip. Since status version 2.
     #[serde(rename = "drains")]
     pub drains_applied: u64,
+    /// Purges applied in this incarnation, from the journal or from gossip. Since status version 2.
     #[serde(rename = "purges")]
     pub purges_applied: u64,
 }
 
-/// What a router says of itself.
+/// What a router reports of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RouterStatus {
+    /// What it acts on.
     pub versions: ActiveVersions,
-    /// Fellows that it has a link with, and their starts.
+    /// The peers it has links with, and their incarnations.
     pub links: Vec<(String, u64)>,
-    /// It ends, and has said so.
+    /// Whether it shuts down gracefully.
     pub leaving: bool,
-    /// Since version 3: where it stands.
+    /// Where it is. Since status version 3.
     pub location: Option<Location>,
 }
 
-/// What of [`ActiveVersions`] changes all the time, told alone.
+/// The parts of [`ActiveVersions`] that change all the time, reported without the rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct VersionUpdate {
+    /// The version and the digest of the hierarchy.
     pub hierarchy: (u64, u64),
+    /// The last position of the journal that was applied.
     pub journal_position: u64,
+    /// Drains applied in this incarnation.
     pub drains_applied: u64,
+    /// Purges applied in this incarnation.
     pub purges_applied: u64,
 }
 
 impl VersionUpdate {
-    pub fn from_versions(acts: &ActiveVersions) -> Self {
+    /// The fast-changing parts of these versions.
+    pub fn from_versions(versions: &ActiveVersions) -> Self {
         Self {
-            hierarchy: acts.hierarchy,
-            journal_position: acts.journal_position,
-            drains_applied: acts.drains_applied,
-            purges_applied: acts.purges_applied,
+            hierarchy: versions.hierarchy,
+            journal_position: versions.journal_position,
+            drains_applied: versions.drains_applied,
+            purges_applied: versions.purges_applied,
         }
     }
 
-    pub fn apply_to(&self, acts: &mut ActiveVersions) {
-        (acts.hierarchy, acts.journal_position) = (self.hierarchy, self.journal_position);
-        (acts.drains_applied, acts.purges_applied) = (self.drains_applied, self.purges_applied);
+    /// Replaces the fast-changing parts of these versions.
+    pub fn apply_to(&self, versions: &mut ActiveVersions) {
+        versions.hierarchy = self.hierarchy;
+        versions.journal_position = self.journal_position;
+        versions.drains_applied = self.drains_applied;
+        versions.purges_applied = self.purges_applied;
     }
 }
 
-/// Version 1, and what version 2 has behind it.
+/// The body of status version 1, with which all later ones begin.
 #[derive(Debug, Serialize, Deserialize)]
 struct StatusV1 {
     build: String,
@@ -95,81 +107,71 @@
 }
 
 impl RouterStatus {
-    /// As an entry of that version, which is at most [`NEWEST_STATUS_VERSION`]; of the next one where it has a place.
-    pub fn encode(&self, order: Revision, version: u16) -> GossipEntry {
-        let ActiveVersions {
-            build,
-            settings_digest: settings,
-            operator_digest: operator,
-            hierarchy: shape,
-            journal_position: journal,
-            drains_applied: drains,
-            purges_applied: purges,
-        } = self.versions.clone();
-        let links = self.links.clone();
-        let first = StatusV1 {
-            build,
-            settings_digest: settings,
-            operator_digest: operator,
-            hierarchy: shape,
-            journal_position: journal,
-            links,
-            leaving: self.leaving,
-        };
-        let second = |first| StatusV2 { v1: first, drains_applied: drains, purges_applied: purges };
-        match (version, &self.location) {
-            (0 | 1, _) => GossipEntry::new(order, 1, &first),
-            (_, None) => GossipEntry::new(order, NEWEST_STATUS_VERSION, &second(first)),
-            (_, Some(place)) => GossipEntry::new(
-                order,
-                LOCATED_STATUS_VERSION,
-                &StatusV3 { v2: second(first), location: place.clone() },
-            ),
+    /// The status as an entry of that version, which is at most [`NEWEST_STATUS_VERSION`]. With a location it is
+    /// written as [`LOCATED_STATUS_VERSION`] instead of the newest version.
+    pub fn encode(&self, revision: Revision, version: u16) -> GossipEntry {
+        if version <= 1 {
+            return GossipEntry::new(revision, 1, &self.to_v1());
+        }
+        match &self.location {
+            None => GossipEntry::new(revision, NEWEST_STATUS_VERSION, &self.to_v2()),
+            Some(location) => {
+                let body = StatusV3 { v2: self.to_v2(), location: location.clone() };
+                GossipEntry::new(revision, LOCATED_STATUS_VERSION, &body)
+            }
         }
     }
 
+    /// Reads a status of any version, as far as this build knows its fields. `None` where the body is cut short.
     pub fn decode(entry: &GossipEntry) -> Option<Self> {
-        let (first, drains, purges, place) = match entry.body_version {
-            0 => return None,
-            1 => (entry.decode_body::<StatusV1>()?, 0, 0, None),
-            2 => {
-                let StatusV2 { v1: first, drains_applied: drains, purges_applied: purges } =
-                    entry.decode_body()?;
-                (first, drains, purges, None)
-            }
+        match entry.body_version {
+            0 => None,
+            1 => Some(Self::from_v1(entry.decode_body()?)),
+            2 => Some(Self::from_v2(entry.decode_body()?)),
             _ => {
-                let StatusV3 {
-                    v2: StatusV2 { v1: first, drains_applied: drains, purges_applied: purges },
-                    location: place,
-                } = entry.decode_body()?;
-                (first, drains, purges, Some(place))
+                let StatusV3 { v2, location } = entry.decode_body()?;
+                Some(Self { location: Some(location), ..Self::from_v2(v2) })
             }
+        }
+    }
+
+    fn to_v1(&self) -> StatusV1 {
+        let ActiveVersions { build, settings_digest, operator_digest, hierarchy, journal_position, .. } =
+            self.versions.clone();
+        let (links, leaving) = (self.links.clone(), self.leaving);
+        StatusV1 { build, settings_digest, operator_digest, hierarchy, journal_position, links, leaving }
+    }
+
+    fn to_v2(&self) -> StatusV2 {
+        let ActiveVersions { drains_applied, purges_applied, .. } = self.versions;
+        StatusV2 { v1: self.to_v1(), drains_applied, purges_applied }
+    }
+
+    fn from_v1(v1: StatusV1) -> Self {
+        let versions = ActiveVersions {
+            build: v1.build,
+            settings_digest: v1.settings_digest,
+            operator_digest: v1.operator_digest,
+            hierarchy: v1.hierarchy,
+            journal_position: v1.journal_position,
+            drains_applied: 0,
+            purges_applied: 0,
         };
-        let StatusV1 {
-            build,
-            settings_digest: settings,
-            operator_digest: operator,
-            hierarchy: shape,
-            journal_position: journal,
-            links,
-            leaving,
-        } = first;
-        let acts = ActiveVersions {
-            build,
-            settings_digest: settings,
-            operator_digest: operator,
-            hierarchy: shape,
-            journal_position: journal,
-            drains_applied: drains,
-            purges_applied: purges,
-        };
-        Some(Self { versions: acts, links, leaving, location: place })
+        Self { versions, links: v1.links, leaving: v1.leaving, location: None }
+    }
+
+    fn from_v2(v2: StatusV2) -> Self {
+        let mut status = Self::from_v1(v2.v1);
+        status.versions.drains_applied = v2.drains_applied;
+        status.versions.purges_applied = v2.purges_applied;
+        status
     }
 }
 
-/// The floor that people have set; 0 where they have taken it back.
+/// The version of the hierarchy below which no router is to act, as an operator has set it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionFloor {
+    /// The version; 0 where the operator has withdrawn it.
     pub version: u64,
     /// The router at which it was set.
     pub set_by: String,
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,6 +1,8 @@
 //! Who is there, by links that both ends tell of.
 
-use linnethook_membership::membership::{MemberChange, MemberList, MemberState, MembershipTimeouts};
+use linnethook_membership::membership::{
+    MemberChange, MemberEvent, MemberList, MemberState, MembershipTimeouts,
+};
 use linnethook_membership::versions::RouterStatus;
 
 fn says(links: &[(&str, u64)], leaving: bool) -> RouterStatus {
@@ -8,6 +10,10 @@
     RouterStatus { links, leaving, ..RouterStatus::default() }
 }
 
+fn change(name: &str, state: MemberState) -> MemberEvent {
+    MemberEvent { name: name.to_string(), incarnation: 1, change: MemberChange::StateChanged(state) }
+}
+
 fn standings(members: &MemberList) -> Vec<(String, MemberState)> {
     members.iter().map(|(name, member)| (name.clone(), member.state)).collect()
 }
@@ -15,7 +21,7 @@
 /// A chain me - a - b: b is there as long as a and b both tell of their link, and a is there.
 #[test]
 fn who_is_reached_over_links_that_both_ends_tell_of_is_alive() {
-    let mut members = MemberList::new(MembershipTimeouts::default(), "me", 1);
+    let mut members = MemberList::new(MembershipTimeouts::default(), "me");
     members.set_link("a", 1, true);
     members.update_status(0.0, "a", 1, says(&[("me", 1), ("b", 1)], false));
     members.update_status(0.0, "b", 1, says(&[("a", 1)], false));
@@ -23,7 +29,6 @@
     // One end alone: cut in one direction, or dead.
     members.update_status(100.0, "a", 1, says(&[("me", 1)], false));
     assert!(members.tick(100.0).is_empty(), "not at once");
-    let change = |name: &str, standing| (name.to_string(), 1, MemberChange::StateChanged(standing));
     assert_eq!(members.tick(1_100.0), [change("b", MemberState::Suspect)]);
     members.update_status(2_000.0, "a", 1, says(&[("me", 1), ("b", 1)], false));
     assert_eq!(members.tick(2_000.0), [change("b", MemberState::Alive)]);
@@ -47,7 +52,7 @@
 
 #[test]
 fn a_restart_counts_from_its_own_links_on_and_an_earlier_start_never_again() {
-    let mut members = MemberList::new(MembershipTimeouts::default(), "me", 1);
+    let mut members = MemberList::new(MembershipTimeouts::default(), "me");
     members.set_link("a", 1, true);
     assert_eq!(members.update_status(0.0, "a", 1, says(&[], false)), Some(MemberChange::Joined));
     assert_eq!(members.update_status(0.0, "a", 7, says(&[], false)), Some(MemberChange::Restarted(1)));
@@ -64,10 +69,10 @@
 
 #[test]
 fn who_has_said_that_it_ends_has_left_as_soon_as_it_is_out_of_reach() {
-    let mut members = MemberList::new(MembershipTimeouts::default(), "me", 1);
+    let mut members = MemberList::new(MembershipTimeouts::default(), "me");
     members.set_link("a", 1, true);
     members.update_status(0.0, "a", 1, says(&[], true));
     assert!(members.tick(0.0).is_empty(), "it still ends what it has");
     members.set_link("a", 1, false);
-    assert_eq!(members.tick(1.0), [("a".to_string(), 1, MemberChange::StateChanged(MemberState::Left))]);
+    assert_eq!(members.tick(1.0), [change("a", MemberState::Left)]);
 }
--- a/crates/membership/tests/unit/snapshot_transfer.rs
+++ b/crates/membership/tests/unit/snapshot_transfer.rs
@@ -1,12 +1,16 @@
 use super::*;
 
+fn request(peer: &str, request_id: u64) -> SnapshotRequest {
+    SnapshotRequest { peer: peer.to_string(), request_id }
+}
+
 #[test]
 fn it_asks_one_after_another_and_takes_a_whole_of_one_answer_only() {
     let rule = SnapshotTransferConfig { chunk_bytes: 4, ..SnapshotTransferConfig::default() };
     let mut fetch = SnapshotTransfer::new(rule);
     let ahead = ["a", "b"];
     assert_eq!(fetch.next_request(0.0, &ahead), None, "facts may still come");
-    assert_eq!(fetch.next_request(3_000.0, &ahead), Some(("a".to_string(), 1)));
+    assert_eq!(fetch.next_request(3_000.0, &ahead), Some(request("a", 1)));
     let whole: Vec<u8> = (0..10).collect();
     let one = split_snapshot(1, &whole, &rule);
     assert_eq!(one.len(), 3);
@@ -14,7 +18,7 @@
     assert_eq!(fetch.receive_chunk(3_100.0, "a", &one[2]), None, "one is missing");
     assert_eq!(fetch.next_request(4_000.0, &ahead), None);
     // It says nothing more: another one is asked, and what the first says late is none of it.
-    assert_eq!(fetch.next_request(6_100.0, &ahead), Some(("b".to_string(), 2)));
+    assert_eq!(fetch.next_request(6_100.0, &ahead), Some(request("b", 2)));
     assert_eq!(fetch.receive_chunk(6_200.0, "a", &one[1]), None);
     let other = split_snapshot(2, &whole, &rule);
     let all: Vec<_> = other.iter().map(|piece| fetch.receive_chunk(6_300.0, "b", piece)).collect();
--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -10,7 +10,7 @@
 
 use linnethook_audit::audit_log::{AuditLog, AuditLogConfig};
 use linnethook_audit::record::{AuditedAction, ChainLink, WriteAttempt, WriteOutcome};
-use linnethook_audit::replicas::{LogReplicas, ReplicaOutcome};
+use linnethook_audit::replicas::{LogReplicas, ReplicaOutcome, ReplicaSizes};
 use linnethook_learned::files::Folder;
 use linnethook_learned::log::{Bounds, Log, Refused};
 use linnethook_membership::hybrid_clock::Timestamp;
@@ -228,7 +228,7 @@
     }
 
     /// Links of the own account, and accounts, links and bytes of others.
-    pub fn kept(&self) -> (u64, (usize, usize, usize)) {
+    pub fn kept(&self) -> (u64, ReplicaSizes) {
         (self.account.head().0, self.copies.sizes())
     }
 }
--- a/crates/router/src/audit.rs
+++ b/crates/router/src/audit.rs
@@ -221,18 +221,18 @@
 
 fn finding(finding: &Finding) -> String {
     match finding {
-        Finding::Gap { name, start, after, from, to } => format!(
+        Finding::Gap { name, incarnation: start, after, from, to } => format!(
             "{name} (start {start}): MISSING after record {after}, from {} to {}\n",
             stamp(from),
             stamp(to)
         ),
-        Finding::Fork { name, start, number } => {
+        Finding::Fork { name, incarnation: start, number } => {
             format!("{name} (start {start}): TWO ACCOUNTS from record {number} on\n")
         }
-        Finding::Broken { name, start, number } => {
+        Finding::Broken { name, incarnation: start, number } => {
             format!("{name} (start {start}): record {number} DOES NOT FOLLOW from the one before it\n")
         }
-        Finding::Unreadable { name, start, number } => {
+        Finding::Unreadable { name, incarnation: start, number } => {
             format!("{name} (start {start}): record {number} can't be read by this build\n")
         }
     }
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -8,13 +8,14 @@
 use std::path::Path;
 
 use linnethook_audit::record::{AuditedAction, WriteAttempt, WriteOutcome};
+use linnethook_audit::replicas::ReplicaSizes;
 use linnethook_hierarchy::named::BatchSpec;
 use linnethook_membership::actions::{ClusterAction, ClusterEvent};
 use linnethook_membership::aggregation::query::QueryTarget;
 use linnethook_membership::cluster::Cluster;
 use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, Purge};
 use linnethook_membership::membership::MemberChange;
-use linnethook_membership::snapshot_transfer::{split_snapshot, SnapshotTransfer};
+use linnethook_membership::snapshot_transfer::{split_snapshot, SnapshotRequest, SnapshotTransfer};
 use linnethook_membership::straggler::{
     ExclusionReason, StragglerDetector, StragglerObservation, StragglerState,
 };
@@ -442,7 +443,9 @@
                 fleet.acts.hierarchy = upstream.acts_on();
                 fleet.core.set_versions(&fleet.acts);
                 // Who is ahead though all facts are here has something that is passed on no more.
-                if let Some((of, asking)) = fleet.fetch.next_request(now, &fleet.core.peers_ahead()) {
+                if let Some(SnapshotRequest { peer: of, request_id: asking }) =
+                    fleet.fetch.next_request(now, &fleet.core.peers_ahead())
+                {
                     fleet.core.send_message(
                         &of,
                         WANT_SHAPE,
@@ -624,8 +627,9 @@
             state: fleet.straggler.as_ref().map(|behind| behind.core.state()),
             shut_out: fleet.straggler.as_ref().map_or(0, |behind| behind.shut_out),
             account: fleet.audit.as_ref().map(|audit| {
-                let (links, (accounts, copies, bytes)) = audit.kept();
-                (links, accounts as u64, copies as u64, bytes as u64, audit.unsaved)
+                let (links, replicas) = audit.kept();
+                let ReplicaSizes { logs, records, bytes } = replicas;
+                (links, logs as u64, records as u64, bytes as u64, audit.unsaved)
             }),
         }))
     }
