--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,141 +1,146 @@
-//! Hosts the instances: one module each, with nothing in common but the numbered lists of the wire.
+//! Hosts one decision module per instance. Instances share nothing but the endpoint lists of the wire.
 
+use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-use linnethook::interface::{Endpoint, Event, Ms};
+use linnethook::interface::{Endpoint, EndpointUpdate, Event, Ms};
 use linnethook::Policy;
-use linnethook_settings::{load, LoadField};
+use linnethook_settings::{load_report, LoadReportField, SettingsError};
 
-use crate::codec::{Input, Instance, Reply, LISTS};
+use crate::codec::{Instance, Record, Reply, ENDPOINT_LISTS};
 
+/// Why a batch cannot be executed.
+#[derive(Debug)]
+pub enum HostError {
+    InvalidSettings {
+        instance: Instance,
+        source: SettingsError,
+    },
+    /// An update refers to a list beyond [`ENDPOINT_LISTS`].
+    UnknownList(usize),
+}
+
+impl std::fmt::Display for HostError {
+    fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        match self {
+            Self::InvalidSettings { instance, source } => {
+                write!(formatter, "settings of instance {instance}: {source}")
+            }
+            Self::UnknownList(list) => write!(formatter, "list number {list}"),
+        }
+    }
+}
+
+impl std::error::Error for HostError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::InvalidSettings { source, .. } => Some(source),
+            Self::UnknownList(_) => None,
+        }
+    }
+}
+
+/// All running instances.
 #[derive(Default)]
 pub struct Host {
-    lists: [Vec<Endpoint>; LISTS],
-    instances: BTreeMap<Instance, Hosted>,
+    lists: [Vec<Endpoint>; ENDPOINT_LISTS],
+    instances: BTreeMap<Instance, RunningInstance>,
 }
 
-struct Hosted {
+struct RunningInstance {
     policy: Policy,
-    report: Vec<LoadField>,
+    report_fields: Vec<LoadReportField>,
 }
 
 impl Host {
-    /// Plays one batch; an error means that the batch can't be understood.
-    pub fn play(&mut self, now: Ms, inputs: Vec<(Input, Vec<f64>)>) -> Result<Reply, String> {
+    /// Executes the records of one batch in order.
+    ///
+    /// # Errors
+    ///
+    /// The first record that cannot be executed.
+    pub fn execute(&mut self, now: Ms, records: Vec<Record>) -> Result<Reply, HostError> {
         let mut reply = Reply::default();
-        for (input, report) in inputs {
-            match input {
-                Input::Open { instance, seed, settings: text } => {
-                    let told = linnethook_settings::decode(&text)
-                        .map_err(|wrong| format!("settings of instance {instance}: {wrong}"))?;
-                    let hosted = Hosted { policy: Policy::new(told.settings, seed), report: told.report };
-                    self.instances.insert(instance, hosted);
+        for record in records {
+            match record {
+                Record::StartInstance { instance, seed, settings } => {
+                    self.start_instance(instance, seed, &settings)?;
                 }
-                Input::DefineList { list, rows } => self.lists[list] = rows,
-                Input::Fleet { instance, kind, list } => {
-                    let members = match kind {
-                        linnethook::interface::EndpointUpdate::Unavailable => Vec::new(),
-                        _ => self.lists.get(list).ok_or(format!("list number {list}"))?.clone(),
-                    };
-                    self.tell(
-                        now,
-                        instance,
-                        &Event::Endpoints { update: kind, endpoints: members },
-                        &mut reply,
-                    );
-                }
-                Input::PowerOff { instance } => {
+                Record::StopInstance { instance } => {
                     self.instances.remove(&instance);
                 }
-                Input::Datagram { .. } => {}
-                Input::Event { instance, mut event } => {
-                    if let Some(hosted) = self.instances.get(&instance) {
-                        match &mut event {
-                            Event::AttemptFinished(outcome) => {
-                                outcome.load_report = load(&report, &hosted.report)
-                            }
-                            Event::HealthCheck { load_report: told, .. } => {
-                                *told = load(&report, &hosted.report)
-                            }
-                            _ => {}
-                        }
-                    }
-                    self.tell(now, instance, &event, &mut reply);
+                Record::DefineList { list, endpoints } => self.lists[list] = endpoints,
+                Record::UpdateEndpoints { instance, update, list } => {
+                    let endpoints = self.listed_endpoints(update, list)?;
+                    self.handle_event(now, instance, &Event::Endpoints { update, endpoints }, &mut reply);
+                }
+                Record::Event { instance, event, report } => {
+                    let event = self.with_load_report(instance, event, &report);
+                    self.handle_event(now, instance, &event, &mut reply);
                 }
+                Record::PeerMessage { .. } => {}
             }
         }
         Ok(reply)
     }
 
-    /// Hands an event to its instance; one that does not run is passed over.
-    fn tell(&mut self, now: Ms, instance: Instance, event: &Event, reply: &mut Reply) {
-        let Some(hosted) = self.instances.get_mut(&instance) else { return };
-        match catch_unwind(AssertUnwindSafe(|| hosted.policy.handle(now, event))) {
-            Ok(actions) => actions.iter().for_each(|action| reply.push(instance, action)),
-            Err(cause) => {
-                let line = cause
-                    .downcast_ref::<String>()
-                    .map(String::as_str)
-                    .or_else(|| cause.downcast_ref::<&str>().copied())
-                    .unwrap_or("the decision module failed");
-                reply.fault(instance, line);
-                self.instances.remove(&instance);
+    fn start_instance(&mut self, instance: Instance, seed: u64, text: &[u8]) -> Result<(), HostError> {
+        let decoded = linnethook_settings::decode(text)
+            .map_err(|source| HostError::InvalidSettings { instance, source })?;
+        let policy = Policy::new(decoded.settings, seed);
+        let running = RunningInstance { policy, report_fields: decoded.report_fields };
+        self.instances.insert(instance, running);
+        Ok(())
+    }
+
+    fn listed_endpoints(&self, update: EndpointUpdate, list: usize) -> Result<Vec<Endpoint>, HostError> {
+        match update {
+            EndpointUpdate::Unavailable => Ok(Vec::new()),
+            EndpointUpdate::Incremental | EndpointUpdate::Snapshot => {
+                self.lists.get(list).cloned().ok_or(HostError::UnknownList(list))
             }
         }
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use linnethook::interface::{EndpointId, EndpointPhase, EndpointUpdate};
 
-    use super::*;
-
-    fn open(settings: &str) -> Result<Reply, String> {
-        let settings = settings.as_bytes().to_vec();
-        Host::default().play(0.0, vec![(Input::Open { instance: 3, seed: 7, settings }, Vec::new())])
+    /// Adds the load report, whose values have the meaning that the instance's settings give them.
+    fn with_load_report(&self, instance: Instance, mut event: Event, values: &[f64]) -> Event {
+        let Some(running) = self.instances.get(&instance) else { return event };
+        match &mut event {
+            Event::AttemptFinished(outcome) => {
+                outcome.load_report = load_report(values, &running.report_fields);
+            }
+            Event::HealthCheck { load_report: report, .. } => {
+                *report = load_report(values, &running.report_fields);
+            }
+            _ => {}
+        }
+        event
     }
 
-    #[test]
-    fn wrong_settings_are_told_with_the_way_to_them_and_unknown_ones_passed_over() {
-        let told = |settings: &str| open(settings).err().unwrap_or_default();
-        assert!(told(r#"{"weight-source": "heavy"}"#)
-            .starts_with("settings of instance 3: weight-source: unknown variant `heavy`"));
-        assert!(told(r#"{"family-info": {"parent-floor": 7}}"#)
-            .starts_with("settings of instance 3: family-info.parent-floor: 7, expected from 0 to 1"));
-        assert!(told(r#"{"allowed": {"max-attempts": "six"}}"#)
-            .starts_with("settings of instance 3: allowed.max-attempts: invalid type"));
-        assert_eq!(told("{}") + &told(r#"{"colour": "red", "weight-source": "off"}"#), "");
+    /// Passes an event to its instance; one that does not run is ignored. An instance that panics is
+    /// reported and dropped.
+    fn handle_event(&mut self, now: Ms, instance: Instance, event: &Event, reply: &mut Reply) {
+        let Some(running) = self.instances.get_mut(&instance) else { return };
+        match catch_unwind(AssertUnwindSafe(|| running.policy.handle(now, event))) {
+            Ok(actions) => {
+                for action in &actions {
+                    reply.push(instance, action);
+                }
+            }
+            Err(cause) => {
+                reply.push_fault(instance, panic_message(cause.as_ref()));
+                self.instances.remove(&instance);
+            }
+        }
     }
+}
 
-    /// A list whose weights are 0 or all 1, and messages of other instances, which nobody sends: neither does harm.
-    #[test]
-    fn lists_without_weights_and_messages_of_others_are_taken() {
-        let mut host = Host::default();
-        let settings = br#"{"weight-source": "off", "resolution": 2}"#.to_vec();
-        let rows = |weight: f64| {
-            let row = |id| Endpoint {
-                id: EndpointId(id),
-                cell: 0,
-                zone: 0,
-                role: 0,
-                weight,
-                started_at: 0.0,
-                phase: EndpointPhase::Ready,
-            };
-            (1..4).map(row).collect()
-        };
-        let inputs = vec![
-            Input::Open { instance: 3, seed: 7, settings },
-            Input::DefineList { list: 0, rows: rows(0.0) },
-            Input::Fleet { instance: 3, kind: EndpointUpdate::Snapshot, list: 0 },
-            Input::DefineList { list: 1, rows: rows(1.0) },
-            Input::Fleet { instance: 3, kind: EndpointUpdate::Snapshot, list: 1 },
-            Input::Datagram { instance: 3 },
-            Input::Datagram { instance: 4 },
-        ];
-        let played = host.play(1.0, inputs.into_iter().map(|input| (input, Vec::new())).collect());
-        assert!(played.is_ok() && host.instances.len() == 1);
-    }
+fn panic_message(cause: &(dyn Any + Send)) -> &str {
+    let owned = cause.downcast_ref::<String>().map(String::as_str);
+    let message = owned.or_else(|| cause.downcast_ref::<&str>().copied());
+    message.unwrap_or("the decision module failed")
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/host.rs"]
+mod tests;
--- a/crates/adapter/src/codec/tests.rs
+++ b/crates/adapter/tests/unit/codec.rs
@@ -1,4 +1,11 @@
-use super::*;
+//! The simulator's records, field by field.
+
+use linnethook::interface::{
+    Action, AttemptId, AttemptOutcome, AttemptStatus, CacheStatus, Endpoint, EndpointId, EndpointPhase,
+    EndpointUpdate, Event, FillInstruction, LoadReport, ObjectId, RejectReason, Request, RequestId,
+};
+
+use crate::codec::{decode_batch, BatchHeader, Record, Reply, Result};
 
 /// Builds the fields of a record.
 #[derive(Default)]
@@ -56,18 +63,18 @@
     of().u16(code).u32(fields.0.len() as u32).text(&fields.0).0
 }
 
-fn batch(records: &[Vec<u8>]) -> Result<Vec<(Input, Vec<f64>)>> {
+fn batch(records: &[Vec<u8>]) -> Result<Vec<Record>> {
     let body = records.concat();
     decode_batch(BatchHeader { records: records.len() as u32, length: body.len(), now: 5.0 }, &body)
 }
 
-fn one(code: u16, fields: Bytes) -> Result<(Input, Vec<f64>)> {
-    batch(&[record(code, fields)]).map(|mut inputs| inputs.remove(0))
+fn one(code: u16, fields: Bytes) -> Result<Record> {
+    batch(&[record(code, fields)]).map(|mut records| records.remove(0))
 }
 
 fn event(code: u16, fields: Bytes) -> Event {
     match one(code, fields) {
-        Ok((Input::Event { instance: 9, event }, _)) => event,
+        Ok(Record::Event { instance: 9, event, .. }) => event,
         other => panic!("{other:?}"),
     }
 }
@@ -76,7 +83,7 @@
     of().u16(4).cache().f32(1.5).u8(2).u16(1).f64(750.0).u8(phase)
 }
 
-fn member(phase: EndpointPhase) -> Endpoint {
+fn endpoint(phase: EndpointPhase) -> Endpoint {
     Endpoint { id: CACHE, cell: 4, zone: 2, role: 1, weight: 1.5, started_at: 750.0, phase }
 }
 
@@ -88,31 +95,34 @@
     let impossible = of().u32(100).u32(40).f64(12.5).0;
     assert!(BatchHeader::decode(&impossible.try_into().expect("16 bytes")).is_err());
     let no_clock = of().u32(0).u32(0).f64(f64::NAN).0;
-    assert_eq!(BatchHeader::decode(&no_clock.try_into().expect("16 bytes")).map_err(|e| e.at), Err(8));
+    assert_eq!(
+        BatchHeader::decode(&no_clock.try_into().expect("16 bytes")).map_err(|error| error.offset),
+        Err(8)
+    );
 }
 
 #[test]
 fn instances_start_and_stop() {
-    let opened = one(1070, of().u16(9).u64(77).u32(2).text(b"{}")).expect("a start").0;
-    assert_eq!(opened, Input::Open { instance: 9, seed: 77, settings: b"{}".to_vec() });
-    assert_eq!(one(1110, of().u16(9)).expect("a stop").0, Input::PowerOff { instance: 9 });
+    let opened = one(1070, of().u16(9).u64(77).u32(2).text(b"{}")).expect("a start");
+    assert_eq!(opened, Record::StartInstance { instance: 9, seed: 77, settings: b"{}".to_vec() });
+    assert_eq!(one(1110, of().u16(9)).expect("a stop"), Record::StopInstance { instance: 9 });
 }
 
 #[test]
 fn lists_and_their_kinds() {
     let rows = of().u32(3).u32(3).text(&[entry(0).0, entry(1).0, entry(2).0].concat());
     let phases = [EndpointPhase::Removed, EndpointPhase::Ready, EndpointPhase::Draining];
-    let expected = Input::DefineList { list: 3, rows: phases.map(member).to_vec() };
-    assert_eq!(one(1100, rows).expect("a list").0, expected);
-    let kinds = [
+    let expected = Record::DefineList { list: 3, endpoints: phases.map(endpoint).to_vec() };
+    assert_eq!(one(1100, rows).expect("a list"), expected);
+    let updates = [
         EndpointUpdate::Incremental,
         EndpointUpdate::Snapshot,
         EndpointUpdate::Snapshot,
         EndpointUpdate::Unavailable,
     ];
-    for (n, kind) in kinds.into_iter().enumerate() {
-        let told = one(1040, of().u16(9).u64(1).u8(n as u8).u32(3)).expect("a list").0;
-        assert_eq!(told, Input::Fleet { instance: 9, kind, list: 3 });
+    for (n, update) in updates.into_iter().enumerate() {
+        let decoded = one(1040, of().u16(9).u64(1).u8(n as u8).u32(3)).expect("a list");
+        assert_eq!(decoded, Record::UpdateEndpoints { instance: 9, update, list: 3 });
     }
 }
 
@@ -149,9 +159,9 @@
     use AttemptStatus::*;
     let codes = [200, 500, 503, 504, 502, 598, 499, 410, 404];
     let statuses = [Ok, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent, CacheMiss];
-    let notes = {
+    let reported = {
         use CacheStatus::*;
-        let told = [
+        let with_source = [
             Hit,
             FilledByParent,
             FilledByOrigin,
@@ -161,14 +171,14 @@
             SourceUnreachable,
             SourceMiss,
         ];
-        told.into_iter().chain([NoCapacity, OriginFailed])
+        with_source.into_iter().chain([NoCapacity, OriginFailed])
     };
-    let notes: Vec<Option<CacheStatus>> = std::iter::once(None).chain(notes.map(Some)).collect();
+    let cache_statuses: Vec<Option<CacheStatus>> = std::iter::once(None).chain(reported.map(Some)).collect();
     for (code, status) in codes.into_iter().zip(statuses) {
-        for (n, note) in notes.iter().enumerate() {
+        for (n, cache_status) in cache_statuses.iter().enumerate() {
             let fields = of().u16(9).u64(42).u8(1).u16(code).cache().f64(9.5).f64(18.5).u32(n as u32).u8(1);
             let fields = fields.u8(2).f32(0.5).f32(3.0);
-            let (input, report) = one(1080, fields).expect("an outcome");
+            let record = one(1080, fields).expect("an outcome");
             let outcome = AttemptOutcome {
                 attempt: AttemptId { request: RequestId(42), number: 1 },
                 endpoint: CACHE,
@@ -176,11 +186,11 @@
                 request_finished: true,
                 elapsed: 18.5,
                 source_wait: 9.5,
-                cache_status: *note,
+                cache_status: *cache_status,
                 load_report: LoadReport::default(),
             };
-            assert_eq!(input, Input::Event { instance: 9, event: Event::AttemptFinished(outcome) });
-            assert_eq!(report, [0.5, 3.0]);
+            let event = Event::AttemptFinished(outcome);
+            assert_eq!(record, Record::Event { instance: 9, event, report: vec![0.5, 3.0] });
         }
     }
 }
@@ -188,35 +198,35 @@
 #[test]
 fn probes_reports_and_messages() {
     let fields = of().u16(9).f64(2.0).u16(200).cache().u8(1).f32(4.0);
-    let (input, report) = one(1000, fields).expect("a probe's result");
+    let record = one(1000, fields).expect("a health check's result");
     let event = Event::HealthCheck { endpoint: CACHE, healthy: true, load_report: LoadReport::default() };
-    assert_eq!((input, report), (Input::Event { instance: 9, event }, vec![4.0]));
-    let message = one(1050, of().u16(9).u32(1).u16(3).text(b"abc")).expect("a message").0;
-    assert_eq!(message, Input::Datagram { instance: 9 });
+    assert_eq!(record, Record::Event { instance: 9, event, report: vec![4.0] });
+    let message = one(1050, of().u16(9).u32(1).u16(3).text(b"abc")).expect("a message");
+    assert_eq!(message, Record::PeerMessage { instance: 9 });
 }
 
 #[test]
 fn malformed_records_say_what_and_where() {
-    let wrong = |result: Result<(Input, Vec<f64>)>| result.expect_err("malformed").to_string();
-    assert_eq!(wrong(one(7, of())), "unknown code 7 at byte 16 of the batch");
+    let error = |result: Result<Record>| result.expect_err("malformed").to_string();
+    assert_eq!(error(one(7, of())), "unknown code 7 at byte 16 of the batch");
     assert_eq!(
-        wrong(one(1030, of().u16(9).u16(1))),
+        error(one(1030, of().u16(9).u16(1))),
         "a field of 4 bytes where 2 are left at byte 24 of the batch"
     );
     assert_eq!(
-        wrong(one(1030, of().u16(9).u32(1).u8(1))),
+        error(one(1030, of().u16(9).u32(1).u8(1))),
         "1 bytes too many in a record at byte 28 of the batch"
     );
-    assert!(wrong(one(1100, of().u32(16).u32(0))).starts_with("list number 16"));
-    assert!(wrong(one(1100, of().u32(1).u32(2).text(&entry(1).0))).starts_with("2 entries in 24 bytes"));
-    assert!(wrong(one(1100, of().u32(1).u32(1).text(&entry(3).0))).starts_with("unknown phase 3"));
-    assert!(wrong(one(1040, of().u16(9).u64(1).u8(4).u32(3))).starts_with("unknown kind of list 4"));
-    let verdict = of().u16(9).u64(42).u8(1).u16(201).cache();
-    assert!(wrong(one(1080, verdict)).starts_with("unknown outcome 201"));
-    let noted = of().u16(9).u64(42).u8(1).u16(200).cache().f64(0.0).f64(1.0).u32(11).u8(1).u8(0);
-    assert!(wrong(one(1080, noted)).starts_with("unknown note 11"));
+    assert!(error(one(1100, of().u32(16).u32(0))).starts_with("list number 16"));
+    assert!(error(one(1100, of().u32(1).u32(2).text(&entry(1).0))).starts_with("2 entries in 24 bytes"));
+    assert!(error(one(1100, of().u32(1).u32(1).text(&entry(3).0))).starts_with("unknown phase 3"));
+    assert!(error(one(1040, of().u16(9).u64(1).u8(4).u32(3))).starts_with("unknown kind of list 4"));
+    let outcome = of().u16(9).u64(42).u8(1).u16(201).cache();
+    assert!(error(one(1080, outcome)).starts_with("unknown outcome 201"));
+    let reported = of().u16(9).u64(42).u8(1).u16(200).cache().f64(0.0).f64(1.0).u32(11).u8(1).u8(0);
+    assert!(error(one(1080, reported)).starts_with("unknown note 11"));
     assert!(
-        wrong(one(1060, of().u16(9).u64(1).u16(1).f64(f64::NAN))).starts_with("a value that is no number")
+        error(one(1060, of().u16(9).u64(1).u16(1).f64(f64::NAN))).starts_with("a value that is no number")
     );
     let too_long = of().u16(1030).u32(50).u16(9).0;
     assert!(batch(&[too_long]).is_err());
@@ -239,27 +249,27 @@
 #[test]
 fn every_action() {
     let request = RequestId(42);
-    let ask = Action::Forward { request, endpoint: CACHE, timeout: 80.0 };
-    assert_eq!(fields_of(&ask), (1000, of().u64(42).f64(80.0).cache().0));
-    let (max_age, ageing) = (360.0, 0.0);
+    let forward = Action::Forward { request, endpoint: CACHE, timeout: 80.0 };
+    assert_eq!(fields_of(&forward), (1000, of().u64(42).f64(80.0).cache().0));
+    let (max_age, max_stale_age) = (360.0, 0.0);
     let fill = FillInstruction {
         source: CACHE,
         retention: 2,
         max_age,
-        max_stale_age: ageing,
+        max_stale_age,
         coalesce: true,
         only_if_cached: false,
         revalidate: true,
     };
-    let fetch = |fill| Action::ForwardWithFill { request, endpoint: CACHE, timeout: 80.0, fill };
+    let with_fill = |fill| Action::ForwardWithFill { request, endpoint: CACHE, timeout: 80.0, fill };
     let fields = |bits| of().u64(42).cache().f64(80.0).cache().u8(2).f64(360.0).u8(bits).0;
-    assert_eq!(fields_of(&fetch(fill)), (1120, fields(9)));
-    let held = FillInstruction { coalesce: false, only_if_cached: true, revalidate: false, ..fill };
-    assert_eq!(fields_of(&fetch(held)), (1120, fields(2)));
+    assert_eq!(fields_of(&with_fill(fill)), (1120, fields(9)));
+    let cached = FillInstruction { coalesce: false, only_if_cached: true, revalidate: false, ..fill };
+    assert_eq!(fields_of(&with_fill(cached)), (1120, fields(2)));
     let cancel = Action::CancelAttempt(AttemptId { request, number: 3 });
     assert_eq!(fields_of(&cancel), (1030, of().u64(42).u8(3).0));
-    let refuse = Action::Reject { request, retry_after: 250.0, reason: RejectReason::OriginOverloaded };
-    assert_eq!(fields_of(&refuse), (1010, of().u64(42).f64(250.0).0));
+    let reject = Action::Reject { request, retry_after: 250.0, reason: RejectReason::OriginOverloaded };
+    assert_eq!(fields_of(&reject), (1010, of().u64(42).f64(250.0).0));
     assert_eq!(
         fields_of(&Action::Fail { request, reason: RejectReason::RepeatNotAllowed }),
         (1020, of().u64(42).0)
@@ -275,6 +285,6 @@
 fn a_fault_and_an_empty_reply() {
     let mut reply = Reply::default();
     assert_eq!(reply.frame(), [0; 8]);
-    reply.fault(9, "it broke");
+    reply.push_fault(9, "it broke");
     assert_eq!(reply.frame()[8..], record(1090, of().u16(9).u16(8).text(b"it broke")));
 }
--- a/crates/model/examples/cold.rs
+++ b/crates/model/examples/cold.rs
@@ -70,7 +70,7 @@
         None => Ok(default),
     };
     let (seeds, threads) = (number(0, 200)?, number(1, 3)?);
-    let shapes = shapes().map_err(|wrong| format!("{}: {}", wrong.at, wrong.what))?;
+    let shapes = shapes().map_err(|wrong| format!("{}: {}", wrong.path, wrong.message))?;
     let only = words.get(2);
     let shapes: Vec<Shape> =
         shapes.into_iter().filter(|shape| only.is_none_or(|name| name == shape.name)).collect();
--- a/crates/model/src/cold.rs
+++ b/crates/model/src/cold.rs
@@ -15,7 +15,7 @@
     RequestId, Settings, SlowStart,
 };
 use linnethook::Policy;
-use linnethook_settings::{changed, decode, Wrong};
+use linnethook_settings::{decode, merge, SettingsError};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, StandardNormal};
 use rand_pcg::Pcg64Mcg;
@@ -138,11 +138,13 @@
 /// # Errors
 ///
 /// Returns what is wrong where the example's settings can't be read.
-pub fn shapes() -> Result<Vec<Shape>, Wrong> {
-    let config: Value = serde_json::from_str(include_str!("../../../examples/config.json"))
-        .map_err(|wrong| Wrong { at: "examples/config.json".to_string(), what: wrong.to_string() })?;
+pub fn shapes() -> Result<Vec<Shape>, SettingsError> {
+    let config: Value =
+        serde_json::from_str(include_str!("../../../examples/config.json")).map_err(|wrong| {
+            SettingsError { path: "examples/config.json".to_string(), message: wrong.to_string() }
+        })?;
     let read = |changes: Value| {
-        decode(changed(&config["settings"], &changes).to_string().as_bytes()).map(|told| told.settings)
+        decode(merge(&config["settings"], &changes).to_string().as_bytes()).map(|told| told.settings)
     };
     let grade = |aim: u32, stretch: u32, deadline: u32| {
         let (effect, worth) = ("read_like", 1);
--- a/crates/router/src/config.rs
+++ b/crates/router/src/config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use linnethook_settings::{Told, Transport};
+use linnethook_settings::{ConnectionSettings, DecodedSettings};
 use serde::Deserialize;
 
 use crate::descriptors;
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Config {
     pub file: File,
-    pub told: Told,
+    pub told: DecodedSettings,
     pub seed: u64,
     pub limits: Limits,
 }
@@ -62,7 +62,7 @@
         let told = told.map_err(|wrong| format!("settings.{wrong}"))?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| "a seed that is not hexadecimal")?;
         let longest = told.settings.classes.iter().map(|class| class.deadline).fold(0.0, f64::max);
-        let limits = Limits::new(file.limits, descriptors, told.transport, longest);
+        let limits = Limits::new(file.limits, descriptors, told.connections, longest);
         Ok(Self { file, told, seed, limits })
     }
 
@@ -73,8 +73,8 @@
     }
 
     /// The settings as they would be with these changes.
-    pub fn with(&self, changes: &serde_json::Value) -> Result<Told, Failure> {
-        let settings = linnethook_settings::changed(&self.file.settings, changes);
+    pub fn with(&self, changes: &serde_json::Value) -> Result<DecodedSettings, Failure> {
+        let settings = linnethook_settings::merge(&self.file.settings, changes);
         let told = linnethook_settings::decode(&serde_json::to_vec(&settings)?);
         told.map_err(|wrong| format!("watch(): settings.{wrong}").into())
     }
@@ -179,7 +179,7 @@
 const RESERVE: usize = 8;
 
 impl Limits {
-    fn new(platform: Platform, descriptors: usize, transport: Transport, longest: f64) -> Self {
+    fn new(platform: Platform, descriptors: usize, transport: ConnectionSettings, longest: f64) -> Self {
         let descriptors = platform.sockets.min(descriptors);
         let half = (descriptors / 2).saturating_sub(SPARE).max(1);
         let block = 16 * 1024;
@@ -217,13 +217,13 @@
             client_streams: 32,
             open: transport.max_open as usize,
             cache_send: 128 * 1024,
-            cache_streams: transport.streams as usize,
+            cache_streams: transport.streams_per_connection as usize,
             // However few there are, one cache does not take all of them.
             cache_connections: (descriptors / 8).min(half / 2).max(1),
             connections: half,
             connect: transport.connect_timeout,
             probe: 250.0,
-            idle: transport.idle * 0.8,
+            idle: transport.idle_timeout * 0.8,
             way: 30.0,
             // Two polls in a row may be lost without a word before what they would have told binds.
             journal_wait: 2_000.0,
--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -12,7 +12,7 @@
     RequestId,
 };
 use linnethook::Policy;
-use linnethook_settings::{load, LoadField, Names, Told as Settings};
+use linnethook_settings::{load_report, DecodedSettings, LoadReportField, SettingNames};
 pub use linnethook_watch::Counts as Watched;
 use linnethook_watch::Watch;
 use xxhash_rust::xxh3::xxh3_64;
@@ -236,12 +236,12 @@
 #[derive(Debug)]
 pub struct Decider {
     policy: Policy,
-    names: Names,
+    names: SettingNames,
     classes: Vec<RequestClass>,
     flow_kb_per_s: f64,
     zone: u16,
     longest_wait: Ms,
-    report: Vec<LoadField>,
+    report: Vec<LoadReportField>,
     report_names: Vec<String>,
     owed: BTreeMap<Ticket, Owed>,
     /// By time, in microseconds.
@@ -251,7 +251,7 @@
 }
 
 impl Decider {
-    pub fn new(told: Settings, seed: u64) -> Self {
+    pub fn new(told: DecodedSettings, seed: u64) -> Self {
         Self {
             classes: told.settings.classes.clone(),
             flow_kb_per_s: told.settings.flow_kb_per_s,
@@ -259,7 +259,7 @@
             longest_wait: told.settings.max_retry_after,
             policy: Policy::new(told.settings, seed),
             names: told.names,
-            report: told.report,
+            report: told.report_fields,
             report_names: told.report_names,
             owed: BTreeMap::new(),
             timers: BTreeSet::new(),
@@ -268,7 +268,7 @@
     }
 
     /// Counts from now on where these settings would have decided otherwise. It has no other effect.
-    pub fn watch(&mut self, told: Settings, seed: u64) {
+    pub fn watch(&mut self, told: DecodedSettings, seed: u64) {
         self.watch = Some(Watch::new(told.settings, seed));
     }
 
@@ -419,7 +419,7 @@
                 values.push(*value);
             }
         }
-        load(&values, &fields)
+        load_report(&values, &fields)
     }
 
     fn member(&self, host: &Host) -> Endpoint {
@@ -431,7 +431,7 @@
             id: EndpointId(Place::of(&host.uid).0),
             cell: host.cell,
             zone: number(&self.names.zones, &host.zone),
-            role: number(&self.names.kinds, &host.kind),
+            role: number(&self.names.roles, &host.kind),
             weight: host.weight,
             started_at: host.started,
             phase: match host.state {
--- a/crates/router/tests/unit/config.rs
+++ b/crates/router/tests/unit/config.rs
@@ -25,7 +25,7 @@
     let told = linnethook_settings::decode(b"{}").expect("settings");
     for descriptors in [14, 20, 34, 40, 64, 100, 256, 1024, 4096] {
         let platform = Platform { memory_mb: 192.0, sockets: descriptors };
-        let limits = Limits::new(platform, usize::MAX, told.transport, 3_000.0);
+        let limits = Limits::new(platform, usize::MAX, told.connections, 3_000.0);
         assert!(limits.reserve >= 1 && limits.reserve <= RESERVE, "{descriptors}");
         // Two of the least are a client and a connection to a cache.
         let all = limits.clients + limits.connections + limits.reserve + LEAST - 2;
@@ -41,7 +41,7 @@
 fn the_budgets_hold_at_both_ends() {
     let told = linnethook_settings::decode(b"{}").expect("settings");
     for (memory_mb, sockets) in [(32.0, 256), (192.0, 1024)] {
-        let limits = Limits::new(Platform { memory_mb, sockets }, 4096, told.transport, 3_000.0);
+        let limits = Limits::new(Platform { memory_mb, sockets }, 4096, told.connections, 3_000.0);
         assert!(limits.clients > sockets / 3 && limits.clients + limits.connections + SPARE <= sockets);
         assert!(limits.cache_connections <= limits.connections);
         let memory = memory_mb * 1024.0 * 1024.0;
@@ -61,7 +61,7 @@
     let told = linnethook_settings::decode(b"{}").expect("settings");
     let platform = Platform { memory_mb: 64.0, sockets: 512 };
     for longest in [0.0, 50.0, 150.0, 300.0, 550.0, 3_000.0, 60_000.0] {
-        let limits = Limits::new(platform, 4096, told.transport, longest);
+        let limits = Limits::new(platform, 4096, told.connections, longest);
         let kill = longest.min(3_000.0) + 700.0;
         assert!(limits.stop_least <= limits.stop_most, "{longest}");
         assert!(limits.stop_most + limits.stop_last < kill, "{longest}");
--- /dev/null
+++ b/crates/settings/src/load_report.rs
@@ -0,0 +1,42 @@
+//! The values of load reports, which are positional on the wire.
+
+use linnethook::interface::LoadReport;
+
+/// What one value of a load report is.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LoadReportField {
+    InFlight,
+    Utilization,
+    HitRatio,
+    LinkUtilization,
+    /// A value that no decision uses.
+    Unused,
+}
+
+impl LoadReportField {
+    /// The field that the settings call by that name.
+    pub(crate) fn from_name(name: &str) -> Self {
+        match name {
+            "outstanding" => Self::InFlight,
+            "utilization" => Self::Utilization,
+            "x0" => Self::HitRatio,
+            "x1" => Self::LinkUtilization,
+            _ => Self::Unused,
+        }
+    }
+}
+
+/// Builds a load report from its values and what they are, in the same order.
+pub fn load_report(values: &[f64], fields: &[LoadReportField]) -> LoadReport {
+    let mut report = LoadReport::default();
+    for (&value, field) in values.iter().zip(fields) {
+        match field {
+            LoadReportField::InFlight => report.in_flight = Some(value),
+            LoadReportField::Utilization => report.utilization = Some(value),
+            LoadReportField::HitRatio => report.hit_ratio = Some(value),
+            LoadReportField::LinkUtilization => report.link_utilization = Some(value),
+            LoadReportField::Unused => {}
+        }
+    }
+    report
+}
