--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -11,7 +11,8 @@
 use linnethook_hierarchy::plan::PlanError;
 use linnethook_hierarchy::rollout::{RollbackReason, RolloutStage, StageTransition};
 use linnethook_hierarchy::{
-    AuthorId, BatchId, Change, FillResult, Hierarchy, Hop, Node, NodeId, ReceiveOutcome, Role, Source,
+    AuthorId, BatchId, Change, ChangeBatch, FillResult, Hierarchy, History, Hop, Node, NodeId,
+    ReceiveOutcome, Role, Source,
 };
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -138,6 +139,11 @@
 
 impl Script {
     fn new(seed: u64) -> Self {
+        Self::with(seed, |_| {})
+    }
+
+    /// A script with other settings.
+    fn with(seed: u64, change: impl FnOnce(&mut HierarchyConfig)) -> Self {
         let mut config = HierarchyConfig { retirement_grace: 5_000.0, ..HierarchyConfig::default() };
         config.rollout.ramp_duration = 6_000.0;
         config.rollout.settling_time = 4_000.0;
@@ -146,6 +152,7 @@
         config.shield.max_queued = 12;
         config.shield.lease_duration = 300.0;
         config.history_limits.retained_batches = 30;
+        change(&mut config);
         let mut script = Self {
             hierarchy: Hierarchy::new(config),
             names: NameTable::default(),
@@ -364,9 +371,106 @@
         let counts = serde_json::to_string(&script.hierarchy.view(script.now).counters).expect("counts");
         let _ = writeln!(text, "seed {seed}: {counts}");
     }
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/decision_trace.txt");
+    assert_golden("decision_trace.txt", &text);
+}
+
+/// A batch of one to three random changes of every kind, by one of three authors.
+fn random_batch(chance: &mut Pcg64Mcg, history: &History, fresh: u64) -> ChangeBatch {
+    let author = AuthorId(chance.random_range(1..4));
+    let count = chance.random_range(1..4u64);
+    let changes = (0..count).map(|n| any_change(chance, 100 + fresh * 4 + n)).collect();
+    history.draft_batch(author, fresh as f64, changes)
+}
+
+fn any_change(chance: &mut Pcg64Mcg, fresh: u64) -> Change {
+    let target = NodeId(chance.random_range(2..14));
+    let mut sources = vec![Source::new(ORIGIN, 9)];
+    for rank in 0..chance.random_range(0..3u16) {
+        sources.push(Source::new(NodeId(chance.random_range(2..14)), rank));
+    }
+    sources.retain(|source| source.node != target);
+    match chance.random_range(0..10) {
+        0..=2 => Change::Add { node: node(target.0, Role::Parent, 1), sources },
+        3 | 4 => Change::Remove { node: target },
+        5 => Change::Move { node: target, site: chance.random_range(0..3), sources },
+        6 => Change::Replace { old: target, new: node(fresh, Role::Parent, 1) },
+        7 => Change::Retire { node: target, retiring: chance.random_range(0..2) == 0 },
+        _ => Change::Rerank { node: target, sources },
+    }
+}
+
+/// The results of applying batches, their inverse changes and the snapshots, at a history that receives them in order
+/// and at one that receives them late.
+#[test]
+fn histories_of_seeded_batches() {
+    let mut text = String::new();
+    for seed in 0..SEEDS {
+        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut trace = Trace::default();
+        let (mut prompt, mut late) = (History::default(), History::default());
+        let mut delayed = Vec::new();
+        let origin = Change::Add { node: node(1, Role::Origin, 9), sources: Vec::new() };
+        let parents = (2..14)
+            .map(|id| Change::Add { node: node(id, Role::Parent, 1), sources: vec![Source::new(ORIGIN, 9)] });
+        let first = prompt.draft_batch(AuthorId(9), 0.0, std::iter::once(origin).chain(parents).collect());
+        late.receive_batch(first.clone());
+        prompt.receive_batch(first);
+        for step in 1..=200 {
+            // Some batches are drafted on what the late history has received.
+            let basis = if chance.random_range(0..3) == 0 { &late } else { &prompt };
+            let batch = random_batch(&mut chance, basis, step);
+            let id = batch.id;
+            trace.heard(&prompt.receive_batch(batch.clone()));
+            delayed.push(batch);
+            while delayed.len() > 6 || (!delayed.is_empty() && chance.random_range(0..3) == 0) {
+                let batch = delayed.swap_remove(chance.random_range(0..delayed.len()));
+                trace.heard(&late.receive_batch(batch));
+            }
+            if let Some(Err(why)) = prompt.outcome(id) {
+                trace.word(&why.to_string());
+            }
+            let inverse = serde_json::to_string(&prompt.inverse_changes(id)).expect("changes are written");
+            trace.word(&inverse);
+            let snapshot = serde_json::to_string(&late.snapshot()).expect("a snapshot is written");
+            trace.word(&snapshot);
+            trace.number(prompt.topology().digest());
+            trace.number(late.pending().count() as u64);
+            if step % 20 == 0 {
+                let hash = trace.0.digest();
+                let _ = writeln!(text, "seed {seed} batch {step}: {hash:016x}");
+            }
+        }
+        let applied = prompt.entries().filter(|(_, verdict)| verdict.is_ok()).count();
+        let suspended = prompt.topology().suspended_edges().count();
+        let _ = writeln!(text, "seed {seed}: {applied} applied, {suspended} edges suspended");
+    }
+    assert_golden("history_trace.txt", &text);
+}
+
+/// As the scripts above, with a rollout that may pause for a moment only, so that ramps go on while the tiers above
+/// are constrained.
+#[test]
+fn decisions_with_short_pauses() {
+    let mut text = String::new();
+    for seed in 0..SEEDS {
+        let mut script = Script::with(seed, |config| config.rollout.max_pause = 700.0);
+        for step in 1..=STEPS / 2 {
+            script.step();
+            if step % 1_000 == 0 {
+                let view = serde_json::to_string(&script.hierarchy.view(script.now)).expect("a view");
+                script.trace.word(&view);
+                let hash = script.trace.0.digest();
+                let _ = writeln!(text, "seed {seed} step {step}: {hash:016x}");
+            }
+        }
+    }
+    assert_golden("decision_trace_short_pauses.txt", &text);
+}
+
+fn assert_golden(file: &str, text: &str) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
     if !path.exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
-        std::fs::write(&path, &text).expect("the fixture is written");
+        std::fs::write(&path, text).expect("the fixture is written");
     }
     let expected = std::fs::read_to_string(&path).expect("the fixture is there");
     for (actual, expected) in text.lines().zip(expected.lines()) {
