--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -12,20 +12,20 @@
 
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
-use linnethook_audit::record::Link;
-use linnethook_fellows::fellows::Line;
-use linnethook_fellows::query::Asked;
-use linnethook_fellows::straggler::State;
+use linnethook_audit::record::ChainLink;
 use linnethook_gateway::gateway::{RouteLine, Status};
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
+use linnethook_membership::aggregation::query::QueryTarget;
+use linnethook_membership::straggler::StragglerState;
+use linnethook_membership::view::RouterView;
 use serde::{Deserialize, Serialize};
 
+use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
 use crate::decider::Ms;
 use crate::descriptors::{Purpose, Reserve};
+use crate::event_handler::EventHandler;
 use crate::log::log_line;
-use crate::pool::{Chain, Pool};
-use crate::wakes::Wakes;
 
 /// A command of this program, in postcard behind a length of four bytes.
 #[derive(Debug, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
     },
     Fleet,
     /// The detail of a site elsewhere is wanted; what has come of it so far.
-    Ask(Asked),
+    Ask(QueryTarget),
     Answered(u64),
     /// The version below which nobody is to act; 0 takes it back.
     Floor(u64),
@@ -77,7 +77,7 @@
 /// The fleet as a router sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FleetShown {
-    pub fellows: linnethook_fellows::fellows::Shown,
+    pub fellows: linnethook_membership::view::ClusterView,
     /// Caches that only fellows call drained so far, with the journal's numbers.
     pub barred: Vec<(String, u64)>,
     /// Drains, purges and batches that were heard from fellows first.
@@ -91,7 +91,7 @@
     /// The floor that people have set, and at which router.
     pub set_by: Option<(u64, String)>,
     /// Whether this router is behind, and what was not done for it.
-    pub state: Option<State>,
+    pub state: Option<StragglerState>,
     pub shut_out: u64,
     /// Records of the own account; accounts, records and bytes of others; records that did not get to the disk.
     pub account: Option<(u64, u64, u64, u64, u64)>,
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Detail {
     pub place: String,
-    pub routers: Vec<Line>,
+    pub routers: Vec<RouterView>,
 }
 
 /// The hierarchy as a router has it.
@@ -132,7 +132,7 @@
     /// The number under which the answer will be there, and the answer once it is.
     Asking(u64),
     Detail(Option<Detail>),
-    Accounts(Vec<Link>),
+    Accounts(Vec<ChainLink>),
     Done(String),
     /// It can't be done, and nothing was changed.
     No(String),
@@ -141,16 +141,16 @@
 struct Connection {
     stream: Rc<UnixStream>,
     token: RegistrationToken,
-    input: Chain,
-    output: Chain,
+    input: BufferChain,
+    output: BufferChain,
     /// It was answered; what is left is to be written.
     answered: bool,
     until: Ms,
 }
 
-pub struct Control<W: Wakes> {
+pub struct Control<W: EventHandler> {
     limits: Limits,
-    pool: Pool,
+    pool: BufferPool,
     reserve: Reserve,
     handle: LoopHandle<'static, W>,
     path: PathBuf,
@@ -161,11 +161,11 @@
     last: u64,
 }
 
-impl<W: Wakes> Control<W> {
+impl<W: EventHandler> Control<W> {
     /// Listens; a socket that a router before this one left behind is taken over, one in use is not.
     pub fn listen(
         limits: Limits,
-        pool: &Pool,
+        pool: &BufferPool,
         reserve: &Reserve,
         handle: LoopHandle<'static, W>,
         path: &Path,
@@ -182,7 +182,7 @@
         listener.set_nonblocking(true)?;
         let source = Generic::new(listener, Interest::READ, Mode::Level);
         let ready = |_: Readiness, listener: &mut NoIoDrop<UnixListener>, router: &mut W| {
-            Ok(if router.control_waits(listener) { PostAction::Continue } else { PostAction::Disable })
+            Ok(if router.accept_commands(listener) { PostAction::Continue } else { PostAction::Disable })
         };
         let listener = handle.insert_source(source, ready).map_err(|wrong| io::Error::other(wrong.error))?;
         let (pool, reserve, path) = (pool.clone(), reserve.clone(), path.to_path_buf());
@@ -214,11 +214,11 @@
             let stream = Rc::new(stream);
             let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
             let ready = move |_: Readiness, _: &mut _, router: &mut W| {
-                router.control_ready(id);
+                router.on_command_ready(id);
                 Ok(PostAction::Continue)
             };
             let Ok(token) = self.handle.insert_source(source, ready) else { continue };
-            let (input, output) = (Chain::new(&self.pool), Chain::new(&self.pool));
+            let (input, output) = (BufferChain::new(&self.pool), BufferChain::new(&self.pool));
             let until = now + self.limits.control_time;
             let connection = Connection { stream, token, input, output, answered: false, until };
             self.connections.insert(id, connection);
@@ -247,7 +247,7 @@
                 continue;
             }
             let length = u32::from_be_bytes(head) as usize;
-            if length > self.limits.control_message || self.pool.crowded() {
+            if length > self.limits.control_message || self.pool.is_exhausted() {
                 self.answer(id, &Answer::No("the question is too long, or buffers are short".to_string()));
                 return None;
             }
@@ -255,7 +255,7 @@
                 continue;
             }
             connection.input.consume(4);
-            let question = connection.input.take(length).to_vec();
+            let question = connection.input.split_to(length).to_vec();
             match postcard::from_bytes(&question) {
                 Ok(question) => return Some(question),
                 Err(wrong) => {
@@ -316,7 +316,7 @@
     }
 }
 
-impl<W: Wakes> Drop for Control<W> {
+impl<W: EventHandler> Drop for Control<W> {
     fn drop(&mut self) {
         // Whoever comes next takes it over in any case.
         let _ = std::fs::remove_file(&self.path);
