--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -7,6 +7,8 @@
 //!
 //! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/audit.md` describes the design.
 
+#![warn(missing_docs)]
+
 pub mod audit_log;
 pub mod record;
 pub mod replicas;
--- a/crates/audit/src/verification.rs
+++ b/crates/audit/src/verification.rs
@@ -5,6 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethook_membership::hybrid_clock::Timestamp;
+use linnethook_membership::versions::HierarchyVersion;
 use linnethook_membership::Ms;
 use serde::Serialize;
 
@@ -175,7 +176,7 @@
             target: None,
             attempt: None,
             outcome: None,
-            hierarchy_version: span.versions.hierarchy.0,
+            hierarchy_version: span.versions.hierarchy.version,
             journal_position: span.versions.journal_position,
         }
     }
@@ -355,7 +356,7 @@
     /// The spans after that time in which a router did something on a hierarchy of another digest.
     pub fn spans_on_other_hierarchy(&self, digest: u64, since: Timestamp) -> Vec<AttributedSpan> {
         let is_behind = move |span: &Span| {
-            span.versions.hierarchy.1 != digest && span.from > since && !span.counts.is_empty()
+            span.versions.hierarchy.digest != digest && span.from > since && !span.counts.is_empty()
         };
         self.matching_spans(is_behind).collect()
     }
@@ -384,7 +385,8 @@
         for (n, (name, _, _, span)) in spans.iter().enumerate() {
             for (other_name, _, _, other) in &spans[n + 1..] {
                 let (from, to) = (span.from.max(other.from), span.to.min(other.to));
-                let is_conflict = span.versions.hierarchy.1 != other.versions.hierarchy.1 && from < to;
+                let is_conflict =
+                    span.versions.hierarchy.digest != other.versions.hierarchy.digest && from < to;
                 if name == other_name || !is_conflict {
                     continue;
                 }
@@ -443,7 +445,7 @@
         Some(("settings", digest)) => is_digest(versions.settings_digest, digest),
         Some(_) => false,
         None => {
-            let (number, digest) = versions.hierarchy;
+            let HierarchyVersion { version: number, digest } = versions.hierarchy;
             version.parse() == Ok(number) || format!("{digest:016x}") == version
         }
     }
--- a/crates/audit/tests/audit_logs.rs
+++ b/crates/audit/tests/audit_logs.rs
@@ -5,7 +5,7 @@
 use linnethook_audit::replicas::{LogReplicas, ReplicaOutcome};
 use linnethook_audit::verification::{Finding, VerifiedLogs};
 use linnethook_membership::hybrid_clock::{HybridClock, Timestamp};
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use proptest::prelude::*;
 
 fn names(id: u64) -> Option<String> {
@@ -14,7 +14,7 @@
 
 fn on(version: u64) -> ActiveVersions {
     ActiveVersions {
-        hierarchy: (version, version * 7),
+        hierarchy: HierarchyVersion { version, digest: version * 7 },
         journal_position: version,
         ..ActiveVersions::default()
     }
@@ -61,7 +61,7 @@
     let attempts = who[0].span.counts.iter().find(|(act, _)| *act == AuditedAction::Attempt { target: 3 });
     assert_eq!(attempts.map(|(_, tally)| tally.count), Some(2));
     assert_eq!(accounts.spans_at(1_175.0).count(), 2);
-    assert_eq!(accounts.spans_at(1_175.0).next().map(|line| line.span.versions.hierarchy.0), Some(2));
+    assert_eq!(accounts.spans_at(1_175.0).next().map(|line| line.span.versions.hierarchy.version), Some(2));
     let settled = accounts.first_spans_on_version("2");
     assert_eq!(settled.iter().map(|(name, ..)| name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
     let trace = accounts.attempts_of_request("b-2");
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -12,7 +12,7 @@
 };
 use linnethook_audit::verification::{Finding, VerifiedLogs};
 use linnethook_membership::hybrid_clock::{HybridClock, Timestamp};
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use support::{hex, unhex, Fixtures};
 
 fn file(name: &str) -> PathBuf {
@@ -28,7 +28,7 @@
         build: "0.1.0".to_string(),
         settings_digest: 0x0102_0304_0506_0708,
         operator_digest: 0x1112_1314_1516_1718,
-        hierarchy: (300, 0x2122_2324_2526_2728),
+        hierarchy: HierarchyVersion { version: 300, digest: 0x2122_2324_2526_2728 },
         journal_position: 70_000,
         drains_applied: 3,
         purges_applied: 200,
--- a/crates/membership/examples/summaries.rs
+++ b/crates/membership/examples/summaries.rs
@@ -17,7 +17,7 @@
 use linnethook_membership::cluster::Cluster;
 use linnethook_membership::config::MembershipConfig;
 use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use net::{Net, Shape, Wire};
 
 /// Routers of which a change is measured, in a tree; elsewhere one less.
@@ -59,7 +59,7 @@
             build: "0.1.0".to_string(),
             settings_digest: 0x1234_5678_9abc_def0,
             operator_digest: 0x0fed_cba9_8765_4321,
-            hierarchy: (version, version.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
+            hierarchy: HierarchyVersion { version, digest: version.wrapping_mul(0x9e37_79b9_7f4a_7c15) },
             journal_position: 1_000_000 + (seconds * self.purges) as u64,
             drains_applied: 1_000,
             purges_applied: 1_000_000 + (seconds * self.purges) as u64,
@@ -72,7 +72,7 @@
             for n in (0..net.nodes.len()).filter(|n| net.runs(*n)).collect::<Vec<_>>() {
                 let mut acts = self.acts(n, now);
                 if !changes {
-                    acts.hierarchy = (1, 1);
+                    acts.hierarchy = HierarchyVersion { version: 1, digest: 1 };
                 }
                 net.core(n).set_versions(&acts);
             }
@@ -113,7 +113,7 @@
             let now = net.now;
             for n in (0..routers).filter(|n| net.runs(*n)).collect::<Vec<_>>() {
                 let mut acts = self.acts(n, now);
-                acts.hierarchy = (1, 1);
+                acts.hierarchy = HierarchyVersion { version: 1, digest: 1 };
                 acts.settings_digest += if n == who { turn } else { 0 };
                 net.core(n).set_versions(&acts);
             }
@@ -154,7 +154,7 @@
             // Since when the oldest version that a router is told of is not acted on any more.
             let oldest = |core: &Cluster| match self.shape {
                 Some(_) => core.fleet_summary(net.now)?.oldest_hierarchy(),
-                None => core.members().iter().map(|(_, m)| m.status.versions.hierarchy.0).min(),
+                None => core.members().iter().map(|(_, m)| m.status.versions.hierarchy.version).min(),
             };
             let known = net.nodes.iter().filter_map(|node| oldest(node.core.as_ref()?));
             late.extend(known.map(|version| (net.now - version as f64 * CHANGES * 1_000.0).max(0.0)));
--- a/crates/membership/src/aggregation/scope.rs
+++ b/crates/membership/src/aggregation/scope.rs
@@ -9,6 +9,7 @@
 
 use crate::aggregation::location::Location;
 use crate::gossip::entry::EntryKey;
+use crate::versions::HierarchyVersion;
 use crate::Ms;
 
 /// The first message over a link, repeated when the sender moves to another version of the hierarchy.
@@ -16,8 +17,8 @@
 pub struct LinkHandshake {
     /// Where the sender is.
     pub location: Location,
-    /// The version and the digest of the hierarchy that the sender acts on.
-    pub hierarchy: (u64, u64),
+    /// The hierarchy that the sender acts on.
+    pub hierarchy: HierarchyVersion,
     /// Whether the sender supports lazy links. Encoded behind the other fields, where older builds do not look.
     #[serde(skip)]
     pub supports_lazy_links: bool,
--- a/crates/membership/src/aggregation/summary.rs
+++ b/crates/membership/src/aggregation/summary.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::membership::MemberState;
-use crate::versions::ActiveVersions;
+use crate::versions::{ActiveVersions, HierarchyVersion};
 
 /// How many version groups a published summary lists.
 pub const MAX_GROUPS: usize = 4;
@@ -36,11 +36,11 @@
     pub fn from_versions(versions: &ActiveVersions) -> Self {
         let ActiveVersions { build, settings_digest, operator_digest, .. } = versions;
         let build_digest = xxh3_64(format!("{build}/{settings_digest}/{operator_digest}").as_bytes());
-        let (hierarchy_version, hierarchy_digest) = versions.hierarchy;
+        let HierarchyVersion { version, digest } = versions.hierarchy;
         Self {
             build_digest: (build_digest >> 32) as u32,
-            hierarchy_version,
-            hierarchy_digest: (hierarchy_digest >> 32) as u32,
+            hierarchy_version: version,
+            hierarchy_digest: (digest >> 32) as u32,
         }
     }
 }
--- a/crates/membership/src/aggregation/topology.rs
+++ b/crates/membership/src/aggregation/topology.rs
@@ -15,7 +15,7 @@
 use crate::gossip::plumtree::{encode_digests, uses_lazy_links, Plumtree};
 use crate::gossip::rate_limit::TokenBucket;
 use crate::gossip::wire::{GRAFT_TAG, IHAVE_TAG, PRUNE_TAG};
-use crate::versions::{ActiveVersions, RouterStatus, VersionUpdate};
+use crate::versions::{ActiveVersions, HierarchyVersion, RouterStatus, VersionUpdate};
 use crate::Ms;
 
 /// The state of a router with a location.
@@ -95,7 +95,7 @@
     }
 
     /// The handshake that this router sends.
-    pub fn handshake(&self, hierarchy: (u64, u64)) -> LinkHandshake {
+    pub fn handshake(&self, hierarchy: HierarchyVersion) -> LinkHandshake {
         let supports_lazy_links = self.plumtree.uses_lazy_links();
         LinkHandshake { location: self.location().clone(), hierarchy, supports_lazy_links }
     }
--- a/crates/membership/src/cluster/floor.rs
+++ b/crates/membership/src/cluster/floor.rs
@@ -30,8 +30,8 @@
     /// whichever is higher.
     pub fn floor(&self, voters: &[String]) -> u64 {
         let hierarchy_version = |name: &String| match *name == self.name {
-            true => Some(self.versions.hierarchy.0),
-            false => Some(self.versions_of(name)?.hierarchy.0),
+            true => Some(self.versions.hierarchy.version),
+            false => Some(self.versions_of(name)?.hierarchy.version),
         };
         let versions: Vec<Option<u64>> = voters.iter().map(hierarchy_version).collect();
         majority_version(&versions).max(self.operator_floor().map_or(0, |floor| floor.version))
@@ -70,15 +70,15 @@
 
     fn routers_below(&self, floor: u64) -> BTreeSet<String> {
         let members = self.members.iter();
-        let behind = members.filter(|(_, member)| member.status.versions.hierarchy.0 < floor);
+        let behind = members.filter(|(_, member)| member.status.versions.hierarchy.version < floor);
         let mut names: BTreeSet<String> = behind.map(|(name, _)| name.clone()).collect();
         // The aggregator of a site names itself too: no other router would.
-        if self.versions.hierarchy.0 < floor {
+        if self.versions.hierarchy.version < floor {
             names.insert(self.name.clone());
         }
         if let Some(topology) = &self.topology {
             let remote_peers = topology.links.remote_peers();
-            let behind = remote_peers.filter(|(_, handshake)| handshake.hierarchy.0 < floor);
+            let behind = remote_peers.filter(|(_, handshake)| handshake.hierarchy.version < floor);
             names.extend(behind.map(|(name, _)| name.clone()));
         }
         names
@@ -91,16 +91,16 @@
 
     /// Linked peers that act on a newer hierarchy than this router.
     pub fn peers_ahead(&self) -> Vec<&str> {
-        let own_version = self.versions.hierarchy.0;
+        let own_version = self.versions.hierarchy.version;
         let is_ahead = |name: &str, incarnation: u64| {
             let member = self.members.get(name);
             member.is_some_and(|member| {
-                member.incarnation == incarnation && member.status.versions.hierarchy.0 > own_version
+                member.incarnation == incarnation && member.status.versions.hierarchy.version > own_version
             })
         };
         let of_site = self.members.links().filter(|(name, incarnation)| is_ahead(name, *incarnation));
         let remote = self.topology.iter().flat_map(|topology| topology.links.remote_peers());
-        let remote = remote.filter(|(_, handshake)| handshake.hierarchy.0 > own_version);
+        let remote = remote.filter(|(_, handshake)| handshake.hierarchy.version > own_version);
         let of_site = of_site.map(|(name, _)| name.as_str());
         of_site.chain(remote.map(|(name, _)| name.as_str())).collect()
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -17,6 +17,8 @@
 //! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/fellows.md` and
 //! `docs/summaries.md` describe the design.
 
+#![warn(missing_docs)]
+
 pub mod actions;
 pub mod aggregation;
 pub mod cluster;
--- a/crates/membership/src/versions.rs
+++ b/crates/membership/src/versions.rs
@@ -10,6 +10,30 @@
 /// The version of [`RouterStatus`] that a router with a location writes.
 pub const LOCATED_STATUS_VERSION: u16 = 3;
 
+/// A version of the hierarchy. Two hierarchies of one version differ in their digests.
+///
+/// Serialized as a pair.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
+#[serde(from = "(u64, u64)", into = "(u64, u64)")]
+pub struct HierarchyVersion {
+    /// The version; 0 where there is no hierarchy.
+    pub version: u64,
+    /// A digest of the hierarchy's content.
+    pub digest: u64,
+}
+
+impl From<(u64, u64)> for HierarchyVersion {
+    fn from((version, digest): (u64, u64)) -> Self {
+        Self { version, digest }
+    }
+}
+
+impl From<HierarchyVersion> for (u64, u64) {
+    fn from(hierarchy: HierarchyVersion) -> Self {
+        (hierarchy.version, hierarchy.digest)
+    }
+}
+
 /// What a router acts on; digests stand for what is long.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ActiveVersions {
@@ -21,9 +45,9 @@
     /// A digest of the operator file.
     #[serde(rename = "operator")]
     pub operator_digest: u64,
-    /// The version and the digest of the hierarchy; 0 where there is none.
+    /// The hierarchy.
     #[serde(rename = "shape")]
-    pub hierarchy: (u64, u64),
+    pub hierarchy: HierarchyVersion,
     /// The last position of the journal that was applied.
     #[serde(rename = "journal")]
     pub journal_position: u64,
@@ -51,8 +75,8 @@
 /// The parts of [`ActiveVersions`] that change all the time, reported without the rest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct VersionUpdate {
-    /// The version and the digest of the hierarchy.
-    pub hierarchy: (u64, u64),
+    /// The hierarchy.
+    pub hierarchy: HierarchyVersion,
     /// The last position of the journal that was applied.
     pub journal_position: u64,
     /// Drains applied in this incarnation.
@@ -87,7 +111,7 @@
     build: String,
     settings_digest: u64,
     operator_digest: u64,
-    hierarchy: (u64, u64),
+    hierarchy: HierarchyVersion,
     journal_position: u64,
     links: Vec<(String, u64)>,
     leaving: bool,
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -6,7 +6,7 @@
 use linnethook_membership::config::MembershipConfig;
 use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, Purge};
 use linnethook_membership::membership::{MemberChange, MemberState};
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use net::{Net, Wire};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -207,7 +207,10 @@
 #[test]
 fn a_stragglers_word_counts_once_it_has_caught_up() {
     let mut net = fleet(3);
-    let on = |version: u64| ActiveVersions { hierarchy: (version, version), ..ActiveVersions::default() };
+    let on = |version: u64| ActiveVersions {
+        hierarchy: HierarchyVersion { version, digest: version },
+        ..ActiveVersions::default()
+    };
     for n in 0..3 {
         net.core(n).set_versions(&on(if n == 2 { 4 } else { 5 }));
     }
@@ -325,7 +328,7 @@
         for router in (0..12).filter(|router| net.runs(*router)).collect::<Vec<_>>() {
             net.core(router).set_versions(&ActiveVersions {
                 journal_position: n / 7,
-                hierarchy: (n / 50, (n / 50) << 40),
+                hierarchy: HierarchyVersion { version: n / 50, digest: (n / 50) << 40 },
                 ..ActiveVersions::default()
             });
         }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -22,7 +22,9 @@
 use linnethook_membership::name_conflict::NameHolder;
 use linnethook_membership::snapshot_transfer::SnapshotChunk;
 use linnethook_membership::straggler::{ExclusionReason, StragglerState};
-use linnethook_membership::versions::{ActiveVersions, RouterStatus, VersionFloor, VersionUpdate};
+use linnethook_membership::versions::{
+    ActiveVersions, HierarchyVersion, RouterStatus, VersionFloor, VersionUpdate,
+};
 use linnethook_membership::view::{ClusterCounters, ClusterView, LocationView, RouterView};
 use net::{Net, Shape, Wire};
 use serde::de::DeserializeOwned;
@@ -42,7 +44,7 @@
         build: "0.1.0".to_string(),
         settings_digest: 0x0102_0304_0506_0708,
         operator_digest: 0x1112_1314_1516_1718,
-        hierarchy: (300, 0x2122_2324_2526_2728),
+        hierarchy: HierarchyVersion { version: 300, digest: 0x2122_2324_2526_2728 },
         journal_position: 70_000,
         drains_applied: 3,
         purges_applied: 200,
@@ -224,7 +226,7 @@
     for prunes in [false, true] {
         let greeting = LinkHandshake {
             location: place("north/z1/s2"),
-            hierarchy: (300, 1 << 40),
+            hierarchy: HierarchyVersion { version: 300, digest: 1 << 40 },
             supports_lazy_links: prunes,
         };
         fixtures.insert(format!("greeting.lazy_links_{prunes}"), hex(&greeting.encode()));
@@ -343,7 +345,7 @@
             let version = (n + router as u64) / 60;
             net.core(router).set_versions(&ActiveVersions {
                 journal_position: n / 3,
-                hierarchy: (version, version << 40),
+                hierarchy: HierarchyVersion { version, digest: version << 40 },
                 ..ActiveVersions::default()
             });
         }
--- a/crates/membership/tests/locations.rs
+++ b/crates/membership/tests/locations.rs
@@ -12,7 +12,7 @@
 use linnethook_membership::config::MembershipConfig;
 use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, GossipEntry};
 use linnethook_membership::membership::MemberState;
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use linnethook_membership::Ms;
 use net::{Net, Shape, Wire};
 use rand::{RngExt, SeedableRng};
@@ -55,7 +55,10 @@
 }
 
 fn on(version: u64) -> ActiveVersions {
-    ActiveVersions { hierarchy: (version, version << 40), ..ActiveVersions::default() }
+    ActiveVersions {
+        hierarchy: HierarchyVersion { version, digest: version << 40 },
+        ..ActiveVersions::default()
+    }
 }
 
 // ---- The checker of what crossed.
--- a/crates/membership/tests/plumtree.rs
+++ b/crates/membership/tests/plumtree.rs
@@ -12,7 +12,7 @@
 use linnethook_membership::gossip::plumtree::{
     decode_digests, encode_digests, Plumtree, PlumtreeConfig, PlumtreeMessages,
 };
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use linnethook_membership::view::ClusterCounters;
 use linnethook_membership::Ms;
 use net::{Net, Shape, Wire};
@@ -150,7 +150,11 @@
 #[test]
 fn a_greeting_is_read_by_an_older_build_and_one_of_it_says_that_it_knows_of_no_lazy_links() {
     let place = Location::parse("a/b").expect("a place");
-    let greeting = LinkHandshake { location: place.clone(), hierarchy: (3, 4), supports_lazy_links: true };
+    let greeting = LinkHandshake {
+        location: place.clone(),
+        hierarchy: HierarchyVersion { version: 3, digest: 4 },
+        supports_lazy_links: true,
+    };
     let bytes = greeting.encode();
     // As it was before: place and shape, and no look at what follows.
     let older: (Location, (u64, u64)) = postcard::from_bytes(&bytes).expect("readable");
@@ -159,7 +163,11 @@
     let older = postcard::to_stdvec(&older).expect("written");
     assert_eq!(
         LinkHandshake::decode(&older),
-        Some(LinkHandshake { location: place, hierarchy: (3, 4), supports_lazy_links: false })
+        Some(LinkHandshake {
+            location: place,
+            hierarchy: HierarchyVersion { version: 3, digest: 4 },
+            supports_lazy_links: false
+        })
     );
 }
 
--- a/crates/membership/tests/summary.rs
+++ b/crates/membership/tests/summary.rs
@@ -7,7 +7,7 @@
 use linnethook_membership::aggregation::tree::{AggregationConfig, SummaryTree};
 use linnethook_membership::hybrid_clock::Timestamp;
 use linnethook_membership::membership::MemberState;
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use proptest::prelude::*;
 
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
             leaving,
             acts: ActiveVersions {
                 settings_digest: settings,
-                hierarchy: (version, version << 40),
+                hierarchy: HierarchyVersion { version, digest: version << 40 },
                 journal_position: journal,
                 drains_applied: journal / 2,
                 purges_applied: journal,
@@ -76,7 +76,10 @@
         sum.progress.drains_applied,
         routers.iter().filter(alive).map(|r| r.acts.drains_applied).sum::<u64>()
     );
-    prop_assert_eq!(sum.oldest_hierarchy(), routers.iter().filter(alive).map(|r| r.acts.hierarchy.0).min());
+    prop_assert_eq!(
+        sum.oldest_hierarchy(),
+        routers.iter().filter(alive).map(|r| r.acts.hierarchy.version).min()
+    );
     prop_assert_eq!(sum.groups.values().sum::<u64>() + sum.other_routers, count(&|r| alive(r)));
     let stragglers: BTreeSet<&String> = routers.iter().filter(|r| r.straggler).map(|r| &r.name).collect();
     prop_assert_eq!(sum.straggler_count, stragglers.len() as u64);
@@ -158,8 +161,8 @@
         ActiveVersions { build: "0.1.1".to_string(), ..acts.clone() },
         ActiveVersions { settings_digest: 2, ..acts.clone() },
         ActiveVersions { operator_digest: 3, ..acts.clone() },
-        ActiveVersions { hierarchy: (1, 0), ..acts.clone() },
-        ActiveVersions { hierarchy: (0, 1 << 40), ..acts.clone() },
+        ActiveVersions { hierarchy: HierarchyVersion { version: 1, digest: 0 }, ..acts.clone() },
+        ActiveVersions { hierarchy: HierarchyVersion { version: 0, digest: 1 << 40 }, ..acts.clone() },
     ];
     let groups: BTreeSet<VersionGroup> =
         other.iter().map(VersionGroup::from_versions).chain([VersionGroup::from_versions(&acts)]).collect();
--- a/crates/membership/tests/versions.rs
+++ b/crates/membership/tests/versions.rs
@@ -2,7 +2,7 @@
 
 use linnethook_membership::aggregation::location::Location;
 use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
-use linnethook_membership::versions::{ActiveVersions, RouterStatus};
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion, RouterStatus};
 use serde::Deserialize;
 
 /// What a build of version 1 reads.
@@ -22,7 +22,7 @@
         build: "0.1.0".to_string(),
         settings_digest: 1,
         operator_digest: 2,
-        hierarchy: (3, 4),
+        hierarchy: HierarchyVersion { version: 3, digest: 4 },
         journal_position: 5,
         drains_applied: 6,
         purges_applied: 7,
--- a/crates/router/src/audit.rs
+++ b/crates/router/src/audit.rs
@@ -90,7 +90,8 @@
         }
         Verb::Settled { version } => {
             let all = accounts.first_spans_on_version(version);
-            let digest = accounts.spans_on_version(version).next().map(|line| line.span.versions.hierarchy.1);
+            let digest =
+                accounts.spans_on_version(version).next().map(|line| line.span.versions.hierarchy.digest);
             let since = all.last().map(|(.., at, _)| *at).unwrap_or_default();
             let behind =
                 digest.map(|digest| accounts.spans_on_other_hierarchy(digest, since)).unwrap_or_default();
@@ -106,7 +107,7 @@
                 let span = &line.span;
                 format!(
                     "{} acted on version {} from {} to {}\n",
-                    line.name, span.versions.hierarchy.0, span.from, span.to
+                    line.name, span.versions.hierarchy.version, span.from, span.to
                 )
             });
             text.extend(later);
@@ -193,8 +194,8 @@
         span.to,
         span.wall_clock.0,
         span.wall_clock.1,
-        span.versions.hierarchy.0,
-        span.versions.hierarchy.1,
+        span.versions.hierarchy.version,
+        span.versions.hierarchy.digest,
         span.versions.journal_position,
         span.versions.build
     )
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -19,7 +19,7 @@
 use linnethook_membership::straggler::{
     ExclusionReason, StragglerDetector, StragglerObservation, StragglerState,
 };
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use linnethook_operator::Fellows;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -220,7 +220,7 @@
         self.core.enforce_floor(now, floor, behind.core.config().grace_period);
         behind.alone = if self.core.has_reachable_peer() { None } else { Some(behind.alone.unwrap_or(now)) };
         let seen = StragglerObservation {
-            own_version: self.acts.hierarchy.0,
+            own_version: self.acts.hierarchy.version,
             floor,
             isolated_since: behind.alone,
             journal_valid_until: journal,
@@ -440,7 +440,7 @@
                 fleet.act(now, AuditedAction::RolloutStage { target: to, stage });
             }
             if looks {
-                fleet.acts.hierarchy = upstream.acts_on();
+                fleet.acts.hierarchy = upstream.acts_on().into();
                 fleet.core.set_versions(&fleet.acts);
                 // Who is ahead though all facts are here has something that is passed on no more.
                 if let Some(SnapshotRequest { peer: of, request_id: asking }) =
@@ -601,8 +601,8 @@
         match upstream.adopt(now, whole) {
             Ok(()) => {
                 fleet.adopted += 1;
-                fleet.acts.hierarchy = upstream.acts_on();
-                let (version, digest) = fleet.acts.hierarchy;
+                fleet.acts.hierarchy = upstream.acts_on().into();
+                let HierarchyVersion { version, digest } = fleet.acts.hierarchy;
                 log_line!(version, "fellows: the hierarchy was taken over whole from {from}: version {version}, {digest:016x}");
             }
             Err(why) => log_line!("fellows: the hierarchy of {from} was not taken over: {why}"),
--- a/crates/router/tests/unit/account.rs
+++ b/crates/router/tests/unit/account.rs
@@ -1,5 +1,7 @@
 //! Unit tests of `src/account.rs`, a part of its module: what accounts of two routers say to each other.
 
+use linnethook_membership::versions::HierarchyVersion;
+
 use super::*;
 use crate::golden::assert_golden;
 use crate::hex::hex;
@@ -15,7 +17,7 @@
         build: "1.0.0".to_string(),
         settings_digest: 11,
         operator_digest: 12,
-        hierarchy: (3, 99),
+        hierarchy: HierarchyVersion { version: 3, digest: 99 },
         journal_position: 44,
         drains_applied: 1,
         purges_applied: 2,
--- a/crates/standins/src/scale/mod.rs
+++ b/crates/standins/src/scale/mod.rs
@@ -605,7 +605,7 @@
         // Those of others are copies.
         let records = links.iter().filter(|link| link.name == name(n)).filter_map(ChainLink::decode_record);
         let spans = records.filter_map(|record| match record {
-            Record::Span(span) => Some((span.versions.hierarchy.0, span.from.ms as f64)),
+            Record::Span(span) => Some((span.versions.hierarchy.version, span.from.ms as f64)),
             _ => None,
         });
         Ok(spans.collect())
