--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -8,7 +8,7 @@
 use std::path::Path;
 
 use linnethook_audit::record::{AuditedAction, WriteAttempt, WriteOutcome};
-use linnethook_hierarchy::named::BatchSpec;
+use linnethook_hierarchy::change_spec::BatchSpec;
 use linnethook_membership::actions::{ClusterAction, ClusterEvent};
 use linnethook_membership::aggregation::query::QueryTarget;
 use linnethook_membership::cluster::Cluster;
--- a/crates/router/tests/unit/operator_digest.rs
+++ b/crates/router/tests/unit/operator_digest.rs
@@ -32,7 +32,7 @@
 
 /// The texts that 48f72c9 hashes, one a line. `LINNETHOOK_WRITE_GOLDEN=1` writes the file where it is missing.
 #[test]
-fn the_encoding_is_the_recorded_text() {
+fn the_encoding_is_the_text_that_earlier_builds_hash() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/operator_digest.txt");
     let texts = FILES.map(|text| format!("{:?}\n", common_settings(&read(text)))).concat();
     if !path.exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
