--- /dev/null
+++ b/crates/operator/tests/golden.rs
@@ -0,0 +1,179 @@
+//! The operator file as earlier builds read it (`tests/golden/`): every function, setting and kind of error.
+
+use linnethook_hierarchy::named::{ChangeSpec, NodeSpec, SourceSpec};
+use linnethook_hierarchy::Role;
+use linnethook_operator::knobs::audit::straggler::STRAGGLER;
+use linnethook_operator::knobs::audit::AUDIT;
+use linnethook_operator::knobs::fellows::FELLOWS;
+use linnethook_operator::knobs::gateway::GATEWAY;
+use linnethook_operator::knobs::{Knob, HIERARCHY};
+use linnethook_operator::{apart, changes, reference, Bounds, Operator};
+use std::fmt::Write;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// The test runs in the folder of its package, so that errors name the file as it is named here.
+fn golden_path(name: &str) -> PathBuf {
+    Path::new("tests/golden").join(name)
+}
+
+fn golden(name: &str) -> String {
+    fs::read_to_string(golden_path(name)).expect("a fixture")
+}
+
+fn assert_golden(name: &str, actual: &str) {
+    assert_eq!(actual, golden(name), "{name}");
+}
+
+fn settings<T: Default>(out: &mut String, function: &str, table: &[Knob<T>], rules: &T) {
+    for setting in table {
+        let (value, default) = (setting.default(rules), setting.default(&T::default()));
+        assert!(value != default, "{function}: {} is set to its default", setting.name);
+        writeln!(out, "{function}.{} = {value}", setting.name).expect("written");
+    }
+}
+
+fn sources(sources: &[SourceSpec]) -> String {
+    let source = |source: &SourceSpec| format!("{}@{}", source.name, source.rank);
+    sources.iter().map(source).collect::<Vec<_>>().join(" ")
+}
+
+fn node(node: &NodeSpec) -> String {
+    let role = match node.role {
+        Role::Cache => "cache",
+        Role::Parent => "parent",
+        Role::Origin => "origin",
+    };
+    let NodeSpec { name, site, tier, capacity, retiring, .. } = node;
+    let sources = sources(&node.sources);
+    format!(
+        "{name} {role} site={site} tier={tier} capacity={capacity} retiring={retiring} sources=[{sources}]"
+    )
+}
+
+fn change(change: &ChangeSpec) -> String {
+    match change {
+        ChangeSpec::Add(added) => format!("add {}", node(added)),
+        ChangeSpec::Remove { node } => format!("remove {node}"),
+        ChangeSpec::Move { node, site, sources: to } => format!("move {node} {site} [{}]", sources(to)),
+        ChangeSpec::Replace { old, new } => format!("replace {old} {}", node(new)),
+        ChangeSpec::Rerank { node, sources: to } => format!("rerank {node} [{}]", sources(to)),
+        ChangeSpec::Retire { node, retiring } => format!("retire {node} {retiring}"),
+    }
+}
+
+/// All that was read, one value a line, by the names of the file.
+fn values(operator: &Operator) -> String {
+    let mut out = String::new();
+    writeln!(out, "control.path = {:?}", operator.control).expect("written");
+    let log = operator.log.expect("log()");
+    writeln!(out, "log.format = json: {}", log.json).expect("written");
+    writeln!(out, "log.lines_per_second = {}", log.lines_per_second).expect("written");
+    let watch = operator.watch.as_ref().expect("watch()");
+    writeln!(out, "watch.weight_source = {:?}", watch.weight_source).expect("written");
+    writeln!(out, "watch.tells = {:?}", watch.tells).expect("written");
+    writeln!(out, "watch.peers_fill = {:?}", watch.peers_fill).expect("written");
+    writeln!(out, "watch.merges_fills = {:?}", watch.merges_fills).expect("written");
+    writeln!(out, "watch.bypass_allowed = {:?}", watch.bypass_allowed).expect("written");
+    writeln!(out, "watch.max_attempts = {:?}", watch.max_attempts).expect("written");
+    writeln!(out, "watch.every = {}", watch.every).expect("written");
+
+    let hierarchy = operator.hierarchy.as_ref().expect("hierarchy()");
+    writeln!(out, "hierarchy.author = {}", hierarchy.part.author).expect("written");
+    writeln!(out, "hierarchy.extended = {}", hierarchy.part.extended).expect("written");
+    writeln!(out, "hierarchy.staged = {}", hierarchy.part.rules.staged).expect("written");
+    writeln!(out, "hierarchy.shielded = {}", hierarchy.part.rules.shielded).expect("written");
+    settings(&mut out, "hierarchy", HIERARCHY, &hierarchy.part.rules);
+    for spec in &hierarchy.nodes {
+        writeln!(out, "node: {}", node(spec)).expect("written");
+    }
+
+    let gateway = operator.gateway.as_ref().expect("gateway()");
+    writeln!(out, "gateway.site = {}", gateway.part.site).expect("written");
+    writeln!(out, "gateway.listen = {:?}", gateway.part.listen).expect("written");
+    settings(&mut out, "gateway", GATEWAY, &gateway.part.rules);
+    for site in &gateway.sites {
+        writeln!(out, "site: {} classes={:?}", site.name, site.classes).expect("written");
+    }
+    for link in &gateway.links {
+        writeln!(out, "link: {} {} connections={}", link.to, link.connect, link.connections)
+            .expect("written");
+    }
+
+    let fellows = gateway.fellows.as_ref().expect("fellows()");
+    let place = fellows.place.as_ref().map(ToString::to_string);
+    writeln!(out, "fellows.place = {place:?}").expect("written");
+    settings(&mut out, "fellows", FELLOWS, &fellows.rules);
+    let audit = fellows.audit.as_ref().expect("audit()");
+    writeln!(out, "audit.folder = {:?}", audit.folder).expect("written");
+    settings(&mut out, "audit", AUDIT, &audit.rules);
+    let straggler = fellows.straggler.as_ref().expect("straggler()");
+    writeln!(out, "straggler.voters = {:?}", straggler.voters).expect("written");
+    settings(&mut out, "straggler", STRAGGLER, &straggler.rule);
+    out
+}
+
+fn change_lines(changes: &[ChangeSpec]) -> String {
+    changes.iter().map(|spec| change(spec) + "\n").collect()
+}
+
+#[test]
+fn every_function_and_setting_is_read() {
+    let text = golden("everything.star");
+    let operator = Operator::read("everything.star", &text, &Bounds::default()).expect("a good file");
+    assert_golden("everything.txt", &values(&operator));
+}
+
+#[test]
+fn every_change_is_read() {
+    let changes = changes("changes.star", &golden("changes.star"), &Bounds::default()).expect("changes");
+    assert_golden("changes.txt", &change_lines(&changes));
+}
+
+#[test]
+fn the_reference_of_the_settings_is_as_it_was() {
+    assert_golden("reference.txt", &reference());
+}
+
+/// Each case is a text and, behind `=> `, its error; `%%` stands between two cases.
+fn assert_errors(name: &str, read: impl Fn(&str) -> Option<String>) {
+    let mut actual = Vec::new();
+    for case in golden(name).split("%%\n") {
+        let (text, _) = case.rsplit_once("\n=> ").expect("an error");
+        let error = read(text).unwrap_or_else(|| panic!("no error: {text}"));
+        assert_eq!(error.lines().count(), 1, "{error}");
+        actual.push(format!("{text}\n=> {error}\n"));
+    }
+    assert_golden(name, &actual.join("%%\n"));
+}
+
+#[test]
+fn each_error_of_an_operator_file_is_worded_as_it_was() {
+    let read = |text: &str| Operator::read("operator.star", text, &Bounds::default());
+    assert_errors("errors.txt", |text| read(text).err().map(|error| error.to_string()));
+}
+
+#[test]
+fn each_error_of_a_file_of_changes_is_worded_as_it_was() {
+    let read = |text: &str| changes("changes.star", text, &Bounds::default());
+    assert_errors("change-errors.txt", |text| read(text).err().map(|error| error.to_string()));
+}
+
+/// A program may be replaced while it runs: what the evaluating process of one build writes, the other reads.
+#[test]
+fn what_the_evaluating_process_writes_is_read_by_other_builds() {
+    let operator = fs::read(golden_path("everything.postcard")).expect("a fixture");
+    let operator = apart::operator(Path::new("everything.star"), &operator).expect("an operator file");
+    assert_eq!(values(&operator), golden("everything.txt"));
+    let changes = fs::read(golden_path("changes.postcard")).expect("a fixture");
+    let changes = apart::change_list(Path::new("changes.star"), &changes).expect("changes");
+    assert_eq!(change_lines(&changes), golden("changes.txt"));
+    let error = fs::read(golden_path("error.postcard")).expect("a fixture");
+    let error = apart::operator(Path::new("error.star"), &error).expect_err("an error");
+    assert_eq!(
+        error.to_string(),
+        "tests/golden/changes.star:2:1: Variable `add` not found, did you mean `abs`?"
+    );
+    let nothing = apart::operator(Path::new("here.star"), &[]).expect_err("an error").to_string();
+    assert_eq!(nothing, "here.star: its evaluation needs more than 2 s or 768 MB");
+}
--- a/crates/router/tests/unit/operator_digest.rs
+++ b/crates/router/tests/unit/operator_digest.rs
@@ -21,28 +21,29 @@
 straggler(voters = ["router-1", "router-2"])
 "#;
 
+/// Every setting of every function, each with a value of its own.
+const EVERY_SETTING: &str =
+    include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../operator/tests/golden/everything.star"));
+
 fn read(text: &str) -> Operator {
     Operator::read("operator.star", text, &Bounds::default()).expect("a good file")
 }
 
-/// The digest as builds up to 48f72c9 make it.
-fn debug_text(operator: &Operator) -> String {
-    let hierarchy = operator.hierarchy.as_ref().map(|hierarchy| (&hierarchy.part, &hierarchy.nodes));
-    let gateway = operator.gateway.as_ref();
-    let fellows = gateway.and_then(|gateway| gateway.fellows.as_ref());
-    let fellows = fellows.map(|f| (f.rules, f.audit.as_ref().map(|audit| audit.rules), &f.straggler));
-    let gateway = gateway.map(|gateway| (&gateway.part.site, gateway.part.rules, &gateway.sites, fellows));
-    format!("{:?}", (hierarchy, gateway, &operator.watch, operator.log))
-}
+/// One line for each file, as builds up to 48f72c9 hash it (the `Debug` text of their settings).
+const EARLIER_TEXTS: &str = include_str!("../golden/operator_digest.txt");
 
 #[test]
 fn the_encoding_is_the_text_that_earlier_builds_hash() {
-    for text in
-        [EVERYTHING, "", "hierarchy()", "log()", "gateway(site = \"a\", listen = \"10.0.0.4:1\")\nfellows()"]
-    {
-        let operator = read(text);
-        assert_eq!(format!("{:?}", common_settings(&operator)), debug_text(&operator));
-    }
+    let files = [
+        EVERYTHING,
+        "",
+        "hierarchy()",
+        "log()",
+        "gateway(site = \"a\", listen = \"10.0.0.4:1\")\nfellows()",
+        EVERY_SETTING,
+    ];
+    let texts: Vec<String> = files.map(|text| format!("{:?}", common_settings(&read(text)))).to_vec();
+    assert_eq!(texts, EARLIER_TEXTS.lines().collect::<Vec<_>>());
 }
 
 #[test]
