--- /dev/null
+++ b/crates/persistence/src/record_log.rs
@@ -0,0 +1,231 @@
+//! An append-only log of records, durable before anyone relies on them.
+//!
+//! Records that are added together are synced once (group commit). A tail that was torn by a stop of the machine is
+//! truncated at the next start, and a record that was committed is never lost. After a failed write or sync the log
+//! accepts nothing more until it is opened again, because the durable content is unknown.
+//!
+//! A record is its length and the checksum of length and payload, four bytes each and big-endian, then the payload.
+
+use std::io;
+
+use crate::file_store::FileStore;
+
+/// File names; they are part of the stored format.
+const LOG_FILE: &str = "promises";
+const TEMPORARY_FILE: &str = "promises.part";
+
+const LENGTH_BYTES: usize = 4;
+const HEADER_BYTES: usize = LENGTH_BYTES + 4;
+
+/// Upper bounds on a log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct RecordLogLimits {
+    /// Bytes of the file.
+    pub file_bytes: u64,
+    /// Bytes of one record without its header.
+    pub record_bytes: u32,
+}
+
+impl Default for RecordLogLimits {
+    fn default() -> Self {
+        Self { file_bytes: 16 << 20, record_bytes: 1 << 20 }
+    }
+}
+
+/// Why a record was not added or committed.
+#[derive(Debug, thiserror::Error)]
+pub enum RecordLogError {
+    /// The file would exceed [`RecordLogLimits::file_bytes`].
+    #[error("the log is full: it has to be compacted first")]
+    Full,
+    /// The record, of so many bytes, exceeds [`RecordLogLimits::record_bytes`].
+    #[error("a record of {0} bytes is longer than is allowed")]
+    RecordTooLarge(usize),
+    /// An earlier write or sync failed.
+    #[error("an earlier write failed, and nothing is promised until the log is opened anew")]
+    Poisoned,
+    /// This write or sync failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// An open log.
+#[derive(Debug)]
+pub struct RecordLog {
+    limits: RecordLogLimits,
+    /// Bytes that are durable.
+    committed_bytes: u64,
+    /// Encoded records that wait for the next commit.
+    pending: Vec<u8>,
+    poisoned: bool,
+}
+
+/// A log with what it held when it was opened.
+#[derive(Debug)]
+pub struct OpenedLog {
+    /// The log, ready to append.
+    pub log: RecordLog,
+    /// All committed records in their order, perhaps followed by some that were added and not committed.
+    pub records: Vec<Vec<u8>>,
+    /// Bytes of a torn tail that were truncated.
+    pub truncated_bytes: u64,
+}
+
+impl RecordLog {
+    /// Opens the log and truncates a torn tail.
+    ///
+    /// # Errors
+    ///
+    /// Any error of the file store, among them a file of more than twice the allowed size.
+    pub fn open(files: &mut impl FileStore, limits: RecordLogLimits) -> io::Result<OpenedLog> {
+        files.remove(TEMPORARY_FILE)?;
+        // Twice the limit, so that a log that was written under a higher limit can still be read.
+        let bytes = files.read(LOG_FILE, limits.file_bytes * 2)?.unwrap_or_default();
+        let (records, intact_bytes) = decode_records(&bytes, &limits);
+        let truncated_bytes = bytes.len() as u64 - intact_bytes;
+        if truncated_bytes > 0 {
+            files.truncate(LOG_FILE, intact_bytes)?;
+            files.sync(LOG_FILE)?;
+        }
+        let log = Self { limits, committed_bytes: intact_bytes, pending: Vec::new(), poisoned: false };
+        Ok(OpenedLog { log, records, truncated_bytes })
+    }
+
+    /// Bytes of all records with their headers, pending ones included.
+    pub fn len(&self) -> u64 {
+        self.committed_bytes + self.pending.len() as u64
+    }
+
+    /// Whether the log has no record, neither committed nor pending.
+    pub fn is_empty(&self) -> bool {
+        self.len() == 0
+    }
+
+    /// Adds a record to the next commit. It is durable only after [`RecordLog::commit`].
+    ///
+    /// # Errors
+    ///
+    /// [`RecordLogError::Poisoned`], [`RecordLogError::RecordTooLarge`] or [`RecordLogError::Full`]; the log is unchanged.
+    pub fn add(&mut self, record: &[u8]) -> Result<(), RecordLogError> {
+        if self.poisoned {
+            return Err(RecordLogError::Poisoned);
+        }
+        if record.len() > self.limits.record_bytes as usize {
+            return Err(RecordLogError::RecordTooLarge(record.len()));
+        }
+        if self.len() + (HEADER_BYTES + record.len()) as u64 > self.limits.file_bytes {
+            return Err(RecordLogError::Full);
+        }
+        encode_record(&mut self.pending, record);
+        Ok(())
+    }
+
+    /// Makes all pending records durable with one sync.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordLogError::Io`] if a step fails, which poisons the log; [`RecordLogError::Poisoned`] if one failed before.
+    pub fn commit(&mut self, files: &mut impl FileStore) -> Result<(), RecordLogError> {
+        if self.poisoned {
+            return Err(RecordLogError::Poisoned);
+        }
+        if self.pending.is_empty() {
+            return Ok(());
+        }
+        let pending = std::mem::take(&mut self.pending);
+        let is_new_file = self.committed_bytes == 0;
+        if let Err(error) = append_durably(files, &pending, is_new_file) {
+            self.poisoned = true;
+            return Err(error.into());
+        }
+        self.committed_bytes += pending.len() as u64;
+        Ok(())
+    }
+
+    /// Replaces all committed records by `retained`, followed by the pending ones. The old log stays in place until the
+    /// new one is durable.
+    ///
+    /// # Errors
+    ///
+    /// [`RecordLogError::Full`] if the result exceeds the limit, and the log is unchanged; [`RecordLogError::Io`] if a step
+    /// fails, which poisons the log; [`RecordLogError::Poisoned`] if one failed before.
+    pub fn compact(
+        &mut self,
+        files: &mut impl FileStore,
+        retained: &[Vec<u8>],
+    ) -> Result<(), RecordLogError> {
+        if self.poisoned {
+            return Err(RecordLogError::Poisoned);
+        }
+        let mut bytes = Vec::new();
+        for record in retained {
+            encode_record(&mut bytes, record);
+        }
+        bytes.extend(&self.pending);
+        if bytes.len() as u64 > self.limits.file_bytes {
+            return Err(RecordLogError::Full);
+        }
+        if let Err(error) = replace_durably(files, &bytes) {
+            self.poisoned = true;
+            return Err(error.into());
+        }
+        self.committed_bytes = bytes.len() as u64;
+        self.pending.clear();
+        Ok(())
+    }
+}
+
+fn append_durably(files: &mut impl FileStore, bytes: &[u8], is_new_file: bool) -> io::Result<()> {
+    files.append(LOG_FILE, bytes)?;
+    files.sync(LOG_FILE)?;
+    if is_new_file {
+        files.sync_directory()?;
+    }
+    Ok(())
+}
+
+fn replace_durably(files: &mut impl FileStore, bytes: &[u8]) -> io::Result<()> {
+    files.write(TEMPORARY_FILE, bytes)?;
+    files.sync(TEMPORARY_FILE)?;
+    files.rename(TEMPORARY_FILE, LOG_FILE)?;
+    files.sync_directory()
+}
+
+fn encode_record(out: &mut Vec<u8>, record: &[u8]) {
+    let length = (record.len() as u32).to_be_bytes();
+    out.extend(length);
+    out.extend(checksum(&length, record).to_be_bytes());
+    out.extend(record);
+}
+
+fn checksum(length: &[u8], record: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(length);
+    hasher.update(record);
+    hasher.finalize()
+}
+
+/// The records up to the first that is torn or corrupt, and their length in bytes with their headers.
+fn decode_records(bytes: &[u8], limits: &RecordLogLimits) -> (Vec<Vec<u8>>, u64) {
+    let mut records = Vec::new();
+    let mut intact_bytes = 0;
+    while let Some(record) = decode_record(&bytes[intact_bytes..], limits) {
+        records.push(record.to_vec());
+        intact_bytes += HEADER_BYTES + record.len();
+    }
+    (records, intact_bytes as u64)
+}
+
+/// The payload of the record at the beginning of `bytes`; `None` if it is torn, corrupt or too long.
+fn decode_record<'a>(bytes: &'a [u8], limits: &RecordLogLimits) -> Option<&'a [u8]> {
+    let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>()?;
+    let [l0, l1, l2, l3, c0, c1, c2, c3] = *header;
+    let length = u32::from_be_bytes([l0, l1, l2, l3]);
+    let expected_checksum = u32::from_be_bytes([c0, c1, c2, c3]);
+    if length > limits.record_bytes {
+        return None;
+    }
+    let record = rest.get(..length as usize)?;
+    let is_intact = checksum(&header[..LENGTH_BYTES], record) == expected_checksum;
+    is_intact.then_some(record)
+}
--- /dev/null
+++ b/crates/persistence/tests/golden.rs
@@ -0,0 +1,173 @@
+//! The files as earlier builds write them (`tests/golden/`): read, and written again to the byte.
+
+use std::fs;
+use std::path::{Path, PathBuf};
+
+use linnethook_persistence::file_store::{FileStore, LockedDirectory};
+use linnethook_persistence::record_log::{RecordLog, RecordLogError, RecordLogLimits};
+use linnethook_persistence::snapshot::{self, SkipReason};
+use linnethook_persistence::snapshot_codec::{decode, encode, DecodeError, Section, SnapshotLimits, VERSION};
+
+fn golden_path(name: &str) -> PathBuf {
+    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+}
+
+fn golden(name: &str) -> Vec<u8> {
+    fs::read(golden_path(name)).expect("a fixture")
+}
+
+/// A directory that is removed when the value is dropped.
+struct Scratch(PathBuf);
+
+impl Scratch {
+    fn new(name: &str) -> Self {
+        let path = std::env::temp_dir().join(format!("linnethook-golden-{name}-{}", std::process::id()));
+        let _ = fs::remove_dir_all(&path);
+        Self(path)
+    }
+
+    fn bytes(&self, name: &str) -> Vec<u8> {
+        fs::read(self.0.join(name)).expect("a file")
+    }
+
+    fn names(&self) -> Vec<String> {
+        let entries = fs::read_dir(&self.0).expect("a directory");
+        let name = |entry: fs::DirEntry| entry.file_name().to_string_lossy().into_owned();
+        let mut names: Vec<String> = entries.map(|entry| name(entry.expect("an entry"))).collect();
+        names.sort();
+        names
+    }
+}
+
+impl Drop for Scratch {
+    fn drop(&mut self) {
+        let _ = fs::remove_dir_all(&self.0);
+    }
+}
+
+/// An empty record, a short one, every byte, and one whose length takes two bytes.
+fn records() -> Vec<Vec<u8>> {
+    vec![Vec::new(), b"a record".to_vec(), (0..=255).collect(), vec![0x5a; 1_000], b"the last one".to_vec()]
+}
+
+fn previous_sections() -> Vec<Section> {
+    vec![Section { kind: 1, recorded_at: 0.0, payload: b"older".to_vec() }]
+}
+
+/// No bytes, the highest kind, a time with a fraction, one before 1970, and the latest that is exact.
+fn current_sections() -> Vec<Section> {
+    vec![
+        Section { kind: 0, recorded_at: 1_764_748_800_000.0, payload: Vec::new() },
+        Section { kind: u16::MAX, recorded_at: 1_764_748_800_123.75, payload: (0..=255).collect() },
+        Section { kind: 258, recorded_at: -1.0, payload: vec![0xa5; 1_000] },
+        Section { kind: 7, recorded_at: 9_007_199_254_740_991.0, payload: b"newer".to_vec() },
+    ]
+}
+
+/// The times as they are read back: whole milliseconds from 1970 on.
+fn current_sections_as_read() -> Vec<Section> {
+    let mut sections = current_sections();
+    sections[1].recorded_at = 1_764_748_800_123.0;
+    sections[2].recorded_at = 0.0;
+    sections
+}
+
+#[test]
+fn the_log_is_written_as_by_earlier_builds() {
+    let scratch = Scratch::new("log-written");
+    let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
+    let mut log = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened").log;
+    for group in records().chunks(2) {
+        group.iter().for_each(|record| log.add(record).expect("added"));
+        log.commit(&mut directory).expect("committed");
+    }
+    assert_eq!(scratch.bytes("promises"), golden("promises"));
+    log.add(b"not synced yet").expect("added");
+    log.compact(&mut directory, &records()[3..]).expect("compacted");
+    assert_eq!(scratch.bytes("promises"), golden("promises.compacted"));
+    assert_eq!(scratch.names(), ["lock", "promises"]);
+}
+
+#[test]
+fn the_log_of_earlier_builds_is_read() {
+    let scratch = Scratch::new("log-read");
+    let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
+    let mut compacted = records()[3..].to_vec();
+    compacted.push(b"not synced yet".to_vec());
+    for (name, expected) in [("promises", records()), ("promises.compacted", compacted)] {
+        directory.write("promises", &golden(name)).expect("written");
+        let opened = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened");
+        assert_eq!((opened.records, opened.truncated_bytes), (expected, 0), "{name}");
+        assert_eq!(opened.log.len(), golden(name).len() as u64, "{name}");
+        // A torn end is cut away, and nothing else.
+        directory.write("promises", &[golden(name), b"torn".to_vec()].concat()).expect("written");
+        let opened = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened");
+        assert_eq!((opened.truncated_bytes, scratch.bytes("promises")), (4, golden(name)), "{name}");
+    }
+}
+
+#[test]
+fn the_snapshots_are_written_as_by_earlier_builds() {
+    let scratch = Scratch::new("snapshot-written");
+    let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
+    let previous = snapshot::write(&mut directory, &previous_sections()).expect("written");
+    assert_eq!((scratch.bytes("learned"), previous), (golden("learned.elder"), 35));
+    let current = snapshot::write(&mut directory, &current_sections()).expect("written");
+    assert_eq!(scratch.bytes("learned"), golden("learned"));
+    assert_eq!(current, golden("learned").len() as u64);
+    assert_eq!(scratch.bytes("learned.elder"), golden("learned.elder"));
+    assert_eq!(scratch.names(), ["learned", "learned.elder", "lock"]);
+    assert_eq!(encode(&[]), b"lhlrn\n\0\x01");
+}
+
+#[test]
+fn the_snapshots_of_earlier_builds_are_read() {
+    let scratch = Scratch::new("snapshot-read");
+    let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
+    directory.write("learned", &golden("learned")).expect("written");
+    directory.write("learned.elder", &golden("learned.elder")).expect("written");
+    let loaded = snapshot::load(&mut directory, &SnapshotLimits::default());
+    let content = loaded.content.expect("the newer one");
+    assert_eq!(content.sections, current_sections_as_read());
+    assert_eq!((content.version, content.corrupt_sections, content.unparsed_bytes), (VERSION, 0, 0));
+    assert!(loaded.skipped.is_empty());
+    let content = decode(&golden("learned"), &SnapshotLimits::default()).expect("readable");
+    assert_eq!(encode(&content.sections), golden("learned"));
+    // Without the newer one, the older one counts.
+    directory.remove("learned").expect("removed");
+    let content = snapshot::load(&mut directory, &SnapshotLimits::default()).content.expect("the older one");
+    assert_eq!(content.sections, previous_sections());
+}
+
+/// What the log says of a file that it does not read or a record that it does not take.
+#[test]
+fn the_errors_are_worded_as_by_earlier_builds() {
+    let io_error = || std::io::Error::other("a file");
+    let lines = [
+        DecodeError::UnknownFormat.to_string(),
+        DecodeError::NewerVersion(9).to_string(),
+        DecodeError::TooLarge.to_string(),
+        SkipReason::from(DecodeError::UnknownFormat).to_string(),
+        SkipReason::Corrupt.to_string(),
+        SkipReason::from(io_error()).to_string(),
+        RecordLogError::Full.to_string(),
+        RecordLogError::RecordTooLarge(41).to_string(),
+        RecordLogError::Poisoned.to_string(),
+        RecordLogError::from(io_error()).to_string(),
+    ];
+    assert_eq!(
+        lines,
+        [
+            "not a file of this program",
+            "of version 9, this program reads up to 1",
+            "longer than is allowed",
+            "not a file of this program",
+            "nothing in it is whole",
+            "a file",
+            "the log is full: it has to be compacted first",
+            "a record of 41 bytes is longer than is allowed",
+            "an earlier write failed, and nothing is promised until the log is opened anew",
+            "a file",
+        ]
+    );
+}
--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -13,8 +13,8 @@
 use linnethook_audit::record::{Act, Booking, BookingEnd, Link};
 use linnethook_fellows::fact::Acts;
 use linnethook_fellows::hlc::Stamp;
-use linnethook_learned::files::Folder;
-use linnethook_learned::log::{Bounds, Log, Refused};
+use linnethook_persistence::file_store::LockedDirectory;
+use linnethook_persistence::record_log::{OpenedLog, RecordLog, RecordLogError, RecordLogLimits};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::decider::Ms;
@@ -222,8 +222,9 @@
 
 /// Opens the account on disk: earlier starts are read, and a thread writes what follows.
 fn open(folder: &Path, copies: &mut Copies) -> Result<Disk, String> {
-    let mut files = Folder::take(folder).map_err(|why| why.to_string())?;
-    let (mut log, records, torn) = Log::open(&mut files, Bounds::default()).map_err(|why| why.to_string())?;
+    let mut files = LockedDirectory::open(folder).map_err(|why| why.to_string())?;
+    let opened = RecordLog::open(&mut files, RecordLogLimits::default()).map_err(|why| why.to_string())?;
+    let OpenedLog { mut log, records, truncated_bytes } = opened;
     let read = records.iter().filter_map(|record| Link::decode(record));
     let mut take = |link: Link| {
         if copies.next(&link.name, link.start) == 1 {
@@ -232,7 +233,7 @@
         copies.take(link)
     };
     let count = read.map(&mut take).count();
-    log_line!(always "audit: {}: {count} records were read, {torn} bytes at the end were torn", folder.display());
+    log_line!(always "audit: {}: {count} records were read, {truncated_bytes} bytes at the end were torn", folder.display());
     let (sender, receiver) = sync_channel::<Vec<u8>>(UNSAVED);
     let mut kept: VecDeque<Vec<u8>> = records.into();
     let write = move || {
@@ -241,7 +242,7 @@
             let group: Vec<Vec<u8>> = std::iter::once(first).chain(receiver.try_iter()).collect();
             for record in &group {
                 kept.push_back(record.clone());
-                if let Err(Refused::Full) = log.add(record) {
+                if let Err(RecordLogError::Full) = log.add(record) {
                     // The older half makes room.
                     kept.drain(..kept.len() / 2);
                     let left: Vec<Vec<u8>> = kept.iter().cloned().collect();
