--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -20,7 +20,7 @@
     ExclusionReason, StragglerDetector, StragglerObservation, StragglerState,
 };
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
-use linnethook_operator::Fellows;
+use linnethook_operator_config::config::ClusterSection;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::account::{Auditor, Words};
@@ -73,12 +73,12 @@
     shut_out: u64,
 }
 
-fn voters(fellows: &Fellows) -> &[String] {
+fn voters(fellows: &ClusterSection) -> &[String] {
     fellows.straggler.as_ref().map_or(&[], |part| &part.voters)
 }
 
 impl Fleet {
-    pub fn new(now: Ms, name: &str, fellows: &Fellows, settings: u64, operator: u64) -> Self {
+    pub fn new(now: Ms, name: &str, fellows: &ClusterSection, settings: u64, operator: u64) -> Self {
         let build = env!("CARGO_PKG_VERSION").to_string();
         let acts = ActiveVersions {
             build,
@@ -88,16 +88,23 @@
         };
         // The same start as the gateway's.
         let start = (now * 1_000.0) as u64;
-        let core = Cluster::new(now, fellows.rules, name, start, acts.clone());
+        let core = Cluster::new(now, fellows.parameters, name, start, acts.clone());
         let mut core = core.with_location(now, fellows.place.clone());
         core.set_voters(voters(fellows));
         let audit = fellows.audit.as_ref().map(|part| {
-            let folder = part.folder.as_deref().map(Path::new);
-            Auditor::new(now, core.clock.next_timestamp(now), part.rules, folder, (name, start), acts.clone())
+            let folder = part.directory.as_deref().map(Path::new);
+            Auditor::new(
+                now,
+                core.clock.next_timestamp(now),
+                part.parameters,
+                folder,
+                (name, start),
+                acts.clone(),
+            )
         });
         let straggler = fellows.straggler.as_ref().map(|part| Behind {
             voters: part.voters.clone(),
-            core: StragglerDetector::new(part.rule),
+            core: StragglerDetector::new(part.parameters),
             alone: Some(now),
             shut_out: 0,
         });
@@ -113,28 +120,28 @@
             audit,
             straggler,
             linked: BTreeSet::new(),
-            fetch: SnapshotTransfer::new(fellows.rules.snapshot_transfer),
+            fetch: SnapshotTransfer::new(fellows.parameters.snapshot_transfer),
             adopted: 0,
             asked: VecDeque::new(),
         }
     }
 
     /// The operator file was read again. What was not there at the start begins with the next one.
-    pub fn set(&mut self, fellows: &Fellows, operator: u64) {
+    pub fn set(&mut self, fellows: &ClusterSection, operator: u64) {
         self.acts.operator_digest = operator;
-        self.core.set_config(fellows.rules);
+        self.core.set_config(fellows.parameters);
         self.core.set_voters(voters(fellows));
         if self.core.location() != fellows.place.as_ref() {
             log_line!(always "fellows: a place counts from the next start on");
         }
-        self.fetch.set_config(fellows.rules.snapshot_transfer);
+        self.fetch.set_config(fellows.parameters.snapshot_transfer);
         self.core.set_versions(&self.acts);
         if let (Some(audit), Some(part)) = (&mut self.audit, &fellows.audit) {
-            audit.set(part.rules);
+            audit.set(part.parameters);
         }
         if let (Some(behind), Some(part)) = (&mut self.straggler, &fellows.straggler) {
             behind.voters.clone_from(&part.voters);
-            behind.core.set_config(part.rule);
+            behind.core.set_config(part.parameters);
         }
     }
 
--- a/crates/router/src/hierarchy_adapter.rs
+++ b/crates/router/src/hierarchy_adapter.rs
@@ -14,7 +14,7 @@
     AuthorId, BatchId, EndpointPhase, FillResult, FillSources, Hierarchy, HierarchyView, Hop, NodeId,
     ReceiveOutcome, Role, SelectedFill, Source,
 };
-use linnethook_operator::Hierarchy as Settings;
+use linnethook_operator_config::config::HierarchySection;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::decider::{Attempt, End, How, Lists, Ms, Place, Ticket};
@@ -115,13 +115,13 @@
 
 impl HierarchyAdapter {
     /// Begins with the shape of the operator file, which is there since ever.
-    pub fn new(now: Ms, router: &str, settings: &Settings) -> Result<Self, String> {
+    pub fn new(now: Ms, router: &str, settings: &HierarchySection) -> Result<Self, String> {
         let mut upstream = Self {
-            hierarchy: Hierarchy::new(settings.part.rules),
+            hierarchy: Hierarchy::new(settings.parameters),
             names: NameTable::default(),
-            file: AuthorId(settings.part.author),
+            file: AuthorId(settings.author),
             socket: socket_author(router, now),
-            extended: settings.part.extended,
+            extended: settings.extended,
             waiting: HashMap::new(),
             out: HashMap::new(),
             come_back: HashMap::new(),
--- a/crates/router/src/multi_router.rs
+++ b/crates/router/src/multi_router.rs
@@ -9,7 +9,7 @@
 use calloop::channel::{channel, Channel, Event, Sender};
 use calloop::signals::{Signal, Signals};
 use calloop::EventLoop;
-use linnethook_operator::Operator;
+use linnethook_operator_config::OperatorConfig;
 
 use crate::config::Config;
 use crate::event_loop::{read_operator, serve, SIGNALS};
@@ -70,7 +70,7 @@
         let operator = operator.map(|operator| (file, operator));
         parts.push((path.clone(), Config::read(path)?, operator));
     }
-    let json = |(_, operator): &(PathBuf, Operator)| operator.log.is_some_and(|log| log.json);
+    let json = |(_, operator): &(PathBuf, OperatorConfig)| operator.log.is_some_and(|log| log.json);
     log::begin_named(parts.iter().any(|(.., operator)| operator.as_ref().is_some_and(json)));
     let mut events: EventLoop<'static, Routers> = EventLoop::try_new()?;
     // Before there are other threads, which must not receive signals.
@@ -102,7 +102,7 @@
     sender: &Sender<RouterResult>,
     path: PathBuf,
     config: Config,
-    operator: Option<(PathBuf, Operator)>,
+    operator: Option<(PathBuf, OperatorConfig)>,
 ) {
     let (signal_sender, signals) = channel();
     let result = Err("a router's thread panicked".to_string());
@@ -124,7 +124,7 @@
 fn serve_one(
     path: &Path,
     config: Config,
-    operator: Option<(PathBuf, Operator)>,
+    operator: Option<(PathBuf, OperatorConfig)>,
     signals: Channel<Signal>,
 ) -> Result<(), StartError> {
     let events: EventLoop<'static, Router> = EventLoop::try_new()?;
--- a/crates/router/src/start_error.rs
+++ b/crates/router/src/start_error.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::io;
 
-use linnethook_operator::Wrong as OperatorError;
+use linnethook_operator_config::ConfigError as OperatorError;
 
 use crate::cli::Failed as CommandError;
 use crate::config::ConfigError;
