--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -14,9 +14,9 @@
 
 use std::fmt;
 
-use linnethook_fellows::fellows::Rules as FellowRules;
-use linnethook_fellows::place::Place;
-use linnethook_hierarchy::named::{self, ChangeSpec, NodeSpec};
+use linnethook_hierarchy::change_spec::{self, ChangeSpec, NodeSpec};
+use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::config::MembershipConfig;
 
 use serde::{Deserialize, Serialize};
 
@@ -88,9 +88,9 @@
 /// Fellow routers as the file has them.
 #[derive(Debug, Clone)]
 pub struct Fellows {
-    pub rules: FellowRules,
+    pub rules: MembershipConfig,
     /// Where this router stands in the tree of the fleet; nowhere in one without places.
-    pub place: Option<Place>,
+    pub place: Option<Location>,
     pub audit: Option<AuditPart>,
     pub straggler: Option<StragglerPart>,
 }
@@ -115,8 +115,8 @@
             }
             None => None,
             Some((at, part)) => {
-                if nodes.len() > part.rules.bounds.nodes {
-                    let most = part.rules.bounds.nodes;
+                if nodes.len() > part.rules.batch_limits.max_nodes {
+                    let most = part.rules.batch_limits.max_nodes;
                     return Err(wrong(
                         Some(at),
                         format!("{} nodes, expected {most} at the most", nodes.len()),
@@ -124,7 +124,8 @@
                 }
                 // Without nodes the shape comes from elsewhere.
                 if let Err(bad) =
-                    named::check(&nodes).or_else(|bad| if nodes.is_empty() { Ok(()) } else { Err(bad) })
+                    change_spec::validate(&nodes)
+                        .or_else(|bad| if nodes.is_empty() { Ok(()) } else { Err(bad) })
                 {
                     let place = bad.node().and_then(|name| nodes.iter().rposition(|node| node.name == name));
                     return Err(wrong(place.map(|n| places[n]).or(Some(at)), bad.to_string()));
@@ -144,7 +145,7 @@
 
 /// Fellows with what stands on them.
 fn fellows(
-    rules: Option<(At, (FellowRules, Option<Place>))>,
+    rules: Option<(At, (MembershipConfig, Option<Location>))>,
     audit: Option<(At, AuditPart)>,
     straggler: Option<(At, StragglerPart)>,
 ) -> Result<Option<(At, Fellows)>, (At, String)> {
--- a/crates/router/tests/unit/account.rs
+++ b/crates/router/tests/unit/account.rs
@@ -6,24 +6,24 @@
 
 const NOW: Ms = 1_700_000_000_000.0;
 
-fn stamp(ms: u64) -> Stamp {
-    Stamp { ms: 1_700_000_000_000 + ms, count: 0 }
+fn stamp(ms: u64) -> Timestamp {
+    Timestamp { ms: 1_700_000_000_000 + ms, counter: 0 }
 }
 
-fn acts() -> Acts {
-    Acts {
+fn acts() -> ActiveVersions {
+    ActiveVersions {
         build: "1.0.0".to_string(),
-        settings: 11,
-        operator: 12,
-        shape: (3, 99),
-        journal: 44,
-        drains: 1,
-        purges: 2,
+        settings_digest: 11,
+        operator_digest: 12,
+        hierarchy: (3, 99),
+        journal_position: 44,
+        drains_applied: 1,
+        purges_applied: 2,
     }
 }
 
 fn auditor(name: &str) -> Auditor {
-    Auditor::new(NOW, stamp(0), Rules::default(), None, (name, 17), acts())
+    Auditor::new(NOW, stamp(0), AuditLogConfig::default(), None, (name, 17), acts())
 }
 
 fn line(words: &Words) -> String {
@@ -36,14 +36,14 @@
     let (mut owner, mut holder) = (auditor("r0"), auditor("r1"));
     let linked = BTreeSet::from(["r1".to_string()]);
     owner.name(7, "cache-7");
-    owner.act(stamp(1), Act::Attempt { to: 7 });
-    owner.act(stamp(2), Act::Refused);
+    owner.act(stamp(1), AuditedAction::Attempt { target: 7 });
+    owner.act(stamp(2), AuditedAction::Refused);
     let mut out = line(&owner.tick(NOW + 1.0, stamp(3), &acts(), &linked));
-    owner.booking(Booking { id: "9b1f".to_string(), number: 1, to: 7, at: stamp(4) });
-    owner.booking_ended(BookingEnd {
-        id: "9b1f".to_string(),
-        number: 1,
-        how: "answered".to_string(),
+    owner.booking(WriteAttempt { request_id: "9b1f".to_string(), attempt: 1, target: 7, at: stamp(4) });
+    owner.booking_ended(WriteOutcome {
+        request_id: "9b1f".to_string(),
+        attempt: 1,
+        outcome: "answered".to_string(),
         at: stamp(5),
     });
     let last = owner.end(NOW + 6.0, stamp(6), &linked);
