--- a/crates/hierarchy/benches/structures.rs
+++ b/crates/hierarchy/benches/structures.rs
@@ -1,5 +1,5 @@
-//! The structures made for the job beside plain ones: the order beside a full search, look-ups, leases and the
-//! memory of cold keys beside plain maps. `cargo bench -p linnethook-hierarchy`; some minutes, not in CI.
+//! The data structures of this package compared with simple ones: the topological order with a full search; look-ups,
+//! leases and recent keys with maps. `cargo bench -p linnethook-hierarchy` takes some minutes and is not part of CI.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
@@ -18,7 +18,7 @@
 
 /// A hierarchy of that many nodes: one origin, parents of two tiers, caches with two parents each.
 fn edges(nodes: u32) -> Vec<(u32, u32)> {
-    let mut chance = Pcg64Mcg::seed_from_u64(1);
+    let mut rng = Pcg64Mcg::seed_from_u64(1);
     let (upper, lower) = (nodes / 100 + 1, nodes / 10 + 2);
     let mut edges = Vec::new();
     for node in 1..nodes {
@@ -28,7 +28,7 @@
             _ => upper + 1..lower + 1,
         };
         for _ in 0..2 {
-            let to = chance.random_range(above.clone());
+            let to = rng.random_range(above.clone());
             if !edges.contains(&(node, to)) || nodes > 20_000 {
                 edges.push((node, to));
             }
@@ -37,11 +37,11 @@
     edges
 }
 
-/// Random re-hangings: a parent of either tier gets a further source, as often as not one that closes a loop.
+/// Random new edges between parents, about half of which close a cycle.
 fn inserts(nodes: u32, count: usize) -> Vec<(u32, u32)> {
-    let mut chance = Pcg64Mcg::seed_from_u64(2);
+    let mut rng = Pcg64Mcg::seed_from_u64(2);
     let parents = nodes / 10 + 2;
-    (0..count).map(|_| (chance.random_range(1..parents), chance.random_range(1..parents))).collect()
+    (0..count).map(|_| (rng.random_range(1..parents), rng.random_range(1..parents))).collect()
 }
 
 fn quantiles(mut times: Vec<Duration>) -> (Duration, Duration) {
@@ -55,38 +55,38 @@
     for nodes in [1_000u32, 10_000, 100_000] {
         let mut order = TopologicalOrder::default();
         (0..nodes).for_each(|_| _ = order.add_node());
-        let mut plain = DiGraphMap::<u32, ()>::new();
+        let mut model = DiGraphMap::<u32, ()>::new();
         for (from, to) in edges(nodes) {
             order.insert_edge(from, to).expect("no loop in a tree");
-            plain.add_edge(from, to, ());
+            model.add_edge(from, to, ());
         }
         let wanted = inserts(nodes, 400);
         // One by one, for the quantiles: criterion gives the mean.
-        let mut ours = Vec::new();
+        let mut durations = Vec::new();
         for (from, to) in &wanted {
             let begun = Instant::now();
             let linked = black_box(order.insert_edge(*from, *to)).is_ok();
-            ours.push(begun.elapsed());
+            durations.push(begun.elapsed());
             if linked {
                 order.remove_edge(*from, *to);
             }
         }
-        let mut full = Vec::new();
+        let mut search_durations = Vec::new();
         for (from, to) in wanted.iter().take(if nodes > 20_000 { 40 } else { 200 }) {
             let begun = Instant::now();
-            plain.add_edge(*from, *to, ());
-            black_box(is_cyclic_directed(&plain));
-            plain.remove_edge(*from, *to);
-            full.push(begun.elapsed());
+            model.add_edge(*from, *to, ());
+            black_box(is_cyclic_directed(&model));
+            model.remove_edge(*from, *to);
+            search_durations.push(begun.elapsed());
         }
-        let (our, search) = (quantiles(ours), quantiles(full));
+        let (insertion, full_search) = (quantiles(durations), quantiles(search_durations));
         println!(
             "{nodes} nodes: median {:?}, 99th percentile {:?}; a full search {:?}, {:?}; {:.0} times",
-            our.0,
-            our.1,
-            search.0,
-            search.1,
-            search.0.as_secs_f64() / our.0.as_secs_f64()
+            insertion.0,
+            insertion.1,
+            full_search.0,
+            full_search.1,
+            full_search.0.as_secs_f64() / insertion.0.as_secs_f64()
         );
         let mut n = 0;
         group.bench_function(BenchmarkId::new("order", nodes), |b| {
@@ -98,13 +98,13 @@
                 }
             });
         });
-        let mut space = DfsSpace::new(&plain);
+        let mut space = DfsSpace::new(&model);
         let mut n = 0;
         group.bench_function(BenchmarkId::new("one search from the new edge", nodes), |b| {
             b.iter(|| {
                 let (from, to) = wanted[n % wanted.len()];
                 n += 1;
-                petgraph::algo::has_path_connecting(&plain, to, from, Some(&mut space))
+                petgraph::algo::has_path_connecting(&model, to, from, Some(&mut space))
             });
         });
     }
@@ -143,13 +143,13 @@
     assert_eq!(history.topology().len(), nodes as usize);
     let bytes = (after.saturating_sub(before)) as f64 / f64::from(nodes);
     println!("{nodes} nodes in one batch: {took:?}, {bytes:.0} bytes a node with the batch and its way back");
-    let mut plain = BTreeMap::<NodeId, Vec<Source>>::new();
+    let mut model = BTreeMap::<NodeId, Vec<Source>>::new();
     for record in history.topology().records() {
-        plain.insert(record.node.id, history.topology().sources(record.node.id).collect());
+        model.insert(record.node.id, history.topology().sources(record.node.id).collect());
     }
     let ids: Vec<NodeId> = (0..nodes).map(|id| node(id, Role::Parent).id).collect();
-    let mut chance = Pcg64Mcg::seed_from_u64(3);
-    let asked: Vec<NodeId> = (0..65_536).map(|_| ids[chance.random_range(0..ids.len())]).collect();
+    let mut rng = Pcg64Mcg::seed_from_u64(3);
+    let asked: Vec<NodeId> = (0..65_536).map(|_| ids[rng.random_range(0..ids.len())]).collect();
     let mut group = c.benchmark_group("sources of a node among 100,000");
     let mut n = 0;
     group.bench_function("shape", |b| {
@@ -161,13 +161,13 @@
     group.bench_function("ordered map", |b| {
         b.iter(|| {
             n += 1;
-            plain.get(&asked[n % asked.len()]).and_then(|list| list.first().copied())
+            model.get(&asked[n % asked.len()]).and_then(|list| list.first().copied())
         });
     });
     group.finish();
 }
 
-/// Memory of this process, in bytes, as the system has it.
+/// Resident memory of this process, in bytes.
 fn resident() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: usize = text.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0);
@@ -210,15 +210,15 @@
             }
         });
     });
-    let mut plain = HashMap::<u64, f64>::new();
+    let mut model = HashMap::<u64, f64>::new();
     group.bench_function("plain map without bound or end", |b| {
         b.iter(|| {
             (n, now) = (n + 1, now + 0.1);
             let key = keys[n % keys.len()];
-            if plain.get(&key).is_none_or(|until| *until <= now) {
-                plain.insert(key, now + 200.0);
+            if model.get(&key).is_none_or(|until| *until <= now) {
+                model.insert(key, now + 200.0);
                 if n % 3 == 0 {
-                    plain.remove(&key);
+                    model.remove(&key);
                 }
             }
         });
--- a/crates/hierarchy/examples/crossing.rs
+++ b/crates/hierarchy/examples/crossing.rs
@@ -1,8 +1,9 @@
-//! Crossing batches without end, in virtual time: three authors re-hang ten hub caches, which hear of it at times of
-//! their own, as do two routers; fills go by what each node knows. Prints how many edges were suspended and for how
-//! long, and how many fills came round. `cargo run --release -p linnethook-hierarchy --example crossing [BATCHES] [SEED]`
+//! Concurrent batches in simulated time: three authors keep changing the sources of ten parents, which receive the
+//! batches with random delays, as two routers do, while fills follow what each node knows. Prints how many edges were
+//! suspended and for how long, and how many loops were detected.
+//! `cargo run --release -p linnethook-hierarchy --example crossing [BATCHES] [SEED]`
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use linnethook_hierarchy::loop_detection::{FillPath, PathRejection};
 use linnethook_hierarchy::{
@@ -12,111 +13,194 @@
 use rand_pcg::Pcg64Mcg;
 
 const ORIGIN: NodeId = NodeId(1);
-const HUBS: std::ops::Range<u64> = 2..12;
+const PARENTS: std::ops::Range<u64> = 2..12;
 const AUTHORS: u16 = 3;
+const ROUTERS: usize = 2;
 
-fn main() {
-    let mut words = std::env::args().skip(1).map(|word| word.parse::<u64>().unwrap_or(1));
-    let (batches, seed) = (words.next().unwrap_or(10_000), words.next().unwrap_or(1));
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let node =
-        |id: u64, role| Node { id: NodeId(id), role, site: 0, tier: 1, capacity: 1.0, retiring: false };
-    let mut first = vec![Change::Add { node: node(1, Role::Origin), sources: Vec::new() }];
-    first.extend(
-        HUBS.map(|id| Change::Add { node: node(id, Role::Parent), sources: vec![Source::new(ORIGIN, 9)] }),
-    );
-    // One mind for each hub cache, for each author, and for two routers.
-    let minds = HUBS.end as usize + usize::from(AUTHORS) + 2;
-    let mut all: Vec<History> = vec![History::default(); minds];
-    let begun = all[0].draft_batch(AuthorId(9), 0.0, first);
-    all.iter_mut().for_each(|mind| drop(mind.receive_batch(begun.clone())));
-    // By time, in milliseconds: who hears what then.
-    let mut post = BTreeMap::<(u64, usize, usize), ChangeBatch>::new();
-    let mut since = BTreeMap::<(NodeId, NodeId), u64>::new();
-    let (mut spans, mut suspended) = (Vec::new(), 0u64);
-    let (mut fills, mut round, mut twice, mut longest) = (0u64, 0u64, 0u64, 0usize);
-    for n in 0..batches {
-        let now = n * 100;
-        while post.first_key_value().is_some_and(|((at, ..), _)| *at <= now) {
-            let Some(((_, mind, _), batch)) = post.pop_first() else { break };
-            let heard = all[mind].receive_batch(batch);
-            assert!(!matches!(heard, ReceiveOutcome::Invalid(_)), "{heard:?}");
+/// Milliseconds between two batches, and the longest delay of a batch.
+const BATCH_INTERVAL_MS: u64 = 100;
+const MAX_DELAY_MS: u64 = 2_000;
+
+const FILLS_PER_BATCH: usize = 20;
+
+/// When a batch reaches a participant: time in milliseconds, participant, number of the batch.
+type Delivery = (u64, usize, usize);
+
+/// Suspended edges at one router.
+#[derive(Default)]
+struct Suspensions {
+    since: BTreeMap<(NodeId, NodeId), u64>,
+    count: u64,
+    durations: Vec<u64>,
+}
+
+impl Suspensions {
+    fn observe(&mut self, now: u64, router: &History) {
+        let suspended: Vec<(NodeId, NodeId)> =
+            router.topology().suspended_edges().map(|edge| (edge.from, edge.source.node)).collect();
+        for edge in &suspended {
+            if !self.since.contains_key(edge) {
+                self.count += 1;
+                self.since.insert(*edge, now);
+            }
+        }
+        let durations = &mut self.durations;
+        self.since.retain(|edge, since| {
+            let is_suspended = suspended.contains(edge);
+            if !is_suspended {
+                durations.push(now - *since);
+            }
+            is_suspended
+        });
+    }
+
+    fn quantile(&self, part: f64) -> u64 {
+        let last = self.durations.len().max(1) - 1;
+        self.durations.get((last as f64 * part) as usize).copied().unwrap_or(0)
+    }
+}
+
+#[derive(Default)]
+struct FillCounts {
+    fills: u64,
+    loops_detected: u64,
+    passed_a_node_twice: u64,
+    longest_path: usize,
+}
+
+struct Simulation {
+    rng: Pcg64Mcg,
+    /// One history for each parent, by its id, then for each author, then for each router.
+    histories: Vec<History>,
+    in_transit: BTreeMap<Delivery, ChangeBatch>,
+    suspensions: Suspensions,
+    counts: FillCounts,
+}
+
+impl Simulation {
+    fn new(seed: u64) -> Self {
+        let participants = PARENTS.end as usize + usize::from(AUTHORS) + ROUTERS;
+        let mut histories: Vec<History> = vec![History::default(); participants];
+        let first = histories[0].draft_batch(AuthorId(9), 0.0, initial_changes());
+        histories.iter_mut().for_each(|history| drop(history.receive_batch(first.clone())));
+        Self {
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            histories,
+            in_transit: BTreeMap::new(),
+            suspensions: Suspensions::default(),
+            counts: FillCounts::default(),
+        }
+    }
+
+    fn step(&mut self, number: u64) {
+        let now = number * BATCH_INTERVAL_MS;
+        self.deliver(now);
+        self.write_batch(now, number);
+        self.suspensions.observe(now, &self.histories[self.histories.len() - 1]);
+        for _ in 0..FILLS_PER_BATCH {
+            self.fill();
         }
-        let author = chance.random_range(0..AUTHORS);
-        let mind = HUBS.end as usize + usize::from(author);
-        let (child, source) = (chance.random_range(HUBS), chance.random_range(HUBS));
+    }
+
+    fn deliver(&mut self, now: u64) {
+        while self.in_transit.first_key_value().is_some_and(|((at, ..), _)| *at <= now) {
+            let Some(((_, participant, _), batch)) = self.in_transit.pop_first() else { break };
+            let outcome = self.histories[participant].receive_batch(batch);
+            assert!(!matches!(outcome, ReceiveOutcome::Invalid(_)), "{outcome:?}");
+        }
+    }
+
+    /// A random author gives a random parent another source.
+    fn write_batch(&mut self, now: u64, number: u64) {
+        let author = self.rng.random_range(0..AUTHORS);
+        let writer = PARENTS.end as usize + usize::from(author);
+        let (child, source) = (self.rng.random_range(PARENTS), self.rng.random_range(PARENTS));
         let mut sources = vec![Source::new(ORIGIN, 9)];
         if child != source {
             sources.push(Source::new(NodeId(source), 0));
         }
-        let batch = all[mind].draft_batch(
-            AuthorId(author),
-            now as f64,
-            vec![Change::Rerank { node: NodeId(child), sources }],
-        );
-        all[mind].receive_batch(batch.clone());
-        for other in (0..minds).filter(|other| *other != mind) {
-            post.insert((now + chance.random_range(1..2_000), other, n as usize), batch.clone());
-        }
-        // What one router has suspended, and for how long.
-        let router = &all[minds - 1];
-        let now_suspended: Vec<(NodeId, NodeId)> =
-            router.topology().suspended_edges().map(|edge| (edge.from, edge.source.node)).collect();
-        for edge in &now_suspended {
-            since.entry(*edge).or_insert_with(|| {
-                suspended += 1;
-                now
-            });
+        let change = Change::Rerank { node: NodeId(child), sources };
+        let batch = self.histories[writer].draft_batch(AuthorId(author), now as f64, vec![change]);
+        self.histories[writer].receive_batch(batch.clone());
+        for other in (0..self.histories.len()).filter(|other| *other != writer) {
+            let at = now + self.rng.random_range(1..MAX_DELAY_MS);
+            self.in_transit.insert((at, other, number as usize), batch.clone());
         }
-        since.retain(|edge, at| {
-            let still = now_suspended.contains(edge);
-            if !still {
-                spans.push(now - *at);
-            }
-            still
-        });
-        // Fills, each node by its own mind.
-        for _ in 0..20 {
-            fills += 1;
-            let mut at = NodeId(chance.random_range(HUBS));
-            let mut way = FillPath::new(all[minds - 2].version());
-            loop {
-                match way.clone().append_node(&at.0.to_string()) {
-                    Ok(longer) => way = longer,
-                    Err(PathRejection::Loop { .. }) => {
-                        round += 1;
-                        break;
-                    }
-                    Err(PathRejection::HopLimit) => break,
-                }
-                if at == ORIGIN {
+    }
+
+    /// A fill from a random parent on, forwarded by what each node knows.
+    fn fill(&mut self) {
+        self.counts.fills += 1;
+        let mut at = NodeId(self.rng.random_range(PARENTS));
+        let router = &self.histories[self.histories.len() - ROUTERS];
+        let mut path = FillPath::new(router.version());
+        loop {
+            match path.clone().append_node(&at.0.to_string()) {
+                Ok(longer) => path = longer,
+                Err(PathRejection::Loop { .. }) => {
+                    self.counts.loops_detected += 1;
                     break;
                 }
-                let Some(next) = all[at.0 as usize].topology().sources(at).next() else { break };
-                at = next.node;
+                Err(PathRejection::HopLimit) => break,
             }
-            let names: Vec<&str> = way.names().collect();
-            let distinct = names.iter().collect::<std::collections::BTreeSet<_>>().len();
-            twice += u64::from(distinct < names.len());
-            longest = longest.max(names.len());
+            if at == ORIGIN {
+                break;
+            }
+            let Some(next) = self.histories[at.0 as usize].topology().sources(at).next() else { break };
+            at = next.node;
         }
+        let names: Vec<&str> = path.names().collect();
+        let distinct = names.iter().collect::<BTreeSet<_>>().len();
+        self.counts.passed_a_node_twice += u64::from(distinct < names.len());
+        self.counts.longest_path = self.counts.longest_path.max(names.len());
     }
-    for ((_, mind, _), batch) in std::mem::take(&mut post) {
-        all[mind].receive_batch(batch);
+
+    /// Delivers all batches, and returns how many different topologies there are.
+    fn finish(&mut self) -> usize {
+        self.deliver(u64::MAX);
+        self.suspensions.durations.sort_unstable();
+        let digests: BTreeSet<u64> =
+            self.histories.iter().map(|history| history.topology().digest()).collect();
+        digests.len()
     }
-    let digests: std::collections::BTreeSet<u64> = all.iter().map(|mind| mind.topology().digest()).collect();
-    spans.sort_unstable();
-    let at = |part: f64| spans.get(((spans.len().max(1) - 1) as f64 * part) as usize).copied().unwrap_or(0);
-    println!("seed {seed}: {batches} batches of {AUTHORS} authors, one each 100 ms, heard within 2 s by {minds} minds");
-    let kept = all[minds - 1].entries().count();
-    let refused = all[minds - 1].entries().filter(|(_, verdict)| verdict.is_err()).count();
-    println!("shapes at the end: {} (1 is wanted); overtaken, of the last {kept}: {refused}", digests.len());
+}
+
+fn initial_changes() -> Vec<Change> {
+    let node = |id: NodeId, role| Node { id, role, site: 0, tier: 1, capacity: 1.0, retiring: false };
+    let mut changes = vec![Change::Add { node: node(ORIGIN, Role::Origin), sources: Vec::new() }];
+    changes.extend(PARENTS.map(|id| Change::Add {
+        node: node(NodeId(id), Role::Parent),
+        sources: vec![Source::new(ORIGIN, 9)],
+    }));
+    changes
+}
+
+fn main() {
+    let mut arguments = std::env::args().skip(1).map(|argument| argument.parse::<u64>().unwrap_or(1));
+    let (batches, seed) = (arguments.next().unwrap_or(10_000), arguments.next().unwrap_or(1));
+    let mut simulation = Simulation::new(seed);
+    (0..batches).for_each(|number| simulation.step(number));
+    let topologies = simulation.finish();
+    let Simulation { histories, suspensions, counts, .. } = &simulation;
+    let router = &histories[histories.len() - 1];
+    let retained = router.entries().count();
+    let rejected = router.entries().filter(|(_, result)| result.is_err()).count();
+    println!(
+        "seed {seed}: {batches} batches of {AUTHORS} authors, one each {BATCH_INTERVAL_MS} ms, heard within {} s by {} minds",
+        MAX_DELAY_MS / 1_000,
+        histories.len()
+    );
+    println!("shapes at the end: {topologies} (1 is wanted); overtaken, of the last {retained}: {rejected}");
+    println!(
+        "edges suspended: {}; for how long: median {} ms, 99th percentile {} ms, longest {} ms",
+        suspensions.count,
+        suspensions.quantile(0.5),
+        suspensions.quantile(0.99),
+        suspensions.quantile(1.0)
+    );
     println!(
-        "edges suspended: {suspended}; for how long: median {} ms, 99th percentile {} ms, longest {} ms",
-        at(0.5),
-        at(0.99),
-        at(1.0)
+        "fills: {}, longest way {}; passed a node twice: {}; turned away where they came round: {}",
+        counts.fills, counts.longest_path, counts.passed_a_node_twice, counts.loops_detected
     );
-    println!("fills: {fills}, longest way {longest}; passed a node twice: {twice}; turned away where they came round: {round}");
-    assert_eq!((digests.len(), twice), (1, 0));
+    assert_eq!((topologies, counts.passed_a_node_twice), (1, 0));
 }
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -22,6 +22,7 @@
 //! milliseconds, `now` in milliseconds of Unix time. `docs/hierarchy.md` gives the design and what it guarantees.
 
 #![warn(missing_docs)]
+#![warn(clippy::missing_errors_doc, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod batch;
 pub mod change_spec;
--- a/crates/hierarchy/tests/convergence.rs
+++ b/crates/hierarchy/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! The order and the history against plain models, over seeded scripts.
+//! The topological order and the history compared with simple models, over seeded scripts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,57 +17,57 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// An edge is refused when, and only when, a full search finds a loop, and the loop named is one.
+    /// An edge is refused if and only if a full search finds a cycle, and the cycle returned is one.
     #[test]
     fn the_order_refuses_an_edge_when_a_full_search_finds_a_cycle(
         steps in prop::collection::vec((0u32..24, 0u32..24, 0u8..4), 1..200)
     ) {
-        let (mut order, mut plain) = (TopologicalOrder::default(), DiGraphMap::<NodeIndex, ()>::new());
+        let (mut order, mut model) = (TopologicalOrder::default(), DiGraphMap::<NodeIndex, ()>::new());
         for _ in 0..24 {
             let index = order.add_node();
-            plain.add_node(index);
+            model.add_node(index);
         }
         for (from, to, kind) in steps {
             if kind == 0 {
                 order.remove_edge(from, to);
-                plain.remove_edge(from, to);
+                model.remove_edge(from, to);
                 continue;
             }
-            let closes = from == to || has_path_connecting(&plain, to, from, None);
+            let closes = from == to || has_path_connecting(&model, to, from, None);
             match order.insert_edge(from, to) {
                 Ok(()) => {
                     prop_assert!(!closes, "{from} to {to} closes a loop");
-                    plain.add_edge(from, to, ());
+                    model.add_edge(from, to, ());
                 }
                 Err(found) => {
                     prop_assert!(closes, "{from} to {to} closes no loop");
                     prop_assert_eq!((found.0.first(), found.0.last()), (Some(&to), Some(&from)));
-                    prop_assert!(found.0.windows(2).all(|pair| plain.contains_edge(pair[0], pair[1])));
+                    prop_assert!(found.0.windows(2).all(|pair| model.contains_edge(pair[0], pair[1])));
                 }
             }
-            prop_assert!(!is_cyclic_directed(&plain));
+            prop_assert!(!is_cyclic_directed(&model));
         }
     }
 
-    /// All routers end at the same shape, whatever the order in which they hear, and it is the shape of a plain
-    /// replay; a router that starts from another's snapshot has it too.
+    /// All routers have the same topology in the end, whatever the order in which they receive batches. It is that of
+    /// applying all batches in order. A router that starts from another's snapshot has it as well.
     #[test]
     fn all_routers_converge_to_the_same_topology(seed in any::<u64>()) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let batches = crossing(&mut chance, 4, 40);
-        let plain = replay(&batches);
-        let mut digests = BTreeSet::from([plain.digest()]);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let batches = concurrent_batches(&mut rng, 4, 40);
+        let model = apply_in_order(&batches);
+        let mut digests = BTreeSet::from([model.digest()]);
         for _ in 0..3 {
             let mut router = History::default();
             let mut order: Vec<&ChangeBatch> = batches.iter().chain(batches.iter().take(10)).collect();
-            shuffle(&mut chance, &mut order);
+            shuffle(&mut rng, &mut order);
             for batch in order {
-                let heard = router.receive_batch(batch.clone());
-                prop_assert!(!matches!(heard, ReceiveOutcome::Invalid(_)), "{heard:?}");
+                let outcome = router.receive_batch(batch.clone());
+                prop_assert!(!matches!(outcome, ReceiveOutcome::Invalid(_)), "{outcome:?}");
             }
             prop_assert_eq!(router.pending().count(), 0);
             digests.insert(router.topology().digest());
-            sound(router.topology_mut());
+            assert_sound(router.topology_mut());
             let text = serde_json::to_string(&router.snapshot()).expect("a snapshot is written");
             let mut started = History::default();
             started.restore_snapshot(serde_json::from_str(&text).expect("and read")).expect("a shape");
@@ -77,34 +77,33 @@
         prop_assert_eq!(digests.len(), 1);
     }
 
-    /// What is taken back leaves nothing behind.
+    /// Undoing a batch leaves no trace.
     #[test]
     fn undoing_a_batch_restores_the_topology(seed in any::<u64>()) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let batches = crossing(&mut chance, 2, 30);
-        let mut shape = Topology::default();
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let batches = concurrent_batches(&mut rng, 2, 30);
+        let mut topology = Topology::default();
         for batch in &batches {
-            let before = (shape.digest(), shape.len(), shape.suspended_edges().count());
-            if let Ok(steps) = batch.apply(&mut shape, &BatchLimits::default()) {
-                let after = shape.digest();
-                shape.undo(steps);
-                prop_assert_eq!((shape.digest(), shape.len(), shape.suspended_edges().count()), before);
-                batch.apply(&mut shape, &BatchLimits::default()).expect("as before");
-                prop_assert_eq!(shape.digest(), after);
+            let before = (topology.digest(), topology.len(), topology.suspended_edges().count());
+            if let Ok(steps) = batch.apply(&mut topology, &BatchLimits::default()) {
+                let after = topology.digest();
+                topology.undo(steps);
+                prop_assert_eq!((topology.digest(), topology.len(), topology.suspended_edges().count()), before);
+                batch.apply(&mut topology, &BatchLimits::default()).expect("as before");
+                prop_assert_eq!(topology.digest(), after);
             } else {
-                prop_assert_eq!((shape.digest(), shape.len(), shape.suspended_edges().count()), before);
+                prop_assert_eq!((topology.digest(), topology.len(), topology.suspended_edges().count()), before);
             }
         }
     }
 
-    /// The inverse of the newest batch brings the shape from before it back, but for edges that the loop it
-    /// made or freed has exchanged.
+    /// The inverse changes of the newest batch restore all source lists. Which edges are suspended may differ.
     #[test]
     fn inverse_changes_restore_the_source_lists(seed in any::<u64>()) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut history = History::default();
-        for batch in crossing(&mut chance, 1, 20) {
-            let before = lists(history.topology());
+        for batch in concurrent_batches(&mut rng, 1, 20) {
+            let before = source_lists(history.topology());
             let batch_id = batch.id;
             history.receive_batch(batch);
             if history.outcome(batch_id).is_none_or(|verdict| verdict.is_err()) {
@@ -116,49 +115,49 @@
             let batch_id = back.id;
             copy.receive_batch(back);
             prop_assert_eq!(copy.outcome(batch_id), Some(Ok(())));
-            prop_assert_eq!(lists(copy.topology()), before);
+            prop_assert_eq!(source_lists(copy.topology()), before);
         }
     }
 }
 
-type Lists = BTreeMap<NodeId, (u32, bool, Vec<Source>)>;
+type SourceLists = BTreeMap<NodeId, (u32, bool, Vec<Source>)>;
 
-fn lists(shape: &Topology) -> Lists {
-    let line = |id: NodeId| shape.edges(id).iter().map(|edge| edge.source).collect();
-    let all = shape.records().into_iter().map(|record| record.node);
-    all.map(|node| (node.id, (node.site, node.retiring, line(node.id)))).collect()
+fn source_lists(topology: &Topology) -> SourceLists {
+    let sources_of = |id: NodeId| topology.edges(id).iter().map(|edge| edge.source).collect();
+    let all = topology.records().into_iter().map(|record| record.node);
+    all.map(|node| (node.id, (node.site, node.retiring, sources_of(node.id)))).collect()
 }
 
-/// No loop among the edges in use, and none suspended that would close none.
-fn sound(shape: &mut Topology) {
-    let mut plain = DiGraphMap::<u64, ()>::new();
-    for record in shape.records() {
+/// Checks that the edges in use have no cycle, and that each suspended edge would close one.
+fn assert_sound(topology: &mut Topology) {
+    let mut model = DiGraphMap::<u64, ()>::new();
+    for record in topology.records() {
         for edge in record.edges.iter().filter(|edge| edge.in_use) {
-            plain.add_edge(record.node.id.0, edge.source.node.0, ());
+            model.add_edge(record.node.id.0, edge.source.node.0, ());
         }
     }
-    assert!(!is_cyclic_directed(&plain));
-    for edge in shape.suspended_edges().copied().collect::<Vec<_>>() {
-        assert!(has_path_connecting(&plain, edge.source.node.0, edge.from.0, None));
-        let found = shape.cycle_closed_by(edge.from, edge.source.node).expect("the loop it waits for");
+    assert!(!is_cyclic_directed(&model));
+    for edge in topology.suspended_edges().copied().collect::<Vec<_>>() {
+        assert!(has_path_connecting(&model, edge.source.node.0, edge.from.0, None));
+        let found = topology.cycle_closed_by(edge.from, edge.source.node).expect("the cycle it would close");
         assert_eq!((found.first(), found.last()), (Some(&edge.source.node), Some(&edge.from)));
     }
 }
 
-/// The plain model: all batches sorted, applied once from nothing.
-fn replay(batches: &[ChangeBatch]) -> Topology {
+/// The model: all batches sorted, and applied once to an empty topology.
+fn apply_in_order(batches: &[ChangeBatch]) -> Topology {
     let mut sorted: Vec<&ChangeBatch> = batches.iter().collect();
     sorted.sort_by_key(|batch| batch.position());
-    let mut shape = Topology::default();
+    let mut topology = Topology::default();
     for batch in sorted {
-        let _ = batch.apply(&mut shape, &BatchLimits::default());
+        let _ = batch.apply(&mut topology, &BatchLimits::default());
     }
-    shape
+    topology
 }
 
-fn shuffle<T>(chance: &mut Pcg64Mcg, items: &mut [T]) {
+fn shuffle<T>(rng: &mut Pcg64Mcg, items: &mut [T]) {
     for n in (1..items.len()).rev() {
-        items.swap(n, chance.random_range(0..=n));
+        items.swap(n, rng.random_range(0..=n));
     }
 }
 
@@ -166,55 +165,56 @@
     Node { id: NodeId(id), role, site, tier: u8::from(role != Role::Cache), capacity: 1.0, retiring: false }
 }
 
-/// Batches of several authors, each of whom knows a part of what the others have written.
-fn crossing(chance: &mut Pcg64Mcg, authors: u16, count: usize) -> Vec<ChangeBatch> {
-    let mut minds: Vec<History> = (0..authors).map(|_| History::default()).collect();
+/// Batches of several authors, each of whom has received some of the others' batches.
+fn concurrent_batches(rng: &mut Pcg64Mcg, authors: u16, count: usize) -> Vec<ChangeBatch> {
+    let mut authors_views: Vec<History> = (0..authors).map(|_| History::default()).collect();
     let origin = Change::Add { node: node(1, Role::Origin, 0), sources: Vec::new() };
     let parents = (2..8).map(|id| Change::Add {
         node: node(id, Role::Parent, id as u32 % 3),
         sources: vec![Source::new(NodeId(1), 9)],
     });
-    let first = minds[0].draft_batch(AuthorId(0), 0.0, std::iter::once(origin).chain(parents).collect());
-    minds.iter_mut().for_each(|mind| drop(mind.receive_batch(first.clone())));
+    let first =
+        authors_views[0].draft_batch(AuthorId(0), 0.0, std::iter::once(origin).chain(parents).collect());
+    authors_views.iter_mut().for_each(|view| drop(view.receive_batch(first.clone())));
     let mut all = vec![first];
     for n in 1..count {
-        let author = chance.random_range(0..authors);
-        // Now and then it hears what the others have written so far.
-        if chance.random_range(0..3) == 0 {
+        let author = rng.random_range(0..authors);
+        // Sometimes it receives all batches written so far.
+        if rng.random_range(0..3) == 0 {
             for batch in &all {
-                minds[usize::from(author)].receive_batch(batch.clone());
+                authors_views[usize::from(author)].receive_batch(batch.clone());
             }
         }
-        let changes = (0..chance.random_range(1..3)).map(|k| change(chance, (n * 4 + k) as u64)).collect();
-        let mind = &mut minds[usize::from(author)];
-        let batch = mind.draft_batch(AuthorId(author), n as f64, changes);
-        mind.receive_batch(batch.clone());
+        let changes = (0..rng.random_range(1..3)).map(|k| change(rng, (n * 4 + k) as u64)).collect();
+        let view = &mut authors_views[usize::from(author)];
+        let batch = view.draft_batch(AuthorId(author), n as f64, changes);
+        view.receive_batch(batch.clone());
         all.push(batch);
     }
     all
 }
 
-fn change(chance: &mut Pcg64Mcg, fresh: u64) -> Change {
-    let any = |chance: &mut Pcg64Mcg| NodeId(chance.random_range(2..12));
-    let target = any(chance);
+fn change(rng: &mut Pcg64Mcg, fresh: u64) -> Change {
+    let any = |rng: &mut Pcg64Mcg| NodeId(rng.random_range(2..12));
+    let target = any(rng);
     let mut sources = vec![Source::new(NodeId(1), 9)];
-    for rank in 0..chance.random_range(1..3u16) {
-        let source = any(chance);
+    for rank in 0..rng.random_range(1..3u16) {
+        let source = any(rng);
         if source != target {
             sources.push(Source::new(source, rank));
         }
     }
-    match chance.random_range(0..12) {
+    match rng.random_range(0..12) {
         0 | 1 => Change::Add { node: node(target.0, Role::Parent, 1), sources },
         2 => Change::Remove { node: target },
-        3 | 4 => Change::Move { node: target, site: chance.random_range(0..3), sources },
+        3 | 4 => Change::Move { node: target, site: rng.random_range(0..3), sources },
         5 => Change::Replace { old: target, new: node(100 + fresh, Role::Parent, 1) },
-        6 => Change::Retire { node: target, retiring: chance.random_range(0..2) == 0 },
+        6 => Change::Retire { node: target, retiring: rng.random_range(0..2) == 0 },
         _ => Change::Rerank { node: target, sources },
     }
 }
 
-/// What each kind of bad batch is answered, and that bounds hold.
+/// The error for each kind of invalid batch, and the limits.
 #[test]
 fn invalid_batches_are_rejected_whole_and_limits_hold() {
     let mut history = History::new(
@@ -252,16 +252,16 @@
     assert!(history.outcome(batch_ids[0]).is_none(), "only the newest are kept");
     let good = history.draft_batch(AuthorId(0), 0.0, vec![origin(), add(2, &[1])]);
     assert!(matches!(history.receive_batch(good.clone()), ReceiveOutcome::Accepted(_)));
-    let other = ChangeBatch { changes: vec![origin()], ..good };
+    let conflicting = ChangeBatch { changes: vec![origin()], ..good };
     assert!(
-        matches!(history.receive_batch(other), ReceiveOutcome::Invalid(_)),
+        matches!(history.receive_batch(conflicting), ReceiveOutcome::Invalid(_)),
         "the same name with other content"
     );
     for (number, n) in [(3, 0), (4, 1), (5, 2)] {
         let mut late = history.draft_batch(AuthorId(1), 0.0, vec![]);
         late.id.number = number;
-        let heard = history.receive_batch(late);
-        assert_eq!(matches!(heard, ReceiveOutcome::Pending(_)), n < 2, "{heard:?}");
+        let outcome = history.receive_batch(late);
+        assert_eq!(matches!(outcome, ReceiveOutcome::Pending(_)), n < 2, "{outcome:?}");
     }
     assert!(matches!(
         history.receive_batch(history.draft_batch(AuthorId(7), 0.0, vec![])),
@@ -281,8 +281,9 @@
     assert!(matches!(history.receive_batch(old), ReceiveOutcome::Invalid(_)));
 }
 
-/// Two changes that are fine alone and close a loop together: the later one is suspended, at routers that hear of
-/// them in either order, and it comes back by itself. The same with three of which any two are fine.
+/// Two changes that are valid alone and close a cycle together: the edge of the later one is suspended, whatever the
+/// order in which a router receives them, and resumed when the cycle is broken. The same with three changes of which
+/// any two are valid.
 #[test]
 fn of_concurrent_changes_that_close_a_cycle_the_last_one_is_suspended() {
     for count in [2u64, 3] {
@@ -293,20 +294,20 @@
         let parents = (2..2 + count).map(add);
         let first = base.draft_batch(AuthorId(0), 0.0, std::iter::once(origin).chain(parents).collect());
         base.receive_batch(first);
-        let around = |k: u64| {
+        let next_in_cycle = |k: u64| {
             let sources = vec![Source::new(NodeId(2 + (k + 1) % count), 0), Source::new(NodeId(1), 9)];
             vec![Change::Rerank { node: NodeId(2 + k), sources }]
         };
-        let crossing: Vec<ChangeBatch> =
-            (0..count).map(|k| base.draft_batch(AuthorId(1 + k as u16), 0.0, around(k))).collect();
-        let (mut one, mut other) = (base.clone(), base.clone());
-        crossing.iter().for_each(|batch| drop(one.receive_batch(batch.clone())));
-        crossing.iter().rev().for_each(|batch| drop(other.receive_batch(batch.clone())));
-        assert_eq!(one.topology().digest(), other.topology().digest());
-        for router in [&mut one, &mut other] {
-            let waits: Vec<NodeId> = router.topology().suspended_edges().map(|edge| edge.from).collect();
-            assert_eq!(waits, [NodeId(1 + count)], "of {count}");
-            sound(router.topology_mut());
+        let concurrent_batches: Vec<ChangeBatch> =
+            (0..count).map(|k| base.draft_batch(AuthorId(1 + k as u16), 0.0, next_in_cycle(k))).collect();
+        let (mut in_order, mut reversed) = (base.clone(), base.clone());
+        concurrent_batches.iter().for_each(|batch| drop(in_order.receive_batch(batch.clone())));
+        concurrent_batches.iter().rev().for_each(|batch| drop(reversed.receive_batch(batch.clone())));
+        assert_eq!(in_order.topology().digest(), reversed.topology().digest());
+        for router in [&mut in_order, &mut reversed] {
+            let suspended: Vec<NodeId> = router.topology().suspended_edges().map(|edge| edge.from).collect();
+            assert_eq!(suspended, [NodeId(1 + count)], "of {count}");
+            assert_sound(router.topology_mut());
             let back = router.draft_batch(
                 AuthorId(0),
                 0.0,
--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -24,13 +24,13 @@
 const SEEDS: u64 = 6;
 const STEPS: u32 = 20_000;
 
-/// A script's answers, hashed.
+/// The answers to a script, hashed.
 #[derive(Default)]
 struct Trace(Xxh3);
 
 impl Trace {
-    fn word(&mut self, word: &str) {
-        self.0.update(word.as_bytes());
+    fn text(&mut self, text: &str) {
+        self.0.update(text.as_bytes());
         self.0.update(&[0]);
     }
 
@@ -50,11 +50,11 @@
         }
     }
 
-    fn feeds(&mut self, feeds: &FillSources) {
-        self.sources(&feeds.current);
-        self.sources(&feeds.previous);
-        self.float(feeds.fraction);
-        self.number(feeds.salt);
+    fn fill_sources(&mut self, sources: &FillSources) {
+        self.sources(&sources.current);
+        self.sources(&sources.previous);
+        self.float(sources.fraction);
+        self.number(sources.salt);
     }
 
     fn hops(&mut self, hops: &[Hop]) {
@@ -64,15 +64,15 @@
         }
     }
 
-    fn verdict(&mut self, verdict: &ShieldDecision) {
-        match verdict {
-            ShieldDecision::Admit => self.word("go"),
+    fn decision(&mut self, decision: &ShieldDecision) {
+        match decision {
+            ShieldDecision::Admit => self.text("go"),
             ShieldDecision::Queue { until } => {
-                self.word("wait");
+                self.text("wait");
                 self.float(*until);
             }
             ShieldDecision::Reject { reason, retry_after } => {
-                self.word(match reason {
+                self.text(match reason {
                     ShieldRejection::FetchInProgress => "fetched",
                     ShieldRejection::BudgetExhausted => "budget",
                     ShieldRejection::QueueFull => "queue",
@@ -86,15 +86,15 @@
     fn released(&mut self, released: &[QueuedDecision]) {
         for released in released {
             self.number(released.ticket);
-            self.verdict(&released.decision);
+            self.decision(&released.decision);
         }
     }
 
-    fn entered(&mut self, entered: &[StageTransition]) {
-        for entered in entered {
-            self.number(entered.migration.target.0);
-            self.number(entered.migration.position.batch_id().number);
-            self.word(match entered.stage {
+    fn transitions(&mut self, transitions: &[StageTransition]) {
+        for transition in transitions {
+            self.number(transition.migration.target.0);
+            self.number(transition.migration.position.batch_id().number);
+            self.text(match transition.stage {
                 RolloutStage::Planned => "planned",
                 RolloutStage::Announced => "announced",
                 RolloutStage::Warming => "warming",
@@ -103,19 +103,19 @@
                 RolloutStage::RolledBack(RollbackReason::SourceLost) => "lost",
                 RolloutStage::RolledBack(RollbackReason::Requested) => "asked",
             });
-            self.number(u64::from(entered.is_final));
+            self.number(u64::from(transition.is_final));
         }
     }
 
-    fn heard(&mut self, heard: &ReceiveOutcome) {
-        match heard {
+    fn receive_outcome(&mut self, outcome: &ReceiveOutcome) {
+        match outcome {
             ReceiveOutcome::Accepted(batch_ids) => {
-                self.word("taken");
+                self.text("taken");
                 batch_ids.iter().for_each(|batch_id| self.number(batch_id.number));
             }
-            ReceiveOutcome::Duplicate => self.word("repeated"),
+            ReceiveOutcome::Duplicate => self.text("repeated"),
             ReceiveOutcome::Pending(batch_id) => self.number(batch_id.number),
-            ReceiveOutcome::Invalid(wrong) => self.word(&wrong.to_string()),
+            ReceiveOutcome::Invalid(wrong) => self.text(&wrong.to_string()),
         }
     }
 }
@@ -127,13 +127,13 @@
 struct Script {
     hierarchy: Hierarchy,
     names: NameTable,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     trace: Trace,
     now: Ms,
     ticket: u64,
-    /// Fills that were let through, and those that wait.
-    out: Vec<u64>,
-    waiting: Vec<u64>,
+    /// Fills admitted, and fills queued.
+    in_flight: Vec<u64>,
+    queued: Vec<u64>,
     batches: Vec<BatchId>,
 }
 
@@ -156,12 +156,12 @@
         let mut script = Self {
             hierarchy: Hierarchy::new(config),
             names: NameTable::default(),
-            chance: Pcg64Mcg::seed_from_u64(seed),
+            rng: Pcg64Mcg::seed_from_u64(seed),
             trace: Trace::default(),
             now: 1e6,
             ticket: 0,
-            out: Vec::new(),
-            waiting: Vec::new(),
+            in_flight: Vec::new(),
+            queued: Vec::new(),
             batches: Vec::new(),
         };
         let mut changes = vec![Change::Add { node: node(1, Role::Origin, 9), sources: Vec::new() }];
@@ -179,23 +179,23 @@
     }
 
     fn any(&mut self, ids: std::ops::Range<u64>) -> NodeId {
-        NodeId(self.chance.random_range(ids))
+        NodeId(self.rng.random_range(ids))
     }
 
     fn change(&mut self, changes: Vec<Change>) {
-        let author = AuthorId(self.chance.random_range(1..4));
+        let author = AuthorId(self.rng.random_range(1..4));
         let batch = self.hierarchy.draft_batch(author, self.now, changes);
         self.batches.push(batch.id);
         match self.hierarchy.plan_batch(self.now, &batch) {
             Ok(plan) => {
                 let plan = serde_json::to_string(&self.names.plan_spec(&plan)).expect("a plan is written");
-                self.trace.word(&plan);
+                self.trace.text(&plan);
             }
-            Err(why @ (PlanError::Rejected(_) | PlanError::Invalid(_))) => self.trace.word(&why.to_string()),
-            Err(_) => self.trace.word("no plan"),
+            Err(why @ (PlanError::Rejected(_) | PlanError::Invalid(_))) => self.trace.text(&why.to_string()),
+            Err(_) => self.trace.text("no plan"),
         }
-        let heard = self.hierarchy.receive_batch(self.now, batch);
-        self.trace.heard(&heard);
+        let outcome = self.hierarchy.receive_batch(self.now, batch);
+        self.trace.receive_outcome(&outcome);
     }
 
     fn random_change(&mut self) {
@@ -203,16 +203,16 @@
         let (first, second) = (self.any(PARENTS), self.any(PARENTS));
         let mut sources = vec![Source::new(first, 0), Source::new(ORIGIN, 9)];
         if second != first {
-            sources.insert(1, Source::new(second, self.chance.random_range(0..2)));
+            sources.insert(1, Source::new(second, self.rng.random_range(0..2)));
         }
         let cache = self.any(CACHES);
-        let change = match self.chance.random_range(0..8) {
-            0 => Change::Retire { node: parent, retiring: self.chance.random_range(0..3) == 0 },
+        let change = match self.rng.random_range(0..8) {
+            0 => Change::Retire { node: parent, retiring: self.rng.random_range(0..3) == 0 },
             1 => Change::Rerank {
                 node: parent,
                 sources: sources.into_iter().filter(|source| source.node != parent).collect(),
             },
-            2 => Change::Move { node: cache, site: self.chance.random_range(0..3), sources },
+            2 => Change::Move { node: cache, site: self.rng.random_range(0..3), sources },
             _ => {
                 let all = CACHES.map(|id| Change::Rerank { node: NodeId(id), sources: sources.clone() });
                 return self.change(all.collect());
@@ -223,18 +223,19 @@
 
     fn fill(&mut self) {
         let child = self.any(CACHES);
-        let object = (self.chance.random_range(0.0..1.0f64).powi(3) * 300.0) as u64;
-        let feeds = self.hierarchy.fill_sources(self.now, child);
-        let straight = self.chance.random_range(0..20) == 0;
-        let source = feeds.of(object).iter().min_by_key(|source| source.rank).map(|source| source.node);
-        let Some(source) = source else { return self.trace.word("no source") };
+        let object = (self.rng.random_range(0.0..1.0f64).powi(3) * 300.0) as u64;
+        let fill_sources = self.hierarchy.fill_sources(self.now, child);
+        let straight = self.rng.random_range(0..20) == 0;
+        let source =
+            fill_sources.of(object).iter().min_by_key(|source| source.rank).map(|source| source.node);
+        let Some(source) = source else { return self.trace.text("no source") };
         self.ticket += 1;
-        let priority = match self.chance.random_range(0..10) {
+        let priority = match self.rng.random_range(0..10) {
             0 => Priority::Write,
             1 | 2 => Priority::Revalidation,
             _ => Priority::Demand,
         };
-        let picked = SelectedFill {
+        let fill = SelectedFill {
             ticket: self.ticket,
             child: if straight { source } else { child },
             source,
@@ -242,26 +243,26 @@
             key: linnethook::hash_ring::hash_pair(object, 3),
             priority,
             bytes: 1e4,
-            may_join: self.chance.random_range(0..2) == 0,
-            max_wait: f64::from(self.chance.random_range(0..200u32)),
+            may_join: self.rng.random_range(0..2) == 0,
+            max_wait: f64::from(self.rng.random_range(0..200u32)),
         };
-        let way = self.hierarchy.onward_path(self.now, child, source, object);
-        self.trace.hops(&way);
-        let verdict = self.hierarchy.request_fill(self.now, &picked);
-        self.trace.verdict(&verdict);
-        match verdict {
-            ShieldDecision::Admit => self.out.push(self.ticket),
-            ShieldDecision::Queue { .. } => self.waiting.push(self.ticket),
+        let path = self.hierarchy.onward_path(self.now, child, source, object);
+        self.trace.hops(&path);
+        let decision = self.hierarchy.request_fill(self.now, &fill);
+        self.trace.decision(&decision);
+        match decision {
+            ShieldDecision::Admit => self.in_flight.push(self.ticket),
+            ShieldDecision::Queue { .. } => self.queued.push(self.ticket),
             ShieldDecision::Reject { .. } => {}
         }
     }
 
-    fn end(&mut self) {
-        if self.out.is_empty() {
+    fn complete_fill(&mut self) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let ticket = self.out.swap_remove(self.chance.random_range(0..self.out.len()));
-        let brought = match self.chance.random_range(0..20) {
+        let ticket = self.in_flight.swap_remove(self.rng.random_range(0..self.in_flight.len()));
+        let result = match self.rng.random_range(0..20) {
             0..=6 => FillResult::ServedFromCache,
             7..=13 => FillResult::ServedFromOrigin,
             14 => FillResult::ServedFromUnknown,
@@ -269,55 +270,54 @@
             17 | 18 => FillResult::Failed,
             _ => FillResult::Abandoned,
         };
-        // In some spells most are late.
-        let late =
-            self.chance.random_range(0..10) < if (self.now / 10_000.0) as u64 % 4 == 3 { 6 } else { 1 };
-        let released = self.hierarchy.complete_fill(self.now, ticket, brought, late);
+        // At some times most fills are late.
+        let late = self.rng.random_range(0..10) < if (self.now / 10_000.0) as u64 % 4 == 3 { 6 } else { 1 };
+        let released = self.hierarchy.complete_fill(self.now, ticket, result, late);
         self.release(&released);
     }
 
     fn release(&mut self, released: &[QueuedDecision]) {
         self.trace.released(released);
         for released in released {
-            self.waiting.retain(|ticket| *ticket != released.ticket);
+            self.queued.retain(|ticket| *ticket != released.ticket);
             if released.decision == ShieldDecision::Admit {
-                self.out.push(released.ticket);
+                self.in_flight.push(released.ticket);
             }
         }
     }
 
-    fn list(&mut self) {
+    fn update_endpoint(&mut self) {
         let id = self.any(PARENTS);
-        let (phase, started) = match self.chance.random_range(0..4) {
+        let (phase, started) = match self.rng.random_range(0..4) {
             0 => (EndpointPhase::Draining, 0.0),
             1 => (EndpointPhase::Removed, 0.0),
             _ => (EndpointPhase::Ready, self.now),
         };
         let update = self.hierarchy.update_endpoint(self.now, id, phase, started);
-        self.trace.entered(&update.transitions);
+        self.trace.transitions(&update.transitions);
         update.cancelled.iter().for_each(|ticket| self.trace.number(*ticket));
-        self.waiting.retain(|ticket| !update.cancelled.contains(ticket));
+        self.queued.retain(|ticket| !update.cancelled.contains(ticket));
     }
 
-    fn rare(&mut self) {
-        match self.chance.random_range(0..6) {
+    fn rare_event(&mut self) {
+        match self.rng.random_range(0..6) {
             0 | 1 => self.random_change(),
-            2 => self.list(),
+            2 => self.update_endpoint(),
             3 => {
                 let (from, to) = (self.any(CACHES), self.any(PARENTS));
                 let version = self.hierarchy.version();
                 self.hierarchy.report_loop(self.now, from, to, version);
             }
-            4 if !self.batches.is_empty() && self.chance.random_range(0..4) == 0 => {
-                let batch_id = self.batches[self.chance.random_range(0..self.batches.len())];
+            4 if !self.batches.is_empty() && self.rng.random_range(0..4) == 0 => {
+                let batch_id = self.batches[self.rng.random_range(0..self.batches.len())];
                 if let Some(changes) = self.hierarchy.roll_back_batch(self.now, batch_id) {
                     self.change(changes);
                 }
             }
             4 => {
                 let id = self.any(PARENTS);
-                let entered = self.hierarchy.endpoint_failed(self.now, id);
-                self.trace.entered(&entered);
+                let transitions = self.hierarchy.endpoint_failed(self.now, id);
+                self.trace.transitions(&transitions);
             }
             _ => {
                 let snapshot = self.hierarchy.snapshot();
@@ -329,24 +329,24 @@
     }
 
     fn step(&mut self) {
-        self.now += f64::from(self.chance.random_range(0..8u32));
-        match self.chance.random_range(0..1_000) {
-            0..=3 => self.rare(),
+        self.now += f64::from(self.rng.random_range(0..8u32));
+        match self.rng.random_range(0..1_000) {
+            0..=3 => self.rare_event(),
             4..=14 => {
-                if let Some(ticket) = self.waiting.pop() {
+                if let Some(ticket) = self.queued.pop() {
                     self.hierarchy.cancel_fill(ticket);
                 }
             }
             15..=549 => self.fill(),
-            _ => self.end(),
+            _ => self.complete_fill(),
         }
-        if self.chance.random_range(0..3) == 0 {
+        if self.rng.random_range(0..3) == 0 {
             let outcome = self.hierarchy.tick(self.now);
             self.release(&outcome.decisions);
-            self.trace.entered(&outcome.transitions);
-            for (child, feeds) in self.hierarchy.changed_fill_sources(self.now) {
+            self.trace.transitions(&outcome.transitions);
+            for (child, fill_sources) in self.hierarchy.changed_fill_sources(self.now) {
                 self.trace.number(child.0);
-                self.trace.feeds(&feeds);
+                self.trace.fill_sources(&fill_sources);
             }
             self.trace.number(u64::from(self.hierarchy.is_constrained(self.now)));
             self.trace.float(self.hierarchy.next_deadline(self.now));
@@ -363,7 +363,7 @@
             script.step();
             if step % 1_000 == 0 {
                 let view = serde_json::to_string(&script.hierarchy.view(script.now)).expect("a view");
-                script.trace.word(&view);
+                script.trace.text(&view);
                 let hash = script.trace.0.digest();
                 let _ = writeln!(text, "seed {seed} step {step}: {hash:016x}");
             }
@@ -375,26 +375,26 @@
 }
 
 /// A batch of one to three random changes of every kind, by one of three authors.
-fn random_batch(chance: &mut Pcg64Mcg, history: &History, fresh: u64) -> ChangeBatch {
-    let author = AuthorId(chance.random_range(1..4));
-    let count = chance.random_range(1..4u64);
-    let changes = (0..count).map(|n| any_change(chance, 100 + fresh * 4 + n)).collect();
+fn random_batch(rng: &mut Pcg64Mcg, history: &History, fresh: u64) -> ChangeBatch {
+    let author = AuthorId(rng.random_range(1..4));
+    let count = rng.random_range(1..4u64);
+    let changes = (0..count).map(|n| any_change(rng, 100 + fresh * 4 + n)).collect();
     history.draft_batch(author, fresh as f64, changes)
 }
 
-fn any_change(chance: &mut Pcg64Mcg, fresh: u64) -> Change {
-    let target = NodeId(chance.random_range(2..14));
+fn any_change(rng: &mut Pcg64Mcg, fresh: u64) -> Change {
+    let target = NodeId(rng.random_range(2..14));
     let mut sources = vec![Source::new(ORIGIN, 9)];
-    for rank in 0..chance.random_range(0..3u16) {
-        sources.push(Source::new(NodeId(chance.random_range(2..14)), rank));
+    for rank in 0..rng.random_range(0..3u16) {
+        sources.push(Source::new(NodeId(rng.random_range(2..14)), rank));
     }
     sources.retain(|source| source.node != target);
-    match chance.random_range(0..10) {
+    match rng.random_range(0..10) {
         0..=2 => Change::Add { node: node(target.0, Role::Parent, 1), sources },
         3 | 4 => Change::Remove { node: target },
-        5 => Change::Move { node: target, site: chance.random_range(0..3), sources },
+        5 => Change::Move { node: target, site: rng.random_range(0..3), sources },
         6 => Change::Replace { old: target, new: node(fresh, Role::Parent, 1) },
-        7 => Change::Retire { node: target, retiring: chance.random_range(0..2) == 0 },
+        7 => Change::Retire { node: target, retiring: rng.random_range(0..2) == 0 },
         _ => Change::Rerank { node: target, sources },
     }
 }
@@ -405,7 +405,7 @@
 fn histories_of_seeded_batches() {
     let mut text = String::new();
     for seed in 0..SEEDS {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut trace = Trace::default();
         let (mut prompt, mut late) = (History::default(), History::default());
         let mut delayed = Vec::new();
@@ -417,22 +417,22 @@
         prompt.receive_batch(first);
         for step in 1..=200 {
             // Some batches are drafted on what the late history has received.
-            let basis = if chance.random_range(0..3) == 0 { &late } else { &prompt };
-            let batch = random_batch(&mut chance, basis, step);
+            let basis = if rng.random_range(0..3) == 0 { &late } else { &prompt };
+            let batch = random_batch(&mut rng, basis, step);
             let id = batch.id;
-            trace.heard(&prompt.receive_batch(batch.clone()));
+            trace.receive_outcome(&prompt.receive_batch(batch.clone()));
             delayed.push(batch);
-            while delayed.len() > 6 || (!delayed.is_empty() && chance.random_range(0..3) == 0) {
-                let batch = delayed.swap_remove(chance.random_range(0..delayed.len()));
-                trace.heard(&late.receive_batch(batch));
+            while delayed.len() > 6 || (!delayed.is_empty() && rng.random_range(0..3) == 0) {
+                let batch = delayed.swap_remove(rng.random_range(0..delayed.len()));
+                trace.receive_outcome(&late.receive_batch(batch));
             }
             if let Some(Err(why)) = prompt.outcome(id) {
-                trace.word(&why.to_string());
+                trace.text(&why.to_string());
             }
             let inverse = serde_json::to_string(&prompt.inverse_changes(id)).expect("changes are written");
-            trace.word(&inverse);
+            trace.text(&inverse);
             let snapshot = serde_json::to_string(&late.snapshot()).expect("a snapshot is written");
-            trace.word(&snapshot);
+            trace.text(&snapshot);
             trace.number(prompt.topology().digest());
             trace.number(late.pending().count() as u64);
             if step % 20 == 0 {
@@ -440,7 +440,7 @@
                 let _ = writeln!(text, "seed {seed} batch {step}: {hash:016x}");
             }
         }
-        let applied = prompt.entries().filter(|(_, verdict)| verdict.is_ok()).count();
+        let applied = prompt.entries().filter(|(_, result)| result.is_ok()).count();
         let suspended = prompt.topology().suspended_edges().count();
         let _ = writeln!(text, "seed {seed}: {applied} applied, {suspended} edges suspended");
     }
@@ -458,7 +458,7 @@
             script.step();
             if step % 1_000 == 0 {
                 let view = serde_json::to_string(&script.hierarchy.view(script.now)).expect("a view");
-                script.trace.word(&view);
+                script.trace.text(&view);
                 let hash = script.trace.0.digest();
                 let _ = writeln!(text, "seed {seed} step {step}: {hash:016x}");
             }
--- a/crates/hierarchy/tests/rate_budget.rs
+++ b/crates/hierarchy/tests/rate_budget.rs
@@ -3,22 +3,22 @@
 use linnethook::interface::Ms;
 use linnethook_hierarchy::rate_budget::{RateBudget, RateBudgetConfig};
 
-/// Offers so many fills a second for some seconds; how many went in the last one.
+/// Offers a constant rate of fills for some seconds, and returns how many were admitted in the last one.
 fn offer(budget: &mut RateBudget, from: Ms, seconds: u32, per_second: u32, late: bool) -> u32 {
-    let mut gone = 0;
+    let mut admitted = 0;
     for second in 0..seconds {
-        gone = 0;
+        admitted = 0;
         for n in 0..per_second {
             let now = from + f64::from(second) * 1000.0 + f64::from(n) * 1000.0 / f64::from(per_second);
             budget.tick(now);
             if budget.admits(now, 1.0) {
                 budget.spend(now, 1.0);
                 budget.report(now, late);
-                gone += 1;
+                admitted += 1;
             }
         }
     }
-    gone
+    admitted
 }
 
 #[test]
@@ -43,7 +43,7 @@
     assert!(after == 100 && !budget.has_ceiling(), "{after}");
 }
 
-/// Without a past: nothing that the target bears is refused, and once it is known what goes there that is the limit.
+/// Before the rate is known no fill is refused; once it is known it is the limit.
 #[test]
 fn a_change_right_after_the_start_is_limited_once_the_rate_is_known() {
     let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
@@ -53,23 +53,23 @@
     assert_eq!(offer(&mut budget, 1_000.0, 3, 50, false), 50, "none of it is too much");
     offer(&mut budget, 4_000.0, 2, 50, false);
     assert!(!budget.is_learning() && budget.has_ceiling());
-    let flood = offer(&mut budget, 6_000.0, 5, 500, false);
-    assert!((50..=70).contains(&flood), "{flood}");
-    let mut over = RateBudget::new(0.0, RateBudgetConfig::default());
-    over.begin_change(0.0);
-    over.end_change(100.0);
-    offer(&mut over, 200.0, 10, 50, false);
-    assert!(!over.is_learning() && over.limit(11_000.0).is_infinite(), "it was over before that was known");
+    let excess = offer(&mut budget, 6_000.0, 5, 500, false);
+    assert!((50..=70).contains(&excess), "{excess}");
+    let mut ended = RateBudget::new(0.0, RateBudgetConfig::default());
+    ended.begin_change(0.0);
+    ended.end_change(100.0);
+    offer(&mut ended, 200.0, 10, 50, false);
+    assert!(!ended.is_learning() && ended.limit(11_000.0).is_infinite(), "it was over before that was known");
 }
 
 #[test]
 fn a_late_target_gets_less_and_recovers() {
     let mut budget = RateBudget::new(0.0, RateBudgetConfig::default());
     offer(&mut budget, 0.0, 5, 100, false);
-    let slow = offer(&mut budget, 5_000.0, 10, 100, true);
-    assert!(slow < 40, "{slow}");
-    let well = offer(&mut budget, 15_000.0, 60, 100, false);
-    assert!(well >= 99, "{well}");
+    let late_rate = offer(&mut budget, 5_000.0, 10, 100, true);
+    assert!(late_rate < 40, "{late_rate}");
+    let recovered = offer(&mut budget, 15_000.0, 60, 100, false);
+    assert!(recovered >= 99, "{recovered}");
     let never = RateBudget::new(0.0, RateBudgetConfig::default()).delay(0.0, 1.0);
     assert_eq!(never, 0.0);
 }
--- a/crates/hierarchy/tests/rollout.rs
+++ b/crates/hierarchy/tests/rollout.rs
@@ -10,30 +10,30 @@
     MigrationId { target: NodeId(2), position: BatchPosition::default() }
 }
 
-fn run(rollout: &mut Rollout, from: Ms, to: Ms, short: bool) -> Vec<(Ms, RolloutStage)> {
-    let mut seen = Vec::new();
+fn run(rollout: &mut Rollout, from: Ms, to: Ms, is_constrained: bool) -> Vec<(Ms, RolloutStage)> {
+    let mut transitions = Vec::new();
     let mut now = from;
     while now <= to {
-        seen.extend(rollout.tick(now, short, |_| true).into_iter().map(|e| (now, e.stage)));
+        transitions.extend(rollout.tick(now, is_constrained, |_| true).into_iter().map(|e| (now, e.stage)));
         now += 100.0;
     }
-    seen
+    transitions
 }
 
 #[test]
 fn a_migration_passes_its_stages_and_its_fraction_follows_from_the_time_alone() {
-    let rule = RolloutConfig::default();
-    let mut early = Rollout::new(rule);
+    let config = RolloutConfig::default();
+    let mut early = Rollout::new(config);
     early.start(0.0, id(), 1_000.0, 0.0);
-    let seen = run(&mut early, 0.0, 90_000.0, false);
+    let transitions = run(&mut early, 0.0, 90_000.0, false);
     let stages = [
         (1_000.0, RolloutStage::Announced),
         (3_000.0, RolloutStage::Warming),
         (78_000.0, RolloutStage::Settled),
     ];
-    assert_eq!(seen, stages);
-    // One that hears of it in the middle is as far as the others.
-    let (mut early, mut late) = (Rollout::new(rule), Rollout::new(rule));
+    assert_eq!(transitions, stages);
+    // A router that receives the batch during the ramp is as far as the others.
+    let (mut early, mut late) = (Rollout::new(config), Rollout::new(config));
     early.start(0.0, id(), 1_000.0, 0.0);
     run(&mut early, 0.0, 17_900.0, false);
     late.start(17_000.0, id(), 1_000.0, 0.0);
@@ -48,8 +48,8 @@
 
 #[test]
 fn a_router_that_receives_a_batch_after_its_rollout_uses_the_new_source_at_once() {
-    let rule = RolloutConfig::default();
-    let mut late = Rollout::new(rule);
+    let config = RolloutConfig::default();
+    let mut late = Rollout::new(config);
     late.start(500_000.0, id(), 1_000.0, 0.0);
     assert_eq!(late.fraction(500_000.0, id()), 1.0, "before any tick");
     assert_eq!(run(&mut late, 500_000.0, 500_200.0, false), [(500_000.0, RolloutStage::Settled)]);
@@ -67,8 +67,8 @@
         Rollout::new(RolloutConfig { slow_start, ramp_duration: 1.0, ..RolloutConfig::default() });
     rollout.start(0.0, id(), 0.0, 1_000.0);
     run(&mut rollout, 0.0, 3_000.0, false);
-    for (now, bears) in [(3_000.0, 0.07 + 0.93 * 0.1), (11_000.0, 0.07 + 0.93 * 0.5)] {
-        assert!((rollout.fraction(now, id()) - bears * 1.2).abs() < 1e-9);
+    for (now, capacity) in [(3_000.0, 0.07 + 0.93 * 0.1), (11_000.0, 0.07 + 0.93 * 0.5)] {
+        assert!((rollout.fraction(now, id()) - capacity * 1.2).abs() < 1e-9);
     }
     assert_eq!(rollout.fraction(22_000.0, id()), 1.0);
 }
@@ -89,13 +89,13 @@
         times.extend(rollout.tick(now, false, |_| true).into_iter().map(|e| (now, e.stage, e.is_final)));
         now += 100.0;
     }
-    let back: Vec<(Ms, bool)> = times
+    let rollbacks: Vec<(Ms, bool)> = times
         .iter()
         .filter(|(_, stage, _)| *stage == RolloutStage::RolledBack(RollbackReason::HighFailureRate))
         .map(|(at, _, is_final)| (*at, *is_final))
         .collect();
-    assert_eq!(back.iter().map(|(_, is_final)| *is_final).collect::<Vec<_>>(), [false, false, true]);
-    let gaps: Vec<Ms> = back.windows(2).map(|pair| pair[1].0 - pair[0].0).collect();
+    assert_eq!(rollbacks.iter().map(|(_, is_final)| *is_final).collect::<Vec<_>>(), [false, false, true]);
+    let gaps: Vec<Ms> = rollbacks.windows(2).map(|pair| pair[1].0 - pair[0].0).collect();
     assert!(gaps[0] >= 10_000.0 && gaps[1] >= 20_000.0, "{gaps:?}");
     assert_eq!(rollout.fraction(now, id()), 0.0);
 }
@@ -142,7 +142,7 @@
     assert!(rollout.tick(40_000.0, false, |_| false).is_empty());
     assert_eq!(rollout.tick(41_000.0, false, |_| true)[0].stage, RolloutStage::Warming);
     assert!(rollout.fraction(41_000.0, id()) < 0.03, "from the beginning");
-    // With nothing else left there is no rolling back.
+    // Without a fallback there is no rollback.
     rollout.set_has_no_fallback(id(), true);
     rollout.source_lost(42_000.0, NodeId(2));
     assert!(rollout.fraction(43_000.0, id()) > 0.0);
