--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -207,10 +207,12 @@
     /// The router.
     pub name: String,
     /// Its incarnation.
+    #[serde(rename = "start")]
     pub incarnation: u64,
     /// The record's number, from 1.
     pub number: u64,
     /// The hash of the record before it; all zeros for the first one.
+    #[serde(rename = "before")]
     pub previous_hash: RecordHash,
     /// The version of the body's format.
     pub version: u16,
--- /dev/null
+++ b/crates/hierarchy/src/loop_detection.rs
@@ -0,0 +1,114 @@
+//! The path of a fill, by which a node detects that a fill has returned to it (compare RFC 8586, CDN-Loop).
+//!
+//! Routers and nodes may act on different versions of the topology for a moment. Each version is free of cycles, but
+//! a fill that is forwarded by two of them may return to a node.
+
+use std::fmt;
+
+/// Nodes that a fill may pass.
+pub const MAX_HOPS: usize = 16;
+
+/// Bytes of the field that names the nodes passed.
+const MAX_FIELD_BYTES: usize = 512;
+
+/// Characters that separate names or fields on the wire and can't be part of a name.
+const SEPARATORS: &[u8] = b",=+:>";
+
+/// The nodes that a fill has passed, and the version of the topology by which it was forwarded. The text form is
+/// `VERSION:NODE+NODE+...`.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub struct FillPath {
+    /// The version of the topology, as a Lamport timestamp.
+    pub version: u64,
+    names: Vec<String>,
+}
+
+/// Why a field is not the path of a fill.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum FillPathError {
+    /// It exceeds a bound.
+    #[error("the way of a fill is longer than {MAX_FIELD_BYTES} bytes or {MAX_HOPS} nodes")]
+    TooLong,
+    /// It has another form.
+    #[error("the way of a fill is not VERSION:NODE+NODE+...")]
+    Malformed,
+}
+
+/// Why a fill is not forwarded. It has had no effect at the node.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum PathRejection {
+    /// The fill has returned to a node that it had passed.
+    #[error("it came back to {to}, sent on by {from}")]
+    Loop {
+        /// The node that forwarded it last.
+        from: String,
+        /// The node that it returned to.
+        to: String,
+    },
+    /// The fill has passed as many nodes as it may.
+    #[error("it has passed {MAX_HOPS} nodes")]
+    HopLimit,
+}
+
+impl FillPath {
+    /// The path of a fill that has passed no node.
+    pub fn new(version: u64) -> Self {
+        Self { version, names: Vec::new() }
+    }
+
+    /// Reads the field that goes with a fill.
+    ///
+    /// # Errors
+    ///
+    /// The field exceeds a bound, or has another form. Nothing is copied before its length is checked.
+    pub fn parse(text: &str) -> Result<Self, FillPathError> {
+        if text.len() > MAX_FIELD_BYTES {
+            return Err(FillPathError::TooLong);
+        }
+        let (version, names) = text.split_once(':').ok_or(FillPathError::Malformed)?;
+        let version = version.parse().map_err(|_| FillPathError::Malformed)?;
+        if names.is_empty() {
+            return Ok(Self::new(version));
+        }
+        let names: Vec<&str> = names.split('+').collect();
+        if names.len() > MAX_HOPS {
+            return Err(FillPathError::TooLong);
+        }
+        if !names.iter().all(|name| is_valid_name(name)) {
+            return Err(FillPathError::Malformed);
+        }
+        Ok(Self { version, names: names.into_iter().map(str::to_string).collect() })
+    }
+
+    /// The nodes passed, in their order.
+    pub fn names(&self) -> impl Iterator<Item = &str> {
+        self.names.iter().map(String::as_str)
+    }
+
+    /// The path after the fill has passed `node`.
+    ///
+    /// # Errors
+    ///
+    /// The fill has passed that node before, or as many nodes as it may.
+    pub fn append_node(mut self, node: &str) -> Result<Self, PathRejection> {
+        if self.names.iter().any(|name| name == node) {
+            let from = self.names.last().cloned().unwrap_or_default();
+            return Err(PathRejection::Loop { from, to: node.to_string() });
+        }
+        if self.names.len() >= MAX_HOPS {
+            return Err(PathRejection::HopLimit);
+        }
+        self.names.push(node.to_string());
+        Ok(self)
+    }
+}
+
+impl fmt::Display for FillPath {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}:{}", self.version, self.names.join("+"))
+    }
+}
+
+fn is_valid_name(name: &str) -> bool {
+    !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_graphic() && !SEPARATORS.contains(&byte))
+}
--- /dev/null
+++ b/crates/router/src/event_loop.rs
@@ -0,0 +1,172 @@
+//! The event loop of a router: its signals, its sockets, and its life from the start to the end.
+
+use std::net::TcpListener;
+use std::os::unix::net::UnixListener;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+use calloop::signals::{Signal, Signals};
+use calloop::{EventLoop, Readiness};
+use linnethook_operator::script::Kind;
+use linnethook_operator::{apart, Operator};
+
+use crate::cli;
+use crate::config::Config;
+use crate::downstream::ClientId;
+use crate::event_handler::EventHandler;
+use crate::log::{self, log_line};
+use crate::router::Router;
+use crate::start_error::StartError;
+
+/// The signals that a process of routers handles.
+pub const SIGNALS: [Signal; 4] = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
+
+/// Turns after the last request in which other routers can be told of the end, and how long one may take.
+const LAST_TURNS: usize = 4;
+const LAST_TURN: Duration = Duration::from_millis(5);
+
+/// Evaluates the operator file at the start, in a child process.
+///
+/// # Errors
+///
+/// A file that can't be read or evaluated.
+pub fn read_operator(file: &Path) -> Result<Operator, StartError> {
+    let program = cli::program()?;
+    let operator = apart::run(&program, Kind::Operator, file).and_then(|bytes| apart::operator(file, &bytes));
+    Ok(operator?)
+}
+
+/// Runs the one router of this process until it has ended.
+///
+/// # Errors
+///
+/// A configuration or operator file that can't be used, and errors of the system.
+pub fn run(arguments: &cli::Run) -> Result<(), StartError> {
+    let file = arguments.operator.clone();
+    let operator = file.map(|file| read_operator(&file).map(|operator| (file, operator))).transpose()?;
+    log::begin(operator.as_ref().and_then(|(_, operator)| operator.log).is_some_and(|log| log.json));
+    let path = std::env::var_os("LB_CONFIG").ok_or(StartError::NoConfig)?;
+    let path = PathBuf::from(path);
+    let config = Config::read(&path)?;
+    if config.limits.descriptors < config.file.sockets() {
+        log_line!(
+            always "the configuration promises {} descriptors, the system gives {}",
+            config.file.sockets(), config.limits.descriptors
+        );
+    }
+    let events: EventLoop<'static, Router> = EventLoop::try_new()?;
+    let signals = Signals::new(&SIGNALS)?;
+    let on_signal = |event: calloop::signals::Event, _: &mut (), router: &mut Router| {
+        router.on_signal(event.signal());
+    };
+    events.handle().insert_source(signals, on_signal).map_err(|error| error.error)?;
+    serve(events, &path, config, operator)
+}
+
+/// Runs a router on this thread until it has ended; `events` delivers its signals already.
+///
+/// # Errors
+///
+/// Settings of the operator file that can't be used, and errors of the system.
+pub fn serve(
+    mut events: EventLoop<'static, Router>,
+    path: &Path,
+    config: Config,
+    operator: Option<(PathBuf, Operator)>,
+) -> Result<(), StartError> {
+    let log_settings = operator.as_ref().and_then(|(_, operator)| operator.log);
+    log::hold_to(log_settings.map_or(config.limits.log_lines, |log| log.lines_per_second));
+    let mut router = Router::new(path, config, operator, &events.handle())?;
+    while !router.is_drained() {
+        events.dispatch(router.time_to_deadline(), &mut router)?;
+        router.on_timer();
+    }
+    router.begin_close();
+    while !router.is_closed() {
+        events.dispatch(router.time_to_deadline(), &mut router)?;
+        router.on_timer();
+    }
+    // From here on no request is accepted, so that the last record of the audit log is the last.
+    router.close_clients();
+    if router.has_fleet() {
+        router.end_account();
+        for _ in 0..LAST_TURNS {
+            events.dispatch(LAST_TURN, &mut router)?;
+            router.on_timer();
+        }
+    }
+    router.print_counters();
+    Ok(())
+}
+
+impl EventHandler for Router {
+    fn accept_clients(&mut self, listener: &TcpListener) -> bool {
+        let mut events = Vec::new();
+        let accepts_more = self.downstreams.accept(self.clock.now(), listener, &mut events);
+        self.on_client_events(events);
+        self.process_outcomes();
+        accepts_more
+    }
+
+    fn on_client_ready(&mut self, id: ClientId, readiness: Readiness) {
+        let now = self.clock.now();
+        let mut events = Vec::new();
+        if readiness.writable {
+            self.downstreams.flush(now, id, &mut events);
+        }
+        if readiness.readable || readiness.error {
+            self.downstreams.read(now, id, &mut events);
+        }
+        self.on_client_events(events);
+        let mut events = Vec::new();
+        self.downstreams.flush(now, id, &mut events);
+        self.on_client_events(events);
+        self.process_outcomes();
+    }
+
+    fn on_upstream_ready(&mut self, id: u64, readiness: Readiness) {
+        self.upstreams.on_ready(self.clock.now(), id, readiness);
+        self.process_outcomes();
+    }
+
+    fn on_discovery_ready(&mut self, readiness: Readiness) {
+        let events = self.discovery.on_ready(self.clock.now(), readiness);
+        self.on_watch_events(events);
+        self.process_outcomes();
+    }
+
+    fn accept_commands(&mut self, listener: &UnixListener) -> bool {
+        let now = self.clock.now();
+        self.control.as_mut().is_none_or(|control| control.accept(now, listener))
+    }
+
+    fn on_command_ready(&mut self, id: u64) {
+        let question = self.control.as_mut().and_then(|control| {
+            control.flush(id);
+            control.read(id)
+        });
+        let Some(question) = question else { return };
+        let answer = self.reply(question);
+        if let Some(control) = &mut self.control {
+            control.answer(id, &answer);
+        }
+        self.tell_feeds();
+    }
+
+    fn accept_links(&mut self, listener: &TcpListener) -> bool {
+        let now = self.clock.now();
+        let remote_sites = self.remote_sites.as_mut();
+        let accepts_more = remote_sites.is_none_or(|remote_sites| remote_sites.accept(now, listener));
+        self.run_remote_sites();
+        accepts_more
+    }
+
+    fn on_link_ready(&mut self, id: u64, readiness: Readiness) {
+        let now = self.clock.now();
+        if let Some(remote_sites) = &mut self.remote_sites {
+            remote_sites.on_link_ready(now, id, readiness);
+        }
+        self.run_remote_sites();
+        self.process_outcomes();
+    }
+}
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -9,7 +9,7 @@
 
 use linnethook_audit::record::{AuditedAction, WriteAttempt, WriteOutcome};
 use linnethook_audit::replicas::ReplicaSizes;
-use linnethook_hierarchy::named::BatchSpec;
+use linnethook_hierarchy::change_spec::BatchSpec;
 use linnethook_membership::actions::{ClusterAction, ClusterEvent};
 use linnethook_membership::aggregation::query::QueryTarget;
 use linnethook_membership::cluster::Cluster;
@@ -24,12 +24,12 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::account::{Auditor, Words};
-use crate::caches::Ordered;
 use crate::control::{Answer, Detail, FleetShown};
 use crate::decider::{End, Final, Ms, Place};
+use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::log::log_line;
-use crate::told::{Entry, Expire, Hosts, Target};
-use crate::Router;
+use crate::router::Router;
+use crate::upstream::AttemptOrder;
 
 /// How often it is looked at what this router acts on, and who is behind.
 const LOOK: Ms = 200.0;
@@ -39,7 +39,7 @@
     acts: ActiveVersions,
     looked: Ms,
     /// The caches of the own list, as the journal has them.
-    targets: BTreeMap<String, Target>,
+    targets: BTreeMap<String, EndpointEntry>,
     /// Those that fellows call drained, by the journal's numbers.
     barred: BTreeMap<String, u64>,
     drains: u64,
@@ -153,7 +153,7 @@
     }
 
     /// An attempt was sent, with the request's id.
-    pub fn sent(&mut self, now: Ms, ordered: &Ordered, id: &str, write: bool) {
+    pub fn sent(&mut self, now: Ms, ordered: &AttemptOrder, id: &str, write: bool) {
         let Some(audit) = &mut self.audit else { return };
         let at = self.core.clock.next_timestamp(now);
         let to = ordered.place.number();
@@ -275,7 +275,7 @@
 
     /// Lines of the own journal at a number: what fellows know of a later one still holds, and what of them is news
     /// is passed on.
-    pub fn hosts(&mut self, now: Ms, hosts: &mut Hosts, number: u64) {
+    pub fn hosts(&mut self, now: Ms, hosts: &mut EndpointUpdate, number: u64) {
         if hosts.all {
             let listed = |name: &String| hosts.targets.iter().any(|target| target.uid == *name);
             self.targets.retain(|name, _| listed(name));
@@ -317,7 +317,7 @@
 
     /// The own journal has come that far: up to there it alone counts. The lines of caches that were barred by what
     /// lies before come back.
-    fn caught_up(&mut self, number: u64) -> Vec<Target> {
+    fn caught_up(&mut self, number: u64) -> Vec<EndpointEntry> {
         self.acts.journal_position = number;
         let past = self.barred.extract_if(.., |_, by| *by <= number);
         let names: Vec<String> = past.map(|(name, _)| name).collect();
@@ -325,7 +325,7 @@
     }
 
     /// What a fellow says of a cache by a number of the journal: its line from now on, where that is news here.
-    fn line(&mut self, name: &str, line: CacheStatus, number: u64) -> Option<Target> {
+    fn line(&mut self, name: &str, line: CacheStatus, number: u64) -> Option<EndpointEntry> {
         if number <= self.acts.journal_position {
             return None;
         }
@@ -365,20 +365,20 @@
     }
 }
 
-fn purge_key(expire: &Expire) -> EntryKey {
-    match &expire.name {
+fn purge_key(expire: &PurgeEvent) -> EntryKey {
+    match &expire.object {
         Some(name) => EntryKey::Object(name.clone()),
-        None => EntryKey::Group(expire.set),
+        None => EntryKey::Group(expire.group),
     }
 }
 
-fn one(target: Target) -> Hosts {
-    Hosts { all: false, targets: vec![target] }
+fn one(target: EndpointEntry) -> EndpointUpdate {
+    EndpointUpdate { all: false, targets: vec![target] }
 }
 
 impl Router {
     /// An event of the own journal: fellows whose own is silent are to hear of it.
-    pub fn fleet_hears(&mut self, entry: &Entry) {
+    pub fn fleet_hears(&mut self, entry: &WatchEvent) {
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
         if let Some(expire) = &entry.expire {
@@ -428,7 +428,7 @@
         let now = self.clock.now();
         let Some(fleet) = &mut self.fleet else { return };
         let looks = now - fleet.looked >= LOOK;
-        if let Some(upstream) = &mut self.upstream {
+        if let Some(upstream) = &mut self.hierarchy {
             for batch in upstream.news() {
                 let body = postcard::to_stdvec(&batch).unwrap_or_default();
                 if fleet.core.publish_batch(now, batch.author, batch.number, batch.stamp, body) {
@@ -454,11 +454,11 @@
                 }
             }
         }
-        let back = fleet.caught_up(self.journal.number());
+        let back = fleet.caught_up(self.discovery.position());
         fleet.core.set_versions(&fleet.acts);
         if looks {
             fleet.looked = now;
-            fleet.look(now, self.journal.sound_until());
+            fleet.look(now, self.discovery.silence_allowed_until());
         }
         fleet.account(now, false);
         fleet.core.tick(now);
@@ -469,21 +469,21 @@
     }
 
     /// A line of the list as it holds with what fellows know.
-    fn take_fellow_line(&mut self, target: Target) {
+    fn take_fellow_line(&mut self, target: EndpointEntry) {
         let now = self.clock.now();
         let mut hosts = one(target);
-        if let Some(beyond) = &mut self.beyond {
+        if let Some(beyond) = &mut self.remote_sites {
             let decider = &self.decider;
-            beyond.hosts(now, &mut hosts, |target| decider.is_own(&target.host()));
+            beyond.on_endpoint_update(now, &mut hosts, |target| decider.is_own(&target.host()));
         }
-        self.take_hosts(&hosts);
+        self.apply_endpoint_update(&hosts);
     }
 
     /// Does what the core wants done, until it wants nothing more.
     fn carry_fleet(&mut self) {
         loop {
             let now = self.clock.now();
-            let (Some(fleet), Some(beyond)) = (&mut self.fleet, &mut self.beyond) else { return };
+            let (Some(fleet), Some(beyond)) = (&mut self.fleet, &mut self.remote_sites) else { return };
             let Some(action) = fleet.core.next_action() else { break };
             match action {
                 ClusterAction::Broadcast(said) => beyond.gateway.tell_fellows(now, said),
@@ -524,24 +524,24 @@
                                 from_gossip: true,
                             },
                         );
-                        let (name, set) = match key {
+                        let (object, group) = match key {
                             EntryKey::Object(name) => (Some(name), 0),
                             EntryKey::Group(set) => (None, set),
                             _ => continue,
                         };
-                        let expire = Expire { name, set, stamp: purge.issued_at };
+                        let expire = PurgeEvent { object, group, stamp: purge.issued_at };
                         log_line!(
                             number = purge.journal_position,
                             "fellows: a purge, by the journal as fellows have it"
                         );
-                        beyond.expired(now, &expire);
-                        self.purged(expire);
+                        beyond.announce_purge(now, &expire);
+                        self.purged(&expire);
                     }
                 }
                 ClusterAction::BatchReceived(body) => self.fellow_batch(&body),
                 ClusterAction::Message { from, kind: WANT_SHAPE, bytes } => {
                     let asking = postcard::from_bytes::<u64>(&bytes);
-                    if let (Ok(asking), Some(upstream)) = (asking, &self.upstream) {
+                    if let (Ok(asking), Some(upstream)) = (asking, &self.hierarchy) {
                         for piece in split_snapshot(asking, &upstream.snapshot(), fleet.fetch.config()) {
                             fleet.core.send_message(
                                 &from,
@@ -570,12 +570,12 @@
                 ClusterAction::Event(note) => say(&note),
             }
         }
-        self.carry_beyond();
+        self.run_remote_sites();
     }
 
     fn fellow_batch(&mut self, body: &[u8]) {
         let now = self.clock.now();
-        let (Some(upstream), Some(fleet)) = (&mut self.upstream, &mut self.fleet) else { return };
+        let (Some(upstream), Some(fleet)) = (&mut self.hierarchy, &mut self.fleet) else { return };
         let Ok(batch) = postcard::from_bytes::<BatchSpec>(body) else { return };
         let before = upstream.acts_on();
         if let Err(why) = upstream.hear_of(now, &batch) {
@@ -597,7 +597,7 @@
     /// A fellow's whole shape is there: this router was too far behind for batches.
     fn adopt(&mut self, from: &str, whole: &[u8]) {
         let now = self.clock.now();
-        let (Some(upstream), Some(fleet)) = (&mut self.upstream, &mut self.fleet) else { return };
+        let (Some(upstream), Some(fleet)) = (&mut self.hierarchy, &mut self.fleet) else { return };
         match upstream.adopt(now, whole) {
             Ok(()) => {
                 fleet.adopted += 1;
