--- a/crates/router/src/account.rs
+++ b/crates/router/src/account.rs
@@ -17,8 +17,8 @@
 use linnethook_membership::versions::ActiveVersions;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::decider::Ms;
 use crate::log::log_line;
+use crate::policy_adapter::Ms;
 
 /// Words between the accounts of fellows: a link, and links that are wanted from a number on.
 pub const LINK: u8 = 0xf1;
--- a/crates/router/src/clock.rs
+++ b/crates/router/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use crate::decider::Ms;
+use crate::policy_adapter::Ms;
 
 /// Unix milliseconds at the start, continued by a monotonic clock: times compare with those of other processes and never
 /// go back.
--- a/crates/router/src/control.rs
+++ b/crates/router/src/control.rs
@@ -22,10 +22,10 @@
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
-use crate::decider::Ms;
 use crate::descriptors::{Purpose, Reserve};
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::Ms;
 
 /// A command of this program, in postcard behind a length of four bytes.
 #[derive(Debug, Serialize, Deserialize)]
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -11,10 +11,10 @@
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
-use crate::decider::Ms;
 use crate::descriptors::{Purpose, Reserve};
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::Ms;
 use crate::upstream::connect;
 
 use super::event::WatchEvent;
--- a/crates/router/src/discovery/event.rs
+++ b/crates/router/src/discovery/event.rs
@@ -11,8 +11,8 @@
 use serde_json::value::RawValue;
 use serde_json::Value;
 
-use crate::decider::{Host, HostState, Ms, News};
 use crate::log::log_line;
+use crate::policy_adapter::{EndpointInfo, ListedState, Ms, PolicyInput};
 
 /// Events up to a position.
 #[derive(Debug, Clone, Deserialize)]
@@ -120,8 +120,11 @@
 }
 
 impl EndpointUpdate {
-    pub fn news(&self) -> News {
-        News::Hosts { complete: self.all, hosts: self.targets.iter().map(EndpointEntry::host).collect() }
+    pub fn news(&self) -> PolicyInput {
+        PolicyInput::Endpoints {
+            complete: self.all,
+            endpoints: self.targets.iter().map(EndpointEntry::host).collect(),
+        }
     }
 }
 
@@ -143,8 +146,8 @@
         self.started
     }
 
-    pub fn host(&self) -> Host {
-        Host {
+    pub fn host(&self) -> EndpointInfo {
+        EndpointInfo {
             uid: self.uid.clone(),
             zone: self.zone.clone(),
             kind: self.kind.clone(),
@@ -152,9 +155,9 @@
             weight: self.weight,
             started: self.started,
             state: match self.state {
-                EndpointState::Ready => HostState::Ready,
-                EndpointState::Draining => HostState::Draining,
-                EndpointState::Gone => HostState::Gone,
+                EndpointState::Ready => ListedState::Ready,
+                EndpointState::Draining => ListedState::Draining,
+                EndpointState::Gone => ListedState::Gone,
             },
         }
     }
@@ -162,11 +165,11 @@
 
 impl PurgeEvent {
     /// `None` where the object's name can't be read.
-    pub fn news(&self) -> Option<News> {
+    pub fn news(&self) -> Option<PolicyInput> {
         let object = match &self.object {
             Some(name) => Some(u64::from_str_radix(name, 16).ok()?),
             None => None,
         };
-        Some(News::Expired { object, group: self.group, stamp: self.stamp })
+        Some(PolicyInput::Purged { object, group: self.group, stamp: self.stamp })
     }
 }
--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -9,7 +9,7 @@
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 
 use crate::buffers::{BufferChain, BufferPool};
-use crate::decider::{Ms, Ticket};
+use crate::policy_adapter::{Ms, Ticket};
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ConnectionPhase {
--- a/crates/router/src/downstream/drain.rs
+++ b/crates/router/src/downstream/drain.rs
@@ -2,8 +2,8 @@
 
 use std::net::Shutdown;
 
-use crate::decider::Ms;
 use crate::event_handler::EventHandler;
+use crate::policy_adapter::Ms;
 
 use super::codec;
 use super::connection::{ClientConnection, ConnectionPhase};
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -8,10 +8,10 @@
 use calloop::{Interest, Mode, PostAction, Readiness};
 use socket2::{Domain, Socket, Type};
 
-use crate::decider::Ms;
 use crate::descriptors::ran_out;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::Ms;
 
 use super::codec;
 use super::connection::ClientConnection;
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -26,9 +26,9 @@
 
 use crate::buffers::BufferPool;
 use crate::config::Limits;
-use crate::decider::{Ms, Ticket};
 use crate::descriptors::Reserve;
 use crate::event_handler::EventHandler;
+use crate::policy_adapter::{Ms, Ticket};
 
 use connection::ClientConnection;
 
--- a/crates/router/src/downstream/reader.rs
+++ b/crates/router/src/downstream/reader.rs
@@ -2,8 +2,8 @@
 
 use std::io;
 
-use crate::decider::Ms;
 use crate::event_handler::EventHandler;
+use crate::policy_adapter::Ms;
 
 use super::codec::{self, ClientMessage, Fields};
 use super::connection::ConnectionPhase;
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -2,7 +2,7 @@
 
 use crate::buffers::BufferChain;
 use crate::config::Limits;
-use crate::decider::Wish;
+use crate::policy_adapter::RequestSpec;
 use crate::upstream::RequestMessage;
 
 use super::codec::Fields;
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct ClientRequest {
     pub stream: ClientStream,
-    pub wish: Wish,
+    pub spec: RequestSpec,
     pub message: RequestMessage,
 }
 
@@ -51,7 +51,7 @@
     }
     let part = number("chunk", limits.parts)?;
     let group = number("tag", limits.groups)?;
-    let wish = Wish {
+    let spec = RequestSpec {
         class: class.to_string(),
         object: u64::from_str_radix(object, 16).ok()?,
         part,
@@ -70,7 +70,7 @@
         idempotency_key: fields.get("k").map(str::to_string),
         body,
     };
-    Some(ClientRequest { stream, wish, message })
+    Some(ClientRequest { stream, spec, message })
 }
 
 /// Whether a text can be forwarded to caches as it is, in a list that knows no quotes.
--- a/crates/router/src/downstream/timers.rs
+++ b/crates/router/src/downstream/timers.rs
@@ -1,8 +1,8 @@
 //! Deadlines of clients' connections, checked in a periodic sweep.
 
-use crate::decider::Ms;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::Ms;
 
 use super::connection::{ClientConnection, ConnectionPhase};
 use super::{ClientEvent, ClientId, Downstreams};
--- a/crates/router/src/downstream/writer.rs
+++ b/crates/router/src/downstream/writer.rs
@@ -5,9 +5,9 @@
 use std::net::Shutdown;
 
 use crate::buffers::BufferChain;
-use crate::decider::{Ms, Ticket};
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::{Ms, Ticket};
 
 use super::codec::{self, AnswerCode};
 use super::connection::ConnectionPhase;
--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -24,9 +24,9 @@
 
 use crate::account::{Auditor, Words};
 use crate::control::{Answer, Detail, FleetShown};
-use crate::decider::{End, Final, Ms, Place};
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::log::log_line;
+use crate::policy_adapter::{AttemptEnd, EndpointKey, FinalAnswer, Ms};
 use crate::router::Router;
 use crate::upstream::AttemptOrder;
 
@@ -155,7 +155,7 @@
     pub fn sent(&mut self, now: Ms, ordered: &AttemptOrder, id: &str, write: bool) {
         let Some(audit) = &mut self.audit else { return };
         let at = self.core.clock.next_timestamp(now);
-        let to = ordered.place.number();
+        let to = ordered.endpoint.number();
         match write {
             true => audit.booking(WriteAttempt {
                 request_id: id.to_string(),
@@ -165,13 +165,13 @@
             }),
             false => audit.act(at, AuditedAction::Attempt { target: to }),
         }
-        if let Some(source) = ordered.filling.source.filter(|_| !ordered.filling.only_held) {
+        if let Some(source) = ordered.fill.source.filter(|_| !ordered.fill.only_if_cached) {
             audit.act(at, AuditedAction::Fill { child: to, source: source.number() });
         }
     }
 
     /// How an attempt of what must not run twice ended.
-    pub fn write_ended(&mut self, now: Ms, id: &str, number: u8, end: End) {
+    pub fn write_ended(&mut self, now: Ms, id: &str, number: u8, end: AttemptEnd) {
         let Some(audit) = &mut self.audit else { return };
         let how = end.name().to_string();
         audit.booking_ended(WriteOutcome {
@@ -183,11 +183,11 @@
     }
 
     /// A client was answered so.
-    pub fn answered(&mut self, now: Ms, answer: Final) {
+    pub fn answered(&mut self, now: Ms, answer: FinalAnswer) {
         match answer {
-            Final::Refused { .. } => self.act(now, AuditedAction::Refused),
-            Final::Failed => self.act(now, AuditedAction::Failed),
-            Final::Served => {}
+            FinalAnswer::Rejected { .. } => self.act(now, AuditedAction::Refused),
+            FinalAnswer::Failed => self.act(now, AuditedAction::Failed),
+            FinalAnswer::Served => {}
         }
     }
 
@@ -289,7 +289,7 @@
             }
             let was_ready = before.is_none_or(|before| before.ready());
             self.acts.drains_applied += u64::from(was_ready && !line.ready);
-            let cache = Place::of(&name).number();
+            let cache = EndpointKey::of(&name).number();
             if let Some(audit) = &mut self.audit {
                 audit.name(cache, &name);
             }
@@ -470,8 +470,8 @@
         let now = self.clock.now();
         let mut hosts = one(target);
         if let Some(beyond) = &mut self.remote_sites {
-            let decider = &self.decider;
-            beyond.on_endpoint_update(now, &mut hosts, |target| decider.is_own(&target.host()));
+            let policy = &self.policy;
+            beyond.on_endpoint_update(now, &mut hosts, |target| policy.is_local(&target.host()));
         }
         self.apply_endpoint_update(&hosts);
     }
@@ -489,7 +489,7 @@
                 ClusterAction::CloseLinks => beyond.gateway.leave_fellows(now),
                 ClusterAction::CacheChanged { name, status: line, journal_position: number } => {
                     if let Some(target) = fleet.line(&name, line, number) {
-                        let cache = Place::of(&name).number();
+                        let cache = EndpointKey::of(&name).number();
                         fleet.act(
                             now,
                             match line.ready {
--- a/crates/router/src/hierarchy_adapter.rs
+++ b/crates/router/src/hierarchy_adapter.rs
@@ -1,4 +1,4 @@
-//! Owns the router's side of the hierarchy: what the decider may choose from, and what becomes of the fills that it
+//! Owns the router's side of the hierarchy: what the policy may choose from, and what becomes of the fills that it
 //! has chosen on their way to the sockets.
 //!
 //! Must never choose a source, send an attempt twice, or keep one waiting that was taken back.
@@ -17,9 +17,9 @@
 use linnethook_operator::Hierarchy as Settings;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::decider::{Attempt, End, How, Lists, Ms, Place, Ticket};
 use crate::discovery::event::{EndpointEntry, EndpointUpdate};
 use crate::log::log_line;
+use crate::policy_adapter::{AttemptEnd, AttemptKey, CacheResult, EndpointKey, FillSourceLists, Ms, Ticket};
 use crate::upstream::{AttemptOrder, CompletedAttempt, FillLoop, FillPath};
 
 /// What is known of the request that it is for.
@@ -74,8 +74,8 @@
     socket: AuthorId,
     /// Whether nodes understand more than the platform's protocol.
     extended: bool,
-    waiting: HashMap<Attempt, Waiting>,
-    out: HashMap<Attempt, Out>,
+    waiting: HashMap<AttemptKey, Waiting>,
+    out: HashMap<AttemptKey, Out>,
     /// When the clients of requests that were held back had better come again.
     come_back: HashMap<Ticket, Ms>,
     /// When `tick` has something to do next.
@@ -90,21 +90,26 @@
 const NEWS: usize = 1_024;
 
 /// One name for both numbers: the shield knows attempts, not requests.
-fn ticket(attempt: Attempt) -> u64 {
+fn ticket(attempt: AttemptKey) -> u64 {
     attempt.ticket << 8 | u64::from(attempt.number)
 }
 
-fn attempt(ticket: u64) -> Attempt {
-    Attempt { ticket: ticket >> 8, number: (ticket & 255) as u8 }
+fn attempt(ticket: u64) -> AttemptKey {
+    AttemptKey { ticket: ticket >> 8, number: (ticket & 255) as u8 }
 }
 
-fn node(place: Place) -> NodeId {
+fn node(place: EndpointKey) -> NodeId {
     NodeId(place.number())
 }
 
-fn lists(feeds: &FillSources) -> Lists {
-    let all = |list: &[Source]| list.iter().map(|s| (Place::from_number(s.node.0), s.rank)).collect();
-    Lists { now: all(&feeds.current), before: all(&feeds.previous), part: feeds.fraction, salt: feeds.salt }
+fn lists(feeds: &FillSources) -> FillSourceLists {
+    let all = |list: &[Source]| list.iter().map(|s| (EndpointKey::from_number(s.node.0), s.rank)).collect();
+    FillSourceLists {
+        current: all(&feeds.current),
+        previous: all(&feeds.previous),
+        migrated_ratio: feeds.fraction,
+        salt: feeds.salt,
+    }
 }
 
 /// The author of a router's control socket: half of the numbers are for these. Each start is another one, since none
@@ -281,7 +286,7 @@
         self.names.node_name(NodeId(id))
     }
 
-    // ---- What the decider is told.
+    // ---- What is reported to the policy.
 
     /// Lines of the list of caches. `own` says which stand in this router's location. What waits for one that may
     /// not be used any more comes back.
@@ -294,7 +299,7 @@
         let mut back = Vec::new();
         self.due = now;
         for target in &hosts.targets {
-            let place = Place::of(&target.uid);
+            let place = EndpointKey::of(&target.uid);
             let phase = match (target.ready(), target.gone()) {
                 (true, _) => EndpointPhase::Ready,
                 (_, true) => EndpointPhase::Removed,
@@ -304,8 +309,8 @@
             self.note(&update.transitions);
             back.extend(update.cancelled.into_iter().filter_map(|ticket| self.turn_back(attempt(ticket))));
             if phase != EndpointPhase::Ready {
-                let to_it: Vec<Attempt> = (self.waiting.iter())
-                    .filter(|(_, waiting)| waiting.ordered.place == place)
+                let to_it: Vec<AttemptKey> = (self.waiting.iter())
+                    .filter(|(_, waiting)| waiting.ordered.endpoint == place)
                     .map(|(attempt, _)| *attempt)
                     .collect();
                 for attempt in to_it {
@@ -322,9 +327,9 @@
     }
 
     /// The sources that caches may be filled from, where these are other ones than were told last.
-    pub fn changed(&mut self, now: Ms) -> Vec<(Place, Lists)> {
+    pub fn changed(&mut self, now: Ms) -> Vec<(EndpointKey, FillSourceLists)> {
         let changed = self.hierarchy.changed_fill_sources(now);
-        changed.into_iter().map(|(id, feeds)| (Place::from_number(id.0), lists(&feeds))).collect()
+        changed.into_iter().map(|(id, feeds)| (EndpointKey::from_number(id.0), lists(&feeds))).collect()
     }
 
     fn note(&mut self, entered: &[StageTransition]) {
@@ -361,13 +366,13 @@
 
     /// Whether an attempt may have a cache fill.
     pub fn fills(&self, ordered: &AttemptOrder) -> bool {
-        !ordered.filling.only_held && self.ends(ordered).is_some()
+        !ordered.fill.only_if_cached && self.ends(ordered).is_some()
     }
 
     /// What is to be done with an attempt; `None` where it waits.
     pub fn admit(&mut self, now: Ms, mut ordered: AttemptOrder, asked: Asked) -> Option<Step> {
         // Renewals come last: what can still be served as it is waits for better times.
-        ordered.filling.renew &= !self.hierarchy.is_constrained(now);
+        ordered.fill.revalidate &= !self.hierarchy.is_constrained(now);
         let Some((child, source)) = self.ends(&ordered) else { return Some(Step::Send(ordered, None)) };
         let priority = if asked.write { Priority::Write } else { Priority::Demand };
         let left = asked.since + asked.aim - now;
@@ -379,12 +384,12 @@
             key: xxh3_64_with_seed(&asked.object.to_le_bytes(), u64::from(asked.part)),
             priority,
             bytes: asked.bytes,
-            may_join: ordered.filling.join,
+            may_join: ordered.fill.coalesce,
             // Half of what is left of the wanted time, so that there is some left to be served in.
             max_wait: (left / 2.0).max(0.0),
         };
         // What a source holds costs the tiers above nothing.
-        if ordered.filling.only_held {
+        if ordered.fill.only_if_cached {
             return Some(self.send(now, ordered, asked, true));
         }
         match self.hierarchy.request_fill(now, &picked) {
@@ -402,7 +407,7 @@
 
     /// Who fills, and from where; nothing where no fill may take place.
     fn ends(&self, ordered: &AttemptOrder) -> Option<(NodeId, NodeId)> {
-        let (child, source) = (node(ordered.place), ordered.filling.source.map(node));
+        let (child, source) = (node(ordered.endpoint), ordered.fill.source.map(node));
         let shape = self.hierarchy.topology();
         match source {
             // A sibling gives what it holds: no tier above is asked.
@@ -426,11 +431,11 @@
 
     /// It may not fill: what is held will do, also an ageing copy, at the source and beside it.
     fn only_held(&mut self, now: Ms, mut ordered: AttemptOrder, asked: Asked, come_back: Ms) -> Step {
-        let filling = &mut ordered.filling;
-        filling.only_held = true;
-        filling.renew = false;
-        if filling.ageing > 0.0 {
-            filling.max_age = filling.ageing;
+        let fill = &mut ordered.fill;
+        fill.only_if_cached = true;
+        fill.revalidate = false;
+        if fill.max_stale_age > 0.0 {
+            fill.max_age = fill.max_stale_age;
         }
         self.come_back.insert(ordered.attempt.ticket, come_back);
         self.send(now, ordered, asked, true)
@@ -438,9 +443,9 @@
 
     /// What goes with a fill where nodes understand it.
     fn way(&self, now: Ms, ordered: &AttemptOrder, object: u64, held: bool) -> Option<FillPath> {
-        let source = ordered.filling.source.filter(|_| self.extended)?;
+        let source = ordered.fill.source.filter(|_| self.extended)?;
         let passed = loop_detection::FillPath::new(self.hierarchy.version());
-        let hops = self.hierarchy.onward_path(now, node(ordered.place), node(source), object);
+        let hops = self.hierarchy.onward_path(now, node(ordered.endpoint), node(source), object);
         let named = |hop: &Hop| {
             let name = self.names.node_name(hop.node);
             if hop.cached_only {
@@ -455,7 +460,7 @@
 
     /// How an attempt ended that went.
     pub fn ended(&mut self, now: Ms, ended: &CompletedAttempt) -> Vec<Step> {
-        let ending = &ended.ending;
+        let ending = &ended.report;
         let Some(out) = self.out.remove(&ending.attempt) else { return Vec::new() };
         if let Some(FillLoop { from, to, version }) = &ended.fill_loop {
             self.came_round(now, &out, from, to, *version);
@@ -463,17 +468,16 @@
         if out.held {
             return Vec::new();
         }
-        let late = ending.took > out.aim;
-        let brought = match (ending.end, ending.how) {
-            (End::Answered, Some(How::Filled)) => FillResult::ServedFromCache,
-            (End::Answered, Some(How::FilledByOrigin)) => FillResult::ServedFromOrigin,
-            (End::Answered, Some(How::Hit | How::Stale)) => FillResult::AlreadyCached,
-            (End::Answered, _) => FillResult::ServedFromUnknown,
-            (End::Cancelled | End::Moot, _) | (_, Some(How::NoPlace | How::CameRound)) => {
-                FillResult::Abandoned
-            }
+        let late = ending.elapsed > out.aim;
+        let brought = match (ending.end, ending.cache_result) {
+            (AttemptEnd::Answered, Some(CacheResult::FilledByParent)) => FillResult::ServedFromCache,
+            (AttemptEnd::Answered, Some(CacheResult::FilledByOrigin)) => FillResult::ServedFromOrigin,
+            (AttemptEnd::Answered, Some(CacheResult::Hit | CacheResult::Stale)) => FillResult::AlreadyCached,
+            (AttemptEnd::Answered, _) => FillResult::ServedFromUnknown,
+            (AttemptEnd::Cancelled | AttemptEnd::NotExecuted, _)
+            | (_, Some(CacheResult::NoCapacity | CacheResult::FillLoop)) => FillResult::Abandoned,
             // It never reached the cache, or the cache did not take it: the source was not asked.
-            (End::Unreached, _) | (End::Full, None) => FillResult::Abandoned,
+            (AttemptEnd::NotSent, _) | (AttemptEnd::Rejected, None) => FillResult::Abandoned,
             _ => FillResult::Failed,
         };
         let released = self.hierarchy.complete_fill(now, ticket(ending.attempt), brought, late);
@@ -483,7 +487,7 @@
     /// Holds back the edge on which a fill came round. Where that is none of this shape, its nodes go by another one,
     /// and this router can only leave the source by which it got there.
     fn came_round(&mut self, now: Ms, out: &Out, from: &str, to: &str, version: u64) {
-        let id = |name: &str| NodeId(Place::of(name).number());
+        let id = |name: &str| NodeId(EndpointKey::of(name).number());
         let known = self.hierarchy.topology().allows(id(from), id(to));
         let (a, b) = if known { (id(from), id(to)) } else { (out.child, out.source) };
         self.due = now;
@@ -507,13 +511,13 @@
         steps
     }
 
-    fn turn_back(&mut self, attempt: Attempt) -> Option<Step> {
+    fn turn_back(&mut self, attempt: AttemptKey) -> Option<Step> {
         let waiting = self.waiting.remove(&attempt)?;
         Some(Step::TurnBack(waiting.ordered, waiting.since))
     }
 
     /// An attempt is called off. Where it waits here it goes no further, and ends.
-    pub fn cancel(&mut self, attempt: Attempt) -> Option<Step> {
+    pub fn cancel(&mut self, attempt: AttemptKey) -> Option<Step> {
         if self.waiting.contains_key(&attempt) {
             self.hierarchy.cancel_fill(ticket(attempt));
         }
@@ -523,7 +527,7 @@
     /// Nobody waits for a request any more: what of it waits here goes no further, also where settings forbid calling
     /// off. There is nothing at a cache yet.
     pub fn left(&mut self, left: Ticket) -> Vec<AttemptOrder> {
-        let mut of: Vec<Attempt> = self.waiting.keys().copied().filter(|a| a.ticket == left).collect();
+        let mut of: Vec<AttemptKey> = self.waiting.keys().copied().filter(|a| a.ticket == left).collect();
         of.sort_unstable();
         let mut ordered = Vec::new();
         for attempt in of {
--- /dev/null
+++ b/crates/router/src/policy_adapter/actions.rs
@@ -0,0 +1,70 @@
+//! From the policy to the router: what the router is to do, in its own terms.
+
+use linnethook::interface::{EndpointId, FillInstruction};
+
+use super::{AttemptKey, EndpointKey, Ms, Ticket};
+
+/// Where a miss is filled from, and how. Times are in milliseconds.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct FillSpec {
+    /// `None` for no fill.
+    pub source: Option<EndpointKey>,
+    pub retention: u8,
+    /// The age limit of a copy; 0 = the fresh time of the class.
+    pub max_age: Ms,
+    /// The age limit where no fill is possible.
+    pub max_stale_age: Ms,
+    /// Whether it may wait for a fill in progress.
+    pub coalesce: bool,
+    pub only_if_cached: bool,
+    pub revalidate: bool,
+}
+
+impl FillSpec {
+    pub(super) const NO_FILL: Self = Self {
+        source: None,
+        retention: 0,
+        max_age: 0.0,
+        max_stale_age: 0.0,
+        coalesce: false,
+        only_if_cached: false,
+        revalidate: false,
+    };
+
+    /// A fill at `endpoint`, which is no fill where that is its own source.
+    pub(super) fn new(endpoint: EndpointId, fill: &FillInstruction) -> Self {
+        Self {
+            source: (fill.source != endpoint).then(|| EndpointKey::from_number(fill.source.0)),
+            retention: fill.retention,
+            max_age: fill.max_age,
+            max_stale_age: fill.max_stale_age,
+            coalesce: fill.coalesce,
+            only_if_cached: fill.only_if_cached,
+            revalidate: fill.revalidate,
+        }
+    }
+}
+
+/// The final answer to a request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum FinalAnswer {
+    /// The payload of the attempt that was just reported.
+    Served,
+    /// It was not executed and may be retried.
+    Rejected {
+        /// In milliseconds; 0 = none.
+        retry_after: Ms,
+    },
+    Failed,
+}
+
+/// What the router is to do.
+#[derive(Debug, Clone, PartialEq)]
+pub enum PolicyCommand {
+    Send { attempt: AttemptKey, endpoint: EndpointKey, timeout: Ms, fill: FillSpec },
+    Cancel(AttemptKey),
+    Answer { ticket: Ticket, answer: FinalAnswer },
+    SetTimer(Ms),
+    HealthCheck(EndpointKey),
+    Log(String),
+}
--- /dev/null
+++ b/crates/router/src/policy_adapter/mod.rs
@@ -0,0 +1,305 @@
+//! The policy and its timers, behind three calls: a request, a report, and the time. Each returns the commands that the
+//! router is to execute.
+//!
+//! - [`events`]: from the router to the policy;
+//! - [`actions`]: from the policy to the router.
+//!
+//! No other part of the router names the policy's events and actions. Nothing is decided here.
+
+mod actions;
+mod events;
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use linnethook::interface::{
+    Action, EndpointId, Event, Idempotence, ObjectId, Request, RequestClass, RequestId,
+};
+use linnethook::Policy;
+use linnethook_settings::Told as Settings;
+pub use linnethook_watch::Counts as ShadowCounts;
+use linnethook_watch::Watch as ShadowPolicy;
+use xxhash_rust::xxh3::xxh3_64;
+
+use events::{fill_sources_event, purge_event, ReportNames};
+
+pub use actions::{FillSpec, FinalAnswer, PolicyCommand};
+pub use events::{
+    AttemptEnd, AttemptReport, CacheResult, EndpointInfo, FillSourceLists, ListedState, PolicyInput,
+};
+
+/// Milliseconds, on the clock of the process.
+pub type Ms = f64;
+
+/// The number of an open request, unique in this router.
+pub type Ticket = u64;
+
+/// One attempt at a request; the attempts count from 0 in the order sent.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct AttemptKey {
+    pub ticket: Ticket,
+    pub number: u8,
+}
+
+/// A cache, a parent or the origin. The same uid makes the same key at every router.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct EndpointKey(u64);
+
+impl EndpointKey {
+    pub fn of(uid: &str) -> Self {
+        Self(xxh3_64(uid.as_bytes()))
+    }
+
+    pub fn number(self) -> u64 {
+        self.0
+    }
+
+    pub fn from_number(number: u64) -> Self {
+        Self(number)
+    }
+}
+
+/// What a client requests.
+#[derive(Debug, Clone, PartialEq)]
+pub struct RequestSpec {
+    pub class: String,
+    pub object: u64,
+    pub part: u32,
+    pub group: u32,
+    /// 0 = not stated.
+    pub size_kb: f64,
+    /// The client has sent it before.
+    pub repeat: bool,
+    /// How long an answer may take from now on, in milliseconds.
+    pub budget: Ms,
+}
+
+/// What a class says of its requests.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct RequestNeeds {
+    /// In milliseconds.
+    pub latency_objective: Ms,
+    pub is_write: bool,
+}
+
+/// A request without its final answer.
+#[derive(Debug)]
+struct PendingRequest {
+    deadline: Ms,
+    attempts: u8,
+}
+
+/// The policy with its timers.
+#[derive(Debug)]
+pub struct PolicyAdapter {
+    policy: Policy,
+    names: ReportNames,
+    classes: Vec<RequestClass>,
+    flow_kb_per_s: f64,
+    zone: u16,
+    max_retry_after: Ms,
+    pending: BTreeMap<Ticket, PendingRequest>,
+    /// By time, in microseconds.
+    timers: BTreeSet<(u64, u32)>,
+    /// Counts where other settings would have decided otherwise.
+    shadow: Option<ShadowPolicy>,
+}
+
+impl PolicyAdapter {
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let names = ReportNames {
+            names: settings.names,
+            load_fields: settings.report,
+            load_names: settings.report_names,
+        };
+        Self {
+            classes: settings.settings.classes.clone(),
+            flow_kb_per_s: settings.settings.flow_kb_per_s,
+            zone: settings.settings.zone,
+            max_retry_after: settings.settings.max_retry_after,
+            policy: Policy::new(settings.settings, seed),
+            names,
+            pending: BTreeMap::new(),
+            timers: BTreeSet::new(),
+            shadow: None,
+        }
+    }
+
+    /// Counts from now on where these settings would have decided otherwise. It has no other effect.
+    pub fn start_shadow(&mut self, settings: Settings, seed: u64) {
+        self.shadow = Some(ShadowPolicy::new(settings.settings, seed));
+    }
+
+    pub fn shadow_counts(&self) -> Option<ShadowCounts> {
+        self.shadow.as_ref().map(ShadowPolicy::counts)
+    }
+
+    /// Whether the settings have the class of a request.
+    pub fn knows_class(&self, spec: &RequestSpec) -> bool {
+        self.class_index(spec).is_some()
+    }
+
+    fn class_index(&self, spec: &RequestSpec) -> Option<usize> {
+        self.names.names.classes.iter().position(|name| *name == spec.class)
+    }
+
+    /// The latency objective of a request, and whether it is a write.
+    pub fn needs(&self, spec: &RequestSpec) -> RequestNeeds {
+        let class = self.class_index(spec).and_then(|n| self.classes.get(n)).cloned().unwrap_or_default();
+        let sending = if self.flow_kb_per_s > 0.0 { spec.size_kb / self.flow_kb_per_s * 1000.0 } else { 0.0 };
+        let latency_objective = class.latency_objective + class.objective_stretch_ratio * sending;
+        RequestNeeds { latency_objective, is_write: class.is_write }
+    }
+
+    /// Whether a second execution of a request would do harm; so it is for an unknown class.
+    pub fn is_not_idempotent(&self, spec: &RequestSpec) -> bool {
+        let class = self.class_index(spec).and_then(|n| self.classes.get(n));
+        class.is_none_or(|class| class.idempotence != Idempotence::Idempotent)
+    }
+
+    /// The longest Retry-After that a client may be given, in milliseconds.
+    pub fn max_retry_after(&self) -> Ms {
+        self.max_retry_after
+    }
+
+    /// Whether an endpoint is in this router's own zone.
+    pub fn is_local(&self, endpoint: &EndpointInfo) -> bool {
+        let zone = self.names.names.zones.iter().position(|zone| *zone == endpoint.zone);
+        zone == Some(usize::from(self.zone))
+    }
+
+    /// Requests without their final answer.
+    pub fn open_requests(&self) -> usize {
+        self.pending.len()
+    }
+
+    /// Decides about a new request.
+    pub fn on_request(&mut self, now: Ms, ticket: Ticket, spec: &RequestSpec) -> Vec<PolicyCommand> {
+        // The policy knows an unknown class by no number, and assumes nothing of it.
+        let class = self.class_index(spec).and_then(|n| u16::try_from(n).ok()).unwrap_or(u16::MAX);
+        self.pending.insert(ticket, PendingRequest { deadline: now + spec.budget, attempts: 0 });
+        let request = Request {
+            id: RequestId(ticket),
+            object: ObjectId(spec.object),
+            part: spec.part,
+            group: spec.group,
+            class,
+            size_kb: spec.size_kb,
+            client_retry: spec.repeat,
+            is_write: false,
+            time_limit: spec.budget,
+        };
+        self.dispatch(now, &Event::Request(request), None)
+    }
+
+    /// Reports something to the policy.
+    pub fn handle(&mut self, now: Ms, input: PolicyInput) -> Vec<PolicyCommand> {
+        let event = match input {
+            PolicyInput::AttemptEnded(report) => return self.on_attempt_ended(now, &report),
+            PolicyInput::RequestCancelled(ticket) => match self.pending.remove(&ticket) {
+                Some(_) => Event::ClientDisconnected(RequestId(ticket)),
+                None => return Vec::new(),
+            },
+            PolicyInput::Endpoints { complete, endpoints } => self.names.endpoint_event(complete, &endpoints),
+            PolicyInput::Purged { object, group, stamp } => purge_event(now, object, group, stamp),
+            PolicyInput::HealthChecked { endpoint, healthy, gauges } => {
+                self.names.health_check_event(endpoint, healthy, &gauges)
+            }
+            PolicyInput::FillSources { endpoint, sources } => fill_sources_event(endpoint, &sources),
+        };
+        self.dispatch(now, &event, None)
+    }
+
+    fn on_attempt_ended(&mut self, now: Ms, report: &AttemptReport) -> Vec<PolicyCommand> {
+        let ticket = report.attempt.ticket;
+        let served = report.end == AttemptEnd::Answered && self.pending.remove(&ticket).is_some();
+        let event = self.names.attempt_event(report, !self.pending.contains_key(&ticket));
+        let mut commands = Vec::new();
+        if served {
+            commands.push(PolicyCommand::Answer { ticket, answer: FinalAnswer::Served });
+        }
+        commands.extend(self.dispatch(now, &event, None));
+        commands
+    }
+
+    /// Runs the timers that are due.
+    pub fn on_timer(&mut self, now: Ms) -> Vec<PolicyCommand> {
+        let mut commands = Vec::new();
+        while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= micros(now)) {
+            self.timers.remove(&(at, token));
+            commands.extend(self.dispatch(now, &Event::Timer(token), Some((at, token))));
+        }
+        commands.extend(self.timers.first().map(|(at, _)| PolicyCommand::SetTimer(*at as Ms / 1000.0)));
+        commands
+    }
+
+    /// Hands an event to the policy. `due` is the timer that it stands for.
+    fn dispatch(&mut self, now: Ms, event: &Event, due: Option<(u64, u32)>) -> Vec<PolicyCommand> {
+        let actions = self.policy.handle(now, event);
+        if let Some(shadow) = &mut self.shadow {
+            shadow.see(now, event, due, &actions);
+        }
+        let mut commands = Vec::with_capacity(actions.len());
+        for action in actions {
+            commands.extend(self.command(now, action));
+        }
+        commands
+    }
+
+    /// The command that an action stands for.
+    fn command(&mut self, now: Ms, action: Action) -> Option<PolicyCommand> {
+        match action {
+            Action::Forward { request, endpoint, timeout } => {
+                self.send(now, request, endpoint, timeout, FillSpec::NO_FILL)
+            }
+            Action::ForwardWithFill { request, endpoint, timeout, fill } => {
+                self.send(now, request, endpoint, timeout, FillSpec::new(endpoint, &fill))
+            }
+            Action::CancelAttempt(id) => {
+                Some(PolicyCommand::Cancel(AttemptKey { ticket: id.request.0, number: id.number }))
+            }
+            Action::Reject { request, retry_after, .. } => {
+                self.finish(request, FinalAnswer::Rejected { retry_after })
+            }
+            Action::Fail { request, .. } => self.finish(request, FinalAnswer::Failed),
+            Action::SetTimer { at, token } => {
+                self.timers.insert((micros(at), token));
+                Some(PolicyCommand::SetTimer(at))
+            }
+            Action::HealthCheck(endpoint) => Some(PolicyCommand::HealthCheck(EndpointKey(endpoint.0))),
+            // Discovery reports all changes by itself.
+            Action::SubscribeEndpoints => None,
+            Action::Log(line) => Some(PolicyCommand::Log(line)),
+        }
+    }
+
+    /// The command to send an attempt, which may take no longer than the request; `timeout` 0 = as long as that.
+    fn send(
+        &mut self,
+        now: Ms,
+        request: RequestId,
+        endpoint: EndpointId,
+        timeout: Ms,
+        fill: FillSpec,
+    ) -> Option<PolicyCommand> {
+        let pending = self.pending.get_mut(&request.0)?;
+        let left = pending.deadline - now;
+        let timeout = if timeout == 0.0 { left } else { timeout.min(left) };
+        let attempt = AttemptKey { ticket: request.0, number: pending.attempts };
+        pending.attempts += 1;
+        Some(PolicyCommand::Send { attempt, endpoint: EndpointKey(endpoint.0), timeout, fill })
+    }
+
+    /// The one final answer; `None` where it has been given already.
+    fn finish(&mut self, request: RequestId, answer: FinalAnswer) -> Option<PolicyCommand> {
+        self.pending.remove(&request.0).map(|_| PolicyCommand::Answer { ticket: request.0, answer })
+    }
+}
+
+/// Whole microseconds, which have an order.
+pub fn micros(at: Ms) -> u64 {
+    (at * 1000.0) as u64
+}
+
+#[cfg(test)]
+#[path = "../../tests/unit/policy_adapter.rs"]
+mod tests;
--- a/crates/router/src/remote_sites/links.rs
+++ b/crates/router/src/remote_sites/links.rs
@@ -12,9 +12,9 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::config::Limits;
-use crate::decider::Ms;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::Ms;
 use crate::upstream::connect;
 
 /// Links that may wait to be accepted.
--- a/crates/router/src/remote_sites/mod.rs
+++ b/crates/router/src/remote_sites/mod.rs
@@ -22,10 +22,10 @@
 
 use crate::clock::Clock;
 use crate::config::Limits;
-use crate::decider::{Ms, Ticket};
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent};
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::{Ms, Ticket};
 use crate::upstream::RequestMessage;
 
 use links::SiteLinks;
@@ -136,7 +136,7 @@
 
     /// What the gateway needs to forward a request.
     pub fn forward_spec(&self, request: &CrossSiteRequest, message: &RequestMessage) -> Wanted {
-        let home = self.classes.get(&request.wish.class).copied();
+        let home = self.classes.get(&request.spec.class).copied();
         requests::forward_spec(request, message, home)
     }
 
--- a/crates/router/src/remote_sites/requests.rs
+++ b/crates/router/src/remote_sites/requests.rs
@@ -11,9 +11,9 @@
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
-use crate::decider::{Final, Ms, Wish};
 use crate::downstream::codec::Fields;
 use crate::downstream::{parse_request, ClientRequest, ClientStream};
+use crate::policy_adapter::{FinalAnswer, Ms, RequestSpec};
 use crate::upstream::{CopyVersion, RequestMessage, ResponsePayload};
 
 /// Requests from other sites have no connection of a client.
@@ -22,7 +22,7 @@
 /// A request as the gateway needs it again, should it be forwarded.
 #[derive(Debug, Clone)]
 pub struct CrossSiteRequest {
-    pub wish: Wish,
+    pub spec: RequestSpec,
     /// A second execution would do harm.
     pub not_idempotent: bool,
     pub write: bool,
@@ -49,13 +49,13 @@
     message: &RequestMessage,
     home: Option<Site>,
 ) -> Wanted {
-    let priority = match (request.not_idempotent, request.wish.part) {
+    let priority = match (request.not_idempotent, request.spec.part) {
         (true, _) => Priority::Booking,
         (false, 0) => Priority::First,
         _ => Priority::Rest,
     };
     Wanted {
-        object: request.wish.object,
+        object: request.spec.object,
         write: request.write,
         harmful: request.not_idempotent,
         home,
@@ -63,24 +63,24 @@
         aim: request.objective,
         deadline: request.deadline,
         passed: request.passed.clone(),
-        head: request_fields(&request.wish, message),
+        head: request_fields(&request.spec, message),
         body: Bytes::from(message.body.to_vec()),
     }
 }
 
 /// The fields of a request as clients write them.
-fn request_fields(wish: &Wish, message: &RequestMessage) -> GatewayFields {
+fn request_fields(spec: &RequestSpec, message: &RequestMessage) -> GatewayFields {
     let mut fields: GatewayFields = Vec::with_capacity(9);
     let mut put = |name: &str, value: String| fields.push((name.to_string(), value));
     put("c", message.class.clone());
     put("i", message.id.clone());
     put("o", message.object.clone());
     put("chunk", message.part.clone());
-    put("tag", wish.group.to_string());
-    if wish.size_kb > 0.0 {
-        put("m", wish.size_kb.to_string());
+    put("tag", spec.group.to_string());
+    if spec.size_kb > 0.0 {
+        put("m", spec.size_kb.to_string());
     }
-    if wish.repeat {
+    if spec.repeat {
         put("r", "1".to_string());
     }
     message.client_copy.iter().for_each(|tag| put("known", tag.clone()));
@@ -97,20 +97,20 @@
 }
 
 /// The reply to another site for an answer of this site.
-pub fn reply_of(answer: Final, payload: ResponsePayload) -> Reply {
+pub fn reply_of(answer: FinalAnswer, payload: ResponsePayload) -> Reply {
     match (answer, payload) {
-        (Final::Served, ResponsePayload::Body(body, version)) => {
+        (FinalAnswer::Served, ResponsePayload::Body(body, version)) => {
             let body = Bytes::from(body.to_vec());
             let length = body.len() as u64;
             let copy = version.map(|CopyVersion { tag, issued }| Copy { tag, dated: issued, length });
             Reply::Served { head: Vec::new(), body, copy }
         }
-        (Final::Served, ResponsePayload::NotModified) => {
+        (FinalAnswer::Served, ResponsePayload::NotModified) => {
             let head = vec![("valid".to_string(), "1".to_string())];
             Reply::Served { head, body: Bytes::new(), copy: None }
         }
-        (Final::Refused { wait }, _) => Reply::Refused { wait },
-        (Final::Served | Final::Failed, _) => Reply::Failed,
+        (FinalAnswer::Rejected { retry_after: wait }, _) => Reply::Refused { wait },
+        (FinalAnswer::Served | FinalAnswer::Failed, _) => Reply::Failed,
     }
 }
 
@@ -120,20 +120,20 @@
     holds_copy: bool,
     buffers: &BufferPool,
     max_retry_after: Ms,
-) -> (Final, ResponsePayload) {
+) -> (FinalAnswer, ResponsePayload) {
     match reply {
         Reply::Served { head, .. } if is_not_modified(&head) && holds_copy => {
-            (Final::Served, ResponsePayload::NotModified)
+            (FinalAnswer::Served, ResponsePayload::NotModified)
         }
-        Reply::Served { head, .. } if is_not_modified(&head) => (Final::Failed, ResponsePayload::Empty),
+        Reply::Served { head, .. } if is_not_modified(&head) => (FinalAnswer::Failed, ResponsePayload::Empty),
         Reply::Served { body, .. } => {
             let body = BufferChain::from_bytes(buffers, &body);
-            (Final::Served, ResponsePayload::Body(body, None))
+            (FinalAnswer::Served, ResponsePayload::Body(body, None))
         }
         Reply::Refused { wait } => {
-            (Final::Refused { wait: wait.min(max_retry_after) }, ResponsePayload::Empty)
+            (FinalAnswer::Rejected { retry_after: wait.min(max_retry_after) }, ResponsePayload::Empty)
         }
-        Reply::Failed => (Final::Failed, ResponsePayload::Empty),
+        Reply::Failed => (FinalAnswer::Failed, ResponsePayload::Empty),
     }
 }
 
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -2,9 +2,9 @@
 
 use std::collections::HashMap;
 
-use crate::decider::Ticket;
 use crate::downstream::ClientStream;
 use crate::hierarchy_adapter::Asked;
+use crate::policy_adapter::Ticket;
 use crate::remote_sites::CrossSiteRequest;
 use crate::upstream::RequestMessage;
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -16,7 +16,6 @@
 use crate::config::{Config, ConfigError, Limits};
 use crate::control::Control;
 use crate::counters::Counters;
-use crate::decider::{Decider, End, Final, Ms, News, Order, Ticket, Wish};
 use crate::descriptors::Reserve;
 use crate::discovery::event::{EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::discovery::DiscoveryClient;
@@ -25,6 +24,9 @@
 use crate::fleet::Fleet;
 use crate::hierarchy_adapter::{Asked, HierarchyAdapter, Step};
 use crate::log::log_line;
+use crate::policy_adapter::{
+    AttemptEnd, FinalAnswer, Ms, PolicyAdapter, PolicyCommand, PolicyInput, RequestNeeds, RequestSpec, Ticket,
+};
 use crate::remote_sites::{
     answer_of, is_remote, parse_remote_request, reply_of, CrossSiteRequest, LocalOutcome, RemoteSites,
     SiteEffect,
@@ -63,7 +65,7 @@
     pub(crate) limits: Limits,
     pub(crate) buffers: BufferPool,
     pub(crate) reserve: Reserve,
-    pub(crate) decider: Decider,
+    pub(crate) policy: PolicyAdapter,
     pub(crate) downstreams: Downstreams<Self>,
     pub(crate) upstreams: Upstreams<Self>,
     pub(crate) discovery: DiscoveryClient<Self>,
@@ -112,7 +114,7 @@
             clock: Clock::new(),
             config_path: config_path.to_path_buf(),
             limits,
-            decider: Decider::new(config.told, config.seed),
+            policy: PolicyAdapter::new(config.told, config.seed),
             downstreams: Downstreams::new(limits, &buffers, &reserve, handle.clone()),
             upstreams: Upstreams::new(limits, &buffers, &reserve, handle.clone()),
             discovery: DiscoveryClient::new(limits, &buffers, &reserve, handle.clone(), journal, known.pos),
@@ -132,7 +134,7 @@
             shadow_report: None,
         };
         if let Some((settings, interval)) = shadow {
-            router.decider.watch(settings, config.seed);
+            router.policy.start_shadow(settings, config.seed);
             router.shadow_report = Some(ShadowReport { interval, next: router.clock.now() + interval });
         }
         if let Some((file, operator)) = operator {
@@ -166,8 +168,8 @@
                     fleet.hosts(now, &mut update, event.pos);
                 }
                 if let Some(remote_sites) = &mut self.remote_sites {
-                    let decider = &self.decider;
-                    remote_sites.on_endpoint_update(now, &mut update, |entry| decider.is_own(&entry.host()));
+                    let policy = &self.policy;
+                    remote_sites.on_endpoint_update(now, &mut update, |entry| policy.is_local(&entry.host()));
                 }
                 self.apply_endpoint_update(&update);
             }
@@ -182,7 +184,7 @@
         let now = self.clock.now();
         self.upstreams.update_endpoints(now, &update.targets, update.all);
         self.list_upstream(update);
-        let orders = self.decider.report(now, update.news());
+        let orders = self.policy.handle(now, update.news());
         self.execute(orders, ResponsePayload::Empty);
     }
 
@@ -191,43 +193,43 @@
         let Some(news) = purge.news() else {
             return log_line!("journal: a purge that can't be read, event {position}");
         };
-        if let News::Expired { object, group, .. } = news {
+        if let PolicyInput::Purged { object, group, .. } = news {
             self.upstreams.withdraw_purged(now, object, group);
         }
         if let Some(remote_sites) = &mut self.remote_sites {
             remote_sites.announce_purge(now, purge);
         }
-        let orders = self.decider.report(now, news);
+        let orders = self.policy.handle(now, news);
         self.execute(orders, ResponsePayload::Empty);
     }
 
     // ---- Orders of the policy.
 
     /// Executes orders. `payload` is what the attempt that was just reported carried.
-    pub(crate) fn execute(&mut self, orders: Vec<Order>, payload: ResponsePayload) {
+    pub(crate) fn execute(&mut self, orders: Vec<PolicyCommand>, payload: ResponsePayload) {
         let now = self.clock.now();
         let mut payload = Some(payload);
         for order in orders {
             match order {
-                Order::Send { attempt, place, timeout, filling } => {
-                    self.send(now, AttemptOrder { attempt, place, timeout, filling });
+                PolicyCommand::Send { attempt, endpoint, timeout, fill } => {
+                    self.send(now, AttemptOrder { attempt, endpoint, timeout, fill });
                 }
-                Order::Cancel(attempt) => {
+                PolicyCommand::Cancel(attempt) => {
                     match self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.cancel(attempt)) {
                         Some(Step::TurnBack(order, _)) => {
-                            self.upstreams.cancel_unsent(now, attempt, order.place);
+                            self.upstreams.cancel_unsent(now, attempt, order.endpoint);
                         }
                         _ => self.upstreams.cancel(now, attempt),
                     }
                 }
-                Order::Answer { ticket, answer } => {
+                PolicyCommand::Answer { ticket, answer } => {
                     self.on_decided(ticket, answer, payload.take().unwrap_or(ResponsePayload::Empty));
                 }
-                Order::WakeAt(at) => {
+                PolicyCommand::SetTimer(at) => {
                     self.policy_timer = Some(self.policy_timer.map_or(at, |due| due.min(at)))
                 }
-                Order::Probe(place) => self.upstreams.send_health_check(now, place),
-                Order::Note(line) => log_line!("{line}"),
+                PolicyCommand::HealthCheck(place) => self.upstreams.send_health_check(now, place),
+                PolicyCommand::Log(line) => log_line!("{line}"),
             }
         }
     }
@@ -237,11 +239,11 @@
         let Some(request) = self.requests.get(order.attempt.ticket) else {
             // Its client left while orders were executed. Without an end the attempt would count as in flight at its
             // endpoint for good.
-            return self.upstreams.cancel_unsent(now, order.attempt, order.place);
+            return self.upstreams.cancel_unsent(now, order.attempt, order.endpoint);
         };
         let asked = request.asked;
         // A straggler starts no fills: cached copies are served.
-        let fleet = self.fleet.as_mut().filter(|_| !asked.write && order.filling.source.is_some());
+        let fleet = self.fleet.as_mut().filter(|_| !asked.write && order.fill.source.is_some());
         let shut_out = fleet.and_then(|fleet| fleet.shuts_out(now, asked.object));
         let step = match (&mut self.hierarchy, shut_out) {
             (Some(hierarchy), Some(wait)) if hierarchy.fills(&order) => {
@@ -256,10 +258,10 @@
     // ---- Answers.
 
     /// Handles the answer of this site's policy to a request.
-    fn on_decided(&mut self, ticket: Ticket, answer: Final, payload: ResponsePayload) {
+    fn on_decided(&mut self, ticket: Ticket, answer: FinalAnswer, payload: ResponsePayload) {
         if self.crosses() {
             self.record_local_outcome(ticket, answer);
-            if matches!(answer, Final::Refused { .. }) && self.forward_rejected(ticket) {
+            if matches!(answer, FinalAnswer::Rejected { .. }) && self.forward_rejected(ticket) {
                 return self.run_remote_sites();
             }
         }
@@ -267,7 +269,7 @@
     }
 
     /// Gives the one final answer to a request.
-    pub(crate) fn finish(&mut self, ticket: Ticket, answer: Final, payload: ResponsePayload) {
+    pub(crate) fn finish(&mut self, ticket: Ticket, answer: FinalAnswer, payload: ResponsePayload) {
         let retry_after = self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
         if is_remote(ticket) {
             if self.requests.remove(ticket).is_some() {
@@ -289,28 +291,28 @@
     fn answer_client(
         &mut self,
         stream: ClientStream,
-        answer: Final,
+        answer: FinalAnswer,
         payload: ResponsePayload,
         retry_after: Option<Ms>,
     ) {
         let empty = BufferChain::new(&self.buffers);
         match (answer, payload) {
-            (Final::Served, ResponsePayload::Body(body, _)) => {
+            (FinalAnswer::Served, ResponsePayload::Body(body, _)) => {
                 self.counters.served += 1;
                 self.counters.served_bytes += body.len() as u64;
                 self.downstreams.answer(stream, AnswerCode::Served, &[], body);
             }
-            (Final::Served, ResponsePayload::NotModified) => {
+            (FinalAnswer::Served, ResponsePayload::NotModified) => {
                 self.counters.served += 1;
                 self.downstreams.answer(stream, AnswerCode::Served, &[("valid", "1")], empty);
             }
-            (Final::Refused { wait }, _) => {
+            (FinalAnswer::Rejected { retry_after: wait }, _) => {
                 self.counters.refused += 1;
                 let wait = format!("{}", self.retry_after(wait, retry_after).ceil());
                 let fields: &[(&str, &str)] = if wait == "0" { &[] } else { &[("w", &wait)] };
                 self.downstreams.answer(stream, AnswerCode::Rejected, fields, empty);
             }
-            (Final::Failed, _) | (Final::Served, ResponsePayload::Empty) => {
+            (FinalAnswer::Failed, _) | (FinalAnswer::Served, ResponsePayload::Empty) => {
                 self.counters.failed += 1;
                 self.downstreams.answer(stream, AnswerCode::Failed, &[], empty);
             }
@@ -319,7 +321,7 @@
 
     /// The policy's Retry-After, or that of the hierarchy where it is later; 0 stays 0, for none.
     fn retry_after(&self, wait: Ms, from_hierarchy: Option<Ms>) -> Ms {
-        let longest = self.decider.longest_wait();
+        let longest = self.policy.max_retry_after();
         from_hierarchy.filter(|_| wait > 0.0).map_or(wait, |at| wait.max(at.min(longest)))
     }
 
@@ -343,34 +345,40 @@
         let now = self.clock.now();
         self.counters.taken_in += 1;
         self.counters.taken_in_bytes += request.message.body.len() as u64;
-        let ClientRequest { stream, wish, message } = request;
+        let ClientRequest { stream, spec, message } = request;
         // Its connection may have been broken off for an earlier request.
         if !self.downstreams.is_open(stream, ticket) {
             return;
         }
-        if !self.decider.knows(&wish) || self.requests.id_conflicts(&message) {
+        if !self.policy.knows_class(&spec) || self.requests.id_conflicts(&message) {
             return self.reject_invalid(stream);
         }
         let closing = matches!(self.phase, RunPhase::Closing { .. });
         let overloaded = closing || self.requests.len() >= self.limits.open;
-        let shut_out = self.barred_for_now(now, &wish);
+        let shut_out = self.barred_for_now(now, &spec);
         if shut_out.is_some() || self.crosses() {
-            let open = self.open_request(now, stream, wish, message, Vec::new());
+            let open = self.open_request(now, stream, spec, message, Vec::new());
             self.requests.insert(ticket, open);
             return match shut_out {
-                Some(wait) => self.finish(ticket, Final::Refused { wait }, ResponsePayload::Empty),
+                Some(wait) => {
+                    self.finish(ticket, FinalAnswer::Rejected { retry_after: wait }, ResponsePayload::Empty)
+                }
                 None if overloaded => {
-                    self.finish(ticket, Final::Refused { wait: 0.0 }, ResponsePayload::Empty);
+                    self.finish(ticket, FinalAnswer::Rejected { retry_after: 0.0 }, ResponsePayload::Empty);
                 }
                 None => self.ask_gateway(ticket),
             };
         }
-        let open = OpenRequest { stream, message, asked: self.asked(now, &wish), cross_site: None };
+        let open = OpenRequest { stream, message, asked: self.asked(now, &spec), cross_site: None };
         self.requests.insert(ticket, open);
         if overloaded {
-            return self.on_decided(ticket, Final::Refused { wait: 0.0 }, ResponsePayload::Empty);
+            return self.on_decided(
+                ticket,
+                FinalAnswer::Rejected { retry_after: 0.0 },
+                ResponsePayload::Empty,
+            );
         }
-        let orders = self.decider.pick(now, ticket, &wish);
+        let orders = self.policy.on_request(now, ticket, &spec);
         self.execute(orders, ResponsePayload::Empty);
     }
 
@@ -381,14 +389,14 @@
         self.upstreams.withdraw_request(now, ticket);
         let unsent = self.hierarchy.as_mut().map(|hierarchy| hierarchy.left(ticket));
         for order in unsent.unwrap_or_default() {
-            self.upstreams.cancel_unsent(now, order.attempt, order.place);
+            self.upstreams.cancel_unsent(now, order.attempt, order.endpoint);
         }
         self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
         if let Some(remote_sites) = self.remote_sites.as_mut().filter(|sites| sites.forwards_requests()) {
             remote_sites.gateway.gone(now, ticket);
             self.run_remote_sites();
         }
-        let orders = self.decider.report(now, News::Left(ticket));
+        let orders = self.policy.handle(now, PolicyInput::RequestCancelled(ticket));
         self.execute(orders, ResponsePayload::Empty);
     }
 
@@ -402,10 +410,10 @@
     }
 
     /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
-    pub(crate) fn barred_for_now(&mut self, now: Ms, wish: &Wish) -> Option<Ms> {
-        let fleet = self.fleet.as_mut().filter(|_| self.decider.does_harm(wish))?;
-        let wait = fleet.shuts_out(now, wish.object)?;
-        Some(wait.min(self.decider.longest_wait()))
+    pub(crate) fn barred_for_now(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
+        let fleet = self.fleet.as_mut().filter(|_| self.policy.is_not_idempotent(spec))?;
+        let wait = fleet.shuts_out(now, spec.object)?;
+        Some(wait.min(self.policy.max_retry_after()))
     }
 
     /// Answers a request that can't be used; the policy never sees it.
@@ -426,8 +434,12 @@
             if let Some(completed) = self.upstreams.next_completed() {
                 self.on_completed(now, completed);
             } else if let Some(check) = self.upstreams.next_health_check() {
-                let news = News::Probed { place: check.place, well: check.healthy, gauges: check.gauges };
-                let orders = self.decider.report(now, news);
+                let news = PolicyInput::HealthChecked {
+                    endpoint: check.endpoint,
+                    healthy: check.healthy,
+                    gauges: check.gauges,
+                };
+                let orders = self.policy.handle(now, news);
                 self.execute(orders, ResponsePayload::Empty);
             } else if let Some((connection, tickets)) = self.upstreams.next_stalled() {
                 tickets.into_iter().for_each(|ticket| self.check_client(ticket));
@@ -439,9 +451,9 @@
     }
 
     fn on_completed(&mut self, now: Ms, completed: CompletedAttempt) {
-        let end = completed.ending.end;
+        let end = completed.report.end;
         self.count_outcome(end, &completed.payload);
-        let attempt = completed.ending.attempt;
+        let attempt = completed.report.attempt;
         let write = self.requests.get(attempt.ticket).filter(|request| request.asked.write);
         if let (Some(fleet), Some(request)) = (&mut self.fleet, write) {
             fleet.write_ended(now, &request.message.id, attempt.number, end);
@@ -450,23 +462,25 @@
             let steps = hierarchy.ended(now, &completed);
             self.take(steps);
         }
-        let orders = self.decider.report(now, News::Ended(completed.ending));
+        let orders = self.policy.handle(now, PolicyInput::AttemptEnded(completed.report));
         self.execute(orders, completed.payload);
     }
 
-    fn count_outcome(&mut self, end: End, payload: &ResponsePayload) {
+    fn count_outcome(&mut self, end: AttemptEnd, payload: &ResponsePayload) {
         let counters = &mut self.counters;
         let counter = match end {
-            End::Answered if matches!(payload, ResponsePayload::NotModified) => &mut counters.ended_unchanged,
-            End::Answered => &mut counters.ended_data,
-            End::Failed => &mut counters.ended_failed,
-            End::Full => &mut counters.ended_full,
-            End::Absent => &mut counters.ended_absent,
-            End::Moot => &mut counters.ended_moot,
-            End::TimedOut => &mut counters.ended_timed_out,
-            End::Unreached => &mut counters.ended_unreached,
-            End::Broken => &mut counters.ended_broken,
-            End::Cancelled => &mut counters.ended_cancelled,
+            AttemptEnd::Answered if matches!(payload, ResponsePayload::NotModified) => {
+                &mut counters.ended_unchanged
+            }
+            AttemptEnd::Answered => &mut counters.ended_data,
+            AttemptEnd::Failed => &mut counters.ended_failed,
+            AttemptEnd::Rejected => &mut counters.ended_full,
+            AttemptEnd::CacheMiss => &mut counters.ended_absent,
+            AttemptEnd::NotExecuted => &mut counters.ended_moot,
+            AttemptEnd::TimedOut => &mut counters.ended_timed_out,
+            AttemptEnd::NotSent => &mut counters.ended_unreached,
+            AttemptEnd::ConnectionLost => &mut counters.ended_broken,
+            AttemptEnd::Cancelled => &mut counters.ended_cancelled,
         };
         *counter += 1;
     }
@@ -483,24 +497,24 @@
         &self,
         now: Ms,
         stream: ClientStream,
-        wish: Wish,
+        spec: RequestSpec,
         message: RequestMessage,
         passed: Vec<String>,
     ) -> OpenRequest {
-        let asked = self.asked(now, &wish);
+        let asked = self.asked(now, &spec);
         let cross_site = self.crosses().then(|| {
-            let not_idempotent = self.decider.does_harm(&wish);
+            let not_idempotent = self.policy.is_not_idempotent(&spec);
             let (objective, write) = (asked.aim, asked.write);
-            let deadline = now + wish.budget;
-            Box::new(CrossSiteRequest { wish, not_idempotent, write, objective, deadline, passed })
+            let deadline = now + spec.budget;
+            Box::new(CrossSiteRequest { spec, not_idempotent, write, objective, deadline, passed })
         });
         OpenRequest { stream, message, asked, cross_site }
     }
 
-    fn asked(&self, now: Ms, wish: &Wish) -> Asked {
-        let (aim, write) = self.decider.wanted(wish);
-        let bytes = wish.size_kb * 1000.0;
-        Asked { object: wish.object, part: wish.part, write, bytes, aim, since: now }
+    fn asked(&self, now: Ms, spec: &RequestSpec) -> Asked {
+        let RequestNeeds { latency_objective: aim, is_write: write } = self.policy.needs(spec);
+        let bytes = spec.size_kb * 1000.0;
+        Asked { object: spec.object, part: spec.part, write, bytes, aim, since: now }
     }
 
     /// Lets the gateway choose the site that decides about a request.
@@ -529,14 +543,14 @@
         remote_sites.gateway.ask_beyond_home(now, ticket, spec)
     }
 
-    fn record_local_outcome(&mut self, ticket: Ticket, answer: Final) {
+    fn record_local_outcome(&mut self, ticket: Ticket, answer: FinalAnswer) {
         let now = self.clock.now();
         let (Some(remote_sites), Some(open)) = (&mut self.remote_sites, self.requests.get(ticket)) else {
             return;
         };
         let Some(request) = &open.cross_site else { return };
-        let rejected = matches!(answer, Final::Refused { .. });
-        let failed = answer != Final::Served;
+        let rejected = matches!(answer, FinalAnswer::Rejected { .. });
+        let failed = answer != FinalAnswer::Served;
         let outcome = LocalOutcome { remote: is_remote(ticket), rejected, failed };
         remote_sites.record_outcome(now, request, outcome);
     }
@@ -570,9 +584,9 @@
         let now = self.clock.now();
         let open = self.requests.get(ticket);
         let Some(request) = open.and_then(|open| open.cross_site.as_ref()) else { return };
-        let mut wish = request.wish.clone();
-        wish.budget = (request.deadline - now).max(0.0);
-        let orders = self.decider.pick(now, ticket, &wish);
+        let mut spec = request.spec.clone();
+        spec.budget = (request.deadline - now).max(0.0);
+        let orders = self.policy.on_request(now, ticket, &spec);
         self.execute(orders, ResponsePayload::Empty);
     }
 
@@ -585,7 +599,7 @@
         }
         let open = self.requests.get(ticket);
         let holds_copy = open.is_some_and(|open| open.message.client_copy.is_some());
-        let (answer, payload) = answer_of(reply, holds_copy, &self.buffers, self.decider.longest_wait());
+        let (answer, payload) = answer_of(reply, holds_copy, &self.buffers, self.policy.max_retry_after());
         self.finish(ticket, answer, payload);
     }
 
@@ -595,7 +609,7 @@
         let ticket = remote.ticket;
         let request = parse_remote_request(remote, &self.buffers, &self.limits);
         let is_usable = |request: &ClientRequest| {
-            self.decider.knows(&request.wish) && !self.requests.id_conflicts(&request.message)
+            self.policy.knows_class(&request.spec) && !self.requests.id_conflicts(&request.message)
         };
         let request = request.filter(is_usable);
         let overloaded = self.requests.len() >= self.limits.open || self.buffers.is_exhausted();
@@ -603,13 +617,13 @@
             self.counters.unusable += u64::from(!overloaded);
             return self.reply_to_site(ticket, Reply::Refused { wait: 0.0 });
         };
-        if let Some(wait) = self.barred_for_now(now, &request.wish) {
+        if let Some(wait) = self.barred_for_now(now, &request.spec) {
             return self.reply_to_site(ticket, Reply::Refused { wait });
         }
         self.counters.taken_in += 1;
         self.counters.taken_in_bytes += request.message.body.len() as u64;
-        let ClientRequest { stream, wish, message } = request;
-        let open = self.open_request(now, stream, wish, message, remote.passed.clone());
+        let ClientRequest { stream, spec, message } = request;
+        let open = self.open_request(now, stream, spec, message, remote.passed.clone());
         self.requests.insert(ticket, open);
         self.ask_gateway(ticket);
     }
@@ -622,7 +636,7 @@
         self.counters.given_up += 1;
         self.requests.remove(ticket);
         self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
-        let orders = self.decider.report(now, News::Left(ticket));
+        let orders = self.policy.handle(now, PolicyInput::RequestCancelled(ticket));
         self.execute(orders, ResponsePayload::Empty);
     }
 
@@ -644,7 +658,7 @@
     /// Another site, or another router, has announced a purge.
     pub(crate) fn purged(&mut self, purge: &PurgeEvent) {
         if let Some(news) = purge.news() {
-            let orders = self.decider.report(self.clock.now(), news);
+            let orders = self.policy.handle(self.clock.now(), news);
             self.execute(orders, ResponsePayload::Empty);
         }
     }
@@ -671,7 +685,7 @@
         self.process_outcomes();
         if self.policy_timer.is_some_and(|due| due <= now) {
             self.policy_timer = None;
-            let orders = self.decider.tick(now);
+            let orders = self.policy.on_timer(now);
             self.execute(orders, ResponsePayload::Empty);
             self.process_outcomes();
         }
@@ -700,7 +714,7 @@
     fn log_shadow_report(&mut self, now: Ms) {
         let Some(report) = self.shadow_report.as_mut().filter(|report| report.next <= now) else { return };
         report.next = now + report.interval;
-        if let Some(counts) = self.decider.watched() {
+        if let Some(counts) = self.policy.shadow_counts() {
             log_line!("{counts}");
         }
     }
@@ -785,7 +799,7 @@
             self.downstreams.len(),
             self.upstreams.endpoint_count(),
             self.upstreams.connection_count(),
-            self.decider.owed(),
+            self.policy.open_requests(),
             self.upstreams.in_flight(),
             self.buffers.in_use()
         );
@@ -793,7 +807,7 @@
         let links =
             remote_sites.map_or(String::new(), |remote_sites| format!(" {}", remote_sites.counters()));
         let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!(" {fleet}"));
-        let shadow = self.decider.watched().map_or(String::new(), |counts| format!(" {counts}"));
+        let shadow = self.policy.shadow_counts().map_or(String::new(), |counts| format!(" {counts}"));
         log_line!(always "{counters} {discovery} {gauges}{links}{fleet}{shadow}");
     }
 
@@ -804,7 +818,7 @@
         if self.phase != RunPhase::Serving {
             return;
         }
-        log_line!("stopping, {} requests open", self.decider.owed());
+        log_line!("stopping, {} requests open", self.policy.open_requests());
         self.phase = RunPhase::Draining { since: self.clock.now() };
         let mut events = Vec::new();
         self.downstreams.begin_drain(self.clock.now(), &mut events);
@@ -823,7 +837,7 @@
         let passed = self.clock.now() - since;
         // The gateway owes the answers to requests at other sites, and the policy does not count these.
         let at_other_sites = self.crosses() && self.requests.len() > 0;
-        let answered = self.decider.owed() == 0 && !at_other_sites && self.downstreams.is_settled();
+        let answered = self.policy.open_requests() == 0 && !at_other_sites && self.downstreams.is_settled();
         passed >= self.limits.stop_most || (passed >= self.limits.stop_least && answered)
     }
 
@@ -870,11 +884,11 @@
         let open: Vec<Ticket> = self.requests.tickets().collect();
         for ticket in open {
             let now = self.clock.now();
-            self.finish(ticket, Final::Failed, ResponsePayload::Empty);
+            self.finish(ticket, FinalAnswer::Failed, ResponsePayload::Empty);
             if let Some(remote_sites) = &mut self.remote_sites {
                 remote_sites.gateway.gone(now, ticket);
             }
-            let orders = self.decider.report(now, News::Left(ticket));
+            let orders = self.policy.handle(now, PolicyInput::RequestCancelled(ticket));
             self.execute(orders, ResponsePayload::Empty);
         }
     }
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -1,7 +1,7 @@
 //! Owns what the operator file, the control socket and the hierarchy have the router do: the wiring beside the
 //! ordinary path. With no operator file nothing here is reached.
 //!
-//! Must never weigh anything: what a change does is judged by the hierarchy, what is picked by the decider.
+//! Must never weigh anything: what a change does is judged by the hierarchy, what is picked by the policy.
 
 use std::fs::File;
 use std::io::{ErrorKind, Read};
@@ -17,12 +17,12 @@
 
 use crate::cli;
 use crate::control::{Answer, BudgetLine, Control, MoveLine, Question, Shown};
-use crate::decider::{Ms, News};
 use crate::discovery::event::EndpointUpdate;
 use crate::fleet::Fleet;
 use crate::hierarchy_adapter::{Applied, HierarchyAdapter, Step};
 use crate::log::log_line;
 use crate::operator_digest;
+use crate::policy_adapter::{Ms, PolicyInput};
 use crate::remote_sites::RemoteSites;
 use crate::router::Router;
 use crate::start_error::StartError;
@@ -91,18 +91,19 @@
     pub fn list_upstream(&mut self, hosts: &EndpointUpdate) {
         let now = self.clock.now();
         let Some(upstream) = &mut self.hierarchy else { return };
-        let decider = &self.decider;
-        let steps = upstream.hosts(now, hosts, |target| decider.is_own(&target.host()));
+        let policy = &self.policy;
+        let steps = upstream.hosts(now, hosts, |target| policy.is_local(&target.host()));
         self.take(steps);
         self.tell_feeds();
     }
 
-    /// Tells the decider of what caches may be filled from, where that has changed.
+    /// Reports to the policy what caches may be filled from, where that has changed.
     pub fn tell_feeds(&mut self) {
         let now = self.clock.now();
         let changed = self.hierarchy.as_mut().map(|upstream| upstream.changed(now)).unwrap_or_default();
         for (place, lists) in changed {
-            let orders = self.decider.report(now, News::Feeds { place, lists });
+            let orders =
+                self.policy.handle(now, PolicyInput::FillSources { endpoint: place, sources: lists });
             self.execute(orders, ResponsePayload::Empty);
         }
     }
@@ -115,7 +116,7 @@
                 Step::Send(ordered, way) => {
                     self.check_client(ordered.attempt.ticket);
                     let Some(held) = self.requests.get(ordered.attempt.ticket) else {
-                        self.upstreams.cancel_unsent(now, ordered.attempt, ordered.place);
+                        self.upstreams.cancel_unsent(now, ordered.attempt, ordered.endpoint);
                         continue;
                     };
                     self.counters.sent += 1;
@@ -125,7 +126,7 @@
                     self.upstreams.send(now, &ordered, &held.message, way.as_ref());
                 }
                 Step::TurnBack(ordered, since) => {
-                    self.upstreams.reject_unsent(now, ordered.attempt, ordered.place, since);
+                    self.upstreams.reject_unsent(now, ordered.attempt, ordered.endpoint, since);
                 }
             }
         }
--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -3,9 +3,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::buffers::BufferChain;
-use crate::decider::{micros, Attempt, End, Ending, Filling, How, Ms, Place, Ticket};
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::{
+    micros, AttemptEnd, AttemptKey, AttemptReport, CacheResult, EndpointKey, FillSpec, Ms, Ticket,
+};
 
 use super::codec::{self, FieldList, Reply, ReplyStatus};
 use super::connection::{ConnectionId, ExchangeOwner, QueuedMessage};
@@ -31,11 +33,11 @@
 /// An attempt as the policy ordered it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptOrder {
-    pub attempt: Attempt,
-    pub place: Place,
+    pub attempt: AttemptKey,
+    pub endpoint: EndpointKey,
     /// How long it may take, in milliseconds.
     pub timeout: Ms,
-    pub filling: Filling,
+    pub fill: FillSpec,
 }
 
 /// Fields that go with a fill where nodes understand them.
@@ -60,7 +62,7 @@
 /// An attempt that has ended.
 #[derive(Debug)]
 pub struct CompletedAttempt {
-    pub ending: Ending,
+    pub report: AttemptReport,
     pub payload: ResponsePayload,
     /// Where its fill came back to a node that it had passed.
     pub fill_loop: Option<FillLoop>,
@@ -70,7 +72,7 @@
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
     connection: ConnectionId,
-    endpoint: Place,
+    endpoint: EndpointKey,
     id: String,
     pub sent: Ms,
     deadline_us: u64,
@@ -81,9 +83,9 @@
 /// The attempts in flight, and their deadlines.
 #[derive(Debug, Default)]
 pub(super) struct AttemptTable {
-    in_flight: BTreeMap<Attempt, InFlightAttempt>,
+    in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
     /// In microseconds.
-    deadlines: BTreeSet<(u64, Attempt)>,
+    deadlines: BTreeSet<(u64, AttemptKey)>,
 }
 
 impl AttemptTable {
@@ -91,20 +93,20 @@
         self.in_flight.len()
     }
 
-    fn insert(&mut self, attempt: Attempt, in_flight: InFlightAttempt) {
+    fn insert(&mut self, attempt: AttemptKey, in_flight: InFlightAttempt) {
         self.deadlines.insert((in_flight.deadline_us, attempt));
         self.in_flight.insert(attempt, in_flight);
     }
 
-    pub fn remove(&mut self, attempt: Attempt) -> Option<InFlightAttempt> {
+    pub fn remove(&mut self, attempt: AttemptKey) -> Option<InFlightAttempt> {
         let in_flight = self.in_flight.remove(&attempt)?;
         self.deadlines.remove(&(in_flight.deadline_us, attempt));
         Some(in_flight)
     }
 
     /// The attempts of a request, in the order sent.
-    fn of_request(&self, ticket: Ticket) -> impl Iterator<Item = (Attempt, &InFlightAttempt)> {
-        let range = Attempt { ticket, number: 0 }..=Attempt { ticket, number: u8::MAX };
+    fn of_request(&self, ticket: Ticket) -> impl Iterator<Item = (AttemptKey, &InFlightAttempt)> {
+        let range = AttemptKey { ticket, number: 0 }..=AttemptKey { ticket, number: u8::MAX };
         self.in_flight.range(range).map(|(attempt, in_flight)| (*attempt, in_flight))
     }
 
@@ -113,7 +115,7 @@
     }
 
     /// The next attempt whose deadline has passed; its deadline is forgotten.
-    pub fn pop_overdue(&mut self, now: Ms) -> Option<Attempt> {
+    pub fn pop_overdue(&mut self, now: Ms) -> Option<AttemptKey> {
         let next = *self.deadlines.first().filter(|(deadline, _)| *deadline <= micros(now))?;
         self.deadlines.remove(&next);
         Some(next.1)
@@ -129,10 +131,10 @@
         message: &RequestMessage,
         fill_path: Option<&FillPath>,
     ) {
-        let AttemptOrder { attempt, place, timeout, ref filling } = *order;
-        let Some(id) = self.connection_for(now, place, &message.id) else {
+        let AttemptOrder { attempt, endpoint, timeout, ref fill } = *order;
+        let Some(id) = self.connection_for(now, endpoint, &message.id) else {
             log_line!("no connection for an attempt");
-            return self.complete(now, attempt, place, now, End::Unreached);
+            return self.complete(now, attempt, endpoint, now, AttemptEnd::NotSent);
         };
         let fields = self.request_fields(order, message, fill_path);
         let bytes = codec::encode_request(&self.buffers, &message.id, &fields, message.body.duplicate());
@@ -141,7 +143,7 @@
         let queued = QueuedMessage {
             id: Some(message.id.clone()),
             attempt: Some(attempt),
-            source: filling.source,
+            source: fill.source,
             object: object.map(|object| (object, message.group)),
             queued_at: now,
             bytes,
@@ -149,7 +151,7 @@
         connection.enqueue(now, queued, ExchangeOwner::Attempt(attempt));
         let in_flight = InFlightAttempt {
             connection: id,
-            endpoint: place,
+            endpoint,
             id: message.id.clone(),
             sent: now,
             deadline_us: micros(now + timeout.max(0.0)),
@@ -165,26 +167,26 @@
         message: &RequestMessage,
         fill_path: Option<&FillPath>,
     ) -> FieldList {
-        let filling = &order.filling;
+        let fill = &order.fill;
         let mut fields = FieldList::default();
         fields.push("kind", &message.class);
         fields.push("obj", &message.object);
         fields.push("seg", &message.part);
         fields.push("ms", order.timeout.ceil().max(1.0));
-        if let Some(source) = filling.source.and_then(|source| self.endpoints.get(&source)) {
+        if let Some(source) = fill.source.and_then(|source| self.endpoints.get(&source)) {
             fields.push("parent", &source.uid);
-            let hints = [(filling.join, "j"), (filling.only_held, "h"), (filling.renew, "r")];
+            let hints = [(fill.coalesce, "j"), (fill.only_if_cached, "h"), (fill.revalidate, "r")];
             let hints: Vec<&str> = hints.iter().filter(|(set, _)| *set).map(|(_, hint)| *hint).collect();
             if !hints.is_empty() {
                 fields.push("hints", hints.join("+"));
             }
         }
-        if filling.rank > 0 {
-            fields.push("shelf", filling.rank);
+        if fill.retention > 0 {
+            fields.push("shelf", fill.retention);
         }
-        if filling.max_age > 0.0 {
+        if fill.max_age > 0.0 {
             // Rounded down, for a copy must not be older; but 0 would mean any fresh one.
-            fields.push("accept", filling.max_age.floor().max(1.0));
+            fields.push("accept", fill.max_age.floor().max(1.0));
         }
         if let Some(key) = &message.idempotency_key {
             fields.push("token", key);
@@ -202,28 +204,36 @@
     }
 
     /// Completes an attempt as cancelled that was never sent: nobody waits for it any more.
-    pub fn cancel_unsent(&mut self, now: Ms, attempt: Attempt, place: Place) {
-        self.complete(now, attempt, place, now, End::Cancelled);
+    pub fn cancel_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey) {
+        self.complete(now, attempt, endpoint, now, AttemptEnd::Cancelled);
     }
 
     /// Completes an attempt as rejected whose fill was not admitted: it was never sent, and that is no fault of its
     /// endpoint.
-    pub fn reject_unsent(&mut self, now: Ms, attempt: Attempt, place: Place, since: Ms) {
-        let (took, how) = (now - since, Some(How::NoPlace));
-        let ending = Ending { attempt, place, end: End::Full, took, waited: took, how, gauges: Vec::new() };
-        self.push_completed(ending);
+    pub fn reject_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey, since: Ms) {
+        let (elapsed, cache_result) = (now - since, Some(CacheResult::NoCapacity));
+        let report = AttemptReport {
+            attempt,
+            endpoint,
+            end: AttemptEnd::Rejected,
+            elapsed,
+            source_wait: elapsed,
+            cache_result,
+            gauges: Vec::new(),
+        };
+        self.push_completed(report);
     }
 
     /// Cancels an attempt.
-    pub fn cancel(&mut self, now: Ms, attempt: Attempt) {
-        self.abandon(now, attempt, End::Cancelled);
+    pub fn cancel(&mut self, now: Ms, attempt: AttemptKey) {
+        self.abandon(now, attempt, AttemptEnd::Cancelled);
     }
 
     /// Withdraws what is still queued of a purged object or group: its age limit is from before the purge.
     ///
     /// A connect may last longer than the grace of a purge.
     pub fn withdraw_purged(&mut self, now: Ms, object: Option<u64>, group: u32) {
-        self.withdraw(now, End::TimedOut, |_, queued| {
+        self.withdraw(now, AttemptEnd::TimedOut, |_, queued| {
             let matches =
                 |(own, own_group): (u64, u32)| object.map_or(own_group == group, |object| object == own);
             queued.object.is_some_and(matches)
@@ -234,18 +244,23 @@
     ///
     /// This is not a cancellation, which settings may forbid: nothing has reached a cache yet.
     pub fn withdraw_request(&mut self, now: Ms, ticket: Ticket) {
-        let is_queued = |attempt: Attempt, in_flight: &InFlightAttempt| {
+        let is_queued = |attempt: AttemptKey, in_flight: &InFlightAttempt| {
             let connection = self.connections.get(&in_flight.connection);
             connection.is_some_and(|connection| connection.has_queued(attempt))
         };
         let of_request = self.attempts.of_request(ticket);
         let queued = of_request.filter(|(attempt, in_flight)| is_queued(*attempt, in_flight));
-        let queued: Vec<Attempt> = queued.map(|(attempt, _)| attempt).collect();
-        queued.into_iter().for_each(|attempt| self.abandon(now, attempt, End::Cancelled));
+        let queued: Vec<AttemptKey> = queued.map(|(attempt, _)| attempt).collect();
+        queued.into_iter().for_each(|attempt| self.abandon(now, attempt, AttemptEnd::Cancelled));
     }
 
     /// Withdraws queued attempts of which not a byte was written.
-    pub(super) fn withdraw(&mut self, now: Ms, end: End, matches: impl Fn(Place, &QueuedMessage) -> bool) {
+    pub(super) fn withdraw(
+        &mut self,
+        now: Ms,
+        end: AttemptEnd,
+        matches: impl Fn(EndpointKey, &QueuedMessage) -> bool,
+    ) {
         let mut withdrawn = Vec::new();
         for connection in self.connections.values().filter(|connection| !connection.queue.is_empty()) {
             let matching = connection.queue.iter().filter(|queued| matches(connection.endpoint, queued));
@@ -269,12 +284,12 @@
         connection.last_used = now;
         // Without an exchange it crossed the request's cancellation.
         let Some(exchange) = connection.open.remove(&reply.id) else { return };
-        let place = connection.endpoint;
+        let endpoint = connection.endpoint;
         let gauges = response::load_report(&reply.fields);
         let attempt = match exchange.owner {
             ExchangeOwner::Attempt(attempt) => attempt,
             ExchangeOwner::HealthCheck => {
-                self.health_checks.report(place, reply.status == ReplyStatus::Healthy, gauges);
+                self.health_checks.report(endpoint, reply.status == ReplyStatus::Healthy, gauges);
                 return self.close_if_drained(id);
             }
         };
@@ -283,12 +298,20 @@
             connection.retired_ids.insert(reply.id);
             connection.draining |= connection.retired_ids.len() >= self.limits.cache_streams;
         }
-        let waited = reply.fields.get("first").and_then(|first| first.parse().ok()).unwrap_or(0.0);
-        let how = reply.fields.get("res").and_then(response::cache_result);
+        let source_wait = reply.fields.get("first").and_then(|first| first.parse().ok()).unwrap_or(0.0);
+        let cache_result = reply.fields.get("res").and_then(response::cache_result);
         let fill_loop = reply.fields.get("round").and_then(FillLoop::parse);
         let (end, payload) = self.outcome(&in_flight, reply.status, &reply.fields, reply.body);
-        let ending = Ending { attempt, place, end, took: now - in_flight.sent, waited, how, gauges };
-        self.completed.push_back(CompletedAttempt { ending, payload, fill_loop });
+        let report = AttemptReport {
+            attempt,
+            endpoint,
+            end,
+            elapsed: now - in_flight.sent,
+            source_wait,
+            cache_result,
+            gauges,
+        };
+        self.completed.push_back(CompletedAttempt { report, payload, fill_loop });
         self.close_if_drained(id);
     }
 
@@ -298,28 +321,28 @@
         status: ReplyStatus,
         fields: &FieldList,
         body: BufferChain,
-    ) -> (End, ResponsePayload) {
+    ) -> (AttemptEnd, ResponsePayload) {
         let end = match status {
             ReplyStatus::Data => {
                 let version = if self.reports_versions { CopyVersion::of_reply(fields) } else { None };
-                return (End::Answered, ResponsePayload::Body(body, version));
+                return (AttemptEnd::Answered, ResponsePayload::Body(body, version));
             }
             // Valid only for the copy that this client holds.
             ReplyStatus::Unchanged if names_copy(&in_flight.client_copy, fields) => {
-                return (End::Answered, ResponsePayload::NotModified);
+                return (AttemptEnd::Answered, ResponsePayload::NotModified);
             }
-            ReplyStatus::Absent => End::Absent,
-            ReplyStatus::Full => End::Full,
-            ReplyStatus::Moot => End::Moot,
+            ReplyStatus::Absent => AttemptEnd::CacheMiss,
+            ReplyStatus::Full => AttemptEnd::Rejected,
+            ReplyStatus::Moot => AttemptEnd::NotExecuted,
             ReplyStatus::Unchanged | ReplyStatus::Failed | ReplyStatus::Healthy | ReplyStatus::Unhealthy => {
-                End::Failed
+                AttemptEnd::Failed
             }
         };
         (end, ResponsePayload::Empty)
     }
 
     /// Ends an attempt that is in flight without a reply. Where it may be executed, it is cancelled at its endpoint.
-    pub(super) fn abandon(&mut self, now: Ms, attempt: Attempt, end: End) {
+    pub(super) fn abandon(&mut self, now: Ms, attempt: AttemptKey, end: AttemptEnd) {
         let Some(in_flight) = self.attempts.remove(attempt) else { return };
         let mut end = end;
         if let Some(connection) = self.connections.get_mut(&in_flight.connection) {
@@ -341,8 +364,8 @@
                 self.flush(now, in_flight.connection);
                 self.close_if_cancellation_waits(now, in_flight.connection);
             }
-            if end == End::TimedOut && !fully_sent {
-                end = End::Unreached;
+            if end == AttemptEnd::TimedOut && !fully_sent {
+                end = AttemptEnd::NotSent;
             }
         }
         self.complete(now, attempt, in_flight.endpoint, in_flight.sent, end);
@@ -351,15 +374,29 @@
     }
 
     /// Reports the end of an attempt that was not answered.
-    pub(super) fn complete(&mut self, now: Ms, attempt: Attempt, place: Place, sent: Ms, end: End) {
-        let took = now - sent;
-        let ending = Ending { attempt, place, end, took, waited: 0.0, how: None, gauges: Vec::new() };
-        self.push_completed(ending);
+    pub(super) fn complete(
+        &mut self,
+        now: Ms,
+        attempt: AttemptKey,
+        endpoint: EndpointKey,
+        sent: Ms,
+        end: AttemptEnd,
+    ) {
+        let report = AttemptReport {
+            attempt,
+            endpoint,
+            end,
+            elapsed: now - sent,
+            source_wait: 0.0,
+            cache_result: None,
+            gauges: Vec::new(),
+        };
+        self.push_completed(report);
     }
 
-    fn push_completed(&mut self, ending: Ending) {
+    fn push_completed(&mut self, report: AttemptReport) {
         let (payload, fill_loop) = (ResponsePayload::Empty, None);
-        self.completed.push_back(CompletedAttempt { ending, payload, fill_loop });
+        self.completed.push_back(CompletedAttempt { report, payload, fill_loop });
     }
 }
 
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -9,7 +9,7 @@
 use socket2::{Domain, Socket, Type};
 
 use crate::buffers::{BufferChain, BufferPool};
-use crate::decider::{Attempt, Ms, Place};
+use crate::policy_adapter::{AttemptKey, EndpointKey, Ms};
 
 use super::codec::{Reply, ReplyDecoder, ReplyError};
 
@@ -45,8 +45,8 @@
     /// The id under which it is answered; `None` for a cancellation.
     pub id: Option<String>,
     /// The attempt that it is, and the source that the attempt fills from.
-    pub attempt: Option<Attempt>,
-    pub source: Option<Place>,
+    pub attempt: Option<AttemptKey>,
+    pub source: Option<EndpointKey>,
     /// The object and its group, by which purges name it.
     pub object: Option<(u64, u32)>,
     pub queued_at: Ms,
@@ -62,7 +62,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ExchangeOwner {
-    Attempt(Attempt),
+    Attempt(AttemptKey),
     HealthCheck,
 }
 
@@ -91,7 +91,7 @@
 
 #[derive(Debug)]
 pub(super) struct Connection {
-    pub endpoint: Place,
+    pub endpoint: EndpointKey,
     pub stream: Rc<TcpStream>,
     pub token: RegistrationToken,
     state: ConnectionState,
@@ -114,7 +114,7 @@
 
 impl Connection {
     pub fn new(
-        endpoint: Place,
+        endpoint: EndpointKey,
         stream: Rc<TcpStream>,
         token: RegistrationToken,
         buffers: &BufferPool,
@@ -188,12 +188,12 @@
     }
 
     /// Whether an attempt is queued and not a byte of it was written.
-    pub fn has_queued(&self, attempt: Attempt) -> bool {
+    pub fn has_queued(&self, attempt: AttemptKey) -> bool {
         self.queue.iter().any(|queued| queued.attempt == Some(attempt))
     }
 
     /// Takes a queued attempt back; false where it is not queued.
-    pub fn remove_queued(&mut self, attempt: Attempt) -> bool {
+    pub fn remove_queued(&mut self, attempt: AttemptKey) -> bool {
         let position = self.queue.iter().position(|queued| queued.attempt == Some(attempt));
         position.and_then(|position| self.queue.remove(position)).is_some()
     }
--- a/crates/router/src/upstream/health_check.rs
+++ b/crates/router/src/upstream/health_check.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeSet, VecDeque};
 
-use crate::decider::{micros, Ms, Place};
 use crate::event_handler::EventHandler;
+use crate::policy_adapter::{micros, EndpointKey, Ms};
 
 use super::codec;
 use super::connection::{ConnectionId, ExchangeOwner, QueuedMessage};
@@ -12,7 +12,7 @@
 /// The result of a health check.
 #[derive(Debug)]
 pub struct HealthCheckResult {
-    pub place: Place,
+    pub endpoint: EndpointKey,
     pub healthy: bool,
     /// The load report, by the names of its values.
     pub gauges: Vec<(String, f64)>,
@@ -33,13 +33,13 @@
         format!("probe-{}", self.sent)
     }
 
-    pub fn report(&mut self, place: Place, healthy: bool, gauges: Vec<(String, f64)>) {
-        self.results.push_back(HealthCheckResult { place, healthy, gauges });
+    pub fn report(&mut self, endpoint: EndpointKey, healthy: bool, gauges: Vec<(String, f64)>) {
+        self.results.push_back(HealthCheckResult { endpoint, healthy, gauges });
     }
 
     /// Reports a check that was not answered.
-    pub fn fail(&mut self, place: Place) {
-        self.report(place, false, Vec::new());
+    pub fn fail(&mut self, endpoint: EndpointKey) {
+        self.report(endpoint, false, Vec::new());
     }
 
     pub fn next_deadline(&self) -> Option<Ms> {
@@ -60,10 +60,10 @@
         self.health_checks.results.pop_front()
     }
 
-    pub fn send_health_check(&mut self, now: Ms, place: Place) {
+    pub fn send_health_check(&mut self, now: Ms, endpoint: EndpointKey) {
         let check = self.health_checks.next_id();
-        let Some(id) = self.connection_for(now, place, &check) else {
-            return self.health_checks.fail(place);
+        let Some(id) = self.connection_for(now, endpoint, &check) else {
+            return self.health_checks.fail(endpoint);
         };
         let bytes = codec::encode_health_check(&self.buffers, &check);
         let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -79,8 +79,8 @@
             let Some(connection) = self.connections.get_mut(&id) else { continue };
             if connection.open.remove(&check).is_some() {
                 connection.draining = true;
-                let place = connection.endpoint;
-                self.health_checks.fail(place);
+                let endpoint = connection.endpoint;
+                self.health_checks.fail(endpoint);
                 self.close_if_drained(id);
             }
         }
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -25,9 +25,9 @@
 
 use crate::buffers::BufferPool;
 use crate::config::Limits;
-use crate::decider::{Ms, Place};
 use crate::descriptors::Reserve;
 use crate::event_handler::EventHandler;
+use crate::policy_adapter::{EndpointKey, Ms};
 
 use attempt::AttemptTable;
 use connection::Connection;
@@ -44,7 +44,7 @@
     buffers: BufferPool,
     reserve: Reserve,
     handle: LoopHandle<'static, W>,
-    endpoints: HashMap<Place, Endpoint>,
+    endpoints: HashMap<EndpointKey, Endpoint>,
     connections: HashMap<ConnectionId, Connection>,
     last_id: ConnectionId,
     attempts: AttemptTable,
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -9,11 +9,11 @@
 use calloop::{Interest, Mode, PostAction, Readiness};
 use socket2::SockRef;
 
-use crate::decider::{End, Ms, Place};
 use crate::descriptors::{ran_out, Purpose};
 use crate::discovery::event::EndpointEntry;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
+use crate::policy_adapter::{AttemptEnd, EndpointKey, Ms};
 
 use super::connection::{connect, Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
 use super::Upstreams;
@@ -35,56 +35,57 @@
     pub fn update_endpoints(&mut self, now: Ms, targets: &[EndpointEntry], complete: bool) {
         let mut gone = Vec::new();
         if complete {
-            let listed: HashSet<Place> = targets.iter().map(|target| Place::of(&target.uid)).collect();
-            gone.extend(self.endpoints.keys().filter(|place| !listed.contains(place)));
+            let listed: HashSet<EndpointKey> =
+                targets.iter().map(|target| EndpointKey::of(&target.uid)).collect();
+            gone.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
         }
         self.withdraw_for_unusable(now, targets, &gone);
         let mut replaced = Vec::new();
         for target in targets {
-            let place = Place::of(&target.uid);
+            let key = EndpointKey::of(&target.uid);
             if target.gone() {
-                gone.push(place);
+                gone.push(key);
             } else if let Some(address) = target.endpoint {
-                if self.update_endpoint(place, target, address) {
-                    replaced.push(place);
+                if self.update_endpoint(key, target, address) {
+                    replaced.push(key);
                 }
             }
         }
-        for place in replaced {
-            let endpoint = self.endpoints.get_mut(&place);
+        for key in replaced {
+            let endpoint = self.endpoints.get_mut(&key);
             let connections = endpoint.map(|endpoint| std::mem::take(&mut endpoint.connections));
             self.drain(connections.unwrap_or_default());
         }
         // Endpoints are replaced all day: those that are gone must not accumulate.
-        for place in gone {
-            let connections = self.endpoints.remove(&place).map(|endpoint| endpoint.connections);
+        for key in gone {
+            let connections = self.endpoints.remove(&key).map(|endpoint| endpoint.connections);
             self.drain(connections.unwrap_or_default());
         }
     }
 
     /// Withdraws what is queued for, or fills from, an endpoint that drains, is gone or was replaced: it was ordered by an
     /// older list.
-    fn withdraw_for_unusable(&mut self, now: Ms, targets: &[EndpointEntry], gone: &[Place]) {
-        let mut unusable: HashSet<Place> = gone.iter().copied().collect();
+    fn withdraw_for_unusable(&mut self, now: Ms, targets: &[EndpointEntry], gone: &[EndpointKey]) {
+        let mut unusable: HashSet<EndpointKey> = gone.iter().copied().collect();
         let is_unusable = |target: &&EndpointEntry| !target.ready() || self.is_replaced(target);
-        unusable.extend(targets.iter().filter(is_unusable).map(|target| Place::of(&target.uid)));
-        self.withdraw(now, End::TimedOut, |place, queued| {
-            unusable.contains(&place) || queued.source.is_some_and(|source| unusable.contains(&source))
+        unusable.extend(targets.iter().filter(is_unusable).map(|target| EndpointKey::of(&target.uid)));
+        self.withdraw(now, AttemptEnd::TimedOut, |key, queued| {
+            unusable.contains(&key) || queued.source.is_some_and(|source| unusable.contains(&source))
         });
     }
 
     /// Whether a line of the list names another process, or another address, than the known one.
     fn is_replaced(&self, target: &EndpointEntry) -> bool {
-        let known = self.endpoints.get(&Place::of(&target.uid)).zip(target.endpoint);
+        let known = self.endpoints.get(&EndpointKey::of(&target.uid)).zip(target.endpoint);
         known.is_some_and(|(endpoint, address)| {
             endpoint.address != address || endpoint.started != target.started()
         })
     }
 
     /// Stores an endpoint; true where it replaces another process or address.
-    fn update_endpoint(&mut self, place: Place, target: &EndpointEntry, address: SocketAddr) -> bool {
+    fn update_endpoint(&mut self, key: EndpointKey, target: &EndpointEntry, address: SocketAddr) -> bool {
         let started = target.started();
-        match self.endpoints.get_mut(&place) {
+        match self.endpoints.get_mut(&key) {
             Some(endpoint) if endpoint.address == address && endpoint.started == started => false,
             Some(endpoint) => {
                 (endpoint.address, endpoint.started) = (address, started);
@@ -94,7 +95,7 @@
                 let uid = target.uid.clone();
                 let (last_activity, connections) = (0.0, Vec::new());
                 let endpoint = Endpoint { uid, address, started, last_activity, connections };
-                self.endpoints.insert(place, endpoint);
+                self.endpoints.insert(key, endpoint);
                 false
             }
         }
@@ -115,8 +116,8 @@
     ///
     /// Each attempt gets a connection for itself where possible: a machine that has vanished reads no cancellation, and
     /// what is open there stays open until its connection is closed.
-    pub(super) fn connection_for(&mut self, now: Ms, place: Place, id: &str) -> Option<ConnectionId> {
-        let endpoint = self.endpoints.get(&place)?;
+    pub(super) fn connection_for(&mut self, now: Ms, key: EndpointKey, id: &str) -> Option<ConnectionId> {
+        let endpoint = self.endpoints.get(&key)?;
         let max_streams = self.limits.cache_streams;
         let known = endpoint.connections.iter().filter_map(|id| self.connections.get(id).map(|c| (*id, c)));
         let usable: Vec<(ConnectionId, &Connection)> =
@@ -135,9 +136,9 @@
         {
             return least_loaded;
         }
-        let mut opened = self.open_connection(now, place, address);
+        let mut opened = self.open_connection(now, key, address);
         if opened.as_ref().is_err_and(ran_out) && self.close_longest_idle() {
-            opened = self.open_connection(now, place, address);
+            opened = self.open_connection(now, key, address);
         }
         match opened {
             Ok(opened) => Some(opened),
@@ -158,7 +159,12 @@
         oldest.is_some_and(|id| self.remove(id).is_some())
     }
 
-    fn open_connection(&mut self, now: Ms, place: Place, address: SocketAddr) -> io::Result<ConnectionId> {
+    fn open_connection(
+        &mut self,
+        now: Ms,
+        key: EndpointKey,
+        address: SocketAddr,
+    ) -> io::Result<ConnectionId> {
         let stream = Rc::new(self.reserve.open(Purpose::Cache, || connect(address))?);
         // Bytes that the system holds can't be withdrawn any more.
         if let Err(error) = SockRef::from(&*stream).set_send_buffer_size(self.limits.cache_send) {
@@ -174,9 +180,9 @@
         };
         let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
         let deadline = now + self.limits.connect;
-        let connection = Connection::new(place, stream, token, &self.buffers, now, deadline);
+        let connection = Connection::new(key, stream, token, &self.buffers, now, deadline);
         self.connections.insert(id, connection);
-        if let Some(endpoint) = self.endpoints.get_mut(&place) {
+        if let Some(endpoint) = self.endpoints.get_mut(&key) {
             endpoint.connections.push(id);
         }
         Ok(id)
@@ -184,17 +190,16 @@
 
     /// Notes that something was received on a connection.
     pub(super) fn note_activity(&mut self, now: Ms, id: ConnectionId) {
-        let place = self.connections.get(&id).map(|connection| connection.endpoint);
-        if let Some(endpoint) = place.and_then(|place| self.endpoints.get_mut(&place)) {
+        let key = self.connections.get(&id).map(|connection| connection.endpoint);
+        if let Some(endpoint) = key.and_then(|key| self.endpoints.get_mut(&key)) {
             endpoint.last_activity = now;
         }
     }
 
     /// Closes idle connections to an endpoint that has been silent since `sent`: they may be as dead as the one on which
     /// an attempt was abandoned, and new ones show whether it still accepts any.
-    pub(super) fn close_idle_if_silent(&mut self, place: Place, sent: Ms) {
-        let Some(endpoint) = self.endpoints.get(&place).filter(|endpoint| endpoint.last_activity < sent)
-        else {
+    pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent: Ms) {
+        let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent) else {
             return;
         };
         for id in endpoint.connections.clone() {
@@ -283,9 +288,9 @@
     /// Closes a connection and ends all that is open on it. What was not written in full was not executed.
     pub(super) fn close(&mut self, now: Ms, id: ConnectionId, reason: &str) {
         let Some(connection) = self.remove(id) else { return };
-        let place = connection.endpoint;
+        let key = connection.endpoint;
         if !connection.open.is_empty() {
-            let address = self.endpoints.get(&place).map(|endpoint| endpoint.address.to_string());
+            let address = self.endpoints.get(&key).map(|endpoint| endpoint.address.to_string());
             let (address, count) = (address.unwrap_or_default(), connection.open.len());
             log_line!("connection to {address} ended with {count} open: {reason}");
         }
@@ -296,11 +301,12 @@
         });
         for exchange in open {
             match exchange.owner {
-                ExchangeOwner::HealthCheck => self.health_checks.fail(place),
+                ExchangeOwner::HealthCheck => self.health_checks.fail(key),
                 ExchangeOwner::Attempt(attempt) => {
                     let Some(in_flight) = self.attempts.remove(attempt) else { continue };
-                    let end = if exchange.fully_sent { End::Broken } else { End::Unreached };
-                    self.complete(now, attempt, place, in_flight.sent, end);
+                    let end =
+                        if exchange.fully_sent { AttemptEnd::ConnectionLost } else { AttemptEnd::NotSent };
+                    self.complete(now, attempt, key, in_flight.sent, end);
                 }
             }
         }
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -1,6 +1,6 @@
 //! What the fields of a reply say.
 
-use crate::decider::{How, Ms};
+use crate::policy_adapter::{CacheResult, Ms};
 
 use super::codec::FieldList;
 
@@ -38,19 +38,19 @@
 }
 
 /// How a cache came to its reply, by the protocol's name for it.
-pub(super) fn cache_result(name: &str) -> Option<How> {
+pub(super) fn cache_result(name: &str) -> Option<CacheResult> {
     Some(match name {
-        "HIT" => How::Hit,
-        "MISS" => How::Filled,
-        "MISS_ORIGIN" => How::FilledByOrigin,
-        "COLLAPSED" => How::Joined,
-        "STALE" => How::Stale,
-        "UP_BUSY" => How::SourceRefused,
-        "UP_DOWN" => How::SourceUnreached,
-        "UP_MISS" => How::SourceLacks,
-        "NO_FILL" => How::NoPlace,
-        "ORIGIN_ERR" => How::OriginFailed,
-        "LOOP" => How::CameRound,
+        "HIT" => CacheResult::Hit,
+        "MISS" => CacheResult::FilledByParent,
+        "MISS_ORIGIN" => CacheResult::FilledByOrigin,
+        "COLLAPSED" => CacheResult::Coalesced,
+        "STALE" => CacheResult::Stale,
+        "UP_BUSY" => CacheResult::SourceRejected,
+        "UP_DOWN" => CacheResult::SourceUnreachable,
+        "UP_MISS" => CacheResult::SourceMiss,
+        "NO_FILL" => CacheResult::NoCapacity,
+        "ORIGIN_ERR" => CacheResult::OriginFailed,
+        "LOOP" => CacheResult::FillLoop,
         _ => return None,
     })
 }
--- a/crates/router/src/upstream/timers.rs
+++ b/crates/router/src/upstream/timers.rs
@@ -1,7 +1,7 @@
 //! Deadlines of attempts, health checks, connects, queued messages and idle connections.
 
-use crate::decider::{End, Ms};
 use crate::event_handler::EventHandler;
+use crate::policy_adapter::{AttemptEnd, Ms};
 
 use super::Upstreams;
 
@@ -23,12 +23,12 @@
     /// Ends what is overdue: attempts, health checks, connects, and connections that nobody uses.
     pub fn on_timer(&mut self, now: Ms) {
         while let Some(attempt) = self.attempts.pop_overdue(now) {
-            self.abandon(now, attempt, End::TimedOut);
+            self.abandon(now, attempt, AttemptEnd::TimedOut);
         }
         self.time_out_health_checks(now);
         // What has been queued for so long would be sent on grounds that are out of date.
         let oldest = now - self.limits.connect;
-        self.withdraw(now, End::TimedOut, |_, queued| queued.queued_at <= oldest);
+        self.withdraw(now, AttemptEnd::TimedOut, |_, queued| queued.queued_at <= oldest);
         self.close_overdue_connections(now);
     }
 
--- a/crates/router/tests/unit/discovery.rs
+++ b/crates/router/tests/unit/discovery.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 use crate::buffers::BufferPool;
-use crate::decider::News;
 use crate::discovery::event::PurgeEvent;
+use crate::policy_adapter::PolicyInput;
 
 const PAGE: &str = r#"{"pos":43,"entries":[
     {"pos":41,"hosts":{"rev":7,"all":false,"targets":[{"uid":"s-1","endpoint":"127.1.0.9:8080","az":"east",
@@ -36,7 +36,7 @@
         assert_eq!(page.pos, 43);
         let purge = page.entries.last().and_then(|entry| entry.expire.as_ref()).and_then(PurgeEvent::news);
         let object = Some(0x7f3a_9c21_e0b4_d655);
-        assert_eq!(purge, Some(News::Expired { object, group: 0, stamp: 1_764_576_000_123.0 }));
+        assert_eq!(purge, Some(PolicyInput::Purged { object, group: 0, stamp: 1_764_576_000_123.0 }));
     }
 }
 
@@ -57,7 +57,7 @@
         .iter()
         .map(|entry| (entry.pos, entry.expire.as_ref().and_then(PurgeEvent::news)))
         .collect();
-    assert_eq!(purges, [(7, Some(News::Expired { object: None, group: 3, stamp: 5.0 })), (8, None)]);
+    assert_eq!(purges, [(7, Some(PolicyInput::Purged { object: None, group: 3, stamp: 5.0 })), (8, None)]);
 }
 
 #[test]
--- a/crates/router/tests/unit/decider.rs
+++ b/crates/router/tests/unit/policy_adapter.rs
@@ -1,45 +1,63 @@
-//! Unit tests of `src/decider.rs`, a part of its module.
+//! Unit tests of `src/policy_adapter/mod.rs`, a part of its module.
 
 use super::*;
 
-fn decider() -> Decider {
+fn adapter() -> PolicyAdapter {
     let text = include_str!("../../../../examples/config.json");
     let config: serde_json::Value = serde_json::from_str(text).expect("the example configuration");
     let settings = config["settings"].to_string();
     let told = linnethook_settings::decode(settings.as_bytes()).expect("its settings");
-    let mut decider = Decider::new(told, 7);
-    let host = |uid: &str, zone: &str, kind: &str| Host {
+    let mut adapter = PolicyAdapter::new(told, 7);
+    let host = |uid: &str, zone: &str, kind: &str| EndpointInfo {
         uid: uid.to_string(),
         zone: zone.to_string(),
         kind: kind.to_string(),
         cell: 0,
         weight: 8.0,
         started: 0.0,
-        state: HostState::Ready,
+        state: ListedState::Ready,
     };
     let hosts = vec![host("a", "shop", "box"), host("p", "hub", "hub-box"), host("o", "hub", "store")];
-    decider.report(1000.0, News::Hosts { complete: true, hosts });
-    decider
+    adapter.handle(1000.0, PolicyInput::Endpoints { complete: true, endpoints: hosts });
+    adapter
 }
 
-fn wish(class: &str, budget: Ms) -> Wish {
-    Wish { class: class.to_string(), object: 7, part: 0, group: 0, size_kb: 100.0, repeat: false, budget }
+fn spec(class: &str, budget: Ms) -> RequestSpec {
+    RequestSpec {
+        class: class.to_string(),
+        object: 7,
+        part: 0,
+        group: 0,
+        size_kb: 100.0,
+        repeat: false,
+        budget,
+    }
 }
 
-fn ended(attempt: Attempt, place: Place, end: End) -> News {
-    News::Ended(Ending { attempt, place, end, took: 50.0, waited: 0.0, how: None, gauges: Vec::new() })
+fn ended(attempt: AttemptKey, place: EndpointKey, end: AttemptEnd) -> PolicyInput {
+    PolicyInput::AttemptEnded(AttemptReport {
+        attempt,
+        endpoint: place,
+        end,
+        elapsed: 50.0,
+        source_wait: 0.0,
+        cache_result: None,
+        gauges: Vec::new(),
+    })
 }
 
-fn sent(orders: &[Order]) -> Option<(Attempt, Place, Ms, Filling)> {
+fn sent(orders: &[PolicyCommand]) -> Option<(AttemptKey, EndpointKey, Ms, FillSpec)> {
     orders.iter().find_map(|order| match order {
-        Order::Send { attempt, place, timeout, filling } => Some((*attempt, *place, *timeout, *filling)),
+        PolicyCommand::Send { attempt, endpoint, timeout, fill } => {
+            Some((*attempt, *endpoint, *timeout, *fill))
+        }
         _ => None,
     })
 }
 
-fn answers(orders: &[Order]) -> Vec<Final> {
-    let answer = |order: &Order| match order {
-        Order::Answer { answer, .. } => Some(*answer),
+fn answers(orders: &[PolicyCommand]) -> Vec<FinalAnswer> {
+    let answer = |order: &PolicyCommand| match order {
+        PolicyCommand::Answer { answer, .. } => Some(*answer),
         _ => None,
     };
     orders.iter().filter_map(answer).collect()
@@ -47,52 +65,54 @@
 
 #[test]
 fn a_read_goes_to_its_owner_with_its_parent_as_source_and_is_served_once() {
-    let mut decider = decider();
-    let (attempt, place, timeout, filling) =
-        sent(&decider.pick(1000.0, 1, &wish("video", 900.0))).expect("an attempt");
-    assert_eq!((place, filling.source), (Place::of("a"), Some(Place::of("p"))));
+    let mut adapter = adapter();
+    let (attempt, place, timeout, fill) =
+        sent(&adapter.on_request(1000.0, 1, &spec("video", 900.0))).expect("an attempt");
+    assert_eq!((place, fill.source), (EndpointKey::of("a"), Some(EndpointKey::of("p"))));
     assert!(timeout > 0.0 && timeout <= 900.0);
-    let orders = decider.report(1050.0, ended(attempt, place, End::Answered));
-    assert_eq!(answers(&orders), [Final::Served]);
-    assert_eq!(decider.owed(), 0);
-    let again = decider.report(1060.0, ended(attempt, place, End::Answered));
+    let orders = adapter.handle(1050.0, ended(attempt, place, AttemptEnd::Answered));
+    assert_eq!(answers(&orders), [FinalAnswer::Served]);
+    assert_eq!(adapter.open_requests(), 0);
+    let again = adapter.handle(1060.0, ended(attempt, place, AttemptEnd::Answered));
     assert!(answers(&again).is_empty());
 }
 
 /// A time-out that passes the client's wait would leave it without its answer.
 #[test]
 fn no_attempt_outlasts_the_clients_wait() {
-    let mut decider = decider();
+    let mut adapter = adapter();
     let (attempt, place, timeout, _) =
-        sent(&decider.pick(1000.0, 1, &wish("booking", 700.0))).expect("an attempt");
-    assert_eq!(place, Place::of("o"));
+        sent(&adapter.on_request(1000.0, 1, &spec("booking", 700.0))).expect("an attempt");
+    assert_eq!(place, EndpointKey::of("o"));
     assert!(timeout <= 700.0);
-    let orders = decider.report(1700.0, ended(attempt, place, End::TimedOut));
-    assert_eq!(answers(&orders), [Final::Failed], "it may have run");
+    let orders = adapter.handle(1700.0, ended(attempt, place, AttemptEnd::TimedOut));
+    assert_eq!(answers(&orders), [FinalAnswer::Failed], "it may have run");
 }
 
 #[test]
 fn a_write_that_never_ran_is_refused_and_one_that_left_is_not_answered() {
-    let mut decider = decider();
-    let (attempt, place, ..) = sent(&decider.pick(1000.0, 1, &wish("booking", 10.0))).expect("an attempt");
-    let orders = decider.report(1009.0, ended(attempt, place, End::Unreached));
-    assert!(matches!(answers(&orders)[..], [Final::Refused { .. }]));
-    let (attempt, place, ..) = sent(&decider.pick(1010.0, 2, &wish("video", 900.0))).expect("an attempt");
-    let orders = decider.report(1020.0, News::Left(2));
-    assert!(orders.contains(&Order::Cancel(attempt)) && answers(&orders).is_empty());
-    assert!(answers(&decider.report(1020.0, ended(attempt, place, End::Cancelled))).is_empty());
+    let mut adapter = adapter();
+    let (attempt, place, ..) =
+        sent(&adapter.on_request(1000.0, 1, &spec("booking", 10.0))).expect("an attempt");
+    let orders = adapter.handle(1009.0, ended(attempt, place, AttemptEnd::NotSent));
+    assert!(matches!(answers(&orders)[..], [FinalAnswer::Rejected { .. }]));
+    let (attempt, place, ..) =
+        sent(&adapter.on_request(1010.0, 2, &spec("video", 900.0))).expect("an attempt");
+    let orders = adapter.handle(1020.0, PolicyInput::RequestCancelled(2));
+    assert!(orders.contains(&PolicyCommand::Cancel(attempt)) && answers(&orders).is_empty());
+    assert!(answers(&adapter.handle(1020.0, ended(attempt, place, AttemptEnd::Cancelled))).is_empty());
 }
 
 /// A long day replaces its caches, objects and ids many times over: what is kept must not grow with them.
 #[test]
 fn what_is_kept_does_not_grow_with_what_has_gone() {
-    let mut decider = decider();
+    let mut adapter = adapter();
     let mut now = 1000.0;
     let mut ticket = 0;
     let mut sizes = Vec::new();
     for day in 0..3 {
         for n in 0..=400u32 {
-            let host = |n: u32, state: HostState| Host {
+            let host = |n: u32, state: ListedState| EndpointInfo {
                 uid: format!("spare-{day}-{n}"),
                 zone: "shop".to_string(),
                 kind: "box".to_string(),
@@ -101,33 +121,33 @@
                 started: now,
                 state,
             };
-            let state = if n < 400 { HostState::Ready } else { HostState::Gone };
-            let hosts = vec![host(n, state), host(n.wrapping_sub(1), HostState::Gone)];
-            decider.report(now, News::Hosts { complete: false, hosts });
-            let expired = News::Expired { object: Some(u64::from(n)), group: 0, stamp: now };
-            decider.report(now, expired);
-            for end in [End::Answered, End::Cancelled, End::Broken] {
+            let state = if n < 400 { ListedState::Ready } else { ListedState::Gone };
+            let hosts = vec![host(n, state), host(n.wrapping_sub(1), ListedState::Gone)];
+            adapter.handle(now, PolicyInput::Endpoints { complete: false, endpoints: hosts });
+            let expired = PolicyInput::Purged { object: Some(u64::from(n)), group: 0, stamp: now };
+            adapter.handle(now, expired);
+            for end in [AttemptEnd::Answered, AttemptEnd::Cancelled, AttemptEnd::ConnectionLost] {
                 ticket += 1;
-                let wish = Wish { object: ticket * 77, ..wish("video", 900.0) };
-                let mut orders = decider.pick(now, ticket, &wish);
+                let spec = RequestSpec { object: ticket * 77, ..spec("video", 900.0) };
+                let mut orders = adapter.on_request(now, ticket, &spec);
                 while let Some((attempt, place, ..)) = sent(&orders) {
                     now += 20.0;
-                    if end == End::Cancelled {
-                        decider.report(now, News::Left(ticket));
+                    if end == AttemptEnd::Cancelled {
+                        adapter.handle(now, PolicyInput::RequestCancelled(ticket));
                     }
-                    orders = decider.report(now, ended(attempt, place, end));
+                    orders = adapter.handle(now, ended(attempt, place, end));
                 }
             }
-            decider.tick(now);
+            adapter.on_timer(now);
         }
-        assert_eq!(decider.owed(), 0);
+        assert_eq!(adapter.open_requests(), 0);
         // What has gone is forgotten some rotations later.
         for _ in 0..60 {
             now += 1000.0;
-            decider.tick(now);
+            adapter.on_timer(now);
         }
         // All that it holds, spelt out.
-        sizes.push(format!("{decider:?}").len());
+        sizes.push(format!("{adapter:?}").len());
     }
     assert!(sizes[2] < sizes[0] * 11 / 10, "{sizes:?}");
 }
@@ -161,20 +181,20 @@
 }
 
 /// All orders of a rough stretch; names begin with `name`. What `beside` does in between must not matter.
-fn stretch(decider: &mut Decider, name: &str, mut beside: impl FnMut(Ms)) -> Vec<String> {
-    let host = |uid: String, zone: &str, kind: &str| Host {
+fn stretch(adapter: &mut PolicyAdapter, name: &str, mut beside: impl FnMut(Ms)) -> Vec<String> {
+    let host = |uid: String, zone: &str, kind: &str| EndpointInfo {
         uid,
         zone: format!("{name}{zone}"),
         kind: format!("{name}{kind}"),
         cell: 0,
         weight: 8.0,
         started: 0.0,
-        state: HostState::Ready,
+        state: ListedState::Ready,
     };
-    let mut hosts: Vec<Host> = (0..5).map(|n| host(format!("c{n}"), "shop", "box")).collect();
+    let mut hosts: Vec<EndpointInfo> = (0..5).map(|n| host(format!("c{n}"), "shop", "box")).collect();
     hosts.extend((0..2).map(|n| host(format!("p{n}"), "hub", "hub-box")));
     hosts.push(host("o".to_string(), "hub", "store"));
-    decider.report(1000.0, News::Hosts { complete: true, hosts });
+    adapter.handle(1000.0, PolicyInput::Endpoints { complete: true, endpoints: hosts });
     let mut chance: u64 = 7;
     let mut draw = |most: u64| {
         chance = chance.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
@@ -187,21 +207,28 @@
         let class = ["video", "page", "booking"][draw(3) as usize];
         let object = draw(60);
         let size_kb = 20.0 + draw(900) as f64;
-        let wish = Wish { object, size_kb, ..wish(&format!("{name}{class}"), 2_000.0) };
-        let mut orders = decider.pick(now, ticket, &wish);
+        let spec = RequestSpec { object, size_kb, ..spec(&format!("{name}{class}"), 2_000.0) };
+        let mut orders = adapter.on_request(now, ticket, &spec);
         if draw(9) == 0 {
             let stamp = now;
-            orders.extend(decider.report(now, News::Expired { object: Some(object), group: 0, stamp }));
+            orders.extend(adapter.handle(now, PolicyInput::Purged { object: Some(object), group: 0, stamp }));
         }
-        orders.extend(decider.tick(now));
+        orders.extend(adapter.on_timer(now));
         while let Some((attempt, place, ..)) = sent(&orders) {
             out.push((attempt, place));
             all.extend(orders.iter().map(|order| format!("{order:?}")));
             orders.clear();
             if draw(3) > 0 {
                 let (attempt, place) = out.swap_remove(draw(out.len() as u64) as usize);
-                let ends = [End::Answered, End::Answered, End::Broken, End::Full, End::TimedOut, End::Failed];
-                orders = decider.report(now, ended(attempt, place, ends[draw(6) as usize]));
+                let ends = [
+                    AttemptEnd::Answered,
+                    AttemptEnd::Answered,
+                    AttemptEnd::ConnectionLost,
+                    AttemptEnd::Rejected,
+                    AttemptEnd::TimedOut,
+                    AttemptEnd::Failed,
+                ];
+                orders = adapter.handle(now, ended(attempt, place, ends[draw(6) as usize]));
             }
         }
         all.extend(orders.iter().map(|order| format!("{order:?}")));
@@ -214,23 +241,23 @@
 fn other_names_and_another_order_decide_the_same_and_routers_beside_each_other_share_nothing() {
     let text = include_str!("../../../../examples/config.json");
     let config: serde_json::Value = serde_json::from_str(text).expect("the example configuration");
-    let decider = |settings: &serde_json::Value| {
+    let adapter = |settings: &serde_json::Value| {
         let told = linnethook_settings::decode(settings.to_string().as_bytes()).expect("its settings");
-        Decider::new(told, 7)
+        PolicyAdapter::new(told, 7)
     };
     let other = renamed(&config["settings"]);
-    let alone = stretch(&mut decider(&config["settings"]), "", |_| ());
+    let alone = stretch(&mut adapter(&config["settings"]), "", |_| ());
     assert!(alone.len() > 1_000, "{}", alone.len());
-    assert_eq!(alone, stretch(&mut decider(&other), "x-", |_| ()));
+    assert_eq!(alone, stretch(&mut adapter(&other), "x-", |_| ()));
     // Another one with other settings in the same process, in turn with it.
     let mut strict = other.clone();
     strict["allowed"]["max-attempts"] = 1.into();
     strict["family-info"]["bypass-allowed"] = false.into();
-    let (mut beside, mut ticket) = (decider(&strict), 0);
-    let in_turn = stretch(&mut decider(&config["settings"]), "", |now| {
+    let (mut beside, mut ticket) = (adapter(&strict), 0);
+    let in_turn = stretch(&mut adapter(&config["settings"]), "", |now| {
         ticket += 1;
-        beside.pick(now, ticket, &wish("x-video", 900.0));
-        beside.tick(now);
+        beside.on_request(now, ticket, &spec("x-video", 900.0));
+        beside.on_timer(now);
     });
     assert_eq!(alone, in_turn);
 }
@@ -238,11 +265,11 @@
 /// The caller keeps only the soonest time that it was told.
 #[test]
 fn every_tick_tells_when_the_next_one_is_due() {
-    let mut decider = decider();
+    let mut adapter = adapter();
     let mut now = 1000.0;
     for _ in 0..20 {
-        let wake = decider.tick(now).into_iter().find_map(|order| match order {
-            Order::WakeAt(at) => Some(at),
+        let wake = adapter.on_timer(now).into_iter().find_map(|order| match order {
+            PolicyCommand::SetTimer(at) => Some(at),
             _ => None,
         });
         let wake = wake.expect("a time");
