--- a/crates/router/src/fleet.rs
+++ b/crates/router/src/fleet.rs
@@ -8,17 +8,18 @@
 use std::path::Path;
 
 use linnethook_audit::record::{AuditedAction, WriteAttempt, WriteOutcome};
+use linnethook_audit::replicas::ReplicaSizes;
 use linnethook_hierarchy::change_spec::BatchSpec;
 use linnethook_membership::actions::{ClusterAction, ClusterEvent};
 use linnethook_membership::aggregation::query::QueryTarget;
 use linnethook_membership::cluster::Cluster;
 use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, Purge};
 use linnethook_membership::membership::MemberChange;
-use linnethook_membership::snapshot_transfer::{split_snapshot, SnapshotTransfer};
+use linnethook_membership::snapshot_transfer::{split_snapshot, SnapshotRequest, SnapshotTransfer};
 use linnethook_membership::straggler::{
     ExclusionReason, StragglerDetector, StragglerObservation, StragglerState,
 };
-use linnethook_membership::versions::ActiveVersions;
+use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use linnethook_operator::Fellows;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -219,7 +220,7 @@
         self.core.enforce_floor(now, floor, behind.core.config().grace_period);
         behind.alone = if self.core.has_reachable_peer() { None } else { Some(behind.alone.unwrap_or(now)) };
         let seen = StragglerObservation {
-            own_version: self.acts.hierarchy.0,
+            own_version: self.acts.hierarchy.version,
             floor,
             isolated_since: behind.alone,
             journal_valid_until: journal,
@@ -439,10 +440,12 @@
                 fleet.act(now, AuditedAction::RolloutStage { target: to, stage });
             }
             if looks {
-                fleet.acts.hierarchy = upstream.acts_on();
+                fleet.acts.hierarchy = upstream.acts_on().into();
                 fleet.core.set_versions(&fleet.acts);
                 // Who is ahead though all facts are here has something that is passed on no more.
-                if let Some((of, asking)) = fleet.fetch.next_request(now, &fleet.core.peers_ahead()) {
+                if let Some(SnapshotRequest { peer: of, request_id: asking }) =
+                    fleet.fetch.next_request(now, &fleet.core.peers_ahead())
+                {
                     fleet.core.send_message(
                         &of,
                         WANT_SHAPE,
@@ -598,8 +601,8 @@
         match upstream.adopt(now, whole) {
             Ok(()) => {
                 fleet.adopted += 1;
-                fleet.acts.hierarchy = upstream.acts_on();
-                let (version, digest) = fleet.acts.hierarchy;
+                fleet.acts.hierarchy = upstream.acts_on().into();
+                let HierarchyVersion { version, digest } = fleet.acts.hierarchy;
                 log_line!(version, "fellows: the hierarchy was taken over whole from {from}: version {version}, {digest:016x}");
             }
             Err(why) => log_line!("fellows: the hierarchy of {from} was not taken over: {why}"),
@@ -624,8 +627,9 @@
             state: fleet.straggler.as_ref().map(|behind| behind.core.state()),
             shut_out: fleet.straggler.as_ref().map_or(0, |behind| behind.shut_out),
             account: fleet.audit.as_ref().map(|audit| {
-                let (links, (accounts, copies, bytes)) = audit.kept();
-                (links, accounts as u64, copies as u64, bytes as u64, audit.unsaved)
+                let (links, replicas) = audit.kept();
+                let ReplicaSizes { logs, records, bytes } = replicas;
+                (links, logs as u64, records as u64, bytes as u64, audit.unsaved)
             }),
         }))
     }
--- a/crates/router/src/policy_adapter/events.rs
+++ b/crates/router/src/policy_adapter/events.rs
@@ -4,7 +4,7 @@
     AttemptId, AttemptOutcome, AttemptStatus, CacheStatus, Endpoint, EndpointId, EndpointPhase,
     EndpointUpdate, Event, FillSource, FillSources, LoadReport, ObjectId, RequestId,
 };
-use linnethook_settings::{load, LoadField, Names};
+use linnethook_settings::{load_report, LoadReportField, SettingNames};
 
 use super::{AttemptKey, EndpointKey, Ms, Ticket};
 
@@ -172,9 +172,9 @@
 /// The names of the settings, by which reports are read.
 #[derive(Debug)]
 pub(super) struct ReportNames {
-    pub names: Names,
+    pub names: SettingNames,
     /// The values of load reports, and what the settings call each.
-    pub load_fields: Vec<LoadField>,
+    pub load_fields: Vec<LoadReportField>,
     pub load_names: Vec<String>,
 }
 
@@ -193,7 +193,7 @@
             id: EndpointId(EndpointKey::of(&info.uid).number()),
             cell: info.cell,
             zone: number(&self.names.zones, &info.zone),
-            role: number(&self.names.kinds, &info.kind),
+            role: number(&self.names.roles, &info.kind),
             weight: info.weight,
             started_at: info.started,
             phase: match info.state {
@@ -236,7 +236,7 @@
                 values.push(*value);
             }
         }
-        load(&values, &fields)
+        load_report(&values, &fields)
     }
 }
 
--- a/crates/router/src/policy_adapter/mod.rs
+++ b/crates/router/src/policy_adapter/mod.rs
@@ -15,7 +15,7 @@
     Action, EndpointId, Event, Idempotence, ObjectId, Request, RequestClass, RequestId,
 };
 use linnethook::Policy;
-use linnethook_settings::Told as Settings;
+use linnethook_settings::DecodedSettings;
 pub use linnethook_watch::Counts as ShadowCounts;
 use linnethook_watch::Watch as ShadowPolicy;
 use xxhash_rust::xxh3::xxh3_64;
@@ -105,10 +105,10 @@
 }
 
 impl PolicyAdapter {
-    pub fn new(settings: Settings, seed: u64) -> Self {
+    pub fn new(settings: DecodedSettings, seed: u64) -> Self {
         let names = ReportNames {
             names: settings.names,
-            load_fields: settings.report,
+            load_fields: settings.report_fields,
             load_names: settings.report_names,
         };
         Self {
@@ -125,7 +125,7 @@
     }
 
     /// Counts from now on where these settings would have decided otherwise. It has no other effect.
-    pub fn start_shadow(&mut self, settings: Settings, seed: u64) {
+    pub fn start_shadow(&mut self, settings: DecodedSettings, seed: u64) {
         self.shadow = Some(ShadowPolicy::new(settings.settings, seed));
     }
 
