--- a/src/endpoint_health.rs
+++ b/src/endpoint_health.rs
@@ -14,6 +14,7 @@
     pub base_duration: Ms,
     /// Factor by which the ejection after each failed recovery is longer.
     pub duration_growth: f64,
+    /// Length of the longest ejection.
     pub max_duration: Ms,
     /// Consecutive successes, one request at a time, that complete a recovery.
     pub recovery_successes: u32,
--- a/src/estimators.rs
+++ b/src/estimators.rs
@@ -5,6 +5,7 @@
 /// An exponentially weighted moving average.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Ewma {
+    /// The average.
     pub value: f64,
     /// Number of observations so far.
     pub samples: f64,
@@ -32,6 +33,7 @@
 /// The average over time of a level that changes in steps, with exponential decay of the past.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct TimeWeightedMean {
+    /// The mean up to the last call.
     pub mean: f64,
     updated_at: Ms,
 }
@@ -89,13 +91,16 @@
     pub decrease_interval: Ms,
     /// Added to the limit by each observation that is in time.
     pub increase: f64,
+    /// The limit never falls below this.
     pub min_limit: f64,
+    /// The limit never rises above this.
     pub max_limit: f64,
 }
 
 /// A limit with additive increase and multiplicative decrease (AIMD), driven by late and timely results.
 #[derive(Debug, Clone, Copy)]
 pub struct ConcurrencyLimit {
+    /// The limit at present.
     pub limit: f64,
     late_ratio: f64,
     updated_at: Ms,
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -76,35 +76,53 @@
 pub enum Action {
     /// Forward the request for a fresh cached copy; the endpoint fills nothing.
     Forward {
+        /// The request.
         request: RequestId,
+        /// Where it is sent.
         endpoint: EndpointId,
+        /// Time after which the attempt ends as timed out.
         timeout: Ms,
     },
     /// Forward the request; the endpoint fills a missing copy as instructed.
     ForwardWithFill {
+        /// The request.
         request: RequestId,
+        /// Where it is sent.
         endpoint: EndpointId,
+        /// Time after which the attempt ends as timed out.
         timeout: Ms,
+        /// What the endpoint does without a copy that qualifies.
         fill: FillInstruction,
     },
+    /// Stop waiting for the attempt, which still ends with an event.
     CancelAttempt(AttemptId),
     /// Final answer: the client may safely retry, after `retry_after` (0 means unspecified).
     Reject {
+        /// The request.
         request: RequestId,
+        /// Time after which the client should retry.
         retry_after: Ms,
+        /// The rule that ended the request.
         reason: RejectReason,
     },
     /// Final answer: the request may have been executed, so that a retry is not safe.
     Fail {
+        /// The request.
         request: RequestId,
+        /// The rule that ended the request.
         reason: RejectReason,
     },
+    /// Send an [`Event::Timer`](super::Event::Timer); timers cannot be cancelled.
     SetTimer {
+        /// When it is due.
         at: Ms,
+        /// What the event carries.
         token: u32,
     },
+    /// Check the health of the endpoint.
     HealthCheck(EndpointId),
     /// Have changes of the endpoint list sent from now on.
     SubscribeEndpoints,
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -9,7 +9,12 @@
     Idempotent,
     /// The request carries an idempotency key: endpoints within `scope` drop a repeated execution for
     /// `window` after the first one.
-    WithKey { scope: DeduplicationScope, window: Ms },
+    WithKey {
+        /// The endpoints that recognise the key.
+        scope: DeduplicationScope,
+        /// How long after the first execution they do.
+        window: Ms,
+    },
     /// Each execution takes effect.
     NotIdempotent,
 }
@@ -17,14 +22,18 @@
 /// The endpoints that recognise the same idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
+    /// All endpoints.
     All,
+    /// Those of one zone.
     Zone,
+    /// Those of one cell of a zone.
     Cell,
 }
 
 /// The service objectives and caching rules of one class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestClass {
+    /// Whether its requests may be executed more than once.
     pub idempotence: Idempotence,
     /// Executed at the origin; the answer is never cached.
     pub is_write: bool,
@@ -36,6 +45,7 @@
     pub objective_stretch_ratio: f64,
     /// The time after which an answer is worthless.
     pub deadline: Ms,
+    /// Weight of an answer in time.
     pub priority_weight: f64,
     /// Share of the weight that an answer after the latency objective earns, from 0 to 1.
     pub late_weight_ratio: f64,
@@ -81,6 +91,7 @@
     /// Only how a successful answer was produced.
     HitsOnly,
     #[default]
+    /// Nothing.
     None,
 }
 
@@ -88,8 +99,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SiblingFill {
     #[default]
+    /// None.
     Disabled,
+    /// Caches of the same location.
     SameLocation,
+    /// All caches.
     AnyLocation,
 }
 
@@ -117,21 +131,29 @@
     pub zone: u16,
     /// Request classes by number.
     pub classes: Vec<RequestClass>,
+    /// Resolution of the clock that the router is given.
     pub clock_resolution: Ms,
     /// The endpoint list carries no capacities: all its weights are equal.
     pub weights_unknown: bool,
     /// The endpoint list is sent only to routers that subscribe to it.
     pub subscribe_to_endpoints: bool,
+    /// The most attempts of one request.
     pub max_attempts: u32,
     /// An idempotent request may have several attempts in flight.
     pub parallel_attempts: bool,
+    /// Attempts in flight may be cancelled.
     pub may_cancel: bool,
+    /// Endpoints may be sent health checks.
     pub may_health_check: bool,
     /// A rejection may carry a Retry-After.
     pub supports_retry_after: bool,
+    /// The longest Retry-After.
     pub max_retry_after: Ms,
+    /// Time after the start of a drain in which requests may still arrive.
     pub drain_grace: Ms,
+    /// Slow start of caches.
     pub cache_slow_start: SlowStart,
+    /// Slow start of parents.
     pub parent_slow_start: SlowStart,
     /// The role number of parents; `None` where there are none.
     pub parent_role: Option<u16>,
@@ -141,12 +163,15 @@
     pub flow_kb_per_s: f64,
     /// Capacity of the location's fill link, KB/s; 0 means unknown.
     pub fill_link_kb_per_s: f64,
+    /// Which caches may be the source of a fill.
     pub sibling_fill: SiblingFill,
     /// A request may wait for a fill that is already under way.
     pub coalesces_fills: bool,
     /// A request may be forwarded directly to a parent or the origin.
     pub may_bypass_caches: bool,
+    /// What outcomes report.
     pub outcome_detail: OutcomeDetail,
+    /// Time after a purge in which an older copy may still be served.
     pub purge_grace: Ms,
     /// Time after a purge by which every older copy has been removed.
     pub purge_completion: Ms,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,6 +9,9 @@
 //! - [`hash_ring`], [`bloom_filter`], [`estimators`], [`endpoint_health`], [`purge_log`]: data structures
 //!   without a tuned value; the policy passes every parameter in.
 
+#![warn(missing_docs)]
+#![warn(clippy::missing_errors_doc, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
 pub mod bloom_filter;
 pub mod endpoint_health;
 pub mod estimators;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -6,18 +6,18 @@
 //!
 //! | File | Rules |
 //! | --- | --- |
-//! | [`endpoints`] | the endpoint list and its updates |
-//! | [`request_flow`] | the steps of a request, from its arrival to its final answer |
-//! | [`placement`] | the cache that serves a request: owner, holders of objects in parts, sibling overflow |
-//! | [`fill_source`] | the parent, or the origin, that a missing copy is filled from |
-//! | [`admission`] | load shedding: origin, fill link, crowded caches |
-//! | [`freshness`] | age limits, purges, stale answers |
-//! | [`retry`] | idempotence, retry limits and budget, backoff, the final answer |
-//! | [`attempt_timeout`] | time-outs, overdue and cancelled attempts |
-//! | [`outlier_detection`] | ejection and recovery of failing, slow and silent endpoints |
-//! | [`slow_start`] | limits on endpoints that are warming up |
-//! | [`load_estimate`] | estimates of transfer time, capacity and load |
-//! | [`maintenance`] | what is done periodically, and in which order |
+//! | `endpoints.rs` | the endpoint list and its updates |
+//! | `request_flow.rs` | the steps of a request, from its arrival to its final answer |
+//! | `placement.rs` | the cache that serves a request: owner, holders of objects in parts, sibling overflow |
+//! | `fill_source.rs` | the parent, or the origin, that a missing copy is filled from |
+//! | `admission.rs` | load shedding: origin, fill link, crowded caches |
+//! | `freshness.rs` | age limits, purges, stale answers |
+//! | `retry.rs` | idempotence, retry limits and budget, backoff, the final answer |
+//! | `attempt_timeout.rs` | time-outs, overdue and cancelled attempts |
+//! | `outlier_detection.rs` | ejection and recovery of failing, slow and silent endpoints |
+//! | `slow_start.rs` | limits on endpoints that are warming up |
+//! | `load_estimate.rs` | estimates of transfer time, capacity and load |
+//! | `maintenance.rs` | what is done periodically, and in which order |
 //!
 //! A rejected or failed request names its rule: see
 //! [`RejectReason`](crate::interface::RejectReason).
--- a/src/records.rs
+++ b/src/records.rs
@@ -8,10 +8,13 @@
 /// What is known of a cache, a parent or the origin.
 #[derive(Debug)]
 pub struct EndpointRecord {
+    /// The endpoint.
     pub endpoint: Endpoint,
+    /// Ejection and recovery.
     pub health: EndpointHealth,
     /// Share of requests for cached copies that a cache failed or rejected; of a parent, of the fills.
     pub failure_ratio: Ewma,
+    /// When it last responded.
     pub last_response_at: Ms,
     /// When a connection was last refused while it was not healthy; 0 means not yet.
     pub connect_failed_at: Ms,
@@ -23,6 +26,7 @@
     pub learned_capacity: Ewma,
     /// Attempts of this router in flight.
     pub in_flight: u32,
+    /// Mean of the attempts in flight.
     pub mean_in_flight: TimeWeightedMean,
     /// As a fill source: share of late fills.
     pub late_fill_ratio: Ewma,
@@ -79,13 +83,17 @@
 /// One attempt in flight.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptRecord {
+    /// The endpoint.
     pub endpoint: EndpointId,
     /// Where the endpoint fills from, if it may.
     pub source: Option<EndpointId>,
+    /// When it was sent.
     pub sent_at: Ms,
+    /// Number of the request class.
     pub class: u16,
     /// Transfer time of the answer.
     pub work: Ms,
+    /// The latency objective of its request.
     pub latency_objective: Ms,
     /// The endpoint caches what it fills.
     pub caches_fill: bool,
@@ -108,11 +116,15 @@
 /// A request without a final answer.
 #[derive(Debug)]
 pub struct RequestRecord {
+    /// The request.
     pub request: Request,
     /// Transfer time of the answer.
     pub work: Ms,
+    /// When the client gives up.
     pub deadline: Ms,
+    /// Number of attempts sent.
     pub attempts_sent: u32,
+    /// Number of attempts that have not ended.
     pub attempts_in_flight: u32,
     /// When and where the first attempt was sent that may have been executed.
     pub may_have_executed: Option<(Ms, EndpointId)>,
@@ -126,6 +138,7 @@
     pub fill_denied: Option<RejectReason>,
     /// A random number from 0 up to 1, drawn once, that decides about probabilistic shedding.
     pub draw: f64,
+    /// The client is receiving the answer.
     pub response_started: bool,
 }
 
@@ -152,7 +165,9 @@
 /// Where an attempt is sent, and how a missing copy is filled.
 #[derive(Debug, Clone, Copy)]
 pub struct Route {
+    /// The endpoint.
     pub endpoint: EndpointId,
+    /// How a missing copy is filled; `None` for no fill.
     pub fill: Option<FillInstruction>,
     /// Why a missing copy may not be filled, if it may not.
     pub fill_denied: Option<RejectReason>,
