--- /dev/null
+++ b/crates/audit/src/verification/queries.rs
@@ -0,0 +1,227 @@
+//! Questions to verified logs: who acted on a version, what became of a request, which routers applied an event.
+
+use std::collections::BTreeMap;
+
+use linnethook_membership::hybrid_clock::Timestamp;
+use linnethook_membership::versions::HierarchyVersion;
+use linnethook_membership::Ms;
+use serde::Serialize;
+
+use super::VerifiedLogs;
+use crate::record::{AuditedAction, Span, Tally, WriteAttempt, WriteOutcome};
+
+/// A span with its place.
+#[derive(Debug, Clone, Serialize)]
+pub struct AttributedSpan {
+    /// The router.
+    pub name: String,
+    /// Its incarnation.
+    #[serde(rename = "start")]
+    pub incarnation: u64,
+    /// The number of the record.
+    pub number: u64,
+    /// The span.
+    #[serde(flatten)]
+    pub span: Span,
+}
+
+/// What one router recorded of an attempt of a non-idempotent request.
+#[derive(Debug, Clone, Serialize)]
+pub struct AttemptTrace {
+    /// The router.
+    pub name: String,
+    /// Its incarnation.
+    #[serde(rename = "start")]
+    pub incarnation: u64,
+    /// The name of the node that it was sent to, where it is known.
+    #[serde(rename = "to")]
+    pub target: Option<String>,
+    /// The attempt; `None` where only its outcome is known.
+    pub attempt: Option<WriteAttempt>,
+    /// The outcome; `None` where it is not known.
+    #[serde(rename = "end")]
+    pub outcome: Option<WriteOutcome>,
+    /// The version of the hierarchy that the router acted on.
+    #[serde(rename = "shape")]
+    pub hierarchy_version: u64,
+    /// The router's position in the journal.
+    #[serde(rename = "journal")]
+    pub journal_position: u64,
+}
+
+impl AttemptTrace {
+    fn new(name: &str, incarnation: u64, span: &Span) -> Self {
+        Self {
+            name: name.to_string(),
+            incarnation,
+            target: None,
+            attempt: None,
+            outcome: None,
+            hierarchy_version: span.versions.hierarchy.version,
+            journal_position: span.versions.journal_position,
+        }
+    }
+
+    /// When the attempt was sent, or else when it ended.
+    fn at(&self) -> Option<Timestamp> {
+        let sent_at = self.attempt.as_ref().map(|attempt| attempt.at);
+        sent_at.or(self.outcome.as_ref().map(|outcome| outcome.at))
+    }
+
+    fn is_of(&self, name: &str, incarnation: u64, attempt: u8) -> bool {
+        let is_same_attempt = self.attempt.as_ref().is_some_and(|own| own.attempt == attempt);
+        self.name == name && self.incarnation == incarnation && is_same_attempt
+    }
+}
+
+/// A span without duration still covers its begin.
+const SHORTEST_SPAN_MS: Ms = 1e-3;
+
+impl VerifiedLogs {
+    fn matching_spans<'a>(
+        &'a self,
+        matches: impl Fn(&Span) -> bool + 'a,
+    ) -> impl Iterator<Item = AttributedSpan> + 'a {
+        let matching = self.spans().filter(move |(.., span)| matches(span));
+        matching.map(|(name, incarnation, number, span)| AttributedSpan {
+            name: name.to_string(),
+            incarnation,
+            number,
+            span: span.clone(),
+        })
+    }
+
+    /// The spans in which a router acted on a version: a version or a digest of the hierarchy, or `journal:`, `build:`,
+    /// `operator:` or `settings:` followed by the position, the build or the begin of the digest.
+    pub fn spans_on_version<'a>(&'a self, version: &'a str) -> impl Iterator<Item = AttributedSpan> + 'a {
+        self.matching_spans(move |span| is_on_version(span, version))
+    }
+
+    /// The spans at a time, in Unix milliseconds by the clock of each router.
+    pub fn spans_at(&self, time: Ms) -> impl Iterator<Item = AttributedSpan> + '_ {
+        self.matching_spans(move |span| {
+            let (from, to) = span.wall_clock;
+            (from..to.max(from + SHORTEST_SPAN_MS)).contains(&time)
+        })
+    }
+
+    /// All that is known of the attempts of a non-idempotent request, by time.
+    pub fn attempts_of_request(&self, request_id: &str) -> Vec<AttemptTrace> {
+        let mut traces = Vec::<AttemptTrace>::new();
+        for (name, incarnation, _, span) in self.spans() {
+            let attempts = span.write_attempts.iter().filter(|attempt| attempt.request_id == request_id);
+            traces.extend(attempts.map(|attempt| AttemptTrace {
+                target: node_name(span, attempt.target),
+                attempt: Some(attempt.clone()),
+                ..AttemptTrace::new(name, incarnation, span)
+            }));
+            let outcomes = span.write_outcomes.iter().filter(|outcome| outcome.request_id == request_id);
+            for outcome in outcomes {
+                let trace = traces.iter_mut().find(|trace| trace.is_of(name, incarnation, outcome.attempt));
+                let outcome = Some(outcome.clone());
+                match trace {
+                    Some(trace) => trace.outcome = outcome,
+                    None => {
+                        traces.push(AttemptTrace { outcome, ..AttemptTrace::new(name, incarnation, span) });
+                    }
+                }
+            }
+        }
+        traces.sort_by_key(AttemptTrace::at);
+        traces
+    }
+
+    /// When each incarnation first acted on a version: its name and number, the time that orders events, and its own
+    /// clock.
+    pub fn first_spans_on_version(&self, version: &str) -> Vec<(String, u64, Timestamp, Ms)> {
+        let mut first = BTreeMap::<(String, u64), (Timestamp, Ms)>::new();
+        for AttributedSpan { name, incarnation, span, .. } in self.spans_on_version(version) {
+            let at = (span.from, span.wall_clock.0);
+            let known = first.entry((name, incarnation)).or_insert(at);
+            if at.0 < known.0 {
+                *known = at;
+            }
+        }
+        let flatten = |((name, incarnation), (at, clock))| (name, incarnation, at, clock);
+        let mut all: Vec<(String, u64, Timestamp, Ms)> = first.into_iter().map(flatten).collect();
+        all.sort_by_key(|(.., at, _)| *at);
+        all
+    }
+
+    /// The spans after that time in which a router did something on a hierarchy of another digest.
+    pub fn spans_on_other_hierarchy(&self, digest: u64, since: Timestamp) -> Vec<AttributedSpan> {
+        let is_behind = move |span: &Span| {
+            span.versions.hierarchy.digest != digest && span.from > since && !span.counts.is_empty()
+        };
+        self.matching_spans(is_behind).collect()
+    }
+
+    /// Which routers applied the drain or the purge at a position of the journal: the router, its incarnation, when
+    /// first, and whether the news came from gossip.
+    pub fn journal_event_applied(&self, position: u64) -> Vec<(String, u64, Timestamp, bool)> {
+        let mut all = Vec::new();
+        for (name, incarnation, _, span) in self.spans() {
+            let applied = span.counts.iter().filter_map(|(action, Tally { first, .. })| {
+                let from_gossip = applies_journal_event(action, position)?;
+                Some((name.to_string(), incarnation, *first, from_gossip))
+            });
+            all.extend(applied);
+        }
+        all.sort_by_key(|(.., at, _)| *at);
+        all
+    }
+
+    /// Pairs of routers that filled by two hierarchies at once: their names, and from when to when.
+    pub fn conflicting_hierarchies(&self) -> Vec<(String, String, Timestamp, Timestamp)> {
+        let fills =
+            |span: &Span| span.counts.iter().any(|(action, _)| matches!(action, AuditedAction::Fill { .. }));
+        let spans: Vec<_> = self.spans().filter(|(.., span)| fills(span)).collect();
+        let mut found = BTreeMap::<(String, String), (Timestamp, Timestamp)>::new();
+        for (n, (name, _, _, span)) in spans.iter().enumerate() {
+            for (other_name, _, _, other) in &spans[n + 1..] {
+                let (from, to) = (span.from.max(other.from), span.to.min(other.to));
+                let is_conflict =
+                    span.versions.hierarchy.digest != other.versions.hierarchy.digest && from < to;
+                if name == other_name || !is_conflict {
+                    continue;
+                }
+                let pair = (name.min(other_name).to_string(), name.max(other_name).to_string());
+                let known = found.entry(pair).or_insert((from, to));
+                *known = (known.0.min(from), known.1.max(to));
+            }
+        }
+        found.into_iter().map(|((a, b), (from, to))| (a, b, from, to)).collect()
+    }
+}
+
+fn node_name(span: &Span, id: u64) -> Option<String> {
+    let known = span.node_names.iter().find(|(known, _)| *known == id);
+    known.map(|(_, name)| name.clone())
+}
+
+/// Whether an action applies the drain or the purge at that position of the journal: then whether it came from gossip.
+fn applies_journal_event(action: &AuditedAction, position: u64) -> Option<bool> {
+    match action {
+        AuditedAction::Drain { journal_position, from_gossip, .. }
+        | AuditedAction::Purge { journal_position, from_gossip } => {
+            (*journal_position == position).then_some(*from_gossip)
+        }
+        _ => None,
+    }
+}
+
+fn is_on_version(span: &Span, version: &str) -> bool {
+    let versions = &span.versions;
+    let is_digest = |value: u64, begin: &str| format!("{value:016x}").starts_with(begin);
+    match version.split_once(':') {
+        Some(("journal", position)) => position.parse() == Ok(versions.journal_position),
+        Some(("build", build)) => versions.build == build,
+        Some(("operator", digest)) => is_digest(versions.operator_digest, digest),
+        Some(("settings", digest)) => is_digest(versions.settings_digest, digest),
+        Some(_) => false,
+        None => {
+            let HierarchyVersion { version: number, digest } = versions.hierarchy;
+            version.parse() == Ok(number) || format!("{digest:016x}") == version
+        }
+    }
+}
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -19,6 +19,7 @@
 use linnethook_membership::aggregation::location::Location;
 use linnethook_membership::cluster::Cluster;
 use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::entry::{EntryKey, Purge};
 use linnethook_membership::versions::{ActiveVersions, RouterStatus};
 use linnethook_membership::view::ClusterCounters;
@@ -430,7 +431,8 @@
                 let links = links[node].iter().map(|other| (name(*other), start(*other))).collect();
                 let statement =
                     RouterStatus { versions: acts.clone(), links, leaving: false, location: None };
-                let entry = statement.encode((start(node), 2), MembershipConfig::default().status_version);
+                let entry = statement
+                    .encode(Revision::new(start(node), 2), MembershipConfig::default().status_version);
                 (EntryKey::Router(name(node)).encode(), entry.encode())
             })
             .collect();
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -22,6 +22,7 @@
 use linnethook_membership::cluster::Cluster;
 use linnethook_membership::config::MembershipConfig;
 use linnethook_membership::gossip::entry::EntryKey;
+use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::entry_table::TableLimits;
 use linnethook_membership::hybrid_clock::HybridClock;
 use linnethook_membership::versions::{ActiveVersions, RouterStatus};
@@ -68,7 +69,7 @@
     let entry = |n: usize, number: u64| {
         let links = links[n].iter().map(|other| (name(*other), start(*other))).collect();
         let statement = RouterStatus { versions: acts(number), links, leaving: false, location: None };
-        statement.encode((start(n), number), MembershipConfig::default().status_version).encode()
+        statement.encode(Revision::new(start(n), number), MembershipConfig::default().status_version).encode()
     };
     let bounds = MembershipConfig::default().table_limits;
     let before = resident();
--- a/crates/membership/src/aggregation/tree.rs
+++ b/crates/membership/src/aggregation/tree.rs
@@ -143,7 +143,7 @@
 
     /// Whether a summary is fresh, by this router's clock and by the clock that orders events of several routers.
     pub fn is_fresh(&self, now: Ms, clock: Timestamp, received: &ReceivedSummary) -> bool {
-        let age_by_revision = clock.ms.saturating_sub(received.revision.0) as f64;
+        let age_by_revision = clock.ms.saturating_sub(received.revision.epoch) as f64;
         now - received.received_at < self.validity() && age_by_revision < self.validity()
     }
 
@@ -292,8 +292,8 @@
     ) -> DueReport {
         // Newer than everything that any router has published of the location.
         let known = self.received.get(&location);
-        let after_known = known.map_or(0, |received| received.revision.0.saturating_add(1));
-        let revision = (clock.ms.max(after_known), 0);
+        let after_known = known.map_or(0, |received| received.revision.epoch.saturating_add(1));
+        let revision = Revision::new(clock.ms.max(after_known), 0);
         let report = SummaryReport { reported_by: self.router.clone(), summary: summary.clone() };
         let published = PublishedSummary {
             latest: summary.clone(),
--- a/crates/membership/src/cluster/expiry.rs
+++ b/crates/membership/src/cluster/expiry.rs
@@ -55,7 +55,7 @@
             return;
         };
         let max_age = self.config.timeouts.forget_after + topology.summaries.validity();
-        let is_expired = |revision: Revision| clock.saturating_sub(revision.0) as f64 >= max_age;
+        let is_expired = |revision: Revision| clock.saturating_sub(revision.epoch) as f64 >= max_age;
         let received = topology.summaries.received().iter();
         let expired = received.filter(|(_, summary)| is_expired(summary.revision));
         let expired: Vec<Location> = expired.map(|(location, _)| location.clone()).collect();
--- a/crates/membership/src/cluster/floor.rs
+++ b/crates/membership/src/cluster/floor.rs
@@ -3,6 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::Cluster;
+use crate::gossip::entry::Revision;
 use crate::gossip::entry::{EntryKey, GossipEntry};
 use crate::membership::MemberState;
 use crate::straggler::majority_version;
@@ -17,7 +18,7 @@
     pub fn set_floor(&mut self, now: Ms, version: u64) {
         let at = self.clock.next_timestamp(now);
         let floor = VersionFloor { version, set_by: self.name.clone() };
-        let entry = GossipEntry::new((at.ms, u64::from(at.counter)), FLOOR_BODY_VERSION, &floor);
+        let entry = GossipEntry::new(Revision::new(at.ms, u64::from(at.counter)), FLOOR_BODY_VERSION, &floor);
         self.publish(now, &EntryKey::Floor, entry);
     }
 
@@ -46,8 +47,9 @@
         let status = self.table.get(&EntryKey::Router(name.to_string()).encode())?;
         let mut versions = RouterStatus::decode(status)?.versions;
         let update = self.table.get(&EntryKey::VersionUpdate(name.to_string()).encode());
-        let update = update
-            .filter(|update| update.revision > status.revision && update.revision.0 == status.revision.0);
+        let update = update.filter(|update| {
+            update.revision > status.revision && update.revision.epoch == status.revision.epoch
+        });
         if let Some(update) = update.and_then(GossipEntry::decode_body::<VersionUpdate>) {
             update.apply_to(&mut versions);
         }
--- a/crates/membership/src/cluster/publish.rs
+++ b/crates/membership/src/cluster/publish.rs
@@ -35,13 +35,13 @@
 
     /// Publishes the state of a cache as the own journal has it.
     pub fn publish_cache(&mut self, now: Ms, name: &str, status: CacheStatus, journal_position: u64) {
-        let entry = GossipEntry::new((journal_position, 0), BODY_VERSION, &status);
+        let entry = GossipEntry::new(Revision::new(journal_position, 0), BODY_VERSION, &status);
         self.publish(now, &EntryKey::Cache(name.to_string()), entry);
     }
 
     /// Publishes a purge of the own journal.
     pub fn publish_purge(&mut self, now: Ms, key: &EntryKey, purge: Purge) {
-        let revision = (micros(purge.issued_at), purge.journal_position);
+        let revision = Revision::new(micros(purge.issued_at), purge.journal_position);
         self.publish(now, key, GossipEntry::new(revision, BODY_VERSION, &purge));
     }
 
@@ -54,7 +54,7 @@
         issued_at: u64,
         body: Vec<u8>,
     ) -> bool {
-        let entry = GossipEntry { revision: (issued_at, 0), body_version: BODY_VERSION, body };
+        let entry = GossipEntry { revision: Revision::new(issued_at, 0), body_version: BODY_VERSION, body };
         self.publish(now, &EntryKey::Batch(author, number), entry)
     }
 
@@ -104,7 +104,7 @@
 
     fn next_status_revision(&mut self) -> Revision {
         self.status_number += 1;
-        (self.incarnation, self.status_number)
+        Revision::new(self.incarnation, self.status_number)
     }
 
     /// Publishes the fast-changing versions of a router with a location, if they are due.
--- a/crates/membership/src/cluster/receive.rs
+++ b/crates/membership/src/cluster/receive.rs
@@ -5,6 +5,7 @@
 use crate::aggregation::location::Location;
 use crate::aggregation::scope::LinkHandshake;
 use crate::aggregation::summary::SummaryReport;
+use crate::gossip::entry::Revision;
 use crate::gossip::entry::{urgency, EntryKey, GossipEntry};
 use crate::gossip::entry_table::{InsertOutcome, PartitionDigests};
 use crate::gossip::plumtree::{decode_digests, Digest};
@@ -101,7 +102,7 @@
             EntryKey::Cache(name) => entry.decode_body().map(|status| ClusterAction::CacheChanged {
                 name,
                 status,
-                journal_position: entry.revision.0,
+                journal_position: entry.revision.epoch,
             }),
             EntryKey::Object(_) | EntryKey::Group(_) => {
                 entry.decode_body().map(|purge| ClusterAction::Purged { key, purge })
@@ -122,7 +123,7 @@
     // Statuses and version updates.
 
     fn handle_status(&mut self, now: Ms, from: &str, key: &[u8], name: &str, entry: GossipEntry) {
-        let incarnation = entry.revision.0;
+        let incarnation = entry.revision.epoch;
         if name == self.name {
             // Nothing else that arrives of this router itself counts.
             if incarnation > self.incarnation && !self.names.is_rejected(name, incarnation) {
@@ -183,7 +184,7 @@
     fn handle_version_update(&mut self, now: Ms, from: &str, key: &[u8], name: &str, entry: GossipEntry) {
         let status_key = EntryKey::Router(name.to_string()).encode();
         let status = self.table.get(&status_key);
-        let has_status = status.is_some_and(|status| status.revision.0 == entry.revision.0);
+        let has_status = status.is_some_and(|status| status.revision.epoch == entry.revision.epoch);
         // Between locations, a router without a status here is of another site, or its status is on its way.
         if name == self.name || !has_status && self.topology.is_some() {
             return;
@@ -202,10 +203,10 @@
         };
         let status = self.table.get(&EntryKey::Router(name.to_string()).encode());
         let is_newer = status.is_some_and(|status| {
-            status.revision < update.revision && status.revision.0 == update.revision.0
+            status.revision < update.revision && status.revision.epoch == update.revision.epoch
         });
         if let Some(body) = update.decode_body::<VersionUpdate>().filter(|_| is_newer) {
-            self.members.apply_version_update(name, update.revision.0, &body);
+            self.members.apply_version_update(name, update.revision.epoch, &body);
         }
     }
 
@@ -230,7 +231,7 @@
         self.emit(ClusterEvent::NameConflict { incarnation });
         self.names.reject(&self.name, incarnation);
         let holder = NameHolder { incarnation: self.incarnation };
-        let entry = GossipEntry::new((incarnation, 0), 1, &holder);
+        let entry = GossipEntry::new(Revision::new(incarnation, 0), 1, &holder);
         self.publish(now, &EntryKey::NameConflict(self.name.clone()), entry);
         // Routers that drop the other incarnation's status need this one's again.
         self.status_changed = true;
@@ -240,7 +241,7 @@
     }
 
     fn handle_name_conflict(&mut self, now: Ms, from: &str, key: &[u8], name: &str, entry: GossipEntry) {
-        let rejected = entry.revision.0;
+        let rejected = entry.revision.epoch;
         let Some(NameHolder { incarnation: holder }) = entry.decode_body() else {
             self.counters.unreadable += 1;
             return;
@@ -257,7 +258,7 @@
         }
         self.names.reject(name, rejected);
         let status_key = EntryKey::Router(name.to_string()).encode();
-        if self.table.get(&status_key).is_some_and(|status| status.revision.0 == rejected) {
+        if self.table.get(&status_key).is_some_and(|status| status.revision.epoch == rejected) {
             self.table.remove(&status_key);
             self.table.remove(&EntryKey::VersionUpdate(name.to_string()).encode());
             self.members.remove_incarnation(name, rejected);
@@ -280,7 +281,7 @@
             return;
         };
         let depth = location.depth().saturating_sub(1);
-        let age = self.clock.last().ms.saturating_sub(entry.revision.0) as f64;
+        let age = self.clock.last().ms.saturating_sub(entry.revision.epoch) as f64;
         let max_age = self.config.timeouts.forget_after + topology.summaries.validity();
         if topology.location().common_depth(&location) < depth || age >= max_age {
             self.counters.out_of_scope += 1;
--- a/crates/membership/src/cluster/report.rs
+++ b/crates/membership/src/cluster/report.rs
@@ -87,6 +87,6 @@
     /// The known state of a cache, and its position in the journal.
     pub fn cache_status(&self, name: &str) -> Option<(CacheStatus, u64)> {
         let entry = self.table.get(&EntryKey::Cache(name.to_string()).encode())?;
-        Some((entry.decode_body()?, entry.revision.0))
+        Some((entry.decode_body()?, entry.revision.epoch))
     }
 }
--- a/crates/membership/src/gossip/entry.rs
+++ b/crates/membership/src/gossip/entry.rs
@@ -65,9 +65,26 @@
     EntryKey::urgency(EntryKey::decode(key).as_ref())
 }
 
-/// Which of several entries of a key is newer: an incarnation, a position in the journal or a time first, then a number
-/// that orders entries of the same one.
-pub type Revision = (u64, u64);
+/// Which of several entries of a key is newer. Revisions are ordered by epoch and then by sequence.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
+pub struct Revision {
+    /// An incarnation, a position in the journal or a time, by the key's kind.
+    pub epoch: u64,
+    /// Orders entries of the same epoch.
+    pub sequence: u64,
+}
+
+impl Revision {
+    /// The revision of that epoch and sequence.
+    pub const fn new(epoch: u64, sequence: u64) -> Self {
+        Self { epoch, sequence }
+    }
+
+    /// The revision as bytes that digests are made of.
+    pub(crate) fn to_bytes(self) -> Vec<u8> {
+        [self.epoch.to_le_bytes(), self.sequence.to_le_bytes()].concat()
+    }
+}
 
 /// An entry as it travels.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/membership/src/gossip/entry_table.rs
+++ b/crates/membership/src/gossip/entry_table.rs
@@ -74,9 +74,8 @@
 }
 
 fn digest(key: &[u8], entry: &GossipEntry) -> u64 {
-    let (first, second) = entry.revision;
-    let revision = [first.to_le_bytes(), second.to_le_bytes()].concat();
-    xxh3_64_with_seed(&entry.body, xxh3_64_with_seed(&revision, xxh3_64(key)))
+    let revision_digest = xxh3_64_with_seed(&entry.revision.to_bytes(), xxh3_64(key));
+    xxh3_64_with_seed(&entry.body, revision_digest)
 }
 
 fn is_unknown_kind(key: &[u8]) -> bool {
--- a/crates/membership/src/gossip/plumtree.rs
+++ b/crates/membership/src/gossip/plumtree.rs
@@ -114,9 +114,8 @@
     xxh3_64(key) as Digest
 }
 
-fn entry_digest(key: &[u8], (first, second): Revision) -> Digest {
-    let revision = [first.to_le_bytes(), second.to_le_bytes()].concat();
-    xxh3_64_with_seed(&revision, xxh3_64(key)) as Digest
+fn entry_digest(key: &[u8], revision: Revision) -> Digest {
+    xxh3_64_with_seed(&revision.to_bytes(), xxh3_64(key)) as Digest
 }
 
 /// Digests as the body of a message.
--- a/crates/membership/tests/entry_table.rs
+++ b/crates/membership/tests/entry_table.rs
@@ -1,11 +1,12 @@
 //! The table of facts: the newest of each, whatever the order, and gaps by digests.
 
+use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
 use linnethook_membership::gossip::entry_table::{EntryTable, InsertOutcome, TableLimits, PARTITIONS};
 use proptest::prelude::*;
 
 fn entry(order: u64, body: u8) -> GossipEntry {
-    GossipEntry { revision: (order, 0), body_version: 1, body: vec![body] }
+    GossipEntry { revision: Revision::new(order, 0), body_version: 1, body: vec![body] }
 }
 
 proptest! {
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -14,7 +14,7 @@
     Progress, Summary, SummaryReport, ValueRange, VersionGroup,
 };
 use linnethook_membership::config::MembershipConfig;
-use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, GossipEntry, Purge};
+use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, GossipEntry, Purge, Revision};
 use linnethook_membership::gossip::entry_table::{PartitionDigests, PARTITIONS};
 use linnethook_membership::gossip::plumtree;
 use linnethook_membership::hybrid_clock::Timestamp;
@@ -91,7 +91,7 @@
 }
 
 fn entries() -> Vec<(&'static str, GossipEntry)> {
-    let order = (1 << 33, 300);
+    let order = Revision::new(1 << 33, 300);
     let at = |text| Some(place(text));
     vec![
         ("status_version_1", statement(None).encode(order, 1)),
@@ -364,7 +364,7 @@
             30 if runs => net.core(at).set_floor(now, n / 60),
             40 if runs => {
                 let (name, start) = (net.nodes[at].name.clone(), net.nodes[at].start + 5);
-                let entry = RouterStatus::default().encode((start, 1), 2).encode();
+                let entry = RouterStatus::default().encode(Revision::new(start, 1), 2).encode();
                 let from = net.nodes[net.linked(at)[0]].name.clone();
                 net.core(at).receive(now, &from, &EntryKey::Router(name).encode(), &entry);
             }
--- a/crates/membership/tests/locations.rs
+++ b/crates/membership/tests/locations.rs
@@ -10,6 +10,7 @@
 use linnethook_membership::aggregation::query::QueryTarget;
 use linnethook_membership::aggregation::summary::{Summary, SummaryReport, VersionGroup};
 use linnethook_membership::config::MembershipConfig;
+use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, GossipEntry};
 use linnethook_membership::membership::MemberState;
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
@@ -594,7 +595,7 @@
         SummaryReport { reported_by: "r0".to_string(), summary: Summary { alive: 5, ..Summary::default() } };
     for _ in 0..5 {
         let (now, key) = (net.now, EntryKey::Summary(place.clone()).encode());
-        let entry = GossipEntry::new((now as u64 + 200, 0), 1, &told);
+        let entry = GossipEntry::new(Revision::new(now as u64 + 200, 0), 1, &told);
         // As if over the link that it had.
         let at = net.linked(0).into_iter().find(|n| *n < 5).expect("a fellow");
         let name = net.nodes[at].name.clone();
--- a/crates/membership/tests/plumtree.rs
+++ b/crates/membership/tests/plumtree.rs
@@ -9,6 +9,7 @@
 use linnethook_membership::aggregation::scope::LinkHandshake;
 use linnethook_membership::config::MembershipConfig;
 use linnethook_membership::gossip::entry::EntryKey;
+use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::plumtree::{
     decode_digests, encode_digests, Plumtree, PlumtreeConfig, PlumtreeMessages,
 };
@@ -40,9 +41,9 @@
 #[test]
 fn a_link_is_pruned_for_the_key_that_comes_twice_over_it_and_the_one_it_came_over_first_never_is() {
     let mut tree = three();
-    tree.record_new(0.0, KEY, (1, 1), Some("a"));
-    tree.record_duplicate("b", KEY, (1, 1));
-    tree.record_duplicate("a", KEY, (1, 1));
+    tree.record_new(0.0, KEY, Revision::new(1, 1), Some("a"));
+    tree.record_duplicate("b", KEY, Revision::new(1, 1));
+    tree.record_duplicate("a", KEY, Revision::new(1, 1));
     assert_eq!(
         [tree.is_lazy("a", KEY), tree.is_lazy("b", KEY), tree.is_lazy("c", KEY)],
         [false, true, false]
@@ -56,12 +57,12 @@
     there.handle_prune("a", &pruned);
     assert!(there.is_lazy("a", KEY) && !there.is_lazy("a", OTHER));
     // Next it comes over the pruned link first, which was on its way: the one before stays.
-    tree.record_new(1.0, KEY, (1, 2), Some("b"));
+    tree.record_new(1.0, KEY, Revision::new(1, 2), Some("b"));
     assert!(!tree.is_lazy("b", KEY), "what a fact comes over first is eager");
     // The first of both goes down: what comes over another one twice does not prune the only one left.
-    tree.record_new(2.0, KEY, (1, 3), Some("a"));
+    tree.record_new(2.0, KEY, Revision::new(1, 3), Some("a"));
     tree.remove_link("a");
-    tree.record_duplicate("c", KEY, (1, 3));
+    tree.record_duplicate("c", KEY, Revision::new(1, 3));
     assert!(!tree.is_lazy("c", KEY));
 }
 
@@ -69,8 +70,8 @@
 fn a_link_to_a_build_without_lazy_links_is_never_pruned_and_told_nothing_of_them() {
     let mut tree = three();
     tree.set_lazy_support("b", false);
-    tree.record_new(0.0, KEY, (1, 1), Some("a"));
-    tree.record_duplicate("b", KEY, (1, 1));
+    tree.record_new(0.0, KEY, Revision::new(1, 1), Some("a"));
+    tree.record_duplicate("b", KEY, Revision::new(1, 1));
     tree.handle_prune("b", &[1, 2, 3]);
     tree.handle_ihave(0.0, "b", &[7]);
     tree.tick(10_000.0);
@@ -84,10 +85,10 @@
 fn a_fact_of_which_only_digests_come_is_asked_for_at_one_after_another() {
     let rule = PlumtreeConfig::default();
     let (mut here, mut there) = (three(), three());
-    there.record_new(0.0, KEY, (1, 1), Some("c"));
-    there.record_duplicate("a", KEY, (1, 1));
-    there.record_new(10.0, KEY, (1, 2), Some("c"));
-    there.queue_ihave("a", KEY, (1, 2));
+    there.record_new(0.0, KEY, Revision::new(1, 1), Some("c"));
+    there.record_duplicate("a", KEY, Revision::new(1, 1));
+    there.record_new(10.0, KEY, Revision::new(1, 2), Some("c"));
+    there.queue_ihave("a", KEY, Revision::new(1, 2));
     assert_eq!(there.links_with_messages(10.0), ["a"]);
     let have = words(&mut there, "a").ihave;
     assert_eq!(have.len(), 1);
@@ -106,8 +107,8 @@
     assert_eq!(there.handle_graft("a", &graft), [KEY.to_vec()]);
     assert!(!there.is_lazy("a", KEY));
     // What is here is not asked for, nor told to whom has it.
-    here.record_new(1_000.0, KEY, (1, 2), Some("b"));
-    here.queue_ihave("a", KEY, (1, 2));
+    here.record_new(1_000.0, KEY, Revision::new(1, 2), Some("b"));
+    here.queue_ihave("a", KEY, Revision::new(1, 2));
     here.handle_ihave(1_001.0, "a", &have);
     here.tick(5_000.0);
     assert!(words(&mut here, "a").is_empty());
@@ -125,19 +126,19 @@
 fn what_is_kept_of_digests_has_a_bound_and_an_end() {
     let mut tree = three();
     for n in 0..20_000u32 {
-        tree.record_new(f64::from(n) / 1_000.0, &n.to_le_bytes(), (1, 1), Some("a"));
+        tree.record_new(f64::from(n) / 1_000.0, &n.to_le_bytes(), Revision::new(1, 1), Some("a"));
         tree.handle_ihave(0.0, "b", &[n.wrapping_mul(0x9e37_79b9)]);
         tree.handle_prune("c", &[n]);
     }
     let kept = tree.sizes();
     assert!(kept.seen <= 8_192 && kept.missing <= 4_096 && kept.lazy <= 4_096, "{kept:?}");
-    tree.record_new(1_000_000.0, KEY, (1, 1), None);
+    tree.record_new(1_000_000.0, KEY, Revision::new(1, 1), None);
     // What is not kept any more leaves nothing, and what nobody else has is given up.
-    tree.record_new(1_000_000.0, OTHER, (1, 1), Some("a"));
+    tree.record_new(1_000_000.0, OTHER, Revision::new(1, 1), Some("a"));
     tree.remove_link("c");
     tree.add_link("c");
     tree.set_lazy_support("c", true);
-    tree.record_duplicate("c", OTHER, (1, 1));
+    tree.record_duplicate("c", OTHER, Revision::new(1, 1));
     assert!(tree.is_lazy("c", OTHER));
     tree.forget(OTHER);
     assert!(!tree.is_lazy("c", OTHER));
--- a/crates/membership/tests/summary.rs
+++ b/crates/membership/tests/summary.rs
@@ -5,6 +5,7 @@
 use linnethook_membership::aggregation::location::Location;
 use linnethook_membership::aggregation::summary::{Summary, VersionGroup, MAX_GROUPS, MAX_NAMED_STRAGGLERS};
 use linnethook_membership::aggregation::tree::{AggregationConfig, SummaryTree};
+use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::hybrid_clock::Timestamp;
 use linnethook_membership::membership::MemberState;
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
@@ -137,7 +138,7 @@
                 let summary = Summary { alive: order * 10 + site as u64, ..Summary::default() };
                 let told = linnethook_membership::aggregation::summary::SummaryReport { reported_by: format!("r{site}"), summary };
                 let place = Location::parse(&format!("n/s{site}")).expect("a place");
-                tree.receive(5.0, place, told, (order, 0));
+                tree.receive(5.0, place, told, Revision::new(order, 0));
             }
         }
         let north = Location::parse("n").expect("a place");
--- a/crates/membership/tests/versions.rs
+++ b/crates/membership/tests/versions.rs
@@ -1,6 +1,7 @@
 //! The form of facts, and what builds of other versions read of it.
 
 use linnethook_membership::aggregation::location::Location;
+use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion, RouterStatus};
 use serde::Deserialize;
@@ -33,9 +34,9 @@
 #[test]
 fn an_older_version_is_read_with_what_it_lacks_left_out_and_a_newer_one_as_far_as_it_is_known() {
     let all = statement();
-    let second = all.encode((1, 2), 2);
+    let second = all.encode(Revision::new(1, 2), 2);
     assert_eq!(RouterStatus::decode(&second), Some(all.clone()));
-    let first = RouterStatus::decode(&all.encode((1, 2), 1)).expect("version 1");
+    let first = RouterStatus::decode(&all.encode(Revision::new(1, 2), 1)).expect("version 1");
     assert_eq!(
         (first.versions.drains_applied, first.versions.purges_applied, first.versions.journal_position),
         (0, 0, 5)
@@ -44,7 +45,7 @@
     assert!(second.decode_body::<First>().is_some_and(|first| first.journal == 5 && first.leaving));
     let placed =
         RouterStatus { location: Some(Location::parse("north/z1/s2").expect("a place")), ..all.clone() };
-    let third = placed.encode((1, 2), 2);
+    let third = placed.encode(Revision::new(1, 2), 2);
     assert_eq!(third.body_version, 3);
     assert!(third.decode_body::<First>().is_some_and(|first| first.journal == 5 && first.leaving));
     assert!(third.body.starts_with(&second.body));
@@ -52,14 +53,17 @@
     fourth.body.extend([1, 2, 3]);
     assert_eq!(RouterStatus::decode(&fourth), Some(placed.clone()));
     // Without a place nothing changes, and an older version has none.
-    assert_eq!(RouterStatus::decode(&placed.encode((1, 2), 1)).and_then(|first| first.location), None);
-    assert_eq!(all.encode((1, 2), 2).body_version, 2);
+    assert_eq!(
+        RouterStatus::decode(&placed.encode(Revision::new(1, 2), 1)).and_then(|first| first.location),
+        None
+    );
+    assert_eq!(all.encode(Revision::new(1, 2), 2).body_version, 2);
 }
 
 #[test]
 fn what_is_cut_short_or_of_an_unknown_kind_is_nothing() {
     let placed = RouterStatus { location: Some(Location::parse("north").expect("a place")), ..statement() };
-    for entry in [statement().encode((1, 2), 2), placed.encode((1, 2), 2)] {
+    for entry in [statement().encode(Revision::new(1, 2), 2), placed.encode(Revision::new(1, 2), 2)] {
         for length in 0..entry.body.len() {
             let cut = GossipEntry { body: entry.body[..length].to_vec(), ..entry.clone() };
             assert_eq!(RouterStatus::decode(&cut), None, "{length}");
