--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -2,7 +2,7 @@
 //! so delay) some of it, are cut, and are found to be silent after a while.
 //!
 //! What is simulated: links, their pulse, and a state that is told whole to whoever connects. One seed, one run.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/operator-config/src/functions/cluster.rs
+++ b/crates/operator-config/src/functions/cluster.rs
@@ -9,7 +9,7 @@
 use starlark::starlark_module;
 use starlark::values::none::NoneType;
 
-use super::{set_once, FellowsCall};
+use super::{set_once, ClusterCall};
 use crate::arguments::{Arguments, KeywordValues};
 use crate::config::{AuditSection, StragglerSection};
 use crate::evaluation::{call_position, with_collected};
@@ -35,8 +35,8 @@
             return Err(anyhow::anyhow!("fellows(): expected frozen up to suspect"));
         }
         let position = call_position(eval);
-        let call = FellowsCall { parameters, place };
-        with_collected(|calls| set_once(&mut calls.fellows, position, "fellows()", call))?;
+        let call = ClusterCall { parameters, place };
+        with_collected(|calls| set_once(&mut calls.cluster, position, "fellows()", call))?;
         Ok(NoneType)
     }
 
--- a/crates/operator-config/src/functions/mod.rs
+++ b/crates/operator-config/src/functions/mod.rs
@@ -38,7 +38,7 @@
     pub(crate) gateway: Option<Located<GatewayCall>>,
     pub(crate) sites: Vec<Located<SiteConfig>>,
     pub(crate) links: Vec<Located<LinkConfig>>,
-    pub(crate) fellows: Option<Located<FellowsCall>>,
+    pub(crate) cluster: Option<Located<ClusterCall>>,
     pub(crate) audit: Option<Located<AuditSection>>,
     pub(crate) straggler: Option<Located<StragglerSection>>,
     pub(crate) changes: Vec<ChangeSpec>,
@@ -59,7 +59,7 @@
 }
 
 #[derive(Debug)]
-pub(crate) struct FellowsCall {
+pub(crate) struct ClusterCall {
     pub(crate) parameters: MembershipConfig,
     pub(crate) place: Option<Location>,
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -9,7 +9,14 @@
 //!
 //! A file is used whole or not at all: the first error, with its position, is the only result of an invalid file.
 
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
 
 pub mod arguments;
 pub mod changes;
--- a/crates/operator-config/src/validation.rs
+++ b/crates/operator-config/src/validation.rs
@@ -7,7 +7,7 @@
     StragglerSection,
 };
 use crate::error::{ConfigError, Position};
-use crate::functions::{CollectedCalls, FellowsCall, GatewayCall, HierarchyCall, Located};
+use crate::functions::{ClusterCall, CollectedCalls, GatewayCall, HierarchyCall, Located};
 
 /// What is invalid, and the call that it is about.
 struct Invalid {
@@ -31,7 +31,7 @@
 
 fn assemble(calls: CollectedCalls) -> Result<OperatorConfig, Invalid> {
     let hierarchy = hierarchy(calls.hierarchy, calls.nodes)?;
-    let cluster = cluster(calls.fellows, calls.audit, calls.straggler)?;
+    let cluster = cluster(calls.cluster, calls.audit, calls.straggler)?;
     let gateway = gateway(calls.gateway, calls.sites, calls.links, cluster)?;
     Ok(OperatorConfig {
         control_socket: calls.control.map(|control| control.value),
@@ -71,11 +71,11 @@
 }
 
 fn cluster(
-    fellows: Option<Located<FellowsCall>>,
+    call: Option<Located<ClusterCall>>,
     audit: Option<Located<AuditSection>>,
     straggler: Option<Located<StragglerSection>>,
 ) -> Result<Option<Located<ClusterSection>>, Invalid> {
-    let Some(Located { position, value: FellowsCall { parameters, place } }) = fellows else {
+    let Some(Located { position, value: ClusterCall { parameters, place } }) = call else {
         return match (audit, straggler) {
             (Some(audit), _) => Err(requires(audit.position, "audit()", "fellows()")),
             (None, Some(straggler)) => Err(requires(straggler.position, "straggler()", "fellows()")),
@@ -130,8 +130,8 @@
 ) -> Option<(Position, &'static str)> {
     let site = sites.first().map(|site| (site.position, "site()"));
     let link = links.first().map(|link| (link.position, "link()"));
-    let fellows = cluster.map(|cluster| (cluster.position, "fellows()"));
-    site.or(link).or(fellows)
+    let cluster = cluster.map(|cluster| (cluster.position, "fellows()"));
+    site.or(link).or(cluster)
 }
 
 /// Names of sites are unique, the own one included, and a class has one home.
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -10,7 +10,14 @@
 //! Nothing here reads a clock or a random generator. A snapshot holds hints, which may be stale or missing; only the
 //! record log makes a durability guarantee.
 
-#![warn(missing_docs)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
 
 pub mod decay;
 pub mod file_store;
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! The router as a process, between stand-ins for all that it talks to.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 pub mod shut;
 pub mod timed;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! A small world for the module's tests: one location of three caches, two parents and an origin.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use linnethook::interface::*;
 use linnethook::Policy;
