--- a/crates/router/src/decider.rs
+++ b/crates/router/src/decider.rs
@@ -13,8 +13,8 @@
 };
 use linnethook::Policy;
 use linnethook_settings::{load_report, DecodedSettings, LoadReportField, SettingNames};
-pub use linnethook_watch::Counts as Watched;
-use linnethook_watch::Watch;
+pub use linnethook_shadow_policy::DifferenceCounts as Watched;
+use linnethook_shadow_policy::{DueTimer, ShadowPolicy};
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Milliseconds, on the clock of the process.
@@ -247,7 +247,7 @@
     /// By time, in microseconds.
     timers: BTreeSet<(u64, u32)>,
     /// What other settings would decide; nothing where that is not asked.
-    watch: Option<Watch>,
+    watch: Option<ShadowPolicy>,
 }
 
 impl Decider {
@@ -269,11 +269,11 @@
 
     /// Counts from now on where these settings would have decided otherwise. It has no other effect.
     pub fn watch(&mut self, told: DecodedSettings, seed: u64) {
-        self.watch = Some(Watch::new(told.settings, seed));
+        self.watch = Some(ShadowPolicy::new(told.settings, seed));
     }
 
     pub fn watched(&self) -> Option<Watched> {
-        self.watch.as_ref().map(Watch::counts)
+        self.watch.as_ref().map(ShadowPolicy::counts)
     }
 
     /// Whether the settings tell of the class that is asked for.
@@ -374,7 +374,7 @@
         let mut orders = Vec::new();
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= micros(now)) {
             self.timers.remove(&(at, token));
-            orders.extend(self.tell_due(now, &Event::Timer(token), Some((at, token))));
+            orders.extend(self.tell_due(now, &Event::Timer(token), Some(DueTimer { at_us: at, token })));
         }
         orders.extend(self.timers.first().map(|(at, _)| Order::WakeAt(*at as Ms / 1000.0)));
         orders
@@ -447,10 +447,10 @@
     }
 
     /// A timer comes with when it was due.
-    fn tell_due(&mut self, now: Ms, event: &Event, due: Option<(u64, u32)>) -> Vec<Order> {
+    fn tell_due(&mut self, now: Ms, event: &Event, due: Option<DueTimer>) -> Vec<Order> {
         let actions = self.policy.handle(now, event);
         if let Some(watch) = &mut self.watch {
-            watch.see(now, event, due, &actions);
+            watch.observe(now, event, due, &actions);
         }
         let mut orders = Vec::with_capacity(actions.len());
         for action in actions {
--- a/crates/watch/tests/watch.rs
+++ b/crates/shadow-policy/tests/shadow_policy.rs
@@ -1,11 +1,11 @@
-//! The second instance beside the one that decides: counts worked out by hand, equal settings, bounds, failure.
+//! The second instance beside the one that decides: expected counts, equal settings, bounds, panics.
 
 use linnethook::hash_ring::hash_pair;
 use linnethook::interface::*;
 use linnethook::Policy;
-use linnethook_watch::hearing::Hearing;
-use linnethook_watch::watch::{Decides, Due};
-use linnethook_watch::{Counts, Watch};
+use linnethook_shadow_policy::shadow::{DecisionModule, RecordCounts};
+use linnethook_shadow_policy::visibility::EventVisibility;
+use linnethook_shadow_policy::{DifferenceCounts, DueTimer, ShadowPolicy};
 use proptest::prelude::*;
 
 const CACHES: [EndpointId; 3] = [EndpointId(11), EndpointId(12), EndpointId(13)];
@@ -50,12 +50,12 @@
     Endpoint { id, cell: 0, zone, role: kind, weight: 8.0, started_at: 0.0, phase: EndpointPhase::Ready }
 }
 
-/// A router in small: the instance that decides, its timers, and the watch beside it.
+/// A small router: the instance that decides, its timers, and the shadow policy beside it.
 struct Router {
     policy: Policy,
-    watch: Option<Watch>,
+    shadow: Option<ShadowPolicy>,
     now: Ms,
-    timers: Vec<Due>,
+    timers: Vec<DueTimer>,
     out: Vec<(AttemptId, EndpointId)>,
     sent: std::collections::BTreeMap<RequestId, u8>,
     actions: Vec<Action>,
@@ -63,10 +63,10 @@
 }
 
 impl Router {
-    fn new(watched: Option<Settings>) -> Self {
+    fn new(shadow: Option<Settings>) -> Self {
         let mut router = Self {
             policy: Policy::new(settings(), 7),
-            watch: watched.map(|settings| Watch::new(settings, 7)),
+            shadow: shadow.map(|settings| ShadowPolicy::new(settings, 7)),
             now: 100_000.0,
             timers: Vec::new(),
             out: Vec::new(),
@@ -79,10 +79,10 @@
         router
     }
 
-    fn tell(&mut self, event: &Event, due: Option<Due>) {
+    fn tell(&mut self, event: &Event, due: Option<DueTimer>) {
         let actions = self.policy.handle(self.now, event);
-        if let Some(watch) = &mut self.watch {
-            watch.see(self.now, event, due, &actions);
+        if let Some(shadow) = &mut self.shadow {
+            shadow.observe(self.now, event, due, &actions);
         }
         for action in &actions {
             match action {
@@ -92,7 +92,7 @@
                     self.out.push((AttemptId { request: *request, number: *number }, *cache));
                     *number += 1;
                 }
-                Action::SetTimer { at, token } => self.timers.push(((at * 1000.0) as u64, *token)),
+                Action::SetTimer { at, token } => self.timers.push(DueTimer::new(*at, *token)),
                 _ => {}
             }
         }
@@ -102,9 +102,9 @@
     fn pass(&mut self, length: Ms) {
         self.now += length;
         let now = (self.now * 1000.0) as u64;
-        while let Some(&due) = self.timers.iter().min().filter(|due| due.0 <= now) {
+        while let Some(&due) = self.timers.iter().min().filter(|due| due.at_us <= now) {
             self.timers.retain(|other| *other != due);
-            self.tell(&Event::Timer(due.1), Some(due));
+            self.tell(&Event::Timer(due.token), Some(due));
         }
     }
 
@@ -143,14 +143,14 @@
         self.tell(&Event::AttemptFinished(outcome), None);
     }
 
-    fn counts(&self) -> Counts {
-        self.watch.as_ref().expect("a watch").counts()
+    fn counts(&self) -> DifferenceCounts {
+        self.shadow.as_ref().expect("a shadow policy").counts()
     }
 }
 
 /// Ten requests are served, two fail once and are served then, and three are asked for with no cache left.
-fn scripted(watched: Settings) -> Router {
-    let mut router = Router::new(Some(watched));
+fn scripted(shadow: Settings) -> Router {
+    let mut router = Router::new(Some(shadow));
     for object in 0..10 {
         router.ask(object);
         router.end(AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
@@ -172,34 +172,34 @@
 #[test]
 fn equal_settings_count_no_difference() {
     let counts = scripted(settings()).counts();
-    assert_eq!(counts, Counts { compared: 17, ..Counts::default() });
+    assert_eq!(counts, DifferenceCounts { compared: 17, ..DifferenceCounts::default() });
 }
 
 /// Each of the twelve first attempts joins fills here and would not there; what comes after is no longer compared.
 #[test]
-fn another_way_of_filling_is_counted_once_a_request() {
+fn another_fill_instruction_is_counted_once_per_request() {
     let counts = scripted(Settings { coalesces_fills: true, ..settings() }).counts();
-    assert_eq!(counts, Counts { compared: 15, fill: 12, ..Counts::default() });
+    assert_eq!(counts, DifferenceCounts { compared: 15, fill: 12, ..DifferenceCounts::default() });
 }
 
 /// Without a second attempt the two that failed would have been refused.
 #[test]
-fn a_refusal_in_place_of_a_further_attempt_is_counted() {
+fn a_rejection_in_place_of_a_retry_is_counted() {
     let counts = scripted(Settings { max_attempts: 1, ..settings() }).counts();
     // A first attempt that is the last one also gets all the time there is.
-    assert_eq!((counts.compared, counts.refusal), (17, 2));
-    assert_eq!(counts.owner + counts.source + counts.fill + counts.cancellation, 0);
+    assert_eq!((counts.compared, counts.rejection), (17, 2));
+    assert_eq!(counts.endpoint + counts.source + counts.fill + counts.cancellation, 0);
 }
 
 /// The three that are refused would have been told no time.
 #[test]
-fn another_time_to_come_back_is_counted() {
+fn another_retry_after_is_counted() {
     let counts = scripted(Settings { supports_retry_after: false, ..settings() }).counts();
-    assert_eq!(counts, Counts { compared: 17, wait: 3, ..Counts::default() });
+    assert_eq!(counts, DifferenceCounts { compared: 17, timing: 3, ..DifferenceCounts::default() });
 }
 
 #[test]
-fn a_shape_without_weights_has_other_owners_and_everything_else_goes_on() {
+fn settings_without_weights_have_other_owners_and_no_other_difference() {
     let mut router = Router::new(Some(Settings {
         weights_unknown: true,
         outcome_detail: OutcomeDetail::HitsOnly,
@@ -211,14 +211,14 @@
     });
     let counts = router.counts();
     assert_eq!(counts.compared, 60);
-    assert!((10..60).contains(&counts.owner), "{counts}");
-    assert_eq!(counts.different(), counts.owner);
+    assert!((10..60).contains(&counts.endpoint), "{counts}");
+    assert_eq!(counts.different(), counts.endpoint);
 }
 
 #[test]
-fn watching_changes_no_action_and_keeps_nothing_of_what_is_over() {
-    let play = |watched: Option<Settings>| {
-        let mut router = Router::new(watched);
+fn a_shadow_policy_changes_no_action_and_keeps_no_finished_request() {
+    let play = |shadow: Option<Settings>| {
+        let mut router = Router::new(shadow);
         for step in 0..600 {
             router.pass(15.0);
             router.ask(hash_pair(step, 5) % 90);
@@ -239,16 +239,17 @@
     let beside =
         play(Some(Settings { weights_unknown: true, outcome_detail: OutcomeDetail::None, ..settings() }));
     assert_eq!(alone.actions, beside.actions);
-    let (open, out, timers) = beside.watch.as_ref().expect("a watch").kept();
-    assert_eq!((open, out), (0, 0));
+    let RecordCounts { requests, attempts, timers } =
+        beside.shadow.as_ref().expect("a shadow policy").record_counts();
+    assert_eq!((requests, attempts), (0, 0));
     assert!(timers < 10, "{timers} timers");
-    assert!(beside.counts().compared > 600 && beside.counts().owner > 100, "{}", beside.counts());
+    assert!(beside.counts().compared > 600 && beside.counts().endpoint > 100, "{}", beside.counts());
 }
 
 /// Decides nothing, and fails at the third request.
 struct Failing(u32);
 
-impl Decides for Failing {
+impl DecisionModule for Failing {
     fn handle(&mut self, _: Ms, event: &Event) -> Vec<Action> {
         self.0 += u32::from(matches!(event, Event::Request(_)));
         assert!(self.0 < 3, "the third request");
@@ -257,8 +258,8 @@
 }
 
 #[test]
-fn a_failure_ends_the_watch_and_nothing_else() {
-    let mut watch = Watch::with(Failing(0), Hearing::new(&settings()));
+fn a_panic_ends_the_comparison_and_nothing_else() {
+    let mut shadow = ShadowPolicy::with_module(Failing(0), EventVisibility::new(&settings()));
     let mut policy = Policy::new(settings(), 7);
     let mut router = Router::new(None);
     for object in 0..6 {
@@ -275,11 +276,14 @@
             time_limit: 1_000.0,
         });
         let done = policy.handle(1_000.0, &events);
-        watch.see(1_000.0, &events, None, &done);
+        shadow.observe(1_000.0, &events, None, &done);
     }
     // Two were compared, both of which would have waited.
-    assert_eq!(watch.counts(), Counts { compared: 2, wait: 2, ended: 1, ..Counts::default() });
-    assert_eq!(watch.kept(), (0, 0, 0));
+    assert_eq!(
+        shadow.counts(),
+        DifferenceCounts { compared: 2, timing: 2, failed: 1, ..DifferenceCounts::default() }
+    );
+    assert_eq!(shadow.record_counts(), RecordCounts::default());
 }
 
 proptest! {
@@ -287,7 +291,7 @@
 
     /// Whatever happens in whatever order, an instance with the same settings and seed stays in step.
     #[test]
-    fn equal_settings_stay_in_step(steps in proptest::collection::vec((0u8..8, 0u64..40), 1..300)) {
+    fn equal_settings_decide_the_same(steps in proptest::collection::vec((0u8..8, 0u64..40), 1..300)) {
         let mut router = Router::new(Some(settings()));
         for (kind, n) in steps {
             match kind {
