--- a/tests/bloom_filter.rs
+++ b/tests/bloom_filter.rs
@@ -3,7 +3,7 @@
 use linnethook::bloom_filter::*;
 
 #[test]
-fn an_item_outlives_one_rotation_and_not_two() {
+fn an_item_survives_one_rotation_and_not_two() {
     let mut filter = RotatingBloomFilter::new(1024, 4, 7);
     filter.insert(42);
     assert!(filter.contains(42));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn clearing_forgets_both_generations() {
+fn clearing_drops_both_generations() {
     let mut filter = RotatingBloomFilter::new(1024, 4, 7);
     filter.insert(1);
     filter.rotate();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -74,7 +74,7 @@
     }
 }
 
-pub fn member(id: EndpointId) -> Endpoint {
+pub fn endpoint(id: EndpointId) -> Endpoint {
     let (kind, zone) = match id {
         id if CACHES.contains(&id) => (0, ZONE),
         id if PARENTS.contains(&id) => (PARENT, HUB),
@@ -84,7 +84,7 @@
 }
 
 pub fn everyone() -> Vec<Endpoint> {
-    CACHES.into_iter().chain(PARENTS).chain([THE_ORIGIN]).map(member).collect()
+    CACHES.into_iter().chain(PARENTS).chain([THE_ORIGIN]).map(endpoint).collect()
 }
 
 /// An attempt as the module ordered it.
@@ -117,11 +117,11 @@
         Self::with(settings, everyone())
     }
 
-    pub fn with(settings: Settings, members: Vec<Endpoint>) -> Self {
-        Self::seeded(settings, members, 7)
+    pub fn with(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        Self::seeded(settings, endpoints, 7)
     }
 
-    pub fn seeded(settings: Settings, members: Vec<Endpoint>, seed: u64) -> Self {
+    pub fn seeded(settings: Settings, endpoints: Vec<Endpoint>, seed: u64) -> Self {
         let mut world = Self {
             policy: Policy::new(settings, seed),
             now: 100_000.0,
@@ -131,7 +131,7 @@
             cancelled: Vec::new(),
             next: 1,
         };
-        world.tell(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: members });
+        world.tell(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints });
         world
     }
 
--- a/tests/rules.rs
+++ b/tests/delivery_rules.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn rule_1_a_client_that_left_is_owed_nothing() {
+fn rule_1_a_disconnected_client_gets_no_answer() {
     let mut world = World::new(settings());
     let sent = world.ask(SAFE, 4).expect("an attempt");
     world.tell(Event::ClientDisconnected(sent.attempt.request));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn rule_2_an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
+fn rule_2_a_non_idempotent_request_that_may_have_executed_is_neither_retried_nor_rejected() {
     for status in ENDS {
         let mut world = World::new(settings());
         let sent = world.ask(UNSAFE, 4).expect("an attempt");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn rule_2_a_keyed_request_is_repeated_only_within_its_window() {
+fn rule_2_a_request_with_a_key_is_retried_only_within_its_window() {
     let mut world = World::new(settings());
     let sent = world.ask(KEYED, 4).expect("an attempt");
     world.pass(500.0);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn rule_2_a_class_never_told_of_is_not_repeated() {
+fn rule_2_a_request_of_an_unknown_class_is_not_retried() {
     let mut world = World::new(settings());
     let unknown = Request { is_write: false, ..world.request(99, 4) };
     let sent = world.submit(unknown).expect("an attempt");
@@ -112,15 +112,15 @@
 }
 
 #[test]
-fn rule_3_nothing_goes_to_a_draining_or_gone_cache_or_source() {
+fn rule_3_nothing_is_sent_to_a_draining_or_removed_cache_or_source() {
     for phase in [EndpointPhase::Draining, EndpointPhase::Removed] {
         let mut world = World::new(settings());
         for object in 0..50 {
             world.serve(SAFE, object, CacheStatus::Hit);
         }
         let before = world.sent.len();
-        world.list(Endpoint { phase, ..member(CACHES[0]) });
-        world.list(Endpoint { phase, ..member(PARENTS[0]) });
+        world.list(Endpoint { phase, ..endpoint(CACHES[0]) });
+        world.list(Endpoint { phase, ..endpoint(PARENTS[0]) });
         for object in 0..100 {
             world.serve(SAFE, object, CacheStatus::Hit);
         }
@@ -132,18 +132,18 @@
 }
 
 #[test]
-fn rule_3_a_retry_heeds_a_drain_told_since() {
+fn rule_3_a_retry_respects_a_drain_since_the_first_attempt() {
     let mut world = World::new(settings());
     let sent = world.ask(SAFE, 4).expect("an attempt");
     let home = sent.fill.expect("a fill").source;
-    world.list(Endpoint { phase: EndpointPhase::Draining, ..member(home) });
-    world.list(Endpoint { phase: EndpointPhase::Draining, ..member(sent.cache) });
+    world.list(Endpoint { phase: EndpointPhase::Draining, ..endpoint(home) });
+    world.list(Endpoint { phase: EndpointPhase::Draining, ..endpoint(sent.cache) });
     let again = world.end(sent, AttemptStatus::Reset, None).expect("a further attempt");
     assert!(again.cache != sent.cache && again.fill.expect("a fill").source != home);
 }
 
 #[test]
-fn rule_3_a_complete_list_removes_what_it_lacks() {
+fn rule_3_a_snapshot_removes_endpoints_that_it_lacks() {
     let mut world = World::new(settings());
     let members = everyone().into_iter().filter(|member| member.id != CACHES[2]).collect();
     world.tell(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: members });
@@ -158,7 +158,7 @@
     for object in 0..200 {
         world.serve(SAFE, object, CacheStatus::FilledByParent);
     }
-    world.list(Endpoint { started_at: world.now, ..member(id) });
+    world.list(Endpoint { started_at: world.now, ..endpoint(id) });
     let before = world.sent.len();
     for object in 1000..1000 + (length / every) as u64 {
         world.pass(every);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn rule_4_cold_caches_and_parents_are_not_pushed_over_by_all_routers_together() {
+fn rule_4_all_routers_together_do_not_overload_warming_caches_and_parents() {
     let settings = settings();
     for (id, cold, routers) in
         [(CACHES[0], settings.cache_slow_start, 2.0), (PARENTS[0], settings.parent_slow_start, 4.0)]
@@ -189,7 +189,7 @@
 /// With a hundred routers, one's part of what a cold parent bears is far less than one fill; if each overdrew it
 /// as soon as it is told of the start, all together would push it over.
 #[test]
-fn rule_4_a_hundred_routers_do_not_each_overdraw_a_cold_parents_allowance_at_once() {
+fn rule_4_a_hundred_routers_do_not_overdraw_a_warming_parents_budget_at_once() {
     let routers = 100;
     let settings = Settings { routers, ..settings() };
     let cold = settings.parent_slow_start;
@@ -199,7 +199,7 @@
         (0..100).for_each(|object| {
             world.serve(SAFE, object, CacheStatus::FilledByParent);
         });
-        world.list(Endpoint { started_at: world.now, ..member(PARENTS[0]) });
+        world.list(Endpoint { started_at: world.now, ..endpoint(PARENTS[0]) });
         let before = world.sent.len();
         for object in 0..30 {
             world.pass(cold.overload_window / 30.0);
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn rule_5_a_purge_limits_the_age_of_copies_until_they_are_gone() {
+fn rule_5_a_purge_limits_the_age_of_copies_until_it_is_complete() {
     let mut world = World::new(settings());
     for (object, group) in [(Some(ObjectId(4)), 0), (None, 5)] {
         world.pass(10_000.0);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn rule_5_purges_told_again_out_of_order_and_twice_keep_the_youngest() {
+fn rule_5_repeated_and_reordered_purges_keep_the_latest() {
     let mut world = World::new(settings());
     for ago in [200.0, 4000.0, 200.0] {
         world.tell(Event::Purge { object: Some(ObjectId(4)), group: 0, age: ago });
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn rule_5_a_filter_does_not_speak_for_copies_from_before_a_purge_or_a_restart() {
+fn rule_5_known_copies_do_not_outlive_a_purge_or_a_restart() {
     let mut world = World::new(settings());
     let owned = world.owned(CACHES[0]);
     world.crowd(CACHES[0], &owned).expect("a cache that is less busy");
@@ -260,6 +260,6 @@
     assert_eq!(world.crowd(CACHES[0], &owned[..20]), None, "a miss goes to the owner");
     assert_ne!(world.crowd(CACHES[0], &owned[20..]), None);
     // It started anew long ago by its own account, so that no cold budget is in the way.
-    world.list(Endpoint { started_at: 1.0, ..member(CACHES[0]) });
+    world.list(Endpoint { started_at: 1.0, ..endpoint(CACHES[0]) });
     assert_eq!(world.crowd(CACHES[0], &owned[20..]), None);
 }
--- a/tests/endpoint_health.rs
+++ b/tests/endpoint_health.rs
@@ -2,7 +2,7 @@
 
 use linnethook::endpoint_health::*;
 
-const RULE: EjectionConfig = EjectionConfig {
+const CONFIG: EjectionConfig = EjectionConfig {
     outcome_weight: 0.5,
     max_failure_ratio: 0.6,
     base_duration: 100.0,
@@ -12,11 +12,11 @@
 };
 
 #[test]
-fn failures_take_it_out_and_good_trials_one_by_one_bring_it_back() {
+fn failures_eject_and_consecutive_trial_successes_recover() {
     let mut health = EndpointHealth::default();
-    health.record_outcome(0.0, Some(false), &RULE);
+    health.record_outcome(0.0, Some(false), &CONFIG);
     assert!(health.is_healthy(), "one failure is borne");
-    health.record_outcome(0.0, Some(false), &RULE);
+    health.record_outcome(0.0, Some(false), &CONFIG);
     assert!(health.is_ejected() && !health.accepts_request());
     health.start_due_recovery(99.0);
     assert!(health.is_ejected());
@@ -24,24 +24,24 @@
     assert!(health.is_recovering() && health.accepts_request());
     health.record_request();
     assert!(!health.accepts_request(), "one trial at a time");
-    health.record_outcome(110.0, Some(true), &RULE);
+    health.record_outcome(110.0, Some(true), &CONFIG);
     health.record_request();
-    health.record_outcome(120.0, None, &RULE);
+    health.record_outcome(120.0, None, &CONFIG);
     assert!(health.accepts_request() && health.is_recovering());
-    health.record_outcome(130.0, Some(true), &RULE);
+    health.record_outcome(130.0, Some(true), &CONFIG);
     assert!(health.is_healthy());
 }
 
 #[test]
-fn each_failed_way_back_takes_longer_up_to_a_limit() {
+fn each_failed_recovery_lengthens_the_ejection_up_to_a_limit() {
     let mut health = EndpointHealth::default();
-    health.eject(0.0, &RULE);
+    health.eject(0.0, &CONFIG);
     let mut now = 0.0;
     for span in [100.0, 200.0, 300.0, 300.0] {
         health.start_due_recovery(now + span - 1.0);
         assert!(health.is_ejected());
         now += span;
         health.start_due_recovery(now);
-        health.record_outcome(now, Some(false), &RULE);
+        health.record_outcome(now, Some(false), &CONFIG);
     }
 }
--- a/tests/estimators.rs
+++ b/tests/estimators.rs
@@ -3,7 +3,7 @@
 use linnethook::estimators::*;
 use linnethook::interface::Ms;
 
-const RULE: ConcurrencyLimitConfig = ConcurrencyLimitConfig {
+const CONFIG: ConcurrencyLimitConfig = ConcurrencyLimitConfig {
     observation_weight: 0.5,
     memory: 1e6,
     max_late_ratio: 0.6,
@@ -15,34 +15,34 @@
 };
 
 #[test]
-fn a_gate_bears_single_late_ones_and_then_shrinks_once_a_while() {
-    let mut gate = ConcurrencyLimit::new(8.0);
-    gate.record(0.0, true, 9.0, &RULE);
-    assert_eq!(gate.limit, 8.0);
-    gate.record(1.0, true, 9.0, &RULE);
-    gate.record(2.0, true, 9.0, &RULE);
-    assert_eq!(gate.limit, 4.0);
-    gate.record(102.0, true, 9.0, &RULE);
-    assert_eq!(gate.limit, 2.0);
-    (0..20).for_each(|_| gate.record(103.0, false, 9.0, &RULE));
-    assert_eq!(gate.limit, 10.0);
+fn a_limit_tolerates_single_late_results_and_then_decreases_at_intervals() {
+    let mut limit = ConcurrencyLimit::new(8.0);
+    limit.record(0.0, true, 9.0, &CONFIG);
+    assert_eq!(limit.limit, 8.0);
+    limit.record(1.0, true, 9.0, &CONFIG);
+    limit.record(2.0, true, 9.0, &CONFIG);
+    assert_eq!(limit.limit, 4.0);
+    limit.record(102.0, true, 9.0, &CONFIG);
+    assert_eq!(limit.limit, 2.0);
+    (0..20).for_each(|_| limit.record(103.0, false, 9.0, &CONFIG));
+    assert_eq!(limit.limit, 10.0);
 }
 
 /// A thin stream must not take seconds longer than a thick one to tell a trouble.
 #[test]
-fn what_comes_rarely_weighs_more_in_a_gate() {
-    let rule = ConcurrencyLimitConfig { observation_weight: 0.1, memory: 1000.0, ..RULE };
+fn rare_results_weigh_more_in_a_limit() {
+    let config = ConcurrencyLimitConfig { observation_weight: 0.1, memory: 1000.0, ..CONFIG };
     let after = |every: Ms| {
-        let mut gate = ConcurrencyLimit::new(8.0);
-        (0..3).for_each(|n| gate.record(f64::from(n) * every, true, 9.0, &rule));
-        gate.limit
+        let mut limit = ConcurrencyLimit::new(8.0);
+        (0..3).for_each(|n| limit.record(f64::from(n) * every, true, 9.0, &config));
+        limit.limit
     };
     assert_eq!(after(10.0), 8.0);
     assert!(after(1500.0) < 8.0);
 }
 
 #[test]
-fn a_level_fades_with_time_and_not_with_calls() {
+fn a_time_weighted_mean_decays_with_time_and_not_with_calls() {
     let (mut once, mut often) = (TimeWeightedMean::default(), TimeWeightedMean::default());
     once.advance(100.0, 4.0, 50.0);
     (1..=10).for_each(|n| often.advance(f64::from(n) * 10.0, 4.0, 50.0));
@@ -50,10 +50,10 @@
 }
 
 #[test]
-fn an_allowance_fills_up_to_its_most_and_can_be_overdrawn() {
-    let mut allowance = TokenBucket::empty(0.0);
-    assert_eq!(allowance.available(0.0, 2.0, 10.0), 0.0);
-    assert_eq!(allowance.available(100.0, 2.0, 10.0), 10.0);
-    allowance.spend(100.0, 2.0, 10.0, 14.0);
-    assert_eq!(allowance.available(101.0, 2.0, 10.0), -2.0);
+fn a_token_bucket_fills_up_to_its_burst_and_can_be_overdrawn() {
+    let mut bucket = TokenBucket::empty(0.0);
+    assert_eq!(bucket.available(0.0, 2.0, 10.0), 0.0);
+    assert_eq!(bucket.available(100.0, 2.0, 10.0), 10.0);
+    bucket.spend(100.0, 2.0, 10.0, 14.0);
+    assert_eq!(bucket.available(101.0, 2.0, 10.0), -2.0);
 }
--- a/tests/trouble.rs
+++ b/tests/faults.rs
@@ -21,7 +21,7 @@
 
 /// A fast-failing cache has the fewest requests in flight and would draw all of them.
 #[test]
-fn a_cache_that_fails_fast_is_taken_out_and_comes_back_by_trials() {
+fn a_failing_cache_is_ejected_and_recovers_by_trial_requests() {
     let mut world = warmed();
     let owned = owned_by(&mut world, CACHES[0]);
     for &object in &owned[..8] {
@@ -47,7 +47,7 @@
 
 /// Where nothing is told of an error's origin, a failing parent must not take all caches out.
 #[test]
-fn errors_of_fills_are_the_parents_where_the_caches_serve_what_they_hold() {
+fn fill_errors_are_attributed_to_the_parent_where_caches_serve_their_copies() {
     let mut world = World::new(Settings { outcome_detail: OutcomeDetail::None, ..settings() });
     for object in 0..200 {
         world.pass(20.0);
@@ -75,7 +75,7 @@
 
 /// A location whose caches are all out, by the list or by what the router sees, still has its parents.
 #[test]
-fn with_every_cache_judged_bad_requests_go_past_them() {
+fn requests_bypass_the_caches_when_all_are_ejected() {
     let bad = |direct| {
         let mut world = World::new(Settings { may_bypass_caches: direct, ..settings() });
         for object in 0..60 {
@@ -95,7 +95,7 @@
 
 /// A dead cache is back, cold, before the list tells of it; the whole flood would push it over.
 #[test]
-fn a_cache_that_refused_connections_is_taken_for_cold() {
+fn a_cache_that_refused_connections_is_treated_as_warming_up() {
     let mut world = warmed();
     let owned = owned_by(&mut world, CACHES[0]);
     for &object in owned.iter().cycle().take(100) {
@@ -122,7 +122,7 @@
 
 /// A hung or vanished cache answers nothing, and stays on the list for seconds.
 #[test]
-fn what_waits_for_a_silent_cache_is_called_off_and_tried_elsewhere() {
+fn attempts_at_a_silent_cache_are_cancelled_and_retried_elsewhere() {
     let mut world = warmed();
     let owned = owned_by(&mut world, CACHES[0]);
     let stuck: Vec<Sent> = owned[..4].iter().filter_map(|&object| world.ask(SAFE, object)).collect();
@@ -135,7 +135,7 @@
 /// A vanished cache takes no connections either, and is out for that before its silence shows: what waits there
 /// would wait for as long as its clients do.
 #[test]
-fn what_waits_for_a_cache_that_takes_no_connections_is_called_off_too() {
+fn attempts_at_a_cache_that_refuses_connections_are_cancelled_too() {
     let mut world = warmed();
     let owned = owned_by(&mut world, CACHES[0]);
     let mut stuck: Vec<Sent> = owned[..12].iter().filter_map(|&object| world.ask(SAFE, object)).collect();
@@ -174,7 +174,7 @@
 
 /// A lost location must not take the parents for silent too: then all of it would go straight to the origin.
 #[test]
-fn what_waits_for_silent_caches_does_not_count_against_the_parents() {
+fn attempts_at_silent_caches_do_not_count_against_the_parents() {
     let mut world = warmed();
     for object in 1000..1030 {
         let _ = world.ask(SAFE, object);
@@ -195,7 +195,7 @@
 
 /// Parents whose places are taken by what waits for the origin refuse more; they are not to be taken out.
 #[test]
-fn parents_that_refuse_behind_a_slow_origin_stay_in() {
+fn parents_that_reject_because_of_a_slow_origin_are_not_ejected() {
     for note in [CacheStatus::SourceRejected, CacheStatus::SourceUnreachable] {
         let mut world = warmed();
         slow_origin(&mut world);
@@ -219,10 +219,12 @@
 
 /// Where the caches and the parents are gone, the origin must not be pushed until it stops.
 #[test]
-fn reads_straight_to_the_origin_are_bounded_by_what_it_answers() {
-    let gone =
-        CACHES.into_iter().chain(PARENTS).map(|id| Endpoint { phase: EndpointPhase::Removed, ..member(id) });
-    let mut world = World::with(settings(), gone.chain([member(THE_ORIGIN)]).collect());
+fn direct_reads_of_the_origin_are_limited_to_what_it_answers() {
+    let gone = CACHES
+        .into_iter()
+        .chain(PARENTS)
+        .map(|id| Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) });
+    let mut world = World::with(settings(), gone.chain([endpoint(THE_ORIGIN)]).collect());
     for object in 0..150 {
         world.pass(150.0);
         if let Some(sent) = world.ask(SAFE, object) {
@@ -236,7 +238,7 @@
 
 /// Without this a slow origin takes the parents out, and everybody goes straight to it until it stops.
 #[test]
-fn parents_that_wait_for_a_slow_origin_stay_in() {
+fn parents_that_wait_for_a_slow_origin_are_not_ejected() {
     let mut world = warmed();
     slow_origin(&mut world);
     let held = (2000..2100)
@@ -247,7 +249,7 @@
 
 /// An origin that has failed is not let recover if its share is back faster than the failures of a thin stream cut it.
 #[test]
-fn a_small_share_of_the_origin_comes_back_slowly() {
+fn a_small_share_of_admitted_misses_recovers_slowly() {
     let mut world = warmed();
     (0..4).for_each(|_| slow_origin(&mut world));
     world.pass(4000.0);
@@ -258,7 +260,7 @@
 
 /// What a filter shows may be past its fresh time; its renewals must not escape the origin's share.
 #[test]
-fn renewals_count_against_a_slow_origin_too() {
+fn revalidations_count_against_a_slow_origin_too() {
     let mut world = warmed();
     for object in 1000..1060 {
         world.pass(30.0);
@@ -285,7 +287,7 @@
 
 /// What clients take back ends as called off, long before it is late: it must not count as a late fill.
 #[test]
-fn clients_that_go_away_do_not_close_the_link() {
+fn disconnected_clients_do_not_reduce_the_fill_links_limit() {
     let mut world = warmed();
     for wave in 0..40 {
         let taken_back: Vec<Sent> = (0..3).filter_map(|n| world.ask(SAFE, 1000 + wave * 10 + n)).collect();
@@ -302,7 +304,7 @@
 
 /// Late fills hold the slots of their caches until even hits come late.
 #[test]
-fn fills_that_come_late_are_held_back_and_hits_go_on() {
+fn late_fills_are_shed_and_hits_are_not() {
     let mut world = warmed();
     for wave in 0..10 {
         let late: Vec<Sent> = (0..6).filter_map(|n| world.ask(SAFE, 1000 + wave * 10 + n)).collect();
@@ -327,7 +329,7 @@
 
 /// Its late fills would close the link for those of the other parents.
 #[test]
-fn a_parent_whose_fills_are_late_is_passed_by_and_tried_now_and_then() {
+fn a_slow_parent_is_avoided_except_for_trial_requests() {
     let mut world = warmed();
     for object in 1000..1200 {
         world.pass(40.0);
@@ -355,7 +357,7 @@
 /// A parent that is out shows no late fills: beside it the other one would be slow for a few that a lost cache
 /// has made late, and all misses would go to the origin until that stops.
 #[test]
-fn a_parent_is_slow_only_beside_another_one_that_is_up() {
+fn a_parent_is_slow_only_relative_to_a_healthy_one() {
     let mut world = warmed();
     for object in 1000..1200 {
         world.pass(40.0);
@@ -398,7 +400,7 @@
 
 /// A limit that each router held its own fills against would let through as many times more as there are routers.
 #[test]
-fn the_links_limit_counts_the_fills_of_the_locations_other_routers() {
+fn the_fill_links_limit_counts_the_fills_of_other_routers() {
     let fills = |here: u32| {
         let mut world = World::new(Settings { routers_by_zone: vec![0, 0, 0, here], ..settings() });
         (0..30).for_each(|object| {
@@ -416,7 +418,7 @@
 
 /// Caches that age show no errors; what they hold comes later and later.
 #[test]
-fn a_cache_slower_than_its_peers_gives_up_a_part_of_its_arc() {
+fn a_slow_cache_serves_a_smaller_share_of_its_arc() {
     let mut world = warmed();
     let owned = owned_by(&mut world, CACHES[0]);
     for object in (0..200).cycle().take(600) {
@@ -442,10 +444,10 @@
 
 /// Where half of the caches age, a mean of all paces would follow them, and they would keep most of their arcs.
 #[test]
-fn half_of_the_caches_slow_at_once_give_up_more_than_half_of_their_arcs() {
+fn when_half_of_the_caches_are_slow_they_lose_more_than_half_of_their_arcs() {
     let fourth = EndpointId(14);
     let mut members = everyone();
-    members.push(Endpoint { id: fourth, ..member(CACHES[0]) });
+    members.push(Endpoint { id: fourth, ..endpoint(CACHES[0]) });
     let mut world = World::with(settings(), members);
     let slow = |sent: &Sent| sent.cache == CACHES[0] || sent.cache == fourth;
     let serve = |world: &mut World, object: u64, ageing: bool| {
@@ -465,7 +467,7 @@
 
 /// Ageing caches fill late what others fill in time: the link is not what is short.
 #[test]
-fn late_fills_of_a_slow_cache_do_not_close_the_link_for_its_peers() {
+fn late_fills_of_a_slow_cache_do_not_reduce_the_fill_links_limit() {
     let mut world = warmed();
     for object in (0..200).cycle().take(400) {
         world.pass(20.0);
@@ -487,7 +489,7 @@
 
 /// A trouble that fails all requests must not be multiplied by further attempts.
 #[test]
-fn further_attempts_are_bounded() {
+fn retries_are_bounded_by_the_budget() {
     let mut world = warmed();
     let before = world.sent.len();
     for object in 0..300 {
@@ -502,7 +504,7 @@
 }
 
 #[test]
-fn a_write_that_never_ran_is_tried_again_and_no_refusal_waits() {
+fn a_write_that_was_never_executed_is_retried_after_a_backoff() {
     let mut world = warmed();
     let sent = world.ask(UNSAFE, 4).expect("an attempt");
     assert_eq!(world.end(sent, AttemptStatus::ConnectFailed, None), None, "it waits for a moment");
@@ -514,10 +516,10 @@
 }
 
 #[test]
-fn a_cache_that_vanished_and_returned_between_two_lists_is_taken_for_new() {
+fn a_cache_that_restarted_between_two_snapshots_is_warming_up() {
     let mut world = warmed();
     let owned = owned_by(&mut world, CACHES[0]);
-    let back = Endpoint { started_at: world.now - 100.0, ..member(CACHES[0]) };
+    let back = Endpoint { started_at: world.now - 100.0, ..endpoint(CACHES[0]) };
     let members = everyone().into_iter().map(|m| if m.id == back.id { back } else { m }).collect();
     world.tell(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: members });
     let to_it = owned
@@ -528,11 +530,11 @@
 }
 
 #[test]
-fn without_caches_parents_or_both_every_request_is_still_answered() {
+fn every_request_is_answered_without_caches_parents_or_both() {
     let gone = |ids: &[EndpointId]| {
         let mut world = World::new(settings());
         for &id in ids {
-            world.list(Endpoint { phase: EndpointPhase::Removed, ..member(id) });
+            world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) });
         }
         world
     };
@@ -553,13 +555,13 @@
 
 /// Caches taken away in waves: their replacements have new numbers, start cold, and what was kept is lost.
 #[test]
-fn a_list_that_changes_in_large_part_at_once_keeps_every_rule_and_every_answer() {
+fn a_large_change_of_the_endpoint_list_keeps_every_rule_and_answer() {
     let new = |id: u64, since: Ms| Endpoint {
         id: EndpointId(id),
         zone: ZONE,
         role: 0,
         started_at: since,
-        ..member(CACHES[0])
+        ..endpoint(CACHES[0])
     };
     let mut world = warmed();
     for wave in 0..3 {
@@ -567,9 +569,9 @@
         let start = world.now;
         world.tell(Event::Endpoints {
             update: EndpointUpdate::Incremental,
-            endpoints: vec![Endpoint { phase: EndpointPhase::Draining, ..member(leaving) }, new(id, start)],
+            endpoints: vec![Endpoint { phase: EndpointPhase::Draining, ..endpoint(leaving) }, new(id, start)],
         });
-        world.list(Endpoint { phase: EndpointPhase::Removed, ..member(PARENTS[wave % 2]) });
+        world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(PARENTS[wave % 2]) });
         let before = world.sent.len();
         for object in 0..60 {
             world.pass(30.0);
@@ -580,8 +582,8 @@
         let named = |sent: &Sent| [Some(sent.cache), sent.fill.map(|fill| fill.source)];
         let named: Vec<EndpointId> = world.sent[before..].iter().flat_map(named).flatten().collect();
         assert!(!named.is_empty() && !named.contains(&leaving), "wave {wave}");
-        world.list(Endpoint { phase: EndpointPhase::Removed, ..member(leaving) });
-        world.list(Endpoint { started_at: world.now, ..member(PARENTS[wave % 2]) });
+        world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(leaving) });
+        world.list(Endpoint { started_at: world.now, ..endpoint(PARENTS[wave % 2]) });
     }
     // One is left, then none, then one is back under its old number.
     for id in [111, 112] {
@@ -600,9 +602,9 @@
 /// A location that lost its caches, or has them back one by one, must not hold its fills against what is left of
 /// them: the link is made for all.
 #[test]
-fn the_links_limit_does_not_shrink_with_the_caches_that_are_lost() {
+fn the_fill_links_limit_does_not_shrink_with_lost_caches() {
     let mut world = warmed();
-    CACHES.into_iter().for_each(|id| world.list(Endpoint { phase: EndpointPhase::Removed, ..member(id) }));
+    CACHES.into_iter().for_each(|id| world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) }));
     for object in 1000..1010 {
         world.pass(20.0);
         world.serve(SAFE, object, CacheStatus::FilledByParent);
@@ -612,7 +614,7 @@
 }
 
 #[test]
-fn zero_and_missing_sizes_and_weights_do_no_harm() {
+fn zero_and_missing_sizes_and_weights_are_accepted() {
     for weight in [0.0, 1.0] {
         let members = everyone().into_iter().map(|m| Endpoint { weight, ..m }).collect();
         let mut world = World::with(settings(), members);
@@ -628,7 +630,7 @@
 }
 
 #[test]
-fn a_restarted_router_needs_nothing_but_its_first_list() {
+fn a_restarted_router_needs_only_its_first_snapshot() {
     let mut old = warmed();
     let mut new = World::new(settings());
     for object in 0..100 {
--- a/tests/hash_ring.rs
+++ b/tests/hash_ring.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn every_member_is_met_once() {
+fn every_member_is_a_successor_once() {
     let mut met = ring(&[1, 2, 3]).successors(hash_pair(9, 9));
     met.sort_unstable();
     assert_eq!(met, [1, 2, 3]);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_leaving_member_moves_only_what_it_owned() {
+fn removing_a_member_moves_only_what_it_owned() {
     let (all, fewer) = (ring(&[1, 2, 3, 4]), ring(&[1, 2, 4]));
     for hash in (0..2000).map(|n| hash_pair(n, 0)) {
         let order = all.successors(hash);
--- a/tests/design.rs
+++ b/tests/placement.rs
@@ -8,7 +8,7 @@
 use linnethook::interface::*;
 
 #[test]
-fn an_object_has_one_owner_which_keeps_its_misses_and_fills_from_a_parent() {
+fn an_object_has_one_owner_which_caches_it_and_fills_from_a_parent() {
     let mut world = World::new(settings());
     for object in 0..50 {
         let first = world.serve(SAFE, object, CacheStatus::FilledByParent);
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn owners_and_parents_are_spread_and_every_router_finds_the_same() {
+fn owners_and_parents_are_spread_and_all_routers_agree_on_them() {
     let mut one = World::new(settings());
     let mut two = World::with(Settings { routers: 3, ..settings() }, everyone().into_iter().rev().collect());
     let mut owners = BTreeMap::new();
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_far_busier_owner_hands_what_it_holds_to_the_least_busy_cache() {
+fn the_least_busy_sibling_serves_cached_copies_of_a_far_busier_owner() {
     let mut world = World::new(settings());
     let owned = world.owned(CACHES[0]);
     let handed = world.crowd(CACHES[0], &owned).expect("a cache that is less busy");
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn the_second_parent_comes_in_while_the_first_fails_and_the_origin_without_any() {
+fn fills_fall_back_to_the_next_parent_and_then_to_the_origin() {
     let mut world = World::new(settings());
     let first = world.ask(SAFE, 9).expect("an attempt");
     let home = first.fill.expect("a fill").source;
@@ -67,7 +67,7 @@
     let other = second.fill.expect("a fill").source;
     assert!(second.cache == first.cache && other != home && PARENTS.contains(&other));
     for parent in PARENTS {
-        world.list(Endpoint { phase: EndpointPhase::Removed, ..member(parent) });
+        world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(parent) });
     }
     let last = world.ask(SAFE, 9).expect("an attempt");
     assert_eq!(last.fill.expect("a fill").source, THE_ORIGIN);
@@ -75,7 +75,7 @@
 
 /// One viewer of an object in parts takes a good part of its owner's link for as long as it lasts.
 #[test]
-fn the_parts_of_a_watched_object_are_dealt_alike_by_routers_that_saw_different_things() {
+fn routers_with_different_observations_agree_on_the_holders_of_parts() {
     let (mut one, mut two) = (World::new(settings()), World::new(settings()));
     (0..50).for_each(|object| {
         one.serve(SAFE, object, CacheStatus::FilledByParent);
@@ -108,7 +108,7 @@
 /// One router of many sees little of a cache. If it took that for what each of the others sees, chance would send
 /// parts to other caches, and each router's to another one.
 #[test]
-fn a_part_keeps_its_cache_when_one_of_many_routers_has_some_more_requests_there() {
+fn a_part_keeps_its_holder_when_one_of_many_routers_has_more_requests_there() {
     let many =
         Settings { routers_by_zone: vec![0, 0, 0, 8], sibling_fill: SiblingFill::Disabled, ..settings() };
     let mut world = World::new(many);
@@ -132,7 +132,7 @@
 
 /// With many routers each has few requests in flight: the overflow must not wait for a number of them.
 #[test]
-fn an_owner_is_far_busier_by_a_routers_part_of_its_link() {
+fn sibling_overflow_is_relative_to_a_routers_share_of_the_owner() {
     let handed_after = |here: u32| {
         let mut world = World::new(Settings { routers_by_zone: vec![0, 0, 0, here], ..settings() });
         let owned = world.owned(CACHES[0]);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn what_tells_no_hits_is_learnt_from_kept_fills() {
+fn cached_copies_are_learnt_from_fills_where_hits_are_not_reported() {
     let mut world = World::new(Settings { outcome_detail: OutcomeDetail::None, ..settings() });
     let owned = world.owned(CACHES[1]);
     let handed = world.crowd(CACHES[1], &owned).expect("a cache that is less busy");
@@ -155,7 +155,7 @@
 /// In the course of a change an object's hash says by which list its fills run; what is not listed is no source,
 /// and ranks come before hashes.
 #[test]
-fn fills_run_by_the_feeds_of_their_cache() {
+fn fills_follow_the_fill_sources_of_their_cache() {
     let mut world = World::new(settings());
     let feed = |source, rank| FillSource { endpoint: source, priority: rank };
     let (now, before) = (vec![feed(PARENTS[1], 0), feed(THE_ORIGIN, 9)], vec![feed(PARENTS[0], 0)]);
@@ -179,7 +179,7 @@
         assert!(sources.iter().all(|source| PARENTS.contains(source)));
     }
     // The first of the list drains: the next by rank, and not the parent that is no source any more.
-    world.list(Endpoint { phase: EndpointPhase::Draining, ..member(PARENTS[1]) });
+    world.list(Endpoint { phase: EndpointPhase::Draining, ..endpoint(PARENTS[1]) });
     let sent = world.ask(SAFE, 7).expect("an attempt");
     assert_eq!(sent.fill.map(|fill| fill.source), Some(THE_ORIGIN));
     world.end(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByOrigin));
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -222,7 +222,7 @@
                     EndpointPhase::Removed,
                 ][chance.below(4) as usize];
                 let since = if chance.below(3) == 0 { run.now } else { 0.0 };
-                let members = vec![Endpoint { phase, started_at: since, ..member(id) }];
+                let members = vec![Endpoint { phase, started_at: since, ..endpoint(id) }];
                 run.tell(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: members });
             }
             96 => {
--- a/tests/reject_reasons.rs
+++ b/tests/reject_reasons.rs
@@ -84,7 +84,7 @@
 
 #[test]
 fn origin_overloaded() {
-    let origin_only = vec![member(THE_ORIGIN)];
+    let origin_only = vec![endpoint(THE_ORIGIN)];
     let mut world = World::with(settings(), origin_only);
     for object in 0..150 {
         world.pass(150.0);
--- a/tests/layout.rs
+++ b/tests/unknown_capacities.rs
@@ -40,7 +40,7 @@
 
 /// Weights that tell nothing would make every cache one transfer wide.
 #[test]
-fn a_list_without_weights_leaves_a_cache_its_usual_size() {
+fn a_cache_without_a_weight_has_the_default_capacity() {
     let crowd = |unweighted_list: bool| {
         let mut world = World::with(layout(unweighted_list), unweighted());
         let objects = world.owned(CACHES[0]);
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_caches_size_is_learnt_from_how_its_transfers_slow_each_other() {
+fn capacity_is_learnt_from_how_transfers_slow_each_other() {
     let crowd = |took: Ms| {
         let mut world = World::with(layout(true), unweighted());
         let objects = world.owned(CACHES[0]);
@@ -70,7 +70,7 @@
 
 /// Sizes that are told count as before, whatever the answers show.
 #[test]
-fn told_weights_are_not_learnt_over() {
+fn listed_capacities_are_not_replaced_by_learnt_ones() {
     let crowd = |took: Ms| {
         let mut world = World::new(layout(false));
         let objects = world.owned(CACHES[0]);
@@ -84,7 +84,7 @@
 
 /// Where notes say nothing of failures, the origin's refusals show that more than its rate is asked of it.
 #[test]
-fn refusals_of_the_origin_are_its_own_where_only_hits_are_told() {
+fn origin_rejections_are_attributed_to_the_origin_where_only_hits_are_reported() {
     let fills = |refused: bool| {
         let no_parents = everyone().into_iter().filter(|member| member.role != PARENT).collect();
         let mut world = World::with(layout(false), no_parents);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn parts_are_dealt_by_what_each_cache_can_send() {
+fn parts_are_spread_by_capacity() {
     let mut world = World::with(layout(true), unweighted());
     // Part after part, the first cache sends ten at full pace, the others two.
     let mut count = [0; 2];
@@ -130,7 +130,7 @@
 
 /// What its owner would send too late another cache may still send in time.
 #[test]
-fn the_next_cache_stands_in_for_an_owner_too_crowded_to_be_in_time() {
+fn the_next_cache_serves_when_the_owner_is_too_crowded() {
     let mut world = World::with(layout(true), unweighted());
     let objects = world.owned(CACHES[0]);
     (0..60).for_each(|n| {
@@ -150,7 +150,7 @@
 
 /// A ring with as many points for each would give a narrow cache as much as a wide one.
 #[test]
-fn objects_of_one_part_go_by_what_each_cache_can_send_too() {
+fn objects_in_one_part_are_spread_by_capacity_too() {
     let mut world = World::with(layout(true), unweighted());
     let owned = |world: &mut World| {
         (0..400).filter(|&n| world.serve(SAFE, n, CacheStatus::Hit).cache == CACHES[0]).count()
@@ -170,7 +170,7 @@
 
 /// The last parent that is up answers every second fill late; the origin itself is quick.
 #[test]
-fn a_slow_parent_without_another_one_is_passed_by_where_no_waits_are_told() {
+fn the_only_parent_is_avoided_when_slow_where_no_waits_are_reported() {
     let to_origin = |tells: OutcomeDetail| {
         let one_parent = everyone().into_iter().filter(|member| member.id != PARENTS[1]).collect();
         let mut world = World::with(Settings { outcome_detail: tells, ..settings() }, one_parent);
@@ -199,7 +199,7 @@
 
 /// What a cache that has just come can send is not known; it is asked for no more than the least known one could bear.
 #[test]
-fn a_cold_cache_of_unknown_size_is_taken_for_the_least_known_one() {
+fn a_warming_cache_of_unknown_capacity_counts_as_the_smallest_known_one() {
     let asked = |took: Ms| {
         let mut world = World::with(layout(true), unweighted());
         let objects = world.owned(CACHES[0]);
@@ -208,7 +208,7 @@
             hit(&mut world, objects[n % objects.len()], took, 10.0);
         });
         let new = EndpointId(15);
-        world.list(Endpoint { id: new, weight: 1.0, started_at: world.now, ..member(CACHES[0]) });
+        world.list(Endpoint { id: new, weight: 1.0, started_at: world.now, ..endpoint(CACHES[0]) });
         let mut count = 0;
         for object in 10_000..10_600 {
             world.pass(10.0);
@@ -227,7 +227,7 @@
 
 /// Fills that all parents refuse are refused behind them; what one refuses alone is its own doing.
 #[test]
-fn parents_that_all_refuse_stay_in_and_one_that_does_alone_goes_out() {
+fn a_parent_that_rejects_alone_is_ejected_and_parents_that_all_reject_are_not() {
     let asked_of_first = |refuses: &dyn Fn(EndpointId) -> bool| {
         let mut world = World::with(layout(true), unweighted());
         let (mut last, mut again) = (0, 0);
@@ -256,12 +256,12 @@
 
 /// hf9fdc8: the last cache of a location, still cold, got the work of all, saved up, by a size of 5 that it did not have.
 #[test]
-fn a_cold_cache_left_alone_is_not_pushed_over_by_a_size_that_was_guessed() {
+fn a_lone_warming_cache_is_not_overloaded_because_of_a_guessed_capacity() {
     let mut world = World::with(layout(true), unweighted());
     let new = EndpointId(15);
-    world.list(Endpoint { id: new, weight: 1.0, started_at: world.now, ..member(CACHES[0]) });
+    world.list(Endpoint { id: new, weight: 1.0, started_at: world.now, ..endpoint(CACHES[0]) });
     world.pass(11_000.0);
-    CACHES.into_iter().for_each(|id| world.list(Endpoint { phase: EndpointPhase::Removed, ..member(id) }));
+    CACHES.into_iter().for_each(|id| world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) }));
     let mut work = 0.0;
     for object in 10_000..10_600 {
         world.pass(5.0);
