--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -18,6 +18,18 @@
 //!
 //! [`recent_keys`] and [`event_rate`] are small structures that these use.
 //!
+//! Where each rule is:
+//!
+//! | question | rule |
+//! | --- | --- |
+//! | which sources may a cache's fill use? | [`Hierarchy::fill_sources`] |
+//! | where does a source forward a fill? | [`Hierarchy::onward_path`] |
+//! | why was a fill queued or rejected? | [`origin_shield`], [`origin_shield::ShieldRejection`] |
+//! | how many fills may a parent or the origin get? | [`rate_budget`] |
+//! | when does a migration go on, pause or roll back? | [`rollout`], [`rollout::RollbackReason`] |
+//! | why is an edge not used? | [`topology`] for a cycle, [`edge_backoff`] for a detected loop |
+//! | why was a batch rejected? | [`BatchRejection`]; [`BatchError`] if it has no place in the history |
+//!
 //! No module reads a clock, a socket or a file or draws random numbers: times and seeds are arguments. Times are in
 //! milliseconds, `now` in milliseconds of Unix time. `docs/hierarchy.md` gives the design and what it guarantees.
 
