--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -7,7 +7,8 @@
 //!
 //! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/audit.md` describes the design.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc, clippy::too_many_arguments, clippy::too_many_lines)]
+#![warn(clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod audit_log;
 pub mod record;
--- a/crates/audit/tests/audit_logs.rs
+++ b/crates/audit/tests/audit_logs.rs
@@ -1,4 +1,4 @@
-//! Accounts that are cut short, rewritten, told twice and put together in any order.
+//! Audit logs that are cut short, rewritten, received twice and verified in any order.
 
 use linnethook_audit::audit_log::{AuditLog, AuditLogConfig};
 use linnethook_audit::record::{AuditedAction, ChainLink, Record, WriteAttempt, WriteOutcome};
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_account_tells_who_did_what_on_which_version_and_when_it_was_settled() {
+fn log_tells_who_did_what_on_which_version_and_since_when() {
     let all = [links(&account("a", 1_000, 3, true)), links(&account("b", 1_020, 3, true))].concat();
     let accounts = VerifiedLogs::new(all);
     assert!(accounts.findings.is_empty(), "{:?}", accounts.findings);
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn what_is_missing_is_a_gap_with_its_bounds_and_nothing_is_guessed() {
+fn missing_records_are_gaps_with_bounds() {
     let killed = links(&account("a", 1_000, 3, false));
     let next = links(&account("a", 9_000, 1, true));
     let accounts = VerifiedLogs::new(killed.iter().chain(&next).cloned());
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_rewritten_span_and_two_accounts_for_one_start_are_found() {
+fn rewritten_record_and_second_log_of_incarnation_are_found() {
     let good = links(&account("a", 1_000, 3, true));
     let mut bad = good.clone();
     let Some(Record::Span(mut span)) = bad[2].decode_record() else { panic!("a span") };
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_copy_takes_links_in_their_order_and_says_what_is_missing() {
+fn replica_accepts_records_in_order_and_reports_missing_ones() {
     let all = links(&account("a", 1_000, 4, true));
     let mut copies = LogReplicas::new(1 << 20);
     assert_eq!(copies.insert(all[0].clone()), ReplicaOutcome::New);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_span_tells_apart_no_more_than_its_bounds_and_counts_the_rest() {
+fn span_limits_are_enforced_and_omissions_counted() {
     let rules = AuditLogConfig { max_action_kinds: 10, max_write_attempts: 5, ..AuditLogConfig::default() };
     let mut clock = HybridClock::default();
     let mut account = AuditLog::new(0.0, clock.next_timestamp(0.0), rules, "a", 1, on(1));
@@ -166,7 +166,7 @@
     /// Links lost, told twice and in any order: what is there is read, what is not is a gap, and no act is counted that
     /// no link tells.
     #[test]
-    fn any_part_of_an_account_is_read_as_what_it_is(
+    fn any_subset_of_records_is_verified_correctly(
         spans in 1u64..8,
         end in any::<bool>(),
         keep in proptest::collection::vec(any::<bool>(), 10),
@@ -192,7 +192,7 @@
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         if let Some(link) = ChainLink::decode(&bytes) {
             let _ = VerifiedLogs::new([link]);
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -17,7 +17,8 @@
 //! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/fellows.md` and
 //! `docs/summaries.md` describe the design.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::missing_errors_doc, clippy::too_many_arguments, clippy::too_many_lines)]
+#![warn(clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod actions;
 pub mod aggregation;
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Fleets of the shipped core in virtual time: crashes, cuts, restarts, frozen processes and two under one name.
+//! Fleets of clusters in virtual time: crashes, partitions, restarts, frozen processes and name conflicts.
 
 mod net;
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_crash_a_cut_and_a_restart_are_seen_by_all_and_nobody_else_is_suspected() {
+fn crash_partition_and_restart_are_detected_without_false_suspicion() {
     let mut net = fleet(20);
     net.crash(7);
     let gone =
@@ -76,7 +76,7 @@
 
 /// Fellows of one that is frozen find its links silent; it comes back by itself.
 #[test]
-fn a_frozen_router_is_suspected_and_comes_back_under_its_start() {
+fn frozen_router_is_suspect_and_returns_with_its_incarnation() {
     let mut net = fleet(6);
     net.freeze(2);
     assert!(net.until(5_000.0, |net| standing(net, 0, "r2") == Some(MemberState::Suspect)).is_some());
@@ -92,7 +92,7 @@
 /// Two processes under one name: the later one is refused, both are told, and the fleet goes on with the earlier one.
 /// The earlier one, frozen while the later one starts, leaves the name to it.
 #[test]
-fn of_two_processes_under_one_name_the_later_one_is_refused_unless_the_earlier_one_slept() {
+fn later_incarnation_is_rejected_unless_earlier_one_was_frozen() {
     for slept in [false, true] {
         let mut net = fleet(6);
         let first = net.nodes[2].start;
@@ -130,7 +130,7 @@
 
 /// News of the journal that one has reach all, once each, and an older word never comes after a newer one.
 #[test]
-fn news_of_the_journal_reach_all_and_an_older_word_counts_for_nothing() {
+fn journal_news_reaches_all_and_stale_news_is_ignored() {
     let mut net = fleet(12);
     let now = net.now;
     let line = |ready| CacheStatus { ready, removed: false, started_at: 0.0 };
@@ -170,7 +170,7 @@
 
 /// What was lost on the way, by whatever fault, is found by digests and said again, and nothing else.
 #[test]
-fn a_gap_is_found_by_digests_and_only_it_is_sent() {
+fn gap_is_found_by_digests_and_only_missing_entries_are_sent() {
     let mut net = fleet(3);
     let now = net.now;
     for group in 0..200 {
@@ -205,7 +205,7 @@
 
 /// What a straggler says of the world counts for nothing at others; once it has caught up it is told again, and counts.
 #[test]
-fn a_stragglers_word_counts_once_it_has_caught_up() {
+fn news_of_straggler_counts_after_catching_up() {
     let mut net = fleet(3);
     let on = |version: u64| ActiveVersions {
         hierarchy: HierarchyVersion { version, digest: version },
@@ -245,7 +245,7 @@
 
 /// Whatever goes wrong, no router says more than its pace.
 #[test]
-fn no_more_is_said_than_the_pace_lets_through() {
+fn rate_limit_bounds_sent_bytes() {
     let mut rules = MembershipConfig::default();
     (rules.rate_limit.bytes_per_second, rules.rate_limit.burst_seconds) = (4_000.0, 1.0);
     let mut net = Net::new(3, 5, 2, rules, Wire::default());
@@ -271,7 +271,7 @@
 /// Crashes, cuts, frozen processes and restarts by seed; once all is mended, all know the same of all, nobody is taken
 /// for dead or alive wrongly, and what was told meanwhile is known everywhere.
 #[test]
-fn after_any_faults_all_know_the_same() {
+fn all_routers_agree_after_random_faults() {
     for seed in 0..60 {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let routers = chance.random_range(3..12);
@@ -320,7 +320,7 @@
 /// All that crosses links in a fleet without places, byte by byte and at its time: that it is what it was before links
 /// were pruned and had quiet times of their own, which are for places alone.
 #[test]
-fn without_places_every_byte_is_said_as_it_was_before_links_were_pruned() {
+fn without_locations_every_byte_is_sent_at_its_time() {
     let mut net = Net::new(21, 12, 3, MembershipConfig::default(), Wire { loss: 0.02, ..Wire::default() });
     net.record = Some(Vec::new());
     for n in 0..300u64 {
--- a/crates/membership/tests/entry_table.rs
+++ b/crates/membership/tests/entry_table.rs
@@ -1,4 +1,4 @@
-//! The table of facts: the newest of each, whatever the order, and gaps by digests.
+//! The table of entries: the newest of each key in any order, gaps by digests, and limits.
 
 use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
@@ -12,7 +12,7 @@
 proptest! {
     /// Whatever the order in which facts come, and however often: the same facts, and the same digests.
     #[test]
-    fn tables_that_heard_the_same_are_the_same(
+    fn tables_with_same_entries_are_equal_in_any_order(
         facts in proptest::collection::vec((0u32..20, 0u64..6, 0u8..4), 0..120),
         turns in proptest::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_older_fact_never_wins_and_a_gap_is_found_by_its_part() {
+fn stale_entry_is_ignored_and_gap_is_found_by_partition() {
     let mut table = EntryTable::new(TableLimits::default());
     let key = EntryKey::Router("n1".to_string()).encode();
     assert_eq!(table.insert(0.0, &key, entry(5, 1)), InsertOutcome::Inserted);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn no_more_is_kept_than_may_be() {
+fn table_limits_are_enforced() {
     let kept = TableLimits { entries: 3, entry_bytes: 10, total_bytes: 20, unknown_entries: 1 };
     let mut table = EntryTable::new(kept);
     let long = GossipEntry { body: vec![0; 11], ..entry(1, 0) };
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -334,7 +334,7 @@
 /// All that crosses links between places, byte by byte and at its time, with loss, cuts, crashes, restarts, a frozen
 /// process, two processes of one name, queries, a floor, drains, purges and batches.
 #[test]
-fn between_places_every_byte_is_sent_at_its_time() {
+fn between_locations_every_byte_is_sent_at_its_time() {
     let shape = Shape::new(&[2, 2], 4);
     let mut net = Net::tree(7, &shape, MembershipConfig::default(), Wire { loss: 0.02, ..Wire::default() });
     net.record = Some(Vec::new());
--- a/crates/membership/tests/locations.rs
+++ b/crates/membership/tests/locations.rs
@@ -1,4 +1,4 @@
-//! Fleets in a tree of places, in virtual time: what each router knows of the whole, how soon, and through which
+//! Fleets at topology locations in virtual time: what each router knows of the whole fleet, how soon, and through which
 //! faults; judged by what crossed the links and by a plain count of the routers.
 
 mod net;
@@ -102,7 +102,7 @@
 // ---- What is known.
 
 #[test]
-fn each_knows_its_site_exactly_and_of_the_rest_as_many_facts_as_its_places_have_parts() {
+fn router_knows_its_site_and_one_summary_per_sibling_location() {
     let (mut net, shape) = fleet(1, Wire::default());
     net.record = Some(Vec::new());
     for n in 0..shape.all() {
@@ -148,7 +148,7 @@
 
 /// While nothing changes, summaries are renewed, and tables are compared: nothing else is said.
 #[test]
-fn without_a_place_nothing_of_places_is_said() {
+fn without_location_no_topology_message_is_sent() {
     let mut net = Net::new(4, 8, 2, MembershipConfig::default(), Wire::default());
     net.record = Some(Vec::new());
     net.run(20_000.0);
@@ -175,7 +175,7 @@
 /// One router goes over to other settings, then all to another hierarchy: it stands in all summaries within 5 s, also
 /// with 1% lost on the way and one slow member.
 #[test]
-fn a_change_is_in_all_summaries_within_five_seconds() {
+fn change_is_in_all_summaries_within_five_seconds() {
     for (seed, loss, slow) in [(2, 0.0, None), (3, 0.01, None), (4, 0.01, Some(17))] {
         let (mut net, shape) = fleet(seed, Wire { loss, ..Wire::default() });
         if let Some(slow) = slow {
@@ -198,7 +198,7 @@
 /// The hierarchy changes again and again at all routers, as often as a fleet's does: a site says so as a whole, only once
 /// in a while, and no summary is of the middle of a change.
 #[test]
-fn a_place_that_goes_over_again_and_again_says_so_once_in_a_while() {
+fn repeated_hierarchy_transitions_are_published_at_interval() {
     let (mut net, shape) = fleet(16, Wire::default());
     net.record = Some(Vec::new());
     let (from, rule) = (net.now, MembershipConfig::default().aggregation);
@@ -237,7 +237,7 @@
 
 /// Whoever speaks for a site, its zone and its region is killed, then its successor with it; then all are back.
 #[test]
-fn a_successor_speaks_as_soon_as_the_one_before_is_suspected_and_not_longer_than_it_is_needed() {
+fn next_aggregator_takes_over_from_suspect_one_and_hands_back() {
     let (mut net, shape) = fleet(5, Wire::default());
     net.record = Some(Vec::new());
     for dead in [vec![0], vec![0, 1], vec![0, 5]] {
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_frozen_speaker_is_succeeded_and_what_it_says_when_it_wakes_is_no_older() {
+fn frozen_aggregator_is_replaced_and_resumes_without_stale_summary() {
     let (mut net, shape) = fleet(6, Wire::default());
     let left = shape.all() as u64 - 1;
     net.freeze(0);
@@ -290,7 +290,7 @@
 /// The links between its site and all others are gone, then between it and its site: both ends count what they can
 /// hear of, and it heals by itself.
 #[test]
-fn a_site_that_is_cut_off_is_counted_as_unheard_of_and_counts_the_others_so() {
+fn partitioned_site_is_counted_as_unreachable_on_both_sides() {
     let (mut net, shape) = fleet(7, Wire::default());
     let across = |a: usize, b: usize| (a < 5) != (b < 5);
     let links: Vec<(usize, usize)> = net.links().into_iter().filter(|(a, b)| across(*a, *b)).collect();
@@ -314,7 +314,7 @@
 
 /// Two regions are apart for ten minutes, each changes meanwhile, and what is caught up keeps to the budget.
 #[test]
-fn a_region_apart_for_ten_minutes_catches_up_within_the_budget() {
+fn region_partitioned_for_ten_minutes_catches_up_within_budget() {
     let mut rules = MembershipConfig::default();
     rules.rate_limit.bytes_per_second = 4_096.0;
     let shape = shape();
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn a_zone_that_starts_at_once_is_counted_again_and_says_no_more_than_its_pace() {
+fn zone_starting_at_once_is_counted_within_rate_limit() {
     let (mut net, shape) = fleet(9, Wire::default());
     (0..15).for_each(|n| net.crash(n));
     net.run(net.now + 60_000.0);
@@ -361,7 +361,7 @@
 /// Crashes, cuts, frozen processes and restarts by seed: once all is mended, all count the same, which is the plain
 /// count, and nothing went where it is not for.
 #[test]
-fn after_any_faults_the_totals_are_the_plain_count() {
+fn totals_equal_plain_count_after_random_faults() {
     for seed in 0..16 {
         let shape = Shape::new(&[2, 2], 4);
         let routers = shape.all();
@@ -422,7 +422,7 @@
 }
 
 #[test]
-fn a_router_without_a_place_counts_in_the_site_that_its_links_are_in() {
+fn router_without_location_counts_in_site_of_its_links() {
     let (mut net, shape) = mixed(10, &[7], &[]);
     net.record = Some(Vec::new());
     let all = shape.all() as u64;
@@ -455,7 +455,7 @@
 
 /// Whoever asks gets what the site has that knows it; also when the one that spoke for it is killed.
 #[test]
-fn the_detail_of_a_router_and_of_a_site_elsewhere_comes_from_the_site_that_has_it() {
+fn query_is_answered_by_the_site_it_asks_for() {
     let (mut net, shape) = fleet(11, Wire::default());
     let answer = |net: &Net, n: usize, asked: u64| {
         net.nodes[n].done.iter().find_map(|(_, action)| match action {
@@ -498,7 +498,7 @@
 /// A roll of voters in several sites settles a version for all, and stragglers are named everywhere, as far as the
 /// bound goes, and counted beyond.
 #[test]
-fn voters_elsewhere_settle_the_floor_and_stragglers_are_named_in_summaries() {
+fn remote_voters_decide_floor_and_summaries_name_stragglers() {
     let (mut net, shape) = fleet(12, Wire::default());
     let voters: Vec<String> = ["r3", "r21", "r50"].map(str::to_string).to_vec();
     (0..shape.all()).for_each(|n| net.core(n).set_voters(&voters));
@@ -546,7 +546,7 @@
 
 /// What is told to all goes as it does without places: no later, in the same fleet by the same links.
 #[test]
-fn drains_come_no_later_than_without_places() {
+fn drains_spread_no_later_than_without_locations() {
     let shape = shape();
     let known = |places: bool| {
         let with = Net::tree(13, &shape, MembershipConfig::default(), Wire::default());
@@ -584,7 +584,7 @@
 /// One that goes on speaking for a site after it was succeeded: a word of a dead router comes again and again, always
 /// as the newest. The record shows two speakers; the one that is right outbids it, and the totals are right again.
 #[test]
-fn a_speaker_that_does_not_end_is_found_in_the_record_and_outbid() {
+fn persistent_rival_aggregator_is_detected_and_superseded() {
     let (mut net, shape) = fleet(14, Wire::default());
     net.record = Some(Vec::new());
     net.crash(0);
@@ -625,7 +625,7 @@
 /// All that was said of places before a router died is said again after it, as by a link that was held up for long: it
 /// is older than what is known, and changes no count.
 #[test]
-fn an_older_word_of_a_place_changes_no_count() {
+fn stale_summary_changes_no_count() {
     let (mut net, shape) = fleet(17, Wire::default());
     net.record = Some(Vec::new());
     net.run(net.now + 25_000.0);
@@ -653,7 +653,7 @@
 /// One without a place that has links with two sites, which its operators are told not to do: its word is counted in
 /// both, and what one of them says reaches the other. The plain count and the checker of what crossed find both.
 #[test]
-fn a_router_counted_twice_and_a_statement_beyond_its_site_are_found() {
+fn checks_detect_double_count_and_status_leak() {
     let (mut net, shape) = mixed(15, &[7], &[(7, 41)]);
     net.record = Some(Vec::new());
     net.run(30_000.0);
@@ -670,7 +670,7 @@
 /// A change of the last router of all, for none of whose places anybody of its own site speaks, in a fleet that has much
 /// else to say: it goes on from hop to hop over links that are quiet, and no place waits for more than its own gathering.
 #[test]
-fn a_change_goes_up_and_down_the_tree_without_a_wait_at_each_hop() {
+fn change_crosses_tree_without_waiting_at_each_hop() {
     let rules = MembershipConfig::default();
     for (seed, loss) in [(17, 0.0), (18, 0.01)] {
         let shape = Shape::new(&[2, 2, 2, 3], 8);
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Who is there, by links that both ends tell of.
+//! Which routers are alive, judged by links that both ends report.
 
 use linnethook_membership::membership::{
     MemberChange, MemberEvent, MemberList, MemberState, MembershipTimeouts,
@@ -20,7 +20,7 @@
 
 /// A chain me - a - b: b is there as long as a and b both tell of their link, and a is there.
 #[test]
-fn who_is_reached_over_links_that_both_ends_tell_of_is_alive() {
+fn router_is_alive_while_reachable_over_links_that_both_ends_report() {
     let mut members = MemberList::new(MembershipTimeouts::default(), "me");
     members.set_link("a", 1, true);
     members.update_status(0.0, "a", 1, says(&[("me", 1), ("b", 1)], false));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_restart_counts_from_its_own_links_on_and_an_earlier_start_never_again() {
+fn restarted_router_needs_its_own_links_and_earlier_incarnation_is_ignored() {
     let mut members = MemberList::new(MembershipTimeouts::default(), "me");
     members.set_link("a", 1, true);
     assert_eq!(members.update_status(0.0, "a", 1, says(&[], false)), Some(MemberChange::Joined));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn who_has_said_that_it_ends_has_left_as_soon_as_it_is_out_of_reach() {
+fn leaving_router_has_left_once_unreachable() {
     let mut members = MemberList::new(MembershipTimeouts::default(), "me");
     members.set_link("a", 1, true);
     members.update_status(0.0, "a", 1, says(&[], true));
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -1,7 +1,8 @@
-//! Routers of a fleet in virtual time: the shipped core at each, and links that carry what it says in order, lose (and
-//! so delay) some of it, are cut, and are found to be silent after a while.
+//! A fleet of routers in virtual time: the cluster of each, and links that deliver what it sends in order, lose (and so
+//! delay) some of it, are cut, and are detected as silent after a while.
 //!
-//! What is simulated: links, their pulse, and a state that is told whole to whoever connects. One seed, one run.
+//! Simulated are the links, their heartbeats, and the complete state that is sent to whoever connects. One seed gives one
+//! run.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/membership/tests/plumtree.rs
+++ b/crates/membership/tests/plumtree.rs
@@ -1,5 +1,5 @@
-//! Which links carry a fact whole and which only its digest: by themselves, and in fleets in a tree of places whose
-//! routers die, hear nothing or are slow; judged by what crossed the links.
+//! Which links carry complete entries and which only digests: single routers, and fleets at topology locations whose
+//! routers die, receive nothing or are slow; judged by what crossed the links.
 
 mod net;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_link_is_pruned_for_the_key_that_comes_twice_over_it_and_the_one_it_came_over_first_never_is() {
+fn duplicate_prunes_link_for_its_key_and_first_link_stays_eager() {
     let mut tree = three();
     tree.record_new(0.0, KEY, Revision::new(1, 1), Some("a"));
     tree.record_duplicate("b", KEY, Revision::new(1, 1));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_link_to_a_build_without_lazy_links_is_never_pruned_and_told_nothing_of_them() {
+fn link_without_lazy_support_is_never_pruned() {
     let mut tree = three();
     tree.set_lazy_support("b", false);
     tree.record_new(0.0, KEY, Revision::new(1, 1), Some("a"));
@@ -82,7 +82,7 @@
 /// A digest came of a fact that does not come: it is asked for where it was heard of first, then at the next one, and the
 /// link is eager again at the end that has it.
 #[test]
-fn a_fact_of_which_only_digests_come_is_asked_for_at_one_after_another() {
+fn announced_entry_is_grafted_from_one_peer_after_another() {
     let rule = PlumtreeConfig::default();
     let (mut here, mut there) = (three(), three());
     there.record_new(0.0, KEY, Revision::new(1, 1), Some("c"));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn digests_are_read_as_they_were_written_and_what_is_cut_short_or_too_long_is_nothing() {
+fn digests_round_trip_and_invalid_ones_are_rejected() {
     assert_eq!(decode_digests(&encode_digests(&[1, u32::MAX, 7])), Some(vec![1, u32::MAX, 7]));
     assert_eq!(decode_digests(&encode_digests(&[1])[..3]), None);
     assert_eq!(decode_digests(&vec![0; 4 * 5_000]), None);
@@ -123,7 +123,7 @@
 
 /// What a fact leaves behind is bounded, whatever is said.
 #[test]
-fn what_is_kept_of_digests_has_a_bound_and_an_end() {
+fn remembered_digests_are_bounded_and_expire() {
     let mut tree = three();
     for n in 0..20_000u32 {
         tree.record_new(f64::from(n) / 1_000.0, &n.to_le_bytes(), Revision::new(1, 1), Some("a"));
@@ -149,7 +149,7 @@
 
 /// A greeting to an older build is one that it reads, and one of an older build says nothing of lazy links.
 #[test]
-fn a_greeting_is_read_by_an_older_build_and_one_of_it_says_that_it_knows_of_no_lazy_links() {
+fn handshake_is_compatible_with_older_build() {
     let place = Location::parse("a/b").expect("a place");
     let greeting = LinkHandshake {
         location: place.clone(),
@@ -217,7 +217,7 @@
 
 /// Once links are pruned hardly a fact comes twice, and less is said by a quarter and more.
 #[test]
-fn hardly_a_fact_comes_twice_and_all_come() {
+fn pruned_links_carry_few_duplicates_and_lose_no_entry() {
     let measure = |prunes: bool| {
         let mut rules = MembershipConfig::default();
         rules.plumtree.lazy_links = prunes;
@@ -248,7 +248,7 @@
 /// One in each site that stands in the way of what others say dies, or hears nothing and is not found out, right before
 /// a change; and one is slow by seconds.
 #[test]
-fn a_change_is_known_everywhere_in_time_whoever_stands_in_its_way_is_dead_or_deaf_or_slow() {
+fn change_spreads_in_time_past_dead_deaf_or_slow_routers() {
     for seed in [2, 3] {
         let mut net = fleet(seed, MembershipConfig::default(), Wire { loss: 0.01, ..Wire::default() });
         net.crash(22);
@@ -279,7 +279,7 @@
 
 /// What is pruned heals: after a router on the way has died and links are pruned anew, hardly a fact comes twice again.
 #[test]
-fn links_are_pruned_anew_after_one_on_the_way_has_died() {
+fn links_are_pruned_again_after_router_on_path_died() {
     let mut net = fleet(4, MembershipConfig::default(), Wire::default());
     net.crash(22);
     net.crash(0);
@@ -295,7 +295,7 @@
 
 /// Routers of a build that knows of no lazy links: they are told of none, and all count the same in time.
 #[test]
-fn beside_an_older_build_links_with_it_stay_as_they_were() {
+fn links_with_older_build_stay_eager() {
     let mut net = Net::tree(5, &shape(), MembershipConfig::default(), Wire::default());
     let mut rules = MembershipConfig::default();
     rules.plumtree.lazy_links = false;
--- a/crates/membership/tests/rate_limit.rs
+++ b/crates/membership/tests/rate_limit.rs
@@ -1,9 +1,9 @@
-//! How many bytes may be said.
+//! The send budget.
 
 use linnethook_membership::gossip::rate_limit::{RateLimitConfig, TokenBucket};
 
 #[test]
-fn no_more_goes_in_a_second_than_its_rate_and_what_was_saved_up() {
+fn token_bucket_allows_rate_plus_burst() {
     let mut pace = TokenBucket::new(0.0, RateLimitConfig { bytes_per_second: 1_000.0, burst_seconds: 2.0 });
     let mut said = [0usize; 10];
     for ms in 0..10_000 {
--- a/crates/membership/tests/summary.rs
+++ b/crates/membership/tests/summary.rs
@@ -1,4 +1,4 @@
-//! Summaries against a plain count of the same routers: in any order, in any parts, told or lost.
+//! Summaries against a plain count of the same routers: in any order and grouping, published or lost.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -91,7 +91,7 @@
 proptest! {
     /// Parts merge in any order and any grouping to the same, which is what a plain count has.
     #[test]
-    fn parts_merge_in_any_order_to_the_plain_count(routers in routers()) {
+    fn summaries_merge_in_any_order_to_the_plain_count(routers in routers()) {
         let part = |site: usize| sum(routers.iter().filter(move |r| r.site == site));
         let of = |sites: &[usize]| {
             let mut all = Summary::default();
@@ -110,7 +110,7 @@
 
     /// As it is told, part by part and then as a whole: bounded, and all totals as in a plain count.
     #[test]
-    fn what_is_told_keeps_to_the_bounds_and_loses_nobody(routers in routers()) {
+    fn truncated_summary_keeps_bounds_and_totals(routers in routers()) {
         let mut all = Summary::default();
         for site in 0..6 {
             let told = sum(routers.iter().filter(|r| r.site == site)).truncated();
@@ -123,7 +123,7 @@
 
     /// Whatever of it is lost, comes late or twice: the newest word of each part counts, once.
     #[test]
-    fn a_part_counts_once_by_its_newest_word(
+    fn location_counts_once_by_its_newest_report(
         words in proptest::collection::vec((0usize..6, 1u64..9), 0..60),
     ) {
         let me = Location::parse("n/s0").expect("a place");
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_group_is_told_apart_by_all_that_its_routers_act_on() {
+fn groups_differ_by_every_active_version() {
     let acts = ActiveVersions {
         build: "0.1.0".to_string(),
         settings_digest: 1,
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn places_are_read_with_their_names_apart_and_bad_ones_are_turned_away() {
+fn locations_are_parsed_and_invalid_ones_rejected() {
     let place = |text: &str| Location::parse(text).expect("a place");
     assert_eq!(place("a/b/c").common_depth(&place("a/b/d")), 2);
     assert_eq!(place("ab/c").common_depth(&place("a/bc")), 0);
--- a/crates/membership/tests/unit/hybrid_clock.rs
+++ b/crates/membership/tests/unit/hybrid_clock.rs
@@ -2,7 +2,7 @@
 
 /// Clocks ten minutes apart, one of which jumps back: what a message proves is never turned round.
 #[test]
-fn what_messages_prove_holds_whatever_the_clocks_say() {
+fn timestamps_respect_causality_despite_clock_skew() {
     let (mut ahead, mut behind) = (HybridClock::default(), HybridClock::default());
     let sent = ahead.next_timestamp(600_000.0);
     behind.observe(0.0, sent);
--- a/crates/membership/tests/unit/snapshot_transfer.rs
+++ b/crates/membership/tests/unit/snapshot_transfer.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn it_asks_one_after_another_and_takes_a_whole_of_one_answer_only() {
+fn peers_are_asked_in_turn_and_chunks_of_one_answer_make_a_snapshot() {
     let rule = SnapshotTransferConfig { chunk_bytes: 4, ..SnapshotTransferConfig::default() };
     let mut fetch = SnapshotTransfer::new(rule);
     let ahead = ["a", "b"];
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn it_stops_where_nobody_is_ahead_and_keeps_no_more_than_its_bound() {
+fn transfer_stops_without_peer_ahead_and_size_is_bounded() {
     let rule = SnapshotTransferConfig {
         start_after: 0.0,
         max_bytes: 8,
--- a/crates/membership/tests/unit/straggler.rs
+++ b/crates/membership/tests/unit/straggler.rs
@@ -4,7 +4,7 @@
     StragglerObservation { own_version: 5, floor: 5, isolated_since: None, journal_valid_until: 0.0 };
 
 #[test]
-fn who_is_behind_has_time_is_shut_out_and_comes_back_by_stages() {
+fn router_below_floor_is_excluded_after_grace_period_and_recovers_by_ramp() {
     let mut straggler = StragglerDetector::new(StragglerConfig::default());
     assert_eq!(straggler.observe(0.0, &WELL), None);
     let behind = StragglerObservation { floor: 6, ..WELL };
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_cut_alone_shuts_nobody_out() {
+fn partition_alone_excludes_no_router() {
     let mut straggler = StragglerDetector::new(StragglerConfig::default());
     for second in 0..1_000 {
         let now = f64::from(second) * 1_000.0;
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_majority_of_the_roll_settles_a_version_and_less_does_not() {
+fn majority_of_voters_decides_version() {
     assert_eq!(majority_version(&[Some(4), Some(7), Some(7)]), 7);
     assert_eq!(majority_version(&[Some(4), Some(4), Some(7)]), 4);
     assert_eq!(majority_version(&[Some(9), None, None]), 0);
--- a/crates/membership/tests/versions.rs
+++ b/crates/membership/tests/versions.rs
@@ -1,4 +1,4 @@
-//! The form of facts, and what builds of other versions read of it.
+//! The form of statuses, and what builds of other versions read of them.
 
 use linnethook_membership::aggregation::location::Location;
 use linnethook_membership::gossip::entry::Revision;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_older_version_is_read_with_what_it_lacks_left_out_and_a_newer_one_as_far_as_it_is_known() {
+fn status_versions_are_read_forward_and_backward() {
     let all = statement();
     let second = all.encode(Revision::new(1, 2), 2);
     assert_eq!(RouterStatus::decode(&second), Some(all.clone()));
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_is_cut_short_or_of_an_unknown_kind_is_nothing() {
+fn truncated_or_unknown_input_is_rejected() {
     let placed = RouterStatus { location: Some(Location::parse("north").expect("a place")), ..statement() };
     for entry in [statement().encode(Revision::new(1, 2), 2), placed.encode(Revision::new(1, 2), 2)] {
         for length in 0..entry.body.len() {
