--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -88,8 +88,8 @@
     }
     // From here on no request is accepted, so that the last record of the audit log is the last.
     router.close_clients();
-    if router.has_fleet() {
-        router.end_account();
+    if router.has_cluster() {
+        router.end_audit_log();
         for _ in 0..LAST_TURNS {
             events.dispatch(LAST_TURN, &mut router)?;
             router.on_timer();
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,7 +5,7 @@
 //! - [`requests`]: the open requests;
 //! - [`policy_adapter`]: the policy, with its events and actions;
 //! - [`hierarchy_adapter`]: the hierarchy of caches, and the admission of fills;
-//! - [`remote_sites`], [`fleet`], [`account`]: other sites, other routers, and the audit log;
+//! - [`remote_sites`], [`cluster`], [`account`]: other sites, other routers, and the audit log;
 //! - [`control`], [`steer`], [`cli`], [`audit`]: the control socket, what it does, and the commands;
 //! - [`config`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`]: the rest.
 
@@ -14,6 +14,7 @@
 mod buffers;
 mod cli;
 mod clock;
+mod cluster;
 mod config;
 mod control;
 mod counters;
@@ -22,7 +23,6 @@
 mod downstream;
 mod event_handler;
 mod event_loop;
-mod fleet;
 #[cfg(test)]
 #[path = "../tests/unit/golden.rs"]
 mod golden;
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -13,15 +13,15 @@
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::clock::Clock;
+use crate::cluster::{self, ClusterAdapter, ClusterEffect};
 use crate::config::{Config, ConfigError, Limits};
-use crate::control::Control;
+use crate::control::{Answer, Control, Question};
 use crate::counters::Counters;
 use crate::descriptors::Reserve;
-use crate::discovery::event::{EndpointUpdate, PurgeEvent, WatchEvent};
+use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::discovery::DiscoveryClient;
 use crate::downstream::codec::AnswerCode;
 use crate::downstream::{ClientEvent, ClientRequest, ClientStream, Downstreams};
-use crate::fleet::Fleet;
 use crate::hierarchy_adapter::{Asked, HierarchyAdapter, Step};
 use crate::log::log_line;
 use crate::policy_adapter::{
@@ -75,7 +75,7 @@
     pub(crate) hierarchy: Option<HierarchyAdapter>,
     pub(crate) control: Option<Control<Self>>,
     pub(crate) remote_sites: Option<RemoteSites<Self>>,
-    pub(crate) fleet: Option<Fleet>,
+    pub(crate) cluster: Option<ClusterAdapter>,
     /// The evaluation of the operator file in progress.
     pub(crate) evaluation: Option<Evaluation>,
     pub(crate) handle: LoopHandle<'static, Self>,
@@ -125,7 +125,7 @@
             hierarchy: None,
             control: None,
             remote_sites: None,
-            fleet: None,
+            cluster: None,
             evaluation: None,
             handle: handle.clone(),
             policy_timer: None,
@@ -142,7 +142,7 @@
             router.operator = Some(file);
         }
         router.on_watch_events(known.entries);
-        router.tick_fleet();
+        router.on_cluster_timer();
         // Clients are accepted only once the endpoint list is known.
         let address = router.downstreams.listen(config.file.listen)?;
         log_line!("{} listens on {address}", config.file.name);
@@ -162,10 +162,12 @@
                 }
                 self.tell_feeds();
             }
-            self.fleet_hears(&event);
+            if let Some(cluster) = &mut self.cluster {
+                cluster.on_watch_event(now, &event);
+            }
             if let Some(mut update) = event.hosts {
-                if let Some(fleet) = &mut self.fleet {
-                    fleet.hosts(now, &mut update, event.pos);
+                if let Some(cluster) = &mut self.cluster {
+                    cluster.on_endpoint_update(now, &mut update, event.pos);
                 }
                 if let Some(remote_sites) = &mut self.remote_sites {
                     let policy = &self.policy;
@@ -243,8 +245,8 @@
         };
         let asked = request.asked;
         // A straggler starts no fills: cached copies are served.
-        let fleet = self.fleet.as_mut().filter(|_| !asked.write && order.fill.source.is_some());
-        let shut_out = fleet.and_then(|fleet| fleet.shuts_out(now, asked.object));
+        let cluster = self.cluster.as_mut().filter(|_| !asked.write && order.fill.source.is_some());
+        let shut_out = cluster.and_then(|cluster| cluster.exclusion(now, asked.object));
         let step = match (&mut self.hierarchy, shut_out) {
             (Some(hierarchy), Some(wait)) if hierarchy.fills(&order) => {
                 Some(hierarchy.held_alone(now, order, asked, wait))
@@ -279,8 +281,8 @@
             return;
         }
         let Some(request) = self.requests.remove(ticket) else { return };
-        if let Some(fleet) = &mut self.fleet {
-            fleet.answered(self.clock.now(), answer);
+        if let Some(cluster) = &mut self.cluster {
+            cluster.record_answer(self.clock.now(), answer);
         }
         self.answer_client(request.stream, answer, payload, retry_after);
         let mut events = Vec::new();
@@ -411,8 +413,8 @@
 
     /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
     pub(crate) fn barred_for_now(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
-        let fleet = self.fleet.as_mut().filter(|_| self.policy.is_not_idempotent(spec))?;
-        let wait = fleet.shuts_out(now, spec.object)?;
+        let cluster = self.cluster.as_mut().filter(|_| self.policy.is_not_idempotent(spec))?;
+        let wait = cluster.exclusion(now, spec.object)?;
         Some(wait.min(self.policy.max_retry_after()))
     }
 
@@ -455,8 +457,8 @@
         self.count_outcome(end, &completed.payload);
         let attempt = completed.report.attempt;
         let write = self.requests.get(attempt.ticket).filter(|request| request.asked.write);
-        if let (Some(fleet), Some(request)) = (&mut self.fleet, write) {
-            fleet.write_ended(now, &request.message.id, attempt.number, end);
+        if let (Some(cluster), Some(request)) = (&mut self.cluster, write) {
+            cluster.record_write_outcome(now, &request.message.id, attempt.number, end);
         }
         if let Some(hierarchy) = &mut self.hierarchy {
             let steps = hierarchy.ended(now, &completed);
@@ -574,8 +576,17 @@
                 SiteEffect::Cancel(ticket) => self.on_remote_cancelled(ticket),
                 SiteEffect::EndpointChanged(name) => self.on_remote_endpoint(&name),
                 SiteEffect::Purge(purge) => self.purged(&purge),
-                SiteEffect::PeerLink { name, start, up } => self.fellow(&name, start, up),
-                SiteEffect::PeerEntry { name, key, entry } => self.fellow_said(&name, &key, &entry),
+                SiteEffect::PeerLink { name, start, up } => {
+                    if let Some(cluster) = &mut self.cluster {
+                        cluster.set_link(&name, start, up);
+                    }
+                }
+                SiteEffect::PeerEntry { name, key, entry } => {
+                    let now = self.clock.now();
+                    if let Some(cluster) = &mut self.cluster {
+                        cluster.on_entry(now, &name, &key, &entry);
+                    }
+                }
             }
         }
     }
@@ -668,7 +679,7 @@
         let Some(remote_sites) = &mut self.remote_sites else { return };
         remote_sites.on_timer(now, open_ratio);
         self.run_remote_sites();
-        self.tick_fleet();
+        self.on_cluster_timer();
     }
 
     /// The share of the open requests that there may be.
@@ -676,6 +687,60 @@
         self.requests.len() as f64 / self.limits.open.max(1) as f64
     }
 
+    // ---- Other routers.
+
+    /// Does what the membership asks for, until it asks for nothing more.
+    pub(crate) fn run_cluster(&mut self) {
+        loop {
+            let (Some(cluster), Some(remote_sites)) = (&mut self.cluster, &mut self.remote_sites) else {
+                return;
+            };
+            let hierarchy = self.hierarchy.as_mut();
+            let effect = cluster.next_effect(&self.clock, &mut remote_sites.gateway, hierarchy);
+            let Some(effect) = effect else { break };
+            match effect {
+                ClusterEffect::EndpointChanged(entry) => self.apply_cluster_entry(entry),
+                ClusterEffect::Purge(purge) => {
+                    remote_sites.announce_purge(self.clock.now(), &purge);
+                    self.purged(&purge);
+                }
+                ClusterEffect::HierarchyChanged => self.tell_feeds(),
+            }
+        }
+        self.run_remote_sites();
+    }
+
+    fn on_cluster_timer(&mut self) {
+        let now = self.clock.now();
+        let Some(cluster) = &mut self.cluster else { return };
+        let (position, silence) = (self.discovery.position(), self.discovery.silence_allowed_until());
+        let restored = cluster.on_timer(now, self.hierarchy.as_mut(), position, silence);
+        for entry in restored {
+            self.apply_cluster_entry(entry);
+        }
+        self.run_cluster();
+    }
+
+    /// Applies a line of the endpoint list with what other routers report of it.
+    fn apply_cluster_entry(&mut self, entry: EndpointEntry) {
+        let now = self.clock.now();
+        let mut update = EndpointUpdate { all: false, targets: vec![entry] };
+        if let Some(remote_sites) = &mut self.remote_sites {
+            let policy = &self.policy;
+            remote_sites.on_endpoint_update(now, &mut update, |entry| policy.is_local(&entry.host()));
+        }
+        self.apply_endpoint_update(&update);
+    }
+
+    /// Answers a question that concerns the cluster.
+    pub(crate) fn reply_cluster(&mut self, question: Question) -> Answer {
+        let reply = cluster::reply(self.cluster.as_mut(), self.clock.now(), question);
+        if reply.run_timer {
+            self.on_cluster_timer();
+        }
+        reply.answer
+    }
+
     // ---- Timers.
 
     /// Does all that is due.
@@ -735,7 +800,7 @@
             self.hierarchy.as_ref().map(HierarchyAdapter::next),
             self.control.as_ref().and_then(Control::next),
             self.remote_sites.as_ref().map(|remote_sites| remote_sites.next_deadline(now)),
-            self.fleet.as_ref().map(|fleet| fleet.next(now)),
+            self.cluster.as_ref().map(|cluster| cluster.next_deadline(now)),
         ];
         let next = deadlines.into_iter().flatten().reduce(Ms::min).unwrap_or(now + 1000.0);
         Duration::from_secs_f64((next - now).clamp(0.0, 1000.0) / 1000.0)
@@ -806,9 +871,9 @@
         let remote_sites = self.remote_sites.as_ref();
         let links =
             remote_sites.map_or(String::new(), |remote_sites| format!(" {}", remote_sites.counters()));
-        let fleet = self.fleet.as_ref().map_or(String::new(), |fleet| format!(" {fleet}"));
+        let cluster = self.cluster.as_ref().map_or(String::new(), |cluster| format!(" {cluster}"));
         let shadow = self.policy.shadow_counts().map_or(String::new(), |counts| format!(" {counts}"));
-        log_line!(always "{counters} {discovery} {gauges}{links}{fleet}{shadow}");
+        log_line!(always "{counters} {discovery} {gauges}{links}{cluster}{shadow}");
     }
 
     // ---- Shutdown.
@@ -822,7 +887,11 @@
         self.phase = RunPhase::Draining { since: self.clock.now() };
         let mut events = Vec::new();
         self.downstreams.begin_drain(self.clock.now(), &mut events);
-        self.leave_fleet();
+        let now = self.clock.now();
+        if let Some(cluster) = &mut self.cluster {
+            cluster.leave(now);
+        }
+        self.run_cluster();
         if let Some(remote_sites) = &mut self.remote_sites {
             remote_sites.gateway.stop();
             self.run_remote_sites();
@@ -875,8 +944,17 @@
     }
 
     /// Whether other routers are to be told of the end.
-    pub fn has_fleet(&self) -> bool {
-        self.fleet.is_some()
+    pub fn has_cluster(&self) -> bool {
+        self.cluster.is_some()
+    }
+
+    /// Ends the audit log, and sends its last record to the other routers.
+    pub fn end_audit_log(&mut self) {
+        let now = self.clock.now();
+        if let Some(cluster) = &mut self.cluster {
+            cluster.end_audit_log(now);
+        }
+        self.run_cluster();
     }
 
     /// Answers all open requests as failed: the platform kills the process before their outcomes are known.
--- a/crates/router/src/steer.rs
+++ b/crates/router/src/steer.rs
@@ -16,9 +16,9 @@
 use serde_json::{json, Map, Value};
 
 use crate::cli;
+use crate::cluster::ClusterAdapter;
 use crate::control::{Answer, BudgetLine, Control, MoveLine, Question, Shown};
 use crate::discovery::event::EndpointUpdate;
-use crate::fleet::Fleet;
 use crate::hierarchy_adapter::{Applied, HierarchyAdapter, Step};
 use crate::log::log_line;
 use crate::operator_digest;
@@ -73,8 +73,13 @@
             self.upstreams.reports_versions = beyond.forwards_requests();
             self.remote_sites = Some(beyond);
             if let Some(fellows) = &gateway.fellows {
-                self.fleet =
-                    Some(Fleet::new(now, name, fellows, settings, operator_digest::digest(operator)));
+                self.cluster = Some(ClusterAdapter::new(
+                    now,
+                    name,
+                    fellows,
+                    settings,
+                    operator_digest::digest(operator),
+                ));
                 self.hierarchy.iter_mut().for_each(HierarchyAdapter::tells_fellows);
             }
         }
@@ -120,8 +125,8 @@
                         continue;
                     };
                     self.counters.sent += 1;
-                    if let Some(fleet) = &mut self.fleet {
-                        fleet.sent(now, &ordered, &held.message.id, held.asked.write);
+                    if let Some(fleet) = &mut self.cluster {
+                        fleet.record_attempt(now, &ordered, &held.message.id, held.asked.write);
                     }
                     self.upstreams.send(now, &ordered, &held.message, way.as_ref());
                 }
@@ -182,11 +187,11 @@
     fn take_over(&mut self, file: &Path, operator: &Operator) {
         let now = self.clock.now();
         let fellows = operator.gateway.as_ref().and_then(|gateway| gateway.fellows.as_ref());
-        if let (Some(fleet), Some(fellows)) = (&mut self.fleet, fellows) {
-            fleet.set(fellows, operator_digest::digest(operator));
+        if let (Some(fleet), Some(fellows)) = (&mut self.cluster, fellows) {
+            fleet.reload(fellows, operator_digest::digest(operator));
             log_line!(always "{}: read again, the settings of fellows(...) hold", file.display());
         }
-        let taken = self.fleet.is_some() && fellows.is_some();
+        let taken = self.cluster.is_some() && fellows.is_some();
         let (Some(upstream), Some(hierarchy)) = (&mut self.hierarchy, &operator.hierarchy) else {
             if !taken {
                 log_line!(always "{}: read again; nothing in it can change while this runs", file.display());
@@ -205,11 +210,11 @@
     pub fn reply(&mut self, question: Question) -> Answer {
         match question {
             Question::Gateway | Question::Routes | Question::Drain { .. } => self.reply_beyond(question),
-            Question::Fleet => self.reply_fleet(),
-            Question::Ask(asked) => self.ask_fleet(asked),
-            Question::Answered(id) => self.answered_by_fleet(id),
-            Question::Floor(version) => self.set_floor(version),
-            Question::Accounts => self.accounts(),
+            Question::Fleet
+            | Question::Ask(_)
+            | Question::Answered(_)
+            | Question::Floor(_)
+            | Question::Accounts => self.reply_cluster(question),
             question => self.reply_upstream(question),
         }
     }
