--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -21,7 +21,7 @@
     ExclusionReason, StragglerDetector, StragglerObservation, StragglerState,
 };
 use linnethook_membership::versions::ActiveVersions;
-use linnethook_operator::Fellows;
+use linnethook_operator_config::config::ClusterSection;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::account::{Auditor, Words};
@@ -84,12 +84,12 @@
     shut_out: u64,
 }
 
-fn voters(fellows: &Fellows) -> &[String] {
+fn voters(fellows: &ClusterSection) -> &[String] {
     fellows.straggler.as_ref().map_or(&[], |part| &part.voters)
 }
 
 impl ClusterAdapter {
-    pub fn new(now: Ms, name: &str, fellows: &Fellows, settings: u64, operator: u64) -> Self {
+    pub fn new(now: Ms, name: &str, fellows: &ClusterSection, settings: u64, operator: u64) -> Self {
         let build = env!("CARGO_PKG_VERSION").to_string();
         let versions = ActiveVersions {
             build,
@@ -99,15 +99,15 @@
         };
         // The same start as the gateway's.
         let start = (now * 1_000.0) as u64;
-        let core = Cluster::new(now, fellows.rules, name, start, versions.clone());
+        let core = Cluster::new(now, fellows.parameters, name, start, versions.clone());
         let mut core = core.with_location(now, fellows.place.clone());
         core.set_voters(voters(fellows));
         let audit = fellows.audit.as_ref().map(|part| {
-            let folder = part.folder.as_deref().map(Path::new);
+            let folder = part.directory.as_deref().map(Path::new);
             Auditor::new(
                 now,
                 core.clock.next_timestamp(now),
-                part.rules,
+                part.parameters,
                 folder,
                 (name, start),
                 versions.clone(),
@@ -115,7 +115,7 @@
         });
         let straggler = fellows.straggler.as_ref().map(|part| StragglerCheck {
             voters: part.voters.clone(),
-            core: StragglerDetector::new(part.rule),
+            core: StragglerDetector::new(part.parameters),
             alone: Some(now),
             shut_out: 0,
         });
@@ -131,28 +131,28 @@
             audit,
             straggler,
             linked: BTreeSet::new(),
-            fetch: SnapshotTransfer::new(fellows.rules.snapshot_transfer),
+            fetch: SnapshotTransfer::new(fellows.parameters.snapshot_transfer),
             adopted: 0,
             queries: VecDeque::new(),
         }
     }
 
     /// The operator file was read again. What was not there at the start begins with the next one.
-    pub fn reload(&mut self, fellows: &Fellows, operator: u64) {
+    pub fn reload(&mut self, fellows: &ClusterSection, operator: u64) {
         self.versions.operator_digest = operator;
-        self.core.set_config(fellows.rules);
+        self.core.set_config(fellows.parameters);
         self.core.set_voters(voters(fellows));
         if self.core.location() != fellows.place.as_ref() {
             log_line!(always "fellows: a place counts from the next start on");
         }
-        self.fetch.set_config(fellows.rules.snapshot_transfer);
+        self.fetch.set_config(fellows.parameters.snapshot_transfer);
         self.core.set_versions(&self.versions);
         if let (Some(audit), Some(part)) = (&mut self.audit, &fellows.audit) {
-            audit.set(part.rules);
+            audit.set(part.parameters);
         }
         if let (Some(behind), Some(part)) = (&mut self.straggler, &fellows.straggler) {
             behind.voters.clone_from(&part.voters);
-            behind.core.set_config(part.rule);
+            behind.core.set_config(part.parameters);
         }
     }
 
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -9,7 +9,7 @@
 use calloop::signals::Signal;
 use calloop::LoopHandle;
 use linnethook_gateway::gateway::{Came, Reply};
-use linnethook_operator::Operator;
+use linnethook_operator_config::OperatorConfig;
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::clock::Clock;
@@ -95,7 +95,7 @@
     pub fn new(
         config_path: &Path,
         config: Config,
-        operator: Option<(PathBuf, Operator)>,
+        operator: Option<(PathBuf, OperatorConfig)>,
         handle: &LoopHandle<'static, Self>,
     ) -> Result<Self, StartError> {
         let has_gateway = operator.as_ref().is_some_and(|(_, operator)| operator.gateway.is_some());
@@ -103,9 +103,13 @@
         let reserve = Reserve::take(limits.reserve)?;
         let buffers = BufferPool::new(limits.block, limits.blocks_kept, limits.blocks_most);
         // Errors in the shadow policy's settings are reported before anything starts.
-        let shadow = operator.as_ref().and_then(|(_, operator)| operator.watch.as_ref());
-        let shadow_settings =
-            |shadow| Ok::<_, ConfigError>((config.with(&steer::changes(shadow))?, shadow.every * 1000.0));
+        let shadow = operator.as_ref().and_then(|(_, operator)| operator.shadow_policy.as_ref());
+        let shadow_settings = |shadow| {
+            Ok::<_, ConfigError>((
+                config.with(&steer::changes(shadow))?,
+                shadow.log_interval_seconds * 1000.0,
+            ))
+        };
         let shadow = shadow.map(shadow_settings).transpose()?;
         let settings_digest = operator.as_ref().map_or(0, |_| config.settings_digest());
         let known = config.file.known;
--- a/crates/router/tests/unit/hierarchy_adapter.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -1,6 +1,6 @@
 //! Unit tests of `src/hierarchy_adapter.rs`, a part of its module: the snapshot that one router gives to another.
 
-use linnethook_operator::{Bounds, Operator};
+use linnethook_operator_config::{EvaluationLimits, OperatorConfig};
 
 use super::*;
 use crate::golden::assert_golden;
@@ -14,7 +14,8 @@
 "#;
 
 fn adapter(text: &str) -> HierarchyAdapter {
-    let operator = Operator::read("operator.star", text, &Bounds::default()).expect("a good file");
+    let operator =
+        OperatorConfig::parse("operator.star", text, &EvaluationLimits::default()).expect("a good file");
     HierarchyAdapter::new(1_000.0, "n0", &operator.hierarchy.expect("a hierarchy")).expect("a shape")
 }
 
--- a/crates/router/tests/unit/operator_digest.rs
+++ b/crates/router/tests/unit/operator_digest.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use linnethook_operator::Bounds;
+use linnethook_operator_config::EvaluationLimits;
 
 use super::*;
 
@@ -23,12 +23,22 @@
 straggler(voters = ["router-1", "router-2"])
 "#;
 
-fn read(text: &str) -> Operator {
-    Operator::read("operator.star", text, &Bounds::default()).expect("a good file")
+/// Every setting of every function, each with a value of its own.
+const EVERY_SETTING: &str =
+    include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../operator-config/tests/golden/everything.star"));
+
+fn read(text: &str) -> OperatorConfig {
+    OperatorConfig::parse("operator.star", text, &EvaluationLimits::default()).expect("a good file")
 }
 
-const FILES: [&str; 5] =
-    [EVERYTHING, "", "hierarchy()", "log()", "gateway(site = \"a\", listen = \"10.0.0.4:1\")\nfellows()"];
+const FILES: [&str; 6] = [
+    EVERYTHING,
+    "",
+    "hierarchy()",
+    "log()",
+    "gateway(site = \"a\", listen = \"10.0.0.4:1\")\nfellows()",
+    EVERY_SETTING,
+];
 
 /// The texts that 48f72c9 hashes, one a line. `LINNETHOOK_WRITE_GOLDEN=1` writes the file where it is missing.
 #[test]
