--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -7,6 +7,7 @@
 pub struct SettingsError {
     /// The path of the value, as in `family-info.tells`.
     pub path: String,
+    /// What is wrong, and what is expected.
     pub message: String,
 }
 
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -5,9 +5,13 @@
 /// What one value of a load report is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReportField {
+    /// Requests in flight.
     InFlight,
+    /// Utilization of the endpoint.
     Utilization,
+    /// Ratio of hits among recent requests.
     HitRatio,
+    /// Utilization of the fill link.
     LinkUtilization,
     /// A value that no decision uses.
     Unused,
--- a/crates/shadow-policy/src/comparison.rs
+++ b/crates/shadow-policy/src/comparison.rs
@@ -11,6 +11,7 @@
 /// applies, in the order of the fields after `compared`, rejection first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DifferenceCounts {
+    /// Decisions compared.
     pub compared: u64,
     /// One forwards the request, the other rejects or fails it.
     pub rejection: u64,
@@ -82,8 +83,21 @@
 /// What is decided about a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    Forward { endpoint: EndpointId, fill: Option<FillInstruction>, timeout: Ms },
-    Reject { retry_after: Ms },
+    /// An attempt is sent.
+    Forward {
+        /// Where to.
+        endpoint: EndpointId,
+        /// How a missing copy is filled; `None` for no fill.
+        fill: Option<FillInstruction>,
+        /// The attempt's time-out.
+        timeout: Ms,
+    },
+    /// The request is rejected.
+    Reject {
+        /// When the client should retry.
+        retry_after: Ms,
+    },
+    /// The request fails.
     Fail,
 }
 
@@ -153,14 +167,19 @@
 /// How two decisions about a request differ.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Difference {
+    /// No difference.
     None,
     /// The same attempt or answer, with another time-out or Retry-After.
     Timing,
     /// One decides nothing yet.
     OneWaits,
+    /// Another endpoint.
     Endpoint,
+    /// Another fill source.
     Source,
+    /// Another fill instruction.
     Fill,
+    /// Only one rejects or fails the request.
     Rejection,
 }
 
--- a/crates/shadow-policy/src/lib.rs
+++ b/crates/shadow-policy/src/lib.rs
@@ -16,6 +16,9 @@
 //!
 //! No file, socket or clock. All state belongs to an open request or to an attempt in flight.
 
+#![warn(missing_docs)]
+#![warn(clippy::missing_errors_doc, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+
 pub mod comparison;
 pub mod shadow;
 pub mod visibility;
--- a/crates/shadow-policy/src/shadow.rs
+++ b/crates/shadow-policy/src/shadow.rs
@@ -18,6 +18,7 @@
 pub struct DueTimer {
     /// In whole microseconds, on the router's clock.
     pub at_us: u64,
+    /// What [`Event::Timer`] carries.
     pub token: u32,
 }
 
@@ -43,8 +44,11 @@
 /// The number of records that a [`ShadowPolicy`] has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RecordCounts {
+    /// Open requests that both instances agree on.
     pub requests: usize,
+    /// Attempts in flight that both instances have sent.
     pub attempts: usize,
+    /// Timers of the second instance.
     pub timers: usize,
 }
 
