--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -97,14 +97,14 @@
 }
 
 #[test]
-fn the_end_of_the_input_ends_it_well() {
+fn the_end_of_the_input_is_a_success() {
     let output = run(&[batch(1.0, &[]), batch(2.0, &[])].concat());
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, [0; 16]);
 }
 
 #[test]
-fn lists_are_resolved_in_the_order_of_events_and_instances_are_apart() {
+fn lists_are_resolved_in_event_order_and_instances_share_nothing() {
     let records = [
         open(3, SETTINGS),
         define(0, 1),
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_restart_in_one_batch_forgets_what_was_held() {
+fn a_restart_within_a_batch_drops_open_requests() {
     let off = (1110, 3u16.to_le_bytes().to_vec());
     let first = batch(1.0, &[open(3, SETTINGS), define(0, 1), fleet(3, 0), submit(3, 50)]);
     let again = batch(9.0, &[off, open(3, SETTINGS), define(1, 1), fleet(3, 1)]);
@@ -138,14 +138,14 @@
 }
 
 #[test]
-fn events_for_an_instance_that_does_not_run_are_passed_over() {
+fn events_for_an_instance_that_does_not_run_are_ignored() {
     let output = run(&batch(1.0, &[submit(8, 50)]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0; 8]);
 }
 
 #[test]
-fn bad_input_ends_it_with_one_plain_line() {
+fn malformed_input_is_reported_in_one_line() {
     let good = batch(1.0, &[]);
     let cases: [(Vec<u8>, &str); 6] = [
         (vec![0; 5], "batch 2: the input ends 5 bytes into a header"),
--- a/crates/adapter/tests/unit/codec.rs
+++ b/crates/adapter/tests/unit/codec.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn lists_and_their_kinds() {
+fn endpoint_lists_and_updates() {
     let rows = of().u32(3).u32(3).text(&[entry(0).0, entry(1).0, entry(2).0].concat());
     let phases = [EndpointPhase::Removed, EndpointPhase::Ready, EndpointPhase::Draining];
     let expected = Record::DefineList { list: 3, endpoints: phases.map(endpoint).to_vec() };
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn requests_and_what_ends_them() {
+fn requests_and_their_events() {
     let fields = of().u16(9).u64(42).f32(3.0).u8(6).u16(1).f32(12.0).f32(11.0).u32(0).u64(99).f64(240.0);
     let request = Request {
         id: RequestId(42),
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn every_outcome_and_note() {
+fn every_attempt_status_and_cache_status() {
     use AttemptStatus::*;
     let codes = [200, 500, 503, 504, 502, 598, 499, 410, 404];
     let statuses = [Ok, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent, CacheMiss];
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn probes_reports_and_messages() {
+fn health_checks_load_reports_and_peer_messages() {
     let fields = of().u16(9).f64(2.0).u16(200).cache().u8(1).f32(4.0);
     let record = one(1000, fields).expect("a health check's result");
     let event = Event::HealthCheck { endpoint: CACHE, healthy: true, load_report: LoadReport::default() };
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn malformed_records_say_what_and_where() {
+fn malformed_records_report_what_and_where() {
     let error = |result: Result<Record>| result.expect_err("malformed").to_string();
     assert_eq!(error(one(7, of())), "unknown code 7 at byte 16 of the batch");
     assert_eq!(
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -53,14 +53,15 @@
             return self.give_up(id, reason);
         }
         let is_write = self.is_write(&request.request);
-        let is_retry = request.attempts_sent > 0;
+        let attempts_sent = request.attempts_sent;
+        let is_retry = attempts_sent > 0;
         if is_retry && !is_write && !self.retry_budget.withdraw() {
             return self.give_up(id, RejectReason::RetryBudgetExhausted);
         }
         let route = if is_write { self.route_write(request) } else { self.route_read(request) };
         match route {
             Ok(route) => self.send_if_repeatable(id, route, time_left),
-            Err(reason) => match self.decide_backoff(is_write, is_retry, id, time_left) {
+            Err(reason) => match self.decide_backoff(is_write, attempts_sent, time_left) {
                 RetryDecision::After(pause) => self.start_backoff(id, pause),
                 RetryDecision::NoTime => self.give_up(id, RejectReason::NoTimeForBackoff),
                 RetryDecision::Never => self.give_up(id, reason),
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -113,13 +113,11 @@
     pub(super) fn decide_backoff(
         &mut self,
         is_write: bool,
-        is_retry: bool,
-        id: RequestId,
+        attempts_sent: u32,
         time_left: Ms,
     ) -> RetryDecision {
-        let attempts_sent = self.requests.get(&id).map_or(0, |request| request.attempts_sent);
         let pause = BACKOFF_STEP * f64::from(1 + attempts_sent) * (0.5 + self.draw());
-        if !is_write || !is_retry {
+        if !is_write || attempts_sent == 0 {
             RetryDecision::Never
         } else if pause >= time_left {
             RetryDecision::NoTime
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -157,7 +157,7 @@
         self.sent.push(Sent { attempt: AttemptId { request, number }, cache, timeout, fill });
     }
 
-    /// Lets time pass, with the timers that come due.
+    /// Advances the clock, and fires the timers that are due.
     pub fn pass(&mut self, length: Ms) {
         let end = self.now + length;
         loop {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// A request comes in; what was sent for it, if anything was.
+    /// Submits a request; returns the attempt that was sent for it, if any.
     pub fn ask(&mut self, class: u16, object: u64) -> Option<Sent> {
         let request = self.request(class, object);
         self.submit(request)
@@ -201,7 +201,7 @@
         self.sent.get(before).copied()
     }
 
-    /// An attempt ends; what was sent for the same request then, if anything was.
+    /// Ends an attempt; returns the next attempt of the same request, if any.
     pub fn end(&mut self, sent: Sent, status: AttemptStatus, note: Option<CacheStatus>) -> Option<Sent> {
         self.end_after(sent, status, note, 0.0)
     }
@@ -227,19 +227,19 @@
         self.sent.get(before).copied()
     }
 
-    /// The objects below 400 that `owner` owns and that its filter shows.
+    /// The objects below 400 that `owner` owns and is known to cache.
     pub fn owned(&mut self, owner: EndpointId) -> Vec<u64> {
         (0..400)
             .filter(|&object| self.serve(SAFE, object, CacheStatus::FilledByParent).cache == owner)
             .collect()
     }
 
-    /// Asks for one object after another, none of which ends, until one is not sent to `owner`.
+    /// Submits requests, none of which ends, until one is not sent to `owner`.
     pub fn crowd(&mut self, owner: EndpointId, objects: &[u64]) -> Option<Sent> {
         objects.iter().find_map(|&object| self.ask(SAFE, object).filter(|sent| sent.cache != owner))
     }
 
-    /// Asks and serves at once.
+    /// Submits a request and serves it at once.
     pub fn serve(&mut self, class: u16, object: u64, note: CacheStatus) -> Sent {
         let sent = self.ask(class, object).expect("an attempt");
         self.end_after(sent, AttemptStatus::Ok, Some(note), 100.0);
--- a/tests/delivery_rules.rs
+++ b/tests/delivery_rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, as far as the module keeps them by itself.
+//! The five rules of the protocol, as far as the module keeps them by itself.
 
 mod common;
 
@@ -16,7 +16,7 @@
     AttemptStatus::CacheMiss,
 ];
 
-/// Plays each of the outcomes over and over for one request and counts its final answers.
+/// Ends every attempt of one request with the same status, and counts its final answers.
 fn finals_for(class: u16, status: AttemptStatus) -> (World, usize) {
     let mut world = World::new(settings());
     let mut last = world.ask(class, 4);
@@ -53,7 +53,7 @@
         let sent = world.ask(class, 4).expect("an attempt");
         assert!(sent.timeout > 0.0 && sent.timeout <= 3000.0);
     }
-    // With no time left there is an answer all the same.
+    // Without any time left there is a final answer all the same.
     let hopeless = Request { time_limit: 0.5, ..world.request(SAFE, 9) };
     assert_eq!(world.submit(hopeless), None);
     assert_eq!(world.finals.len(), 1);
@@ -152,7 +152,7 @@
     }
 }
 
-/// The work that a server was sent, at the mean of its class, when one request comes every so many ms.
+/// The work sent to an endpoint, at its class's mean, with one request every `every` milliseconds.
 fn cold_work(id: EndpointId, every: Ms, length: Ms) -> f64 {
     let mut world = World::new(settings());
     for object in 0..200 {
@@ -176,7 +176,7 @@
     for (id, cold, routers) in
         [(CACHES[0], settings.cache_slow_start, 2.0), (PARENTS[0], settings.parent_slow_start, 4.0)]
     {
-        // A flood, of which the other routers are taken to send as much.
+        // A flood; each of the other routers is assumed to send as much.
         let sent = cold_work(id, 1.0, cold.overload_window) * routers;
         let mean_share =
             cold.initial_ratio + (1.0 - cold.initial_ratio) * cold.overload_window / cold.duration / 2.0;
@@ -186,8 +186,8 @@
     }
 }
 
-/// With a hundred routers, one's part of what a cold parent bears is far less than one fill; if each overdrew it
-/// as soon as it is told of the start, all together would push it over.
+/// Each of a hundred routers has a budget far below one fill; if each overdrew it as soon as the start is
+/// listed, all together would overload the parent.
 #[test]
 fn rule_4_a_hundred_routers_do_not_overdraw_a_warming_parents_budget_at_once() {
     let routers = 100;
@@ -259,7 +259,7 @@
     }
     assert_eq!(world.crowd(CACHES[0], &owned[..20]), None, "a miss goes to the owner");
     assert_ne!(world.crowd(CACHES[0], &owned[20..]), None);
-    // It started anew long ago by its own account, so that no cold budget is in the way.
+    // It restarted long ago, so that no slow-start budget limits it.
     world.list(Endpoint { started_at: 1.0, ..endpoint(CACHES[0]) });
     assert_eq!(world.crowd(CACHES[0], &owned[20..]), None);
 }
--- a/tests/estimators.rs
+++ b/tests/estimators.rs
@@ -28,7 +28,7 @@
     assert_eq!(limit.limit, 10.0);
 }
 
-/// A thin stream must not take seconds longer than a thick one to tell a trouble.
+/// A thin stream must not take seconds longer than a thick one to show a fault.
 #[test]
 fn rare_results_weigh_more_in_a_limit() {
     let config = ConcurrencyLimitConfig { observation_weight: 0.1, memory: 1000.0, ..CONFIG };
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,11 +1,11 @@
-//! Answers when things fail: each guard, and odd but legal rounds.
+//! Behaviour under faults, and unusual but legal input.
 
 mod common;
 
 use common::*;
 use linnethook::interface::*;
 
-/// Serves so many objects, that sizes, filters and gaps are known.
+/// A world that has served enough objects for all estimates and filters to be known.
 fn warmed() -> World {
     let mut world = World::new(settings());
     for object in 0..200 {
@@ -19,7 +19,7 @@
     (0..200).filter(|&n| world.serve(SAFE, n, CacheStatus::Hit).cache == cache).collect()
 }
 
-/// A fast-failing cache has the fewest requests in flight and would draw all of them.
+/// A cache that fails fast has the fewest requests in flight and would attract all of them.
 #[test]
 fn a_failing_cache_is_ejected_and_recovers_by_trial_requests() {
     let mut world = warmed();
@@ -45,7 +45,7 @@
     assert_eq!(both, [Some(CACHES[0]); 2], "it is trusted again");
 }
 
-/// Where nothing is told of an error's origin, a failing parent must not take all caches out.
+/// Where outcomes do not report the cause of an error, a failing parent must not eject all caches.
 #[test]
 fn fill_errors_are_attributed_to_the_parent_where_caches_serve_their_copies() {
     let mut world = World::new(Settings { outcome_detail: OutcomeDetail::None, ..settings() });
@@ -73,7 +73,7 @@
     assert!(parents.filter(|&source| source == PARENTS[0]).count() < 5);
 }
 
-/// A location whose caches are all out, by the list or by what the router sees, still has its parents.
+/// A location whose caches are all removed or ejected still has its parents.
 #[test]
 fn requests_bypass_the_caches_when_all_are_ejected() {
     let bad = |direct| {
@@ -93,7 +93,7 @@
     assert_eq!(bad(false).len(), 10, "where that is not allowed they are asked all the same");
 }
 
-/// A dead cache is back, cold, before the list tells of it; the whole flood would push it over.
+/// A restarted cache is reachable before its start is listed; all of its load would overload it.
 #[test]
 fn a_cache_that_refused_connections_is_treated_as_warming_up() {
     let mut world = warmed();
@@ -120,7 +120,7 @@
     assert!(soon > 0 && soon < 75 && later > 500, "{soon} of 150, then {later} of 1000");
 }
 
-/// A hung or vanished cache answers nothing, and stays on the list for seconds.
+/// A hung or vanished cache responds to nothing, and stays listed for seconds.
 #[test]
 fn attempts_at_a_silent_cache_are_cancelled_and_retried_elsewhere() {
     let mut world = warmed();
@@ -132,8 +132,8 @@
     assert_ne!(again.cache, CACHES[0]);
 }
 
-/// A vanished cache takes no connections either, and is out for that before its silence shows: what waits there
-/// would wait for as long as its clients do.
+/// A vanished cache also refuses connections, and is ejected for that before it counts as silent; attempts
+/// there would otherwise wait until their clients give up.
 #[test]
 fn attempts_at_a_cache_that_refuses_connections_are_cancelled_too() {
     let mut world = warmed();
@@ -148,7 +148,7 @@
     assert!(stuck.iter().all(|sent| world.cancelled.contains(&sent.attempt)), "{:?}", world.cancelled);
 }
 
-/// Fills that waited long for the origin, behind parents.
+/// Fills by way of parents that waited long for the origin.
 fn slow_origin(world: &mut World) {
     for object in 1000..1060 {
         world.pass(30.0);
@@ -172,7 +172,7 @@
     }
 }
 
-/// A lost location must not take the parents for silent too: then all of it would go straight to the origin.
+/// A lost location must not make its parents look silent, or all its load would reach the origin.
 #[test]
 fn attempts_at_silent_caches_do_not_count_against_the_parents() {
     let mut world = warmed();
@@ -193,7 +193,7 @@
     assert!(!straight.contains(&THE_ORIGIN), "{straight:?}");
 }
 
-/// Parents whose places are taken by what waits for the origin refuse more; they are not to be taken out.
+/// Parents whose slots are taken by fills that wait for the origin reject more, and must not be ejected.
 #[test]
 fn parents_that_reject_because_of_a_slow_origin_are_not_ejected() {
     for note in [CacheStatus::SourceRejected, CacheStatus::SourceUnreachable] {
@@ -217,7 +217,7 @@
     }
 }
 
-/// Where the caches and the parents are gone, the origin must not be pushed until it stops.
+/// Without caches and parents, the origin must not be overloaded until it stops.
 #[test]
 fn direct_reads_of_the_origin_are_limited_to_what_it_answers() {
     let gone = CACHES
@@ -236,7 +236,7 @@
     assert!(sent < 60, "{sent} of 100 go on to an origin that answers none");
 }
 
-/// Without this a slow origin takes the parents out, and everybody goes straight to it until it stops.
+/// A slow origin must not eject the parents, or all routers would send to it directly until it stops.
 #[test]
 fn parents_that_wait_for_a_slow_origin_are_not_ejected() {
     let mut world = warmed();
@@ -247,7 +247,7 @@
     assert!(held.count() > 20, "most misses ask the parents only for what they hold");
 }
 
-/// An origin that has failed is not let recover if its share is back faster than the failures of a thin stream cut it.
+/// A failed origin cannot recover if its share of misses grows faster than a thin stream's failures cut it.
 #[test]
 fn a_small_share_of_admitted_misses_recovers_slowly() {
     let mut world = warmed();
@@ -258,7 +258,7 @@
     assert!(held * 100 > asked.len() * 78, "{held} of {} ask only for what is held", asked.len());
 }
 
-/// What a filter shows may be past its fresh time; its renewals must not escape the origin's share.
+/// A known copy may be past its freshness lifetime; its revalidation must be admitted by the origin too.
 #[test]
 fn revalidations_count_against_a_slow_origin_too() {
     let mut world = warmed();
@@ -285,7 +285,7 @@
     assert!(held > asked.len() / 2, "{held} of {} ask only for what is held", asked.len());
 }
 
-/// What clients take back ends as called off, long before it is late: it must not count as a late fill.
+/// An attempt that a client abandons ends as cancelled, long before it is late: it is no late fill.
 #[test]
 fn disconnected_clients_do_not_reduce_the_fill_links_limit() {
     let mut world = warmed();
@@ -302,7 +302,7 @@
     assert!(tried.len() == 5 && tried.iter().all(fills), "{tried:?}");
 }
 
-/// Late fills hold the slots of their caches until even hits come late.
+/// Late fills occupy the slots of their caches until even hits are late.
 #[test]
 fn late_fills_are_shed_and_hits_are_not() {
     let mut world = warmed();
@@ -327,7 +327,7 @@
     assert!(matches!(world.finals.last(), Some(Action::Reject { .. })), "refused at once");
 }
 
-/// Its late fills would close the link for those of the other parents.
+/// Its late fills would reduce the fill link's limit for those of the other parents.
 #[test]
 fn a_slow_parent_is_avoided_except_for_trial_requests() {
     let mut world = warmed();
@@ -354,8 +354,8 @@
     assert!(fills > 50, "the link stays open for the other: {fills}");
 }
 
-/// A parent that is out shows no late fills: beside it the other one would be slow for a few that a lost cache
-/// has made late, and all misses would go to the origin until that stops.
+/// An ejected parent shows no late fills: compared with it, the other one would be slow because of a few that
+/// a lost cache made late, and all misses would reach the origin until it stops.
 #[test]
 fn a_parent_is_slow_only_relative_to_a_healthy_one() {
     let mut world = warmed();
@@ -386,7 +386,7 @@
     assert_eq!(past, 0, "fills straight from the origin");
 }
 
-/// Seven routers that each took twice what they see for what the others have would all find it crowded.
+/// If seven routers each assumed twice what they see for the others, all would find the cache crowded.
 #[test]
 fn two_requests_in_flight_do_not_make_a_cache_crowded_for_eight_routers() {
     let mut world = World::new(Settings { routers_by_zone: vec![0, 0, 0, 8], ..settings() });
@@ -398,7 +398,7 @@
     assert!((0..3).all(|_| part(&mut world) == first));
 }
 
-/// A limit that each router held its own fills against would let through as many times more as there are routers.
+/// A limit for each router's own fills alone would admit as many times more as there are routers.
 #[test]
 fn the_fill_links_limit_counts_the_fills_of_other_routers() {
     let fills = |here: u32| {
@@ -416,7 +416,7 @@
     assert!(alone > 50 && eight < 48, "{alone} fills under way alone, {eight} with seven others");
 }
 
-/// Caches that age show no errors; what they hold comes later and later.
+/// Degraded caches show no errors; their cached copies are served later and later.
 #[test]
 fn a_slow_cache_serves_a_smaller_share_of_its_arc() {
     let mut world = warmed();
@@ -442,7 +442,7 @@
     assert!(to_it > 0 && to_it < owned.len() * 8 / 10, "{to_it} of {} stay with it", owned.len());
 }
 
-/// Where half of the caches age, a mean of all paces would follow them, and they would keep most of their arcs.
+/// When half of the caches degrade, a mean would follow them, and they would keep most of their arcs.
 #[test]
 fn when_half_of_the_caches_are_slow_they_lose_more_than_half_of_their_arcs() {
     let fourth = EndpointId(14);
@@ -465,7 +465,7 @@
     assert!(kept > 0 && kept * 10 < owned.len() * 6, "{kept} of {} stay with them", owned.len());
 }
 
-/// Ageing caches fill late what others fill in time: the link is not what is short.
+/// Degraded caches fill late what others fill in time: the link is not the bottleneck.
 #[test]
 fn late_fills_of_a_slow_cache_do_not_reduce_the_fill_links_limit() {
     let mut world = warmed();
@@ -487,7 +487,7 @@
     assert!(filled > 20, "{filled} of {} are filled", asked.len());
 }
 
-/// A trouble that fails all requests must not be multiplied by further attempts.
+/// A fault that fails all requests must not be multiplied by retries.
 #[test]
 fn retries_are_bounded_by_the_budget() {
     let mut world = warmed();
@@ -553,7 +553,7 @@
     assert_eq!((empty.ask(SAFE, 4), empty.finals.len()), (None, 1));
 }
 
-/// Caches taken away in waves: their replacements have new numbers, start cold, and what was kept is lost.
+/// Caches are replaced in waves: the new ones have other ids, start warming up, and all copies are lost.
 #[test]
 fn a_large_change_of_the_endpoint_list_keeps_every_rule_and_answer() {
     let new = |id: u64, since: Ms| Endpoint {
@@ -585,7 +585,7 @@
         world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(leaving) });
         world.list(Endpoint { started_at: world.now, ..endpoint(PARENTS[wave % 2]) });
     }
-    // One is left, then none, then one is back under its old number.
+    // One is left, then none, then one is back under its old id.
     for id in [111, 112] {
         world.list(Endpoint { phase: EndpointPhase::Removed, ..new(id, 0.0) });
     }
@@ -599,8 +599,8 @@
     assert_eq!(world.ask(SAFE, 9).expect("an attempt").cache, EndpointId(110));
 }
 
-/// A location that lost its caches, or has them back one by one, must not hold its fills against what is left of
-/// them: the link is made for all.
+/// A location that has lost its caches, or regains them one by one, must not limit its fills by those that
+/// are left: the link has the capacity for all.
 #[test]
 fn the_fill_links_limit_does_not_shrink_with_lost_caches() {
     let mut world = warmed();
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! The ordinary path, as the design has it.
+//! Placement and fill sources without faults.
 
 mod common;
 
@@ -44,11 +44,11 @@
     let handed = world.crowd(CACHES[0], &owned).expect("a cache that is less busy");
     let fill = handed.fill.expect("a fill");
     assert_eq!((fill.source, fill.retention, fill.only_if_cached), (CACHES[0], 0, true));
-    // What the filter lacks goes to the owner all the same.
+    // A copy that is not known is requested from the owner all the same.
     let unknown =
         (1000..).find(|&n| World::new(settings()).serve(SAFE, n, CacheStatus::Hit).cache == CACHES[0]);
     assert_eq!(world.ask(SAFE, unknown.expect("an object")).expect("an attempt").cache, CACHES[0]);
-    // If the owner turns out not to hold it, the request is tried again at the owner, which keeps it.
+    // If the owner has no copy after all, the request is retried at the owner, which caches it.
     let retried = world
         .end(handed, AttemptStatus::CacheMiss, Some(CacheStatus::SourceMiss))
         .expect("a further attempt");
@@ -73,7 +73,7 @@
     assert_eq!(last.fill.expect("a fill").source, THE_ORIGIN);
 }
 
-/// One viewer of an object in parts takes a good part of its owner's link for as long as it lasts.
+/// A client that reads part after part takes a good share of one cache's link for as long as it reads.
 #[test]
 fn routers_with_different_observations_agree_on_the_holders_of_parts() {
     let (mut one, mut two) = (World::new(settings()), World::new(settings()));
@@ -105,7 +105,7 @@
     }
 }
 
-/// One router of many sees little of a cache. If it took that for what each of the others sees, chance would send
+/// One router of many sees little of a cache. If it assumed as much for each of the others, chance would move
 /// parts to other caches, and each router's to another one.
 #[test]
 fn a_part_keeps_its_holder_when_one_of_many_routers_has_more_requests_there() {
@@ -130,7 +130,7 @@
     assert_eq!(sent.cache, CACHES[0]);
 }
 
-/// With many routers each has few requests in flight: the overflow must not wait for a number of them.
+/// With many routers each has few requests in flight: the overflow must not wait for a fixed number of them.
 #[test]
 fn sibling_overflow_is_relative_to_a_routers_share_of_the_owner() {
     let handed_after = |here: u32| {
@@ -152,8 +152,8 @@
     assert_eq!(handed.fill.expect("a fill").source, CACHES[1]);
 }
 
-/// In the course of a change an object's hash says by which list its fills run; what is not listed is no source,
-/// and ranks come before hashes.
+/// While fill sources are migrated, an object's hash selects the list that applies; what is not listed is no
+/// source, and priorities come before hashes.
 #[test]
 fn fills_follow_the_fill_sources_of_their_cache() {
     let mut world = World::new(settings());
@@ -178,7 +178,7 @@
         assert!((gone_over / 400.0 - part).abs() < 0.08, "{gone_over} for {part}");
         assert!(sources.iter().all(|source| PARENTS.contains(source)));
     }
-    // The first of the list drains: the next by rank, and not the parent that is no source any more.
+    // The first of the list drains: the next by priority follows, and not a parent that is no longer a source.
     world.list(Endpoint { phase: EndpointPhase::Draining, ..endpoint(PARENTS[1]) });
     let sent = world.ask(SAFE, 7).expect("an attempt");
     assert_eq!(sent.fill.map(|fill| fill.source), Some(THE_ORIGIN));
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -1,9 +1,9 @@
-//! A recorded run: while the subsystems around the module are off, the same events give the same actions as when it
-//! was recorded, to the byte, where sizes are told.
+//! A recorded run: the same events give the same actions as when it was recorded, to the byte, where sizes
+//! are known.
 //!
-//! The script is made from a seed; what is kept of the run is a digest of all actions, every 500 events. Actions are
+//! The script is generated from a seed; a digest of all actions is recorded every 500 events. Actions are
 //! hashed in an explicit encoding, field by field in the order of the simulator's wire, so that a renamed type or
-//! field does not change a digest. Whoever changes the ordinary path on purpose records it anew and says so in the
+//! field does not change a digest. An intended change of the decisions records it anew and says so in the
 //! commit.
 
 mod common;
@@ -15,7 +15,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Recorded with the program of 48f72c9.
-/// Every request tells its size.
+/// Every request carries its size.
 const RECORDED: [u64; 8] = [
     692538209553435401,
     1445170719152271159,
@@ -27,7 +27,7 @@
     6384437432843743290,
 ];
 
-/// Numbers that are the same in every build.
+/// Random numbers that are the same in every build.
 struct Chance(u64);
 
 impl Chance {
@@ -129,7 +129,7 @@
 
 /// A code for the kind of action, then its fields, numbers in little-endian order.
 ///
-/// `ageing` is left out: it is younger than the recording, and for whoever holds fills back.
+/// `max_stale_age` is left out: it is younger than the recording, and the simulator's wire has no such field.
 fn encode(action: &Action) -> Vec<u8> {
     let mut bytes = Vec::new();
     match action {
--- a/tests/unknown_capacities.rs
+++ b/tests/unknown_capacities.rs
@@ -1,10 +1,10 @@
-//! Another layout: a list without weights, outcomes that tell only hits.
+//! Sites whose endpoint list has no weights, and whose outcomes report only hits.
 
 mod common;
 use common::*;
 use linnethook::interface::*;
 
-/// The list says 1 of every server.
+/// The list has the weight 1 for every endpoint.
 fn unweighted() -> Vec<Endpoint> {
     everyone().into_iter().map(|member| Endpoint { weight: 1.0, ..member }).collect()
 }
@@ -13,13 +13,13 @@
     Settings { weights_unknown: unweighted, outcome_detail: OutcomeDetail::HitsOnly, ..settings() }
 }
 
-/// How many objects of one owner are taken while none of them ends.
+/// How many objects of one owner are admitted while no attempt ends.
 fn taken(world: &mut World, owner: EndpointId, objects: &[u64]) -> usize {
     let sent = objects.iter().filter_map(|&object| world.ask(SAFE, object));
     sent.filter(|sent| sent.cache == owner).count()
 }
 
-/// A hit ends with so many requests in hand there.
+/// A hit ends with that many requests in flight at its cache.
 fn hit(world: &mut World, object: u64, took: Ms, in_hand: f64) {
     let sent = world.ask(SAFE, object).expect("an attempt");
     end_hit(world, sent, took, in_hand);
@@ -38,7 +38,7 @@
     }));
 }
 
-/// Weights that tell nothing would make every cache one transfer wide.
+/// Weights without meaning would make the capacity of every cache one transfer.
 #[test]
 fn a_cache_without_a_weight_has_the_default_capacity() {
     let crowd = |unweighted_list: bool| {
@@ -63,12 +63,12 @@
         let objects = world.owned(CACHES[0]);
         taken(&mut world, CACHES[0], &objects)
     };
-    // 100 ms of sending: twelve at full pace are twelve wide, twelve at a quarter of it three.
+    // 100 ms of transfer time: twelve at full rate show a capacity of twelve, at a quarter of it three.
     let (wide, narrow) = (crowd(100.0), crowd(400.0));
     assert!(wide > narrow + 5, "{wide} taken by a wide cache, {narrow} by a narrow one");
 }
 
-/// Sizes that are told count as before, whatever the answers show.
+/// Listed capacities apply whatever the answers show.
 #[test]
 fn listed_capacities_are_not_replaced_by_learnt_ones() {
     let crowd = |took: Ms| {
@@ -82,7 +82,7 @@
     assert_eq!(crowd(100.0), crowd(290.0));
 }
 
-/// Where notes say nothing of failures, the origin's refusals show that more than its rate is asked of it.
+/// Where failures are not reported, the origin's rejections show that it is asked for more than its rate.
 #[test]
 fn origin_rejections_are_attributed_to_the_origin_where_only_hits_are_reported() {
     let fills = |refused: bool| {
@@ -109,7 +109,7 @@
 #[test]
 fn parts_are_spread_by_capacity() {
     let mut world = World::with(layout(true), unweighted());
-    // Part after part, the first cache sends ten at full pace, the others two.
+    // Part after part, the first cache sends ten at full rate, the others two.
     let mut count = [0; 2];
     for part in 1..3000 {
         world.pass(20.0);
@@ -128,7 +128,7 @@
     );
 }
 
-/// What its owner would send too late another cache may still send in time.
+/// What the owner would send too late, another cache may still send in time.
 #[test]
 fn the_next_cache_serves_when_the_owner_is_too_crowded() {
     let mut world = World::with(layout(true), unweighted());
@@ -137,7 +137,7 @@
         world.pass(50.0);
         hit(&mut world, objects[n % objects.len()], 400.0, 4.0);
     });
-    // Its filter forgets: none of these can be filled from it.
+    // Its filter expires: none of these can be filled from it.
     world.pass(25_000.0);
     let before = world.sent.len();
     for &object in objects.iter().take(12) {
@@ -148,7 +148,7 @@
     assert!(sent.len() == 12 && stood_in > 0 && world.finals.is_empty(), "{stood_in} of {}", sent.len());
 }
 
-/// A ring with as many points for each would give a narrow cache as much as a wide one.
+/// A ring with equal arcs would give a small cache as much as a large one.
 #[test]
 fn objects_in_one_part_are_spread_by_capacity_too() {
     let mut world = World::with(layout(true), unweighted());
@@ -162,13 +162,13 @@
         let narrow = sent.cache == CACHES[0];
         end_hit(&mut world, sent, if narrow { 200.0 } else { 100.0 }, if narrow { 4.0 } else { 10.0 });
     }
-    // What a filter shows stays where it is held; here all has been forgotten.
+    // A known copy stays at its cache; here all have expired.
     world.pass(25_000.0);
     let after = owned(&mut world);
     assert!(after * 2 < before && after > 0, "{after} of {before} stay with a cache a fifth as wide");
 }
 
-/// The last parent that is up answers every second fill late; the origin itself is quick.
+/// The last healthy parent is late with every second fill; the origin itself is fast.
 #[test]
 fn the_only_parent_is_avoided_when_slow_where_no_waits_are_reported() {
     let to_origin = |tells: OutcomeDetail| {
@@ -197,7 +197,7 @@
     assert!(told == 0 && untold > 100, "{told} and {untold} of 400 filled straight from the origin");
 }
 
-/// What a cache that has just come can send is not known; it is asked for no more than the least known one could bear.
+/// The capacity of a new cache is unknown; it is sent no more than the smallest known one could take.
 #[test]
 fn a_warming_cache_of_unknown_capacity_counts_as_the_smallest_known_one() {
     let asked = |took: Ms| {
@@ -225,7 +225,7 @@
     );
 }
 
-/// Fills that all parents refuse are refused behind them; what one refuses alone is its own doing.
+/// Fills that all parents reject are rejected behind them; a parent that rejects alone fails by itself.
 #[test]
 fn a_parent_that_rejects_alone_is_ejected_and_parents_that_all_reject_are_not() {
     let asked_of_first = |refuses: &dyn Fn(EndpointId) -> bool| {
@@ -254,7 +254,7 @@
     assert!(again < 20, "{again} tried again where all refuse");
 }
 
-/// hf9fdc8: the last cache of a location, still cold, got the work of all, saved up, by a size of 5 that it did not have.
+/// hf9fdc8: the last cache of a location, still warming up, received all requests at once
 #[test]
 fn a_lone_warming_cache_is_not_overloaded_because_of_a_guessed_capacity() {
     let mut world = World::with(layout(true), unweighted());
@@ -269,7 +269,7 @@
         work += if sent.cache == new { 100.0 } else { 0.0 };
         world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::Hit), 100.0);
     }
-    // Three transfers wide, 11 s of 15 after its start: half of what makes it fall over is this router's part.
+    // A capacity of three, 11 s of 15 after its start: half of the overload limit is this router's share.
     let cold = settings().cache_slow_start;
     let capacity = 3.0 * (cold.initial_ratio + (1.0 - cold.initial_ratio) * 11.0 / 15.0);
     let most = cold.overload_multiple * capacity * cold.overload_window / 2.0;
