--- a/crates/hierarchy/tests/convergence.rs
+++ b/crates/hierarchy/tests/convergence.rs
@@ -216,7 +216,7 @@
 
 /// The error for each kind of invalid batch, and the limits.
 #[test]
-fn invalid_batches_are_rejected_whole_and_limits_hold() {
+fn invalid_batches_are_rejected_completely_and_limits_apply() {
     let mut history = History::new(
         BatchLimits { max_authors: 2, ..BatchLimits::default() },
         HistoryLimits { retained_batches: 4, pending_batches: 2 },
--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -115,7 +115,7 @@
             }
             ReceiveOutcome::Duplicate => self.text("repeated"),
             ReceiveOutcome::Pending(batch_id) => self.number(batch_id.number),
-            ReceiveOutcome::Invalid(wrong) => self.text(&wrong.to_string()),
+            ReceiveOutcome::Invalid(error) => self.text(&error.to_string()),
         }
     }
 }
--- a/crates/hierarchy/tests/golden.rs
+++ b/crates/hierarchy/tests/golden.rs
@@ -364,7 +364,7 @@
         .for_each(|error| _ = writeln!(text, "field {error}"));
     [RollbackReason::HighFailureRate, RollbackReason::SourceLost, RollbackReason::Requested]
         .iter()
-        .for_each(|harm| _ = writeln!(text, "harm {harm}"));
+        .for_each(|reason| _ = writeln!(text, "harm {reason}"));
     let alone = validate(&[node_spec("a", Role::Cache, Vec::new())]).expect_err("no origin");
     let _ = writeln!(text, "check {alone}");
     assert_golden("texts.txt", &text);
@@ -383,8 +383,8 @@
         .try_fold(FillPath::new(70_000), |path, n| path.append_node(&format!("n{n}")))
         .expect("so many");
     let _ = writeln!(text, "{long}");
-    for wrong in ["", "7", "x:a", "7:a++b", "7:a=b", "-1:a", "7:a b", "7:a>b", "7:a,b", "7:+"] {
-        let _ = writeln!(text, "{wrong:?} {}", FillPath::parse(wrong).expect_err("a bad token"));
+    for malformed in ["", "7", "x:a", "7:a++b", "7:a=b", "-1:a", "7:a b", "7:a>b", "7:a,b", "7:+"] {
+        let _ = writeln!(text, "{malformed:?} {}", FillPath::parse(malformed).expect_err("a bad token"));
     }
     assert_golden("fill_path.txt", &text);
 }
--- a/crates/hierarchy/tests/origin_shield.rs
+++ b/crates/hierarchy/tests/origin_shield.rs
@@ -130,7 +130,7 @@
                     Grant::Granted(id) => {
                         prop_assert!(model.insert(fetch, (id, now + 200.0)).is_none());
                     }
-                    Grant::AlreadyLeased(id) => prop_assert_eq!(model.get(&fetch).map(|held| held.0), Some(id)),
+                    Grant::AlreadyLeased(id) => prop_assert_eq!(model.get(&fetch).map(|lease| lease.0), Some(id)),
                     Grant::Untracked => prop_assert_eq!(model.len(), 8),
                 },
                 _ => {
