--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -23,7 +23,7 @@
     Timestamp { ms, counter: 300 }
 }
 
-fn acts_on() -> ActiveVersions {
+fn active_versions() -> ActiveVersions {
     ActiveVersions {
         build: "0.1.0".to_string(),
         settings_digest: 0x0102_0304_0506_0708,
@@ -35,7 +35,7 @@
     }
 }
 
-fn acts() -> Vec<AuditedAction> {
+fn actions() -> Vec<AuditedAction> {
     vec![
         AuditedAction::Attempt { target: 1 << 40 },
         AuditedAction::Fill { child: 1, source: 2 },
@@ -57,8 +57,8 @@
         from: stamp(1_000),
         to: stamp(6_000),
         wall_clock: (1_000.5, 6_000.5),
-        versions: acts_on(),
-        counts: acts().into_iter().zip(1..).map(|(act, n)| (act, tally(n))).collect(),
+        versions: active_versions(),
+        counts: actions().into_iter().zip(1..).map(|(act, n)| (act, tally(n))).collect(),
         write_attempts: vec![WriteAttempt {
             request_id: "request-1".to_string(),
             attempt: 2,
@@ -100,10 +100,10 @@
     let names = |id: u64| Some(format!("node-{id}"));
     let mut clock = HybridClock::default();
     let rules = AuditLogConfig { max_action_kinds: 9, max_write_attempts: 2, ..AuditLogConfig::default() };
-    let mut account = AuditLog::new(0.0, clock.next_timestamp(0.0), rules, "r1", 1_000, acts_on());
+    let mut account = AuditLog::new(0.0, clock.next_timestamp(0.0), rules, "r1", 1_000, active_versions());
     for n in 0..40u64 {
         let now = n as f64 * 700.0;
-        let all = acts();
+        let all = actions();
         account.record_action(clock.next_timestamp(now), all[n as usize % all.len()]);
         let id = format!("request-{n}");
         account.record_write_attempt(WriteAttempt {
@@ -118,7 +118,7 @@
         account.set_versions(
             now + 2.0,
             clock.next_timestamp(now + 2.0),
-            &ActiveVersions { journal_position: journal, ..acts_on() },
+            &ActiveVersions { journal_position: journal, ..active_versions() },
             names,
         );
         account.tick(now + 3.0, clock.next_timestamp(now + 3.0), names);
--- a/crates/membership/examples/spread.rs
+++ b/crates/membership/examples/spread.rs
@@ -18,7 +18,7 @@
     format!("{:.0} {:.0} {:.0}", at(50), at(99), at(100))
 }
 
-fn said(net: &Net) -> f64 {
+fn bytes_by_router(net: &Net) -> f64 {
     net.nodes.iter().map(|node| node.bytes as f64).sum::<f64>() / net.nodes.len() as f64
 }
 
@@ -31,11 +31,11 @@
     };
     let joined = net.until(120_000.0, alive).unwrap_or(f64::NAN);
     net.run(net.now + 30_000.0);
-    let (before, from) = (said(&net), net.now);
+    let (before, from) = (bytes_by_router(&net), net.now);
     net.run(net.now + 20_000.0);
-    let quiet = (said(&net) - before) / 20.0;
+    let quiet = (bytes_by_router(&net) - before) / 20.0;
     // One fact.
-    let (at, before) = (net.now, said(&net));
+    let (at, before) = (net.now, bytes_by_router(&net));
     net.core(0).publish_cache(at, "c", CacheStatus { ready: false, removed: false, started_at: 0.0 }, 9);
     let key = EntryKey::Cache("c".to_string()).encode();
     let mut known = vec![f64::NAN; routers];
@@ -51,7 +51,7 @@
             break;
         }
     }
-    let fact = said(&net) - before;
+    let fact = bytes_by_router(&net) - before;
     // One crash.
     net.run(net.now + 10_000.0);
     let wrong = |net: &Net, name: &str| {
--- a/crates/membership/examples/summaries.rs
+++ b/crates/membership/examples/summaries.rs
@@ -52,7 +52,7 @@
 
 impl Run<'_> {
     /// What all act on at a time: each is a little behind another.
-    fn acts(&self, n: usize, now: f64) -> ActiveVersions {
+    fn versions(&self, n: usize, now: f64) -> ActiveVersions {
         let seconds = (now / 1_000.0 - (n * 37 % 100) as f64 / 200.0).max(0.0);
         let version = (seconds / CHANGES) as u64 + 1;
         ActiveVersions {
@@ -70,7 +70,7 @@
         while net.now < until {
             let now = net.now;
             for n in (0..net.nodes.len()).filter(|n| net.runs(*n)).collect::<Vec<_>>() {
-                let mut acts = self.acts(n, now);
+                let mut acts = self.versions(n, now);
                 if !changes {
                     acts.hierarchy = HierarchyVersion { version: 1, digest: 1 };
                 }
@@ -112,7 +112,7 @@
         for _ in 0..200 {
             let now = net.now;
             for n in (0..routers).filter(|n| net.runs(*n)).collect::<Vec<_>>() {
-                let mut acts = self.acts(n, now);
+                let mut acts = self.versions(n, now);
                 acts.hierarchy = HierarchyVersion { version: 1, digest: 1 };
                 acts.settings_digest += if n == who { turn } else { 0 };
                 net.core(n).set_versions(&acts);
@@ -145,7 +145,7 @@
         let routers = net.nodes.len();
         let (warm, calm) = if routers > MOST { (20_000.0, 10_000.0) } else { (30_000.0, 15_000.0) };
         self.play(net, warm, true);
-        let before: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.heard).collect();
+        let before: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.bytes_received).collect();
         let begun = Instant::now();
         let end = net.now + self.seconds * 1_000.0;
         let mut late = Vec::new();
@@ -161,8 +161,9 @@
         }
         let late = quantiles(late);
         let processor = begun.elapsed().as_secs_f64() / self.seconds / routers as f64;
-        let rate =
-            |(node, before): (&net::Node, &u64)| (node.bytes + node.heard - before) as f64 / self.seconds;
+        let rate = |(node, before): (&net::Node, &u64)| {
+            (node.bytes + node.bytes_received - before) as f64 / self.seconds
+        };
         let bytes: Vec<f64> = net.nodes.iter().zip(&before).map(rate).collect();
         // Those that speak for places are the first of their sites.
         let size = self.shape.map_or(1, |shape| shape.routers);
@@ -237,7 +238,7 @@
 
 /// The way of one change, level by level: when each place around its router told it, and when all that the summary is
 /// for had heard of it, in milliseconds after the change.
-fn way(shape: &Shape, rules: MembershipConfig) {
+fn measure_paths(shape: &Shape, rules: MembershipConfig) {
     let mut net = Net::tree(7, shape, rules, Wire::default());
     let run = Run { purges: 350.0, loss: 0.0, seconds: 20.0, shape: Some(shape), rules, dies: false };
     run.play(&mut net, 50_000.0, true);
@@ -259,7 +260,7 @@
         let own = net.nodes[who].place.clone().unwrap_or_default();
         let make = VersionGroup::from_versions(&ActiveVersions {
             settings_digest: 0x1234_5678_9abc_def0 + turn,
-            ..run.acts(who, at)
+            ..run.versions(who, at)
         })
         .build_digest;
         for depth in (1..=own.depth()).rev() {
@@ -306,12 +307,12 @@
         counts.fold((0, 0), |(new, old), counts| (new + counts.entries_new, old + counts.entries_stale))
     });
     let before = counts(&net);
-    let spent: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.heard).collect();
+    let spent: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.bytes_received).collect();
     run.play(&mut net, from + 18_000.0, true);
     let after = counts(&net);
     let rate = |bytes: u64| bytes as f64 / 18.0;
     let spent: Vec<u64> =
-        net.nodes.iter().zip(&spent).map(|(n, before)| n.bytes + n.heard - before).collect();
+        net.nodes.iter().zip(&spent).map(|(n, before)| n.bytes + n.bytes_received - before).collect();
     let worst = (0..spent.len()).max_by_key(|n| spent[*n]).unwrap_or(0);
     for (whose, routers) in [("all", net.nodes.len()), ("the worst", 1)] {
         let mut kinds = BTreeMap::<String, (u64, u64)>::new();
@@ -360,7 +361,7 @@
     let shapes: Vec<Shape> = parts.iter().map(|parts| Shape::new(parts, 22)).collect();
     let shapes: Vec<Shape> = shapes.into_iter().filter(|shape| shape.all() <= most).collect();
     if let ("kinds" | "way", Some(shape)) = (form.as_str(), shapes.last()) {
-        return if form == "kinds" { kinds(shape, rules) } else { way(shape, rules) };
+        return if form == "kinds" { kinds(shape, rules) } else { measure_paths(shape, rules) };
     }
     if form == "flat" || form == "all" {
         for purges in [0.0, 10.0, 350.0] {
--- a/crates/membership/src/aggregation/summary.rs
+++ b/crates/membership/src/aggregation/summary.rs
@@ -189,7 +189,7 @@
     }
 
     /// Whether the other summary differs in anything except progress.
-    pub fn differs_beyond_progress(&self, other: &Self) -> bool {
+    pub fn differs_apart_from_progress(&self, other: &Self) -> bool {
         let without_progress = |summary: &Self| Self { progress: Progress::default(), ..summary.clone() };
         without_progress(self) != without_progress(other)
     }
@@ -198,7 +198,7 @@
     pub fn is_hierarchy_transition(&self, other: &Self) -> bool {
         let (Some(before), Some(after)) = (self.only_group(), other.only_group()) else { return false };
         let without_groups = |summary: &Self| Self { groups: BTreeMap::new(), ..summary.clone() };
-        let differs_otherwise = without_groups(self).differs_beyond_progress(&without_groups(other));
+        let differs_otherwise = without_groups(self).differs_apart_from_progress(&without_groups(other));
         before != after && before.build_digest == after.build_digest && !differs_otherwise
     }
 
--- a/crates/membership/src/aggregation/topology.rs
+++ b/crates/membership/src/aggregation/topology.rs
@@ -126,7 +126,8 @@
     /// when a link with another site came up or went down.
     pub fn record_status(&mut self, now: Ms, status: &RouterStatus) -> bool {
         let is_forced = std::mem::take(&mut self.republish_status);
-        let is_known = self.last_status.as_ref().is_some_and(|last| is_equal_beyond_progress(last, status));
+        let is_known =
+            self.last_status.as_ref().is_some_and(|last| is_equal_apart_from_progress(last, status));
         if is_known && !is_forced {
             return false;
         }
@@ -243,7 +244,7 @@
     }
 }
 
-fn is_equal_beyond_progress(one: &RouterStatus, other: &RouterStatus) -> bool {
+fn is_equal_apart_from_progress(one: &RouterStatus, other: &RouterStatus) -> bool {
     let (own, theirs) = (&one.versions, &other.versions);
     own.build == theirs.build
         && own.settings_digest == theirs.settings_digest
--- a/crates/membership/src/aggregation/tree.rs
+++ b/crates/membership/src/aggregation/tree.rs
@@ -320,7 +320,7 @@
 impl PublishedSummary {
     /// When the next report is due, given the summary as it is now.
     fn due_at(&mut self, now: Ms, summary: &Summary, config: &AggregationConfig) -> Ms {
-        if self.latest.differs_beyond_progress(summary) {
+        if self.latest.differs_apart_from_progress(summary) {
             self.latest.clone_from(summary);
             self.latest_since = now;
         }
@@ -331,7 +331,7 @@
             self.pending_since = None;
             let transition_at = self.last_transition.map_or(0.0, |last| last + config.transition_interval);
             gathered_at.max(transition_at)
-        } else if self.superseded || self.summary.differs_beyond_progress(summary) {
+        } else if self.superseded || self.summary.differs_apart_from_progress(summary) {
             let pending_since = *self.pending_since.get_or_insert(now);
             gathered_at.min(pending_since + max_gather)
         } else {
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -39,7 +39,7 @@
     Location::parse(text).expect("a place")
 }
 
-fn acts() -> ActiveVersions {
+fn active_versions() -> ActiveVersions {
     ActiveVersions {
         build: "0.1.0".to_string(),
         settings_digest: 0x0102_0304_0506_0708,
@@ -53,7 +53,7 @@
 
 fn statement(place: Option<Location>) -> RouterStatus {
     let links = vec![("r1".to_string(), 9), ("r2".to_string(), 1 << 40)];
-    RouterStatus { versions: acts(), links, leaving: true, location: place }
+    RouterStatus { versions: active_versions(), links, leaving: true, location: place }
 }
 
 fn summary() -> Summary {
@@ -97,7 +97,7 @@
         ("status_version_1", statement(None).encode(order, 1)),
         ("status_version_2", statement(None).encode(order, 2)),
         ("status_version_3", statement(at("north/z1/s2")).encode(order, 2)),
-        ("version_update", GossipEntry::new(order, 1, &VersionUpdate::from_versions(&acts()))),
+        ("version_update", GossipEntry::new(order, 1, &VersionUpdate::from_versions(&active_versions()))),
         (
             "cache",
             GossipEntry::new(order, 1, &CacheStatus { ready: true, removed: false, started_at: 1_234.5 }),
@@ -124,7 +124,7 @@
         incarnation: 1 << 40,
         state: standing,
         state_age: 1_234.5,
-        versions: acts(),
+        versions: active_versions(),
         links: 3,
         straggler,
     }
@@ -271,8 +271,8 @@
     let placed = statement(Some(place("north/z1/s2")));
     assert_eq!(RouterStatus::decode(&body("status_version_3")), Some(placed));
     let first = RouterStatus::decode(&body("status_version_1")).expect("a statement");
-    assert_eq!(first.versions, ActiveVersions { drains_applied: 0, purges_applied: 0, ..acts() });
-    assert_eq!(body("version_update").decode_body(), Some(VersionUpdate::from_versions(&acts())));
+    assert_eq!(first.versions, ActiveVersions { drains_applied: 0, purges_applied: 0, ..active_versions() });
+    assert_eq!(body("version_update").decode_body(), Some(VersionUpdate::from_versions(&active_versions())));
     assert_eq!(
         body("cache").decode_body(),
         Some(CacheStatus { ready: true, removed: false, started_at: 1_234.5 })
--- a/crates/membership/tests/locations.rs
+++ b/crates/membership/tests/locations.rs
@@ -32,13 +32,13 @@
     (net, shape)
 }
 
-fn whole(net: &Net, n: usize) -> Summary {
+fn fleet_summary(net: &Net, n: usize) -> Summary {
     let core = net.nodes[n].core.as_ref();
     core.and_then(|core| core.fleet_summary(net.now)).unwrap_or_default()
 }
 
 fn every(net: &Net, holds: impl Fn(&Summary) -> bool) -> bool {
-    (0..net.nodes.len()).filter(|n| net.runs(*n)).all(|n| holds(&whole(net, n)))
+    (0..net.nodes.len()).filter(|n| net.runs(*n)).all(|n| holds(&fleet_summary(net, n)))
 }
 
 /// What anybody counts who looks at the processes themselves: how many run, and by what they act on.
@@ -117,7 +117,7 @@
     let routers = shape.all() as u64;
     let (alive, groups) = plain(&net, |_| on(3));
     for n in 0..shape.all() {
-        let whole = whole(&net, n);
+        let whole = fleet_summary(&net, n);
         assert_eq!((whole.alive, &whole.groups), (alive, &groups), "r{n}");
         let journal = whole.progress.journal_position.map(|span| (span.min, span.max));
         assert_eq!(journal, Some((100, 99 + routers)));
@@ -209,8 +209,10 @@
         (0..shape.all()).for_each(|n| net.core(n).set_versions(&on(version(n, now))));
         net.run(now + 100.0);
         if now > from + 20_000.0 {
-            let oldest =
-                (0..shape.all()).filter_map(|n| whole(&net, n).oldest_hierarchy()).min().expect("known");
+            let oldest = (0..shape.all())
+                .filter_map(|n| fleet_summary(&net, n).oldest_hierarchy())
+                .min()
+                .expect("known");
             // Since when the oldest version that is told anywhere is not acted on any more.
             late = late.max(now - from - oldest as Ms * 3_600.0);
         }
@@ -244,7 +246,7 @@
         dead.iter().for_each(|n| net.crash(*n));
         let left = (shape.all() - dead.len()) as u64;
         let counted = net.until(8_000.0, |net| every(net, |whole| whole.alive == left));
-        assert!(counted.is_some(), "{dead:?}: {:?}", whole(&net, 40));
+        assert!(counted.is_some(), "{dead:?}: {:?}", fleet_summary(&net, 40));
         net.run(net.now + 3_000.0);
         let since = net.now;
         net.run(net.now + 25_000.0);
@@ -298,17 +300,22 @@
     let all = shape.all() as u64;
     let apart = |net: &Net| {
         (0..shape.all()).all(|n| {
-            let whole = whole(net, n);
+            let whole = fleet_summary(net, n);
             let there = if n < 5 { 5 } else { all - 5 };
             (whole.alive, whole.unreachable, whole.routers()) == (there, all - there, all)
         })
     };
-    assert!(net.until(50_000.0, apart).is_some(), "{:?} {:?}", whole(&net, 0), whole(&net, 40));
+    assert!(
+        net.until(50_000.0, apart).is_some(),
+        "{:?} {:?}",
+        fleet_summary(&net, 0),
+        fleet_summary(&net, 40)
+    );
     net.mend_all();
     assert!(
         net.until(15_000.0, |net| agrees(net, |_| ActiveVersions::default())).is_some(),
         "{:?}",
-        whole(&net, 0)
+        fleet_summary(&net, 0)
     );
 }
 
@@ -331,14 +338,15 @@
     (half..shape.all()).for_each(|n| net.core(n).set_versions(&on(3)));
     net.run(net.now + 600_000.0);
     let apart = |net: &Net| every(net, |whole| whole.alive == all / 2 && whole.unreachable == all / 2);
-    assert!(apart(&net), "{:?}", whole(&net, 0));
+    assert!(apart(&net), "{:?}", fleet_summary(&net, 0));
     net.record = Some(Vec::new());
-    let before: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.heard).collect();
+    let before: Vec<u64> = net.nodes.iter().map(|node| node.bytes + node.bytes_received).collect();
     net.mend_all();
     let acts = |n: usize| on(if n < half { 2 } else { 3 });
-    assert!(net.until(15_000.0, |net| agrees(net, acts)).is_some(), "{:?}", whole(&net, 0));
+    assert!(net.until(15_000.0, |net| agrees(net, acts)).is_some(), "{:?}", fleet_summary(&net, 0));
     net.run(net.now + 10_000.0);
-    let most = net.nodes.iter().zip(before).map(|(node, before)| node.bytes + node.heard - before).max();
+    let most =
+        net.nodes.iter().zip(before).map(|(node, before)| node.bytes + node.bytes_received - before).max();
     assert!(most < Some(10 * 4_096), "{most:?} bytes in and out within the time that it took");
     assert_eq!(leaks(&net), [""; 0]);
 }
@@ -354,7 +362,7 @@
     assert!(
         net.until(10_000.0, |net| agrees(net, |_| ActiveVersions::default())).is_some(),
         "{:?}",
-        whole(&net, 40)
+        fleet_summary(&net, 40)
     );
 }
 
@@ -398,7 +406,7 @@
             }
         }
         let well = net.until(40_000.0, |net| agrees(net, |_| ActiveVersions::default()));
-        assert!(well.is_some(), "seed {seed}: {:?}", whole(&net, 0));
+        assert!(well.is_some(), "seed {seed}: {:?}", fleet_summary(&net, 0));
         net.run(net.now + 40_000.0);
         assert!(agrees(&net, |_| ActiveVersions::default()), "seed {seed}: and so it stays");
         assert_eq!(leaks(&net), [""; 0], "seed {seed}");
@@ -429,9 +437,9 @@
     let placed = |net: &Net| {
         (0..shape.all())
             .filter(|n| *n != 7)
-            .all(|n| whole(net, n).alive == all && whole(net, n).unreachable == 0)
+            .all(|n| fleet_summary(net, n).alive == all && fleet_summary(net, n).unreachable == 0)
     };
-    assert!(net.until(40_000.0, placed).is_some(), "{:?}", whole(&net, 0));
+    assert!(net.until(40_000.0, placed).is_some(), "{:?}", fleet_summary(&net, 0));
     // It sees its site as it saw all before.
     let core = net.nodes[7].core.as_ref().expect("it runs");
     assert_eq!(core.members().iter().filter(|(_, member)| member.state == MemberState::Alive).count(), 4);
@@ -524,7 +532,7 @@
     let named = |whole: &Summary| {
         whole.straggler_count == names.len() as u64 && whole.stragglers.iter().eq(names.iter().take(8))
     };
-    assert!(every(&net, named), "{:?}", whole(&net, 0));
+    assert!(every(&net, named), "{:?}", fleet_summary(&net, 0));
     // Those beyond the bound are named by whoever is nearer.
     let mut all = BTreeSet::new();
     for node in &net.nodes {
@@ -616,7 +624,7 @@
     assert!(
         net.until(30_000.0, |net| every(net, |whole| whole.alive == left)).is_some(),
         "{:?}",
-        whole(&net, 40)
+        fleet_summary(&net, 40)
     );
     net.run(net.now + 30_000.0);
     assert!(every(&net, |whole| whole.alive == left));
@@ -643,11 +651,11 @@
     for (_, from, to, (key, entry)) in sums.iter().filter(|(_, _, to, _)| *to != 31) {
         let from = net.nodes[*from].name.clone();
         net.core(*to).receive(now, &from, key, entry);
-        let whole = whole(&net, *to);
+        let whole = fleet_summary(&net, *to);
         assert_eq!((whole.alive, whole.unreachable), (left, 0), "r{to}, told by {from}");
     }
     net.run(now + 5_000.0);
-    assert!(every(&net, |whole| whole.alive == left), "{:?}", whole(&net, 0));
+    assert!(every(&net, |whole| whole.alive == left), "{:?}", fleet_summary(&net, 0));
 }
 
 /// One without a place that has links with two sites, which its operators are told not to do: its word is counted in
@@ -658,7 +666,7 @@
     net.record = Some(Vec::new());
     net.run(30_000.0);
     let all = shape.all() as u64;
-    assert_eq!(whole(&net, 0).alive, all + 1, "counted twice");
+    assert_eq!(fleet_summary(&net, 0).alive, all + 1, "counted twice");
     assert!(!agrees(&net, |_| ActiveVersions::default()));
     let leaks = leaks(&net);
     assert!(leaks.iter().any(|leak| leak.contains("r6 of")), "{:?}", leaks.first());
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -21,12 +21,12 @@
     pub name: String,
     pub start: u64,
     pub frozen: bool,
-    said: BTreeMap<Vec<u8>, Vec<u8>>,
+    entries: BTreeMap<Vec<u8>, Vec<u8>>,
     pub notes: Vec<(Ms, ClusterEvent)>,
     pub done: Vec<(Ms, ClusterAction)>,
     /// Bytes that left it, by the wire, and that came.
     pub bytes: u64,
-    pub heard: u64,
+    pub bytes_received: u64,
     /// Where it stands in the tree; nowhere in a fleet without places.
     pub place: Option<Location>,
     /// Where it has other rules than all.
@@ -41,7 +41,7 @@
         from: usize,
         to: usize,
         starts: (u64, u64),
-        said: Vec<EncodedEntry>,
+        entries: Vec<EncodedEntry>,
     },
     Up(usize, usize),
     /// One end finds that nothing comes any more.
@@ -161,11 +161,11 @@
                 name: format!("r{n}"),
                 start: 0,
                 frozen: false,
-                said: BTreeMap::new(),
+                entries: BTreeMap::new(),
                 notes: Vec::new(),
                 done: Vec::new(),
                 bytes: 0,
-                heard: 0,
+                bytes_received: 0,
                 place,
                 rules: None,
                 due: 0.0,
@@ -202,7 +202,7 @@
         node.start += (now * 1_000.0) as u64 + 1;
         let core = Cluster::new(now, rules, &node.name, node.start, ActiveVersions::default());
         node.core = Some(core.with_location(now, node.place.clone()));
-        node.said.clear();
+        node.entries.clear();
         node.frozen = false;
         self.due(n, now);
         for other in self.linked(n) {
@@ -296,10 +296,10 @@
         self.nodes[n].core.as_mut().expect("it runs")
     }
 
-    fn send(&mut self, from: usize, to: usize, said: Vec<EncodedEntry>) {
+    fn send(&mut self, from: usize, to: usize, entries: Vec<EncodedEntry>) {
         let Some((low, high)) = self.up.get(&pair(from, to)).copied() else { return };
         let starts = if from < to { (low, high) } else { (high, low) };
-        let bytes: usize = said.iter().map(|(key, entry)| key.len() + entry.len() + 4).sum();
+        let bytes: usize = entries.iter().map(|(key, entry)| key.len() + entry.len() + 4).sum();
         self.nodes[from].bytes += bytes as u64 + 20;
         let slow = self.slow.get(&from).copied().unwrap_or(0.0) + self.slow.get(&to).copied().unwrap_or(0.0);
         let mut at = self.now + self.wire.delay + slow;
@@ -310,26 +310,26 @@
         let last = self.last.entry((from, to)).or_default();
         at = at.max(*last);
         *last = at;
-        self.plan(at, Event::Deliver { from, to, starts, said });
+        self.plan(at, Event::Deliver { from, to, starts, entries });
     }
 
     fn carry_out(&mut self, n: usize) {
         let now = self.now;
         while let Some(action) = self.nodes[n].core.as_mut().and_then(Cluster::next_action) {
             match action {
-                ClusterAction::Broadcast(said) => {
-                    self.nodes[n].said.extend(said.iter().cloned());
+                ClusterAction::Broadcast(entries) => {
+                    self.nodes[n].entries.extend(entries.iter().cloned());
                     for other in self.linked(n) {
-                        self.send(n, other, said.clone());
+                        self.send(n, other, entries.clone());
                     }
                 }
-                ClusterAction::Retract(key) => _ = self.nodes[n].said.remove(&key),
-                ClusterAction::SendTo(name, said) => {
+                ClusterAction::Retract(key) => _ = self.nodes[n].entries.remove(&key),
+                ClusterAction::SendTo(name, entries) => {
                     // Of two processes under one name the one that there is a link with.
                     let named = |to: &&usize| self.nodes[**to].name == name;
                     let up = |to: &&usize| self.up.contains_key(&pair(n, **to));
                     if let Some(to) = self.ends[n].iter().filter(named).find(up).copied() {
-                        self.send(n, to, said);
+                        self.send(n, to, entries);
                     }
                 }
                 ClusterAction::CloseLinks => self.silence(n, 1.0),
@@ -355,7 +355,7 @@
                 for (at, other) in [(a, b), (b, a)] {
                     let (name, start) = (self.nodes[other].name.clone(), self.nodes[other].start);
                     self.core(at).set_link(&name, start, true);
-                    let all: Vec<EncodedEntry> = self.nodes[at].said.clone().into_iter().collect();
+                    let all: Vec<EncodedEntry> = self.nodes[at].entries.clone().into_iter().collect();
                     self.send(at, other, all);
                 }
             }
@@ -365,19 +365,19 @@
                     self.core(at).set_link(&name, start, false);
                 }
             }
-            Event::Deliver { from, to, starts, said } => {
+            Event::Deliver { from, to, starts, entries } => {
                 let same = (self.nodes[from].start, self.nodes[to].start) == starts;
                 let up = self.up.contains_key(&pair(from, to)) && !self.deaf.contains(&to);
                 if !same || !up || self.nodes[to].core.is_none() || self.nodes[to].frozen {
                     return;
                 }
                 let name = self.nodes[from].name.clone();
-                let bytes: usize = said.iter().map(|(key, entry)| key.len() + entry.len() + 4).sum();
-                self.nodes[to].heard += bytes as u64 + 20;
+                let bytes: usize = entries.iter().map(|(key, entry)| key.len() + entry.len() + 4).sum();
+                self.nodes[to].bytes_received += bytes as u64 + 20;
                 if let Some(record) = &mut self.record {
-                    record.extend(said.iter().map(|said| (now, from, to, said.clone())));
+                    record.extend(entries.iter().map(|entries| (now, from, to, entries.clone())));
                 }
-                for (key, entry) in said {
+                for (key, entry) in entries {
                     self.core(to).receive(now, &name, &key, &entry);
                 }
             }
--- a/crates/membership/tests/plumtree.rs
+++ b/crates/membership/tests/plumtree.rs
@@ -31,7 +31,7 @@
     tree
 }
 
-fn words(tree: &mut Plumtree, name: &str) -> PlumtreeMessages {
+fn take_messages(tree: &mut Plumtree, name: &str) -> PlumtreeMessages {
     let (words, bytes) = tree.pending_messages(name);
     assert_eq!(words.is_empty(), bytes == 0);
     tree.mark_sent(name);
@@ -49,9 +49,9 @@
         [false, true, false]
     );
     assert!(!tree.is_lazy("b", OTHER), "by key");
-    let pruned = words(&mut tree, "b").prune;
+    let pruned = take_messages(&mut tree, "b").prune;
     assert_eq!(pruned.len(), 1);
-    assert!(words(&mut tree, "b").is_empty(), "told once");
+    assert!(take_messages(&mut tree, "b").is_empty(), "told once");
     // The other end takes it, and makes its end lazy.
     let mut there = three();
     there.handle_prune("a", &pruned);
@@ -75,7 +75,7 @@
     tree.handle_prune("b", &[1, 2, 3]);
     tree.handle_ihave(0.0, "b", &[7]);
     tree.tick(10_000.0);
-    assert!(!tree.is_lazy("b", KEY) && words(&mut tree, "b").is_empty());
+    assert!(!tree.is_lazy("b", KEY) && take_messages(&mut tree, "b").is_empty());
     assert!(tree.handle_graft("b", &[7]).is_empty());
 }
 
@@ -90,18 +90,18 @@
     there.record_new(10.0, KEY, Revision::new(1, 2), Some("c"));
     there.queue_ihave("a", KEY, Revision::new(1, 2));
     assert_eq!(there.links_with_messages(10.0), ["a"]);
-    let have = words(&mut there, "a").ihave;
+    let have = take_messages(&mut there, "a").ihave;
     assert_eq!(have.len(), 1);
     here.handle_ihave(20.0, "b", &have);
     here.handle_ihave(25.0, "c", &have);
     here.tick(20.0 + rule.graft_timeout - 1.0);
-    assert!(words(&mut here, "b").is_empty(), "it may be on its way");
+    assert!(take_messages(&mut here, "b").is_empty(), "it may be on its way");
     assert_eq!(here.next_deadline(), 20.0 + rule.graft_timeout);
     here.tick(20.0 + rule.graft_timeout);
-    let graft = words(&mut here, "b").graft;
+    let graft = take_messages(&mut here, "b").graft;
     assert_eq!(graft, have);
     here.tick(20.0 + 2.0 * rule.graft_timeout);
-    assert_eq!(words(&mut here, "c").graft, have, "the first one did not answer");
+    assert_eq!(take_messages(&mut here, "c").graft, have, "the first one did not answer");
     here.tick(20.0 + 3.0 * rule.graft_timeout);
     assert_eq!(here.next_deadline(), f64::INFINITY, "nobody is left who has it");
     assert_eq!(there.handle_graft("a", &graft), [KEY.to_vec()]);
@@ -111,7 +111,7 @@
     here.queue_ihave("a", KEY, Revision::new(1, 2));
     here.handle_ihave(1_001.0, "a", &have);
     here.tick(5_000.0);
-    assert!(words(&mut here, "a").is_empty());
+    assert!(take_messages(&mut here, "a").is_empty());
 }
 
 #[test]
--- a/crates/membership/tests/summary.rs
+++ b/crates/membership/tests/summary.rs
@@ -17,7 +17,7 @@
     site: usize,
     standing: MemberState,
     leaving: bool,
-    acts: ActiveVersions,
+    versions: ActiveVersions,
     straggler: bool,
 }
 
@@ -35,7 +35,7 @@
             site,
             standing,
             leaving,
-            acts: ActiveVersions {
+            versions: ActiveVersions {
                 settings_digest: settings,
                 hierarchy: HierarchyVersion { version, digest: version << 40 },
                 journal_position: journal,
@@ -52,7 +52,7 @@
 fn sum<'a>(routers: impl Iterator<Item = &'a Router>) -> Summary {
     let mut sum = Summary::default();
     for router in routers {
-        sum.add_router(&router.name, router.standing, router.leaving, &router.acts, router.straggler);
+        sum.add_router(&router.name, router.standing, router.leaving, &router.versions, router.straggler);
     }
     sum
 }
@@ -66,20 +66,20 @@
     prop_assert_eq!(sum.suspect, count(&|r| r.standing == MemberState::Suspect));
     prop_assert_eq!(sum.dead, count(&|r| r.standing == MemberState::Dead));
     prop_assert_eq!(sum.routers(), routers.len() as u64);
-    let journals: BTreeSet<u64> = routers.iter().filter(alive).map(|r| r.acts.journal_position).collect();
+    let journals: BTreeSet<u64> = routers.iter().filter(alive).map(|r| r.versions.journal_position).collect();
     let span = sum.progress.journal_position.map(|span| (span.min, span.max));
     prop_assert_eq!(span, journals.first().copied().zip(journals.last().copied()));
     prop_assert_eq!(
         sum.progress.purges_applied,
-        routers.iter().filter(alive).map(|r| r.acts.purges_applied).sum::<u64>()
+        routers.iter().filter(alive).map(|r| r.versions.purges_applied).sum::<u64>()
     );
     prop_assert_eq!(
         sum.progress.drains_applied,
-        routers.iter().filter(alive).map(|r| r.acts.drains_applied).sum::<u64>()
+        routers.iter().filter(alive).map(|r| r.versions.drains_applied).sum::<u64>()
     );
     prop_assert_eq!(
         sum.oldest_hierarchy(),
-        routers.iter().filter(alive).map(|r| r.acts.hierarchy.version).min()
+        routers.iter().filter(alive).map(|r| r.versions.hierarchy.version).min()
     );
     prop_assert_eq!(sum.groups.values().sum::<u64>() + sum.other_routers, count(&|r| alive(r)));
     let stragglers: BTreeSet<&String> = routers.iter().filter(|r| r.straggler).map(|r| &r.name).collect();
@@ -152,29 +152,32 @@
 
 #[test]
 fn groups_differ_by_every_active_version() {
-    let acts = ActiveVersions {
+    let versions = ActiveVersions {
         build: "0.1.0".to_string(),
         settings_digest: 1,
         operator_digest: 2,
         ..ActiveVersions::default()
     };
     let other = [
-        ActiveVersions { build: "0.1.1".to_string(), ..acts.clone() },
-        ActiveVersions { settings_digest: 2, ..acts.clone() },
-        ActiveVersions { operator_digest: 3, ..acts.clone() },
-        ActiveVersions { hierarchy: HierarchyVersion { version: 1, digest: 0 }, ..acts.clone() },
-        ActiveVersions { hierarchy: HierarchyVersion { version: 0, digest: 1 << 40 }, ..acts.clone() },
+        ActiveVersions { build: "0.1.1".to_string(), ..versions.clone() },
+        ActiveVersions { settings_digest: 2, ..versions.clone() },
+        ActiveVersions { operator_digest: 3, ..versions.clone() },
+        ActiveVersions { hierarchy: HierarchyVersion { version: 1, digest: 0 }, ..versions.clone() },
+        ActiveVersions { hierarchy: HierarchyVersion { version: 0, digest: 1 << 40 }, ..versions.clone() },
     ];
-    let groups: BTreeSet<VersionGroup> =
-        other.iter().map(VersionGroup::from_versions).chain([VersionGroup::from_versions(&acts)]).collect();
+    let groups: BTreeSet<VersionGroup> = other
+        .iter()
+        .map(VersionGroup::from_versions)
+        .chain([VersionGroup::from_versions(&versions)])
+        .collect();
     assert_eq!(groups.len(), 6);
     assert_eq!(
         VersionGroup::from_versions(&ActiveVersions {
             journal_position: 9,
             purges_applied: 9,
-            ..acts.clone()
+            ..versions.clone()
         }),
-        VersionGroup::from_versions(&acts)
+        VersionGroup::from_versions(&versions)
     );
 }
 
