--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# What a developer needs, in one place. `make run` starts the router of the example; `make toy` its caches.
+# What a developer needs, in one place. `make run` starts the router of the example; `make toy` its caches and journal.
 
 CONFIG ?= examples/config.json
 
@@ -18,10 +18,10 @@
 	LB_CONFIG=$(CONFIG) target/release/linnethook
 
 toy:
-	cargo run --release -p linnethook-toy --bin toy-fleet -- $(CONFIG)
+	cargo run --release -p linnethook-quickstart --bin quickstart-servers -- $(CONFIG)
 
 ask:
-	cargo run --release -p linnethook-toy --bin toy-client -- 127.0.0.1:8080 video 7f3a9c21e0b4d655
+	cargo run --release -p linnethook-quickstart --bin quickstart-client -- 127.0.0.1:8080 video 7f3a9c21e0b4d655
 
 # Moves a hub cache under load, by stages and by a plain flip, and prints what reached the origin. Half a minute.
 hierarchy:
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -15,7 +15,7 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_toy::{Answer, Cache, Client, Heard, Journal};
+use linnethook_quickstart::{Answer, Cache, CacheEvent, Client, Journal};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use rustix::process::{getrlimit, prlimit, Resource, Rlimit};
@@ -358,8 +358,8 @@
 
 /// The next request that a stand-in was sent.
 pub fn asked(cache: &Cache) -> (usize, String, Fields, Vec<u8>) {
-    match wait(&cache.heard, |heard| matches!(heard, Heard::Ask { .. })) {
-        Heard::Ask { connection, id, fields, body } => (connection, id, fields, body),
+    match wait(&cache.events, |heard| matches!(heard, CacheEvent::Request { .. })) {
+        CacheEvent::Request { connection, id, fields, body } => (connection, id, fields, body),
         other => panic!("not a request: {other:?}"),
     }
 }
@@ -416,7 +416,7 @@
     let until = std::time::Instant::now() + PATIENCE;
     while std::time::Instant::now() < until {
         for (one, other) in [(a, b), (b, a)] {
-            if let Ok(Heard::Ask { connection, id, .. }) = one.heard.try_recv() {
+            if let Ok(CacheEvent::Request { connection, id, .. }) = one.events.try_recv() {
                 return (one, other, connection, id);
             }
         }
@@ -428,13 +428,13 @@
 /// The requests that a stand-in was sent and nobody has looked at, by connection and id.
 pub fn asks(cache: &Cache) -> Vec<(usize, String)> {
     let ask = |heard| match heard {
-        Heard::Ask { connection, id, .. } => Some((connection, id)),
+        CacheEvent::Request { connection, id, .. } => Some((connection, id)),
         _ => None,
     };
-    cache.heard.try_iter().filter_map(ask).collect()
+    cache.events.try_iter().filter_map(ask).collect()
 }
 
 /// Requests that a stand-in was sent and nobody has looked at.
 pub fn left_over(cache: &Cache) -> usize {
-    cache.heard.try_iter().filter(|heard| matches!(heard, Heard::Ask { .. })).count()
+    cache.events.try_iter().filter(|heard| matches!(heard, CacheEvent::Request { .. })).count()
 }
--- a/crates/router/tests/common/shut.rs
+++ b/crates/router/tests/common/shut.rs
@@ -4,8 +4,8 @@
 use std::net::{Shutdown, SocketAddr};
 use std::time::Duration;
 
-use linnethook_toy::client::request;
-use linnethook_toy::{Answer, Cache, Client, Heard, Journal};
+use linnethook_quickstart::client::request;
+use linnethook_quickstart::{Answer, Cache, CacheEvent, Client, Journal};
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
 use socket2::SockRef;
@@ -71,7 +71,7 @@
     /// Tells something, and waits until the router has taken it in: it asks for what comes after.
     pub fn tell(&self, event: Value) {
         let before = self.journal.known()["pos"].as_u64().expect("a number");
-        self.journal.tell(event);
+        self.journal.publish(event);
         wait(&self.journal.polls, |tail| *tail == before + 1);
     }
 
@@ -99,10 +99,10 @@
         self.router.signal(Signal::SIGTERM);
         self.router.ended();
         let fields = |heard| match heard {
-            Heard::Ask { fields, .. } => Some(fields),
+            CacheEvent::Request { fields, .. } => Some(fields),
             _ => None,
         };
-        a.heard.try_iter().filter_map(fields).collect()
+        a.events.try_iter().filter_map(fields).collect()
     }
 }
 
--- a/crates/router/tests/common/timed.rs
+++ b/crates/router/tests/common/timed.rs
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::thread;
 
+use linnethook_quickstart::cache::{array, encode, fields};
+use linnethook_quickstart::Answer;
 use linnethook_standins::record::{now, Ms};
-use linnethook_toy::cache::{array, encode, fields};
-use linnethook_toy::Answer;
 use nix::sys::socket::sockopt::ReceiveTimestampns;
 use nix::sys::socket::{recvmsg, setsockopt, ControlMessageOwned, MsgFlags};
 use nix::sys::time::TimeSpec;
@@ -69,7 +69,7 @@
         let answer = match command.as_str() {
             "ASK" => heeds(input.get_ref().at.get(), &id, &fields(&text().unwrap_or_default())),
             "QUIT" => None,
-            _ => Some(Answer::word("well")),
+            _ => Some(Answer::with_status("well")),
         };
         if let Some(answer) = answer {
             output.write_all(&encode(&id, &answer))?;
--- a/crates/router/tests/descriptors.rs
+++ b/crates/router/tests/descriptors.rs
@@ -12,8 +12,8 @@
 use std::time::{Duration, Instant};
 
 use common::*;
+use linnethook_quickstart::{Answer, Cache, Client, Journal};
 use linnethook_standins::ready::{Discovery, Outage};
-use linnethook_toy::{Answer, Cache, Client, Journal};
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
 
@@ -110,7 +110,7 @@
     let journal = discovery.back(known).expect("it comes back");
     wait(&journal.polls, |from| *from == next - 1);
     println!("the first poll {:?} after discovery is back", since.elapsed());
-    journal.tell(
+    journal.publish(
         json!({"hosts": {"rev": 2, "all": false, "targets": [host("cache-b", address, "Terminating")]}}),
     );
     wait(&journal.polls, |from| *from == next);
--- a/crates/router/tests/endings.rs
+++ b/crates/router/tests/endings.rs
@@ -10,8 +10,8 @@
 
 use common::shut::*;
 use common::*;
-use linnethook_toy::client::request;
-use linnethook_toy::{Answer, Cache, Client, Heard, Journal};
+use linnethook_quickstart::client::request;
+use linnethook_quickstart::{Answer, Cache, CacheEvent, Client, Journal};
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
 use socket2::SockRef;
@@ -199,10 +199,10 @@
     let mut client = fleet.router.client();
     client.ask(1, &booking("00000000000000b1", "3000"), b"pay").expect("sent");
     let (first, id, ..) = asked(&fleet.origin);
-    fleet.origin.answer(first, &id, &Answer::word("full")).expect("answered");
+    fleet.origin.answer(first, &id, &Answer::with_status("full")).expect("answered");
     let (second, again, ..) = asked(&fleet.origin);
     assert_eq!(again, id);
-    fleet.origin.answer(first, &id, &Answer::word("full")).expect("answered");
+    fleet.origin.answer(first, &id, &Answer::with_status("full")).expect("answered");
     // Whatever comes of that comes before this, which is asked on the same connection.
     client.ask_ready(2).expect("sent");
     assert_eq!(client.read().expect("an answer").stream, 2);
@@ -253,7 +253,7 @@
     fleet.a.answer(beside, &other, &Answer::data("beside")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"beside");
     client.give_up(2).expect("sent");
-    wait(&fleet.a.heard, |heard| *heard == Heard::Closed { connection: endless });
+    wait(&fleet.a.events, |heard| *heard == CacheEvent::Closed { connection: endless });
     fleet.router.signal(Signal::SIGUSR1);
     let line = fleet.router.logged("counters");
     assert!(line.contains("open=0 out=0 buffers=0"), "{line}");
@@ -382,6 +382,6 @@
     fleet.router.logged("reloaded");
     fleet.router.reload(moved.address);
     assert_eq!(wait(&moved.polls, |_| true), 1);
-    moved.tell(json!({"expire": {"set": 4, "stamp": 1}}));
+    moved.publish(json!({"expire": {"set": 4, "stamp": 1}}));
     assert_eq!(wait(&moved.polls, |_| true), 2);
 }
--- a/crates/router/tests/gateway.rs
+++ b/crates/router/tests/gateway.rs
@@ -8,13 +8,13 @@
 
 use linnethook_gateway::codec::{encode, Begins, Decoder, Frame, Hello, Open, Word, VERSIONS};
 use linnethook_gateway::ledger::Token;
+use linnethook_quickstart::Client;
 use linnethook_standins::checker::{judge, Breach, Rules};
 use linnethook_standins::faults::{self, Fault};
 use linnethook_standins::load::Load;
 use linnethook_standins::middle::{TwoSites, Weather, BACK, NORTH, SOUTH, THERE};
 use linnethook_standins::node::{Kind, Makeup};
 use linnethook_standins::record::{now, Phase, Record, What};
-use linnethook_toy::Client;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 /// Sites that have come back get all at once and links are tried again soon, so that a test need not wait.
--- a/crates/router/tests/gone.rs
+++ b/crates/router/tests/gone.rs
@@ -14,12 +14,12 @@
 use common::shut::*;
 use common::timed::{serve, Heeds};
 use common::{asked, asked_either, asks, cache, echo, fleet_of, holding, left_over, Fields, Late, Router};
+use linnethook_quickstart::{Answer, Cache, Client, Journal};
 use linnethook_standins::checker::{leavers, Leavers, Rules};
 use linnethook_standins::faults::{Fault, When};
 use linnethook_standins::fleet::{operator_file, Fleet};
 use linnethook_standins::node::Makeup;
 use linnethook_standins::record::{now, Asked, Record, What};
-use linnethook_toy::{Answer, Cache, Client, Journal};
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -139,7 +139,7 @@
         client.ask(1, &video("00000000000000e1", OF_A), b"").expect("sent");
         let (connection, id, ..) = asked(&fleet.a);
         stand_still(&fleet.router);
-        fleet.a.answer(connection, &id, &Answer::word("full")).expect("answered");
+        fleet.a.answer(connection, &id, &Answer::with_status("full")).expect("answered");
         thread::sleep(Duration::from_millis(20));
         let _kept = leave(client, way, &[1]);
         thread::sleep(Duration::from_millis(200));
@@ -176,7 +176,7 @@
         out.extend(asks(cache).into_iter().map(|(connection, id)| (cache, connection, id)));
     }
     for (cache, connection, id) in &out {
-        cache.answer(*connection, id, &Answer::word("full")).expect("answered");
+        cache.answer(*connection, id, &Answer::with_status("full")).expect("answered");
     }
     thread::sleep(Duration::from_millis(20));
     let kept: Vec<_> =
@@ -210,7 +210,7 @@
 fn no_retry_is_fired_in_the_turn_in_which_the_leaving_comes() {
     for way in WAYS {
         for full in [true, false] {
-            let origin = if full { cache(|_, _, _| Some(Answer::word("full"))) } else { holding() };
+            let origin = if full { cache(|_, _, _| Some(Answer::with_status("full"))) } else { holding() };
             let fleet = fleet_of(holding(), echo("b"), origin);
             let mut client = fleet.router.client();
             // A booking is tried again after a pause; a read that nobody answers, when its time is over.
@@ -373,13 +373,13 @@
     let (record, door) = (Record::default(), Late::new());
     let hung = |n: u64| match n % 3 {
         0 => None,
-        1 => Some(Answer::word("full")),
+        1 => Some(Answer::with_status("full")),
         _ => Some(Answer::data(vec![7; 60_000])),
     };
     let listener = || TcpListener::bind("127.0.0.1:0").expect("an address");
     let b = serve(listener(), noting(&record, "cache-b", hung));
-    let parent = serve(listener(), noting(&record, "parent", |_| Some(Answer::word("absent"))));
-    let origin = serve(listener(), noting(&record, "origin", |_| Some(Answer::word("full"))));
+    let parent = serve(listener(), noting(&record, "parent", |_| Some(Answer::with_status("absent"))));
+    let origin = serve(listener(), noting(&record, "origin", |_| Some(Answer::with_status("full"))));
     let targets = all(door.address, b, parent, origin);
     let known = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
     let journal = Journal::start("127.0.0.1:0", known).expect("the journal listens");
@@ -408,7 +408,7 @@
         if busy && at >= 840 {
             busy = false;
             (0..20_000u32).for_each(|n| {
-                journal.tell(json!({"expire": {"name": format!("{n:016x}"), "stamp": 1}}));
+                journal.publish(json!({"expire": {"name": format!("{n:016x}"), "stamp": 1}}));
             });
         }
         match does {
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -7,8 +7,8 @@
 use std::os::unix::process::ExitStatusExt;
 
 use common::*;
-use linnethook_toy::client::request;
-use linnethook_toy::{Answer, Client, Heard, Journal};
+use linnethook_quickstart::client::request;
+use linnethook_quickstart::{Answer, CacheEvent, Client, Journal};
 use nix::sys::signal::Signal;
 use serde_json::json;
 
@@ -102,8 +102,8 @@
     let (silent, other, connection, id) = asked_either(&fleet.a, &fleet.b);
     let (again, same, ..) = asked(other);
     assert_eq!(same, id);
-    let end = wait(&silent.heard, |heard| !matches!(heard, Heard::Opened { .. }));
-    assert_eq!(end, Heard::Closed { connection });
+    let end = wait(&silent.events, |heard| !matches!(heard, CacheEvent::Opened { .. }));
+    assert_eq!(end, CacheEvent::Closed { connection });
     other.answer(again, &id, &Answer::data("late but whole")).expect("answered");
     let answer = client.read().expect("an answer");
     assert_eq!((answer.code, answer.body.as_slice()), (SERVED, &b"late but whole"[..]));
@@ -134,8 +134,8 @@
     cache.answer(alone, &heard, &Answer::data("heard")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"heard");
     client.give_up(u32::from_str_radix(&given_up, 16).expect("a stream")).expect("sent");
-    let quit = wait(&cache.heard, |heard| !matches!(heard, Heard::Opened { .. }));
-    assert_eq!(quit, Heard::Quit { connection: shared, id: given_up.clone() });
+    let quit = wait(&cache.events, |heard| !matches!(heard, CacheEvent::Opened { .. }));
+    assert_eq!(quit, CacheEvent::Cancel { connection: shared, id: given_up.clone() });
     cache.answer(shared, &given_up, &Answer::data("late")).expect("answered");
     cache.answer(shared, &kept, &Answer::data("kept")).expect("answered");
     let answer = client.read().expect("an answer");
@@ -162,7 +162,7 @@
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     let (cache, _, connection, _) = asked_either(&fleet.a, &fleet.b);
     client.give_up(1).expect("sent");
-    wait(&cache.heard, |heard| *heard == Heard::Closed { connection });
+    wait(&cache.events, |heard| *heard == CacheEvent::Closed { connection });
     // The next answer on the connection is that of the next question.
     client.ask_ready(2).expect("sent");
     let next = client.read().expect("an answer");
@@ -197,7 +197,7 @@
 fn a_write_that_reached_nobody_is_refused() {
     let fleet = fleet();
     let (_taken, nobody) = nobody();
-    fleet.journal.tell(json!({"hosts": {"rev": 2, "all": false,
+    fleet.journal.publish(json!({"hosts": {"rev": 2, "all": false,
         "targets": [host("origin", nobody, "Ready")]}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
     let mut client = fleet.router.client();
@@ -234,7 +234,7 @@
     let unchanged = || {
         cache(|_, fields, _| {
             let digest = if fields.contains_key("got") { "digest=4be0c1,res=HIT" } else { "res=HIT" };
-            Some(Answer { word: "unchanged", fields: digest.to_string(), body: Vec::new() })
+            Some(Answer { status: "unchanged", fields: digest.to_string(), body: Vec::new() })
         })
     };
     let fleet = fleet_of(unchanged(), unchanged(), echo("origin"));
@@ -257,7 +257,7 @@
 #[test]
 fn a_copy_that_no_cache_names_is_not_said_to_hold() {
     let unnamed =
-        || cache(|_, _, _| Some(Answer { word: "unchanged", fields: "res=HIT".into(), body: Vec::new() }));
+        || cache(|_, _, _| Some(Answer { status: "unchanged", fields: "res=HIT".into(), body: Vec::new() }));
     let fleet = fleet_of(unnamed(), unnamed(), echo("origin"));
     let mut client = fleet.router.client();
     let mut fields = video("00000000000000e1", "00000000000000aa").to_vec();
@@ -478,7 +478,7 @@
     let frames: Vec<(u32, u8)> =
         std::iter::from_fn(|| client.read().ok()).map(|f| (f.stream, f.code)).collect();
     assert_eq!(frames, [(1, FAILED), (2, FAILED), (3, FAILED), (0, FAILED)]);
-    wait(&cache.heard, |heard| *heard == Heard::Closed { connection });
+    wait(&cache.events, |heard| *heard == CacheEvent::Closed { connection });
     assert_eq!(left_over(&fleet.a) + left_over(&fleet.b), 0);
 }
 
@@ -516,7 +516,7 @@
             host
         };
         let targets = [line(rev, "Ready"), line(rev.wrapping_sub(1), "Gone")];
-        fleet.journal.tell(json!({"hosts": {"rev": rev + 2, "all": false, "targets": targets}}));
+        fleet.journal.publish(json!({"hosts": {"rev": rev + 2, "all": false, "targets": targets}}));
     }
     wait(&fleet.journal.polls, |tail| *tail == 301);
     let mut client = fleet.router.client();
@@ -551,16 +551,16 @@
 fn a_poll_that_was_lost_is_made_again_from_the_last_number() {
     let fleet = fleet();
     wait(&fleet.journal.polls, |tail| *tail == 1);
-    fleet.journal.lose_a_poll();
+    fleet.journal.drop_poll();
     assert_eq!(wait(&fleet.journal.polls, |_| true), 1);
-    fleet.journal.tell(json!({"expire": {"set": 3, "stamp": 1}}));
+    fleet.journal.publish(json!({"expire": {"set": 3, "stamp": 1}}));
     assert_eq!(wait(&fleet.journal.polls, |_| true), 2);
 }
 
 #[test]
 fn nothing_goes_to_a_cache_that_drains_and_none_is_filled_from_it() {
     let fleet = fleet();
-    fleet.journal.tell(json!({"hosts": {"rev": 2, "all": false, "targets": [
+    fleet.journal.publish(json!({"hosts": {"rev": 2, "all": false, "targets": [
         host("cache-a", fleet.a.address, "Terminating"), host("parent", fleet.parent.address, "Terminating")]}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
     let mut client = fleet.router.client();
@@ -579,15 +579,16 @@
     let fleet = fleet();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
     let stamp = now.as_millis() as u64;
-    fleet.journal.tell(json!({"expire": {"name": "00000000000000aa", "stamp": stamp}}));
+    fleet.journal.publish(json!({"expire": {"name": "00000000000000aa", "stamp": stamp}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     client.read().expect("an answer");
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
     let since = now.as_millis() as u64 - stamp;
-    let (cache, _, fields) = match fleet.a.heard.try_iter().find(|h| matches!(h, Heard::Ask { .. })) {
-        Some(Heard::Ask { connection, id, fields, .. }) => (connection, id, fields),
+    let (cache, _, fields) = match fleet.a.events.try_iter().find(|h| matches!(h, CacheEvent::Request { .. }))
+    {
+        Some(CacheEvent::Request { connection, id, fields, .. }) => (connection, id, fields),
         _ => {
             let (connection, id, fields, _) = asked(&fleet.b);
             (connection, id, fields)
@@ -652,7 +653,7 @@
 #[test]
 fn at_sighup_it_goes_over_to_the_new_journal_from_the_last_number_and_loses_nothing() {
     let mut fleet = fleet_of(holding(), holding(), echo("origin"));
-    fleet.journal.tell(json!({"expire": {"set": 3, "stamp": 1}}));
+    fleet.journal.publish(json!({"expire": {"set": 3, "stamp": 1}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
@@ -663,7 +664,7 @@
         assert_eq!(wait(&moved.polls, |_| true), 2);
         fleet.journal = moved;
     }
-    fleet.journal.tell(json!({"expire": {"set": 4, "stamp": 1}}));
+    fleet.journal.publish(json!({"expire": {"set": 4, "stamp": 1}}));
     assert_eq!(wait(&fleet.journal.polls, |_| true), 3);
     cache.answer(connection, &id, &Answer::data("kept")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"kept");
@@ -677,7 +678,7 @@
         fleet.router.reload_text(text);
         assert!(fleet.router.logged("not reloaded").ends_with(|c: char| c.is_ascii_digit()), "one line");
     }
-    fleet.journal.tell(json!({"expire": {"set": 3, "stamp": 1}}));
+    fleet.journal.publish(json!({"expire": {"set": 3, "stamp": 1}}));
     assert_eq!(wait(&fleet.journal.polls, |tail| *tail > 1), 2);
     let moved = moved_journal(&fleet);
     fleet.router.reload(moved.address);
@@ -741,7 +742,7 @@
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     let (cache, _, connection, _) = asked_either(&fleet.a, &fleet.b);
     client.stream.shutdown(Shutdown::Both).expect("closed");
-    wait(&cache.heard, |heard| *heard == Heard::Closed { connection });
+    wait(&cache.events, |heard| *heard == CacheEvent::Closed { connection });
 }
 
 /// A figure that is missing, nothing, very small, very large or no figure at all: either the router says in one line
--- a/crates/router/tests/scale.rs
+++ b/crates/router/tests/scale.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+use linnethook_quickstart::Journal;
 use linnethook_standins::scale::{run, Fault, Form, Plan, Sample};
-use linnethook_toy::Journal;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
--- a/crates/standins/src/bin/drive.rs
+++ b/crates/standins/src/bin/drive.rs
@@ -6,9 +6,9 @@
 use std::io;
 use std::path::Path;
 
+use linnethook_quickstart::Client;
 use linnethook_standins::fleet::{router_program, Fleet};
 use linnethook_standins::node::Makeup;
-use linnethook_toy::Client;
 
 fn main() -> io::Result<()> {
     let words: Vec<String> = std::env::args().skip(1).collect();
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
-use linnethook_toy::Journal;
+use linnethook_quickstart::Journal;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
@@ -388,7 +388,7 @@
         let target = self.line(router, node, phase)?;
         let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
         self.record.note(What::Listed { router: router.to_string(), node: node.to_string(), phase });
-        self.routers[router].journal.tell(event);
+        self.routers[router].journal.publish(event);
         Ok(())
     }
 
@@ -399,7 +399,7 @@
             "pod_group": 0, "state": state, "capacity_hint": 8, "boot_ms": 0});
         self.record.note(What::Listed { router: bound.to_string(), node: node.to_string(), phase });
         let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
-        self.routers[router].journal.tell(event);
+        self.routers[router].journal.publish(event);
     }
 
     /// A node starts again, cold, and all routers are told.
@@ -429,7 +429,7 @@
             let event = json!({"expire": {"name": object, "stamp": stamp}});
             let object = Some(object.to_string());
             self.record.note(What::Purged { router: router.clone(), object, group: None, stamp });
-            self.routers[&router].journal.tell(event);
+            self.routers[&router].journal.publish(event);
         }
         thread::sleep(drop_after);
         self.nodes.values().for_each(|listed| listed.node.purge(object, stamp));
@@ -440,7 +440,7 @@
         let what =
             What::Purged { router: router.to_string(), object: Some(object.to_string()), group: None, stamp };
         self.record.note(what);
-        self.routers[router].journal.tell(json!({"expire": {"name": object, "stamp": stamp}}));
+        self.routers[router].journal.publish(json!({"expire": {"name": object, "stamp": stamp}}));
     }
 
     /// All nodes drop what they hold of an object from before.
@@ -450,7 +450,7 @@
 
     /// Puts a batch into a router's journal.
     pub fn tell_batch(&self, router: &str, batch: &BatchSpec) -> io::Result<()> {
-        self.routers[router].journal.tell(json!({"shape": serde_json::to_value(batch)?}));
+        self.routers[router].journal.publish(json!({"shape": serde_json::to_value(batch)?}));
         Ok(())
     }
 
--- a/crates/standins/src/load.rs
+++ b/crates/standins/src/load.rs
@@ -10,7 +10,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use linnethook_toy::Client;
+use linnethook_quickstart::Client;
 use rand::SeedableRng;
 use rand_distr::{Distribution, Exp, Uniform, Zipf};
 use rand_pcg::Pcg64Mcg;
--- a/crates/standins/src/node.rs
+++ b/crates/standins/src/node.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use linnethook_hierarchy::loop_detection::{FillPath, PathRejection};
-use linnethook_toy::Answer;
+use linnethook_quickstart::Answer;
 
 use crate::faults::{Fault, Script};
 use crate::record::{now, Asked, Cold, Ms, Record, What};
@@ -546,7 +546,7 @@
             }
             Some(Fault::Refuse) => {
                 ended("full", "", false);
-                return Reaction::Answer(Answer::word("full"));
+                return Reaction::Answer(Answer::with_status("full"));
             }
             Some(Fault::Reset) => {
                 ended("", "RESET", false);
@@ -560,7 +560,7 @@
         let Found { word, res, copy, more, ran } = found;
         if fault == Some(Fault::Fail) {
             ended("failed", &res, ran);
-            return Reaction::Answer(Answer::word("failed"));
+            return Reaction::Answer(Answer::with_status("failed"));
         }
         ended(word, &res, ran);
         let dated = copy.as_ref().map(|copy| {
@@ -569,7 +569,7 @@
         });
         let dated = dated.unwrap_or_default();
         let fields = format!("res={res},first=0{dated}{more}");
-        let answer = Answer { word, fields, body: copy.map(|copy| copy.body).unwrap_or_default() };
+        let answer = Answer { status: word, fields, body: copy.map(|copy| copy.body).unwrap_or_default() };
         match fault {
             Some(Fault::Cut) => Reaction::Half(answer),
             _ => Reaction::Answer(answer),
--- a/crates/standins/src/ready.rs
+++ b/crates/standins/src/ready.rs
@@ -12,7 +12,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 
-use linnethook_toy::{Answer, Cache, Client, Journal};
+use linnethook_quickstart::{Answer, Cache, Client, Journal};
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_toy::cache::{array, encode, fields, Answer};
+use linnethook_quickstart::cache::{array, encode, fields, Answer};
 use socket2::{Domain, Socket, Type};
 
 /// One request, as it came in.
@@ -147,7 +147,7 @@
                 }
             }
             "QUIT" => {}
-            "NOOP" | "INFO" => output.write_all(&encode(&id, &Answer::word("well")))?,
+            "NOOP" | "INFO" => output.write_all(&encode(&id, &Answer::with_status("well")))?,
             _ => return Err(io::ErrorKind::InvalidData.into()),
         }
     }
--- a/examples/toy/src/bin/toy-client.rs
+++ b/examples/quickstart/src/bin/quickstart-client.rs
@@ -1,12 +1,12 @@
-//! Asks a router for an object: `toy-client ADDRESS CLASS OBJECT`, where OBJECT is hexadecimal.
+//! Asks a router for an object: `quickstart-client ADDRESS CLASS OBJECT`, where OBJECT is hexadecimal.
 
-use linnethook_toy::Client;
+use linnethook_quickstart::Client;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let mut words = std::env::args().skip(1);
-    let usage = "usage: toy-client ADDRESS CLASS OBJECT";
-    let (address, class) = (words.next().ok_or(usage)?, words.next().ok_or(usage)?);
-    let object = words.next().ok_or(usage)?;
+    let mut arguments = std::env::args().skip(1);
+    let usage = "usage: quickstart-client ADDRESS CLASS OBJECT";
+    let (address, class) = (arguments.next().ok_or(usage)?, arguments.next().ok_or(usage)?);
+    let object = arguments.next().ok_or(usage)?;
     let mut client = Client::connect(&address)?;
     let fields = [("c", class.as_str()), ("i", "00000000000000a1"), ("d", "2000"), ("o", &object)];
     client.ask(1, &fields, b"")?;
--- a/examples/toy/src/bin/toy-fleet.rs
+++ b/examples/quickstart/src/bin/quickstart-servers.rs
@@ -5,8 +5,8 @@
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 
-use linnethook_toy::cache::Behaviour;
-use linnethook_toy::{Answer, Cache, Heard, Journal};
+use linnethook_quickstart::cache::RequestHandler;
+use linnethook_quickstart::{Answer, Cache, CacheEvent, Journal};
 use serde_json::Value;
 
 type Failure = Box<dyn std::error::Error>;
@@ -20,15 +20,15 @@
     for host in known.iter().flat_map(|event| event["hosts"]["targets"].as_array()).flatten() {
         let (uid, endpoint) = (host["uid"].as_str(), host["endpoint"].as_str());
         let (Some(uid), Some(endpoint)) = (uid, endpoint) else { continue };
-        caches.push((uid.to_string(), Cache::start(endpoint, behaviour(uid))?));
+        caches.push((uid.to_string(), Cache::start(endpoint, request_handler(uid))?));
         println!("{uid} listens on {endpoint}");
     }
     let _journal = Journal::start(address, known)?;
     println!("the journal service listens on {address}");
     let printers = caches.into_iter().map(|(uid, cache)| {
         std::thread::spawn(move || {
-            for heard in &cache.heard {
-                if let Heard::Ask { id, fields, .. } = heard {
+            for event in &cache.events {
+                if let CacheEvent::Request { id, fields, .. } = event {
                     println!("{uid}: ASK {id} {fields:?}");
                 }
             }
@@ -38,19 +38,19 @@
     Ok(())
 }
 
-fn behaviour(uid: &str) -> Behaviour {
-    let held = Mutex::new(HashSet::new());
+fn request_handler(uid: &str) -> RequestHandler {
+    let cached = Mutex::new(HashSet::new());
     let uid = uid.to_string();
     Arc::new(move |_, fields, _| {
         let part = (fields.get("obj").cloned(), fields.get("seg").cloned());
-        let first = held.lock().is_ok_and(|mut held| held.insert(part.clone()));
+        let first = cached.lock().is_ok_and(|mut cached| cached.insert(part.clone()));
         let res = if first { "MISS" } else { "HIT" };
         if first && !fields.contains_key("parent") && uid.starts_with("cache") {
-            return Some(Answer::word("absent"));
+            return Some(Answer::with_status("absent"));
         }
         let object = part.0.unwrap_or_default();
         Some(Answer {
-            word: "data",
+            status: "data",
             fields: format!("res={res},first=0"),
             body: format!("object {object}, from {uid}, {res}\n").into_bytes(),
         })
--- a/examples/toy/src/cache.rs
+++ b/examples/quickstart/src/cache.rs
@@ -7,54 +7,59 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What came in, and on which connection; these count from 1.
+/// What happened on a connection; connections are numbered from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Heard {
+pub enum CacheEvent {
     Opened { connection: usize },
-    Ask { connection: usize, id: String, fields: HashMap<String, String>, body: Vec<u8> },
-    Quit { connection: usize, id: String },
+    Request { connection: usize, id: String, fields: HashMap<String, String>, body: Vec<u8> },
+    Cancel { connection: usize, id: String },
     Closed { connection: usize },
 }
 
-/// An answer to a request.
+/// An answer to a request: status, fields as `name=value,...` or `-`, and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    pub word: &'static str,
+    pub status: &'static str,
     pub fields: String,
     pub body: Vec<u8>,
 }
 
 impl Answer {
+    /// A cached copy.
     pub fn data(body: impl Into<Vec<u8>>) -> Self {
-        Self { word: "data", fields: "res=HIT,first=0".to_string(), body: body.into() }
+        Self { status: "data", fields: "res=HIT,first=0".to_string(), body: body.into() }
     }
 
-    pub fn word(word: &'static str) -> Self {
-        Self { word, fields: "-".to_string(), body: Vec::new() }
+    /// An answer without fields or body.
+    pub fn with_status(status: &'static str) -> Self {
+        Self { status, fields: "-".to_string(), body: Vec::new() }
     }
 }
 
-/// What is done about a request at once; `None` leaves it open.
-pub type Behaviour = Arc<dyn Fn(&str, &HashMap<String, String>, &[u8]) -> Option<Answer> + Send + Sync>;
+/// Answers a request by its id, fields and body; `None` leaves it open, to be answered later.
+pub type RequestHandler = Arc<dyn Fn(&str, &HashMap<String, String>, &[u8]) -> Option<Answer> + Send + Sync>;
 
 type Connections = Arc<Mutex<HashMap<usize, TcpStream>>>;
 
+/// A server that speaks the protocol of caches.
 pub struct Cache {
+    /// Where it listens.
     pub address: SocketAddr,
-    pub heard: Receiver<Heard>,
+    /// What happens on the connections, in its order.
+    pub events: Receiver<CacheEvent>,
     connections: Connections,
 }
 
 impl Cache {
-    /// Listens, and answers as `behaviour` says.
-    pub fn start(address: impl ToSocketAddrs, behaviour: Behaviour) -> io::Result<Self> {
-        Self::serve(TcpListener::bind(address)?, behaviour)
+    /// Listens, and answers as `handler` says.
+    pub fn start(address: impl ToSocketAddrs, handler: RequestHandler) -> io::Result<Self> {
+        Self::serve(TcpListener::bind(address)?, handler)
     }
 
     /// Takes what comes to a listener.
-    pub fn serve(listener: TcpListener, behaviour: Behaviour) -> io::Result<Self> {
+    pub fn serve(listener: TcpListener, handler: RequestHandler) -> io::Result<Self> {
         let address = listener.local_addr()?;
-        let (sender, heard) = channel();
+        let (sender, events) = channel();
         let connections = Connections::default();
         let all = connections.clone();
         thread::spawn(move || {
@@ -64,15 +69,15 @@
                 if let (Ok(copy), Ok(mut all)) = (stream.try_clone(), all.lock()) {
                     all.insert(connection, copy);
                 }
-                let (sender, behaviour) = (sender.clone(), behaviour.clone());
+                let (sender, handler) = (sender.clone(), handler.clone());
                 thread::spawn(move || {
-                    let _ = sender.send(Heard::Opened { connection });
-                    let _ = talk(connection, &stream, &sender, &behaviour);
-                    let _ = sender.send(Heard::Closed { connection });
+                    let _ = sender.send(CacheEvent::Opened { connection });
+                    let _ = serve_connection(connection, &stream, &sender, &handler);
+                    let _ = sender.send(CacheEvent::Closed { connection });
                 });
             }
         });
-        Ok(Self { address, heard, connections })
+        Ok(Self { address, events, connections })
     }
 
     /// Answers a request that was left open.
@@ -97,11 +102,11 @@
     }
 }
 
-fn talk(
+fn serve_connection(
     connection: usize,
     stream: &TcpStream,
-    sender: &Sender<Heard>,
-    behaviour: &Behaviour,
+    sender: &Sender<CacheEvent>,
+    handler: &RequestHandler,
 ) -> io::Result<()> {
     let mut input = BufReader::new(stream);
     let mut output = stream;
@@ -113,16 +118,16 @@
             "ASK" => {
                 let fields = fields(&text().unwrap_or_default());
                 let body = parts.next().unwrap_or_default();
-                let answer = behaviour(&id, &fields, &body);
-                let _ = sender.send(Heard::Ask { connection, id: id.clone(), fields, body });
+                let answer = handler(&id, &fields, &body);
+                let _ = sender.send(CacheEvent::Request { connection, id: id.clone(), fields, body });
                 if let Some(answer) = answer {
                     output.write_all(&encode(&id, &answer))?;
                 }
             }
             "QUIT" => {
-                let _ = sender.send(Heard::Quit { connection, id });
+                let _ = sender.send(CacheEvent::Cancel { connection, id });
             }
-            "NOOP" | "INFO" => output.write_all(&encode(&id, &Answer::word("well")))?,
+            "NOOP" | "INFO" => output.write_all(&encode(&id, &Answer::with_status("well")))?,
             _ => return Err(io::ErrorKind::InvalidData.into()),
         }
     }
@@ -159,7 +164,7 @@
 /// The bytes of an answer.
 pub fn encode(id: &str, answer: &Answer) -> Vec<u8> {
     let mut out = b"*4\r\n".to_vec();
-    for part in [id.as_bytes(), answer.word.as_bytes(), answer.fields.as_bytes(), &answer.body] {
+    for part in [id.as_bytes(), answer.status.as_bytes(), answer.fields.as_bytes(), &answer.body] {
         out.extend(format!("${}\r\n", part.len()).bytes());
         out.extend(part);
         out.extend(b"\r\n");
--- a/examples/toy/src/journal.rs
+++ b/examples/quickstart/src/journal.rs
@@ -10,15 +10,17 @@
 use serde_json::{json, Value};
 
 #[derive(Default)]
-struct State {
+struct JournalState {
     events: Vec<Value>,
-    /// Polls that are to be broken off instead of answered.
-    to_lose: usize,
+    /// Polls whose connection is closed instead of answered.
+    polls_to_drop: usize,
 }
 
-type Shared = Arc<(Mutex<State>, Condvar)>;
+type Shared = Arc<(Mutex<JournalState>, Condvar)>;
 
+/// A journal service.
 pub struct Journal {
+    /// Where it listens.
     pub address: SocketAddr,
     /// The number from which each poll asked.
     pub polls: Receiver<u64>,
@@ -37,19 +39,19 @@
         let state: Shared = Arc::default();
         let (sender, polls) = channel();
         let journal = Self { address, polls, state: state.clone() };
-        known.into_iter().for_each(|event| journal.tell(event));
+        known.into_iter().for_each(|event| journal.publish(event));
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { return };
                 let (state, sender) = (state.clone(), sender.clone());
-                thread::spawn(move || talk(&stream, &state, &sender));
+                thread::spawn(move || serve_connection(&stream, &state, &sender));
             }
         });
         Ok(journal)
     }
 
     /// Adds an event, which gets the next number.
-    pub fn tell(&self, mut event: Value) {
+    pub fn publish(&self, mut event: Value) {
         let (state, changed) = &*self.state;
         if let Ok(mut state) = state.lock() {
             event["pos"] = json!(state.events.len() + 1);
@@ -58,11 +60,11 @@
         }
     }
 
-    /// Breaks off the poll that is open, or the next one, without an answer.
-    pub fn lose_a_poll(&self) {
+    /// Closes the connection of the open poll, or of the next one, without an answer.
+    pub fn drop_poll(&self) {
         let (state, changed) = &*self.state;
         if let Ok(mut state) = state.lock() {
-            state.to_lose += 1;
+            state.polls_to_drop += 1;
             changed.notify_all();
         }
     }
@@ -74,7 +76,7 @@
     }
 }
 
-fn talk(stream: &TcpStream, state: &Shared, sender: &Sender<u64>) -> Option<()> {
+fn serve_connection(stream: &TcpStream, state: &Shared, sender: &Sender<u64>) -> Option<()> {
     let mut input = BufReader::new(stream);
     loop {
         let mut request = String::new();
@@ -92,18 +94,18 @@
         };
         let (tail, wait) = (value("tail")?, value("max_wait")?);
         let _ = sender.send(tail);
-        let seen = usize::try_from(tail).ok()?;
+        let position = usize::try_from(tail).ok()?;
         let (lock, changed) = &**state;
-        let quiet = |state: &mut State| state.events.len() <= seen && state.to_lose == 0;
+        let quiet = |state: &mut JournalState| state.events.len() <= position && state.polls_to_drop == 0;
         let wait = Duration::from_millis(wait.min(5_000));
         let (mut state, _) = changed.wait_timeout_while(lock.lock().ok()?, wait, quiet).ok()?;
-        if state.to_lose > 0 {
-            state.to_lose -= 1;
+        if state.polls_to_drop > 0 {
+            state.polls_to_drop -= 1;
             let _ = stream.shutdown(std::net::Shutdown::Both);
             return None;
         }
-        let later = state.events.get(seen..).unwrap_or_default();
-        let page = json!({"pos": state.events.len().max(seen), "entries": later}).to_string();
+        let later = state.events.get(position..).unwrap_or_default();
+        let page = json!({"pos": state.events.len().max(position), "entries": later}).to_string();
         drop(state);
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", page.len());
         let mut output = stream;
