--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -33,8 +33,14 @@
 //! No module reads a clock, a socket or a file or draws random numbers: times and seeds are arguments. Times are in
 //! milliseconds, `now` in milliseconds of Unix time. `docs/hierarchy.md` gives the design and what it guarantees.
 
-#![warn(missing_docs)]
-#![warn(clippy::missing_errors_doc, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
 
 pub mod batch;
 pub mod change_spec;
