--- a/crates/router/src/policy_adapter/mod.rs
+++ b/crates/router/src/policy_adapter/mod.rs
@@ -16,8 +16,8 @@
 };
 use linnethook::Policy;
 use linnethook_settings::DecodedSettings;
-pub use linnethook_watch::Counts as ShadowCounts;
-use linnethook_watch::Watch as ShadowPolicy;
+pub use linnethook_shadow_policy::DifferenceCounts as ShadowCounts;
+use linnethook_shadow_policy::{DueTimer, ShadowPolicy};
 use xxhash_rust::xxh3::xxh3_64;
 
 use events::{fill_sources_event, purge_event, ReportNames};
@@ -226,17 +226,17 @@
         let mut commands = Vec::new();
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= micros(now)) {
             self.timers.remove(&(at, token));
-            commands.extend(self.dispatch(now, &Event::Timer(token), Some((at, token))));
+            commands.extend(self.dispatch(now, &Event::Timer(token), Some(DueTimer { at_us: at, token })));
         }
         commands.extend(self.timers.first().map(|(at, _)| PolicyCommand::SetTimer(*at as Ms / 1000.0)));
         commands
     }
 
     /// Hands an event to the policy. `due` is the timer that it stands for.
-    fn dispatch(&mut self, now: Ms, event: &Event, due: Option<(u64, u32)>) -> Vec<PolicyCommand> {
+    fn dispatch(&mut self, now: Ms, event: &Event, due: Option<DueTimer>) -> Vec<PolicyCommand> {
         let actions = self.policy.handle(now, event);
         if let Some(shadow) = &mut self.shadow {
-            shadow.see(now, event, due, &actions);
+            shadow.observe(now, event, due, &actions);
         }
         let mut commands = Vec::with_capacity(actions.len());
         for action in actions {
