--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,5 +1,6 @@
-//! Files that the pages name exist, so that a renamed file is followed by its pages.
+//! Files, functions and tests that the pages name exist, so that a rename is followed by its pages.
 
+use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
@@ -33,6 +34,50 @@
     assert!(missing.is_empty(), "no such files:\n{}", missing.join("\n"));
 }
 
+/// Pages whose names in backticks are all checked: file names and identifiers with an underscore.
+const PAGES_BY_MODULE: &[&str] = &["docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/oncall.md"];
+
+/// The Rust sources below a directory, as paths and texts.
+fn sources(directory: &Path, found: &mut Vec<(String, String)>) {
+    for entry in fs::read_dir(directory).expect("a directory of the workspace") {
+        let path = entry.expect("an entry").path();
+        if path.is_dir() {
+            sources(&path, found);
+        } else if path.extension().is_some_and(|extension| extension == "rs") {
+            let text = fs::read_to_string(&path).expect("a source file");
+            found.push((path.display().to_string(), text));
+        }
+    }
+}
+
+#[test]
+fn functions_and_files_that_the_pages_name_are_in_the_source() {
+    let root = Path::new(env!("CARGO_MANIFEST_DIR"));
+    let mut all = Vec::new();
+    for directory in ["src", "tests", "crates"] {
+        sources(&root.join(directory), &mut all);
+    }
+    let is_word = |c: char| c.is_alphanumeric() || c == '_';
+    let identifiers: BTreeSet<&str> = all.iter().flat_map(|(_, text)| text.split(|c| !is_word(c))).collect();
+    let mut missing = Vec::new();
+    for page in PAGES_BY_MODULE {
+        let text = fs::read_to_string(root.join(page)).expect("a page");
+        for name in text.split('`').skip(1).step_by(2) {
+            let is_file = name.ends_with(".rs") && !name.contains(' ');
+            let is_identifier = name.contains('_') && name.chars().all(is_word);
+            let exists = match (is_file, is_identifier) {
+                (true, _) => all.iter().any(|(path, _)| path.ends_with(&format!("/{name}"))),
+                (_, true) => identifiers.contains(name),
+                _ => true,
+            };
+            if !exists {
+                missing.push(format!("{page}: {name}"));
+            }
+        }
+    }
+    assert!(missing.is_empty(), "not in the source:\n{}", missing.join("\n"));
+}
+
 #[test]
 fn paths_are_found_between_backticks() {
     let page = "See `src/lib.rs`, `a word`, src/bare.rs, `docs/x/`, `cargo test -p x`.";
