--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -11,9 +11,9 @@
 const FINISHED_PACKAGES: &[&str] = &[
     "src",
     "crates/adapter/src",
-    "crates/audit/src",
+    "crates/audit",
     "crates/hierarchy",
-    "crates/membership/src",
+    "crates/membership",
     "crates/operator-config",
     "crates/persistence",
     "crates/settings",
