--- a/crates/shadow-policy/tests/shadow_policy.rs
+++ b/crates/shadow-policy/tests/shadow_policy.rs
@@ -160,11 +160,12 @@
         router.end(AttemptStatus::Error, None);
         router.end(AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
     }
-    let gone = CACHES
+    let removed = CACHES
         .into_iter()
         .chain([PARENT, ORIGIN])
         .map(|id| Endpoint { phase: EndpointPhase::Removed, ..member(id) });
-    router.tell(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: gone.collect() }, None);
+    router
+        .tell(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: removed.collect() }, None);
     (200..203).for_each(|object| router.ask(object));
     router
 }
--- a/tests/delivery_rules.rs
+++ b/tests/delivery_rules.rs
@@ -222,17 +222,17 @@
     for (object, group) in [(Some(ObjectId(4)), 0), (None, 5)] {
         world.pass(10_000.0);
         world.tell(Event::Purge { object, group, age: 300.0 });
-        let mut told = 300.0;
+        let mut purge_age = 300.0;
         for _ in 0..5 {
             world.pass(1000.0);
-            told += 1000.0;
+            purge_age += 1000.0;
             for class in [SAFE, FRESH] {
                 let sent = world.ask(class, 4).expect("an attempt");
                 let fill = sent.fill.expect("an order with an age");
-                assert!(fill.max_age > 0.0 && fill.max_age < told, "{} {told}", fill.max_age);
+                assert!(fill.max_age > 0.0 && fill.max_age < purge_age, "{} {purge_age}", fill.max_age);
                 let again = world.end(sent, AttemptStatus::Rejected, None);
                 let age = again.and_then(|sent| sent.fill).map_or(1.0, |fill| fill.max_age);
-                assert!(age > 0.0 && age < told, "a retry heeds it too");
+                assert!(age > 0.0 && age < purge_age, "a retry heeds it too");
             }
         }
     }
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -220,11 +220,11 @@
 /// Without caches and parents, the origin must not be overloaded until it stops.
 #[test]
 fn direct_reads_of_the_origin_are_limited_to_what_it_answers() {
-    let gone = CACHES
+    let removed = CACHES
         .into_iter()
         .chain(PARENTS)
         .map(|id| Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) });
-    let mut world = World::with(settings(), gone.chain([endpoint(THE_ORIGIN)]).collect());
+    let mut world = World::with(settings(), removed.chain([endpoint(THE_ORIGIN)]).collect());
     for object in 0..150 {
         world.pass(150.0);
         if let Some(sent) = world.ask(SAFE, object) {
@@ -241,10 +241,10 @@
 fn parents_that_wait_for_a_slow_origin_are_not_ejected() {
     let mut world = warmed();
     slow_origin(&mut world);
-    let held = (2000..2100)
+    let cached_only = (2000..2100)
         .filter_map(|object| world.ask(SAFE, object))
         .filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached && PARENTS.contains(&fill.source)));
-    assert!(held.count() > 20, "most misses ask the parents only for what they hold");
+    assert!(cached_only.count() > 20, "most misses ask the parents only for cached copies");
 }
 
 /// A failed origin cannot recover if its share of misses grows faster than a thin stream's failures cut it.
@@ -254,8 +254,12 @@
     (0..4).for_each(|_| slow_origin(&mut world));
     world.pass(4000.0);
     let asked: Vec<Sent> = (5000..5200).filter_map(|object| world.ask(SAFE, object)).collect();
-    let held = asked.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
-    assert!(held * 100 > asked.len() * 78, "{held} of {} ask only for what is held", asked.len());
+    let cached_only = asked.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
+    assert!(
+        cached_only * 100 > asked.len() * 78,
+        "{cached_only} of {} ask only for a cached copy",
+        asked.len()
+    );
 }
 
 /// A known copy may be past its freshness lifetime; its revalidation must be admitted by the origin too.
@@ -281,8 +285,8 @@
         }));
     }
     let asked: Vec<Sent> = (1000..1060).filter_map(|object| world.ask(FRESH, object)).collect();
-    let held = asked.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
-    assert!(held > asked.len() / 2, "{held} of {} ask only for what is held", asked.len());
+    let cached_only = asked.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
+    assert!(cached_only > asked.len() / 2, "{cached_only} of {} ask only for a cached copy", asked.len());
 }
 
 /// An attempt that a client abandons ends as cancelled, long before it is late: it is no late fill.
@@ -290,9 +294,9 @@
 fn disconnected_clients_do_not_reduce_the_fill_links_limit() {
     let mut world = warmed();
     for wave in 0..40 {
-        let taken_back: Vec<Sent> = (0..3).filter_map(|n| world.ask(SAFE, 1000 + wave * 10 + n)).collect();
+        let abandoned: Vec<Sent> = (0..3).filter_map(|n| world.ask(SAFE, 1000 + wave * 10 + n)).collect();
         world.pass(60.0);
-        for sent in taken_back {
+        for sent in abandoned {
             world.tell(Event::ClientDisconnected(sent.attempt.request));
             world.end_after(sent, AttemptStatus::Cancelled, None, 60.0);
         }
@@ -321,7 +325,7 @@
     let fills = |sent: &&Sent| sent.fill.is_some_and(|fill| fill.source != sent.cache);
     let tried: Vec<Sent> = (2000..2030).filter_map(|object| world.ask(SAFE, object)).collect();
     assert!(tried.iter().filter(fills).count() < 10, "few new fills");
-    assert!(!tried.iter().all(|sent| fills(&sent)), "the others ask for what is held");
+    assert!(!tried.iter().all(|sent| fills(&sent)), "the others ask for a cached copy");
     let miss = tried.iter().find(|sent| !fills(sent)).copied().expect("one that only asks");
     assert_eq!(world.end(miss, AttemptStatus::CacheMiss, None), None);
     assert!(matches!(world.finals.last(), Some(Action::Reject { .. })), "refused at once");
@@ -461,8 +465,8 @@
     (0..200).cycle().take(800).for_each(|object| {
         serve(&mut world, object, true);
     });
-    let kept = owned.iter().filter(|&&object| serve(&mut world, object, true)).count();
-    assert!(kept > 0 && kept * 10 < owned.len() * 6, "{kept} of {} stay with them", owned.len());
+    let served = owned.iter().filter(|&&object| serve(&mut world, object, true)).count();
+    assert!(served > 0 && served * 10 < owned.len() * 6, "{served} of {} stay with them", owned.len());
 }
 
 /// Degraded caches fill late what others fill in time: the link is not the bottleneck.
@@ -531,21 +535,21 @@
 
 #[test]
 fn every_request_is_answered_without_caches_parents_or_both() {
-    let gone = |ids: &[EndpointId]| {
+    let without = |ids: &[EndpointId]| {
         let mut world = World::new(settings());
         for &id in ids {
             world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) });
         }
         world
     };
-    let straight = gone(&CACHES).ask(SAFE, 4).expect("an attempt");
+    let straight = without(&CACHES).ask(SAFE, 4).expect("an attempt");
     assert!(PARENTS.contains(&straight.cache) && straight.fill.is_some_and(|f| f.source == THE_ORIGIN));
     let all_but_origin = [&CACHES[..], &PARENTS].concat();
-    let origin = gone(&all_but_origin).ask(SAFE, 4).expect("an attempt");
+    let origin = without(&all_but_origin).ask(SAFE, 4).expect("an attempt");
     assert_eq!(origin.cache, THE_ORIGIN);
     let everything = [&all_but_origin[..], &[THE_ORIGIN]].concat();
     for class in [SAFE, FRESH, KEYED, UNSAFE, 77] {
-        let mut world = gone(&everything);
+        let mut world = without(&everything);
         assert_eq!(world.ask(class, 4), None);
         assert_eq!(world.finals.len(), 1, "class {class}");
     }
--- a/tests/unknown_capacities.rs
+++ b/tests/unknown_capacities.rs
@@ -14,7 +14,7 @@
 }
 
 /// How many objects of one owner are admitted while no attempt ends.
-fn taken(world: &mut World, owner: EndpointId, objects: &[u64]) -> usize {
+fn admitted(world: &mut World, owner: EndpointId, objects: &[u64]) -> usize {
     let sent = objects.iter().filter_map(|&object| world.ask(SAFE, object));
     sent.filter(|sent| sent.cache == owner).count()
 }
@@ -44,10 +44,10 @@
     let crowd = |unweighted_list: bool| {
         let mut world = World::with(layout(unweighted_list), unweighted());
         let objects = world.owned(CACHES[0]);
-        taken(&mut world, CACHES[0], &objects)
+        admitted(&mut world, CACHES[0], &objects)
     };
-    let (told, untold) = (crowd(false), crowd(true));
-    assert!(untold > 2 * told, "{untold} taken by a cache of unknown size, {told} by one of size 1");
+    let (known, unknown) = (crowd(false), crowd(true));
+    assert!(unknown > 2 * known, "{unknown} admitted by a cache of unknown size, {known} by one of size 1");
 }
 
 #[test]
@@ -61,11 +61,11 @@
         });
         world.pass(10_000.0);
         let objects = world.owned(CACHES[0]);
-        taken(&mut world, CACHES[0], &objects)
+        admitted(&mut world, CACHES[0], &objects)
     };
     // 100 ms of transfer time: twelve at full rate show a capacity of twelve, at a quarter of it three.
     let (wide, narrow) = (crowd(100.0), crowd(400.0));
-    assert!(wide > narrow + 5, "{wide} taken by a wide cache, {narrow} by a narrow one");
+    assert!(wide > narrow + 5, "{wide} admitted by a wide cache, {narrow} by a narrow one");
 }
 
 /// Listed capacities apply whatever the answers show.
@@ -77,7 +77,7 @@
         (0..60).for_each(|n| hit(&mut world, objects[n % objects.len()], took, 12.0));
         world.pass(10_000.0);
         let objects = world.owned(CACHES[0]);
-        taken(&mut world, CACHES[0], &objects)
+        admitted(&mut world, CACHES[0], &objects)
     };
     assert_eq!(crowd(100.0), crowd(290.0));
 }
@@ -193,8 +193,11 @@
         }
         past
     };
-    let (told, untold) = (to_origin(OutcomeDetail::Full), to_origin(OutcomeDetail::HitsOnly));
-    assert!(told == 0 && untold > 100, "{told} and {untold} of 400 filled straight from the origin");
+    let (reported, unreported) = (to_origin(OutcomeDetail::Full), to_origin(OutcomeDetail::HitsOnly));
+    assert!(
+        reported == 0 && unreported > 100,
+        "{reported} and {unreported} of 400 filled straight from the origin"
+    );
 }
 
 /// The capacity of a new cache is unknown; it is sent no more than the smallest known one could take.
