--- a/crates/adapter/src/codec/fields.rs
+++ b/crates/adapter/src/codec/fields.rs
@@ -126,7 +126,7 @@
         Ok(match self.u16()? {
             200 => AttemptStatus::Ok,
             404 => AttemptStatus::CacheMiss,
-            410 => AttemptStatus::NeverSent,
+            410 => AttemptStatus::NotExecuted,
             499 => AttemptStatus::Cancelled,
             500 => AttemptStatus::Error,
             502 => AttemptStatus::ConnectFailed,
--- a/crates/adapter/tests/unit/codec.rs
+++ b/crates/adapter/tests/unit/codec.rs
@@ -158,7 +158,7 @@
 fn every_attempt_status_and_cache_status() {
     use AttemptStatus::*;
     let codes = [200, 500, 503, 504, 502, 598, 499, 410, 404];
-    let statuses = [Ok, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NeverSent, CacheMiss];
+    let statuses = [Ok, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotExecuted, CacheMiss];
     let reported = {
         use CacheStatus::*;
         let with_source = [
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -25,7 +25,7 @@
         /// The node that it fills from.
         source: u64,
     },
-    /// A non-idempotent request was sent; it is recorded one by one, too.
+    /// A write was sent; it is recorded one by one, too.
     #[serde(rename = "Booking")]
     WriteAttempt {
         /// The node.
@@ -103,13 +103,13 @@
     pub last: Timestamp,
 }
 
-/// An attempt of a non-idempotent request.
+/// An attempt of a write: a request that the class or the client marks as one, whatever its idempotence.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteAttempt {
     /// The request.
     #[serde(rename = "id")]
     pub request_id: String,
-    /// Which attempt of the request, from 1.
+    /// Which attempt of the request, from 0.
     #[serde(rename = "number")]
     pub attempt: u8,
     /// The node it was sent to.
@@ -119,13 +119,13 @@
     pub at: Timestamp,
 }
 
-/// How an attempt of a non-idempotent request ended.
+/// How an attempt of a write ended. Without one the outcome is unknown, such as after the client has left.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteOutcome {
     /// The request.
     #[serde(rename = "id")]
     pub request_id: String,
-    /// Which attempt of the request, from 1.
+    /// Which attempt of the request, from 0.
     #[serde(rename = "number")]
     pub attempt: u8,
     /// The name of the outcome.
--- a/crates/hierarchy/src/hierarchy/view.rs
+++ b/crates/hierarchy/src/hierarchy/view.rs
@@ -83,7 +83,7 @@
                 number: batch.number,
                 stage: migration.stage(),
                 fraction: migration.fraction(now, self.rollout.config()),
-                attempts: migration.attempts(),
+                attempts: migration.rollbacks(),
                 new_failure_ratio: migration.new_failure_ratio(),
                 old_failure_ratio: migration.old_failure_ratio(),
             }
--- a/crates/hierarchy/src/rollout/config.rs
+++ b/crates/hierarchy/src/rollout/config.rs
@@ -29,7 +29,7 @@
     pub retry_delay: Ms,
     /// Factor by which the delay grows with each attempt.
     pub backoff_factor: f64,
-    /// Attempts in all.
+    /// Rollbacks after which a migration is not tried again.
     pub max_attempts: u32,
     /// For how long in all a ramp may pause while the tiers above are constrained.
     pub max_pause: Ms,
--- a/crates/hierarchy/src/rollout/migration.rs
+++ b/crates/hierarchy/src/rollout/migration.rs
@@ -70,7 +70,7 @@
     }
 
     /// Rollbacks so far.
-    pub fn attempts(&self) -> u32 {
+    pub fn rollbacks(&self) -> u32 {
         self.attempts
     }
 
@@ -86,7 +86,8 @@
 
     /// The fraction of objects that the new source fills now, from 0 to 1.
     ///
-    /// It rises linearly over the ramp, from the time of the batch alone, so that all routers agree on it. A source
+    /// It rises linearly over the ramp, from the time of the batch, so that all routers agree on it unless they have
+    /// paused, rolled back or retried by their own observations. A source
     /// that has itself just started gets no more than its slow start allows. Without a fallback the new source fills
     /// all objects: the remaining old source is the origin, which the shield protects, and the new source caches
     /// what it fills.
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -1,7 +1,7 @@
 //! Migrates children to a new source in stages: planned, announced, warming, settled, or rolled back.
 //!
 //! The fraction of objects that a new source fills follows from the time of the batch alone, so that all routers
-//! agree; the observations of one router can only delay it. Objects are selected by a hash that is the same at all
+//! agree, up to the first pause, rollback or retry, which each router decides by its own observations. Objects are selected by a hash that is the same at all
 //! routers, and a smaller fraction is part of any larger one.
 
 use std::collections::BTreeMap;
@@ -83,7 +83,8 @@
         self.migrations.retain(|id, _| keep(*id));
     }
 
-    /// Records whether children still have an old source to fall back to. Without one there is no rollback.
+    /// Records whether children still have an old source to fall back to. Without one, failures cause no rollback;
+    /// after a rollback for another reason the new source goes on filling all objects.
     pub fn set_has_no_fallback(&mut self, id: MigrationId, has_no_fallback: bool) {
         if let Some(migration) = self.migrations.get_mut(&id) {
             migration.set_has_no_fallback(has_no_fallback);
--- a/crates/hierarchy/src/rollout/stage.rs
+++ b/crates/hierarchy/src/rollout/stage.rs
@@ -41,7 +41,8 @@
     Warming,
     /// All objects are filled from the new source, and the old source list is dropped.
     Settled,
-    /// Fills use the old sources; it is tried again later unless its attempts are used up.
+    /// Fills use the old sources; it is tried again later unless its attempts are used up. Without a
+    /// fallback the new source goes on filling all objects.
     RolledBack(RollbackReason),
 }
 
--- a/crates/membership/src/gossip/entry.rs
+++ b/crates/membership/src/gossip/entry.rs
@@ -68,7 +68,9 @@
 /// Which of several entries of a key is newer. Revisions are ordered by epoch and then by sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Revision {
-    /// An incarnation, a position in the journal or a time, by the key's kind.
+    /// By the key's kind: the incarnation for what a router states of itself and for the holder of a name; the
+    /// position in the journal for an endpoint; the time of issue in microseconds for a purge and in milliseconds for
+    /// a batch of changes; the hybrid clock's milliseconds for a version floor and for a summary.
     pub epoch: u64,
     /// Orders entries of the same epoch.
     pub sequence: u64,
--- a/crates/model/src/world/serving.rs
+++ b/crates/model/src/world/serving.rs
@@ -41,7 +41,7 @@
             sent: now,
             waited: 0,
             note: None,
-            status: AttemptStatus::NeverSent,
+            status: AttemptStatus::NotExecuted,
             work: None,
             tolled: false,
             version: None,
@@ -356,7 +356,7 @@
         let stage = std::mem::replace(&mut attempt.stage, Stage::Over);
         // What never went has not been at its server.
         let status = if stage == Stage::Held && status != AttemptStatus::Rejected {
-            AttemptStatus::NeverSent
+            AttemptStatus::NotExecuted
         } else {
             status
         };
--- a/crates/model/src/world/tiers.rs
+++ b/crates/model/src/world/tiers.rs
@@ -40,7 +40,7 @@
         (AttemptStatus::Ok, Some(CacheStatus::FilledByOrigin)) => FillResult::ServedFromOrigin,
         (AttemptStatus::Ok, Some(CacheStatus::Hit | CacheStatus::Stale)) => FillResult::AlreadyCached,
         (AttemptStatus::Ok, _) => FillResult::ServedFromUnknown,
-        (AttemptStatus::Cancelled | AttemptStatus::NeverSent, _) | (_, Some(CacheStatus::NoCapacity)) => {
+        (AttemptStatus::Cancelled | AttemptStatus::NotExecuted, _) | (_, Some(CacheStatus::NoCapacity)) => {
             FillResult::Abandoned
         }
         (AttemptStatus::ConnectFailed, _) | (AttemptStatus::Rejected, None) => FillResult::Abandoned,
--- a/crates/router/src/policy_adapter/actions.rs
+++ b/crates/router/src/policy_adapter/actions.rs
@@ -10,7 +10,7 @@
     /// `None` for no fill.
     pub source: Option<EndpointKey>,
     pub retention: u8,
-    /// The age limit of a copy; 0 = the fresh time of the class.
+    /// The age limit of a copy; 0 = none beyond the freshness that its class has.
     pub max_age: Ms,
     /// The age limit where no fill is possible.
     pub max_stale_age: Ms,
--- a/crates/router/src/policy_adapter/events.rs
+++ b/crates/router/src/policy_adapter/events.rs
@@ -72,8 +72,9 @@
             Self::Failed => AttemptStatus::Error,
             Self::Rejected => AttemptStatus::Rejected,
             Self::CacheMiss => AttemptStatus::CacheMiss,
-            Self::NotExecuted => AttemptStatus::NeverSent,
+            Self::NotExecuted => AttemptStatus::NotExecuted,
             Self::TimedOut => AttemptStatus::TimedOut,
+            // To the policy it is the same whether no connection came up or nothing was written to one.
             Self::NotSent => AttemptStatus::ConnectFailed,
             Self::ConnectionLost => AttemptStatus::Reset,
             Self::Cancelled => AttemptStatus::Cancelled,
--- a/crates/router/src/policy_adapter/mod.rs
+++ b/crates/router/src/policy_adapter/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// Whether a second execution of a request would do harm; so it is for an unknown class.
-    pub fn is_not_idempotent(&self, spec: &RequestSpec) -> bool {
+    pub fn needs_repeat_protection(&self, spec: &RequestSpec) -> bool {
         let class = self.class_index(spec).and_then(|n| self.classes.get(n));
         class.is_none_or(|class| class.idempotence != Idempotence::Idempotent)
     }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,6 +1,6 @@
 //! One router: its state, and the dispatch between its parts.
 //!
-//! The router decides nothing. Orders come from the policy, by way of [`Decider`]; bytes are read and written by
+//! The router decides nothing. Orders come from the policy, by way of [`PolicyAdapter`]; bytes are read and written by
 //! [`Downstreams`] and [`Upstreams`].
 
 use std::fs::File;
@@ -602,7 +602,7 @@
 
     /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
     fn barred_for_now(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
-        let cluster = self.cluster.as_mut().filter(|_| self.policy.is_not_idempotent(spec))?;
+        let cluster = self.cluster.as_mut().filter(|_| self.policy.needs_repeat_protection(spec))?;
         let wait = cluster.exclusion(now, spec.object)?;
         Some(wait.min(self.policy.max_retry_after()))
     }
@@ -694,7 +694,7 @@
     ) -> OpenRequest {
         let asked = self.asked(now, &spec);
         let cross_site = self.crosses().then(|| {
-            let not_idempotent = self.policy.is_not_idempotent(&spec);
+            let not_idempotent = self.policy.needs_repeat_protection(&spec);
             let (objective, write) = (asked.aim, asked.write);
             let deadline = now + spec.budget;
             Box::new(CrossSiteRequest { spec, not_idempotent, write, objective, deadline, passed })
--- a/crates/shadow-policy/src/shadow.rs
+++ b/crates/shadow-policy/src/shadow.rs
@@ -216,7 +216,7 @@
             let never_sent = AttemptOutcome {
                 attempt: AttemptId { request: id, number: attempts_sent },
                 endpoint: *endpoint,
-                status: AttemptStatus::NeverSent,
+                status: AttemptStatus::NotExecuted,
                 request_finished: true,
                 elapsed: 0.0,
                 source_wait: 0.0,
--- a/src/endpoint_health.rs
+++ b/src/endpoint_health.rs
@@ -88,7 +88,7 @@
     }
 
     /// Ejects the endpoint unless it is ejected already.
-    pub fn eject_if_admitted(&mut self, now: Ms, config: &EjectionConfig) {
+    pub fn eject_unless_ejected(&mut self, now: Ms, config: &EjectionConfig) {
         if !self.is_ejected() {
             self.eject(now, config);
         }
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -48,8 +48,8 @@
     EndpointTooCrowded,
     /// A write found its only endpoint unusable and no time is left for a pause.
     NoTimeForBackoff,
-    /// The attempt was never sent and cannot be repeated.
-    AttemptNeverSent,
+    /// The endpoint dropped the request without executing it, since its time was over.
+    AttemptNotExecuted,
 }
 
 impl fmt::Display for RejectReason {
@@ -66,7 +66,7 @@
             Self::FillLinkOverloaded => "fill link overloaded",
             Self::EndpointTooCrowded => "endpoint too crowded",
             Self::NoTimeForBackoff => "no time left for a backoff",
-            Self::AttemptNeverSent => "attempt never sent",
+            Self::AttemptNotExecuted => "attempt not executed",
         })
     }
 }
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -104,8 +104,8 @@
     Reset,
     /// Cancelled by this router or its client.
     Cancelled,
-    /// The request ended before the attempt was sent.
-    NeverSent,
+    /// It was over before it began: the endpoint did not execute it.
+    NotExecuted,
     /// The endpoint was asked for a cached copy only, and has none that qualifies.
     CacheMiss,
 }
@@ -113,12 +113,12 @@
 impl AttemptStatus {
     /// Whether the endpoint itself responded.
     pub fn endpoint_responded(self) -> bool {
-        !matches!(self, Self::TimedOut | Self::Cancelled | Self::NeverSent | Self::ConnectFailed)
+        !matches!(self, Self::TimedOut | Self::Cancelled | Self::NotExecuted | Self::ConnectFailed)
     }
 
     /// Whether the attempt is certain not to have been executed.
     pub fn never_executed(self) -> bool {
-        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NeverSent | Self::CacheMiss)
+        matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotExecuted | Self::CacheMiss)
     }
 }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -3,7 +3,7 @@
 //! Each limit is adaptive: it shrinks while too many of its answers are late, and grows with those in time.
 
 use super::load_estimate::LOAD_TIME_CONSTANT;
-use super::outlier_detection::MAX_FAILURE_RATIO;
+use super::outlier_detection::MAX_SELF_FAILURE_RATIO;
 use super::Policy;
 use crate::estimators::{ConcurrencyLimit, ConcurrencyLimitConfig, Ewma, TimeWeightedMean};
 use crate::interface::{
@@ -243,7 +243,7 @@
     fn record_direct_origin_answer(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
         let is_read = !self.settings.class(attempt.class).is_write;
         let is_direct = Some(attempt.endpoint) == self.origin() && is_read;
-        if is_direct && outcome.status != AttemptStatus::NeverSent {
+        if is_direct && outcome.status != AttemptStatus::NotExecuted {
             let late = outcome.status != AttemptStatus::Ok || outcome.elapsed > attempt.latency_objective;
             self.origin_admission.record(self.now, late);
         }
@@ -314,10 +314,10 @@
         let mut others = 0.0;
         for parent in self.parents() {
             if parent.endpoint.id != source && parent.endpoint.phase == EndpointPhase::Ready {
-                failure_ratios += parent.failure_ratio.value;
+                failure_ratios += parent.self_failure_ratio.value;
                 others += 1.0;
             }
         }
-        others == 0.0 || failure_ratios > MAX_FAILURE_RATIO * others
+        others == 0.0 || failure_ratios > MAX_SELF_FAILURE_RATIO * others
     }
 }
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -37,6 +37,7 @@
         let rank = |id: &EndpointId| parent_rank_hash(object, id.0);
         let configured = match cache {
             Some(cache) => self.fill_sources.get(&cache),
+            // Past the caches: the sources of any cache of the location.
             None => self.fill_sources.values().next(),
         };
         let Some(configured) = configured else {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -127,6 +127,7 @@
             Event::ResponseStarted(attempt) => self.mark_response_started(attempt.request),
             Event::ClientDisconnected(request) => self.close_request(*request),
             Event::AttemptFinished(outcome) => self.finish_attempt(outcome),
+            // Endpoints are judged by their traffic alone; no rule sends health checks.
             Event::HealthCheck { .. } => {}
             Event::Timer(MAINTENANCE_TIMER) => self.run_maintenance(),
             Event::Timer(token) => self.end_backoff(*token),
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -14,7 +14,8 @@
 };
 use crate::records::{AttemptRecord, EndpointRecord};
 
-/// An endpoint is ejected by about the last seven outcomes.
+/// When a failing endpoint is ejected: by three failures in a row after none, or by as many among about the
+/// last seven outcomes as pass the ratio. How it recovers: see [`EndpointHealth`](crate::endpoint_health).
 pub(super) const EJECTION: EjectionConfig = EjectionConfig {
     outcome_weight: 0.15,
     max_failure_ratio: 0.35,
@@ -26,7 +27,7 @@
 
 /// A cache that fails a larger share of the requests for its cached copies fails by itself, and not because
 /// of its fill source. Of parents: a larger share of fills than a sound one fails.
-pub(super) const MAX_FAILURE_RATIO: f64 = 0.15;
+pub(super) const MAX_SELF_FAILURE_RATIO: f64 = 0.15;
 
 /// An endpoint is silent when it has responded to nothing for this long ...
 const SILENCE: Ms = 300.0;
@@ -73,7 +74,7 @@
                 matches!(status, AttemptStatus::Ok | AttemptStatus::Rejected | AttemptStatus::Error);
             if !attempt.fills_from_above && is_conclusive {
                 let failed = status != AttemptStatus::Ok;
-                endpoint.failure_ratio.update(f64::from(u8::from(failed)), weight);
+                endpoint.self_failure_ratio.update(f64::from(u8::from(failed)), weight);
             }
         }
         let used_source = matches!(status, AttemptStatus::Ok | AttemptStatus::Rejected)
@@ -81,7 +82,7 @@
         let source = attempt.source.filter(|_| attempt.fills_from_above && used_source);
         if let Some(source) = source.and_then(|id| self.endpoints.get_mut(&id)) {
             let rejected = status == AttemptStatus::Rejected;
-            source.failure_ratio.update(f64::from(u8::from(rejected)), weight);
+            source.self_failure_ratio.update(f64::from(u8::from(rejected)), weight);
         }
     }
 
@@ -105,7 +106,7 @@
             self.record_verdict(parent, attribution.source);
         }
         match outcome.status {
-            AttemptStatus::Ok | AttemptStatus::CacheMiss | AttemptStatus::NeverSent => None,
+            AttemptStatus::Ok | AttemptStatus::CacheMiss | AttemptStatus::NotExecuted => None,
             _ if attribution.source == Some(false) && parent.is_some() => parent,
             AttemptStatus::Cancelled if attempt.fills_from_above && was_healthy => parent,
             _ => Some(attempt.endpoint),
@@ -147,7 +148,8 @@
     fn attribute_failure(&self, attempt: &AttemptRecord, status: AttemptStatus) -> Attribution {
         let record = self.endpoints.get(&attempt.endpoint);
         let has_responded = record.is_some_and(|record| record.last_response_at > attempt.sent_at);
-        let fails_by_itself = record.is_some_and(|record| record.failure_ratio.value > MAX_FAILURE_RATIO);
+        let fails_by_itself =
+            record.is_some_and(|record| record.self_failure_ratio.value > MAX_SELF_FAILURE_RATIO);
         let is_unreported = self.settings.outcome_detail != OutcomeDetail::Full;
         let may_be_source = is_unreported && attempt.fills_from_above && !fails_by_itself;
         match status {
@@ -162,7 +164,7 @@
             AttemptStatus::Ok
             | AttemptStatus::CacheMiss
             | AttemptStatus::Cancelled
-            | AttemptStatus::NeverSent => Attribution::NOBODY,
+            | AttemptStatus::NotExecuted => Attribution::NOBODY,
         }
     }
 
@@ -242,7 +244,7 @@
         if !is_silent || !has_enough_overdue || !is_ejectable || is_origin {
             return false;
         }
-        record.health.eject_if_admitted(now, &EJECTION);
+        record.health.eject_unless_ejected(now, &EJECTION);
         true
     }
 
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -189,7 +189,7 @@
             request.may_have_executed = Some((attempt.sent_at, attempt.endpoint));
         }
         match outcome.status {
-            AttemptStatus::NeverSent => return self.give_up(id, RejectReason::AttemptNeverSent),
+            AttemptStatus::NotExecuted => return self.give_up(id, RejectReason::AttemptNotExecuted),
             // Any other cache would fill from the same origin.
             AttemptStatus::Rejected if origin_rejected && !request.request.is_write => {
                 request.nothing_cached = true;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -83,6 +83,9 @@
     ///
     /// An idempotent request may always be repeated. One with an idempotency key may be repeated within the
     /// key's scope and window. Any other may be repeated only while no attempt can have been executed.
+    ///
+    /// No rule hedges: a request is dispatched only while it has no attempt in flight, so that
+    /// `parallel_attempts` has no effect at present.
     pub(super) fn may_repeat_at(&self, request: &RequestRecord, endpoint: EndpointId) -> bool {
         let idempotence = self.settings.class(request.request.class).idempotence;
         let is_idempotent = idempotence == Idempotence::Idempotent;
--- a/src/records.rs
+++ b/src/records.rs
@@ -13,7 +13,7 @@
     /// Ejection and recovery.
     pub health: EndpointHealth,
     /// Share of requests for cached copies that a cache failed or rejected; of a parent, of the fills.
-    pub failure_ratio: Ewma,
+    pub self_failure_ratio: Ewma,
     /// When it last responded.
     pub last_response_at: Ms,
     /// When a connection was last refused while it was not healthy; 0 means not yet.
@@ -52,7 +52,7 @@
         Self {
             endpoint,
             health: EndpointHealth::default(),
-            failure_ratio: Ewma::new(0.0),
+            self_failure_ratio: Ewma::new(0.0),
             last_response_at: now,
             connect_failed_at: 0.0,
             response_interval: Ewma::new(0.0),
@@ -132,7 +132,8 @@
     pub avoid: Vec<EndpointId>,
     /// A sibling fill missed: no further one is tried.
     pub owner_only: bool,
-    /// Only a cached copy was allowed, and there was none.
+    /// Only a cached copy was allowed and there was none, or the origin rejected the fill: another attempt
+    /// would end alike.
     pub nothing_cached: bool,
     /// Why the last attempt was allowed no fill, if it was not.
     pub fill_denied: Option<RejectReason>,
@@ -167,7 +168,7 @@
 pub struct Route {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// How a missing copy is filled; `None` for no fill.
+    /// How a missing copy is filled. `None`, or the endpoint as its own source, for no fill.
     pub fill: Option<FillInstruction>,
     /// Why a missing copy may not be filled, if it may not.
     pub fill_denied: Option<RejectReason>,
--- a/tests/delivery_rules.rs
+++ b/tests/delivery_rules.rs
@@ -12,7 +12,7 @@
     AttemptStatus::ConnectFailed,
     AttemptStatus::Reset,
     AttemptStatus::Cancelled,
-    AttemptStatus::NeverSent,
+    AttemptStatus::NotExecuted,
     AttemptStatus::CacheMiss,
 ];
 
--- a/tests/reject_reasons.rs
+++ b/tests/reject_reasons.rs
@@ -139,6 +139,6 @@
 fn attempt_never_sent() {
     let mut world = World::new(settings());
     let sent = world.ask(SAFE, 9).expect("an attempt");
-    world.end(sent, AttemptStatus::NeverSent, None);
-    assert_eq!(reasons(&world), [RejectReason::AttemptNeverSent]);
+    world.end(sent, AttemptStatus::NotExecuted, None);
+    assert_eq!(reasons(&world), [RejectReason::AttemptNotExecuted]);
 }
