--- a/crates/router/src/audit.rs
+++ b/crates/router/src/audit.rs
@@ -12,7 +12,7 @@
 use serde_json::json;
 
 use crate::cli::{as_json, ask, At, Failed, Format};
-use crate::control::{Answer, Question};
+use crate::control::{ControlRequest, ControlResponse};
 
 #[derive(Debug, Subcommand)]
 pub enum Verb {
@@ -52,9 +52,11 @@
         links.extend(read(file)?);
     }
     for socket in at.socket.iter().filter(|_| from.is_empty()) {
-        match ask(socket, &Question::Accounts)? {
-            Answer::Accounts(all) => links.extend(all),
-            Answer::No(why) => return Err(Failed::Other(format!("{}: {why}", socket.display()))),
+        match ask(socket, &ControlRequest::ListAuditRecords)? {
+            ControlResponse::AuditRecords(all) => links.extend(all),
+            ControlResponse::Refused(why) => {
+                return Err(Failed::Other(format!("{}: {why}", socket.display())))
+            }
             _ => {
                 return Err(Failed::Other(format!("{}: another answer than was asked for", socket.display())))
             }
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -25,7 +25,9 @@
 use serde::Serialize;
 
 use crate::audit;
-use crate::control::{Answer, Detail, FleetShown, Question, Shown};
+use crate::control::{
+    AuditStorageView, ControlRequest, ControlResponse, DrainedCache, FleetView, HierarchyView, SiteDetail,
+};
 
 /// A front for caches of large objects behind thin links.
 #[derive(Debug, Parser)]
@@ -272,28 +274,30 @@
         return Err(Failed::Input("several sockets are for apply only".to_string()));
     }
     let question = match verb {
-        HierarchyVerb::Show => Question::Show,
-        HierarchyVerb::Nodes => Question::Nodes,
-        HierarchyVerb::Plan { file } => Question::Plan(changes(file)?),
-        HierarchyVerb::Apply { file } => Question::Apply(changes(file)?),
-        HierarchyVerb::Rollback { author, number } => Question::RollBack { author: *author, number: *number },
+        HierarchyVerb::Show => ControlRequest::ShowHierarchy,
+        HierarchyVerb::Nodes => ControlRequest::ListNodes,
+        HierarchyVerb::Plan { file } => ControlRequest::PlanChanges(changes(file)?),
+        HierarchyVerb::Apply { file } => ControlRequest::ApplyChanges(changes(file)?),
+        HierarchyVerb::Rollback { author, number } => {
+            ControlRequest::RollBack { author: *author, number: *number }
+        }
     };
     let json = at.format == Format::Json;
     match ask(first, &question)? {
-        Answer::Shown(shown) => Ok(if json { as_json(&shown) } else { shown_text(&shown) }),
-        Answer::Nodes(nodes) => Ok(if json { as_json(&nodes) } else { nodes_text(&nodes) }),
-        Answer::Plan(plan) => Ok(if json { as_json(&plan) } else { plan_text(&plan) }),
-        Answer::Applied(batch) => {
+        ControlResponse::Hierarchy(shown) => Ok(if json { as_json(&shown) } else { shown_text(&shown) }),
+        ControlResponse::Nodes(nodes) => Ok(if json { as_json(&nodes) } else { nodes_text(&nodes) }),
+        ControlResponse::Plan(plan) => Ok(if json { as_json(&plan) } else { plan_text(&plan) }),
+        ControlResponse::Applied(batch) => {
             // The same batch for all, so that they come to the same shape.
             for socket in others {
-                match ask(socket, &Question::Hear(batch.clone()))? {
-                    Answer::Done(_) => {}
+                match ask(socket, &ControlRequest::ReceiveBatch(batch.clone()))? {
+                    ControlResponse::Done(_) => {}
                     other => return Err(unexpected(socket, other)),
                 }
             }
             Ok(if json { as_json(&batch) } else { applied_text(&batch, 1 + others.len()) })
         }
-        Answer::Done(what) => Ok(if json { as_json(&what) } else { format!("{what}\n") }),
+        ControlResponse::Done(what) => Ok(if json { as_json(&what) } else { format!("{what}\n") }),
         other => Err(unexpected(first, other)),
     }
 }
@@ -305,16 +309,20 @@
         ));
     };
     let question = match verb {
-        GatewayVerb::Status => Question::Gateway,
-        GatewayVerb::Routes => Question::Routes,
-        GatewayVerb::Drain { site } => Question::Drain { site: site.clone(), drained: true },
-        GatewayVerb::Undrain { site } => Question::Drain { site: site.clone(), drained: false },
+        GatewayVerb::Status => ControlRequest::GatewayStatus,
+        GatewayVerb::Routes => ControlRequest::GatewayRoutes,
+        GatewayVerb::Drain { site } => ControlRequest::DrainSite { site: site.clone(), drained: true },
+        GatewayVerb::Undrain { site } => ControlRequest::DrainSite { site: site.clone(), drained: false },
     };
     let json = at.format == Format::Json;
     match ask(socket, &question)? {
-        Answer::Gateway(status) => Ok(if json { as_json(&status) } else { status_text(&status) }),
-        Answer::Routes(routes) => Ok(if json { as_json(&routes) } else { routes_text(&routes) }),
-        Answer::Done(what) => Ok(if json { as_json(&what) } else { format!("{what}\n") }),
+        ControlResponse::GatewayStatus(status) => {
+            Ok(if json { as_json(&status) } else { status_text(&status) })
+        }
+        ControlResponse::GatewayRoutes(routes) => {
+            Ok(if json { as_json(&routes) } else { routes_text(&routes) })
+        }
+        ControlResponse::Done(what) => Ok(if json { as_json(&what) } else { format!("{what}\n") }),
         other => Err(unexpected(socket, other)),
     }
 }
@@ -325,9 +333,9 @@
             "one --socket (or LB_CONTROL) is needed: where is the router?".to_string(),
         ));
     };
-    let look = || match ask(socket, &Question::Fleet)? {
-        Answer::Fleet(shown) if at.format == Format::Json => Ok(as_json(&shown)),
-        Answer::Fleet(shown) => Ok(fleet_text(&shown)),
+    let look = || match ask(socket, &ControlRequest::ShowFleet)? {
+        ControlResponse::Fleet(shown) if at.format == Format::Json => Ok(as_json(&shown)),
+        ControlResponse::Fleet(shown) => Ok(fleet_text(&shown)),
         other => Err(unexpected(socket, other)),
     };
     let (every, looks) = match verb {
@@ -335,9 +343,9 @@
         FleetVerb::Show { name, site } => return detail(socket, at, name.as_deref(), site.as_deref()),
         FleetVerb::Floor { verb } => {
             let version = if let FloorVerb::Set { version } = verb { *version } else { 0 };
-            return match ask(socket, &Question::Floor(version))? {
-                Answer::Done(what) if at.format == Format::Json => Ok(as_json(&what)),
-                Answer::Done(what) => Ok(format!("{what}\n")),
+            return match ask(socket, &ControlRequest::SetFloor(version))? {
+                ControlResponse::Done(what) if at.format == Format::Json => Ok(as_json(&what)),
+                ControlResponse::Done(what) => Ok(format!("{what}\n")),
                 other => Err(unexpected(socket, other)),
             };
         }
@@ -364,8 +372,8 @@
 
 /// A site elsewhere is asked for its detail, and its answer waited for.
 fn detail(socket: &Path, at: &At, name: Option<&str>, site: Option<&str>) -> Result<String, Failed> {
-    let shown = match ask(socket, &Question::Fleet)? {
-        Answer::Fleet(shown) => shown.fellows,
+    let shown = match ask(socket, &ControlRequest::ShowFleet)? {
+        ControlResponse::Fleet(shown) => shown.cluster,
         other => return Err(unexpected(socket, other)),
     };
     let here: Vec<RouterView> = std::iter::once(shown.me.clone()).chain(shown.others).collect();
@@ -379,27 +387,27 @@
         }
     };
     let detail = match name.is_some() && here.iter().any(known) || own {
-        true => Detail { place: shown.location.unwrap_or_default(), routers: here },
+        true => SiteDetail { location: shown.location.unwrap_or_default(), routers: here },
         false => asked_for(socket, asked)?,
     };
     let lines: Vec<&RouterView> = detail.routers.iter().filter(|line| known(line)).collect();
     if at.format == Format::Json {
-        return Ok(as_json(&(&detail.place, &lines)));
+        return Ok(as_json(&(&detail.location, &lines)));
     }
     let all: String = lines.iter().map(|line| fellow_text(line, &shown.me)).collect();
-    Ok(format!("{}\n{all}", detail.place))
+    Ok(format!("{}\n{all}", detail.location))
 }
 
-fn asked_for(socket: &Path, asked: QueryTarget) -> Result<Detail, Failed> {
-    let id = match ask(socket, &Question::Ask(asked))? {
-        Answer::Asking(id) => id,
+fn asked_for(socket: &Path, asked: QueryTarget) -> Result<SiteDetail, Failed> {
+    let id = match ask(socket, &ControlRequest::StartQuery(asked))? {
+        ControlResponse::QueryStarted(id) => id,
         other => return Err(unexpected(socket, other)),
     };
     let end = Instant::now() + PATIENCE;
     while Instant::now() < end {
-        match ask(socket, &Question::Answered(id))? {
-            Answer::Detail(Some(detail)) => return Ok(detail),
-            Answer::Detail(None) => std::thread::sleep(Duration::from_millis(50)),
+        match ask(socket, &ControlRequest::FetchQueryResult(id))? {
+            ControlResponse::QueryResult(Some(detail)) => return Ok(detail),
+            ControlResponse::QueryResult(None) => std::thread::sleep(Duration::from_millis(50)),
             other => return Err(unexpected(socket, other)),
         }
     }
@@ -486,8 +494,8 @@
     )
 }
 
-fn fleet_text(shown: &FleetShown) -> String {
-    let fellows = &shown.fellows;
+fn fleet_text(shown: &FleetView) -> String {
+    let fellows = &shown.cluster;
     let mut out = fellow_text(&fellows.me, &fellows.me);
     match fellows.participation {
         Participation::Active => {}
@@ -498,17 +506,19 @@
             out += &format!("TAKES NO PART: it was frozen, and the start {holder} holds the name\n");
         }
     }
-    match shown.state {
+    match shown.straggler_state {
         None | Some(StragglerState::UpToDate) => {}
         Some(StragglerState::Lagging(_)) => out += "LATE: it is below the floor, and has time to catch up\n",
         Some(StragglerState::Excluded(why)) => {
-            out += &format!("SHUT OUT ({}): {} were not done\n", why.name(), shown.shut_out)
+            out += &format!("SHUT OUT ({}): {} were not done\n", why.name(), shown.rejected_as_straggler)
         }
         Some(StragglerState::Recovering(_)) => out += "coming back\n",
     }
     if fellows.floor > 0 {
-        let by = shown.set_by.as_ref().filter(|(version, _)| *version == fellows.floor);
-        let by = by.map_or("settled by the voters".to_string(), |(_, by)| format!("set by people at {by}"));
+        let by = shown.operator_floor.as_ref().filter(|floor| floor.version == fellows.floor);
+        let by = by.map_or("settled by the voters".to_string(), |floor| {
+            format!("set by people at {}", floor.set_by)
+        });
         out += &format!("nobody is to act on a hierarchy below {}, {by}\n", fellows.floor);
     }
     for line in &fellows.others {
@@ -520,14 +530,21 @@
     for line in &fellows.locations {
         out += &place_text(line, &fellows.me);
     }
-    if let Some(whole) = shown.whole {
+    if let Some(whole) = shown.fleet_size {
         let place = fellows.location.as_deref().unwrap_or_default();
         out += &format!("{whole} routers in all; this one stands at {place}\n");
     }
-    for (cache, number) in &shown.barred {
+    for DrainedCache { name: cache, journal_position: number } in &shown.drained_by_gossip {
         out += &format!("{cache} is drained by the journal's number {number}, by the word of fellows\n");
     }
-    if let Some((links, accounts, copies, bytes, unsaved)) = shown.account {
+    if let Some(AuditStorageView {
+        records: links,
+        replica_logs: accounts,
+        replica_records: copies,
+        replica_bytes: bytes,
+        unsaved_records: unsaved,
+    }) = shown.audit_storage
+    {
         out += &format!("account: {links} records; of others {accounts} accounts, {copies} records, {bytes} bytes; {unsaved} did not get to the disk\n");
     }
     let counts = serde_json::to_value(fellows.counters).unwrap_or_default();
@@ -538,10 +555,10 @@
         fellows.entries,
         fellows.bytes,
         fellows.pending,
-        shown.drains,
-        shown.purges,
-        shown.batches,
-        shown.adopted,
+        shown.drains_from_gossip,
+        shown.purges_from_gossip,
+        shown.batches_from_gossip,
+        shown.snapshots_adopted,
         counts.join(" ")
     )
 }
@@ -605,9 +622,9 @@
     routes.iter().map(line).collect()
 }
 
-fn unexpected(socket: &Path, answer: Answer) -> Failed {
+fn unexpected(socket: &Path, answer: ControlResponse) -> Failed {
     match answer {
-        Answer::No(why) => Failed::Other(format!("{}: {why}", socket.display())),
+        ControlResponse::Refused(why) => Failed::Other(format!("{}: {why}", socket.display())),
         _ => Failed::Other(format!("{}: another answer than was asked for", socket.display())),
     }
 }
@@ -618,7 +635,7 @@
 const LONGEST: usize = 64 << 20;
 
 /// Asks a router by its control socket.
-pub fn ask(socket: &Path, question: &Question) -> Result<Answer, Failed> {
+pub fn ask(socket: &Path, question: &ControlRequest) -> Result<ControlResponse, Failed> {
     let failed = |what: &dyn std::fmt::Display| Failed::Other(format!("{}: {what}", socket.display()));
     let mut stream = UnixStream::connect(socket).map_err(|wrong| failed(&wrong))?;
     stream.set_read_timeout(Some(PATIENCE)).map_err(|wrong| failed(&wrong))?;
@@ -650,30 +667,35 @@
     }
 }
 
-fn shown_text(shown: &Shown) -> String {
+fn shown_text(shown: &HierarchyView) -> String {
     let mut out = format!(
         "version {}, digest {}: {} nodes, {} edges suspended, {} held back, {} batches waiting\n",
-        shown.version, shown.digest, shown.nodes, shown.suspended, shown.held_back, shown.waiting_batches
+        shown.version,
+        shown.digest,
+        shown.nodes,
+        shown.suspended_edges,
+        shown.backed_off_edges,
+        shown.pending_batches
     );
-    out += &format!("fills: {} out, {} waiting\n", shown.out, shown.waiting_fills);
-    for m in &shown.moves {
+    out += &format!("fills: {} out, {} waiting\n", shown.fills_in_flight, shown.queued_fills);
+    for m in &shown.migrations {
         out += &format!(
             "to {} by batch {}/{}: {}, {:.0}% of the objects, tries {}, late {:.2} (old source {:.2})\n",
-            m.to,
+            m.target,
             m.author,
             m.number,
             m.stage,
-            m.part * 100.0,
-            m.tries,
-            m.late_new,
-            m.late_old
+            m.fraction * 100.0,
+            m.attempts,
+            m.new_failure_ratio,
+            m.old_failure_ratio
         );
     }
     for budget in &shown.budgets {
         let limit = budget.limit.map_or("no limit".to_string(), |limit| format!("limit {limit:.1}"));
         out += &format!("{}: {:.1} fills a second, {limit}\n", budget.target, budget.per_second);
     }
-    let counts: Vec<String> = shown.counts.iter().map(|(name, count)| format!("{name}={count}")).collect();
+    let counts: Vec<String> = shown.counters.iter().map(|(name, count)| format!("{name}={count}")).collect();
     out + &counts.join(" ") + "\n"
 }
 
--- a/crates/router/src/cluster/commands.rs
+++ b/crates/router/src/cluster/commands.rs
@@ -1,9 +1,10 @@
 //! Questions of the control socket that concern the cluster.
 
-use linnethook_audit::replicas::ReplicaSizes;
 use linnethook_membership::aggregation::query::QueryTarget;
 
-use crate::control::{Answer, FleetShown, Question};
+use crate::control::{
+    AuditStorageView, ControlRequest, ControlResponse, DrainedCache, FleetView, OperatorFloorView,
+};
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
 
@@ -11,95 +12,115 @@
 
 /// The answer to a question, and whether the cluster's timer is to run at once.
 pub struct ClusterReply {
-    pub answer: Answer,
+    pub answer: ControlResponse,
     pub run_timer: bool,
 }
 
 /// Answers a question; `cluster` is `None` where the operator file has no `fellows()`.
-pub fn reply(cluster: Option<&mut ClusterAdapter>, now: Ms, question: Question) -> ClusterReply {
-    let run_timer = matches!(question, Question::Ask(_) | Question::Floor(_));
+pub fn reply(cluster: Option<&mut ClusterAdapter>, now: Ms, question: ControlRequest) -> ClusterReply {
+    let run_timer = matches!(question, ControlRequest::StartQuery(_) | ControlRequest::SetFloor(_));
     let answer = match (question, cluster) {
-        (Question::Fleet, Some(cluster)) => Ok(Answer::Fleet(Box::new(cluster.view(now)))),
-        (Question::Ask(target), Some(cluster)) => cluster.start_query(now, target),
-        (Question::Fleet | Question::Ask(_), None) => {
+        (ControlRequest::ShowFleet, Some(cluster)) => Ok(ControlResponse::Fleet(Box::new(cluster.view(now)))),
+        (ControlRequest::StartQuery(target), Some(cluster)) => cluster.start_query(now, target),
+        (ControlRequest::ShowFleet | ControlRequest::StartQuery(_), None) => {
             Err("there are no fellows: the operator file has no fellows()")
         }
-        (Question::Answered(id), cluster) => {
+        (ControlRequest::FetchQueryResult(id), cluster) => {
             cluster.and_then(|cluster| cluster.query_result(id)).ok_or("that was not asked here")
         }
-        (Question::Floor(version), cluster) => cluster
+        (ControlRequest::SetFloor(version), cluster) => cluster
             .and_then(|cluster| cluster.set_floor(now, version))
             .ok_or("nobody is shut out: the operator file has no straggler()"),
-        (Question::Accounts, cluster) => cluster
+        (ControlRequest::ListAuditRecords, cluster) => cluster
             .and_then(|cluster| cluster.audit_records(now))
             .ok_or("there is no account: the operator file has no audit()"),
         _ => Err("a question of another part"),
     };
     match answer {
         Ok(answer) => ClusterReply { answer, run_timer },
-        Err(reason) => ClusterReply { answer: Answer::No(reason.to_string()), run_timer: false },
+        Err(reason) => {
+            ClusterReply { answer: ControlResponse::Refused(reason.to_string()), run_timer: false }
+        }
     }
 }
 
 impl ClusterAdapter {
-    fn view(&self, now: Ms) -> FleetShown {
-        FleetShown {
-            fellows: self.core.view(now),
-            barred: self.drained.iter().map(|(name, number)| (name.clone(), *number)).collect(),
-            drains: self.drains,
-            purges: self.purges,
-            batches: self.batches,
-            adopted: self.adopted,
-            whole: self.core.fleet_summary(now).map(|whole| whole.routers()),
-            set_by: self.core.operator_floor().map(|floor| (floor.version, floor.set_by)),
-            state: self.straggler.as_ref().map(|behind| behind.core.state()),
-            shut_out: self.straggler.as_ref().map_or(0, |behind| behind.shut_out),
-            account: self.audit.as_ref().map(|audit| {
-                let (links, replicas) = audit.kept();
-                let ReplicaSizes { logs, records, bytes } = replicas;
-                (links, logs as u64, records as u64, bytes as u64, audit.unsaved)
-            }),
+    fn view(&self, now: Ms) -> FleetView {
+        FleetView {
+            cluster: self.core.view(now),
+            drained_by_gossip: self.drained_caches(),
+            drains_from_gossip: self.drains,
+            purges_from_gossip: self.purges,
+            batches_from_gossip: self.batches,
+            snapshots_adopted: self.adopted,
+            fleet_size: self.core.fleet_summary(now).map(|fleet| fleet.routers()),
+            operator_floor: self
+                .core
+                .operator_floor()
+                .map(|floor| OperatorFloorView { version: floor.version, set_by: floor.set_by }),
+            straggler_state: self.straggler.as_ref().map(|straggler| straggler.core.state()),
+            rejected_as_straggler: self.straggler.as_ref().map_or(0, |straggler| straggler.shut_out),
+            audit_storage: self.audit_storage(),
         }
     }
 
+    fn drained_caches(&self) -> Vec<DrainedCache> {
+        let drained = self.drained.iter();
+        drained
+            .map(|(name, position)| DrainedCache { name: name.clone(), journal_position: *position })
+            .collect()
+    }
+
+    fn audit_storage(&self) -> Option<AuditStorageView> {
+        let audit = self.audit.as_ref()?;
+        let (records, replicas) = audit.kept();
+        Some(AuditStorageView {
+            records,
+            replica_logs: replicas.logs as u64,
+            replica_records: replicas.records as u64,
+            replica_bytes: replicas.bytes as u64,
+            unsaved_records: audit.unsaved,
+        })
+    }
+
     /// Asks another site for its routers.
-    fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<Answer, &'static str> {
+    fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<ControlResponse, &'static str> {
         let Some(id) = self.core.start_query(now, target) else {
             // The timer runs all the same: the membership may have something to send.
             let reason = match self.core.location() {
                 None => "no router has a place here: fleet show names all there are",
                 Some(_) => "too much was asked within half a minute",
             };
-            return Ok(Answer::No(reason.to_string()));
+            return Ok(ControlResponse::Refused(reason.to_string()));
         };
         if self.queries.len() >= MAX_QUERIES {
             self.queries.pop_front();
         }
         self.queries.push_back(SiteQuery { id, answer: None });
-        Ok(Answer::Asking(id))
+        Ok(ControlResponse::QueryStarted(id))
     }
 
-    fn query_result(&self, id: u64) -> Option<Answer> {
+    fn query_result(&self, id: u64) -> Option<ControlResponse> {
         let query = self.queries.iter().find(|query| query.id == id)?;
-        Some(Answer::Detail(query.answer.clone()))
+        Some(ControlResponse::QueryResult(query.answer.clone()))
     }
 
     /// Sets the version of the hierarchy below which routers are excluded; 0 clears it. `None` where stragglers are not
     /// excluded.
-    fn set_floor(&mut self, now: Ms, version: u64) -> Option<Answer> {
+    fn set_floor(&mut self, now: Ms, version: u64) -> Option<ControlResponse> {
         self.straggler.as_ref()?;
         self.core.set_floor(now, version);
         self.last_check = now - CHECK_INTERVAL;
         log_line!(version, "straggler: the floor was set to {version} by people");
-        Some(Answer::Done(match version {
+        Some(ControlResponse::Done(match version {
             0 => "the floor is taken back".to_string(),
             _ => format!("nobody is to act on a version below {version}"),
         }))
     }
 
     /// All audit records that are stored here; `None` where there is no audit log.
-    fn audit_records(&mut self, now: Ms) -> Option<Answer> {
+    fn audit_records(&mut self, now: Ms) -> Option<ControlResponse> {
         let at = self.core.clock.next_timestamp(now);
-        self.audit.as_mut().map(|audit| Answer::Accounts(audit.all(now, at)))
+        self.audit.as_mut().map(|audit| ControlResponse::AuditRecords(audit.all(now, at)))
     }
 }
--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -10,7 +10,7 @@
 use linnethook_membership::versions::HierarchyVersion;
 
 use crate::clock::Clock;
-use crate::control::Detail;
+use crate::control::SiteDetail;
 use crate::discovery::event::{EndpointEntry, PurgeEvent};
 use crate::hierarchy_adapter::HierarchyAdapter;
 use crate::log::log_line;
@@ -65,7 +65,7 @@
                 }
                 ClusterAction::Answer { id, location, routers } => {
                     if let Some(query) = self.queries.iter_mut().find(|query| query.id == id) {
-                        query.answer = Some(Detail { place: location.to_string(), routers });
+                        query.answer = Some(SiteDetail { location: location.to_string(), routers });
                     }
                     None
                 }
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -25,7 +25,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::account::{Auditor, Words};
-use crate::control::Detail;
+use crate::control::SiteDetail;
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::hierarchy_adapter::HierarchyAdapter;
 use crate::log::log_line;
@@ -64,7 +64,7 @@
 /// A question to another site, with its answer once there is one.
 struct SiteQuery {
     id: u64,
-    answer: Option<Detail>,
+    answer: Option<SiteDetail>,
 }
 
 /// Questions that are remembered.
--- /dev/null
+++ b/crates/router/src/control/mod.rs
@@ -0,0 +1,13 @@
+//! The control socket: one request and one response on each connection, for the commands of this program.
+//!
+//! - [`messages`]: what is asked and answered;
+//! - [`server`]: the socket, its connections and their time limits.
+
+mod messages;
+mod server;
+
+pub use messages::{
+    AuditStorageView, BudgetView, ControlRequest, ControlResponse, DrainedCache, FleetView, HierarchyView,
+    MigrationView, OperatorFloorView, SiteDetail,
+};
+pub use server::ControlServer;
--- a/crates/router/src/hierarchy_control.rs
+++ b/crates/router/src/hierarchy_control.rs
@@ -1,64 +1,66 @@
 //! Questions of the control socket that concern the hierarchy. What a change does is judged by the hierarchy.
 
-use crate::control::{Answer, BudgetLine, MoveLine, Question, Shown};
+use crate::control::{BudgetView, ControlRequest, ControlResponse, HierarchyView, MigrationView};
 use crate::hierarchy_adapter::{Applied, HierarchyAdapter};
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
 
 /// Answers a question; `hierarchy` is `None` where the operator file has no `hierarchy()`.
-pub fn reply(hierarchy: Option<&mut HierarchyAdapter>, now: Ms, question: Question) -> Answer {
+pub fn reply(hierarchy: Option<&mut HierarchyAdapter>, now: Ms, question: ControlRequest) -> ControlResponse {
     let Some(hierarchy) = hierarchy else {
-        return Answer::No("the hierarchy is off: the operator file has no hierarchy()".to_string());
+        return ControlResponse::Refused(
+            "the hierarchy is off: the operator file has no hierarchy()".to_string(),
+        );
     };
     match question {
-        Question::Show => Answer::Shown(Box::new(shown(hierarchy, now))),
-        Question::Nodes => Answer::Nodes(hierarchy.nodes()),
-        Question::Plan(changes) => match hierarchy.plan(now, &changes) {
-            Ok(plan) => Answer::Plan(Box::new(plan)),
-            Err(reason) => Answer::No(reason),
+        ControlRequest::ShowHierarchy => ControlResponse::Hierarchy(Box::new(shown(hierarchy, now))),
+        ControlRequest::ListNodes => ControlResponse::Nodes(hierarchy.nodes()),
+        ControlRequest::PlanChanges(changes) => match hierarchy.plan(now, &changes) {
+            Ok(plan) => ControlResponse::Plan(Box::new(plan)),
+            Err(reason) => ControlResponse::Refused(reason),
         },
-        Question::Apply(changes) => match hierarchy.apply(now, changes) {
+        ControlRequest::ApplyChanges(changes) => match hierarchy.apply(now, changes) {
             Applied::Done(batch) => {
                 log_line!(author = batch.author, number = batch.number, "hierarchy: a batch was applied");
-                Answer::Applied(batch)
+                ControlResponse::Applied(batch)
             }
-            Applied::No(reason) => Answer::No(reason),
+            Applied::No(reason) => ControlResponse::Refused(reason),
         },
-        Question::Hear(batch) => match hierarchy.hear(now, &batch) {
-            Ok(()) => Answer::Done("heard".to_string()),
-            Err(reason) => Answer::No(reason),
+        ControlRequest::ReceiveBatch(batch) => match hierarchy.hear(now, &batch) {
+            Ok(()) => ControlResponse::Done("heard".to_string()),
+            Err(reason) => ControlResponse::Refused(reason),
         },
-        Question::RollBack { author, number } => match hierarchy.roll_back(now, author, number) {
+        ControlRequest::RollBack { author, number } => match hierarchy.roll_back(now, author, number) {
             Ok(changes) => {
                 log_line!(author, number, "hierarchy: a batch was rolled back");
-                Answer::Done(format!("batch {author}/{number} rolled back: {changes} changes"))
+                ControlResponse::Done(format!("batch {author}/{number} rolled back: {changes} changes"))
             }
-            Err(reason) => Answer::No(reason),
+            Err(reason) => ControlResponse::Refused(reason),
         },
-        _ => Answer::No("a question of another part".to_string()),
+        _ => ControlResponse::Refused("a question of another part".to_string()),
     }
 }
 
 /// The hierarchy as commands print it.
-fn shown(hierarchy: &HierarchyAdapter, now: Ms) -> Shown {
+fn shown(hierarchy: &HierarchyAdapter, now: Ms) -> HierarchyView {
     let view = hierarchy.view(now);
-    let (waiting_fills, out) = hierarchy.kept();
-    let moves = view.migrations.iter().map(|m| MoveLine {
-        to: hierarchy.name(m.target),
+    let (queued_fills, fills_in_flight) = hierarchy.kept();
+    let migrations = view.migrations.iter().map(|m| MigrationView {
+        target: hierarchy.name(m.target),
         author: m.author,
         number: m.number,
         stage: m.stage.name().to_string(),
-        part: m.fraction,
-        tries: m.attempts,
-        late_new: m.new_failure_ratio,
-        late_old: m.old_failure_ratio,
+        fraction: m.fraction,
+        attempts: m.attempts,
+        new_failure_ratio: m.new_failure_ratio,
+        old_failure_ratio: m.old_failure_ratio,
     });
-    let budgets = view.budgets.iter().map(|budget| BudgetLine {
+    let budgets = view.budgets.iter().map(|budget| BudgetView {
         target: hierarchy.name(budget.target),
         per_second: budget.per_second,
         limit: budget.limit,
     });
-    let counts = [
+    let counters = [
         ("gone", view.counters.admitted),
         ("joined", view.counters.joined),
         ("waited", view.counters.queued),
@@ -68,17 +70,17 @@
         ("over_time", view.counters.rejected_queue_timeout),
         ("leases_lost", view.counters.leases_expired),
     ];
-    Shown {
+    HierarchyView {
         version: view.version,
         nodes: view.nodes,
-        suspended: view.suspended_edges,
-        held_back: view.backed_off_edges,
-        waiting_batches: view.pending_batches,
-        waiting_fills,
-        out,
-        moves: moves.collect(),
+        suspended_edges: view.suspended_edges,
+        backed_off_edges: view.backed_off_edges,
+        pending_batches: view.pending_batches,
+        queued_fills,
+        fills_in_flight,
+        migrations: migrations.collect(),
         budgets: budgets.collect(),
-        counts: counts.into_iter().map(|(name, count)| (name.to_string(), count)).collect(),
+        counters: counters.into_iter().map(|(name, count)| (name.to_string(), count)).collect(),
         digest: view.digest,
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::cluster::{self, ClusterAdapter, ClusterEffect};
 use crate::config::{Config, ConfigError, Limits};
-use crate::control::{Answer, Control, Question};
+use crate::control::{ControlRequest, ControlResponse, ControlServer};
 use crate::counters::Counters;
 use crate::descriptors::Reserve;
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
@@ -80,7 +80,7 @@
     /// The operator file and what it enables; `None` without one.
     operator: Option<PathBuf>,
     hierarchy: Option<HierarchyAdapter>,
-    control: Option<Control<Self>>,
+    control: Option<ControlServer<Self>>,
     remote_sites: Option<RemoteSites<Self>>,
     cluster: Option<ClusterAdapter>,
     /// The evaluation of the operator file in progress.
@@ -187,7 +187,8 @@
         }
         if let Some(path) = &operator.control_socket {
             let (limits, handle) = (self.limits, self.handle.clone());
-            let control = Control::listen(limits, &self.buffers, &self.reserve, handle, Path::new(path));
+            let control =
+                ControlServer::listen(limits, &self.buffers, &self.reserve, handle, Path::new(path));
             let control = control.map_err(|source| StartError::ControlSocket { path: path.clone(), source });
             self.control = Some(control?);
         }
@@ -301,40 +302,42 @@
     // ---- The control socket.
 
     /// Answers a question.
-    pub fn reply(&mut self, question: Question) -> Answer {
+    pub fn reply(&mut self, question: ControlRequest) -> ControlResponse {
         match question {
-            Question::Gateway | Question::Routes | Question::Drain { .. } => {
-                self.reply_remote_sites(question)
-            }
-            Question::Fleet
-            | Question::Ask(_)
-            | Question::Answered(_)
-            | Question::Floor(_)
-            | Question::Accounts => self.reply_cluster(question),
+            ControlRequest::GatewayStatus
+            | ControlRequest::GatewayRoutes
+            | ControlRequest::DrainSite { .. } => self.reply_remote_sites(question),
+            ControlRequest::ShowFleet
+            | ControlRequest::StartQuery(_)
+            | ControlRequest::FetchQueryResult(_)
+            | ControlRequest::SetFloor(_)
+            | ControlRequest::ListAuditRecords => self.reply_cluster(question),
             question => hierarchy_control::reply(self.hierarchy.as_mut(), self.clock.now(), question),
         }
     }
 
     /// Answers a question that concerns other sites.
-    fn reply_remote_sites(&mut self, question: Question) -> Answer {
+    fn reply_remote_sites(&mut self, question: ControlRequest) -> ControlResponse {
         let now = self.clock.now();
         let Some(remote_sites) = &mut self.remote_sites else {
-            return Answer::No("the gateway is off: the operator file has no gateway()".to_string());
+            return ControlResponse::Refused(
+                "the gateway is off: the operator file has no gateway()".to_string(),
+            );
         };
         let gateway = &mut remote_sites.gateway;
         match question {
-            Question::Gateway => Answer::Gateway(Box::new(gateway.status(now))),
-            Question::Routes => Answer::Routes(gateway.shown_routes(now)),
-            Question::Drain { site, drained } => {
+            ControlRequest::GatewayStatus => ControlResponse::GatewayStatus(Box::new(gateway.status(now))),
+            ControlRequest::GatewayRoutes => ControlResponse::GatewayRoutes(gateway.shown_routes(now)),
+            ControlRequest::DrainSite { site, drained } => {
                 if !gateway.drain(now, &site, drained) {
-                    return Answer::No(format!("there is no site {site:?}"));
+                    return ControlResponse::Refused(format!("there is no site {site:?}"));
                 }
                 let state = if drained { "left alone" } else { "used again" };
                 log_line!(always "gateway: {site} is {state}, by its operators");
                 self.run_remote_sites();
-                Answer::Done(format!("{site} is {state}"))
+                ControlResponse::Done(format!("{site} is {state}"))
             }
-            _ => Answer::No("a question of another part".to_string()),
+            _ => ControlResponse::Refused("a question of another part".to_string()),
         }
     }
 
@@ -922,7 +925,7 @@
     }
 
     /// Answers a question that concerns the cluster.
-    fn reply_cluster(&mut self, question: Question) -> Answer {
+    fn reply_cluster(&mut self, question: ControlRequest) -> ControlResponse {
         let reply = cluster::reply(self.cluster.as_mut(), self.clock.now(), question);
         if reply.run_timer {
             self.on_cluster_timer();
@@ -950,7 +953,7 @@
             self.process_outcomes();
         }
         if let Some(control) = &mut self.control {
-            control.tick(now);
+            control.on_timer(now);
         }
         if self.remote_sites.is_some() {
             self.on_remote_sites_timer();
@@ -987,7 +990,7 @@
             Some(self.downstreams.next_deadline()),
             self.phase_deadline(now),
             self.hierarchy.as_ref().map(HierarchyAdapter::next),
-            self.control.as_ref().and_then(Control::next),
+            self.control.as_ref().and_then(ControlServer::next_deadline),
             self.remote_sites.as_ref().map(|remote_sites| remote_sites.next_deadline(now)),
             self.cluster.as_ref().map(|cluster| cluster.next_deadline(now)),
         ];
@@ -1210,7 +1213,7 @@
         let Some(question) = question else { return };
         let answer = self.reply(question);
         if let Some(control) = &mut self.control {
-            control.answer(id, &answer);
+            control.respond(id, &answer);
         }
         self.report_fill_sources();
     }
--- a/crates/router/tests/unit/cli.rs
+++ b/crates/router/tests/unit/cli.rs
@@ -25,14 +25,14 @@
 }
 
 /// The fleet as it is shown, with some of it changed.
-fn fleet(change: impl FnOnce(&mut Value)) -> FleetShown {
+fn fleet(change: impl FnOnce(&mut Value)) -> FleetView {
     let mut fleet = values()["fleet"].clone();
     change(&mut fleet);
     read(fleet)
 }
 
 /// The fleet with each standing, part and state that there may be.
-fn fleets() -> Vec<FleetShown> {
+fn fleets() -> Vec<FleetView> {
     let all = values();
     let listed = |name: &str| all[name].as_array().expect("a list").clone();
     let mut fleets = Vec::new();
@@ -58,42 +58,42 @@
 fn questions_and_answers_are_the_same_bytes() {
     let mut out = String::new();
     let questions = [
-        ("show", Question::Show),
-        ("nodes", Question::Nodes),
-        ("plan", Question::Plan(value::<BatchSpec>("batch").changes)),
-        ("apply", Question::Apply(value::<BatchSpec>("batch").changes)),
-        ("hear", Question::Hear(value("batch"))),
-        ("roll back", Question::RollBack { author: 40000, number: 300 }),
-        ("gateway", Question::Gateway),
-        ("routes", Question::Routes),
-        ("drain", Question::Drain { site: "south".to_string(), drained: true }),
-        ("undrain", Question::Drain { site: "south".to_string(), drained: false }),
-        ("fleet", Question::Fleet),
-        ("ask router", Question::Ask(list("targets").remove(0))),
-        ("ask site", Question::Ask(list("targets").remove(1))),
-        ("answered", Question::Answered(77)),
-        ("floor", Question::Floor(5)),
-        ("accounts", Question::Accounts),
+        ("show", ControlRequest::ShowHierarchy),
+        ("nodes", ControlRequest::ListNodes),
+        ("plan", ControlRequest::PlanChanges(value::<BatchSpec>("batch").changes)),
+        ("apply", ControlRequest::ApplyChanges(value::<BatchSpec>("batch").changes)),
+        ("hear", ControlRequest::ReceiveBatch(value("batch"))),
+        ("roll back", ControlRequest::RollBack { author: 40000, number: 300 }),
+        ("gateway", ControlRequest::GatewayStatus),
+        ("routes", ControlRequest::GatewayRoutes),
+        ("drain", ControlRequest::DrainSite { site: "south".to_string(), drained: true }),
+        ("undrain", ControlRequest::DrainSite { site: "south".to_string(), drained: false }),
+        ("fleet", ControlRequest::ShowFleet),
+        ("ask router", ControlRequest::StartQuery(list("targets").remove(0))),
+        ("ask site", ControlRequest::StartQuery(list("targets").remove(1))),
+        ("answered", ControlRequest::FetchQueryResult(77)),
+        ("floor", ControlRequest::SetFloor(5)),
+        ("accounts", ControlRequest::ListAuditRecords),
     ];
     for (name, question) in &questions {
         out += &postcard_line(&format!("question {name}"), question);
     }
-    let detail = Detail { place: "eu/south".to_string(), routers: vec![value("router")] };
+    let detail = SiteDetail { location: "eu/south".to_string(), routers: vec![value("router")] };
     let mut answers = vec![
-        ("shown", Answer::Shown(value("shown"))),
-        ("nodes", Answer::Nodes(value("nodes"))),
-        ("plan", Answer::Plan(value("plan"))),
-        ("applied", Answer::Applied(value("batch"))),
-        ("gateway", Answer::Gateway(value("status"))),
-        ("routes", Answer::Routes(value("routes"))),
-        ("asking", Answer::Asking(77)),
-        ("detail", Answer::Detail(Some(detail))),
-        ("no detail yet", Answer::Detail(None)),
-        ("accounts", Answer::Accounts(value("records"))),
-        ("done", Answer::Done("done".to_string())),
-        ("no", Answer::No("no".to_string())),
+        ("shown", ControlResponse::Hierarchy(value("shown"))),
+        ("nodes", ControlResponse::Nodes(value("nodes"))),
+        ("plan", ControlResponse::Plan(value("plan"))),
+        ("applied", ControlResponse::Applied(value("batch"))),
+        ("gateway", ControlResponse::GatewayStatus(value("status"))),
+        ("routes", ControlResponse::GatewayRoutes(value("routes"))),
+        ("asking", ControlResponse::QueryStarted(77)),
+        ("detail", ControlResponse::QueryResult(Some(detail))),
+        ("no detail yet", ControlResponse::QueryResult(None)),
+        ("accounts", ControlResponse::AuditRecords(value("records"))),
+        ("done", ControlResponse::Done("done".to_string())),
+        ("no", ControlResponse::Refused("no".to_string())),
     ];
-    answers.extend(fleets().into_iter().map(|shown| ("fleet", Answer::Fleet(Box::new(shown)))));
+    answers.extend(fleets().into_iter().map(|shown| ("fleet", ControlResponse::Fleet(Box::new(shown)))));
     for (name, answer) in &answers {
         out += &postcard_line(&format!("answer {name}"), answer);
     }
@@ -104,8 +104,10 @@
         let digits = digits.as_bytes().chunks(2).map(|pair| std::str::from_utf8(pair).expect("text"));
         let bytes: Vec<u8> = digits.map(|pair| u8::from_str_radix(pair, 16).expect("a byte")).collect();
         let again = match name.starts_with("question ") {
-            true => postcard::to_stdvec(&postcard::from_bytes::<Question>(&bytes).expect("a question")),
-            false => postcard::to_stdvec(&postcard::from_bytes::<Answer>(&bytes).expect("an answer")),
+            true => postcard::to_stdvec(&postcard::from_bytes::<ControlRequest>(&bytes).expect("a question")),
+            false => {
+                postcard::to_stdvec(&postcard::from_bytes::<ControlResponse>(&bytes).expect("an answer"))
+            }
         };
         assert_eq!(again.expect("written"), bytes, "{name}");
     }
@@ -114,15 +116,15 @@
 #[test]
 fn commands_print_the_same_json() {
     let mut out = String::new();
-    out += &as_json(&value::<Shown>("shown"));
+    out += &as_json(&value::<HierarchyView>("shown"));
     out += &as_json(&value::<Vec<NodeSpec>>("nodes"));
     out += &as_json(&value::<PlanSpec>("plan"));
     out += &as_json(&value::<BatchSpec>("batch"));
     out += &as_json(&value::<Status>("status"));
     out += &as_json(&value::<Vec<RouteLine>>("routes"));
-    let detail = Detail { place: "eu/south".to_string(), routers: vec![value("router")] };
+    let detail = SiteDetail { location: "eu/south".to_string(), routers: vec![value("router")] };
     let lines: Vec<_> = detail.routers.iter().collect();
-    out += &as_json(&(&detail.place, &lines));
+    out += &as_json(&(&detail.location, &lines));
     out += &as_json(&"done".to_string());
     fleets().iter().for_each(|shown| out += &as_json(shown));
     assert_golden("control_json.txt", &out);
