--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -125,11 +125,11 @@
     ) -> Option<ClusterEffect> {
         let hierarchy = hierarchy?;
         let batch = postcard::from_bytes::<BatchSpec>(body).ok()?;
-        let before = hierarchy.acts_on();
-        if let Err(reason) = hierarchy.hear_of(now, &batch) {
+        let before = hierarchy.active_version();
+        if let Err(reason) = hierarchy.apply_gossip_batch(now, &batch) {
             log_line!("fellows: batch {}/{}: {reason}", batch.author, batch.number);
         }
-        if hierarchy.acts_on() != before {
+        if hierarchy.active_version() != before {
             self.batches += 1;
             let (author, number) = (batch.author, batch.number);
             self.record_action(now, AuditedAction::Batch { author, number, from_gossip: true });
@@ -168,7 +168,7 @@
     }
 
     fn send_snapshot(&mut self, to: &str, request_id: u64, hierarchy: &HierarchyAdapter) {
-        for chunk in split_snapshot(request_id, &hierarchy.snapshot(), self.fetch.config()) {
+        for chunk in split_snapshot(request_id, &hierarchy.encode_snapshot(), self.fetch.config()) {
             let bytes = postcard::to_stdvec(&chunk).unwrap_or_default();
             self.core.send_message(to, SNAPSHOT_CHUNK, bytes);
         }
@@ -182,10 +182,10 @@
         from: &str,
         snapshot: &[u8],
     ) -> Option<ClusterEffect> {
-        match hierarchy.adopt(now, snapshot) {
+        match hierarchy.restore_snapshot(now, snapshot) {
             Ok(()) => {
                 self.adopted += 1;
-                self.versions.hierarchy = hierarchy.acts_on().into();
+                self.versions.hierarchy = hierarchy.active_version();
                 let HierarchyVersion { version, digest } = self.versions.hierarchy;
                 log_line!(version, "fellows: the hierarchy was taken over whole from {from}: version {version}, {digest:016x}");
             }
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -27,7 +27,7 @@
 use crate::account::{Auditor, Words};
 use crate::control::Detail;
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
-use crate::hierarchy_adapter::HierarchyAdapter;
+use crate::hierarchy_adapter::{EnteredStage, HierarchyAdapter};
 use crate::log::log_line;
 use crate::policy_adapter::{AttemptEnd, EndpointKey, FinalAnswer, Ms};
 use crate::upstream::AttemptOrder;
@@ -428,20 +428,20 @@
 
     /// Publishes new batches of the hierarchy, and requests a snapshot where this router is behind.
     fn publish_hierarchy(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter, check_due: bool) {
-        for batch in hierarchy.news() {
+        for batch in hierarchy.drain_outgoing_batches() {
             let body = postcard::to_stdvec(&batch).unwrap_or_default();
             if self.core.publish_batch(now, batch.author, batch.number, batch.stamp, body) {
                 let (author, number) = (batch.author, batch.number);
                 self.record_action(now, AuditedAction::Batch { author, number, from_gossip: false });
             }
         }
-        for (target, stage) in hierarchy.entered() {
+        for EnteredStage { target, stage } in hierarchy.drain_stage_transitions() {
             self.record_action(now, AuditedAction::RolloutStage { target, stage });
         }
         if !check_due {
             return;
         }
-        self.versions.hierarchy = hierarchy.acts_on().into();
+        self.versions.hierarchy = hierarchy.active_version();
         self.core.set_versions(&self.versions);
         // A router that is ahead though all entries are here has batches that are no longer gossiped.
         let request = self.fetch.next_request(now, &self.core.peers_ahead());
--- a/crates/router/src/hierarchy_adapter.rs
+++ b/crates/router/src/hierarchy_adapter.rs
@@ -14,6 +14,7 @@
     AuthorId, BatchId, EndpointPhase, FillResult, FillSources, Hierarchy, HierarchyView, Hop, NodeId,
     ReceiveOutcome, Role, SelectedFill, Source,
 };
+use linnethook_membership::versions::HierarchyVersion;
 use linnethook_operator_config::config::HierarchySection;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -24,22 +25,51 @@
 
 /// What is known of the request that it is for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Asked {
+pub struct RequestProfile {
+    /// The hash of the object.
     pub object: u64,
     pub part: u32,
-    pub write: bool,
-    pub bytes: f64,
-    /// Within what time it is wanted, and since when.
-    pub aim: Ms,
-    pub since: Ms,
+    pub is_write: bool,
+    /// Its size in bytes, as far as known.
+    pub size_bytes: f64,
+    /// How long an answer should take at most, in milliseconds.
+    pub latency_objective: Ms,
+    /// When it was received, in milliseconds.
+    pub received_at: Ms,
 }
 
 /// What is to be done with an attempt now.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Step {
-    Send(AttemptOrder, Option<FillPath>),
-    /// It is not sent: it waited for its fill since then, and may not go.
-    TurnBack(AttemptOrder, Ms),
+pub enum FillDecision {
+    /// It is sent; the path goes with its fill where nodes understand it.
+    Send { order: AttemptOrder, fill_path: Option<FillPath> },
+    /// It is not sent: its fill was queued at that time, and is not admitted any more.
+    Reject { order: AttemptOrder, queued_at: Ms },
+}
+
+/// A stage of the rollout that was entered, for the audit log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct EnteredStage {
+    /// The source that children migrate to.
+    pub target: u64,
+    /// The number of the stage in the audit log.
+    pub stage: u8,
+}
+
+/// A cache with the sources that it may be filled from from now on.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ChangedFillSources {
+    pub endpoint: EndpointKey,
+    pub sources: FillSourceLists,
+}
+
+/// How many fills there are.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct FillCounts {
+    /// Fills that wait to be admitted.
+    pub queued: usize,
+    /// Fills that were sent and have not ended.
+    pub in_flight: usize,
 }
 
 /// A fill that went.
@@ -55,7 +85,7 @@
 #[derive(Debug)]
 struct Waiting {
     ordered: AttemptOrder,
-    asked: Asked,
+    profile: RequestProfile,
     since: Ms,
 }
 
@@ -83,7 +113,7 @@
     /// Batches that were taken here and that fellows are to hear of, if there are any.
     news: Option<Vec<BatchSpec>>,
     /// Stages that were entered, by the node that children go over to, for the account of it.
-    entered: Vec<(u64, u8)>,
+    entered: Vec<EnteredStage>,
 }
 
 /// Batches that wait to be passed on.
@@ -180,7 +210,7 @@
     }
 
     /// A batch that another has written.
-    pub fn hear(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), String> {
+    pub fn apply_journal_batch(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), String> {
         let batch = self.names.resolve_batch(spec);
         let taken = self.take(now, batch);
         self.names.retain(self.hierarchy.topology());
@@ -188,7 +218,7 @@
     }
 
     /// A batch that a fellow has passed on; what is wrong with it, unless it only waits for others.
-    pub fn hear_of(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), String> {
+    pub fn apply_gossip_batch(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), String> {
         let batch = self.names.resolve_batch(spec);
         let batch_id = batch.id;
         let heard = self.take(now, batch);
@@ -201,18 +231,22 @@
     }
 
     /// The whole shape with its place in the history, for a fellow that is too far behind.
-    pub fn snapshot(&self) -> Vec<u8> {
+    pub fn encode_snapshot(&self) -> Vec<u8> {
         let (nodes, sites) = (self.names.node_names(), self.names.site_names());
         postcard::to_stdvec(&(self.hierarchy.snapshot(), nodes, sites)).unwrap_or_default()
     }
 
     /// Takes a fellow's whole shape over, where it is newer than what is here. All of it or nothing.
-    pub fn adopt(&mut self, now: Ms, bytes: &[u8]) -> Result<(), String> {
+    pub fn restore_snapshot(&mut self, now: Ms, bytes: &[u8]) -> Result<(), String> {
         let (snapshot, nodes, sites) = postcard::from_bytes::<(Snapshot, Vec<String>, Vec<String>)>(bytes)
             .map_err(|wrong| wrong.to_string())?;
-        let before = self.acts_on();
-        if snapshot.version() < before.0 {
-            return Err(format!("it is at version {}, this router at {}", snapshot.version(), before.0));
+        let before = self.active_version();
+        if snapshot.version() < before.version {
+            return Err(format!(
+                "it is at version {}, this router at {}",
+                snapshot.version(),
+                before.version
+            ));
         }
         self.hierarchy.restore_snapshot(now, snapshot).map_err(|wrong| wrong.to_string())?;
         self.names.add_names(&nodes, &sites);
@@ -222,23 +256,23 @@
     }
 
     /// Batches are to be passed on to fellows from now on.
-    pub fn tells_fellows(&mut self) {
+    pub fn enable_gossip(&mut self) {
         self.news.get_or_insert_default();
     }
 
     /// Batches to be passed on.
-    pub fn news(&mut self) -> Vec<BatchSpec> {
+    pub fn drain_outgoing_batches(&mut self) -> Vec<BatchSpec> {
         self.news.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
     /// Stages that were entered.
-    pub fn entered(&mut self) -> Vec<(u64, u8)> {
+    pub fn drain_stage_transitions(&mut self) -> Vec<EnteredStage> {
         std::mem::take(&mut self.entered)
     }
 
     /// The version and the digest of the shape.
-    pub fn acts_on(&self) -> (u64, u64) {
-        (self.hierarchy.version(), self.hierarchy.topology().digest())
+    pub fn active_version(&self) -> HierarchyVersion {
+        HierarchyVersion { version: self.hierarchy.version(), digest: self.hierarchy.topology().digest() }
     }
 
     /// What changes would do now.
@@ -277,12 +311,12 @@
         self.hierarchy.view(now)
     }
 
-    pub fn nodes(&self) -> Vec<NodeSpec> {
+    pub fn node_specs(&self) -> Vec<NodeSpec> {
         self.names.node_specs(self.hierarchy.topology())
     }
 
     /// A node's name, by its number.
-    pub fn name(&self, id: u64) -> String {
+    pub fn node_name(&self, id: u64) -> String {
         self.names.node_name(NodeId(id))
     }
 
@@ -290,12 +324,12 @@
 
     /// Lines of the list of caches. `own` says which stand in this router's location. What waits for one that may
     /// not be used any more comes back.
-    pub fn hosts(
+    pub fn update_endpoints(
         &mut self,
         now: Ms,
         hosts: &EndpointUpdate,
         own: impl Fn(&EndpointEntry) -> bool,
-    ) -> Vec<Step> {
+    ) -> Vec<FillDecision> {
         let mut back = Vec::new();
         self.due = now;
         for target in &hosts.targets {
@@ -327,9 +361,13 @@
     }
 
     /// The sources that caches may be filled from, where these are other ones than were told last.
-    pub fn changed(&mut self, now: Ms) -> Vec<(EndpointKey, FillSourceLists)> {
+    pub fn changed_fill_sources(&mut self, now: Ms) -> Vec<ChangedFillSources> {
         let changed = self.hierarchy.changed_fill_sources(now);
-        changed.into_iter().map(|(id, feeds)| (EndpointKey::from_number(id.0), lists(&feeds))).collect()
+        let published = |(id, feeds): (NodeId, FillSources)| ChangedFillSources {
+            endpoint: EndpointKey::from_number(id.0),
+            sources: lists(&feeds),
+        };
+        changed.into_iter().map(published).collect()
     }
 
     fn note(&mut self, entered: &[StageTransition]) {
@@ -342,7 +380,7 @@
                     RolloutStage::Settled => 3,
                     RolloutStage::RolledBack(_) => 4,
                 };
-                self.entered.push((entered.migration.target.0, stage));
+                self.entered.push(EnteredStage { target: entered.migration.target.0, stage });
             }
             let (to, batch_id) =
                 (self.names.node_name(entered.migration.target), entered.migration.position.batch_id());
@@ -359,48 +397,50 @@
 
     // ---- Fills.
 
-    /// A fill by an edge that can't be vouched for: only what is held will do.
-    pub fn held_alone(&mut self, now: Ms, ordered: AttemptOrder, asked: Asked, come_back: Ms) -> Step {
-        self.only_held(now, ordered, asked, come_back)
-    }
-
     /// Whether an attempt may have a cache fill.
-    pub fn fills(&self, ordered: &AttemptOrder) -> bool {
+    pub fn may_fill(&self, ordered: &AttemptOrder) -> bool {
         !ordered.fill.only_if_cached && self.ends(ordered).is_some()
     }
 
     /// What is to be done with an attempt; `None` where it waits.
-    pub fn admit(&mut self, now: Ms, mut ordered: AttemptOrder, asked: Asked) -> Option<Step> {
+    pub fn admit(
+        &mut self,
+        now: Ms,
+        mut ordered: AttemptOrder,
+        profile: RequestProfile,
+    ) -> Option<FillDecision> {
         // Renewals come last: what can still be served as it is waits for better times.
         ordered.fill.revalidate &= !self.hierarchy.is_constrained(now);
-        let Some((child, source)) = self.ends(&ordered) else { return Some(Step::Send(ordered, None)) };
-        let priority = if asked.write { Priority::Write } else { Priority::Demand };
-        let left = asked.since + asked.aim - now;
+        let Some((child, source)) = self.ends(&ordered) else {
+            return Some(FillDecision::Send { order: ordered, fill_path: None });
+        };
+        let priority = if profile.is_write { Priority::Write } else { Priority::Demand };
+        let left = profile.received_at + profile.latency_objective - now;
         let picked = SelectedFill {
             ticket: ticket(ordered.attempt),
             child,
             source,
-            object: asked.object,
-            key: xxh3_64_with_seed(&asked.object.to_le_bytes(), u64::from(asked.part)),
+            object: profile.object,
+            key: xxh3_64_with_seed(&profile.object.to_le_bytes(), u64::from(profile.part)),
             priority,
-            bytes: asked.bytes,
+            bytes: profile.size_bytes,
             may_join: ordered.fill.coalesce,
             // Half of what is left of the wanted time, so that there is some left to be served in.
             max_wait: (left / 2.0).max(0.0),
         };
         // What a source holds costs the tiers above nothing.
         if ordered.fill.only_if_cached {
-            return Some(self.send(now, ordered, asked, true));
+            return Some(self.send(now, ordered, profile, true));
         }
         match self.hierarchy.request_fill(now, &picked) {
-            ShieldDecision::Admit => Some(self.send(now, ordered, asked, false)),
+            ShieldDecision::Admit => Some(self.send(now, ordered, profile, false)),
             ShieldDecision::Queue { .. } => {
-                self.waiting.insert(ordered.attempt, Waiting { ordered, asked, since: now });
+                self.waiting.insert(ordered.attempt, Waiting { ordered, profile, since: now });
                 self.due = self.due.min(self.hierarchy.next_deadline(now));
                 None
             }
             ShieldDecision::Reject { retry_after, .. } => {
-                Some(self.only_held(now, ordered, asked, retry_after))
+                Some(self.admit_from_cache_only(now, ordered, profile, retry_after))
             }
         }
     }
@@ -421,16 +461,22 @@
         }
     }
 
-    fn send(&mut self, now: Ms, ordered: AttemptOrder, asked: Asked, held: bool) -> Step {
+    fn send(&mut self, now: Ms, ordered: AttemptOrder, profile: RequestProfile, held: bool) -> FillDecision {
         if let Some((child, source)) = self.ends(&ordered) {
-            self.out.insert(ordered.attempt, Out { child, source, aim: asked.aim, held });
+            self.out.insert(ordered.attempt, Out { child, source, aim: profile.latency_objective, held });
         }
-        let way = self.way(now, &ordered, asked.object, held);
-        Step::Send(ordered, way)
+        let way = self.way(now, &ordered, profile.object, held);
+        FillDecision::Send { order: ordered, fill_path: way }
     }
 
     /// It may not fill: what is held will do, also an ageing copy, at the source and beside it.
-    fn only_held(&mut self, now: Ms, mut ordered: AttemptOrder, asked: Asked, come_back: Ms) -> Step {
+    pub fn admit_from_cache_only(
+        &mut self,
+        now: Ms,
+        mut ordered: AttemptOrder,
+        profile: RequestProfile,
+        come_back: Ms,
+    ) -> FillDecision {
         let fill = &mut ordered.fill;
         fill.only_if_cached = true;
         fill.revalidate = false;
@@ -438,7 +484,7 @@
             fill.max_age = fill.max_stale_age;
         }
         self.come_back.insert(ordered.attempt.ticket, come_back);
-        self.send(now, ordered, asked, true)
+        self.send(now, ordered, profile, true)
     }
 
     /// What goes with a fill where nodes understand it.
@@ -459,7 +505,7 @@
     }
 
     /// How an attempt ended that went.
-    pub fn ended(&mut self, now: Ms, ended: &CompletedAttempt) -> Vec<Step> {
+    pub fn complete_attempt(&mut self, now: Ms, ended: &CompletedAttempt) -> Vec<FillDecision> {
         let ending = &ended.report;
         let Some(out) = self.out.remove(&ending.attempt) else { return Vec::new() };
         if let Some(FillLoop { from, to, version }) = &ended.fill_loop {
@@ -495,29 +541,31 @@
         log_line!(from, to, version, "hierarchy: a fill came round; an edge is held back for a while");
     }
 
-    fn go_on(&mut self, now: Ms, released: Vec<QueuedDecision>) -> Vec<Step> {
+    fn go_on(&mut self, now: Ms, released: Vec<QueuedDecision>) -> Vec<FillDecision> {
         let mut steps = Vec::new();
         for word in released {
             let Some(waiting) = self.waiting.remove(&attempt(word.ticket)) else { continue };
-            let Waiting { mut ordered, asked, since } = waiting;
+            let Waiting { mut ordered, profile, since } = waiting;
             ordered.timeout -= now - since;
             steps.push(match word.decision {
                 ShieldDecision::Reject { retry_after, .. } => {
-                    self.only_held(now, ordered, asked, retry_after)
+                    self.admit_from_cache_only(now, ordered, profile, retry_after)
+                }
+                ShieldDecision::Admit | ShieldDecision::Queue { .. } => {
+                    self.send(now, ordered, profile, false)
                 }
-                ShieldDecision::Admit | ShieldDecision::Queue { .. } => self.send(now, ordered, asked, false),
             });
         }
         steps
     }
 
-    fn turn_back(&mut self, attempt: AttemptKey) -> Option<Step> {
+    fn turn_back(&mut self, attempt: AttemptKey) -> Option<FillDecision> {
         let waiting = self.waiting.remove(&attempt)?;
-        Some(Step::TurnBack(waiting.ordered, waiting.since))
+        Some(FillDecision::Reject { order: waiting.ordered, queued_at: waiting.since })
     }
 
     /// An attempt is called off. Where it waits here it goes no further, and ends.
-    pub fn cancel(&mut self, attempt: AttemptKey) -> Option<Step> {
+    pub fn cancel_attempt(&mut self, attempt: AttemptKey) -> Option<FillDecision> {
         if self.waiting.contains_key(&attempt) {
             self.hierarchy.cancel_fill(ticket(attempt));
         }
@@ -526,7 +574,7 @@
 
     /// Nobody waits for a request any more: what of it waits here goes no further, also where settings forbid calling
     /// off. There is nothing at a cache yet.
-    pub fn left(&mut self, left: Ticket) -> Vec<AttemptOrder> {
+    pub fn cancel_request(&mut self, left: Ticket) -> Vec<AttemptOrder> {
         let mut of: Vec<AttemptKey> = self.waiting.keys().copied().filter(|a| a.ticket == left).collect();
         of.sort_unstable();
         let mut ordered = Vec::new();
@@ -538,7 +586,7 @@
     }
 
     /// When a client that is refused had better come back; said once.
-    pub fn come_back(&mut self, ticket: Ticket) -> Option<Ms> {
+    pub fn take_retry_after(&mut self, ticket: Ticket) -> Option<Ms> {
         self.come_back.remove(&ticket)
     }
 
@@ -548,7 +596,7 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Ms) -> Vec<Step> {
+    pub fn tick(&mut self, now: Ms) -> Vec<FillDecision> {
         let outcome = self.hierarchy.tick(now);
         self.due = self.hierarchy.next_deadline(now);
         self.note(&outcome.transitions);
@@ -556,13 +604,13 @@
     }
 
     /// When `tick` is due.
-    pub fn next(&self) -> Ms {
+    pub fn next_deadline(&self) -> Ms {
         self.due
     }
 
     /// Attempts that wait, and fills that are out.
-    pub fn kept(&self) -> (usize, usize) {
-        (self.waiting.len(), self.out.len())
+    pub fn fill_counts(&self) -> FillCounts {
+        FillCounts { queued: self.waiting.len(), in_flight: self.out.len() }
     }
 }
 
--- a/crates/router/src/hierarchy_control.rs
+++ b/crates/router/src/hierarchy_control.rs
@@ -12,7 +12,7 @@
     };
     match question {
         Question::Show => Answer::Shown(Box::new(shown(hierarchy, now))),
-        Question::Nodes => Answer::Nodes(hierarchy.nodes()),
+        Question::Nodes => Answer::Nodes(hierarchy.node_specs()),
         Question::Plan(changes) => match hierarchy.plan(now, &changes) {
             Ok(plan) => Answer::Plan(Box::new(plan)),
             Err(reason) => Answer::No(reason),
@@ -24,7 +24,7 @@
             }
             Applied::No(reason) => Answer::No(reason),
         },
-        Question::Hear(batch) => match hierarchy.hear(now, &batch) {
+        Question::Hear(batch) => match hierarchy.apply_journal_batch(now, &batch) {
             Ok(()) => Answer::Done("heard".to_string()),
             Err(reason) => Answer::No(reason),
         },
@@ -42,9 +42,9 @@
 /// The hierarchy as commands print it.
 fn shown(hierarchy: &HierarchyAdapter, now: Ms) -> Shown {
     let view = hierarchy.view(now);
-    let (waiting_fills, out) = hierarchy.kept();
+    let fills = hierarchy.fill_counts();
     let moves = view.migrations.iter().map(|m| MoveLine {
-        to: hierarchy.name(m.target),
+        to: hierarchy.node_name(m.target),
         author: m.author,
         number: m.number,
         stage: m.stage.name().to_string(),
@@ -54,7 +54,7 @@
         late_old: m.old_failure_ratio,
     });
     let budgets = view.budgets.iter().map(|budget| BudgetLine {
-        target: hierarchy.name(budget.target),
+        target: hierarchy.node_name(budget.target),
         per_second: budget.per_second,
         limit: budget.limit,
     });
@@ -74,8 +74,8 @@
         suspended: view.suspended_edges,
         held_back: view.backed_off_edges,
         waiting_batches: view.pending_batches,
-        waiting_fills,
-        out,
+        waiting_fills: fills.queued,
+        out: fills.in_flight,
         moves: moves.collect(),
         budgets: budgets.collect(),
         counts: counts.into_iter().map(|(name, count)| (name.to_string(), count)).collect(),
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use crate::downstream::ClientStream;
-use crate::hierarchy_adapter::Asked;
+use crate::hierarchy_adapter::RequestProfile;
 use crate::policy_adapter::Ticket;
 use crate::remote_sites::CrossSiteRequest;
 use crate::upstream::RequestMessage;
@@ -12,7 +12,7 @@
 pub struct OpenRequest {
     pub stream: ClientStream,
     pub message: RequestMessage,
-    pub asked: Asked,
+    pub profile: RequestProfile,
     /// What the gateway needs of it; `None` where there is no gateway.
     pub cross_site: Option<Box<CrossSiteRequest>>,
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -27,7 +27,7 @@
 use crate::downstream::codec::AnswerCode;
 use crate::downstream::{ClientEvent, ClientId, ClientRequest, ClientStream, Downstreams};
 use crate::event_handler::EventHandler;
-use crate::hierarchy_adapter::{Asked, HierarchyAdapter, Step};
+use crate::hierarchy_adapter::{ChangedFillSources, FillDecision, HierarchyAdapter, RequestProfile};
 use crate::hierarchy_control;
 use crate::log::log_line;
 use crate::operator_digest;
@@ -182,7 +182,7 @@
             if let Some(section) = &gateway.cluster {
                 let digest = operator_digest::digest(operator);
                 self.cluster = Some(ClusterAdapter::new(now, name, section, settings_digest, digest));
-                self.hierarchy.iter_mut().for_each(HierarchyAdapter::tells_fellows);
+                self.hierarchy.iter_mut().for_each(HierarchyAdapter::enable_gossip);
             }
         }
         if let Some(path) = &operator.control_socket {
@@ -259,7 +259,7 @@
         let now = self.clock.now();
         let Some(hierarchy) = &mut self.hierarchy else { return };
         let policy = &self.policy;
-        let steps = hierarchy.hosts(now, update, |entry| policy.is_local(&entry.host()));
+        let steps = hierarchy.update_endpoints(now, update, |entry| policy.is_local(&entry.host()));
         self.execute_fill_steps(steps);
         self.report_fill_sources();
     }
@@ -267,19 +267,20 @@
     /// Reports to the policy what caches may be filled from, where that has changed.
     fn report_fill_sources(&mut self) {
         let now = self.clock.now();
-        let changed = self.hierarchy.as_mut().map(|hierarchy| hierarchy.changed(now)).unwrap_or_default();
-        for (endpoint, sources) in changed {
+        let changed =
+            self.hierarchy.as_mut().map(|hierarchy| hierarchy.changed_fill_sources(now)).unwrap_or_default();
+        for ChangedFillSources { endpoint, sources } in changed {
             let commands = self.policy.handle(now, PolicyInput::FillSources { endpoint, sources });
             self.execute(commands, ResponsePayload::Empty);
         }
     }
 
     /// Sends or rejects attempts as the hierarchy says.
-    fn execute_fill_steps(&mut self, steps: impl IntoIterator<Item = Step>) {
+    fn execute_fill_steps(&mut self, steps: impl IntoIterator<Item = FillDecision>) {
         let now = self.clock.now();
         for step in steps {
             match step {
-                Step::Send(order, fill_path) => {
+                FillDecision::Send { order, fill_path } => {
                     self.check_client(order.attempt.ticket);
                     let Some(request) = self.requests.get(order.attempt.ticket) else {
                         self.upstreams.cancel_unsent(now, order.attempt, order.endpoint);
@@ -287,12 +288,12 @@
                     };
                     self.counters.sent += 1;
                     if let Some(cluster) = &mut self.cluster {
-                        cluster.record_attempt(now, &order, &request.message.id, request.asked.write);
+                        cluster.record_attempt(now, &order, &request.message.id, request.profile.is_write);
                     }
                     self.upstreams.send(now, &order, &request.message, fill_path.as_ref());
                 }
-                Step::TurnBack(order, since) => {
-                    self.upstreams.reject_unsent(now, order.attempt, order.endpoint, since);
+                FillDecision::Reject { order, queued_at } => {
+                    self.upstreams.reject_unsent(now, order.attempt, order.endpoint, queued_at);
                 }
             }
         }
@@ -346,7 +347,7 @@
         for event in events {
             self.counters.journal_events += 1;
             if let (Some(batch), Some(hierarchy)) = (&event.shape, &mut self.hierarchy) {
-                if let Err(reason) = hierarchy.hear(now, batch) {
+                if let Err(reason) = hierarchy.apply_journal_batch(now, batch) {
                     log_line!("hierarchy: batch {}/{}: {reason}", batch.author, batch.number);
                 }
                 self.report_fill_sources();
@@ -406,8 +407,8 @@
                     self.send(now, AttemptOrder { attempt, endpoint, timeout, fill });
                 }
                 PolicyCommand::Cancel(attempt) => {
-                    match self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.cancel(attempt)) {
-                        Some(Step::TurnBack(order, _)) => {
+                    match self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.cancel_attempt(attempt)) {
+                        Some(FillDecision::Reject { order, .. }) => {
                             self.upstreams.cancel_unsent(now, attempt, order.endpoint);
                         }
                         _ => self.upstreams.cancel(now, attempt),
@@ -432,16 +433,16 @@
             // endpoint for good.
             return self.upstreams.cancel_unsent(now, order.attempt, order.endpoint);
         };
-        let asked = request.asked;
+        let profile = request.profile;
         // A straggler starts no fills: cached copies are served.
-        let cluster = self.cluster.as_mut().filter(|_| !asked.write && order.fill.source.is_some());
-        let shut_out = cluster.and_then(|cluster| cluster.exclusion(now, asked.object));
+        let cluster = self.cluster.as_mut().filter(|_| !profile.is_write && order.fill.source.is_some());
+        let shut_out = cluster.and_then(|cluster| cluster.exclusion(now, profile.object));
         let step = match (&mut self.hierarchy, shut_out) {
-            (Some(hierarchy), Some(wait)) if hierarchy.fills(&order) => {
-                Some(hierarchy.held_alone(now, order, asked, wait))
+            (Some(hierarchy), Some(wait)) if hierarchy.may_fill(&order) => {
+                Some(hierarchy.admit_from_cache_only(now, order, profile, wait))
             }
-            (Some(hierarchy), _) => hierarchy.admit(now, order, asked),
-            (None, _) => Some(Step::Send(order, None)),
+            (Some(hierarchy), _) => hierarchy.admit(now, order, profile),
+            (None, _) => Some(FillDecision::Send { order, fill_path: None }),
         };
         self.execute_fill_steps(step);
     }
@@ -461,7 +462,7 @@
 
     /// Gives the one final answer to a request.
     fn finish(&mut self, ticket: Ticket, answer: FinalAnswer, payload: ResponsePayload) {
-        let retry_after = self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
+        let retry_after = self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.take_retry_after(ticket));
         if is_remote(ticket) {
             if self.requests.remove(ticket).is_some() {
                 self.reply_to_site(ticket, reply_of(answer, payload));
@@ -560,7 +561,8 @@
                 None => self.ask_gateway(ticket),
             };
         }
-        let open = OpenRequest { stream, message, asked: self.asked(now, &spec), cross_site: None };
+        let open =
+            OpenRequest { stream, message, profile: self.request_profile(now, &spec), cross_site: None };
         self.requests.insert(ticket, open);
         if overloaded {
             return self.on_decided(
@@ -578,11 +580,11 @@
         self.counters.given_up += 1;
         self.requests.remove(ticket);
         self.upstreams.withdraw_request(now, ticket);
-        let unsent = self.hierarchy.as_mut().map(|hierarchy| hierarchy.left(ticket));
+        let unsent = self.hierarchy.as_mut().map(|hierarchy| hierarchy.cancel_request(ticket));
         for order in unsent.unwrap_or_default() {
             self.upstreams.cancel_unsent(now, order.attempt, order.endpoint);
         }
-        self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
+        self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.take_retry_after(ticket));
         if let Some(remote_sites) = self.remote_sites.as_mut().filter(|sites| sites.forwards_requests()) {
             remote_sites.gateway.gone(now, ticket);
             self.run_remote_sites();
@@ -645,12 +647,12 @@
         let end = completed.report.end;
         self.count_outcome(end, &completed.payload);
         let attempt = completed.report.attempt;
-        let write = self.requests.get(attempt.ticket).filter(|request| request.asked.write);
+        let write = self.requests.get(attempt.ticket).filter(|request| request.profile.is_write);
         if let (Some(cluster), Some(request)) = (&mut self.cluster, write) {
             cluster.record_write_outcome(now, &request.message.id, attempt.number, end);
         }
         if let Some(hierarchy) = &mut self.hierarchy {
-            let steps = hierarchy.ended(now, &completed);
+            let steps = hierarchy.complete_attempt(now, &completed);
             self.execute_fill_steps(steps);
         }
         let orders = self.policy.handle(now, PolicyInput::AttemptEnded(completed.report));
@@ -692,20 +694,26 @@
         message: RequestMessage,
         passed: Vec<String>,
     ) -> OpenRequest {
-        let asked = self.asked(now, &spec);
+        let profile = self.request_profile(now, &spec);
         let cross_site = self.crosses().then(|| {
             let not_idempotent = self.policy.needs_repeat_protection(&spec);
-            let (objective, write) = (asked.aim, asked.write);
+            let (objective, write) = (profile.latency_objective, profile.is_write);
             let deadline = now + spec.budget;
             Box::new(CrossSiteRequest { spec, not_idempotent, write, objective, deadline, passed })
         });
-        OpenRequest { stream, message, asked, cross_site }
-    }
-
-    fn asked(&self, now: Ms, spec: &RequestSpec) -> Asked {
-        let RequestNeeds { latency_objective: aim, is_write: write } = self.policy.needs(spec);
-        let bytes = spec.size_kb * 1000.0;
-        Asked { object: spec.object, part: spec.part, write, bytes, aim, since: now }
+        OpenRequest { stream, message, profile, cross_site }
+    }
+
+    fn request_profile(&self, now: Ms, spec: &RequestSpec) -> RequestProfile {
+        let RequestNeeds { latency_objective, is_write } = self.policy.needs(spec);
+        RequestProfile {
+            object: spec.object,
+            part: spec.part,
+            is_write,
+            size_bytes: spec.size_kb * 1000.0,
+            latency_objective,
+            received_at: now,
+        }
     }
 
     /// Lets the gateway choose the site that decides about a request.
@@ -835,7 +843,7 @@
         }
         self.counters.given_up += 1;
         self.requests.remove(ticket);
-        self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.come_back(ticket));
+        self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.take_retry_after(ticket));
         let orders = self.policy.handle(now, PolicyInput::RequestCancelled(ticket));
         self.execute(orders, ResponsePayload::Empty);
     }
@@ -986,7 +994,7 @@
             Some(self.discovery.next_deadline()),
             Some(self.downstreams.next_deadline()),
             self.phase_deadline(now),
-            self.hierarchy.as_ref().map(HierarchyAdapter::next),
+            self.hierarchy.as_ref().map(HierarchyAdapter::next_deadline),
             self.control.as_ref().and_then(Control::next),
             self.remote_sites.as_ref().map(|remote_sites| remote_sites.next_deadline(now)),
             self.cluster.as_ref().map(|cluster| cluster.next_deadline(now)),
--- a/crates/router/tests/unit/hierarchy_adapter.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -21,10 +21,10 @@
 
 #[test]
 fn a_snapshot_is_the_same_bytes_and_is_adopted_whole() {
-    let snapshot = adapter(FILE).snapshot();
+    let snapshot = adapter(FILE).encode_snapshot();
     assert_golden("hierarchy_snapshot.txt", &format!("{}\n", hex(&snapshot)));
     let mut late = adapter("hierarchy(author = 8)");
-    late.adopt(2_000.0, &snapshot).expect("it is newer");
-    assert_eq!(late.acts_on(), adapter(FILE).acts_on());
-    assert_eq!(late.snapshot(), snapshot);
+    late.restore_snapshot(2_000.0, &snapshot).expect("it is newer");
+    assert_eq!(late.active_version(), adapter(FILE).active_version());
+    assert_eq!(late.encode_snapshot(), snapshot);
 }
