--- a/crates/router/src/cluster/commands.rs
+++ b/crates/router/src/cluster/commands.rs
@@ -3,6 +3,7 @@
 use linnethook_audit::replicas::ReplicaSizes;
 use linnethook_membership::aggregation::query::QueryTarget;
 
+use crate::audit_log::AuditLogSizes;
 use crate::control::{Answer, FleetShown, Question};
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
@@ -55,9 +56,9 @@
             state: self.straggler.as_ref().map(|behind| behind.core.state()),
             shut_out: self.straggler.as_ref().map_or(0, |behind| behind.shut_out),
             account: self.audit.as_ref().map(|audit| {
-                let (links, replicas) = audit.kept();
+                let AuditLogSizes { own_records, replicas, dropped_records } = audit.sizes();
                 let ReplicaSizes { logs, records, bytes } = replicas;
-                (links, logs as u64, records as u64, bytes as u64, audit.unsaved)
+                (own_records, logs as u64, records as u64, bytes as u64, dropped_records)
             }),
         }
     }
@@ -100,6 +101,6 @@
     /// All audit records that are stored here; `None` where there is no audit log.
     fn audit_records(&mut self, now: Ms) -> Option<Answer> {
         let at = self.core.clock.next_timestamp(now);
-        self.audit.as_mut().map(|audit| Answer::Accounts(audit.all(now, at)))
+        self.audit.as_mut().map(|audit| Answer::Accounts(audit.all_records(now, at)))
     }
 }
--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -14,9 +14,10 @@
 use crate::discovery::event::{EndpointEntry, PurgeEvent};
 use crate::hierarchy_adapter::HierarchyAdapter;
 use crate::log::log_line;
+use crate::peer_message::PeerMessageKind;
 use crate::policy_adapter::{EndpointKey, Ms};
 
-use super::{ClusterAdapter, SNAPSHOT_CHUNK, SNAPSHOT_REQUEST};
+use super::ClusterAdapter;
 
 /// What is left to the router.
 #[derive(Debug)]
@@ -146,21 +147,21 @@
         kind: u8,
         bytes: &[u8],
     ) -> Option<ClusterEffect> {
-        match kind {
-            SNAPSHOT_REQUEST => {
+        match PeerMessageKind::from_wire_tag(kind)? {
+            PeerMessageKind::SnapshotRequest => {
                 let request_id = postcard::from_bytes::<u64>(bytes);
                 if let (Ok(request_id), Some(hierarchy)) = (request_id, hierarchy) {
                     self.send_snapshot(from, request_id, hierarchy);
                 }
                 None
             }
-            SNAPSHOT_CHUNK => {
+            PeerMessageKind::SnapshotChunk => {
                 let chunk = postcard::from_bytes(bytes).ok()?;
                 let snapshot = self.fetch.receive_chunk(now, from, &chunk)?;
                 self.adopt(now, hierarchy?, from, &snapshot)
             }
-            _ => {
-                let messages = self.audit.as_mut().map(|audit| audit.heard(from, kind, bytes));
+            kind => {
+                let messages = self.audit.as_mut().map(|audit| audit.on_message(from, kind, bytes));
                 self.send_all(messages.unwrap_or_default());
                 None
             }
@@ -170,7 +171,7 @@
     fn send_snapshot(&mut self, to: &str, request_id: u64, hierarchy: &HierarchyAdapter) {
         for chunk in split_snapshot(request_id, &hierarchy.snapshot(), self.fetch.config()) {
             let bytes = postcard::to_stdvec(&chunk).unwrap_or_default();
-            self.core.send_message(to, SNAPSHOT_CHUNK, bytes);
+            self.core.send_message(to, PeerMessageKind::SnapshotChunk.wire_tag(), bytes);
         }
     }
 
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -11,7 +11,6 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
-use std::path::Path;
 
 use linnethook_audit::record::{AuditedAction, WriteAttempt, WriteOutcome};
 use linnethook_membership::cluster::Cluster;
@@ -24,11 +23,12 @@
 use linnethook_operator_config::config::ClusterSection;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::account::{Auditor, Words};
+use crate::audit_log::AuditLogWriter;
 use crate::control::Detail;
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
 use crate::hierarchy_adapter::HierarchyAdapter;
 use crate::log::log_line;
+use crate::peer_message::{PeerMessage, PeerMessageKind};
 use crate::policy_adapter::{AttemptEnd, EndpointKey, FinalAnswer, Ms};
 use crate::upstream::AttemptOrder;
 
@@ -50,7 +50,7 @@
     drains: u64,
     purges: u64,
     batches: u64,
-    audit: Option<Auditor>,
+    audit: Option<AuditLogWriter>,
     straggler: Option<StragglerCheck>,
     /// Routers with a link.
     linked: BTreeSet<String>,
@@ -70,10 +70,6 @@
 /// Questions that are remembered.
 const MAX_QUERIES: usize = 16;
 
-/// Kinds of messages between routers beside those of the audit log: the request for a snapshot, and a chunk of one.
-const SNAPSHOT_REQUEST: u8 = 0xf4;
-const SNAPSHOT_CHUNK: u8 = 0xf5;
-
 /// The check whether this router is a straggler.
 struct StragglerCheck {
     voters: Vec<String>,
@@ -103,15 +99,8 @@
         let mut core = core.with_location(now, fellows.place.clone());
         core.set_voters(voters(fellows));
         let audit = fellows.audit.as_ref().map(|part| {
-            let folder = part.directory.as_deref().map(Path::new);
-            Auditor::new(
-                now,
-                core.clock.next_timestamp(now),
-                part.parameters,
-                folder,
-                (name, start),
-                versions.clone(),
-            )
+            let at = core.clock.next_timestamp(now);
+            AuditLogWriter::new(now, at, part, name, start, versions.clone())
         });
         let straggler = fellows.straggler.as_ref().map(|part| StragglerCheck {
             voters: part.voters.clone(),
@@ -148,7 +137,7 @@
         self.fetch.set_config(fellows.parameters.snapshot_transfer);
         self.core.set_versions(&self.versions);
         if let (Some(audit), Some(part)) = (&mut self.audit, &fellows.audit) {
-            audit.set(part.parameters);
+            audit.set_config(part.parameters);
         }
         if let (Some(behind), Some(part)) = (&mut self.straggler, &fellows.straggler) {
             behind.voters.clone_from(&part.voters);
@@ -157,7 +146,7 @@
     }
 
     pub fn next_deadline(&self, now: Ms) -> Ms {
-        let audit = self.audit.as_ref().map(Auditor::next);
+        let audit = self.audit.as_ref().map(AuditLogWriter::next_deadline);
         let due = audit
             .unwrap_or(f64::INFINITY)
             .min(self.core.next_deadline(now))
@@ -169,7 +158,7 @@
 
     fn record_action(&mut self, now: Ms, act: AuditedAction) {
         if let Some(audit) = &mut self.audit {
-            audit.act(self.core.clock.next_timestamp(now), act);
+            audit.record_action(self.core.clock.next_timestamp(now), act);
         }
     }
 
@@ -179,16 +168,16 @@
         let at = self.core.clock.next_timestamp(now);
         let to = ordered.endpoint.number();
         match write {
-            true => audit.booking(WriteAttempt {
+            true => audit.record_write_attempt(WriteAttempt {
                 request_id: id.to_string(),
                 attempt: ordered.attempt.number,
                 target: to,
                 at,
             }),
-            false => audit.act(at, AuditedAction::Attempt { target: to }),
+            false => audit.record_action(at, AuditedAction::Attempt { target: to }),
         }
         if let Some(source) = ordered.fill.source.filter(|_| !ordered.fill.only_if_cached) {
-            audit.act(at, AuditedAction::Fill { child: to, source: source.number() });
+            audit.record_action(at, AuditedAction::Fill { child: to, source: source.number() });
         }
     }
 
@@ -196,7 +185,7 @@
     pub fn record_write_outcome(&mut self, now: Ms, id: &str, number: u8, end: AttemptEnd) {
         let Some(audit) = &mut self.audit else { return };
         let how = end.name().to_string();
-        audit.booking_ended(WriteOutcome {
+        audit.record_write_outcome(WriteOutcome {
             request_id: id.to_string(),
             attempt: number,
             outcome: how,
@@ -219,16 +208,16 @@
             return;
         }
         let at = self.core.clock.next_timestamp(now);
-        let words = match ends {
-            true => audit.end(now, at, &self.linked),
+        let messages = match ends {
+            true => audit.finish(now, at, &self.linked),
             false => audit.tick(now, at, &self.versions, &self.linked),
         };
-        self.send_all(words);
+        self.send_all(messages);
     }
 
-    fn send_all(&mut self, words: Words) {
-        for (to, kind, bytes) in words {
-            self.core.send_message(&to, kind, bytes);
+    fn send_all(&mut self, messages: Vec<PeerMessage>) {
+        for PeerMessage { to, kind, body } in messages {
+            self.core.send_message(&to, kind.wire_tag(), body);
         }
     }
 
@@ -313,7 +302,7 @@
             self.versions.drains_applied += u64::from(was_ready && !line.ready);
             let cache = EndpointKey::of(&name).number();
             if let Some(audit) = &mut self.audit {
-                audit.name(cache, &name);
+                audit.add_node_name(cache, &name);
             }
             if was_ready && !line.ready {
                 self.record_action(
@@ -447,7 +436,7 @@
         let request = self.fetch.next_request(now, &self.core.peers_ahead());
         if let Some(SnapshotRequest { peer, request_id }) = request {
             let bytes = postcard::to_stdvec(&request_id).unwrap_or_default();
-            self.core.send_message(&peer, SNAPSHOT_REQUEST, bytes);
+            self.core.send_message(&peer, PeerMessageKind::SnapshotRequest.wire_tag(), bytes);
         }
     }
 }
@@ -476,7 +465,3 @@
         None => EntryKey::Group(purge.group),
     }
 }
-
-#[cfg(test)]
-#[path = "../../tests/unit/cluster.rs"]
-mod tests;
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -5,12 +5,12 @@
 //! - [`requests`]: the open requests;
 //! - [`policy_adapter`]: the policy, with its events and actions;
 //! - [`hierarchy_adapter`]: the hierarchy of caches, and the admission of fills;
-//! - [`remote_sites`], [`cluster`], [`account`]: other sites, other routers, and the audit log;
+//! - [`remote_sites`], [`cluster`], [`audit_log`]: other sites, other routers, and the audit log;
 //! - [`control`], [`hierarchy_control`], [`cli`], [`audit`]: the control socket, its answers, and the commands;
 //! - [`config`], [`operator_reload`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`]: the rest.
 
-mod account;
 mod audit;
+mod audit_log;
 mod buffers;
 mod cli;
 mod clock;
@@ -35,6 +35,7 @@
 mod multi_router;
 mod operator_digest;
 mod operator_reload;
+mod peer_message;
 mod policy_adapter;
 mod remote_sites;
 mod requests;
