--- a/crates/router/src/cluster/commands.rs
+++ b/crates/router/src/cluster/commands.rs
@@ -2,6 +2,7 @@
 
 use linnethook_membership::aggregation::query::QueryTarget;
 
+use crate::audit_log::AuditLogSizes;
 use crate::control::{
     AuditStorageView, ControlRequest, ControlResponse, DrainedCache, FleetView, OperatorFloorView,
 };
@@ -73,13 +74,13 @@
 
     fn audit_storage(&self) -> Option<AuditStorageView> {
         let audit = self.audit.as_ref()?;
-        let (records, replicas) = audit.kept();
+        let AuditLogSizes { own_records, replicas, dropped_records } = audit.sizes();
         Some(AuditStorageView {
-            records,
+            records: own_records,
             replica_logs: replicas.logs as u64,
             replica_records: replicas.records as u64,
             replica_bytes: replicas.bytes as u64,
-            unsaved_records: audit.unsaved,
+            unsaved_records: dropped_records,
         })
     }
 
@@ -121,6 +122,6 @@
     /// All audit records that are stored here; `None` where there is no audit log.
     fn audit_records(&mut self, now: Ms) -> Option<ControlResponse> {
         let at = self.core.clock.next_timestamp(now);
-        self.audit.as_mut().map(|audit| ControlResponse::AuditRecords(audit.all(now, at)))
+        self.audit.as_mut().map(|audit| ControlResponse::AuditRecords(audit.all_records(now, at)))
     }
 }
