--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -7,13 +7,13 @@
 //! - [`requests`], [`answers`]: the open requests, and their final answers;
 //! - [`policy_adapter`]: the policy, with its events and actions;
 //! - [`hierarchy_adapter`]: the hierarchy of caches, and the admission of fills;
-//! - [`remote_sites`], [`cluster`], [`account`]: other sites, other routers, and the audit log;
+//! - [`remote_sites`], [`cluster`], [`audit_log`]: other sites, other routers, and the audit log;
 //! - [`control`], [`hierarchy_control`], [`cli`], [`audit`]: the control socket, its answers, and the commands;
 //! - [`config`], [`operator_parts`], [`operator_reload`], [`shadow_policy`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`]: the rest.
 
-mod account;
 mod answers;
 mod audit;
+mod audit_log;
 mod buffers;
 mod cli;
 mod clock;
@@ -39,6 +39,7 @@
 mod operator_digest;
 mod operator_parts;
 mod operator_reload;
+mod peer_message;
 mod policy_adapter;
 mod proxy;
 mod remote_sites;
