--- a/crates/router/src/start_error.rs
+++ b/crates/router/src/start_error.rs
@@ -7,6 +7,7 @@
 
 use crate::cli::Failed as CommandError;
 use crate::config::ConfigError;
+use crate::hierarchy_adapter::HierarchyError;
 
 /// An error that ends the process with exit code 1.
 #[derive(Debug)]
@@ -19,7 +20,7 @@
     /// The process that evaluates the operator file can't be started.
     Evaluation(CommandError),
     /// The hierarchy of the operator file can't be used.
-    Hierarchy(String),
+    Hierarchy(HierarchyError),
     ControlSocket {
         path: String,
         source: io::Error,
@@ -38,7 +39,8 @@
             Self::Config(error) => error.fmt(f),
             Self::Operator(error) => error.fmt(f),
             Self::Evaluation(error) => f.write_str(error.text()),
-            Self::Hierarchy(reason) | Self::Router(reason) => f.write_str(reason),
+            Self::Hierarchy(error) => error.fmt(f),
+            Self::Router(reason) => f.write_str(reason),
             Self::ControlSocket { path, source } => write!(f, "control socket {path}: {source}"),
             Self::System(error) => error.fmt(f),
             Self::EventLoop(error) => error.fmt(f),
@@ -52,8 +54,9 @@
             Self::Config(error) => Some(error),
             Self::Operator(error) => Some(error),
             Self::ControlSocket { source, .. } | Self::System(source) => Some(source),
+            Self::Hierarchy(error) => Some(error),
             Self::EventLoop(error) => Some(error),
-            Self::NoConfig | Self::Evaluation(_) | Self::Hierarchy(_) | Self::Router(_) => None,
+            Self::NoConfig | Self::Evaluation(_) | Self::Router(_) => None,
         }
     }
 }
--- a/crates/router/tests/unit/hierarchy_adapter.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -1,5 +1,7 @@
-//! Unit tests of `src/hierarchy_adapter.rs`, a part of its module: the snapshot that one router gives to another.
+//! Unit tests of `src/hierarchy_adapter`, a part of its module: the snapshot that one router gives
+//! to another, and why changes are not applied.
 
+use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec};
 use linnethook_operator_config::{EvaluationLimits, OperatorConfig};
 
 use super::*;
@@ -20,7 +22,7 @@
 }
 
 #[test]
-fn a_snapshot_is_the_same_bytes_and_is_adopted_whole() {
+fn a_snapshot_is_the_same_bytes_and_is_restored_in_full() {
     let snapshot = adapter(FILE).encode_snapshot();
     assert_golden("hierarchy_snapshot.txt", &format!("{}\n", hex(&snapshot)));
     let mut late = adapter("hierarchy(author = 8)");
@@ -28,3 +30,58 @@
     assert_eq!(late.active_version(), adapter(FILE).active_version());
     assert_eq!(late.encode_snapshot(), snapshot);
 }
+
+/// Commands and scripts read these texts.
+#[test]
+fn each_reason_against_a_change_has_its_text() {
+    let mut hierarchy = adapter(FILE);
+    let mut reasons = Vec::new();
+    let unknown = ChangeSpec::Remove { node: "nobody".to_string() };
+    reasons
+        .push(hierarchy.plan(2_000.0, std::slice::from_ref(&unknown)).expect_err("no such node").to_string());
+    reasons.push(hierarchy.roll_back(2_000.0, 9, 9).expect_err("no such batch").to_string());
+    let batch = |number: u64, stamp: u64, changes: &[ChangeSpec]| BatchSpec {
+        author: 9,
+        number,
+        stamp,
+        basis: Vec::new(),
+        effective_at: 0.0,
+        changes: changes.to_vec(),
+    };
+    let mut receive = |batch: BatchSpec| {
+        hierarchy.apply_journal_batch(2_000.0, &batch).expect_err("it is not applied").to_string()
+    };
+    reasons.push(receive(batch(1, 5, &[unknown])));
+    reasons.push(receive(batch(3, 7, &[])));
+    reasons.push(receive(batch(2, 5, &[])));
+    reasons.push(receive(batch(0, 0, &[])));
+    let early = adapter("hierarchy(author = 8)").encode_snapshot();
+    reasons.push(hierarchy.restore_snapshot(2_000.0, &early).expect_err("it is older").to_string());
+    reasons.push(hierarchy.restore_snapshot(2_000.0, &[]).expect_err("no snapshot").to_string());
+    let expected = [
+        "node CacheId(17775146599398579598) is not in the shape",
+        "no such batch is kept, or it was not applied",
+        "node CacheId(17775146599398579598) is not in the shape",
+        "it waits for batch 2 of author 9",
+        "its stamp is not above that of batch Serial { author: Author(9), number: 1 }, on which it was planned",
+        "batches are numbered from 1 on, a stamp is above 0, and figures are numbers",
+        "it is at version 0, this router at 5",
+        "Hit the end of buffer, expected more data",
+    ];
+    assert_eq!(reasons, expected);
+}
+
+/// Gossip keeps no order: a batch that waits for an earlier one is no error there, and it is one elsewhere.
+#[test]
+fn a_gossiped_batch_may_wait_for_an_earlier_one() {
+    let later = BatchSpec {
+        author: 9,
+        number: 2,
+        stamp: 6,
+        basis: Vec::new(),
+        effective_at: 0.0,
+        changes: Vec::new(),
+    };
+    adapter(FILE).apply_gossip_batch(2_000.0, &later).expect("it waits");
+    adapter(FILE).apply_journal_batch(2_000.0, &later).expect_err("it waits");
+}
