--- a/crates/router/src/hierarchy_control.rs
+++ b/crates/router/src/hierarchy_control.rs
@@ -1,96 +1,99 @@
-//! Questions of the control socket that concern the hierarchy. The hierarchy judges what a change does.
+//! Requests of the control socket that concern the hierarchy. The hierarchy judges what a change does.
 
 use std::collections::BTreeMap;
 
 use linnethook_hierarchy::change_spec::ChangeSpec;
-use linnethook_hierarchy::hierarchy::{BudgetView, MigrationView};
-use linnethook_hierarchy::HierarchyView;
+use linnethook_hierarchy::hierarchy;
 
-use crate::control::{Answer, BudgetLine, MoveLine, Question, Shown};
+use crate::control::{BudgetView, ControlRequest, ControlResponse, HierarchyView, MigrationView};
 use crate::hierarchy_adapter::{FillCounts, HierarchyAdapter, HierarchyError};
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
 
-/// Answers a question; `hierarchy` is `None` where the operator file has no `hierarchy()`.
-pub fn reply(hierarchy: Option<&mut HierarchyAdapter>, now: Ms, question: Question) -> Answer {
+/// Answers a request; `hierarchy` is `None` where the operator file has no `hierarchy()`.
+pub fn reply(hierarchy: Option<&mut HierarchyAdapter>, now: Ms, request: ControlRequest) -> ControlResponse {
     let Some(hierarchy) = hierarchy else {
-        return Answer::No("the hierarchy is off: the operator file has no hierarchy()".to_string());
+        return ControlResponse::Refused(
+            "the hierarchy is off: the operator file has no hierarchy()".to_string(),
+        );
     };
-    match question {
-        Question::Show => Answer::Shown(Box::new(hierarchy_status(hierarchy, now))),
-        Question::Nodes => Answer::Nodes(hierarchy.node_specs()),
-        Question::Plan(changes) => {
+    match request {
+        ControlRequest::ShowHierarchy => ControlResponse::Hierarchy(Box::new(hierarchy_view(hierarchy, now))),
+        ControlRequest::ListNodes => ControlResponse::Nodes(hierarchy.node_specs()),
+        ControlRequest::PlanChanges(changes) => {
             let plan = hierarchy.plan(now, &changes);
-            plan.map_or_else(error_answer, |plan| Answer::Plan(Box::new(plan)))
+            plan.map_or_else(refuse, |plan| ControlResponse::Plan(Box::new(plan)))
         }
-        Question::Apply(changes) => apply_changes(hierarchy, now, &changes),
-        Question::Hear(batch) => {
+        ControlRequest::ApplyChanges(changes) => apply_changes(hierarchy, now, &changes),
+        ControlRequest::ReceiveBatch(batch) => {
             let applied = hierarchy.apply_journal_batch(now, &batch);
-            applied.map_or_else(error_answer, |()| Answer::Done("heard".to_string()))
+            applied.map_or_else(refuse, |()| ControlResponse::Done("heard".to_string()))
         }
-        Question::RollBack { author, number } => roll_back(hierarchy, now, author, number),
-        _ => Answer::No("a question of another part".to_string()),
+        ControlRequest::RollBack { author, number } => roll_back(hierarchy, now, author, number),
+        _ => ControlResponse::Refused("a question of another part".to_string()),
     }
 }
 
-fn error_answer(error: HierarchyError) -> Answer {
-    Answer::No(error.to_string())
+fn refuse(error: HierarchyError) -> ControlResponse {
+    ControlResponse::Refused(error.to_string())
 }
 
-fn apply_changes(hierarchy: &mut HierarchyAdapter, now: Ms, changes: &[ChangeSpec]) -> Answer {
+fn apply_changes(hierarchy: &mut HierarchyAdapter, now: Ms, changes: &[ChangeSpec]) -> ControlResponse {
     match hierarchy.apply(now, changes) {
         Ok(batch) => {
             log_line!(author = batch.author, number = batch.number, "hierarchy: a batch was applied");
-            Answer::Applied(batch)
+            ControlResponse::Applied(batch)
         }
-        Err(error) => error_answer(error),
+        Err(error) => refuse(error),
     }
 }
 
-fn roll_back(hierarchy: &mut HierarchyAdapter, now: Ms, author: u16, number: u64) -> Answer {
+fn roll_back(hierarchy: &mut HierarchyAdapter, now: Ms, author: u16, number: u64) -> ControlResponse {
     match hierarchy.roll_back(now, author, number) {
         Ok(changes) => {
             log_line!(author, number, "hierarchy: a batch was rolled back");
-            Answer::Done(format!("batch {author}/{number} rolled back: {changes} changes"))
+            ControlResponse::Done(format!("batch {author}/{number} rolled back: {changes} changes"))
         }
-        Err(error) => error_answer(error),
+        Err(error) => refuse(error),
     }
 }
 
 /// The state of the hierarchy as commands print it.
-fn hierarchy_status(hierarchy: &HierarchyAdapter, now: Ms) -> Shown {
+fn hierarchy_view(hierarchy: &HierarchyAdapter, now: Ms) -> HierarchyView {
     let view = hierarchy.view(now);
     let FillCounts { queued, in_flight } = hierarchy.fill_counts();
-    Shown {
+    let migrations = view.migrations.iter().map(|migration| migration_view(hierarchy, migration));
+    let budgets = view.budgets.iter().map(|budget| budget_view(hierarchy, budget));
+    HierarchyView {
         version: view.version,
         nodes: view.nodes,
-        suspended: view.suspended_edges,
-        held_back: view.backed_off_edges,
-        waiting_batches: view.pending_batches,
-        waiting_fills: queued,
-        out: in_flight,
-        moves: view.migrations.iter().map(|migration| migration_line(hierarchy, migration)).collect(),
-        budgets: view.budgets.iter().map(|budget| budget_line(hierarchy, budget)).collect(),
-        counts: shield_counts(&view),
+        suspended_edges: view.suspended_edges,
+        backed_off_edges: view.backed_off_edges,
+        pending_batches: view.pending_batches,
+        queued_fills: queued,
+        fills_in_flight: in_flight,
+        migrations: migrations.collect(),
+        budgets: budgets.collect(),
+        counters: shield_counters(&view),
         digest: view.digest,
     }
 }
 
-fn migration_line(hierarchy: &HierarchyAdapter, migration: &MigrationView) -> MoveLine {
-    MoveLine {
-        to: hierarchy.node_name(migration.target),
+fn migration_view(hierarchy: &HierarchyAdapter, migration: &hierarchy::MigrationView) -> MigrationView {
+    MigrationView {
+        target: hierarchy.node_name(migration.target),
         author: migration.author,
         number: migration.number,
         stage: migration.stage.name().to_string(),
-        part: migration.fraction,
-        tries: migration.attempts,
-        late_new: migration.new_failure_ratio,
-        late_old: migration.old_failure_ratio,
+        fraction: migration.fraction,
+        attempts: migration.attempts,
+        new_failure_ratio: migration.new_failure_ratio,
+        old_failure_ratio: migration.old_failure_ratio,
     }
 }
 
-fn budget_line(hierarchy: &HierarchyAdapter, budget: &BudgetView) -> BudgetLine {
-    BudgetLine {
+fn budget_view(hierarchy: &HierarchyAdapter, budget: &hierarchy::BudgetView) -> BudgetView {
+    BudgetView {
         target: hierarchy.node_name(budget.target),
         per_second: budget.per_second,
         limit: budget.limit,
@@ -98,9 +101,9 @@
 }
 
 /// The counters of the origin shield, by the names that commands print.
-fn shield_counts(view: &HierarchyView) -> BTreeMap<String, u64> {
+fn shield_counters(view: &hierarchy::HierarchyView) -> BTreeMap<String, u64> {
     let counters = &view.counters;
-    let counts = [
+    let named = [
         ("gone", counters.admitted),
         ("joined", counters.joined),
         ("waited", counters.queued),
@@ -110,5 +113,5 @@
         ("over_time", counters.rejected_queue_timeout),
         ("leases_lost", counters.leases_expired),
     ];
-    counts.into_iter().map(|(name, count)| (name.to_string(), count)).collect()
+    named.into_iter().map(|(name, count)| (name.to_string(), count)).collect()
 }
