--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -6,31 +6,31 @@
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 
-use crate::ledger::{Fate, Token};
-use crate::site::{About, Fact, State};
-use crate::transfer::Copy;
+use crate::attempt_ledger::{AttemptOutcome, Token};
+use crate::site_state::{FactKey, FactValue, StateUpdate};
+use crate::transfer::ObjectVersion;
 
 /// The length counts the kind, the stream and the payload.
-const HEAD: usize = 4;
-const KIND_AND_STREAM: usize = 5;
+const LENGTH_BYTES: usize = 4;
+const KIND_AND_STREAM_BYTES: usize = 5;
 /// What a frame of bytes has beside them.
-pub const OVERHEAD: usize = HEAD + KIND_AND_STREAM;
+pub const DATA_OVERHEAD_BYTES: usize = LENGTH_BYTES + KIND_AND_STREAM_BYTES;
 
 /// Names and values, as a client's request has them.
 pub type Fields = Vec<(String, String)>;
 
 /// The versions of these frames that this build speaks, from and to. Since 2 there are facts of fellows.
-pub const VERSIONS: (u16, u16) = (1, 2);
+pub const SUPPORTED_VERSIONS: (u16, u16) = (1, 2);
 
 /// One word of a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// The first frame of each side.
     Hello(Hello),
     /// A request; streams are numbered upwards by the side that opens them.
-    Open(Box<Open>),
+    Request(Box<ForwardedRequest>),
     /// An answer begins.
-    Answer(Box<Begins>),
+    Response(Box<ResponseHead>),
     /// Bytes of the body of an answer.
     Data(Bytes),
     /// The body is whole.
@@ -38,9 +38,9 @@
     /// Nobody waits for the stream any more.
     Cancel,
     /// It was turned away, and never ran; when it may come again, in milliseconds, 0 = not told.
-    Never {
-        why: Turned,
-        come_back: u32,
+    Reject {
+        reason: RejectReason,
+        retry_after_ms: u32,
     },
     /// So many more bytes may be sent on the stream; on stream 0, on the link.
     Credit(u32),
@@ -48,16 +48,16 @@
     Ping(u64),
     Pong(u64),
     /// What became of an attempt, and the answer to that.
-    Ask(Token),
-    Told(Token, Fate),
+    OutcomeQuery(Token),
+    OutcomeReport(Token, AttemptOutcome),
     /// What a site says of itself.
-    State(State),
+    StateUpdate(StateUpdate),
     /// Something before the last state is missing: the start and the version up to which all is known.
-    Behind(u64, u64),
+    StateRequest(u64, u64),
     /// No new streams on this connection.
-    Leave,
+    GoAway,
     /// Facts beside the order of states: for one fellow, that lacks them.
-    Direct(Vec<(About, Fact)>),
+    DirectFacts(Vec<(FactKey, FactValue)>),
 }
 
 /// Who speaks.
@@ -70,53 +70,53 @@
     pub node: String,
     pub epoch: u64,
     /// The start and version up to which it knows the other's state.
-    pub known: (u64, u64),
+    pub known_state: (u64, u64),
     /// Where the proof of who it is will stand; empty so far.
     pub proof: Vec<u8>,
 }
 
 /// A request that crosses.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Open {
+pub struct ForwardedRequest {
     /// Where a second run would be harm.
     pub token: Option<Token>,
-    pub left_ms: u32,
+    pub remaining_ms: u32,
     pub priority: u8,
     /// The sites that it has passed, the sender's last.
-    pub passed: Vec<String>,
+    pub passed_sites: Vec<String>,
     /// Only the rest of that copy is wanted, from that byte on.
-    pub rest: Option<(u64, Copy)>,
-    pub head: Fields,
+    pub resume_from: Option<(u64, ObjectVersion)>,
+    pub fields: Fields,
     pub body: Bytes,
 }
 
 /// The beginning of an answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Begins {
+pub struct ResponseHead {
     pub served: bool,
-    pub head: Fields,
+    pub fields: Fields,
     /// Of the whole body, and the first byte of it that will come.
-    pub length: u64,
-    pub from: u64,
+    pub body_length: u64,
+    pub offset: u64,
     /// Which copy it is, where that is known.
-    pub copy: Option<Copy>,
+    pub version: Option<ObjectVersion>,
 }
 
 /// Why something was turned away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Turned {
+pub enum RejectReason {
     /// As many streams or attempts are open as may be.
-    Full,
+    AtCapacity,
     /// Its token is fenced off, or not remembered.
-    Barred,
+    TokenFenced,
     /// What this side knows of the other's drains and purges is too old.
-    Stale,
+    StateTooOld,
     /// The site is left alone by its operators, or the gateway ends.
-    Drained,
+    Draining,
     /// The decisions there refused it.
     Refused,
     /// It has passed this site, or as many as it may.
-    Passed,
+    HopLimit,
     /// It can't be read there.
     Unusable,
 }
@@ -124,95 +124,95 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Frame {
     pub stream: u32,
-    pub word: Word,
+    pub message: Message,
 }
 
 /// Why a session ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum Malformed {
+pub enum MalformedFrame {
     #[error("a frame of {0} bytes, {1} at the most")]
-    Length(usize, usize),
+    InvalidLength(usize, usize),
     #[error("a frame of an unknown kind")]
-    Kind,
+    UnknownKind,
     #[error("a frame that can't be read")]
-    Payload,
+    InvalidPayload,
 }
 
-const KIND_WORD: u8 = 1;
+const KIND_MESSAGE: u8 = 1;
 const KIND_DATA: u8 = 2;
 
 fn head(out: &mut BytesMut, kind: u8, stream: u32, payload: usize) {
-    out.put_u32((KIND_AND_STREAM + payload) as u32);
+    out.put_u32((KIND_AND_STREAM_BYTES + payload) as u32);
     out.put_u8(kind);
     out.put_u32(stream);
 }
 
 /// Adds a frame with bytes of a body.
-pub fn put_data(out: &mut BytesMut, stream: u32, bytes: &[u8]) {
-    out.reserve(OVERHEAD + bytes.len());
+pub fn write_data(out: &mut BytesMut, stream: u32, bytes: &[u8]) {
+    out.reserve(DATA_OVERHEAD_BYTES + bytes.len());
     head(out, KIND_DATA, stream, bytes.len());
     out.extend_from_slice(bytes);
 }
 
 /// Adds a frame.
-pub fn put(out: &mut BytesMut, stream: u32, word: &Word) {
+pub fn write_message(out: &mut BytesMut, stream: u32, word: &Message) {
     match word {
-        Word::Data(bytes) => put_data(out, stream, bytes),
+        Message::Data(bytes) => write_data(out, stream, bytes),
         word => {
             // Words hold nothing that postcard can't write.
             let payload = postcard::to_stdvec(word).unwrap_or_default();
-            head(out, KIND_WORD, stream, payload.len());
+            head(out, KIND_MESSAGE, stream, payload.len());
             out.extend_from_slice(&payload);
         }
     }
 }
 
 /// The bytes of a frame.
-pub fn encode(frame: &Frame) -> Vec<u8> {
+pub fn encode_frame(frame: &Frame) -> Vec<u8> {
     let mut out = BytesMut::new();
-    put(&mut out, frame.stream, &frame.word);
+    write_message(&mut out, frame.stream, &frame.message);
     out.to_vec()
 }
 
 /// Takes frames out of bytes as they come.
 #[derive(Debug, Default)]
-pub struct Decoder {
-    bytes: BytesMut,
+pub struct FrameDecoder {
+    buffer: BytesMut,
 }
 
-impl Decoder {
-    pub fn push(&mut self, bytes: &[u8]) {
-        self.bytes.extend_from_slice(bytes);
+impl FrameDecoder {
+    pub fn push_bytes(&mut self, bytes: &[u8]) {
+        self.buffer.extend_from_slice(bytes);
     }
 
     /// Bytes that are there and belong to no whole frame yet.
-    pub fn rest(&self) -> usize {
-        self.bytes.len()
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
     }
 
     /// The next frame, once it is there whole; `longest` counts its kind, stream and payload.
-    pub fn next(&mut self, longest: usize) -> Result<Option<Frame>, Malformed> {
-        let Some((head, rest)) = self.bytes.split_first_chunk::<HEAD>() else { return Ok(None) };
+    pub fn next_frame(&mut self, longest: usize) -> Result<Option<Frame>, MalformedFrame> {
+        let Some((head, rest)) = self.buffer.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
-        if !(KIND_AND_STREAM..=longest).contains(&length) {
-            return Err(Malformed::Length(length, longest));
+        if !(KIND_AND_STREAM_BYTES..=longest).contains(&length) {
+            return Err(MalformedFrame::InvalidLength(length, longest));
         }
         if rest.len() < length {
             return Ok(None);
         }
-        self.bytes.advance(HEAD);
-        let kind = self.bytes.get_u8();
-        let stream = self.bytes.get_u32();
+        self.buffer.advance(LENGTH_BYTES);
+        let kind = self.buffer.get_u8();
+        let stream = self.buffer.get_u32();
         // Bytes of bodies are handed on as they lie.
-        let payload = self.bytes.split_to(length - KIND_AND_STREAM).freeze();
+        let payload = self.buffer.split_to(length - KIND_AND_STREAM_BYTES).freeze();
         let word = match kind {
-            KIND_DATA => Word::Data(payload),
-            KIND_WORD => match postcard::take_from_bytes::<Word>(&payload) {
-                Ok((word, [])) if !matches!(word, Word::Data(_)) => word,
-                _ => return Err(Malformed::Payload),
+            KIND_DATA => Message::Data(payload),
+            KIND_MESSAGE => match postcard::take_from_bytes::<Message>(&payload) {
+                Ok((word, [])) if !matches!(word, Message::Data(_)) => word,
+                _ => return Err(MalformedFrame::InvalidPayload),
             },
-            _ => return Err(Malformed::Kind),
+            _ => return Err(MalformedFrame::UnknownKind),
         };
-        Ok(Some(Frame { stream, word }))
+        Ok(Some(Frame { stream, message: word }))
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,94 +13,96 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::across::{Across, AcrossRule};
-use crate::codec::{Fields, Hello, Turned, Word, VERSIONS};
-use crate::home::{Home, HomeRule, Need};
-use crate::ledger::{Horizon, Sent, Taken, Ticket};
-use crate::pulse::{Feel, Retry, RetryRule};
-use crate::routes::{RouteRule, Routes, Site, View};
-use crate::serving::Serving;
-use crate::session::{Ended, Heard, Session, SessionRule};
-use crate::site::{About, Fact, Heard as News, Other, Own, State};
-use crate::transfer::Copy;
-use crate::window::{Window, WindowRule};
+use crate::attempt_ledger::{AttemptLedgerConfig, ReceivedAttempts, SentAttempts, Ticket};
+use crate::codec::{Fields, Hello, Message, RejectReason, SUPPORTED_VERSIONS};
+use crate::concurrency_window::{ConcurrencyWindow, ConcurrencyWindowConfig};
+use crate::forwarding::{ForwardingConfig, PendingRequests};
+use crate::heartbeat::{LinkHealth, ReconnectBackoff, ReconnectConfig};
+use crate::local_capacity::{LocalCapacity, LocalCapacityConfig, RequestKind};
+use crate::remote_requests::ServedRequests;
+use crate::routing::{RoutingConfig, RoutingTable, SiteId, SiteView};
+use crate::session::{CloseReason, Session, SessionConfig, SessionEvent};
+use crate::site_state::{
+    FactKey, FactValue, PublishedState, ReceivedState, StateUpdate, UpdateResult as News,
+};
+use crate::transfer::ObjectVersion;
 
 /// A connection, by whoever owns the sockets.
-pub type Conn = u64;
+pub type ConnectionId = u64;
 
 /// All that can be set of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Rules {
-    pub session: SessionRule,
-    pub retry: RetryRule,
-    pub routes: RouteRule,
-    pub window: WindowRule,
-    pub home: HomeRule,
-    pub across: AcrossRule,
-    pub horizon: Horizon,
-    pub peers: PeerRule,
+pub struct GatewayConfig {
+    pub session: SessionConfig,
+    pub reconnect: ReconnectConfig,
+    pub routing: RoutingConfig,
+    pub concurrency_window: ConcurrencyWindowConfig,
+    pub local_capacity: LocalCapacityConfig,
+    pub forwarding: ForwardingConfig,
+    pub attempt_ledger: AttemptLedgerConfig,
+    pub peers: PeerConfig,
 }
 
 /// How other sites are known.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PeerRule {
+pub struct PeerConfig {
     /// Requests from another site are let in only while all that was known there so long ago is known here: its
     /// drains. 0 lets all in.
-    pub fresh: Ms,
+    pub max_state_delay: Ms,
     /// What a site said longer ago counts for nothing.
-    pub bound: Ms,
+    pub state_lifetime: Ms,
     /// Facts kept of the own site, and how long purges are told to those that come back.
-    pub facts: usize,
-    pub purges: Ms,
+    pub max_facts: usize,
+    pub purge_retention: Ms,
     /// Gateways of other sites, connections with one of them, and those that were taken in.
-    pub gateways: usize,
-    pub connections: usize,
-    pub accepted: usize,
+    pub max_gateways: usize,
+    pub max_connections: usize,
+    pub max_accepted: usize,
 }
 
-impl Default for PeerRule {
+impl Default for PeerConfig {
     fn default() -> Self {
         Self {
-            fresh: 200.0,
-            bound: 3_000.0,
-            facts: 8_192,
-            purges: 600_000.0,
-            gateways: 64,
-            connections: 4,
-            accepted: 32,
+            max_state_delay: 200.0,
+            state_lifetime: 3_000.0,
+            max_facts: 8_192,
+            purge_retention: 600_000.0,
+            max_gateways: 64,
+            max_connections: 4,
+            max_accepted: 32,
         }
     }
 }
 
 /// A gateway at its start.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Setup {
+pub struct GatewaySetup {
     pub site: String,
     /// The names of the other sites.
-    pub others: Vec<String>,
+    pub other_sites: Vec<String>,
     /// Its own name among the gateways of its site.
     pub node: String,
     /// When its process started, in Unix microseconds: greater with each start.
     pub epoch: u64,
     pub seed: u64,
     /// The sites that connections are kept up to, one entry for each.
-    pub dials: Vec<String>,
+    pub dial_sites: Vec<String>,
     /// Whether routers of the own site are fellows, and may connect.
-    pub fellows: bool,
-    pub rules: Rules,
+    pub accepts_cluster_peers: bool,
+    pub config: GatewayConfig,
 }
 
 /// An answer that somebody gave.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
     Served {
-        head: Fields,
+        fields: Fields,
         body: Bytes,
-        copy: Option<Copy>,
+        version: Option<ObjectVersion>,
     },
     /// It never ran, and may come again after that long (0 = not told).
-    Refused {
-        wait: Ms,
+    Rejected {
+        retry_after: Ms,
     },
     /// Nothing is promised.
     Failed,
@@ -108,13 +110,13 @@
 
 /// A request from another site.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Came {
+pub struct RemoteRequest {
     pub ticket: Ticket,
-    pub head: Fields,
+    pub fields: Fields,
     pub body: Bytes,
     /// How long its answer may take.
-    pub left: Ms,
-    pub passed: Vec<String>,
+    pub remaining: Ms,
+    pub passed_sites: Vec<String>,
 }
 
 /// What is to be done.
@@ -122,54 +124,54 @@
 pub enum Action {
     /// A connection is to be made, for that entry of the dials.
     Dial(usize),
-    Close(Conn, Ended),
+    Close(ConnectionId, CloseReason),
     /// Something may be pulled for it.
-    Write(Conn),
+    Write(ConnectionId),
     /// A request of this site is to be served at home.
-    Home(Ticket),
+    ServeLocally(Ticket),
     /// Its one final answer.
     Answer(Ticket, Reply),
     /// A request from another site is to be served; it is owed one `reply`.
-    Serve(Came),
+    ServeRemote(RemoteRequest),
     /// Nobody waits for it any more.
-    CallOff(Ticket),
+    CancelServe(Ticket),
     /// Another site says something that counts here too.
-    Heard(About, Fact),
+    RemoteFact(FactKey, FactValue),
     /// The first connection with a fellow of that start is up, or the last one is down.
-    Fellow {
+    PeerLink {
         name: String,
         start: u64,
         up: bool,
     },
     /// A fellow says something: key and entry.
-    Said {
+    PeerEntry {
         name: String,
         key: Vec<u8>,
         entry: Vec<u8>,
     },
-    Note(String),
+    Log(String),
 }
 
 /// The first ticket of requests from other sites: whoever names requests of its own stays below.
-pub const FOREIGN: Ticket = 1 << 54;
+pub const FIRST_REMOTE_TICKET: Ticket = 1 << 54;
 
 /// Another gateway.
 #[derive(Debug)]
 pub(crate) struct Peer {
-    pub site: Site,
+    pub site: SiteId,
     pub epoch: u64,
-    pub taken: Taken,
-    pub known: Other,
-    pub sessions: Vec<Conn>,
+    pub received_attempts: ReceivedAttempts,
+    pub state: ReceivedState,
+    pub sessions: Vec<ConnectionId>,
     /// Its name within its site.
     node: String,
-    seen: Ms,
+    last_received: Ms,
 }
 
 #[derive(Debug)]
 struct Dialer {
     site: String,
-    retry: Retry,
+    backoff: ReconnectBackoff,
     state: Dialing,
 }
 
@@ -177,22 +179,22 @@
 enum Dialing {
     At(Ms),
     Pending,
-    Up(Conn),
+    Up(ConnectionId),
 }
 
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct SiteConnection {
     pub session: Session,
     /// The other gateway, once it has said who it is.
     pub peer: Option<String>,
     dialer: Option<usize>,
     /// A fellow wants to be told here what is said: on one connection of several.
-    tells: bool,
+    sends_peer_state: bool,
 }
 
 /// Counts for people.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct GatewayCounts {
     pub home: u64,
     pub across: u64,
     pub nowhere: u64,
@@ -215,74 +217,75 @@
 /// One gateway.
 #[derive(Debug)]
 pub struct Gateway {
-    pub(crate) rules: Rules,
-    pub(crate) me: Site,
-    names: Vec<String>,
+    pub(crate) config: GatewayConfig,
+    pub(crate) own_site: SiteId,
+    site_names: Vec<String>,
     node: String,
     pub(crate) epoch: u64,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     dialers: Vec<Dialer>,
-    pub(crate) lines: BTreeMap<Conn, Line>,
+    pub(crate) connections: BTreeMap<ConnectionId, SiteConnection>,
     pub(crate) peers: BTreeMap<String, Peer>,
-    own: Own,
+    published: PublishedState,
     /// What is said to fellows; nothing where there are none.
-    fellows: Option<Own>,
-    pub(crate) home: Home,
-    pub(crate) routes: Routes,
-    pub(crate) windows: BTreeMap<Site, Window>,
-    pub(crate) sent: Sent,
-    pub(crate) across: Across,
-    pub(crate) serving: Serving,
+    peer_entries: Option<PublishedState>,
+    pub(crate) local_capacity: LocalCapacity,
+    pub(crate) routing: RoutingTable,
+    pub(crate) windows: BTreeMap<SiteId, ConcurrencyWindow>,
+    pub(crate) sent_attempts: SentAttempts,
+    pub(crate) pending: PendingRequests,
+    pub(crate) served: ServedRequests,
     /// Sites that the operators of this one want left alone.
-    left_alone: BTreeSet<Site>,
-    pub(crate) stopping: bool,
-    looked: Ms,
+    drained_sites: BTreeSet<SiteId>,
+    pub(crate) is_stopping: bool,
+    views_refreshed_at: Ms,
     pub(crate) actions: VecDeque<Action>,
-    pub counts: Counts,
+    pub counts: GatewayCounts,
 }
 
 /// By how much the clocks of two sites may differ at the most, in microseconds, as starts are told in.
-const DAY: f64 = 86_400e6;
+const MAX_CLOCK_DIFFERENCE_US: f64 = 86_400e6;
 
 /// Bytes of what is told to a fellow in one frame.
-const PIECE: usize = 128 << 10;
+const MAX_UPDATE_BYTES: usize = 128 << 10;
 
 /// How often the views of other sites are looked over.
-const LOOK: Ms = 50.0;
+const VIEW_REFRESH_INTERVAL: Ms = 50.0;
 
 impl Gateway {
-    pub fn new(now: Ms, setup: Setup) -> Self {
-        let rules = setup.rules;
+    pub fn new(now: Ms, setup: GatewaySetup) -> Self {
+        let rules = setup.config;
         let mut names = vec![setup.site];
-        names.extend(setup.others);
-        let retry = || Retry::new(rules.retry, rules.session.pulse);
-        let dialers = setup.dials.into_iter();
-        let dialers = dialers.map(|site| Dialer { site, retry: retry(), state: Dialing::At(now) }).collect();
-        let me = Site(0);
-        let sites = (1..names.len()).map(|n| Site(n as u16));
+        names.extend(setup.other_sites);
+        let retry = || ReconnectBackoff::new(rules.reconnect, rules.session.heartbeat);
+        let dialers = setup.dial_sites.into_iter();
+        let dialers =
+            dialers.map(|site| Dialer { site, backoff: retry(), state: Dialing::At(now) }).collect();
+        let me = SiteId(0);
+        let sites = (1..names.len()).map(|n| SiteId(n as u16));
         Self {
-            rules,
-            me,
-            windows: sites.map(|site| (site, Window::new(rules.window))).collect(),
-            names,
+            config: rules,
+            own_site: me,
+            windows: sites.map(|site| (site, ConcurrencyWindow::new(rules.concurrency_window))).collect(),
+            site_names: names,
             node: setup.node,
             epoch: setup.epoch,
-            chance: Pcg64Mcg::seed_from_u64(setup.seed),
+            random: Pcg64Mcg::seed_from_u64(setup.seed),
             dialers,
-            lines: BTreeMap::new(),
+            connections: BTreeMap::new(),
             peers: BTreeMap::new(),
-            own: Own::new(setup.epoch, rules.peers.facts),
-            fellows: setup.fellows.then(|| Own::new(setup.epoch, usize::MAX)),
-            home: Home::new(rules.home),
-            routes: Routes::new(me, rules.routes),
-            sent: Sent::new(setup.epoch, rules.across.attempts),
-            across: Across::default(),
-            serving: Serving::default(),
-            left_alone: BTreeSet::new(),
-            stopping: false,
-            looked: now,
+            published: PublishedState::new(setup.epoch, rules.peers.max_facts),
+            peer_entries: setup.accepts_cluster_peers.then(|| PublishedState::new(setup.epoch, usize::MAX)),
+            local_capacity: LocalCapacity::new(rules.local_capacity),
+            routing: RoutingTable::new(me, rules.routing),
+            sent_attempts: SentAttempts::new(setup.epoch, rules.forwarding.max_attempts),
+            pending: PendingRequests::default(),
+            served: ServedRequests::default(),
+            drained_sites: BTreeSet::new(),
+            is_stopping: false,
+            views_refreshed_at: now,
             actions: VecDeque::new(),
-            counts: Counts::default(),
+            counts: GatewayCounts::default(),
         }
     }
 
@@ -292,17 +295,17 @@
     }
 
     /// The number of a site that the setup names.
-    pub fn site(&self, name: &str) -> Option<Site> {
-        self.names.iter().position(|known| known == name).map(|n| Site(n as u16))
+    pub fn site_id(&self, name: &str) -> Option<SiteId> {
+        self.site_names.iter().position(|known| known == name).map(|n| SiteId(n as u16))
     }
 
-    pub fn site_name(&self, site: Site) -> &str {
-        self.names.get(usize::from(site.0)).map_or("?", String::as_str)
+    pub fn site_name(&self, site: SiteId) -> &str {
+        self.site_names.get(usize::from(site.0)).map_or("?", String::as_str)
     }
 
     /// Sites by name; one that is not known still counts as passed.
-    pub(crate) fn sites(&self, names: &[String]) -> Vec<Site> {
-        names.iter().map(|name| self.site(name).unwrap_or(Site(u16::MAX))).collect()
+    pub(crate) fn site_ids(&self, names: &[String]) -> Vec<SiteId> {
+        names.iter().map(|name| self.site_id(name).unwrap_or(SiteId(u16::MAX))).collect()
     }
 
     /// Names one start of another gateway.
@@ -313,179 +316,187 @@
     // ---- Connections.
 
     /// A connection is up: one that was dialled for that entry, or one that was taken in.
-    pub fn opened(&mut self, now: Ms, conn: Conn, dialer: Option<usize>) {
-        let accepted = self.lines.values().filter(|line| line.dialer.is_none()).count();
-        if dialer.is_none() && accepted >= self.rules.peers.accepted {
-            return self.actions.push_back(Action::Close(conn, Ended::Peers));
+    pub fn connection_opened(&mut self, now: Ms, conn: ConnectionId, dialer: Option<usize>) {
+        let accepted = self.connections.values().filter(|line| line.dialer.is_none()).count();
+        if dialer.is_none() && accepted >= self.config.peers.max_accepted {
+            return self.actions.push_back(Action::Close(conn, CloseReason::TooManyGateways));
         }
         if let Some(dialer) = dialer.and_then(|n| self.dialers.get_mut(n)) {
             dialer.state = Dialing::Up(conn);
         }
-        let mut session = Session::new(now, self.rules.session);
+        let mut session = Session::new(now, self.config.session);
         // Whoever dials says what it knows of the other's state; who was dialled learns who it is first.
         let site = dialer.and_then(|n| self.dialers.get(n)).map(|dialer| dialer.site.clone());
-        let site = site.and_then(|name| self.site(&name));
+        let site = site.and_then(|name| self.site_id(&name));
         let known = self.peers.values().find(|peer| Some(peer.site) == site);
-        session.say(&Word::Hello(Hello {
-            versions: VERSIONS,
-            site: self.names[0].clone(),
+        session.send(&Message::Hello(Hello {
+            versions: SUPPORTED_VERSIONS,
+            site: self.site_names[0].clone(),
             node: self.node.clone(),
             epoch: self.epoch,
-            known: known.map_or((0, 0), |peer| peer.known.known()),
+            known_state: known.map_or((0, 0), |peer| peer.state.position()),
             proof: Vec::new(),
         }));
-        if self.stopping {
-            session.say(&Word::Leave);
+        if self.is_stopping {
+            session.send(&Message::GoAway);
         }
-        self.lines.insert(conn, Line { session, peer: None, dialer, tells: false });
+        self.connections
+            .insert(conn, SiteConnection { session, peer: None, dialer, sends_peer_state: false });
         self.actions.push_back(Action::Write(conn));
     }
 
     /// A connection could not be made.
     pub fn dial_failed(&mut self, now: Ms, dialer: usize) {
-        let draw = self.chance.random::<f64>();
-        let alone = self.fellows.is_none();
+        let draw = self.random.random::<f64>();
+        let alone = self.peer_entries.is_none();
         if let Some(dialer) = self.dialers.get_mut(dialer) {
-            let never = alone && dialer.site == self.names[0];
-            let at = dialer.retry.down(now, draw);
+            let never = alone && dialer.site == self.site_names[0];
+            let at = dialer.backoff.record_down(now, draw);
             dialer.state = Dialing::At(if never { f64::INFINITY } else { at });
         }
     }
 
     /// A connection has ended by itself.
-    pub fn closed(&mut self, now: Ms, conn: Conn) {
-        self.drop_line(now, conn, Ended::Closed);
+    pub fn connection_closed(&mut self, now: Ms, conn: ConnectionId) {
+        self.remove_connection(now, conn, CloseReason::Closed);
     }
 
     /// Ends a connection from this side.
-    pub(crate) fn close(&mut self, now: Ms, conn: Conn, why: Ended) {
-        if self.lines.contains_key(&conn) {
+    pub(crate) fn close_connection(&mut self, now: Ms, conn: ConnectionId, why: CloseReason) {
+        if self.connections.contains_key(&conn) {
             self.actions.push_back(Action::Close(conn, why));
-            self.drop_line(now, conn, why);
+            self.remove_connection(now, conn, why);
         }
     }
 
-    fn drop_line(&mut self, now: Ms, conn: Conn, why: Ended) {
-        let Some(line) = self.lines.remove(&conn) else { return };
-        self.counts.body_bytes += line.session.body_bytes;
+    fn remove_connection(&mut self, now: Ms, conn: ConnectionId, why: CloseReason) {
+        let Some(line) = self.connections.remove(&conn) else { return };
+        self.counts.body_bytes += line.session.received_body_bytes;
         let greeted = line.peer.is_some();
         if let Some(n) = line.dialer {
             self.dial_failed(now, n);
         }
         let (mut last, mut asks) = (false, None);
-        let me = self.me;
+        let me = self.own_site;
         if let Some(peer) = line.peer.as_ref().and_then(|name| self.peers.get_mut(name)) {
             peer.sessions.retain(|other| *other != conn);
             last = peer.sessions.is_empty();
             let other = peer.sessions.first().copied().filter(|_| peer.site == me);
             if last && peer.site == me {
                 let (name, start) = (peer.node.clone(), peer.epoch);
-                self.actions.push_back(Action::Fellow { name, start, up: false });
+                self.actions.push_back(Action::PeerLink { name, start, up: false });
             }
             if let Some(window) = self.windows.get_mut(&peer.site).filter(|_| last) {
                 window.reset();
             }
             asks = other;
         }
-        asks.into_iter().for_each(|other| self.ask_fellow(other));
+        asks.into_iter().for_each(|other| self.request_peer_state(other));
         if greeted {
             self.counts.downs += 1;
             let peer = line.peer.as_deref().unwrap_or_default();
             let open = line.session.open_streams();
-            self.actions.push_back(Action::Note(format!(
+            self.actions.push_back(Action::Log(format!(
                 "gateway: a connection with {peer} is down, {} requests out and {} from there: {why}{}",
                 open.0,
                 open.1,
                 if last { "; it was the last one" } else { "" }
             )));
-        } else if why != Ended::Closed {
-            self.actions.push_back(Action::Note(format!("gateway: a connection is closed: {why}")));
+        } else if why != CloseReason::Closed {
+            self.actions.push_back(Action::Log(format!("gateway: a connection is closed: {why}")));
         }
-        self.look(now);
-        self.lost_serving(conn);
-        self.lost_across(now, conn, line.session.tickets());
+        self.refresh_site_views(now);
+        self.drop_served_streams(conn);
+        self.fail_over_requests(now, conn, line.session.open_tickets());
     }
 
     /// Takes in bytes of a connection.
-    pub fn came(&mut self, now: Ms, conn: Conn, bytes: &[u8]) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
+    pub fn receive(&mut self, now: Ms, conn: ConnectionId, bytes: &[u8]) {
+        let Some(line) = self.connections.get_mut(&conn) else { return };
         let mut heard = Vec::new();
-        let outcome = line.session.came(now, bytes, &mut heard);
+        let outcome = line.session.receive(now, bytes, &mut heard);
         if let Some(peer) = line.peer.as_ref().and_then(|name| self.peers.get_mut(name)) {
-            peer.seen = now;
-            peer.known.alive(now);
+            peer.last_received = now;
+            peer.state.record_activity(now);
         }
         for word in heard {
-            if let Err(why) = self.hear(now, conn, word) {
-                return self.close(now, conn, why);
+            if let Err(why) = self.handle_event(now, conn, word) {
+                return self.close_connection(now, conn, why);
             }
         }
         match outcome {
-            Ok(()) => self.wants_write(conn),
-            Err(why) => self.close(now, conn, why),
+            Ok(()) => self.request_write(conn),
+            Err(why) => self.close_connection(now, conn, why),
         }
     }
 
-    pub(crate) fn wants_write(&mut self, conn: Conn) {
-        if self.lines.get(&conn).is_some_and(|line| line.session.has_output()) {
+    pub(crate) fn request_write(&mut self, conn: ConnectionId) {
+        if self.connections.get(&conn).is_some_and(|line| line.session.has_output()) {
             self.actions.push_back(Action::Write(conn));
         }
     }
 
     /// What is to be written on a connection next, up to about that much.
-    pub fn pull(&mut self, conn: Conn, room: usize, into: &mut BytesMut) {
-        if let Some(line) = self.lines.get_mut(&conn) {
-            line.session.pull(room, into);
+    pub fn take_output(&mut self, conn: ConnectionId, room: usize, into: &mut BytesMut) {
+        if let Some(line) = self.connections.get_mut(&conn) {
+            line.session.take_output(room, into);
         }
     }
 
     /// So many bytes of what was pulled were handed to the system.
-    pub fn wrote(&mut self, conn: Conn, bytes: usize) {
-        let whole = self.lines.get_mut(&conn).map(|line| line.session.wrote(bytes)).unwrap_or_default();
-        whole.into_iter().for_each(|token| self.sent.written(token));
+    pub fn mark_written(&mut self, conn: ConnectionId, bytes: usize) {
+        let whole =
+            self.connections.get_mut(&conn).map(|line| line.session.mark_written(bytes)).unwrap_or_default();
+        whole.into_iter().for_each(|token| self.sent_attempts.mark_written(token));
     }
 
-    fn hear(&mut self, now: Ms, conn: Conn, word: Heard) -> Result<(), Ended> {
+    fn handle_event(&mut self, now: Ms, conn: ConnectionId, word: SessionEvent) -> Result<(), CloseReason> {
         match word {
-            Heard::Hello(hello) => return self.greet(now, conn, hello),
-            Heard::Open(stream, open) => self.open_came(now, conn, stream, *open),
-            Heard::Cancelled(stream) => self.cancelled(conn, stream),
-            Heard::Ask(token) => {
-                let Some(peer) = self.peer_of(conn) else { return Ok(()) };
-                let fate = peer.taken.ask(now, token);
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.session.say(&Word::Told(token, fate));
+            SessionEvent::Hello(hello) => return self.handle_hello(now, conn, hello),
+            SessionEvent::Request(stream, open) => self.handle_request(now, conn, stream, *open),
+            SessionEvent::Cancelled(stream) => self.handle_cancellation(conn, stream),
+            SessionEvent::OutcomeQuery(token) => {
+                let Some(peer) = self.peer_of_mut(conn) else { return Ok(()) };
+                let fate = peer.received_attempts.query_outcome(now, token);
+                if let Some(line) = self.connections.get_mut(&conn) {
+                    line.session.send(&Message::OutcomeReport(token, fate));
                 }
             }
-            Heard::Told(token, fate) => self.told(now, conn, token, fate),
-            Heard::Begins(ticket, begins) => return self.begins(now, conn, ticket, *begins),
-            Heard::Bytes(ticket, bytes) => return self.bytes_came(ticket, &bytes),
-            Heard::End(ticket) => return self.ends(now, conn, ticket),
-            Heard::Never(ticket, why, come_back) => self.never(now, conn, ticket, why, come_back),
-            Heard::State(state) => return self.state_came(now, conn, state),
-            Heard::Behind(epoch, version) if self.is_fellow(conn) => self.tell_fellow(conn, epoch, version),
-            Heard::Behind(epoch, version) => self.tell_state(conn, epoch, version),
-            Heard::Direct(facts) => self.fellow_says(conn, facts),
-            Heard::Leave => self.look(now),
+            SessionEvent::OutcomeReport(token, fate) => self.handle_outcome(now, conn, token, fate),
+            SessionEvent::ResponseHead(ticket, begins) => {
+                return self.begin_response(now, conn, ticket, *begins)
+            }
+            SessionEvent::Data(ticket, bytes) => return self.receive_body(ticket, &bytes),
+            SessionEvent::ResponseEnd(ticket) => return self.end_response(now, conn, ticket),
+            SessionEvent::Rejected(ticket, why, come_back) => {
+                self.handle_rejection(now, conn, ticket, why, come_back)
+            }
+            SessionEvent::StateUpdate(state) => return self.handle_state_update(now, conn, state),
+            SessionEvent::StateRequest(epoch, version) if self.is_cluster_peer(conn) => {
+                self.send_peer_state(conn, epoch, version)
+            }
+            SessionEvent::StateRequest(epoch, version) => self.send_state(conn, epoch, version),
+            SessionEvent::DirectFacts(facts) => self.handle_peer_entries(conn, facts),
+            SessionEvent::GoAway => self.refresh_site_views(now),
         }
         Ok(())
     }
 
-    pub(crate) fn peer_of(&mut self, conn: Conn) -> Option<&mut Peer> {
-        let name = self.lines.get(&conn)?.peer.as_ref()?;
+    pub(crate) fn peer_of_mut(&mut self, conn: ConnectionId) -> Option<&mut Peer> {
+        let name = self.connections.get(&conn)?.peer.as_ref()?;
         self.peers.get_mut(name)
     }
 
     /// The other side has said who it is.
-    fn greet(&mut self, now: Ms, conn: Conn, hello: Hello) -> Result<(), Ended> {
-        let site = self.site(&hello.site).ok_or(Ended::Stranger)?;
-        let fellow = site == self.me;
-        if fellow && (self.fellows.is_none() || hello.epoch == self.epoch && hello.node == self.node) {
-            return Err(Ended::Itself);
+    fn handle_hello(&mut self, now: Ms, conn: ConnectionId, hello: Hello) -> Result<(), CloseReason> {
+        let site = self.site_id(&hello.site).ok_or(CloseReason::UnknownSite)?;
+        let fellow = site == self.own_site;
+        if fellow && (self.peer_entries.is_none() || hello.epoch == self.epoch && hello.node == self.node) {
+            return Err(CloseReason::OwnIdentity);
         }
         // A start that is yet to come would keep out all that follow.
-        if hello.epoch as f64 > now * 1_000.0 + DAY {
-            return Err(Ended::Epoch);
+        if hello.epoch as f64 > now * 1_000.0 + MAX_CLOCK_DIFFERENCE_US {
+            return Err(CloseReason::InvalidEpoch);
         }
         // Two processes under one name are told apart among fellows: who holds the name is theirs to settle.
         let start = if fellow { format!("#{}", hello.epoch) } else { String::new() };
@@ -495,22 +506,22 @@
             self.peers.retain(|other, peer| *other == name || !idle(peer));
         }
         if !self.peers.contains_key(&name) {
-            self.make_place(now)?;
+            self.make_room_for_peer(now)?;
         }
-        let horizon = self.rules.horizon;
+        let horizon = self.config.attempt_ledger;
         let peer = self.peers.entry(name.clone()).or_insert_with(|| Peer {
             site,
             epoch: hello.epoch,
-            taken: Taken::new(horizon),
-            known: Other::default(),
+            received_attempts: ReceivedAttempts::new(horizon),
+            state: ReceivedState::default(),
             sessions: Vec::new(),
             node: hello.node.clone(),
-            seen: now,
+            last_received: now,
         });
-        if !peer.taken.hello(hello.epoch) {
-            return Err(Ended::Epoch);
+        if !peer.received_attempts.accept_epoch(hello.epoch) {
+            return Err(CloseReason::InvalidEpoch);
         }
-        peer.seen = now;
+        peer.last_received = now;
         let mut replaced = Vec::new();
         if hello.epoch > peer.epoch {
             // It has started again: what is still open to its start before leads nowhere.
@@ -518,100 +529,107 @@
             peer.epoch = hello.epoch;
         }
         peer.sessions.push(conn);
-        let over = peer.sessions.len().saturating_sub(self.rules.peers.connections);
+        let over = peer.sessions.len().saturating_sub(self.config.peers.max_connections);
         replaced.extend(peer.sessions.drain(..over));
         self.counts.ups += 1;
-        if let Some(line) = self.lines.get_mut(&conn) {
+        if let Some(line) = self.connections.get_mut(&conn) {
             line.peer = Some(name.clone());
             if let Some(dialer) = line.dialer.and_then(|n| self.dialers.get_mut(n)) {
-                dialer.retry.up(now);
+                dialer.backoff.record_up(now);
             }
         }
         for old in replaced {
-            self.close(now, old, Ended::Replaced);
+            self.close_connection(now, old, CloseReason::Replaced);
         }
         let first = self.peers.get(&name).is_some_and(|peer| peer.sessions.len() == 1);
         if first {
-            self.actions.push_back(Action::Note(format!("gateway: a connection with {name} is up")));
+            self.actions.push_back(Action::Log(format!("gateway: a connection with {name} is up")));
         }
         if fellow {
             let (name, start) = (hello.node, hello.epoch);
             if first {
-                self.actions.push_back(Action::Fellow { name, start, up: true });
+                self.actions.push_back(Action::PeerLink { name, start, up: true });
             }
             // Only now it is known who it is, and what is known of it.
             if first {
-                self.ask_fellow(conn);
+                self.request_peer_state(conn);
             }
             return Ok(());
         }
-        self.tell_state(conn, hello.known.0, hello.known.1);
-        self.look(now);
-        self.found(conn, Self::peer_start(&name, hello.epoch));
+        self.send_state(conn, hello.known_state.0, hello.known_state.1);
+        self.refresh_site_views(now);
+        self.query_outcomes(conn, Self::peer_start(&name, hello.epoch));
         Ok(())
     }
 
     /// Room for another gateway: of those that have not been heard of for longer than tokens are remembered, the one
     /// heard of longest ago is forgotten.
-    fn make_place(&mut self, now: Ms) -> Result<(), Ended> {
-        if self.peers.len() < self.rules.peers.gateways {
+    fn make_room_for_peer(&mut self, now: Ms) -> Result<(), CloseReason> {
+        if self.peers.len() < self.config.peers.max_gateways {
             return Ok(());
         }
-        let span = self.rules.horizon.span;
-        let idle = self.peers.iter().filter(|(_, p)| p.sessions.is_empty() && now - p.seen > span);
-        let oldest = idle.min_by(|(_, a), (_, b)| a.seen.total_cmp(&b.seen)).map(|(name, _)| name.clone());
-        let oldest = oldest.ok_or(Ended::Peers)?;
+        let span = self.config.attempt_ledger.retention;
+        let idle = self.peers.iter().filter(|(_, p)| p.sessions.is_empty() && now - p.last_received > span);
+        let oldest = idle
+            .min_by(|(_, a), (_, b)| a.last_received.total_cmp(&b.last_received))
+            .map(|(name, _)| name.clone());
+        let oldest = oldest.ok_or(CloseReason::TooManyGateways)?;
         self.peers.remove(&oldest);
         Ok(())
     }
 
     // ---- What sites say of themselves.
 
-    fn tell_state(&mut self, conn: Conn, epoch: u64, version: u64) {
-        let Some(line) = self.lines.get_mut(&conn) else { return };
-        let state = self.own.since(epoch, version);
-        line.session.told = state.version;
-        line.session.say(&Word::State(state));
-        self.wants_write(conn);
+    fn send_state(&mut self, conn: ConnectionId, epoch: u64, version: u64) {
+        let Some(line) = self.connections.get_mut(&conn) else { return };
+        let state = self.published.changes_since(epoch, version);
+        line.session.sent_version = state.version;
+        line.session.send(&Message::StateUpdate(state));
+        self.request_write(conn);
     }
 
     /// Something holds at this site from now on.
-    pub fn say(&mut self, now: Ms, about: About, fact: Fact) {
-        if !self.own.say(now, about, fact) {
+    pub fn publish_fact(&mut self, now: Ms, about: FactKey, fact: FactValue) {
+        if !self.published.publish(now, about, fact) {
             return;
         }
-        let told = |(conn, line): (&Conn, &Line)| (*conn, line.session.told);
-        let mut behind: Vec<(Conn, u64)> =
-            self.lines.iter().filter(|(_, line)| line.peer.is_some()).map(told).collect();
-        behind.retain(|(conn, _)| !self.is_fellow(*conn));
+        let told = |(conn, line): (&ConnectionId, &SiteConnection)| (*conn, line.session.sent_version);
+        let mut behind: Vec<(ConnectionId, u64)> =
+            self.connections.iter().filter(|(_, line)| line.peer.is_some()).map(told).collect();
+        behind.retain(|(conn, _)| !self.is_cluster_peer(*conn));
         for (conn, told) in behind {
-            self.tell_state(conn, self.epoch, told);
+            self.send_state(conn, self.epoch, told);
         }
     }
 
-    fn state_came(&mut self, now: Ms, conn: Conn, state: State) -> Result<(), Ended> {
-        let most = self.rules.peers.facts * 2;
-        let fellow = self.is_fellow(conn);
-        let Some(peer) = self.peer_of(conn) else { return Ok(()) };
-        match peer.known.hear(now, state, most) {
-            News::TooMuch => return Err(Ended::State),
-            News::New(facts) if fellow => self.fellow_says(conn, facts),
-            News::New(facts) => {
+    fn handle_state_update(
+        &mut self,
+        now: Ms,
+        conn: ConnectionId,
+        state: StateUpdate,
+    ) -> Result<(), CloseReason> {
+        let most = self.config.peers.max_facts * 2;
+        let fellow = self.is_cluster_peer(conn);
+        let Some(peer) = self.peer_of_mut(conn) else { return Ok(()) };
+        match peer.state.apply_update(now, state, most) {
+            News::TooManyFacts => return Err(CloseReason::TooManyFacts),
+            News::Applied(facts) if fellow => self.handle_peer_entries(conn, facts),
+            News::Applied(facts) => {
                 for (about, fact) in facts {
                     match about {
-                        About::Cache(_) | About::Object(_) | About::Group(_) => {
-                            self.actions.push_back(Action::Heard(about, fact));
+                        FactKey::Cache(_) | FactKey::Object(_) | FactKey::Group(_) => {
+                            self.actions.push_back(Action::RemoteFact(about, fact));
                         }
-                        About::Site | About::Operators | About::Fellow(_) => {}
+                        FactKey::Site | FactKey::Operators | FactKey::PeerEntry(_) => {}
                     }
                 }
-                self.look(now);
+                self.refresh_site_views(now);
             }
-            News::Old => {}
-            News::Gap(version) => {
-                let epoch = peer.known.known().0;
-                if let Some(line) = self.lines.get_mut(&conn) {
-                    line.session.say(&Word::Behind(epoch, version));
+            News::Outdated => {}
+            News::Missing(version) => {
+                let epoch = peer.state.position().0;
+                if let Some(line) = self.connections.get_mut(&conn) {
+                    line.session.send(&Message::StateRequest(epoch, version));
                 }
             }
         }
@@ -621,322 +639,352 @@
     // ---- Fellows.
 
     /// Whether requests can go to other sites at all.
-    pub fn crosses(&self) -> bool {
-        self.names.len() > 1
+    pub fn forwards_requests(&self) -> bool {
+        self.site_names.len() > 1
     }
 
-    fn is_fellow(&self, conn: Conn) -> bool {
-        let name = self.lines.get(&conn).and_then(|line| line.peer.as_ref());
-        name.and_then(|name| self.peers.get(name)).is_some_and(|peer| peer.site == self.me)
+    fn is_cluster_peer(&self, conn: ConnectionId) -> bool {
+        let name = self.connections.get(&conn).and_then(|line| line.peer.as_ref());
+        name.and_then(|name| self.peers.get(name)).is_some_and(|peer| peer.site == self.own_site)
     }
 
     /// Has a fellow tell on that connection what is not known of it yet, and all that follows.
-    fn ask_fellow(&mut self, conn: Conn) {
-        let (epoch, version) = self.peer_of(conn).map_or((0, 0), |peer| peer.known.known());
-        if let Some(line) = self.lines.get_mut(&conn) {
-            line.session.say(&Word::Behind(epoch, version));
+    fn request_peer_state(&mut self, conn: ConnectionId) {
+        let (epoch, version) = self.peer_of_mut(conn).map_or((0, 0), |peer| peer.state.position());
+        if let Some(line) = self.connections.get_mut(&conn) {
+            line.session.send(&Message::StateRequest(epoch, version));
         }
-        self.wants_write(conn);
+        self.request_write(conn);
     }
 
-    fn fellow_says(&mut self, conn: Conn, facts: Vec<(About, Fact)>) {
-        let fellow = self.is_fellow(conn);
-        let Some(name) = self.peer_of(conn).filter(|_| fellow).map(|peer| peer.node.clone()) else { return };
+    fn handle_peer_entries(&mut self, conn: ConnectionId, facts: Vec<(FactKey, FactValue)>) {
+        let fellow = self.is_cluster_peer(conn);
+        let Some(name) = self.peer_of_mut(conn).filter(|_| fellow).map(|peer| peer.node.clone()) else {
+            return;
+        };
         for (about, fact) in facts {
-            if let (About::Fellow(key), Fact::Fellow(entry)) = (about, fact) {
-                self.actions.push_back(Action::Said { name: name.clone(), key, entry });
+            if let (FactKey::PeerEntry(key), FactValue::PeerEntry(entry)) = (about, fact) {
+                self.actions.push_back(Action::PeerEntry { name: name.clone(), key, entry });
             }
         }
     }
 
     /// Something is said to all fellows, and to those that come later.
-    pub fn tell_fellows(&mut self, now: Ms, said: Vec<(Vec<u8>, Vec<u8>)>) {
-        let Some(own) = &mut self.fellows else { return };
+    pub fn broadcast_to_peers(&mut self, now: Ms, said: Vec<(Vec<u8>, Vec<u8>)>) {
+        let Some(own) = &mut self.peer_entries else { return };
         for (key, entry) in said {
-            own.say(now, About::Fellow(key), Fact::Fellow(entry));
+            own.publish(now, FactKey::PeerEntry(key), FactValue::PeerEntry(entry));
         }
-        let conns: Vec<Conn> = self.lines.keys().copied().filter(|conn| self.is_fellow(*conn)).collect();
+        let conns: Vec<ConnectionId> =
+            self.connections.keys().copied().filter(|conn| self.is_cluster_peer(*conn)).collect();
         for conn in conns {
             // Who has not said yet what it knows is told once it does.
-            let told = self.lines.get(&conn).filter(|line| line.tells).map(|line| line.session.told);
+            let told = self
+                .connections
+                .get(&conn)
+                .filter(|line| line.sends_peer_state)
+                .map(|line| line.session.sent_version);
             if let Some(told) = told {
-                self.tell_fellow(conn, self.epoch, told);
+                self.send_peer_state(conn, self.epoch, told);
             }
         }
     }
 
     /// What fellows that come later need not be told any more.
-    pub fn drop_fellows(&mut self, key: Vec<u8>) {
-        if let Some(own) = &mut self.fellows {
-            own.remove(&About::Fellow(key));
+    pub fn remove_peer_entry(&mut self, key: Vec<u8>) {
+        if let Some(own) = &mut self.peer_entries {
+            own.remove(&FactKey::PeerEntry(key));
         }
     }
 
-    fn tell_fellow(&mut self, conn: Conn, epoch: u64, version: u64) {
-        let (Some(own), Some(line)) = (&self.fellows, self.lines.get_mut(&conn)) else { return };
-        line.tells = true;
-        for piece in own.pieces(epoch, version, PIECE) {
-            line.session.told = piece.version;
-            line.session.say(&Word::State(piece));
+    fn send_peer_state(&mut self, conn: ConnectionId, epoch: u64, version: u64) {
+        let (Some(own), Some(line)) = (&self.peer_entries, self.connections.get_mut(&conn)) else { return };
+        line.sends_peer_state = true;
+        for piece in own.update_chunks(epoch, version, MAX_UPDATE_BYTES) {
+            line.session.sent_version = piece.version;
+            line.session.send(&Message::StateUpdate(piece));
         }
-        self.wants_write(conn);
+        self.request_write(conn);
     }
 
     /// Something is said to one fellow alone.
-    pub fn tell_fellow_alone(&mut self, name: &str, said: Vec<(Vec<u8>, Vec<u8>)>) {
-        let peer = self.peers.values().filter(|peer| peer.site == self.me && peer.node == name);
+    pub fn send_to_peer(&mut self, name: &str, said: Vec<(Vec<u8>, Vec<u8>)>) {
+        let peer = self.peers.values().filter(|peer| peer.site == self.own_site && peer.node == name);
         let Some(conn) = peer.filter_map(|peer| peer.sessions.first()).next().copied() else { return };
-        let fact = |(key, entry)| (About::Fellow(key), Fact::Fellow(entry));
-        if let Some(line) = self.lines.get_mut(&conn) {
-            line.session.say(&Word::Direct(said.into_iter().map(fact).collect()));
+        let fact = |(key, entry)| (FactKey::PeerEntry(key), FactValue::PeerEntry(entry));
+        if let Some(line) = self.connections.get_mut(&conn) {
+            line.session.send(&Message::DirectFacts(said.into_iter().map(fact).collect()));
         }
-        self.wants_write(conn);
+        self.request_write(conn);
     }
 
     /// No links with fellows any more, neither dialled nor taken in.
-    pub fn leave_fellows(&mut self, now: Ms) {
-        self.fellows = None;
-        let conns: Vec<Conn> = self.lines.keys().copied().filter(|conn| self.is_fellow(*conn)).collect();
-        conns.into_iter().for_each(|conn| self.close(now, conn, Ended::Stopped));
-        let own = &self.names[0];
+    pub fn disconnect_peers(&mut self, now: Ms) {
+        self.peer_entries = None;
+        let conns: Vec<ConnectionId> =
+            self.connections.keys().copied().filter(|conn| self.is_cluster_peer(*conn)).collect();
+        conns.into_iter().for_each(|conn| self.close_connection(now, conn, CloseReason::Stopped));
+        let own = &self.site_names[0];
         let waits = |dialer: &&mut Dialer| dialer.site == *own && matches!(dialer.state, Dialing::At(_));
         self.dialers.iter_mut().filter(waits).for_each(|dialer| dialer.state = Dialing::At(f64::INFINITY));
     }
 
     /// Whether another site says of a cache that it takes no new work.
-    pub fn bars(&self, cache: &str) -> bool {
-        self.peers.values().any(|peer| peer.known.bars(cache))
+    pub fn is_cache_barred(&self, cache: &str) -> bool {
+        self.peers.values().any(|peer| peer.state.has_barred_cache(cache))
     }
 
     /// Looks over what is known of other sites now.
-    pub(crate) fn look(&mut self, now: Ms) {
-        let bound = self.rules.peers.bound;
-        for n in 1..self.names.len() {
-            let site = Site(n as u16);
-            let flaps = |dialer: &Dialer| dialer.site == self.names[n] && dialer.retry.flaps(now);
+    pub(crate) fn refresh_site_views(&mut self, now: Ms) {
+        let bound = self.config.peers.state_lifetime;
+        for n in 1..self.site_names.len() {
+            let site = SiteId(n as u16);
+            let flaps =
+                |dialer: &Dialer| dialer.site == self.site_names[n] && dialer.backoff.is_flapping(now);
             let flapping = self.dialers.iter().any(flaps);
-            let mut view = View {
+            let mut view = SiteView {
                 reachable: false,
-                caches: false,
-                origin: false,
-                used: 1.0,
+                has_caches: false,
+                has_origin: false,
+                utilization: 1.0,
                 drained: false,
-                flaps: flapping,
+                flapping,
             };
             for peer in self.peers.values().filter(|peer| peer.site == site) {
-                let up = peer.sessions.iter().filter_map(|conn| self.lines.get(conn));
-                let up = up.filter(|line| !line.session.leaving && line.session.pulse.proven().is_some());
-                let up = up.filter(|line| line.session.pulse.feel(now) != Feel::HalfOpen).count() > 0;
-                if let Some(Fact::Drained(true)) = peer.known.get(now, bound, &About::Operators) {
+                let up = peer.sessions.iter().filter_map(|conn| self.connections.get(conn));
+                let up = up.filter(|line| {
+                    !line.session.is_leaving && line.session.heartbeat.all_received_until().is_some()
+                });
+                let up =
+                    up.filter(|line| line.session.heartbeat.health(now) != LinkHealth::HalfOpen).count() > 0;
+                if let Some(FactValue::Drained(true)) = peer.state.get(now, bound, &FactKey::Operators) {
                     view.drained = true;
                 }
-                let Some(Fact::Load { used, caches, origin }) = peer.known.get(now, bound, &About::Site)
+                let Some(FactValue::Load { utilization: used, caches, origin_reachable: origin }) =
+                    peer.state.get(now, bound, &FactKey::Site)
                 else {
                     continue;
                 };
                 if up {
                     view.reachable = true;
-                    view.caches |= *caches > 0;
-                    view.origin |= *origin;
-                    view.used = view.used.min(*used);
+                    view.has_caches |= *caches > 0;
+                    view.has_origin |= *origin;
+                    view.utilization = view.utilization.min(*used);
                 }
             }
-            view.drained |= self.left_alone.contains(&site);
-            self.routes.see(now, site, view);
+            view.drained |= self.drained_sites.contains(&site);
+            self.routing.update_site(now, site, view);
         }
-        self.looked = now;
+        self.views_refreshed_at = now;
     }
 
     // ---- What the own site is told.
 
     /// How many caches of this site take new work, and the part of what it can carry that is in use.
-    pub fn own(&mut self, now: Ms, caches: u32, used: f64) {
-        self.home.listed(caches);
+    pub fn report_local_load(&mut self, now: Ms, caches: u32, used: f64) {
+        self.local_capacity.set_listed_caches(caches);
         // Small moves are not worth a word to all.
-        self.home.loaded((used * 20.0).round() / 20.0);
-        self.tell_own(now);
+        self.local_capacity.set_utilization((used * 20.0).round() / 20.0);
+        self.publish_load(now);
     }
 
-    fn tell_own(&mut self, now: Ms) {
-        let view = self.home.view();
-        let fact = Fact::Load { used: view.used, caches: self.home.caches(), origin: view.origin };
-        self.say(now, About::Site, fact);
-        self.routes.own(view);
+    fn publish_load(&mut self, now: Ms) {
+        let view = self.local_capacity.view();
+        let fact = FactValue::Load {
+            utilization: view.utilization,
+            caches: self.local_capacity.usable_caches(),
+            origin_reachable: view.has_origin,
+        };
+        self.publish_fact(now, FactKey::Site, fact);
+        self.routing.set_own_view(view);
     }
 
     /// How a request ended that was served at home, for a client of this site.
-    pub fn ended_at_home(&mut self, now: Ms, need: Need, bad: bool) {
-        self.home.ended(now, need, bad);
-        self.tell_own(now);
+    pub fn record_local_outcome(&mut self, now: Ms, need: RequestKind, bad: bool) {
+        self.local_capacity.record_outcome(now, need, bad);
+        self.publish_load(now);
     }
 
     /// Whether the home is too far down for that now: then one that was refused there may go across.
-    pub fn home_is_unable(&self, need: Need) -> bool {
-        let view = self.home.view();
+    pub fn is_locally_unable(&self, need: RequestKind) -> bool {
+        let view = self.local_capacity.view();
         match need {
-            Need::Read => !view.caches,
-            Need::Write => !view.origin,
+            RequestKind::Read => !view.has_caches,
+            RequestKind::Write => !view.has_origin,
         }
     }
 
     /// A site is to be left alone, or is back; false where there is none of that name.
-    pub fn drain(&mut self, now: Ms, name: &str, drained: bool) -> bool {
-        let Some(site) = self.site(name) else { return false };
-        if site == self.me {
-            self.home.drain(drained);
-            self.say(now, About::Operators, Fact::Drained(drained));
-            self.tell_own(now);
+    pub fn set_drained(&mut self, now: Ms, name: &str, drained: bool) -> bool {
+        let Some(site) = self.site_id(name) else { return false };
+        if site == self.own_site {
+            self.local_capacity.set_drained(drained);
+            self.publish_fact(now, FactKey::Operators, FactValue::Drained(drained));
+            self.publish_load(now);
         } else if drained {
-            self.left_alone.insert(site);
+            self.drained_sites.insert(site);
         } else {
-            self.left_alone.remove(&site);
+            self.drained_sites.remove(&site);
         }
-        self.look(now);
+        self.refresh_site_views(now);
         true
     }
 
     /// Nothing new is wanted from other sites; what is open goes on.
-    pub fn stop(&mut self) {
-        self.stopping = true;
-        let conns: Vec<Conn> = self.lines.keys().copied().collect();
+    pub fn begin_shutdown(&mut self) {
+        self.is_stopping = true;
+        let conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for conn in conns {
-            if let Some(line) = self.lines.get_mut(&conn) {
-                line.session.say(&Word::Leave);
+            if let Some(line) = self.connections.get_mut(&conn) {
+                line.session.send(&Message::GoAway);
             }
-            self.wants_write(conn);
+            self.request_write(conn);
         }
     }
 
     // ---- Time.
 
     /// All that is due by now.
-    pub fn tick(&mut self, now: Ms) {
-        let conns: Vec<Conn> = self.lines.keys().copied().collect();
+    pub fn on_timer(&mut self, now: Ms) {
+        let conns: Vec<ConnectionId> = self.connections.keys().copied().collect();
         for conn in conns {
-            let Some(line) = self.lines.get_mut(&conn).filter(|line| line.session.next(now) <= now) else {
+            let Some(line) =
+                self.connections.get_mut(&conn).filter(|line| line.session.next_deadline(now) <= now)
+            else {
                 continue;
             };
-            match line.session.tick(now) {
-                Ok(()) => self.wants_write(conn),
-                Err(why) => self.close(now, conn, why),
+            match line.session.on_timer(now) {
+                Ok(()) => self.request_write(conn),
+                Err(why) => self.close_connection(now, conn, why),
             }
         }
         for n in 0..self.dialers.len() {
-            if matches!(self.dialers[n].state, Dialing::At(at) if at <= now) && !self.stopping {
+            if matches!(self.dialers[n].state, Dialing::At(at) if at <= now) && !self.is_stopping {
                 self.dialers[n].state = Dialing::Pending;
                 self.actions.push_back(Action::Dial(n));
             }
         }
-        if now - self.looked >= LOOK {
-            self.look(now);
-            let before = now - self.rules.peers.purges;
-            self.own.forget(before);
+        if now - self.views_refreshed_at >= VIEW_REFRESH_INTERVAL {
+            self.refresh_site_views(now);
+            let before = now - self.config.peers.purge_retention;
+            self.published.expire(before);
             for peer in self.peers.values_mut() {
-                peer.taken.expire(now);
-                peer.known.forget(before);
+                peer.received_attempts.expire(now);
+                peer.state.expire(before);
             }
-            self.resume(now);
+            self.resume_waiting(now);
         }
-        self.tick_across(now);
-        self.tick_serving(now);
+        self.expire_requests(now);
+        self.expire_writes(now);
     }
 
     /// When `tick` is due.
-    pub fn next(&self, now: Ms) -> Ms {
-        let sessions = self.lines.values().map(|line| line.session.next(now));
+    pub fn next_deadline(&self, now: Ms) -> Ms {
+        let sessions = self.connections.values().map(|line| line.session.next_deadline(now));
         let dials = self.dialers.iter().filter_map(|dialer| match dialer.state {
-            Dialing::At(at) if !self.stopping => Some(at),
+            Dialing::At(at) if !self.is_stopping => Some(at),
             _ => None,
         });
-        let due = self.across.next().into_iter().chain(self.sent.next()).chain(self.serving.next());
-        let look = (!self.lines.is_empty()).then_some(self.looked + LOOK);
+        let due = self
+            .pending
+            .next_deadline()
+            .into_iter()
+            .chain(self.sent_attempts.next_deadline())
+            .chain(self.served.next_deadline());
+        let look = (!self.connections.is_empty()).then_some(self.views_refreshed_at + VIEW_REFRESH_INTERVAL);
         sessions.chain(dials).chain(due).chain(look).fold(now + 1_000.0, f64::min).max(now)
     }
 
     // ---- For people.
 
     /// Where reads and writes go now.
-    pub fn shown_routes(&self, now: Ms) -> Vec<RouteLine> {
-        let line = |need: Need| {
-            let write = need == Need::Write;
-            let able = |view: &View| if write { view.origin } else { view.caches };
-            let usable = |site: Site| {
-                self.routes.known(site).filter(|(v, ..)| v.reachable && !v.drained && able(v)).is_some()
+    pub fn route_lines(&self, now: Ms) -> Vec<RouteLine> {
+        let line = |need: RequestKind| {
+            let write = need == RequestKind::Write;
+            let able = |view: &SiteView| if write { view.has_origin } else { view.has_caches };
+            let usable = |site: SiteId| {
+                self.routing
+                    .site_status(site)
+                    .filter(|(v, ..)| v.reachable && !v.drained && able(v))
+                    .is_some()
             };
-            let sites = (1..self.names.len() as u16).map(Site).filter(|site| usable(*site));
+            let sites = (1..self.site_names.len() as u16).map(SiteId).filter(|site| usable(*site));
             RouteLine {
                 what: if write { "writes" } else { "reads" }.to_string(),
-                home: !self.home.is_drained() && able(&self.home.view()),
+                home: !self.local_capacity.is_drained() && able(&self.local_capacity.view()),
                 across: sites
-                    .map(|site| (self.site_name(site).to_string(), self.routes.part(now, site, write)))
+                    .map(|site| {
+                        (self.site_name(site).to_string(), self.routing.admitted_share(now, site, write))
+                    })
                     .collect(),
             }
         };
-        vec![line(Need::Read), line(Need::Write)]
+        vec![line(RequestKind::Read), line(RequestKind::Write)]
     }
 
     /// How it stands with each other site.
     pub fn status(&self, now: Ms) -> Status {
         let site = |n: usize| {
-            let site = Site(n as u16);
-            let (view, shut, bad) = self.routes.known(site).unwrap_or((View::default(), false, 0.0));
+            let site = SiteId(n as u16);
+            let (view, shut, bad) =
+                self.routing.site_status(site).unwrap_or((SiteView::default(), false, 0.0));
             let peers = self.peers.iter().filter(|(_, peer)| peer.site == site);
             let gateways = peers.map(|(name, peer)| GatewayLine {
                 name: name.clone(),
                 connections: peer
                     .sessions
                     .iter()
-                    .filter_map(|c| self.lines.get(c))
+                    .filter_map(|c| self.connections.get(c))
                     .map(|l| l.shown(now))
                     .collect(),
-                remembered: peer.taken.kept().0 as u64,
+                remembered: peer.received_attempts.retained().0 as u64,
             });
             let window = self.windows.get(&site);
             SiteLine {
-                name: self.names[n].clone(),
+                name: self.site_names[n].clone(),
                 reachable: view.reachable,
-                caches: view.caches,
-                origin: view.origin,
-                used: view.used,
+                caches: view.has_caches,
+                origin: view.has_origin,
+                used: view.utilization,
                 drained: view.drained,
                 shut,
-                flapping: view.flaps,
+                flapping: view.flapping,
                 bad,
-                part: self.routes.part(now, site, false),
-                part_writes: self.routes.part(now, site, true),
-                window: window.map_or(0.0, Window::limit),
-                out: window.map_or(0, Window::out),
+                part: self.routing.admitted_share(now, site, false),
+                part_writes: self.routing.admitted_share(now, site, true),
+                window: window.map_or(0.0, ConcurrencyWindow::limit),
+                out: window.map_or(0, ConcurrencyWindow::in_flight),
                 gateways: gateways.collect(),
             }
         };
-        let own = self.home.view();
+        let own = self.local_capacity.view();
         Status {
-            site: self.names[0].clone(),
+            site: self.site_names[0].clone(),
             node: self.node.clone(),
             epoch: self.epoch,
-            caches: self.home.caches(),
-            origin: own.origin,
-            used: own.used,
+            caches: self.local_capacity.usable_caches(),
+            origin: own.has_origin,
+            used: own.utilization,
             drained: own.drained,
-            sites: (1..self.names.len()).map(site).collect(),
-            out: self.across.len() as u64,
-            uncertain: self.sent.uncertain() as u64,
-            serving: self.serving.len() as u64,
+            sites: (1..self.site_names.len()).map(site).collect(),
+            out: self.pending.len() as u64,
+            uncertain: self.sent_attempts.uncertain_count() as u64,
+            serving: self.served.len() as u64,
             counts: self.counts,
         }
     }
 }
 
-impl Line {
+impl SiteConnection {
     fn shown(&self, now: Ms) -> ConnLine {
         let (out, serving) = self.session.open_streams();
         ConnLine {
-            feel: self.session.pulse.feel(now).name().to_string(),
-            trip: self.session.pulse.trip(),
-            phi: self.session.pulse.phi(now),
+            health: self.session.heartbeat.health(now).name().to_string(),
+            trip: self.session.heartbeat.round_trip(),
+            phi: self.session.heartbeat.phi(now),
             out: out as u64,
             serving: serving as u64,
-            waiting: self.session.waiting(),
+            waiting: self.session.queued_bytes(),
         }
     }
 }
@@ -944,7 +992,8 @@
 /// A connection, as it is shown.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ConnLine {
-    pub feel: String,
+    #[serde(rename = "feel")]
+    pub health: String,
     /// How long an answer to a ping takes, in milliseconds.
     pub trip: Ms,
     pub phi: f64,
@@ -1006,10 +1055,10 @@
     pub out: u64,
     pub uncertain: u64,
     pub serving: u64,
-    pub counts: Counts,
+    pub counts: GatewayCounts,
 }
 
 /// Why something that came was turned away, as a word for the log.
-pub(crate) fn is_stale(why: Turned) -> bool {
-    why == Turned::Stale
+pub(crate) fn is_stale(why: RejectReason) -> bool {
+    why == RejectReason::StateTooOld
 }
--- a/crates/gateway/src/session.rs
+++ b/crates/gateway/src/session.rs
@@ -8,72 +8,75 @@
 use bytes::{Bytes, BytesMut};
 use linnethook::interface::Ms;
 
-use crate::codec::{put, put_data, Begins, Decoder, Frame, Hello, Malformed, Open, Turned, Word, VERSIONS};
-use crate::ledger::{Fate, Ticket, Token};
-use crate::pulse::{Feel, Pulse, PulseRule};
-use crate::site::{About, Fact, State};
-use crate::streams::{Bounds, Breach, Priority, Receiving, Sending};
+use crate::attempt_ledger::{AttemptOutcome, Ticket, Token};
+use crate::codec::{
+    write_data, write_message, ForwardedRequest, Frame, FrameDecoder, Hello, MalformedFrame, Message,
+    RejectReason, ResponseHead, SUPPORTED_VERSIONS,
+};
+use crate::flow_control::{FlowControlConfig, FlowControlError, Priority, ReceiveWindow, SendScheduler};
+use crate::heartbeat::{Heartbeat, HeartbeatConfig, LinkHealth};
+use crate::site_state::{FactKey, FactValue, StateUpdate};
 
 /// The bounds of a session.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SessionRule {
-    pub streams: Bounds,
-    pub pulse: PulseRule,
+pub struct SessionConfig {
+    pub flow_control: FlowControlConfig,
+    pub heartbeat: HeartbeatConfig,
     /// The longest frame, after its length.
-    pub frame: usize,
+    pub max_frame_bytes: usize,
     /// Bytes of words that may wait to be written: beyond the first no new request goes out, beyond the second the
     /// session ends.
-    pub crowded: usize,
-    pub backlog: usize,
+    pub crowded_output_bytes: usize,
+    pub max_output_bytes: usize,
     /// How long the other side may take to say who it is.
-    pub greeting: Ms,
+    pub hello_timeout: Ms,
     /// Streams that were called off here and are remembered, since their answers may be on the way.
-    pub called_off: usize,
+    pub max_cancelled_streams: usize,
 }
 
-impl Default for SessionRule {
+impl Default for SessionConfig {
     fn default() -> Self {
         Self {
-            streams: Bounds::default(),
-            pulse: PulseRule::default(),
-            frame: 1 << 20,
-            crowded: 256 << 10,
-            backlog: 2 << 20,
-            greeting: 2_000.0,
-            called_off: 4_096,
+            flow_control: FlowControlConfig::default(),
+            heartbeat: HeartbeatConfig::default(),
+            max_frame_bytes: 1 << 20,
+            crowded_output_bytes: 256 << 10,
+            max_output_bytes: 2 << 20,
+            hello_timeout: 2_000.0,
+            max_cancelled_streams: 4_096,
         }
     }
 }
 
 /// Why a session ended.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
-pub enum Ended {
+pub enum CloseReason {
     #[error(transparent)]
-    Malformed(#[from] Malformed),
+    MalformedFrame(#[from] MalformedFrame),
     #[error(transparent)]
-    Breach(#[from] Breach),
+    FlowControl(#[from] FlowControlError),
     #[error("a word before its hello")]
     NoHello,
     #[error("a second hello")]
-    HelloAgain,
+    DuplicateHello,
     #[error("no hello in time")]
-    Late,
+    HelloTimeout,
     #[error("it speaks versions {0} to {1}, expected {2} to {3}")]
-    Versions(u16, u16, u16, u16),
+    UnsupportedVersions(u16, u16, u16, u16),
     #[error("an answer to a stream that was never opened, or that has one")]
-    Answer,
+    UnexpectedResponse,
     #[error("it takes nothing of what waits for it")]
-    Backlog,
+    OutputBacklog,
     #[error("it says that it is this site")]
-    Itself,
+    OwnIdentity,
     #[error("it is of a site that is not known here")]
-    Stranger,
+    UnknownSite,
     #[error("an earlier start of its, or another than it had")]
-    Epoch,
+    InvalidEpoch,
     #[error("it says more of its site than is kept")]
-    State,
+    TooManyFacts,
     #[error("more gateways than may be")]
-    Peers,
+    TooManyGateways,
     #[error("nothing comes in any more")]
     Silent,
     #[error("nothing that is sent is answered")]
@@ -88,391 +91,419 @@
 
 /// What the other side has said, in its order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Heard {
+pub enum SessionEvent {
     Hello(Hello),
     /// A request; `stream` is to be answered.
-    Open(u32, Box<Open>),
+    Request(u32, Box<ForwardedRequest>),
     /// Words on a stream that this side has opened for that ticket.
-    Begins(Ticket, Box<Begins>),
-    Bytes(Ticket, Bytes),
-    End(Ticket),
-    Never(Ticket, Turned, Ms),
+    ResponseHead(Ticket, Box<ResponseHead>),
+    Data(Ticket, Bytes),
+    ResponseEnd(Ticket),
+    Rejected(Ticket, RejectReason, Ms),
     /// The other side does not wait for that stream any more.
     Cancelled(u32),
-    Ask(Token),
-    Told(Token, Fate),
-    State(State),
-    Behind(u64, u64),
-    Leave,
-    Direct(Vec<(About, Fact)>),
+    OutcomeQuery(Token),
+    OutcomeReport(Token, AttemptOutcome),
+    StateUpdate(StateUpdate),
+    StateRequest(u64, u64),
+    GoAway,
+    DirectFacts(Vec<(FactKey, FactValue)>),
 }
 
 /// A stream that this side has opened.
 #[derive(Debug, Clone, Copy)]
-struct Asked {
+struct OutgoingRequest {
     ticket: Ticket,
-    begun: bool,
+    response_begun: bool,
 }
 
 /// What is to be sent on a stream that the other side has opened.
 #[derive(Debug, Clone, Default)]
-struct Serving {
+struct IncomingRequest {
     body: Bytes,
 }
 
 #[derive(Debug)]
 pub struct Session {
-    rule: SessionRule,
-    since: Ms,
-    greeted: bool,
-    decoder: Decoder,
+    config: SessionConfig,
+    opened_at: Ms,
+    has_hello: bool,
+    decoder: FrameDecoder,
     /// Words that wait to be written.
-    out: BytesMut,
-    sending: Sending,
-    receiving: Receiving,
-    pub pulse: Pulse,
+    output: BytesMut,
+    scheduler: SendScheduler,
+    receive_window: ReceiveWindow,
+    pub heartbeat: Heartbeat,
     next_ping: Ms,
     last_stream: u32,
     /// The highest stream of the other side: they are numbered upwards.
-    highest: u32,
-    asked: BTreeMap<u32, Asked>,
-    streams: BTreeMap<Ticket, u32>,
-    serving: BTreeMap<u32, Serving>,
+    last_remote_stream: u32,
+    outgoing: BTreeMap<u32, OutgoingRequest>,
+    streams_by_ticket: BTreeMap<Ticket, u32>,
+    incoming: BTreeMap<u32, IncomingRequest>,
     /// Bytes handed over to be written, and of these the bytes that the system has taken.
-    handed: u64,
-    taken: u64,
+    handed_bytes: u64,
+    written_bytes: u64,
     /// Tokens whose request ends with that byte.
-    marks: VecDeque<(u64, Token)>,
-    called_off: BTreeSet<u32>,
+    request_ends: VecDeque<(u64, Token)>,
+    cancelled_streams: BTreeSet<u32>,
     /// The version of the own state up to which the other side was told.
-    pub told: u64,
+    pub sent_version: u64,
     /// The other side brings nothing new here, or wants nothing new.
-    pub leaving: bool,
+    pub is_leaving: bool,
     /// Bytes of bodies that came in.
-    pub body_bytes: u64,
+    pub received_body_bytes: u64,
 }
 
 impl Session {
-    pub fn new(now: Ms, rule: SessionRule) -> Self {
+    pub fn new(now: Ms, rule: SessionConfig) -> Self {
         Self {
-            rule,
-            since: now,
-            greeted: false,
-            decoder: Decoder::default(),
-            out: BytesMut::new(),
-            sending: Sending::new(rule.streams),
-            receiving: Receiving::new(rule.streams),
-            pulse: Pulse::new(now, rule.pulse),
+            config: rule,
+            opened_at: now,
+            has_hello: false,
+            decoder: FrameDecoder::default(),
+            output: BytesMut::new(),
+            scheduler: SendScheduler::new(rule.flow_control),
+            receive_window: ReceiveWindow::new(rule.flow_control),
+            heartbeat: Heartbeat::new(now, rule.heartbeat),
             next_ping: now,
             last_stream: 0,
-            highest: 0,
-            asked: BTreeMap::new(),
-            streams: BTreeMap::new(),
-            serving: BTreeMap::new(),
-            handed: 0,
-            taken: 0,
-            marks: VecDeque::new(),
-            called_off: BTreeSet::new(),
-            told: 0,
-            leaving: false,
-            body_bytes: 0,
+            last_remote_stream: 0,
+            outgoing: BTreeMap::new(),
+            streams_by_ticket: BTreeMap::new(),
+            incoming: BTreeMap::new(),
+            handed_bytes: 0,
+            written_bytes: 0,
+            request_ends: VecDeque::new(),
+            cancelled_streams: BTreeSet::new(),
+            sent_version: 0,
+            is_leaving: false,
+            received_body_bytes: 0,
         }
     }
 
     /// Says something on no stream.
-    pub fn say(&mut self, word: &Word) {
-        put(&mut self.out, 0, word);
+    pub fn send(&mut self, word: &Message) {
+        write_message(&mut self.output, 0, word);
     }
 
-    pub fn is_greeted(&self) -> bool {
-        self.greeted
+    pub fn has_hello(&self) -> bool {
+        self.has_hello
     }
 
     /// Streams that this side has opened, and those that the other side has.
     pub fn open_streams(&self) -> (usize, usize) {
-        (self.asked.len(), self.serving.len())
+        (self.outgoing.len(), self.incoming.len())
     }
 
     /// Bytes that wait to be written, those of bodies included.
-    pub fn waiting(&self) -> u64 {
-        self.out.len() as u64 + self.sending.waiting()
+    pub fn queued_bytes(&self) -> u64 {
+        self.output.len() as u64 + self.scheduler.queued_bytes()
     }
 
     /// Whether a new request may go out here.
-    pub fn takes(&self) -> bool {
-        self.greeted
-            && !self.leaving
-            && self.out.len() < self.rule.crowded
-            && self.asked.len() < self.rule.streams.streams
+    pub fn may_open_stream(&self) -> bool {
+        self.has_hello
+            && !self.is_leaving
+            && self.output.len() < self.config.crowded_output_bytes
+            && self.outgoing.len() < self.config.flow_control.max_streams
             && self.last_stream < u32::MAX
     }
 
     // ---- This side asks.
 
     /// Sends a request; its answer comes back with the ticket.
-    pub fn open(&mut self, ticket: Ticket, open: Open) {
+    pub fn send_request(&mut self, ticket: Ticket, open: ForwardedRequest) {
         self.last_stream += 1;
         let (stream, token) = (self.last_stream, open.token);
-        put(&mut self.out, stream, &Word::Open(Box::new(open)));
+        write_message(&mut self.output, stream, &Message::Request(Box::new(open)));
         if let Some(token) = token {
-            self.marks.push_back((self.handed + self.out.len() as u64, token));
+            self.request_ends.push_back((self.handed_bytes + self.output.len() as u64, token));
         }
-        self.asked.insert(stream, Asked { ticket, begun: false });
-        self.streams.insert(ticket, stream);
-        self.receiving.expect(stream);
+        self.outgoing.insert(stream, OutgoingRequest { ticket, response_begun: false });
+        self.streams_by_ticket.insert(ticket, stream);
+        self.receive_window.open_stream(stream);
     }
 
-    fn over(&mut self, stream: u32) {
-        if let Some(asked) = self.asked.remove(&stream) {
-            self.streams.remove(&asked.ticket);
+    fn finish_stream(&mut self, stream: u32) {
+        if let Some(asked) = self.outgoing.remove(&stream) {
+            self.streams_by_ticket.remove(&asked.ticket);
         }
-        let grants = self.receiving.close(stream, 0);
-        self.grant(grants);
+        let grants = self.receive_window.close_stream(stream, 0);
+        self.send_credit(grants);
     }
 
     /// Nobody waits for it any more.
-    pub fn cancel(&mut self, ticket: Ticket) {
-        if let Some(stream) = self.streams.get(&ticket).copied() {
-            self.over(stream);
-            put(&mut self.out, stream, &Word::Cancel);
-            self.called_off.insert(stream);
-            if self.called_off.len() > self.rule.called_off {
-                self.called_off.pop_first();
+    pub fn cancel_request(&mut self, ticket: Ticket) {
+        if let Some(stream) = self.streams_by_ticket.get(&ticket).copied() {
+            self.finish_stream(stream);
+            write_message(&mut self.output, stream, &Message::Cancel);
+            self.cancelled_streams.insert(stream);
+            if self.cancelled_streams.len() > self.config.max_cancelled_streams {
+                self.cancelled_streams.pop_first();
             }
         }
     }
 
-    fn grant(&mut self, grants: Vec<(u32, u32)>) {
+    fn send_credit(&mut self, grants: Vec<(u32, u32)>) {
         for (stream, bytes) in grants {
-            put(&mut self.out, stream, &Word::Credit(bytes));
+            write_message(&mut self.output, stream, &Message::Credit(bytes));
         }
     }
 
     // ---- This side answers.
 
     /// An answer to a stream of the other side; false where that has ended.
-    pub fn answer(&mut self, stream: u32, priority: Priority, begins: Begins, body: Bytes) -> bool {
-        let Some(serving) = self.serving.get_mut(&stream) else { return false };
+    pub fn send_response(
+        &mut self,
+        stream: u32,
+        priority: Priority,
+        begins: ResponseHead,
+        body: Bytes,
+    ) -> bool {
+        let Some(serving) = self.incoming.get_mut(&stream) else { return false };
         let bytes = body.len() as u64;
         serving.body = body;
-        put(&mut self.out, stream, &Word::Answer(Box::new(begins)));
-        self.sending.open(stream, priority);
-        self.sending.push(stream, bytes, true);
+        write_message(&mut self.output, stream, &Message::Response(Box::new(begins)));
+        self.scheduler.open_stream(stream, priority);
+        self.scheduler.queue_bytes(stream, bytes, true);
         true
     }
 
     /// Turns a stream of the other side away.
-    pub fn never(&mut self, stream: u32, why: Turned, come_back: Ms) {
-        if self.serving.remove(&stream).is_some() {
+    pub fn reject_stream(&mut self, stream: u32, why: RejectReason, come_back: Ms) {
+        if self.incoming.remove(&stream).is_some() {
             let come_back = come_back.clamp(0.0, f64::from(u32::MAX)) as u32;
-            put(&mut self.out, stream, &Word::Never { why, come_back });
+            write_message(
+                &mut self.output,
+                stream,
+                &Message::Reject { reason: why, retry_after_ms: come_back },
+            );
         }
     }
 
     /// A stream of the other side has had its time.
     pub fn drop_stream(&mut self, stream: u32) {
-        self.serving.remove(&stream);
-        self.sending.cancel(stream);
+        self.incoming.remove(&stream);
+        self.scheduler.cancel_stream(stream);
     }
 
     // ---- Bytes.
 
     /// What is to be written next, up to about that much; it counts as handed over.
-    pub fn pull(&mut self, room: usize, into: &mut BytesMut) {
+    pub fn take_output(&mut self, room: usize, into: &mut BytesMut) {
         let begun = into.len();
-        if !self.out.is_empty() {
-            into.extend_from_slice(&self.out);
-            self.out.clear();
+        if !self.output.is_empty() {
+            into.extend_from_slice(&self.output);
+            self.output.clear();
         }
         while into.len() - begun < room {
-            let Some(turn) = self.sending.next((room - (into.len() - begun)) as u64) else { break };
-            let Some(serving) = self.serving.get_mut(&turn.stream) else { continue };
+            let Some(turn) = self.scheduler.next_turn((room - (into.len() - begun)) as u64) else { break };
+            let Some(serving) = self.incoming.get_mut(&turn.stream) else { continue };
             if turn.bytes > 0 {
                 let bytes = serving.body.split_to((turn.bytes as usize).min(serving.body.len()));
-                put_data(into, turn.stream, &bytes);
+                write_data(into, turn.stream, &bytes);
             }
-            if turn.end {
-                self.serving.remove(&turn.stream);
-                put(into, turn.stream, &Word::End);
+            if turn.is_last {
+                self.incoming.remove(&turn.stream);
+                write_message(into, turn.stream, &Message::End);
             }
         }
-        self.handed += (into.len() - begun) as u64;
+        self.handed_bytes += (into.len() - begun) as u64;
     }
 
     /// So many bytes of what was pulled were taken by the system: the requests that are whole with them.
-    pub fn wrote(&mut self, bytes: usize) -> Vec<Token> {
-        self.taken += bytes as u64;
+    pub fn mark_written(&mut self, bytes: usize) -> Vec<Token> {
+        self.written_bytes += bytes as u64;
         let mut whole = Vec::new();
-        while let Some((_, token)) = self.marks.front().filter(|(at, _)| *at <= self.taken) {
+        while let Some((_, token)) = self.request_ends.front().filter(|(at, _)| *at <= self.written_bytes) {
             whole.push(*token);
-            self.marks.pop_front();
+            self.request_ends.pop_front();
         }
         whole
     }
 
     /// Takes in bytes; what they say.
-    pub fn came(&mut self, now: Ms, bytes: &[u8], heard: &mut Vec<Heard>) -> Result<(), Ended> {
-        self.pulse.heard(now);
-        self.decoder.push(bytes);
-        while let Some(frame) = self.decoder.next(self.rule.frame)? {
-            self.understand(now, frame, heard)?;
+    pub fn receive(
+        &mut self,
+        now: Ms,
+        bytes: &[u8],
+        heard: &mut Vec<SessionEvent>,
+    ) -> Result<(), CloseReason> {
+        self.heartbeat.record_receipt(now);
+        self.decoder.push_bytes(bytes);
+        while let Some(frame) = self.decoder.next_frame(self.config.max_frame_bytes)? {
+            self.handle_frame(now, frame, heard)?;
         }
-        if self.out.len() > self.rule.backlog {
-            return Err(Ended::Backlog);
+        if self.output.len() > self.config.max_output_bytes {
+            return Err(CloseReason::OutputBacklog);
         }
         Ok(())
     }
 
-    fn understand(&mut self, now: Ms, frame: Frame, heard: &mut Vec<Heard>) -> Result<(), Ended> {
-        let Frame { stream, word } = frame;
+    fn handle_frame(
+        &mut self,
+        now: Ms,
+        frame: Frame,
+        heard: &mut Vec<SessionEvent>,
+    ) -> Result<(), CloseReason> {
+        let Frame { stream, message: word } = frame;
         let word = match word {
-            Word::Hello(_) if self.greeted => return Err(Ended::HelloAgain),
-            Word::Hello(hello) => {
-                let ((from, to), (least, most)) = (hello.versions, VERSIONS);
+            Message::Hello(_) if self.has_hello => return Err(CloseReason::DuplicateHello),
+            Message::Hello(hello) => {
+                let ((from, to), (least, most)) = (hello.versions, SUPPORTED_VERSIONS);
                 if from > to || to < least || from > most {
-                    return Err(Ended::Versions(from, to, least, most));
+                    return Err(CloseReason::UnsupportedVersions(from, to, least, most));
                 }
-                self.greeted = true;
-                heard.push(Heard::Hello(hello));
+                self.has_hello = true;
+                heard.push(SessionEvent::Hello(hello));
                 return Ok(());
             }
-            _ if !self.greeted => return Err(Ended::NoHello),
+            _ if !self.has_hello => return Err(CloseReason::NoHello),
             word => word,
         };
         match word {
-            Word::Hello(_) => {}
-            Word::Open(open) => {
+            Message::Hello(_) => {}
+            Message::Request(open) => {
                 // One that may not be opened for want of room is turned away, and never ran.
-                if self.receiving_open(stream)? {
-                    self.serving.insert(stream, Serving::default());
-                    heard.push(Heard::Open(stream, open));
+                if self.admit_stream(stream)? {
+                    self.incoming.insert(stream, IncomingRequest::default());
+                    heard.push(SessionEvent::Request(stream, open));
                 } else {
-                    put(&mut self.out, stream, &Word::Never { why: Turned::Full, come_back: 0 });
+                    write_message(
+                        &mut self.output,
+                        stream,
+                        &Message::Reject { reason: RejectReason::AtCapacity, retry_after_ms: 0 },
+                    );
                 }
             }
-            Word::Answer(begins) => {
-                let Some(asked) = self.expected(stream)? else { return Ok(()) };
-                if asked.begun || begins.from > begins.length {
-                    return Err(Ended::Answer);
+            Message::Response(begins) => {
+                let Some(asked) = self.response_stream(stream)? else { return Ok(()) };
+                if asked.response_begun || begins.offset > begins.body_length {
+                    return Err(CloseReason::UnexpectedResponse);
                 }
-                asked.begun = true;
+                asked.response_begun = true;
                 let ticket = asked.ticket;
-                heard.push(Heard::Begins(ticket, begins));
+                heard.push(SessionEvent::ResponseHead(ticket, begins));
             }
-            Word::Data(bytes) => {
+            Message::Data(bytes) => {
                 let length = bytes.len() as u64;
-                self.body_bytes += length;
-                let grants = self.receiving.came(stream, length)?;
-                self.grant(grants);
-                let Some(asked) = self.expected(stream)? else { return Ok(()) };
-                if !asked.begun {
-                    return Err(Ended::Answer);
+                self.received_body_bytes += length;
+                let grants = self.receive_window.receive(stream, length)?;
+                self.send_credit(grants);
+                let Some(asked) = self.response_stream(stream)? else { return Ok(()) };
+                if !asked.response_begun {
+                    return Err(CloseReason::UnexpectedResponse);
                 }
                 let ticket = asked.ticket;
                 // What came is kept with its request, which has its own bound: it is granted again at once.
-                let grants = self.receiving.taken(stream, length);
-                self.grant(grants);
-                heard.push(Heard::Bytes(ticket, bytes));
+                let grants = self.receive_window.consume(stream, length);
+                self.send_credit(grants);
+                heard.push(SessionEvent::Data(ticket, bytes));
             }
-            Word::End => {
-                let Some(asked) = self.expected(stream)? else { return Ok(()) };
-                if !asked.begun {
-                    return Err(Ended::Answer);
+            Message::End => {
+                let Some(asked) = self.response_stream(stream)? else { return Ok(()) };
+                if !asked.response_begun {
+                    return Err(CloseReason::UnexpectedResponse);
                 }
                 let ticket = asked.ticket;
-                self.over(stream);
-                heard.push(Heard::End(ticket));
+                self.finish_stream(stream);
+                heard.push(SessionEvent::ResponseEnd(ticket));
             }
-            Word::Never { why, come_back } => {
-                let Some(asked) = self.expected(stream)? else { return Ok(()) };
-                if asked.begun {
-                    return Err(Ended::Answer);
+            Message::Reject { reason: why, retry_after_ms: come_back } => {
+                let Some(asked) = self.response_stream(stream)? else { return Ok(()) };
+                if asked.response_begun {
+                    return Err(CloseReason::UnexpectedResponse);
                 }
                 let ticket = asked.ticket;
-                self.over(stream);
-                heard.push(Heard::Never(ticket, why, f64::from(come_back)));
+                self.finish_stream(stream);
+                heard.push(SessionEvent::Rejected(ticket, why, f64::from(come_back)));
             }
-            Word::Cancel => {
-                if self.serving.remove(&stream).is_some() {
-                    self.sending.cancel(stream);
-                    heard.push(Heard::Cancelled(stream));
-                } else if stream == 0 || stream > self.highest {
-                    return Err(Breach::Unknown.into());
+            Message::Cancel => {
+                if self.incoming.remove(&stream).is_some() {
+                    self.scheduler.cancel_stream(stream);
+                    heard.push(SessionEvent::Cancelled(stream));
+                } else if stream == 0 || stream > self.last_remote_stream {
+                    return Err(FlowControlError::UnknownStream.into());
                 }
             }
-            Word::Credit(bytes) => self.sending.grant(stream, bytes)?,
-            Word::Ping(number) => self.say(&Word::Pong(number)),
-            Word::Pong(number) => self.pulse.pong(now, number),
-            Word::Ask(token) => heard.push(Heard::Ask(token)),
-            Word::Told(token, fate) => heard.push(Heard::Told(token, fate)),
-            Word::State(state) => heard.push(Heard::State(state)),
-            Word::Behind(epoch, version) => heard.push(Heard::Behind(epoch, version)),
-            Word::Direct(facts) => heard.push(Heard::Direct(facts)),
-            Word::Leave => {
-                self.leaving = true;
-                heard.push(Heard::Leave);
+            Message::Credit(bytes) => self.scheduler.add_credit(stream, bytes)?,
+            Message::Ping(number) => self.send(&Message::Pong(number)),
+            Message::Pong(number) => self.heartbeat.record_pong(now, number),
+            Message::OutcomeQuery(token) => heard.push(SessionEvent::OutcomeQuery(token)),
+            Message::OutcomeReport(token, fate) => heard.push(SessionEvent::OutcomeReport(token, fate)),
+            Message::StateUpdate(state) => heard.push(SessionEvent::StateUpdate(state)),
+            Message::StateRequest(epoch, version) => heard.push(SessionEvent::StateRequest(epoch, version)),
+            Message::DirectFacts(facts) => heard.push(SessionEvent::DirectFacts(facts)),
+            Message::GoAway => {
+                self.is_leaving = true;
+                heard.push(SessionEvent::GoAway);
             }
         }
         Ok(())
     }
 
     /// A stream that the other side opens; those that it has answered to the end make room.
-    fn receiving_open(&mut self, stream: u32) -> Result<bool, Ended> {
-        if stream == 0 || stream <= self.highest {
-            return Err(Breach::Again.into());
+    fn admit_stream(&mut self, stream: u32) -> Result<bool, CloseReason> {
+        if stream == 0 || stream <= self.last_remote_stream {
+            return Err(FlowControlError::StreamReused.into());
         }
-        self.highest = stream;
-        Ok(self.serving.len() < self.rule.streams.streams)
+        self.last_remote_stream = stream;
+        Ok(self.incoming.len() < self.config.flow_control.max_streams)
     }
 
     /// The stream that an answer is for; nothing where it was called off here, which a few answers may cross.
-    fn expected(&mut self, stream: u32) -> Result<Option<&mut Asked>, Ended> {
+    fn response_stream(&mut self, stream: u32) -> Result<Option<&mut OutgoingRequest>, CloseReason> {
         if stream == 0 || stream > self.last_stream {
-            return Err(Ended::Answer);
+            return Err(CloseReason::UnexpectedResponse);
         }
-        match self.asked.get_mut(&stream) {
+        match self.outgoing.get_mut(&stream) {
             Some(asked) => Ok(Some(asked)),
-            None if self.called_off.contains(&stream) => Ok(None),
-            None => Err(Ended::Answer),
+            None if self.cancelled_streams.contains(&stream) => Ok(None),
+            None => Err(CloseReason::UnexpectedResponse),
         }
     }
 
     // ---- Time.
 
     /// Pings where one is due; an error where the other side is not there any more.
-    pub fn tick(&mut self, now: Ms) -> Result<(), Ended> {
-        if !self.greeted {
-            return if now - self.since >= self.rule.greeting { Err(Ended::Late) } else { Ok(()) };
+    pub fn on_timer(&mut self, now: Ms) -> Result<(), CloseReason> {
+        if !self.has_hello {
+            return if now - self.opened_at >= self.config.hello_timeout {
+                Err(CloseReason::HelloTimeout)
+            } else {
+                Ok(())
+            };
         }
-        match self.pulse.feel(now) {
-            Feel::Silent => return Err(Ended::Silent),
-            Feel::HalfOpen => return Err(Ended::HalfOpen),
-            Feel::Well | Feel::Slow => {}
+        match self.heartbeat.health(now) {
+            LinkHealth::Silent => return Err(CloseReason::Silent),
+            LinkHealth::HalfOpen => return Err(CloseReason::HalfOpen),
+            LinkHealth::Healthy | LinkHealth::Slow => {}
         }
         if now >= self.next_ping {
-            self.next_ping = now + self.rule.pulse.every;
-            if let Some(number) = self.pulse.ping(now) {
-                self.say(&Word::Ping(number));
+            self.next_ping = now + self.config.heartbeat.interval;
+            if let Some(number) = self.heartbeat.next_ping(now) {
+                self.send(&Message::Ping(number));
             }
         }
         Ok(())
     }
 
     /// When `tick` is due.
-    pub fn next(&self, now: Ms) -> Ms {
-        match self.greeted {
-            true => self.next_ping.min(self.pulse.next(now)),
-            false => self.since + self.rule.greeting,
+    pub fn next_deadline(&self, now: Ms) -> Ms {
+        match self.has_hello {
+            true => self.next_ping.min(self.heartbeat.next_check(now)),
+            false => self.opened_at + self.config.hello_timeout,
         }
     }
 
     /// Whether something waits that could be written.
     pub fn has_output(&self) -> bool {
-        !self.out.is_empty() || self.sending.has_turn()
+        !self.output.is_empty() || self.scheduler.has_ready_stream()
     }
 
     /// The tickets whose answers are lost with it.
-    pub fn tickets(&self) -> Vec<Ticket> {
-        self.streams.keys().copied().collect()
+    pub fn open_tickets(&self) -> Vec<Ticket> {
+        self.streams_by_ticket.keys().copied().collect()
     }
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -6,10 +6,12 @@
 use std::fmt::Write;
 use std::path::PathBuf;
 
-use linnethook_gateway::codec::{encode, Begins, Decoder, Frame, Hello, Open, Turned, Word};
-use linnethook_gateway::ledger::{Fate, Token};
-use linnethook_gateway::site::{About, Fact, State};
-use linnethook_gateway::transfer::Copy;
+use linnethook_gateway::attempt_ledger::{AttemptOutcome, Token};
+use linnethook_gateway::codec::{
+    encode_frame, ForwardedRequest, Frame, FrameDecoder, Hello, Message, RejectReason, ResponseHead,
+};
+use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
+use linnethook_gateway::transfer::ObjectVersion;
 
 const LONGEST_FRAME: usize = 1 << 16;
 
@@ -17,79 +19,94 @@
     vec![("id".to_string(), "9b1f".to_string()), ("class".to_string(), "booking".to_string())]
 }
 
-fn facts() -> Vec<(About, Fact)> {
+fn facts() -> Vec<(FactKey, FactValue)> {
     vec![
-        (About::Cache("cache-1".to_string()), Fact::Cache { ready: false }),
-        (About::Cache("cache-2".to_string()), Fact::Left),
-        (About::Object("object-1".to_string()), Fact::Purged { stamp: 1_700_000_000_000.5 }),
-        (About::Group(7), Fact::Purged { stamp: 3.0 }),
-        (About::Site, Fact::Load { used: 0.25, caches: 300, origin: true }),
-        (About::Operators, Fact::Drained(true)),
-        (About::Fellow(vec![1, 2, 250]), Fact::Fellow(vec![3, 255])),
+        (FactKey::Cache("cache-1".to_string()), FactValue::Cache { ready: false }),
+        (FactKey::Cache("cache-2".to_string()), FactValue::CacheRemoved),
+        (FactKey::Object("object-1".to_string()), FactValue::Purged { stamp: 1_700_000_000_000.5 }),
+        (FactKey::Group(7), FactValue::Purged { stamp: 3.0 }),
+        (FactKey::Site, FactValue::Load { utilization: 0.25, caches: 300, origin_reachable: true }),
+        (FactKey::Operators, FactValue::Drained(true)),
+        (FactKey::PeerEntry(vec![1, 2, 250]), FactValue::PeerEntry(vec![3, 255])),
     ]
 }
 
 /// Every kind of frame, and every variant within them.
-fn words() -> Vec<(String, Word)> {
+fn words() -> Vec<(String, Message)> {
     let token = Token { epoch: 1 << 40, number: 300 };
-    let copy = Copy { tag: "v1".to_string(), dated: 1_700_000_000_000.5, length: 70_000 };
+    let copy = ObjectVersion { tag: "v1".to_string(), issued_at: 1_700_000_000_000.5, length: 70_000 };
     let hello = Hello {
         versions: (1, 2),
         site: "north".to_string(),
         node: "r1".to_string(),
         epoch: 17,
-        known: (300, 70_000),
+        known_state: (300, 70_000),
         proof: vec![9],
     };
-    let open = Open {
+    let open = ForwardedRequest {
         token: Some(token),
-        left_ms: 1_500,
+        remaining_ms: 1_500,
         priority: 2,
-        passed: vec!["south".to_string()],
-        rest: Some((4_096, copy.clone())),
-        head: fields(),
+        passed_sites: vec!["south".to_string()],
+        resume_from: Some((4_096, copy.clone())),
+        fields: fields(),
         body: vec![1, 2, 3].into(),
     };
-    let begins = Begins { served: true, head: fields(), length: 70_000, from: 4_096, copy: Some(copy) };
+    let begins = ResponseHead {
+        served: true,
+        fields: fields(),
+        body_length: 70_000,
+        offset: 4_096,
+        version: Some(copy),
+    };
     let mut words = vec![
-        ("hello".to_string(), Word::Hello(hello)),
-        ("open".to_string(), Word::Open(Box::new(open.clone()))),
-        ("open.plain".to_string(), Word::Open(Box::new(Open { token: None, rest: None, ..open }))),
-        ("answer".to_string(), Word::Answer(Box::new(begins.clone()))),
-        ("answer.plain".to_string(), Word::Answer(Box::new(Begins { served: false, copy: None, ..begins }))),
-        ("data".to_string(), Word::Data(vec![0, 1, 255].into())),
-        ("end".to_string(), Word::End),
-        ("cancel".to_string(), Word::Cancel),
-        ("credit".to_string(), Word::Credit(70_000)),
-        ("ping".to_string(), Word::Ping(1 << 40)),
-        ("pong".to_string(), Word::Pong(1 << 40)),
-        ("ask".to_string(), Word::Ask(token)),
-        ("state".to_string(), Word::State(State { epoch: 17, since: 3, version: 300, facts: facts() })),
-        ("behind".to_string(), Word::Behind(17, 300)),
-        ("leave".to_string(), Word::Leave),
-        ("direct".to_string(), Word::Direct(facts())),
+        ("hello".to_string(), Message::Hello(hello)),
+        ("open".to_string(), Message::Request(Box::new(open.clone()))),
+        (
+            "open.plain".to_string(),
+            Message::Request(Box::new(ForwardedRequest { token: None, resume_from: None, ..open })),
+        ),
+        ("answer".to_string(), Message::Response(Box::new(begins.clone()))),
+        (
+            "answer.plain".to_string(),
+            Message::Response(Box::new(ResponseHead { served: false, version: None, ..begins })),
+        ),
+        ("data".to_string(), Message::Data(vec![0, 1, 255].into())),
+        ("end".to_string(), Message::End),
+        ("cancel".to_string(), Message::Cancel),
+        ("credit".to_string(), Message::Credit(70_000)),
+        ("ping".to_string(), Message::Ping(1 << 40)),
+        ("pong".to_string(), Message::Pong(1 << 40)),
+        ("ask".to_string(), Message::OutcomeQuery(token)),
+        (
+            "state".to_string(),
+            Message::StateUpdate(StateUpdate { epoch: 17, since: 3, version: 300, facts: facts() }),
+        ),
+        ("behind".to_string(), Message::StateRequest(17, 300)),
+        ("leave".to_string(), Message::GoAway),
+        ("direct".to_string(), Message::DirectFacts(facts())),
     ];
     let reasons = [
-        ("full", Turned::Full),
-        ("barred", Turned::Barred),
-        ("stale", Turned::Stale),
-        ("drained", Turned::Drained),
-        ("refused", Turned::Refused),
-        ("passed", Turned::Passed),
-        ("unusable", Turned::Unusable),
+        ("full", RejectReason::AtCapacity),
+        ("barred", RejectReason::TokenFenced),
+        ("stale", RejectReason::StateTooOld),
+        ("drained", RejectReason::Draining),
+        ("refused", RejectReason::Refused),
+        ("passed", RejectReason::HopLimit),
+        ("unusable", RejectReason::Unusable),
     ];
     for (name, why) in reasons {
-        words.push((format!("never.{name}"), Word::Never { why, come_back: 300 }));
+        words.push((format!("never.{name}"), Message::Reject { reason: why, retry_after_ms: 300 }));
     }
     let fates = [
-        ("ran", Fate::Ran(Some(vec![1, 255]))),
-        ("ran.forgotten_answer", Fate::Ran(None)),
-        ("running", Fate::Running),
-        ("never", Fate::Never),
-        ("forgotten", Fate::Forgotten),
+        ("ran", AttemptOutcome::Completed(Some(vec![1, 255]))),
+        ("ran.forgotten_answer", AttemptOutcome::Completed(None)),
+        ("running", AttemptOutcome::Running),
+        ("never", AttemptOutcome::NeverRan),
+        ("forgotten", AttemptOutcome::Forgotten),
     ];
     for (name, fate) in fates {
-        words.push((format!("told.{name}"), Word::Told(token, fate)));
+        words.push((format!("told.{name}"), Message::OutcomeReport(token, fate)));
     }
     words
 }
@@ -114,7 +131,7 @@
 fn every_frame_keeps_its_bytes() {
     let mut lines = String::new();
     for (name, word) in words() {
-        let _ = writeln!(lines, "{name}: {}", hex(&encode(&Frame { stream: 300, word })));
+        let _ = writeln!(lines, "{name}: {}", hex(&encode_frame(&Frame { stream: 300, message: word })));
     }
     if !fixture().exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
         std::fs::write(fixture(), &lines).expect("written");
@@ -129,11 +146,12 @@
     assert_eq!(fixture.lines().count(), words.len());
     for (line, (name, word)) in fixture.lines().zip(words) {
         let bytes = unhex(line.rsplit_once(": ").expect("a name and bytes").1);
-        let mut decoder = Decoder::default();
-        decoder.push(&bytes);
-        let frame = decoder.next(LONGEST_FRAME).expect("a frame that can be read").expect("a complete frame");
-        assert_eq!(frame, Frame { stream: 300, word }, "{name}");
-        assert_eq!(encode(&frame), bytes, "{name}");
-        assert_eq!(decoder.rest(), 0, "{name}");
+        let mut decoder = FrameDecoder::default();
+        decoder.push_bytes(&bytes);
+        let frame =
+            decoder.next_frame(LONGEST_FRAME).expect("a frame that can be read").expect("a complete frame");
+        assert_eq!(frame, Frame { stream: 300, message: word }, "{name}");
+        assert_eq!(encode_frame(&frame), bytes, "{name}");
+        assert_eq!(decoder.buffered_bytes(), 0, "{name}");
     }
 }
--- a/crates/gateway/tests/ledger.rs
+++ b/crates/gateway/tests/ledger.rs
@@ -2,8 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use linnethook_gateway::codec::{encode, Begins, Decoder, Frame, Hello, Malformed, Open, Turned, Word};
-use linnethook_gateway::ledger::{Admission, Fate, Horizon, Sent, Standing, Taken, Token, Verdict};
+use linnethook_gateway::attempt_ledger::{
+    Admission, AttemptLedgerConfig, AttemptOutcome, AttemptState, ReceivedAttempts, Resolution, SentAttempts,
+    Token,
+};
+use linnethook_gateway::codec::{
+    encode_frame, ForwardedRequest, Frame, FrameDecoder, Hello, MalformedFrame, Message, RejectReason,
+    ResponseHead,
+};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
@@ -13,7 +19,7 @@
 enum Mail {
     Open(Token),
     Ask(Token),
-    Told(Token, Fate),
+    Told(Token, AttemptOutcome),
 }
 
 proptest! {
@@ -25,9 +31,9 @@
     fn no_booking_runs_twice(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
         let (mut near, mut far) = (1u64, 1u64);
-        let mut sent = Sent::new(near, 64);
-        let mut taken = Taken::new(Horizon { span: 3_000.0, ..Horizon::default() });
-        taken.hello(near);
+        let mut sent = SentAttempts::new(near, 64);
+        let mut taken = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
+        taken.accept_epoch(near);
         let (mut up, mut now) = (true, 0.0);
         // Mail arrives late or never, in any order; only what is sent while the link is up is on its way.
         let (mut to_far, mut to_near) = (Vec::<Mail>::new(), Vec::<Mail>::new());
@@ -49,7 +55,7 @@
                         let token = sent.begin(ticket, far, 0, deadline).expect("no other attempt is open");
                         tickets.insert(token, ticket);
                         if chance.random_range(0..8) > 0 {
-                            sent.written(token);
+                            sent.mark_written(token);
                             to_far.push(Mail::Open(token));
                         }
                     } else {
@@ -61,13 +67,13 @@
                 6..=9 if up && !to_far.is_empty() => {
                     let n = chance.random_range(0..to_far.len());
                     match to_far.swap_remove(n) {
-                        Mail::Open(token) => match taken.offer(token) {
+                        Mail::Open(token) => match taken.admit(token) {
                             Admission::Run => { running.insert(token); }
                             Admission::Known(fate) => to_near.push(Mail::Told(token, fate)),
-                            Admission::Barred | Admission::Full => {}
+                            Admission::Fenced | Admission::AtCapacity => {}
                         },
                         Mail::Ask(token) => {
-                            let fate = taken.ask(now, token);
+                            let fate = taken.query_outcome(now, token);
                             to_near.push(Mail::Told(token, fate));
                         }
                         Mail::Told(..) => {}
@@ -78,25 +84,25 @@
                     if let Some(token) = running.pop_first() {
                         let ticket = tickets[&token];
                         if chance.random_range(0..5) == 0 {
-                            taken.never_ran(now, token);
-                            to_near.push(Mail::Told(token, Fate::Never));
+                            taken.record_rejection(now, token);
+                            to_near.push(Mail::Told(token, AttemptOutcome::NeverRan));
                         } else {
                             *runs.entry(ticket).or_default() += 1;
                             prop_assert_eq!(runs[&ticket], 1, "it ran twice");
-                            taken.ran(now, token, vec![1]);
-                            to_near.push(Mail::Told(token, Fate::Ran(Some(vec![1]))));
+                            taken.record_answer(now, token, vec![1]);
+                            to_near.push(Mail::Told(token, AttemptOutcome::Completed(Some(vec![1]))));
                         }
                     }
                 }
                 13..=15 if up && !to_near.is_empty() => {
                     let n = chance.random_range(0..to_near.len());
                     if let Mail::Told(token, fate) = to_near.swap_remove(n) {
-                        match sent.told(token, fate, 0) {
-                            Some(Verdict::Free(ticket)) => {
+                        match sent.record_outcome(token, fate, 0) {
+                            Some(Resolution::NeverRan(ticket)) => {
                                 prop_assert!(!runs.contains_key(&ticket), "it ran, and is called free");
                                 free.push(ticket);
                             }
-                            Some(Verdict::Answered(ticket, _) | Verdict::Failed(ticket)) => {
+                            Some(Resolution::Answered(ticket, _) | Resolution::Failed(ticket)) => {
                                 prop_assert!(ends[&ticket].1.is_none(), "a second end");
                                 ends.insert(ticket, (ends[&ticket].0, Some(now)));
                             }
@@ -111,14 +117,14 @@
                         if chance.random_range(0..2) == 0 {
                             to_far.clear();
                         }
-                        for verdict in sent.lost(0) {
-                            if let Verdict::Free(ticket) = verdict {
+                        for verdict in sent.connection_lost(0) {
+                            if let Resolution::NeverRan(ticket) = verdict {
                                 free.push(ticket);
                             }
                         }
                     } else {
-                        taken.hello(near);
-                        to_far.extend(sent.found(far).into_iter().map(Mail::Ask));
+                        taken.accept_epoch(near);
+                        to_far.extend(sent.tokens_to_query(far).into_iter().map(Mail::Ask));
                     }
                     up = !up;
                 }
@@ -132,31 +138,31 @@
                     }
                     to_far.clear();
                     to_near.clear();
-                    taken = Taken::new(Horizon { span: 3_000.0, ..Horizon::default() });
-                    taken.hello(near);
-                    for verdict in sent.lost(0) {
-                        if let Verdict::Free(ticket) = verdict {
+                    taken = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
+                    taken.accept_epoch(near);
+                    for verdict in sent.connection_lost(0) {
+                        if let Resolution::NeverRan(ticket) = verdict {
                             free.push(ticket);
                         }
                     }
                     // Those that went to the start before can't be asked after.
-                    prop_assert!(sent.found(far).is_empty());
+                    prop_assert!(sent.tokens_to_query(far).is_empty());
                 }
                 18 if chance.random_range(0..4) == 0 => {
                     // The near side starts again: its clients are gone with it, and its tokens are void.
                     near += 1;
-                    sent = Sent::new(near, 64);
+                    sent = SentAttempts::new(near, 64);
                     let open: Vec<u64> = ends.iter().filter(|(_, (_, end))| end.is_none()).map(|(t, _)| *t).collect();
                     for ticket in open {
                         ends.insert(ticket, (ends[&ticket].0, Some(ends[&ticket].0)));
                     }
                     free.clear();
-                    prop_assert!(taken.hello(near) && !taken.hello(near - 1));
+                    prop_assert!(taken.accept_epoch(near) && !taken.accept_epoch(near - 1));
                 }
                 _ => taken.expire(now),
             }
             for verdict in sent.expire(now) {
-                if let Verdict::Failed(ticket) = verdict {
+                if let Resolution::Failed(ticket) = verdict {
                     prop_assert!(ends[&ticket].1.is_none(), "a second end");
                     ends.insert(ticket, (ends[&ticket].0, Some(now)));
                 }
@@ -165,7 +171,7 @@
         }
         prop_assert!(runs.values().all(|runs| *runs == 1));
         for (ticket, (deadline, end)) in &ends {
-            let waits = sent.standing(*ticket).is_some() || free.contains(ticket);
+            let waits = sent.state_of(*ticket).is_some() || free.contains(ticket);
             prop_assert!(end.is_some() || waits || now < deadline + 60.0, "{ticket} was lost");
         }
     }
@@ -177,23 +183,23 @@
         let frames: Vec<Frame> = words.into_iter().map(|(stream, kind, bytes)| {
             let text = String::from_utf8_lossy(&bytes).into_owned();
             let word = match kind {
-                0 => Word::Hello(Hello { versions: (1, 2), site: text.clone(), node: text, epoch: 7, known: (1, 2), proof: bytes }),
-                1 => Word::Open(Box::new(Open { token: Some(token), left_ms: 5, priority: 1, passed: vec![text], rest: None, head: Vec::new(), body: bytes.into() })),
-                2 => Word::Answer(Box::new(Begins { served: true, length: bytes.len() as u64, from: 3, copy: None, head: vec![("a".to_string(), text)] })),
-                3 => Word::Told(token, Fate::Ran(Some(bytes))),
-                4 => Word::Ask(token),
-                5 => Word::Credit(bytes.len() as u32),
-                6 => Word::Never { why: Turned::Full, come_back: 7 },
-                _ => Word::Data(bytes.into()),
+                0 => Message::Hello(Hello { versions: (1, 2), site: text.clone(), node: text, epoch: 7, known_state: (1, 2), proof: bytes }),
+                1 => Message::Request(Box::new(ForwardedRequest { token: Some(token), remaining_ms: 5, priority: 1, passed_sites: vec![text], resume_from: None, fields: Vec::new(), body: bytes.into() })),
+                2 => Message::Response(Box::new(ResponseHead { served: true, body_length: bytes.len() as u64, offset: 3, version: None, fields: vec![("a".to_string(), text)] })),
+                3 => Message::OutcomeReport(token, AttemptOutcome::Completed(Some(bytes))),
+                4 => Message::OutcomeQuery(token),
+                5 => Message::Credit(bytes.len() as u32),
+                6 => Message::Reject { reason: RejectReason::AtCapacity, retry_after_ms: 7 },
+                _ => Message::Data(bytes.into()),
             };
-            Frame { stream, word }
+            Frame { stream, message: word }
         }).collect();
-        let bytes: Vec<u8> = frames.iter().flat_map(encode).collect();
-        let (mut decoder, mut found, mut rest) = (Decoder::default(), Vec::new(), &bytes[..]);
+        let bytes: Vec<u8> = frames.iter().flat_map(encode_frame).collect();
+        let (mut decoder, mut found, mut rest) = (FrameDecoder::default(), Vec::new(), &bytes[..]);
         for cut in cuts.iter().cycle() {
             let (now, later) = rest.split_at((*cut).min(rest.len()));
-            decoder.push(now);
-            while let Some(frame) = decoder.next(10_000).expect("well formed") {
+            decoder.push_bytes(now);
+            while let Some(frame) = decoder.next_frame(10_000).expect("well formed") {
                 found.push(frame);
             }
             rest = later;
@@ -202,74 +208,85 @@
             }
         }
         prop_assert_eq!(found, frames);
-        prop_assert_eq!(decoder.rest(), 0);
+        prop_assert_eq!(decoder.buffered_bytes(), 0);
     }
 
     /// Random bytes are frames or an end of the session, and nothing is kept of a frame that is too long.
     #[test]
     fn garbage_ends_the_session(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut decoder = Decoder::default();
-        decoder.push(&bytes);
-        while let Ok(Some(_)) = decoder.next(300) {}
-        prop_assert!(decoder.rest() <= bytes.len());
+        let mut decoder = FrameDecoder::default();
+        decoder.push_bytes(&bytes);
+        while let Ok(Some(_)) = decoder.next_frame(300) {}
+        prop_assert!(decoder.buffered_bytes() <= bytes.len());
     }
 }
 
 #[test]
 fn a_frame_is_checked_before_it_is_there() {
-    let mut decoder = Decoder::default();
-    decoder.push(&[255, 255, 255, 255]);
-    assert_eq!(decoder.next(1_000), Err(Malformed::Length(u32::MAX as usize, 1_000)));
+    let mut decoder = FrameDecoder::default();
+    decoder.push_bytes(&[255, 255, 255, 255]);
+    assert_eq!(decoder.next_frame(1_000), Err(MalformedFrame::InvalidLength(u32::MAX as usize, 1_000)));
     for (bytes, wrong) in [
-        (&[0, 0, 0, 4, 1][..], Malformed::Length(4, 1_000)),
-        (&[0, 0, 0, 5, 9, 0, 0, 0, 1], Malformed::Kind),
-        (&[0, 0, 0, 6, 1, 0, 0, 0, 1, 200], Malformed::Payload),
-        (&[0, 0, 0, 5, 1, 0, 0, 0, 1], Malformed::Payload),
+        (&[0, 0, 0, 4, 1][..], MalformedFrame::InvalidLength(4, 1_000)),
+        (&[0, 0, 0, 5, 9, 0, 0, 0, 1], MalformedFrame::UnknownKind),
+        (&[0, 0, 0, 6, 1, 0, 0, 0, 1, 200], MalformedFrame::InvalidPayload),
+        (&[0, 0, 0, 5, 1, 0, 0, 0, 1], MalformedFrame::InvalidPayload),
     ] {
-        let mut decoder = Decoder::default();
-        decoder.push(bytes);
-        assert_eq!(decoder.next(1_000), Err(wrong));
+        let mut decoder = FrameDecoder::default();
+        decoder.push_bytes(bytes);
+        assert_eq!(decoder.next_frame(1_000), Err(wrong));
     }
 }
 
 /// The cases of the design note's table, one by one.
 #[test]
 fn what_is_proof_and_what_is_not() {
-    let mut sent = Sent::new(1, 2);
-    let mut taken = Taken::new(Horizon { span: 100.0, tokens: 4, bytes: 3 });
-    assert!(taken.hello(1));
+    let mut sent = SentAttempts::new(1, 2);
+    let mut taken =
+        ReceivedAttempts::new(AttemptLedgerConfig { retention: 100.0, max_tokens: 4, max_answer_bytes: 3 });
+    assert!(taken.accept_epoch(1));
     let token = sent.begin(7, 1, 0, 1_000.0).expect("a token");
-    assert_eq!((sent.begin(7, 1, 0, 1_000.0), sent.standing(7)), (None, Some(Standing::Unwritten)));
-    assert_eq!(sent.lost(0), [Verdict::Free(7)], "not a whole byte of it came");
+    assert_eq!((sent.begin(7, 1, 0, 1_000.0), sent.state_of(7)), (None, Some(AttemptState::Unwritten)));
+    assert_eq!(sent.connection_lost(0), [Resolution::NeverRan(7)], "not a whole byte of it came");
     let token = Token { number: token.number + 1, ..token };
     assert_eq!(sent.begin(7, 1, 0, 1_000.0), Some(token));
-    sent.written(token);
-    assert!(sent.lost(0).is_empty() && sent.found(1) == [token] && sent.found(2).is_empty());
+    sent.mark_written(token);
+    assert!(
+        sent.connection_lost(0).is_empty()
+            && sent.tokens_to_query(1) == [token]
+            && sent.tokens_to_query(2).is_empty()
+    );
     // It never came: freed here, and fenced off there.
-    let fate = taken.ask(10.0, token);
-    assert_eq!((sent.told(token, fate, 0), taken.offer(token)), (Some(Verdict::Free(7)), Admission::Barred));
+    let fate = taken.query_outcome(10.0, token);
+    assert_eq!(
+        (sent.record_outcome(token, fate, 0), taken.admit(token)),
+        (Some(Resolution::NeverRan(7)), Admission::Fenced)
+    );
     // It ran, and its answer is kept; then only that it ran.
     let other = sent.begin(7, 1, 0, 1_000.0).expect("another attempt");
-    assert_eq!(taken.offer(other), Admission::Run);
-    assert_eq!(taken.ask(11.0, other), Fate::Running);
-    taken.ran(12.0, other, vec![1, 2]);
-    assert_eq!(taken.offer(other), Admission::Known(Fate::Ran(Some(vec![1, 2]))));
+    assert_eq!(taken.admit(other), Admission::Run);
+    assert_eq!(taken.query_outcome(11.0, other), AttemptOutcome::Running);
+    taken.record_answer(12.0, other, vec![1, 2]);
+    assert_eq!(taken.admit(other), Admission::Known(AttemptOutcome::Completed(Some(vec![1, 2]))));
     let third = Token { number: 50, ..other };
-    assert_eq!(taken.offer(third), Admission::Run);
-    taken.ran(13.0, third, vec![3, 4]);
-    let fate = taken.ask(14.0, other);
-    assert_eq!((fate.clone(), taken.kept().1), (Fate::Ran(None), 2));
-    assert_eq!(sent.told(other, fate, 0), Some(Verdict::Failed(7)));
+    assert_eq!(taken.admit(third), Admission::Run);
+    taken.record_answer(13.0, third, vec![3, 4]);
+    let fate = taken.query_outcome(14.0, other);
+    assert_eq!((fate.clone(), taken.retained().1), (AttemptOutcome::Completed(None), 2));
+    assert_eq!(sent.record_outcome(other, fate, 0), Some(Resolution::Failed(7)));
     // Past the horizon nothing is proven, and nothing is let in.
     taken.expire(500.0);
-    assert_eq!((taken.ask(501.0, other), taken.offer(other)), (Fate::Forgotten, Admission::Barred));
-    assert_eq!(taken.kept(), (0, 0));
+    assert_eq!(
+        (taken.query_outcome(501.0, other), taken.admit(other)),
+        (AttemptOutcome::Forgotten, Admission::Fenced)
+    );
+    assert_eq!(taken.retained(), (0, 0));
     // A sender that started again: its old tokens are void, its old hello is a replay.
-    assert!(taken.hello(2) && !taken.hello(1));
-    assert_eq!(taken.offer(Token { epoch: 1, number: 60 }), Admission::Barred);
+    assert!(taken.accept_epoch(2) && !taken.accept_epoch(1));
+    assert_eq!(taken.admit(Token { epoch: 1, number: 60 }), Admission::Fenced);
     // Time runs out first.
     let last = sent.begin(8, 1, 0, 900.0).expect("a token");
-    sent.written(last);
-    assert_eq!((sent.expire(899.0), sent.expire(900.0)), (vec![], vec![Verdict::Failed(8)]));
-    assert_eq!(sent.told(last, Fate::Ran(Some(vec![])), 0), None, "nothing after");
+    sent.mark_written(last);
+    assert_eq!((sent.expire(899.0), sent.expire(900.0)), (vec![], vec![Resolution::Failed(8)]));
+    assert_eq!(sent.record_outcome(last, AttemptOutcome::Completed(Some(vec![])), 0), None, "nothing after");
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -4,65 +4,68 @@
 use std::collections::BTreeMap;
 
 use bytes::{Bytes, BytesMut};
-use linnethook_gateway::across::Wanted;
-use linnethook_gateway::codec::{encode, Begins, Decoder, Frame, Hello, Open, Turned, Word, VERSIONS};
-use linnethook_gateway::gateway::{Action, Gateway, Reply, Rules, Setup};
-use linnethook_gateway::ledger::{Fate, Token};
-use linnethook_gateway::site::{About, Fact, State};
-use linnethook_gateway::streams::Priority;
+use linnethook_gateway::attempt_ledger::{AttemptOutcome, Token};
+use linnethook_gateway::codec::{
+    encode_frame, ForwardedRequest, Frame, FrameDecoder, Hello, Message, RejectReason, ResponseHead,
+    SUPPORTED_VERSIONS,
+};
+use linnethook_gateway::flow_control::Priority;
+use linnethook_gateway::forwarding::ForwardRequest;
+use linnethook_gateway::gateway::{Action, Gateway, GatewayConfig, GatewaySetup, Reply};
+use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn gateway(rules: Rules) -> Gateway {
-    let setup = Setup {
+fn gateway(rules: GatewayConfig) -> Gateway {
+    let setup = GatewaySetup {
         site: "here".to_string(),
-        others: vec!["there".to_string()],
+        other_sites: vec!["there".to_string()],
         node: "g".to_string(),
         epoch: 7,
         seed: 1,
-        dials: Vec::new(),
-        fellows: false,
-        rules,
+        dial_sites: Vec::new(),
+        accepts_cluster_peers: false,
+        config: rules,
     };
     Gateway::new(0.0, setup)
 }
 
-fn hello(epoch: u64) -> Word {
-    Word::Hello(Hello {
-        versions: VERSIONS,
+fn hello(epoch: u64) -> Message {
+    Message::Hello(Hello {
+        versions: SUPPORTED_VERSIONS,
         site: "there".to_string(),
         node: "h".to_string(),
         epoch,
-        known: (0, 0),
+        known_state: (0, 0),
         proof: Vec::new(),
     })
 }
 
-fn open(token: Option<Token>) -> Word {
-    Word::Open(Box::new(Open {
+fn open(token: Option<Token>) -> Message {
+    Message::Request(Box::new(ForwardedRequest {
         token,
-        left_ms: 1_000,
+        remaining_ms: 1_000,
         priority: 0,
-        passed: vec!["there".to_string()],
-        rest: None,
-        head: Vec::new(),
+        passed_sites: vec!["there".to_string()],
+        resume_from: None,
+        fields: Vec::new(),
         body: Bytes::new(),
     }))
 }
 
-fn say(gateway: &mut Gateway, now: f64, stream: u32, word: Word) {
-    gateway.came(now, 1, &encode(&Frame { stream, word }));
+fn say(gateway: &mut Gateway, now: f64, stream: u32, word: Message) {
+    gateway.receive(now, 1, &encode_frame(&Frame { stream, message: word }));
 }
 
 /// What the gateway has to say on its connection.
 fn said(gateway: &mut Gateway) -> Vec<Frame> {
-    let (mut bytes, mut decoder, mut frames) = (BytesMut::new(), Decoder::default(), Vec::new());
-    gateway.pull(1, 1 << 24, &mut bytes);
-    gateway.wrote(1, bytes.len());
-    decoder.push(&bytes);
-    while let Ok(Some(frame)) = decoder.next(1 << 24) {
+    let (mut bytes, mut decoder, mut frames) = (BytesMut::new(), FrameDecoder::default(), Vec::new());
+    gateway.take_output(1, 1 << 24, &mut bytes);
+    gateway.mark_written(1, bytes.len());
+    decoder.push_bytes(&bytes);
+    while let Ok(Some(frame)) = decoder.next_frame(1 << 24) {
         frames.push(frame);
     }
     frames
@@ -71,37 +74,42 @@
 /// Answers the pings among these, so that the link is known to be fresh.
 fn answer_pings(gateway: &mut Gateway, now: f64, frames: &[Frame]) {
     for frame in frames {
-        if let Word::Ping(number) = frame.word {
-            say(gateway, now, 0, Word::Pong(number));
+        if let Message::Ping(number) = frame.message {
+            say(gateway, now, 0, Message::Pong(number));
         }
     }
 }
 
 /// A gateway with a session that is up and fresh.
-fn connected(rules: Rules) -> Gateway {
+fn connected(rules: GatewayConfig) -> Gateway {
     let mut gateway = gateway(rules);
-    gateway.opened(0.0, 1, None);
+    gateway.connection_opened(0.0, 1, None);
     say(&mut gateway, 0.0, 0, hello(5));
-    gateway.tick(1.0);
+    gateway.on_timer(1.0);
     let frames = said(&mut gateway);
     answer_pings(&mut gateway, 2.0, &frames);
-    let load = (About::Site, Fact::Load { used: 0.1, caches: 3, origin: true });
-    say(&mut gateway, 2.0, 0, Word::State(State { epoch: 5, since: 0, version: 1, facts: vec![load] }));
-    gateway.tick(60.0);
+    let load = (FactKey::Site, FactValue::Load { utilization: 0.1, caches: 3, origin_reachable: true });
+    say(
+        &mut gateway,
+        2.0,
+        0,
+        Message::StateUpdate(StateUpdate { epoch: 5, since: 0, version: 1, facts: vec![load] }),
+    );
+    gateway.on_timer(60.0);
     gateway
 }
 
-fn wanted(harmful: bool, deadline: f64) -> Wanted {
-    Wanted {
+fn wanted(harmful: bool, deadline: f64) -> ForwardRequest {
+    ForwardRequest {
         object: 1,
         write: harmful,
-        harmful,
-        home: None,
+        not_idempotent: harmful,
+        home_site: None,
         priority: Priority::Booking,
-        aim: 500.0,
+        latency_objective: 500.0,
         deadline,
-        passed: Vec::new(),
-        head: Vec::new(),
+        passed_sites: Vec::new(),
+        fields: Vec::new(),
         body: Bytes::from_static(b"a booking"),
     }
 }
@@ -118,55 +126,55 @@
     #[test]
     fn whatever_a_peer_says(seed in any::<u64>(), garbage in prop::collection::vec(any::<u8>(), 0..60)) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut rules = Rules::default();
-        (rules.across.guests, rules.horizon.tokens, rules.routes.first) = (16, 32, 1.0);
+        let mut rules = GatewayConfig::default();
+        (rules.forwarding.max_remote_requests, rules.attempt_ledger.max_tokens, rules.routing.initial_share) = (16, 32, 1.0);
         let mut gateway = connected(rules);
-        gateway.own(60.0, 0, 0.1);
+        gateway.report_local_load(60.0, 0, 0.1);
         let (mut now, mut asked, mut answers, mut up) = (60.0, 0u64, BTreeMap::<u64, u32>::new(), true);
         for _ in 0..300 {
             now += chance.random_range(0.0..20.0);
             if chance.random_range(0..4) == 0 {
                 asked += 1;
-                gateway.ask(now, asked, wanted(chance.random_range(0..2) == 0, now + 300.0));
+                gateway.submit_request(now, asked, wanted(chance.random_range(0..2) == 0, now + 300.0));
             }
             let stream = chance.random_range(0..12);
             let token = Token { epoch: chance.random_range(4..8), number: chance.random_range(0..40) };
             let bytes = vec![1; chance.random_range(0..3_000)];
             let length = chance.random_range(0..3_000);
             let word = match chance.random_range(0..20) {
-                0 => Word::Cancel,
-                1 => Word::Credit(chance.random_range(0..100_000)),
+                0 => Message::Cancel,
+                1 => Message::Credit(chance.random_range(0..100_000)),
                 2..=5 => open(Some(token)),
                 6 => open(None),
-                7 => Word::Ask(token),
-                8 => Word::Told(token, Fate::Never),
-                9 => Word::Told(token, Fate::Ran(Some(bytes))),
-                10 => Word::Never { why: Turned::Full, come_back: 7 },
-                11 => Word::Answer(Box::new(Begins { served: true, head: Vec::new(), length, from: 0, copy: None })),
-                12 => Word::Data(bytes.into()),
-                13 => Word::End,
-                14 => Word::Ping(9),
-                15 => Word::Pong(chance.random_range(0..10)),
-                16 => Word::Behind(7, chance.random_range(0..10)),
+                7 => Message::OutcomeQuery(token),
+                8 => Message::OutcomeReport(token, AttemptOutcome::NeverRan),
+                9 => Message::OutcomeReport(token, AttemptOutcome::Completed(Some(bytes))),
+                10 => Message::Reject { reason: RejectReason::AtCapacity, retry_after_ms: 7 },
+                11 => Message::Response(Box::new(ResponseHead { served: true, fields: Vec::new(), body_length: length, offset: 0, version: None })),
+                12 => Message::Data(bytes.into()),
+                13 => Message::End,
+                14 => Message::Ping(9),
+                15 => Message::Pong(chance.random_range(0..10)),
+                16 => Message::StateRequest(7, chance.random_range(0..10)),
                 17 if chance.random_range(0..10) == 0 => hello(chance.random_range(4..7)),
-                _ => Word::State(State { epoch: 5, since: 0, version: asked, facts: Vec::new() }),
+                _ => Message::StateUpdate(StateUpdate { epoch: 5, since: 0, version: asked, facts: Vec::new() }),
             };
             if up {
                 say(&mut gateway, now, stream, word);
                 if chance.random_range(0..200) == 0 {
-                    gateway.came(now, 1, &garbage);
+                    gateway.receive(now, 1, &garbage);
                 }
                 let frames = said(&mut gateway);
                 answer_pings(&mut gateway, now, &frames);
             }
-            gateway.tick(now);
+            gateway.on_timer(now);
             for action in actions(&mut gateway) {
                 match action {
                     // At home it is answered by others.
-                    Action::Answer(ticket, _) | Action::Home(ticket) => *answers.entry(ticket).or_default() += 1,
-                    Action::Serve(came) if chance.random_range(0..3) > 0 => {
+                    Action::Answer(ticket, _) | Action::ServeLocally(ticket) => *answers.entry(ticket).or_default() += 1,
+                    Action::ServeRemote(came) if chance.random_range(0..3) > 0 => {
                         let body = Bytes::from(vec![2; 500]);
-                        gateway.reply(now, came.ticket, Reply::Served { head: Vec::new(), body, copy: None });
+                        gateway.complete_remote_request(now, came.ticket, Reply::Served { fields: Vec::new(), body, version: None });
                     }
                     Action::Close(..) => up = false,
                     _ => {}
@@ -174,16 +182,16 @@
             }
             if !up {
                 up = true;
-                gateway.opened(now, 1, None);
+                gateway.connection_opened(now, 1, None);
                 say(&mut gateway, now, 0, hello(5));
             }
             let status = gateway.status(now);
             let remembered: u64 = status.sites[0].gateways.iter().map(|g| g.remembered).sum();
             prop_assert!(status.serving <= 16 && remembered <= 32, "{status:?}");
         }
-        gateway.tick(now + 400.0);
+        gateway.on_timer(now + 400.0);
         for action in actions(&mut gateway) {
-            if let Action::Answer(ticket, _) | Action::Home(ticket) = action {
+            if let Action::Answer(ticket, _) | Action::ServeLocally(ticket) = action {
                 *answers.entry(ticket).or_default() += 1;
             }
         }
@@ -196,8 +204,8 @@
 /// dropped.
 #[test]
 fn a_reader_that_stops_is_dropped_in_the_end() {
-    let mut rules = Rules::default();
-    rules.across.writing = 1_000.0;
+    let mut rules = GatewayConfig::default();
+    rules.forwarding.answer_write_timeout = 1_000.0;
     let mut gateway = connected(rules);
     said(&mut gateway);
     for stream in [1, 2] {
@@ -205,15 +213,19 @@
     }
     let came: Vec<u64> = actions(&mut gateway)
         .into_iter()
-        .filter_map(|action| if let Action::Serve(came) = action { Some(came.ticket) } else { None })
+        .filter_map(|action| if let Action::ServeRemote(came) = action { Some(came.ticket) } else { None })
         .collect();
     for (ticket, size) in came.into_iter().zip([1_000_000, 1_000]) {
         let body = Bytes::from(vec![1; size]);
-        gateway.reply(61.0, ticket, Reply::Served { head: Vec::new(), body, copy: None });
+        gateway.complete_remote_request(
+            61.0,
+            ticket,
+            Reply::Served { fields: Vec::new(), body, version: None },
+        );
     }
     let mut bytes = BTreeMap::<u32, usize>::new();
     for frame in said(&mut gateway) {
-        if let Word::Data(data) = frame.word {
+        if let Message::Data(data) = frame.message {
             *bytes.entry(frame.stream).or_default() += data.len();
         }
     }
@@ -222,7 +234,7 @@
     let mut now = 62.0;
     while now < 1_200.0 {
         now += 50.0;
-        gateway.tick(now);
+        gateway.on_timer(now);
         let frames = said(&mut gateway);
         answer_pings(&mut gateway, now, &frames);
     }
@@ -234,69 +246,76 @@
 /// token it is not remembered either: the sender asks elsewhere.
 #[test]
 fn a_request_is_let_in_only_while_the_other_sides_state_is_fresh() {
-    let mut gateway = connected(Rules::default());
+    let mut gateway = connected(GatewayConfig::default());
     said(&mut gateway);
     let token = Token { epoch: 5, number: 1 };
     say(&mut gateway, 150.0, 1, open(Some(token)));
-    assert!(matches!(actions(&mut gateway).last(), Some(Action::Serve(_) | Action::Write(_))));
+    assert!(matches!(actions(&mut gateway).last(), Some(Action::ServeRemote(_) | Action::Write(_))));
     let late = Token { epoch: 5, number: 2 };
     say(&mut gateway, 260.0, 2, open(Some(late)));
-    let never = Frame { stream: 2, word: Word::Never { why: Turned::Stale, come_back: 0 } };
+    let never = Frame {
+        stream: 2,
+        message: Message::Reject { reason: RejectReason::StateTooOld, retry_after_ms: 0 },
+    };
     let frames = said(&mut gateway);
     assert!(frames.contains(&never), "{frames:?}");
     // Fenced off when asked after, as one that never came.
-    say(&mut gateway, 261.0, 0, Word::Ask(late));
-    let told = Frame { stream: 0, word: Word::Told(late, Fate::Never) };
+    say(&mut gateway, 261.0, 0, Message::OutcomeQuery(late));
+    let told = Frame { stream: 0, message: Message::OutcomeReport(late, AttemptOutcome::NeverRan) };
     assert!(said(&mut gateway).contains(&told));
     answer_pings(&mut gateway, 262.0, &[]);
     // A drain that is heard on the way is handed on before the request behind it.
-    gateway.tick(270.0);
+    gateway.on_timer(270.0);
     let frames = said(&mut gateway);
     answer_pings(&mut gateway, 271.0, &frames);
     actions(&mut gateway);
-    let facts = vec![(About::Cache("c".to_string()), Fact::Cache { ready: false })];
-    say(&mut gateway, 272.0, 0, Word::State(State { epoch: 5, since: 1, version: 2, facts }));
+    let facts = vec![(FactKey::Cache("c".to_string()), FactValue::Cache { ready: false })];
+    say(&mut gateway, 272.0, 0, Message::StateUpdate(StateUpdate { epoch: 5, since: 1, version: 2, facts }));
     say(&mut gateway, 272.0, 3, open(None));
     let order: Vec<u8> = actions(&mut gateway)
         .iter()
         .filter_map(|action| match action {
-            Action::Heard(..) => Some(1),
-            Action::Serve(_) => Some(2),
+            Action::RemoteFact(..) => Some(1),
+            Action::ServeRemote(_) => Some(2),
             _ => None,
         })
         .collect();
-    assert_eq!((order, gateway.bars("c")), (vec![1, 2], true));
+    assert_eq!((order, gateway.is_cache_barred("c")), (vec![1, 2], true));
 }
 
 /// An answer that is kept with its token reaches who asks for it on another connection, once; and an attempt that
 /// was handed to the system in part only is free when its connection goes.
 #[test]
 fn fates_belong_to_tokens_and_not_to_connections() {
-    let mut rules = Rules::default();
-    rules.routes.first = 1.0;
+    let mut rules = GatewayConfig::default();
+    rules.routing.initial_share = 1.0;
     let mut gateway = connected(rules);
-    gateway.own(61.0, 0, 0.1);
-    (0..6).for_each(|_| gateway.ended_at_home(61.0, linnethook_gateway::home::Need::Write, true));
+    gateway.report_local_load(61.0, 0, 0.1);
+    (0..6).for_each(|_| {
+        gateway.record_local_outcome(61.0, linnethook_gateway::local_capacity::RequestKind::Write, true)
+    });
     said(&mut gateway);
     actions(&mut gateway);
     // Written in part: free, and refused as there is no other site. It waits for a link until its time is up.
-    gateway.ask(62.0, 1, wanted(true, 400.0));
+    gateway.submit_request(62.0, 1, wanted(true, 400.0));
     let mut bytes = BytesMut::new();
-    gateway.pull(1, 1 << 20, &mut bytes);
-    gateway.wrote(1, bytes.len() - 1);
-    gateway.closed(63.0, 1);
-    gateway.tick(310.0);
-    assert!(actions(&mut gateway).iter().any(|a| matches!(a, Action::Answer(1, Reply::Refused { .. }))));
+    gateway.take_output(1, 1 << 20, &mut bytes);
+    gateway.mark_written(1, bytes.len() - 1);
+    gateway.connection_closed(63.0, 1);
+    gateway.on_timer(310.0);
+    assert!(actions(&mut gateway).iter().any(|a| matches!(a, Action::Answer(1, Reply::Rejected { .. }))));
     // Written whole: uncertain, and failed when its time is up.
     let mut gateway = connected(rules);
-    gateway.own(61.0, 0, 0.1);
-    (0..6).for_each(|_| gateway.ended_at_home(61.0, linnethook_gateway::home::Need::Write, true));
+    gateway.report_local_load(61.0, 0, 0.1);
+    (0..6).for_each(|_| {
+        gateway.record_local_outcome(61.0, linnethook_gateway::local_capacity::RequestKind::Write, true)
+    });
     said(&mut gateway);
-    gateway.ask(62.0, 1, wanted(true, 400.0));
+    gateway.submit_request(62.0, 1, wanted(true, 400.0));
     said(&mut gateway);
-    gateway.closed(63.0, 1);
-    gateway.tick(399.0);
+    gateway.connection_closed(63.0, 1);
+    gateway.on_timer(399.0);
     assert!(!actions(&mut gateway).iter().any(|a| matches!(a, Action::Answer(..))));
-    gateway.tick(400.0);
+    gateway.on_timer(400.0);
     assert!(actions(&mut gateway).contains(&Action::Answer(1, Reply::Failed)));
 }
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -13,8 +13,8 @@
 use std::time::{Duration, Instant};
 
 use bytes::BytesMut;
-use linnethook_gateway::codec::{put, Word};
-use linnethook_gateway::site::{About, Fact, State};
+use linnethook_gateway::codec::{write_message, Message};
+use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
 use linnethook_membership::actions::{ClusterAction, EncodedEntry};
 use linnethook_membership::aggregation::location::Location;
 use linnethook_membership::cluster::Cluster;
@@ -297,16 +297,18 @@
 impl Frame {
     /// Facts as they travel: the bytes of the gateway's own frame.
     fn new(said: Vec<EncodedEntry>, alone: bool) -> Self {
-        let facts: Vec<(About, Fact)> = said
+        let facts: Vec<(FactKey, FactValue)> = said
             .iter()
-            .map(|(key, entry)| (About::Fellow(key.clone()), Fact::Fellow(entry.clone())))
+            .map(|(key, entry)| (FactKey::PeerEntry(key.clone()), FactValue::PeerEntry(entry.clone())))
             .collect();
         let word = match alone {
-            true => Word::Direct(facts),
-            false => Word::State(State { epoch: 1 << 50, since: 1 << 14, version: 1 << 14, facts }),
+            true => Message::DirectFacts(facts),
+            false => {
+                Message::StateUpdate(StateUpdate { epoch: 1 << 50, since: 1 << 14, version: 1 << 14, facts })
+            }
         };
         let mut bytes = BytesMut::new();
-        put(&mut bytes, 0, &word);
+        write_message(&mut bytes, 0, &word);
         Self { said, bytes: bytes.len() }
     }
 }
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -14,9 +14,9 @@
 use linnethook::Policy;
 use linnethook_audit::audit_log::{AuditLog, AuditLogConfig};
 use linnethook_audit::record::AuditedAction;
-use linnethook_gateway::codec::{put, Hello, Word, VERSIONS};
-use linnethook_gateway::session::{Session, SessionRule};
-use linnethook_gateway::site::{About, Fact, State};
+use linnethook_gateway::codec::{write_message, Hello, Message, SUPPORTED_VERSIONS};
+use linnethook_gateway::session::{Session, SessionConfig};
+use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
 use linnethook_hierarchy::{AuthorId, Change, Hierarchy, Node, NodeId, Role, Source};
 use linnethook_membership::cluster::Cluster;
@@ -425,14 +425,15 @@
 /// One link between two that say nothing but that they are there, for ten seconds: at one end.
 fn pulse() -> Option<(f64, f64, f64)> {
     let begin = 1e12;
-    let mut ends = [Session::new(begin, SessionRule::default()), Session::new(begin, SessionRule::default())];
+    let mut ends =
+        [Session::new(begin, SessionConfig::default()), Session::new(begin, SessionConfig::default())];
     for (n, end) in ends.iter_mut().enumerate() {
-        end.say(&Word::Hello(Hello {
-            versions: VERSIONS,
+        end.send(&Message::Hello(Hello {
+            versions: SUPPORTED_VERSIONS,
             site: "shop-12".to_string(),
             node: format!("r{n}"),
             epoch: 1,
-            known: (0, 0),
+            known_state: (0, 0),
             proof: Vec::new(),
         }));
     }
@@ -442,15 +443,15 @@
     for ms in 0..seconds * 1_000 {
         let now = begin + f64::from(ms);
         for at in 0..2 {
-            ends[at].tick(now).ok()?;
+            ends[at].on_timer(now).ok()?;
             if !ends[at].has_output() {
                 continue;
             }
             let mut out = BytesMut::new();
-            ends[at].pull(1 << 20, &mut out);
-            ends[at].wrote(out.len());
+            ends[at].take_output(1 << 20, &mut out);
+            ends[at].mark_written(out.len());
             let mut heard = Vec::new();
-            ends[1 - at].came(now, &out, &mut heard).ok()?;
+            ends[1 - at].receive(now, &out, &mut heard).ok()?;
             bytes += out.len();
             frames += 1;
         }
@@ -472,11 +473,16 @@
         let Some((more, frames, spent)) = pulse() else { return Vec::new() };
         (bytes, writes, core) = (bytes + more, writes + frames, core + spent);
     }
-    let fact = |n: usize| (About::Object(format!("{n:016x}")), Fact::Purged { stamp: 1_764_576_000_123.0 });
+    let fact =
+        |n: usize| (FactKey::Object(format!("{n:016x}")), FactValue::Purged { stamp: 1_764_576_000_123.0 });
     let length = |facts: usize| {
         let facts = (0..facts).map(fact).collect();
         let mut out = BytesMut::new();
-        put(&mut out, 0, &Word::State(State { epoch: 1 << 50, since: 1 << 20, version: 1 << 20, facts }));
+        write_message(
+            &mut out,
+            0,
+            &Message::StateUpdate(StateUpdate { epoch: 1 << 50, since: 1 << 20, version: 1 << 20, facts }),
+        );
         out.len() as f64
     };
     vec![
--- a/crates/model/src/world/clients.rs
+++ b/crates/model/src/world/clients.rs
@@ -108,7 +108,7 @@
     pub(super) fn refused(&mut self, now: Micros, number: Number, wait: f64) {
         let wait = wait.max(self.come_back.remove(&number).unwrap_or(0.0));
         if self.ended_at_home(now, number, false, true)
-            || self.replies(now, number, |_| Reply::Refused { wait })
+            || self.replies(now, number, |_| Reply::Rejected { retry_after: wait })
         {
             return;
         }
--- a/crates/model/src/world/sites.rs
+++ b/crates/model/src/world/sites.rs
@@ -8,13 +8,15 @@
 
 use bytes::{Bytes, BytesMut};
 use linnethook::interface::{Event as PolicyEvent, RequestId};
-use linnethook_gateway::across::Wanted;
-use linnethook_gateway::codec::{Decoder, Word};
-use linnethook_gateway::gateway::{Action, Came, Conn, Gateway, Reply, Rules, Setup, FOREIGN};
-use linnethook_gateway::home::Need;
-use linnethook_gateway::ledger::{Fate, Ticket, Token};
-use linnethook_gateway::streams::Priority;
-use linnethook_gateway::transfer::Copy;
+use linnethook_gateway::attempt_ledger::{AttemptOutcome, Ticket, Token};
+use linnethook_gateway::codec::{FrameDecoder, Message};
+use linnethook_gateway::flow_control::Priority;
+use linnethook_gateway::forwarding::ForwardRequest;
+use linnethook_gateway::gateway::{
+    Action, ConnectionId, Gateway, GatewayConfig, GatewaySetup, RemoteRequest, Reply, FIRST_REMOTE_TICKET,
+};
+use linnethook_gateway::local_capacity::RequestKind;
+use linnethook_gateway::transfer::ObjectVersion;
 
 use super::{micros, ms, Client, EndpointPhase, Event, Number, World};
 use crate::plan::Blow;
@@ -33,7 +35,7 @@
     under_way: VecDeque<(Micros, Bytes)>,
     bytes: usize,
     /// What the middle has understood.
-    decoder: Decoder,
+    decoder: FrameDecoder,
     ended: bool,
 }
 
@@ -52,8 +54,8 @@
 pub(super) struct Sites {
     gateways: Vec<Gateway>,
     due: Vec<Micros>,
-    wires: BTreeMap<Conn, Wire>,
-    last: Conn,
+    wires: BTreeMap<ConnectionId, Wire>,
+    last: ConnectionId,
     /// When the last byte of each direction will have left: the link is one for all.
     busy: [Micros; 2],
     cut: bool,
@@ -85,17 +87,17 @@
         self.sites.slow = 1.0;
         for router in 0..self.brains.len() {
             let site = self.site(router);
-            let mut rules = Rules::default();
-            rules.peers.fresh = rule.fresh;
-            let setup = Setup {
+            let mut rules = GatewayConfig::default();
+            rules.peers.max_state_delay = rule.fresh;
+            let setup = GatewaySetup {
                 site: NAMES[site].to_string(),
-                others: vec![NAMES[1 - site].to_string()],
+                other_sites: vec![NAMES[1 - site].to_string()],
                 node: format!("g{router}"),
                 epoch: 1,
                 seed: self.plan.seed ^ router as u64,
-                dials: if site == 0 { vec![NAMES[1].to_string()] } else { Vec::new() },
-                fellows: false,
-                rules,
+                dial_sites: if site == 0 { vec![NAMES[1].to_string()] } else { Vec::new() },
+                accepts_cluster_peers: false,
+                config: rules,
             };
             self.sites.gateways.push(Gateway::new(0.0, setup));
             self.sites.due.push(Micros::MAX);
@@ -115,7 +117,7 @@
             used += server.in_hand as f64 / slots;
         }
         if let Some(gateway) = self.sites.gateways.get_mut(router) {
-            gateway.own(ms(now), caches, (used / f64::from(caches.max(1))).min(1.0));
+            gateway.report_local_load(ms(now), caches, (used / f64::from(caches.max(1))).min(1.0));
         }
     }
 
@@ -129,16 +131,16 @@
         }
         let router = client.router;
         let wanted = self.wanted(number, client, Vec::new());
-        self.sites.gateways[router].ask(ms(now), number, wanted);
+        self.sites.gateways[router].submit_request(ms(now), number, wanted);
         self.tend_gateway(now, router);
         true
     }
 
-    fn wanted(&self, number: Number, client: &Client, passed: Vec<String>) -> Wanted {
+    fn wanted(&self, number: Number, client: &Client, passed: Vec<String>) -> ForwardRequest {
         let priority = match (client.books, client.part) {
             (true, _) => Priority::Booking,
-            (false, 0) => Priority::First,
-            _ => Priority::Rest,
+            (false, 0) => Priority::FirstPart,
+            _ => Priority::LaterPart,
         };
         let head = [
             ("c", u64::from(client.books)),
@@ -147,24 +149,24 @@
             ("chunk", u64::from(client.part)),
             ("m", client.size as u64),
         ];
-        Wanted {
+        ForwardRequest {
             object: client.object,
             write: client.books,
-            harmful: client.books,
-            home: None,
+            not_idempotent: client.books,
+            home_site: None,
             priority,
-            aim: self.aim(client.size),
+            latency_objective: self.aim(client.size),
             deadline: ms(client.since) + client.wait - WAY_BACK,
-            passed,
-            head: head.into_iter().map(|(name, value)| (name.to_string(), value.to_string())).collect(),
+            passed_sites: passed,
+            fields: head.into_iter().map(|(name, value)| (name.to_string(), value.to_string())).collect(),
             body: Bytes::new(),
         }
     }
 
     /// A request of the other site comes in.
-    fn serve_foreign(&mut self, now: Micros, router: usize, came: Came) {
+    fn serve_foreign(&mut self, now: Micros, router: usize, came: RemoteRequest) {
         let field = |name: &str| {
-            let value = came.head.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str());
+            let value = came.fields.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str());
             value.and_then(|value| value.parse::<u64>().ok()).unwrap_or(0)
         };
         let client = Client {
@@ -175,7 +177,7 @@
             size: (field("m") as f64).max(1.0),
             first: now,
             since: now,
-            wait: came.left,
+            wait: came.remaining,
             tries: 0,
             attempts: 0,
             foreign: Some(came.ticket),
@@ -183,14 +185,14 @@
         };
         self.last += 1;
         let number = self.last;
-        let wanted = self.wanted(number, &client, came.passed);
+        let wanted = self.wanted(number, &client, came.passed_sites);
         self.clients.insert(number, client);
         self.sites.foreign.insert((router, came.ticket), number);
-        self.sites.gateways[router].ask(ms(now), came.ticket, wanted);
+        self.sites.gateways[router].submit_request(ms(now), came.ticket, wanted);
     }
 
     fn number_of(&self, router: usize, ticket: Ticket) -> Option<Number> {
-        match ticket >= FOREIGN {
+        match ticket >= FIRST_REMOTE_TICKET {
             true => self.sites.foreign.get(&(router, ticket)).copied(),
             false => Some(ticket),
         }
@@ -204,15 +206,16 @@
         if client.foreign.is_some() {
             return false;
         }
-        let (router, need) = (client.router, if client.books { Need::Write } else { Need::Read });
+        let (router, need) =
+            (client.router, if client.books { RequestKind::Write } else { RequestKind::Read });
         let gateway = &mut self.sites.gateways[router];
-        gateway.ended_at_home(ms(now), need, !served);
-        if !refused || !gateway.home_is_unable(need) {
+        gateway.record_local_outcome(ms(now), need, !served);
+        if !refused || !gateway.is_locally_unable(need) {
             return false;
         }
         let Some(client) = self.clients.get(&number) else { return false };
         let wanted = self.wanted(number, client, Vec::new());
-        let goes = self.sites.gateways[router].ask_beyond_home(ms(now), number, wanted);
+        let goes = self.sites.gateways[router].forward_rejected_request(ms(now), number, wanted);
         self.tend_gateway(now, router);
         goes
     }
@@ -224,7 +227,7 @@
         let reply = reply(client);
         self.clients.remove(&number);
         self.sites.foreign.remove(&(router, ticket));
-        self.sites.gateways[router].reply(ms(now), ticket, reply);
+        self.sites.gateways[router].complete_remote_request(ms(now), ticket, reply);
         self.tend_gateway(now, router);
         true
     }
@@ -232,9 +235,12 @@
     /// What a served request brings back, as bytes of its size.
     pub(super) fn body(client: &Client, dated: Option<Micros>) -> Reply {
         let length = if client.books { 400 } else { client.size as usize };
-        let copy =
-            dated.map(|at| Copy { tag: client.key().to_string(), dated: ms(at), length: length as u64 });
-        Reply::Served { head: Vec::new(), body: Bytes::from(vec![0; length]), copy }
+        let copy = dated.map(|at| ObjectVersion {
+            tag: client.key().to_string(),
+            issued_at: ms(at),
+            length: length as u64,
+        });
+        Reply::Served { fields: Vec::new(), body: Bytes::from(vec![0; length]), version: copy }
     }
 
     // ---- What gateways say.
@@ -246,23 +252,26 @@
                 Action::Dial(_) => self.dial(now, router),
                 Action::Close(conn, _) => self.hang_up(now, router, conn),
                 Action::Write(conn) => self.write(now, router, conn),
-                Action::Home(ticket) => {
+                Action::ServeLocally(ticket) => {
                     if let Some(number) = self.number_of(router, ticket) {
                         self.ask_home(now, number);
                     }
                 }
                 Action::Answer(ticket, reply) => self.answered_beyond(now, router, ticket, reply),
-                Action::Serve(came) => self.serve_foreign(now, router, came),
-                Action::CallOff(ticket) => {
+                Action::ServeRemote(came) => self.serve_foreign(now, router, came),
+                Action::CancelServe(ticket) => {
                     if let Some(number) = self.sites.foreign.remove(&(router, ticket)) {
                         self.clients.remove(&number);
                         self.tell(now, router, &PolicyEvent::ClientDisconnected(RequestId(number)));
                     }
                 }
-                Action::Heard(..) | Action::Fellow { .. } | Action::Said { .. } | Action::Note(_) => {}
+                Action::RemoteFact(..)
+                | Action::PeerLink { .. }
+                | Action::PeerEntry { .. }
+                | Action::Log(_) => {}
             }
         }
-        let next = micros(self.sites.gateways[router].next(ms(now))).max(now + 1_000);
+        let next = micros(self.sites.gateways[router].next_deadline(ms(now))).max(now + 1_000);
         if next < self.sites.due[router] {
             self.sites.due[router] = next;
             self.queue.add(next, Event::Gateway(router));
@@ -275,20 +284,20 @@
         }
         self.sites.due[router] = Micros::MAX;
         self.own_caches(now, router);
-        self.sites.gateways[router].tick(ms(now));
+        self.sites.gateways[router].on_timer(ms(now));
         self.tend_gateway(now, router);
     }
 
     fn answered_beyond(&mut self, now: Micros, router: usize, ticket: Ticket, reply: Reply) {
         let Some(number) = self.number_of(router, ticket) else { return };
         match reply {
-            _ if ticket >= FOREIGN => _ = self.replies(now, number, |_| reply.clone()),
-            Reply::Served { copy, .. } => {
+            _ if ticket >= FIRST_REMOTE_TICKET => _ = self.replies(now, number, |_| reply.clone()),
+            Reply::Served { version: copy, .. } => {
                 self.seen.across += 1;
-                let dated = copy.map(|copy| micros(copy.dated));
+                let dated = copy.map(|copy| micros(copy.issued_at));
                 self.client_served(now, number, dated);
             }
-            Reply::Refused { wait } => self.client_refused(now, number, wait),
+            Reply::Rejected { retry_after: wait } => self.client_refused(now, number, wait),
             Reply::Failed => self.client_failed(now, number),
         }
     }
@@ -316,7 +325,7 @@
     }
 
     /// A connection is up, or could not be had.
-    pub(super) fn bring_up(&mut self, now: Micros, conn: Conn) {
+    pub(super) fn bring_up(&mut self, now: Micros, conn: ConnectionId) {
         let Some(wire) = self.sites.wires.get_mut(&conn) else { return };
         let [dialer, other] = wire.ends;
         if self.sites.cut || self.sites.silent {
@@ -325,13 +334,13 @@
             return self.tend_gateway(now, dialer);
         }
         wire.told = true;
-        self.sites.gateways[dialer].opened(ms(now), conn, Some(0));
-        self.sites.gateways[other].opened(ms(now), conn, None);
+        self.sites.gateways[dialer].connection_opened(ms(now), conn, Some(0));
+        self.sites.gateways[other].connection_opened(ms(now), conn, None);
         self.tend_gateway(now, dialer);
         self.tend_gateway(now, other);
     }
 
-    fn hang_up(&mut self, now: Micros, router: usize, conn: Conn) {
+    fn hang_up(&mut self, now: Micros, router: usize, conn: ConnectionId) {
         let delay = self.delay();
         let Some(wire) = self.sites.wires.get_mut(&conn) else { return };
         let end = usize::from(wire.ends[0] != router);
@@ -345,7 +354,7 @@
         self.queue.add(now + delay, Event::Bytes(conn, 1 - end));
     }
 
-    fn write(&mut self, now: Micros, router: usize, conn: Conn) {
+    fn write(&mut self, now: Micros, router: usize, conn: ConnectionId) {
         let (delay, carries) = (self.delay(), self.plan.sites.unwrap_or_default().carries / 1e6);
         let Some(wire) = self.sites.wires.get_mut(&conn) else { return };
         let end = usize::from(wire.ends[0] != router);
@@ -353,11 +362,11 @@
         let pipe = &mut wire.pipes[towards];
         while wire.told && wire.open[end] && pipe.bytes < IN_PIPE {
             let mut bytes = BytesMut::new();
-            self.sites.gateways[router].pull(conn, 32 << 10, &mut bytes);
+            self.sites.gateways[router].take_output(conn, 32 << 10, &mut bytes);
             if bytes.is_empty() {
                 break;
             }
-            self.sites.gateways[router].wrote(conn, bytes.len());
+            self.sites.gateways[router].mark_written(conn, bytes.len());
             pipe.bytes += bytes.len();
             let busy = &mut self.sites.busy[towards];
             *busy = (*busy).max(now) + (bytes.len() as f64 / carries).ceil() as Micros;
@@ -370,7 +379,7 @@
     }
 
     /// Whatever has arrived at an end by now.
-    pub(super) fn arrives(&mut self, now: Micros, conn: Conn, to: usize) {
+    pub(super) fn arrives(&mut self, now: Micros, conn: ConnectionId, to: usize) {
         while !self.sites.silent {
             let Some(wire) = self.sites.wires.get_mut(&conn) else { return };
             let [one, other] = wire.ends;
@@ -382,7 +391,7 @@
                 let open = wire.open[to];
                 self.watch(now, conn, to, &bytes);
                 if open {
-                    self.sites.gateways[here].came(ms(now), conn, &bytes);
+                    self.sites.gateways[here].receive(ms(now), conn, &bytes);
                     self.tend_gateway(now, here);
                 }
                 // There is room again for the other end.
@@ -391,7 +400,7 @@
             }
             if pipe.ended && pipe.under_way.is_empty() && wire.open[to] {
                 wire.open[to] = false;
-                self.sites.gateways[here].closed(ms(now), conn);
+                self.sites.gateways[here].connection_closed(ms(now), conn);
                 self.tend_gateway(now, here);
             }
             if self.sites.wires.get(&conn).is_some_and(|wire| wire.open == [false; 2]) {
@@ -402,7 +411,7 @@
     }
 
     /// The middle reads along, and notes what concerns the rules.
-    fn watch(&mut self, now: Micros, conn: Conn, to: usize, bytes: &[u8]) {
+    fn watch(&mut self, now: Micros, conn: ConnectionId, to: usize, bytes: &[u8]) {
         if !self.notes.are_wanted() {
             return;
         }
@@ -410,18 +419,20 @@
         let name = |end: usize| NAMES[end].to_string();
         let number = |token: Token, end: usize| (token.epoch * 1_000_000 + ends[end] as u64, token.number);
         let decoder = &mut pipes[to].decoder;
-        decoder.push(bytes);
-        while let Ok(Some(frame)) = decoder.next(1 << 20) {
-            match frame.word {
-                Word::Open(open) => {
-                    let id = open.head.iter().find(|(name, _)| name == "i").map(|(_, id)| id.clone());
+        decoder.push_bytes(bytes);
+        while let Ok(Some(frame)) = decoder.next_frame(1 << 20) {
+            match frame.message {
+                Message::Request(open) => {
+                    let id = open.fields.iter().find(|(name, _)| name == "i").map(|(_, id)| id.clone());
                     let token = open.token.map(|token| number(token, 1 - to));
                     token.into_iter().for_each(|token| _ = tokens.insert((1 - to, frame.stream), token));
-                    self.notes.crossed(now, name(to), id.unwrap_or_default(), token, open.passed);
+                    self.notes.crossed(now, name(to), id.unwrap_or_default(), token, open.passed_sites);
                 }
                 // PolicyEvent to the sender of the token, which is at the end that it goes to.
-                Word::Told(token, Fate::Never) => self.notes.proven(now, number(token, to)),
-                Word::Never { .. } => {
+                Message::OutcomeReport(token, AttemptOutcome::NeverRan) => {
+                    self.notes.proven(now, number(token, to))
+                }
+                Message::Reject { .. } => {
                     if let Some(token) = tokens.remove(&(to, frame.stream)) {
                         self.notes.proven(now, token);
                     }
@@ -432,7 +443,7 @@
     }
 
     pub(super) fn blow(&mut self, now: Micros, blow: Blow) {
-        let conns: Vec<Conn> = self.sites.wires.keys().copied().collect();
+        let conns: Vec<ConnectionId> = self.sites.wires.keys().copied().collect();
         match blow {
             Blow::Cut => {
                 self.sites.cut = true;
--- a/crates/operator-config/src/config.rs
+++ b/crates/operator-config/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use linnethook_audit::audit_log::AuditLogConfig;
-use linnethook_gateway::gateway::Rules as GatewayParameters;
+use linnethook_gateway::gateway::GatewayConfig as GatewayParameters;
 use linnethook_hierarchy::change_spec::NodeSpec;
 use linnethook_hierarchy::HierarchyConfig;
 use linnethook_membership::aggregation::location::Location;
--- a/crates/operator-config/src/functions/gateway.rs
+++ b/crates/operator-config/src/functions/gateway.rs
@@ -1,6 +1,6 @@
 //! `gateway()`, `site()` and `link()`.
 
-use linnethook_gateway::gateway::Rules as GatewayParameters;
+use linnethook_gateway::gateway::GatewayConfig as GatewayParameters;
 use starlark::environment::GlobalsBuilder;
 use starlark::eval::Evaluator;
 use starlark::starlark_module;
--- a/crates/operator-config/src/functions/mod.rs
+++ b/crates/operator-config/src/functions/mod.rs
@@ -6,7 +6,7 @@
 mod general;
 mod hierarchy;
 
-use linnethook_gateway::gateway::Rules as GatewayParameters;
+use linnethook_gateway::gateway::GatewayConfig as GatewayParameters;
 use linnethook_hierarchy::change_spec::{ChangeSpec, NodeSpec};
 use linnethook_hierarchy::HierarchyConfig;
 use linnethook_membership::aggregation::location::Location;
--- a/crates/operator-config/src/validation.rs
+++ b/crates/operator-config/src/validation.rs
@@ -107,8 +107,8 @@
     if call.listen.is_none() && links.is_empty() {
         return Err(invalid(position, "gateway(): expected listen, or at least one link()"));
     }
-    let pulse = &call.parameters.session.pulse;
-    if pulse.least > pulse.most {
+    let pulse = &call.parameters.session.heartbeat;
+    if pulse.min_silence > pulse.max_silence {
         return Err(invalid(position, "gateway(): expected silent_least up to silent_most"));
     }
     let GatewayCall { site, listen, parameters } = call;
--- a/crates/operator-config/tests/operator_file.rs
+++ b/crates/operator-config/tests/operator_file.rs
@@ -44,7 +44,7 @@
     assert_eq!(ranks, [0, 9]);
     let gateway = config.gateway.expect("a gateway");
     assert_eq!((gateway.site.as_str(), gateway.sites.len(), gateway.links[0].connections), ("north", 2, 2));
-    assert_eq!((gateway.parameters.peers.fresh, gateway.parameters.routes.hops), (150.0, 3));
+    assert_eq!((gateway.parameters.peers.max_state_delay, gateway.parameters.routing.max_hops), (150.0, 3));
     assert_eq!(gateway.sites[0].classes, ["booking"]);
     assert!(read("").expect("an empty file").gateway.is_none());
     assert!(read("").expect("an empty file").shadow_policy.is_none());
--- a/crates/router/src/cli.rs
+++ b/crates/router/src/cli.rs
@@ -585,7 +585,7 @@
             for conn in &gateway.connections {
                 out += &format!(
                     "    {}, answers in {:.1} ms, phi {:.1}; {} out, {} from there, {} bytes waiting\n",
-                    conn.feel, conn.trip, conn.phi, conn.out, conn.serving, conn.waiting
+                    conn.health, conn.trip, conn.phi, conn.out, conn.serving, conn.waiting
                 );
             }
         }
--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -40,19 +40,19 @@
             let now = clock.now();
             let effect = match self.core.next_action()? {
                 ClusterAction::Broadcast(entries) => {
-                    gateway.tell_fellows(now, entries);
+                    gateway.broadcast_to_peers(now, entries);
                     None
                 }
                 ClusterAction::Retract(key) => {
-                    gateway.drop_fellows(key);
+                    gateway.remove_peer_entry(key);
                     None
                 }
                 ClusterAction::SendTo(name, entries) => {
-                    gateway.tell_fellow_alone(&name, entries);
+                    gateway.send_to_peer(&name, entries);
                     None
                 }
                 ClusterAction::CloseLinks => {
-                    gateway.leave_fellows(now);
+                    gateway.disconnect_peers(now);
                     None
                 }
                 ClusterAction::CacheChanged { name, status, journal_position } => {
--- a/crates/router/src/operator_digest.rs
+++ b/crates/router/src/operator_digest.rs
@@ -7,8 +7,8 @@
 use std::fmt::{self, Debug};
 
 use linnethook_audit::audit_log::AuditLogConfig;
-use linnethook_gateway::gateway::Rules as GatewayRules;
-use linnethook_gateway::pulse::PulseRule;
+use linnethook_gateway::gateway::GatewayConfig as GatewayRules;
+use linnethook_gateway::heartbeat::HeartbeatConfig;
 use linnethook_hierarchy::change_spec::{NodeSpec, SourceSpec};
 use linnethook_hierarchy::origin_shield::ShieldConfig;
 use linnethook_hierarchy::rate_budget::RateBudgetConfig;
@@ -252,137 +252,149 @@
 
 fn session_rule(rules: &GatewayRules) -> Verbatim {
     let rule = &rules.session;
-    let streams = &rule.streams;
+    let streams = &rule.flow_control;
     let streams = record(
         "Bounds",
         &[
-            ("streams", &streams.streams),
-            ("stream_window", &streams.stream_window),
-            ("link_window", &streams.link_window),
-            ("turn", &streams.turn),
-            ("patience", &streams.patience),
+            ("streams", &streams.max_streams),
+            ("stream_window", &streams.stream_window_bytes),
+            ("link_window", &streams.link_window_bytes),
+            ("turn", &streams.max_turn_bytes),
+            ("patience", &streams.max_skipped_turns),
         ],
     );
     record(
         "SessionRule",
         &[
             ("streams", &streams),
-            ("pulse", &pulse_rule(&rule.pulse)),
-            ("frame", &rule.frame),
-            ("crowded", &rule.crowded),
-            ("backlog", &rule.backlog),
-            ("greeting", &rule.greeting),
-            ("called_off", &rule.called_off),
+            ("pulse", &pulse_rule(&rule.heartbeat)),
+            ("frame", &rule.max_frame_bytes),
+            ("crowded", &rule.crowded_output_bytes),
+            ("backlog", &rule.max_output_bytes),
+            ("greeting", &rule.hello_timeout),
+            ("called_off", &rule.max_cancelled_streams),
         ],
     )
 }
 
-fn pulse_rule(rule: &PulseRule) -> Verbatim {
+fn pulse_rule(rule: &HeartbeatConfig) -> Verbatim {
     record(
         "PulseRule",
         &[
-            ("every", &rule.every),
-            ("gaps", &rule.gaps),
-            ("least_spread", &rule.least_spread),
-            ("phi", &rule.phi),
-            ("least", &rule.least),
-            ("most", &rule.most),
-            ("slow", &rule.slow),
-            ("flaps", &rule.flaps),
-            ("flap_span", &rule.flap_span),
+            ("every", &rule.interval),
+            ("gaps", &rule.max_samples),
+            ("least_spread", &rule.min_deviation),
+            ("phi", &rule.phi_threshold),
+            ("least", &rule.min_silence),
+            ("most", &rule.max_silence),
+            ("slow", &rule.slow_ratio),
+            ("flaps", &rule.flap_threshold),
+            ("flap_span", &rule.flap_window),
         ],
     )
 }
 
 fn retry_rule(rules: &GatewayRules) -> Verbatim {
-    let rule = &rules.retry;
+    let rule = &rules.reconnect;
     record(
         "RetryRule",
-        &[("first", &rule.first), ("longer", &rule.longer), ("longest", &rule.longest), ("well", &rule.well)],
+        &[
+            ("first", &rule.initial_delay),
+            ("longer", &rule.delay_multiplier),
+            ("longest", &rule.max_delay),
+            ("well", &rule.reset_after),
+        ],
     )
 }
 
 fn route_rule(rules: &GatewayRules) -> Verbatim {
-    let rule = &rules.routes;
+    let rule = &rules.routing;
     record(
         "RouteRule",
         &[
-            ("first", &rule.first),
-            ("rise", &rule.rise),
-            ("rise_writes", &rule.rise_writes),
-            ("half", &rule.half),
-            ("flapping", &rule.flapping),
-            ("full", &rule.full),
-            ("room", &rule.room),
-            ("bad", &rule.bad),
-            ("good", &rule.good),
-            ("weight", &rule.weight),
-            ("seen", &rule.seen),
-            ("repeats", &rule.repeats),
-            ("saved", &rule.saved),
-            ("hops", &rule.hops),
+            ("first", &rule.initial_share),
+            ("rise", &rule.ramp_duration),
+            ("rise_writes", &rule.write_ramp_duration),
+            ("half", &rule.share_half_life),
+            ("flapping", &rule.flapping_share),
+            ("full", &rule.full_utilization),
+            ("room", &rule.reopen_utilization),
+            ("bad", &rule.max_failure_ratio),
+            ("good", &rule.reopen_failure_ratio),
+            ("weight", &rule.sample_weight),
+            ("seen", &rule.min_samples),
+            ("repeats", &rule.retries_per_request),
+            ("saved", &rule.max_saved_retries),
+            ("hops", &rule.max_hops),
         ],
     )
 }
 
 fn window_rule(rules: &GatewayRules) -> Verbatim {
-    let rule = &rules.window;
+    let rule = &rules.concurrency_window;
     record(
         "WindowRule",
         &[
-            ("first", &rule.first),
-            ("least", &rule.least),
-            ("most", &rule.most),
-            ("bear", &rule.bear),
-            ("weight", &rule.weight),
-            ("cut", &rule.cut),
-            ("pause", &rule.pause),
-            ("shares", &rule.shares),
-            ("bytes", &rule.bytes),
+            ("first", &rule.initial),
+            ("least", &rule.min),
+            ("most", &rule.max),
+            ("bear", &rule.max_late_ratio),
+            ("weight", &rule.sample_weight),
+            ("cut", &rule.decrease_factor),
+            ("pause", &rule.decrease_interval),
+            ("shares", &rule.priority_shares),
+            ("bytes", &rule.max_expected_bytes),
         ],
     )
 }
 
 fn home_rule(rules: &GatewayRules) -> Verbatim {
-    let rule = &rules.home;
+    let rule = &rules.local_capacity;
     record(
         "HomeRule",
         &[
-            ("bad", &rule.bad),
-            ("weight", &rule.weight),
-            ("seen", &rule.seen),
-            ("good", &rule.good),
-            ("every", &rule.every),
-            ("span", &rule.span),
+            ("bad", &rule.max_failure_ratio),
+            ("weight", &rule.sample_weight),
+            ("seen", &rule.min_samples),
+            ("good", &rule.recovery_successes),
+            ("every", &rule.probe_interval),
+            ("span", &rule.sample_lifetime),
         ],
     )
 }
 
 fn across_rule(rules: &GatewayRules) -> Verbatim {
-    let rule = &rules.across;
+    let rule = &rules.forwarding;
     record(
         "AcrossRule",
         &[
-            ("attempts", &rule.attempts),
-            ("guests", &rule.guests),
-            ("least", &rule.least),
-            ("tries", &rule.tries),
-            ("wait", &rule.wait),
-            ("waiting", &rule.waiting),
-            ("bytes", &rule.bytes),
-            ("resumed", &rule.resumed),
-            ("resumes", &rule.resumes),
-            ("asks", &rule.asks),
-            ("answer", &rule.answer),
-            ("writing", &rule.writing),
-            ("come_back", &rule.come_back),
+            ("attempts", &rule.max_attempts),
+            ("guests", &rule.max_remote_requests),
+            ("least", &rule.min_retry_time),
+            ("tries", &rule.max_retries),
+            ("wait", &rule.max_wait),
+            ("waiting", &rule.max_waiting),
+            ("bytes", &rule.max_buffered_bytes),
+            ("resumed", &rule.max_resumed_per_check),
+            ("resumes", &rule.resumes_bodies),
+            ("asks", &rule.queries_outcomes),
+            ("answer", &rule.max_answer_bytes),
+            ("writing", &rule.answer_write_timeout),
+            ("come_back", &rule.retry_after),
         ],
     )
 }
 
 fn horizon(rules: &GatewayRules) -> Verbatim {
-    let horizon = &rules.horizon;
-    record("Horizon", &[("span", &horizon.span), ("tokens", &horizon.tokens), ("bytes", &horizon.bytes)])
+    let horizon = &rules.attempt_ledger;
+    record(
+        "Horizon",
+        &[
+            ("span", &horizon.retention),
+            ("tokens", &horizon.max_tokens),
+            ("bytes", &horizon.max_answer_bytes),
+        ],
+    )
 }
 
 fn peer_rule(rules: &GatewayRules) -> Verbatim {
@@ -390,13 +402,13 @@
     record(
         "PeerRule",
         &[
-            ("fresh", &rule.fresh),
-            ("bound", &rule.bound),
-            ("facts", &rule.facts),
-            ("purges", &rule.purges),
-            ("gateways", &rule.gateways),
-            ("connections", &rule.connections),
-            ("accepted", &rule.accepted),
+            ("fresh", &rule.max_state_delay),
+            ("bound", &rule.state_lifetime),
+            ("facts", &rule.max_facts),
+            ("purges", &rule.purge_retention),
+            ("gateways", &rule.max_gateways),
+            ("connections", &rule.max_connections),
+            ("accepted", &rule.max_accepted),
         ],
     )
 }
--- a/crates/router/src/remote_sites/links.rs
+++ b/crates/router/src/remote_sites/links.rs
@@ -8,7 +8,7 @@
 use bytes::{Buf, BytesMut};
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
-use linnethook_gateway::gateway::{Conn, Gateway};
+use linnethook_gateway::gateway::{ConnectionId, Gateway};
 use socket2::{Domain, Socket, Type};
 
 use crate::config::Limits;
@@ -41,10 +41,10 @@
 pub struct SiteLinks<W: EventHandler> {
     limits: Limits,
     handle: LoopHandle<'static, W>,
-    connections: BTreeMap<Conn, Connection>,
-    last: Conn,
+    connections: BTreeMap<ConnectionId, Connection>,
+    last: ConnectionId,
     /// Connections whose reading is paused: others have their turn.
-    paused: BTreeSet<Conn>,
+    paused: BTreeSet<ConnectionId>,
     block: Box<[u8]>,
     listener: Option<RegistrationToken>,
     /// When the listener is enabled again after a failed accept.
@@ -117,14 +117,14 @@
                 continue;
             }
             match self.add(stream, None) {
-                Ok(conn) => gateway.opened(now, conn, None),
+                Ok(conn) => gateway.connection_opened(now, conn, None),
                 Err(error) => log_line!("a link could not be taken in: {error}"),
             }
         }
         true
     }
 
-    fn add(&mut self, stream: TcpStream, connecting: Option<Connecting>) -> io::Result<Conn> {
+    fn add(&mut self, stream: TcpStream, connecting: Option<Connecting>) -> io::Result<ConnectionId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.last += 1;
@@ -154,13 +154,13 @@
     }
 
     /// Continues after a connection became ready.
-    pub fn ready(&mut self, now: Ms, conn: Conn, readiness: Readiness, gateway: &mut Gateway) {
+    pub fn ready(&mut self, now: Ms, conn: ConnectionId, readiness: Readiness, gateway: &mut Gateway) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if let Some(Connecting { dialer, .. }) = connection.connecting {
             match connection.stream.take_error() {
                 Ok(None) if readiness.writable => {
                     connection.connecting = None;
-                    gateway.opened(now, conn, Some(dialer));
+                    gateway.connection_opened(now, conn, Some(dialer));
                 }
                 Ok(None) => return,
                 Ok(Some(_)) | Err(_) => {
@@ -177,7 +177,7 @@
         }
     }
 
-    fn read(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
+    fn read(&mut self, now: Ms, conn: ConnectionId, gateway: &mut Gateway) {
         self.paused.remove(&conn);
         let mut budget = self.limits.link_turn;
         while let Some(connection) = self.connections.get_mut(&conn) {
@@ -190,7 +190,7 @@
                 Ok(n) => {
                     budget = budget.saturating_sub(n);
                     self.bytes_in += n as u64;
-                    gateway.came(now, conn, &self.block[..n]);
+                    gateway.receive(now, conn, &self.block[..n]);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -212,11 +212,11 @@
     }
 
     /// Writes as much as the system accepts.
-    pub fn write(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
+    pub fn write(&mut self, now: Ms, conn: ConnectionId, gateway: &mut Gateway) {
         while let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.connecting.is_none()) {
             if connection.output.is_empty() {
                 connection.output.clear();
-                gateway.pull(conn, self.limits.link_block, &mut connection.output);
+                gateway.take_output(conn, self.limits.link_block, &mut connection.output);
                 if connection.output.is_empty() {
                     return;
                 }
@@ -225,7 +225,7 @@
                 Ok(n) => {
                     connection.output.advance(n);
                     self.bytes_out += n as u64;
-                    gateway.wrote(conn, n);
+                    gateway.mark_written(conn, n);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -234,13 +234,13 @@
         }
     }
 
-    fn on_lost(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
+    fn on_lost(&mut self, now: Ms, conn: ConnectionId, gateway: &mut Gateway) {
         self.close(conn);
-        gateway.closed(now, conn);
+        gateway.connection_closed(now, conn);
     }
 
     /// Closes a connection; the gateway is not told.
-    pub fn close(&mut self, conn: Conn) {
+    pub fn close(&mut self, conn: ConnectionId) {
         self.paused.remove(&conn);
         if let Some(connection) = self.connections.remove(&conn) {
             self.handle.remove(connection.token);
@@ -258,7 +258,7 @@
         let late = self.connections.iter().filter_map(|(conn, connection)| {
             connection.connecting.filter(is_late).map(|connecting| (*conn, connecting.dialer))
         });
-        let late: Vec<(Conn, usize)> = late.collect();
+        let late: Vec<(ConnectionId, usize)> = late.collect();
         for (conn, dialer) in late {
             self.close(conn);
             gateway.dial_failed(now, dialer);
