--- a/crates/router/src/proxy/remote_sites.rs
+++ b/crates/router/src/proxy/remote_sites.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 
 use calloop::Readiness;
-use linnethook_gateway::gateway::{Came, Reply};
+use linnethook_gateway::gateway::{RemoteRequest, Reply};
 
 use crate::control::{ControlRequest, ControlResponse};
 use crate::downstream::ClientRequest;
@@ -149,7 +149,7 @@
     }
 
     /// A request from another site: this site decides about it, or another one that it has not passed.
-    fn on_remote_request(&mut self, remote: &Came) {
+    fn on_remote_request(&mut self, remote: &RemoteRequest) {
         let now = self.clock.now();
         let ticket = remote.ticket;
         let request = parse_remote_request(remote, &self.buffers, &self.limits);
@@ -165,7 +165,7 @@
         self.counters.record_request(request.message.body.len());
         let ClientRequest { stream, spec, message } = request;
         let open = OpenRequest::new(now, &self.policy, stream, &spec, message);
-        let open = open.across_sites(now, &self.policy, spec, remote.passed.clone());
+        let open = open.across_sites(now, &self.policy, spec, remote.passed_sites.clone());
         self.requests.insert(ticket, open);
         self.choose_site(ticket);
     }
--- a/crates/router/src/remote_sites/commands.rs
+++ b/crates/router/src/remote_sites/commands.rs
@@ -40,7 +40,7 @@
             SiteResponse::without_effects(ControlResponse::GatewayStatus(Box::new(gateway.status(now))))
         }
         ControlRequest::GatewayRoutes => {
-            SiteResponse::without_effects(ControlResponse::GatewayRoutes(gateway.shown_routes(now)))
+            SiteResponse::without_effects(ControlResponse::GatewayRoutes(gateway.route_lines(now)))
         }
         ControlRequest::DrainSite { site, drained } => remote_sites.drain_site(now, &site, drained),
         _ => SiteResponse::refused("a question of another part"),
@@ -50,7 +50,7 @@
 impl<W: EventHandler> RemoteSites<W> {
     /// Drains a site by its operators' order, or ends that drain.
     fn drain_site(&mut self, now: Ms, site: &str, drained: bool) -> SiteResponse {
-        if !self.gateway.drain(now, site, drained) {
+        if !self.gateway.set_drained(now, site, drained) {
             return SiteResponse::refused(format!("there is no site {site:?}"));
         }
         let state = if drained { "left alone" } else { "used again" };
--- a/crates/router/src/remote_sites/serving.rs
+++ b/crates/router/src/remote_sites/serving.rs
@@ -20,18 +20,18 @@
     pub fn choose_site(&mut self, now: Ms, ticket: Ticket, open: &OpenRequest) -> bool {
         let Some(request) = &open.cross_site else { return false };
         let spec = self.forward_spec(request, &open.message);
-        self.gateway.ask(now, ticket, spec);
+        self.gateway.submit_request(now, ticket, spec);
         true
     }
 
     /// Forwards a client's request that was rejected here; false where the gateway has no site for it.
     pub fn forward_rejected(&mut self, now: Ms, ticket: Ticket, open: &OpenRequest) -> bool {
         let Some(request) = open.cross_site.as_ref().filter(|_| !is_remote(ticket)) else { return false };
-        if !self.gateway.home_is_unable(request.need()) {
+        if !self.gateway.is_locally_unable(request.need()) {
             return false;
         }
         let spec = self.forward_spec(request, &open.message);
-        self.gateway.ask_beyond_home(now, ticket, spec)
+        self.gateway.forward_rejected_request(now, ticket, spec)
     }
 
     /// Records the answer that this site's policy gave to a request.
@@ -44,21 +44,21 @@
 
     /// Answers a request of another site.
     pub fn reply(&mut self, now: Ms, ticket: Ticket, reply: Reply) {
-        self.gateway.reply(now, ticket, reply);
+        self.gateway.complete_remote_request(now, ticket, reply);
     }
 
     /// Rejects a request of another site; `retry_after` 0 = none.
     pub fn reject(&mut self, now: Ms, ticket: Ticket, retry_after: Ms) {
-        self.gateway.reply(now, ticket, Reply::Refused { wait: retry_after });
+        self.gateway.complete_remote_request(now, ticket, Reply::Rejected { retry_after });
     }
 
     /// Nobody waits for a request any more.
     pub fn cancel(&mut self, now: Ms, ticket: Ticket) {
-        self.gateway.gone(now, ticket);
+        self.gateway.cancel_request(now, ticket);
     }
 
     /// Announces the end of this router to other sites; no links are connected from here on.
     pub fn stop(&mut self) {
-        self.gateway.stop();
+        self.gateway.begin_shutdown();
     }
 }
