--- a/crates/router/src/policy_adapter/actions.rs
+++ b/crates/router/src/policy_adapter/actions.rs
@@ -9,6 +9,7 @@
 pub struct FillSpec {
     /// `None` for no fill.
     pub source: Option<EndpointKey>,
+    /// 0 passes the answer through; 1 to 3 cache it with that priority of retention.
     pub retention: u8,
     /// The age limit of a copy; 0 = none beyond the freshness that its class has.
     pub max_age: Ms,
@@ -16,11 +17,14 @@
     pub max_stale_age: Ms,
     /// Whether it may wait for a fill in progress.
     pub coalesce: bool,
+    /// The source answers only from its cache.
     pub only_if_cached: bool,
+    /// A stale copy is served, and revalidated in the background.
     pub revalidate: bool,
 }
 
 impl FillSpec {
+    /// A cached copy, or none.
     pub(super) const NO_FILL: Self = Self {
         source: None,
         retention: 0,
@@ -34,7 +38,7 @@
     /// A fill at `endpoint`, which is no fill where that is its own source.
     pub(super) fn new(endpoint: EndpointId, fill: &FillInstruction) -> Self {
         Self {
-            source: (fill.source != endpoint).then(|| EndpointKey::from_number(fill.source.0)),
+            source: (fill.source != endpoint).then(|| fill.source.into()),
             retention: fill.retention,
             max_age: fill.max_age,
             max_stale_age: fill.max_stale_age,
@@ -55,16 +59,37 @@
         /// In milliseconds; 0 = none.
         retry_after: Ms,
     },
+    /// It failed, and may have been executed.
     Failed,
 }
 
 /// What the router is to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PolicyCommand {
-    Send { attempt: AttemptKey, endpoint: EndpointKey, timeout: Ms, fill: FillSpec },
+    /// Send an attempt.
+    Send {
+        /// The attempt.
+        attempt: AttemptKey,
+        /// Where it is sent.
+        endpoint: EndpointKey,
+        /// Time after which it ends as timed out, in milliseconds.
+        timeout: Ms,
+        /// What the endpoint does where it has no copy.
+        fill: FillSpec,
+    },
+    /// Cancel an attempt, which is still reported as ended.
     Cancel(AttemptKey),
-    Answer { ticket: Ticket, answer: FinalAnswer },
+    /// Give a request its final answer.
+    Answer {
+        /// The request.
+        ticket: Ticket,
+        /// The answer.
+        answer: FinalAnswer,
+    },
+    /// Call [`on_timer`](super::PolicyAdapter::on_timer) then; an earlier time that was set stays.
     SetTimer(Ms),
+    /// Check the health of an endpoint.
     HealthCheck(EndpointKey),
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/router/src/policy_adapter/mod.rs
+++ b/crates/router/src/policy_adapter/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethook::interface::{
-    Action, EndpointId, Event, Idempotence, ObjectId, Request, RequestClass, RequestId,
+    Action, AttemptId, EndpointId, Event, Idempotence, ObjectId, Request, RequestClass, RequestId,
 };
 use linnethook::Policy;
 use linnethook_settings::DecodedSettings;
@@ -20,7 +20,7 @@
 use linnethook_shadow_policy::{DueTimer, ShadowPolicy};
 use xxhash_rust::xxh3::xxh3_64;
 
-use events::{fill_sources_event, purge_event, ReportNames};
+use events::{fill_sources_event, purge_event, ReportNames, UNKNOWN_NUMBER};
 
 pub use actions::{FillSpec, FinalAnswer, PolicyCommand};
 pub use events::{
@@ -30,42 +30,74 @@
 /// Milliseconds, on the clock of the process.
 pub type Ms = f64;
 
-/// The number of an open request, unique in this router.
+/// The router's id of an open request, unique in this router. The id that the client gave it is
+/// [`RequestMessage::id`](crate::upstream::RequestMessage::id), which others may have, too.
 pub type Ticket = u64;
 
 /// One attempt at a request; the attempts count from 0 in the order sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
+    /// The request.
     pub ticket: Ticket,
+    /// The number of the attempt, from 0 on.
     pub number: u8,
 }
 
+impl AttemptKey {
+    fn id(self) -> AttemptId {
+        AttemptId { request: RequestId(self.ticket), number: self.number }
+    }
+}
+
+impl From<AttemptId> for AttemptKey {
+    fn from(id: AttemptId) -> Self {
+        Self { ticket: id.request.0, number: id.number }
+    }
+}
+
 /// A cache, a parent or the origin. The same uid makes the same key at every router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointKey(u64);
 
 impl EndpointKey {
+    /// The key of an endpoint by its name.
     pub fn of(uid: &str) -> Self {
         Self(xxh3_64(uid.as_bytes()))
     }
 
+    /// The key as a number, as other routers and the audit log have it.
     pub fn number(self) -> u64 {
         self.0
     }
 
+    /// The key that [`Self::number`] stands for.
     pub fn from_number(number: u64) -> Self {
         Self(number)
     }
+
+    fn id(self) -> EndpointId {
+        EndpointId(self.0)
+    }
+}
+
+impl From<EndpointId> for EndpointKey {
+    fn from(id: EndpointId) -> Self {
+        Self(id.0)
+    }
 }
 
 /// What a client requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestSpec {
+    /// The name of its class.
     pub class: String,
+    /// The object, by its number.
     pub object: u64,
+    /// The part of the object, from 0 on.
     pub part: u32,
+    /// The purge group of the object.
     pub group: u32,
-    /// 0 = not stated.
+    /// The size of the object; 0 = not stated.
     pub size_kb: f64,
     /// The client has sent it before.
     pub repeat: bool,
@@ -76,8 +108,9 @@
 /// What a class says of its requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestNeeds {
-    /// In milliseconds.
+    /// Within what time it is wanted, in milliseconds.
     pub latency_objective: Ms,
+    /// Whether it is executed at the origin.
     pub is_write: bool,
 }
 
@@ -85,6 +118,7 @@
 #[derive(Debug)]
 struct PendingRequest {
     deadline: Ms,
+    /// How many were sent.
     attempts: u8,
 }
 
@@ -105,6 +139,7 @@
 }
 
 impl PolicyAdapter {
+    /// A policy without endpoints.
     pub fn new(settings: DecodedSettings, seed: u64) -> Self {
         let names = ReportNames {
             names: settings.names,
@@ -129,31 +164,34 @@
         self.shadow = Some(ShadowPolicy::new(settings.settings, seed));
     }
 
+    /// Where other settings would have decided otherwise; `None` without any.
     pub fn shadow_counts(&self) -> Option<ShadowCounts> {
         self.shadow.as_ref().map(ShadowPolicy::counts)
     }
 
     /// Whether the settings have the class of a request.
     pub fn knows_class(&self, spec: &RequestSpec) -> bool {
-        self.class_index(spec).is_some()
+        self.names.class_number(&spec.class).is_some()
     }
 
-    fn class_index(&self, spec: &RequestSpec) -> Option<usize> {
-        self.names.names.classes.iter().position(|name| *name == spec.class)
+    /// The class of a request; `None` where the settings don't have it.
+    fn class(&self, spec: &RequestSpec) -> Option<&RequestClass> {
+        let number = self.names.class_number(&spec.class)?;
+        self.classes.get(usize::from(number))
     }
 
     /// The latency objective of a request, and whether it is a write.
     pub fn needs(&self, spec: &RequestSpec) -> RequestNeeds {
-        let class = self.class_index(spec).and_then(|n| self.classes.get(n)).cloned().unwrap_or_default();
-        let sending = if self.flow_kb_per_s > 0.0 { spec.size_kb / self.flow_kb_per_s * 1000.0 } else { 0.0 };
-        let latency_objective = class.latency_objective + class.objective_stretch_ratio * sending;
+        let class = self.class(spec).cloned().unwrap_or_default();
+        let transfer =
+            if self.flow_kb_per_s > 0.0 { spec.size_kb / self.flow_kb_per_s * 1000.0 } else { 0.0 };
+        let latency_objective = class.latency_objective + class.objective_stretch_ratio * transfer;
         RequestNeeds { latency_objective, is_write: class.is_write }
     }
 
     /// Whether a second execution of a request would do harm; so it is for an unknown class.
     pub fn needs_repeat_protection(&self, spec: &RequestSpec) -> bool {
-        let class = self.class_index(spec).and_then(|n| self.classes.get(n));
-        class.is_none_or(|class| class.idempotence != Idempotence::Idempotent)
+        self.class(spec).is_none_or(|class| class.idempotence != Idempotence::Idempotent)
     }
 
     /// The longest Retry-After that a client may be given, in milliseconds.
@@ -163,8 +201,7 @@
 
     /// Whether an endpoint is in this router's own zone.
     pub fn is_local(&self, endpoint: &EndpointInfo) -> bool {
-        let zone = self.names.names.zones.iter().position(|zone| *zone == endpoint.zone);
-        zone == Some(usize::from(self.zone))
+        self.names.zone_number(&endpoint.zone) == Some(self.zone)
     }
 
     /// Requests without their final answer.
@@ -175,7 +212,7 @@
     /// Decides about a new request.
     pub fn on_request(&mut self, now: Ms, ticket: Ticket, spec: &RequestSpec) -> Vec<PolicyCommand> {
         // The policy knows an unknown class by no number, and assumes nothing of it.
-        let class = self.class_index(spec).and_then(|n| u16::try_from(n).ok()).unwrap_or(u16::MAX);
+        let class = self.names.class_number(&spec.class).unwrap_or(UNKNOWN_NUMBER);
         self.pending.insert(ticket, PendingRequest { deadline: now + spec.budget, attempts: 0 });
         let request = Request {
             id: RequestId(ticket),
@@ -254,9 +291,7 @@
             Action::ForwardWithFill { request, endpoint, timeout, fill } => {
                 self.send(now, request, endpoint, timeout, FillSpec::new(endpoint, &fill))
             }
-            Action::CancelAttempt(id) => {
-                Some(PolicyCommand::Cancel(AttemptKey { ticket: id.request.0, number: id.number }))
-            }
+            Action::CancelAttempt(id) => Some(PolicyCommand::Cancel(id.into())),
             Action::Reject { request, retry_after, .. } => {
                 self.finish(request, FinalAnswer::Rejected { retry_after })
             }
@@ -265,7 +300,7 @@
                 self.timers.insert((micros(at), token));
                 Some(PolicyCommand::SetTimer(at))
             }
-            Action::HealthCheck(endpoint) => Some(PolicyCommand::HealthCheck(EndpointKey(endpoint.0))),
+            Action::HealthCheck(endpoint) => Some(PolicyCommand::HealthCheck(endpoint.into())),
             // Discovery reports all changes by itself.
             Action::SubscribeEndpoints => None,
             Action::Log(line) => Some(PolicyCommand::Log(line)),
@@ -286,7 +321,7 @@
         let timeout = if timeout == 0.0 { left } else { timeout.min(left) };
         let attempt = AttemptKey { ticket: request.0, number: pending.attempts };
         pending.attempts += 1;
-        Some(PolicyCommand::Send { attempt, endpoint: EndpointKey(endpoint.0), timeout, fill })
+        Some(PolicyCommand::Send { attempt, endpoint: endpoint.into(), timeout, fill })
     }
 
     /// The one final answer; `None` where it has been given already.
--- a/crates/router/tests/unit/policy_adapter.rs
+++ b/crates/router/tests/unit/policy_adapter.rs
@@ -46,8 +46,8 @@
     })
 }
 
-fn sent(orders: &[PolicyCommand]) -> Option<(AttemptKey, EndpointKey, Ms, FillSpec)> {
-    orders.iter().find_map(|order| match order {
+fn sent(commands: &[PolicyCommand]) -> Option<(AttemptKey, EndpointKey, Ms, FillSpec)> {
+    commands.iter().find_map(|command| match command {
         PolicyCommand::Send { attempt, endpoint, timeout, fill } => {
             Some((*attempt, *endpoint, *timeout, *fill))
         }
@@ -55,12 +55,12 @@
     })
 }
 
-fn answers(orders: &[PolicyCommand]) -> Vec<FinalAnswer> {
-    let answer = |order: &PolicyCommand| match order {
+fn answers(commands: &[PolicyCommand]) -> Vec<FinalAnswer> {
+    let answer = |command: &PolicyCommand| match command {
         PolicyCommand::Answer { answer, .. } => Some(*answer),
         _ => None,
     };
-    orders.iter().filter_map(answer).collect()
+    commands.iter().filter_map(answer).collect()
 }
 
 #[test]
@@ -70,8 +70,8 @@
         sent(&adapter.on_request(1000.0, 1, &spec("video", 900.0))).expect("an attempt");
     assert_eq!((place, fill.source), (EndpointKey::of("a"), Some(EndpointKey::of("p"))));
     assert!(timeout > 0.0 && timeout <= 900.0);
-    let orders = adapter.handle(1050.0, ended(attempt, place, AttemptEnd::Answered));
-    assert_eq!(answers(&orders), [FinalAnswer::Served]);
+    let commands = adapter.handle(1050.0, ended(attempt, place, AttemptEnd::Answered));
+    assert_eq!(answers(&commands), [FinalAnswer::Served]);
     assert_eq!(adapter.open_requests(), 0);
     let again = adapter.handle(1060.0, ended(attempt, place, AttemptEnd::Answered));
     assert!(answers(&again).is_empty());
@@ -85,8 +85,8 @@
         sent(&adapter.on_request(1000.0, 1, &spec("booking", 700.0))).expect("an attempt");
     assert_eq!(place, EndpointKey::of("o"));
     assert!(timeout <= 700.0);
-    let orders = adapter.handle(1700.0, ended(attempt, place, AttemptEnd::TimedOut));
-    assert_eq!(answers(&orders), [FinalAnswer::Failed], "it may have run");
+    let commands = adapter.handle(1700.0, ended(attempt, place, AttemptEnd::TimedOut));
+    assert_eq!(answers(&commands), [FinalAnswer::Failed], "it may have run");
 }
 
 #[test]
@@ -94,12 +94,12 @@
     let mut adapter = adapter();
     let (attempt, place, ..) =
         sent(&adapter.on_request(1000.0, 1, &spec("booking", 10.0))).expect("an attempt");
-    let orders = adapter.handle(1009.0, ended(attempt, place, AttemptEnd::NotSent));
-    assert!(matches!(answers(&orders)[..], [FinalAnswer::Rejected { .. }]));
+    let commands = adapter.handle(1009.0, ended(attempt, place, AttemptEnd::NotSent));
+    assert!(matches!(answers(&commands)[..], [FinalAnswer::Rejected { .. }]));
     let (attempt, place, ..) =
         sent(&adapter.on_request(1010.0, 2, &spec("video", 900.0))).expect("an attempt");
-    let orders = adapter.handle(1020.0, PolicyInput::RequestCancelled(2));
-    assert!(orders.contains(&PolicyCommand::Cancel(attempt)) && answers(&orders).is_empty());
+    let commands = adapter.handle(1020.0, PolicyInput::RequestCancelled(2));
+    assert!(commands.contains(&PolicyCommand::Cancel(attempt)) && answers(&commands).is_empty());
     assert!(answers(&adapter.handle(1020.0, ended(attempt, place, AttemptEnd::Cancelled))).is_empty());
 }
 
@@ -129,13 +129,13 @@
             for end in [AttemptEnd::Answered, AttemptEnd::Cancelled, AttemptEnd::ConnectionLost] {
                 ticket += 1;
                 let spec = RequestSpec { object: ticket * 77, ..spec("video", 900.0) };
-                let mut orders = adapter.on_request(now, ticket, &spec);
-                while let Some((attempt, place, ..)) = sent(&orders) {
+                let mut commands = adapter.on_request(now, ticket, &spec);
+                while let Some((attempt, place, ..)) = sent(&commands) {
                     now += 20.0;
                     if end == AttemptEnd::Cancelled {
                         adapter.handle(now, PolicyInput::RequestCancelled(ticket));
                     }
-                    orders = adapter.handle(now, ended(attempt, place, end));
+                    commands = adapter.handle(now, ended(attempt, place, end));
                 }
             }
             adapter.on_timer(now);
@@ -180,7 +180,7 @@
     other
 }
 
-/// All orders of a rough stretch; names begin with `name`. What `beside` does in between must not matter.
+/// All commands of a rough stretch; names begin with `name`. What `beside` does in between must not matter.
 fn stretch(adapter: &mut PolicyAdapter, name: &str, mut beside: impl FnMut(Ms)) -> Vec<String> {
     let host = |uid: String, zone: &str, kind: &str| EndpointInfo {
         uid,
@@ -208,16 +208,17 @@
         let object = draw(60);
         let size_kb = 20.0 + draw(900) as f64;
         let spec = RequestSpec { object, size_kb, ..spec(&format!("{name}{class}"), 2_000.0) };
-        let mut orders = adapter.on_request(now, ticket, &spec);
+        let mut commands = adapter.on_request(now, ticket, &spec);
         if draw(9) == 0 {
             let stamp = now;
-            orders.extend(adapter.handle(now, PolicyInput::Purged { object: Some(object), group: 0, stamp }));
+            commands
+                .extend(adapter.handle(now, PolicyInput::Purged { object: Some(object), group: 0, stamp }));
         }
-        orders.extend(adapter.on_timer(now));
-        while let Some((attempt, place, ..)) = sent(&orders) {
+        commands.extend(adapter.on_timer(now));
+        while let Some((attempt, place, ..)) = sent(&commands) {
             out.push((attempt, place));
-            all.extend(orders.iter().map(|order| format!("{order:?}")));
-            orders.clear();
+            all.extend(commands.iter().map(|command| format!("{command:?}")));
+            commands.clear();
             if draw(3) > 0 {
                 let (attempt, place) = out.swap_remove(draw(out.len() as u64) as usize);
                 let ends = [
@@ -228,10 +229,10 @@
                     AttemptEnd::TimedOut,
                     AttemptEnd::Failed,
                 ];
-                orders = adapter.handle(now, ended(attempt, place, ends[draw(6) as usize]));
+                commands = adapter.handle(now, ended(attempt, place, ends[draw(6) as usize]));
             }
         }
-        all.extend(orders.iter().map(|order| format!("{order:?}")));
+        all.extend(commands.iter().map(|command| format!("{command:?}")));
     }
     all
 }
@@ -268,7 +269,7 @@
     let mut adapter = adapter();
     let mut now = 1000.0;
     for _ in 0..20 {
-        let wake = adapter.on_timer(now).into_iter().find_map(|order| match order {
+        let wake = adapter.on_timer(now).into_iter().find_map(|command| match command {
             PolicyCommand::SetTimer(at) => Some(at),
             _ => None,
         });
