--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -1,139 +1,198 @@
-//! Owns the frames of a link: a length, a kind, a stream, and what belongs to it.
+//! The frames of a link: a length, a kind, a stream, and a payload.
 //!
-//! Bytes of bodies are raw; all else is postcard. Must never keep anything of a frame whose length was not checked,
-//! and never go on after one that can't be read: the session ends.
+//! Bytes of bodies are raw; all else is postcard, so the order of variants and fields here is the format. Nothing of a
+//! frame is buffered beyond its bound, and a connection is closed after one that can't be read.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 
 use crate::attempt_ledger::{AttemptOutcome, Token};
-use crate::site_state::{FactKey, FactValue, StateUpdate};
+use crate::site_state::{Fact, StatePosition, StateUpdate};
 use crate::transfer::ObjectVersion;
 
-/// The length counts the kind, the stream and the payload.
+/// Size of the length, which counts the kind, the stream and the payload.
 const LENGTH_BYTES: usize = 4;
 const KIND_AND_STREAM_BYTES: usize = 5;
-/// What a frame of bytes has beside them.
+/// What a frame has beside its payload, in bytes.
 pub const DATA_OVERHEAD_BYTES: usize = LENGTH_BYTES + KIND_AND_STREAM_BYTES;
 
-/// Names and values, as a client's request has them.
+/// Names and values, as clients write them.
 pub type Fields = Vec<(String, String)>;
 
-/// The versions of these frames that this build speaks, from and to. Since 2 there are facts of fellows.
-pub const SUPPORTED_VERSIONS: (u16, u16) = (1, 2);
+/// The versions of these frames that this build speaks. Since 2 there are entries of routers of one site.
+pub const SUPPORTED_VERSIONS: VersionRange = VersionRange { min: 1, max: 2 };
 
-/// One word of a link.
+/// Versions of the frames.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct VersionRange {
+    /// The oldest one.
+    pub min: u16,
+    /// The newest one.
+    pub max: u16,
+}
+
+impl VersionRange {
+    /// Whether there is a version that both sides speak.
+    pub fn overlaps(self, other: Self) -> bool {
+        self.min <= self.max && self.max >= other.min && self.min <= other.max
+    }
+}
+
+/// One message of a link.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The first frame of each side.
     Hello(Hello),
-    /// A request; streams are numbered upwards by the side that opens them.
+    /// A request opens a stream; streams are numbered upwards by the side that opens them.
     Request(Box<ForwardedRequest>),
-    /// An answer begins.
+    /// A response begins.
     Response(Box<ResponseHead>),
-    /// Bytes of the body of an answer.
+    /// Bytes of the body of a response.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// Nobody waits for the stream any more.
+    /// Nobody waits for the response any more.
     Cancel,
-    /// It was turned away, and never ran; when it may come again, in milliseconds, 0 = not told.
+    /// The request was rejected, and never ran.
     Reject {
+        /// Why.
         reason: RejectReason,
+        /// When it may be sent again, in milliseconds; 0 if that is not known.
         retry_after_ms: u32,
     },
-    /// So many more bytes may be sent on the stream; on stream 0, on the link.
+    /// So many more bytes may be sent on the stream or, on stream 0, on the connection.
     Credit(u32),
-    /// Answered by the other side with the same number, behind all that it had to say before.
+    /// The other side answers with the same number, behind all that it had queued before.
     Ping(u64),
+    /// The answer to a ping.
     Pong(u64),
-    /// What became of an attempt, and the answer to that.
+    /// What became of an attempt?
     OutcomeQuery(Token),
+    /// What became of an attempt.
     OutcomeReport(Token, AttemptOutcome),
-    /// What a site says of itself.
+    /// What has changed of the state of a site.
     StateUpdate(StateUpdate),
-    /// Something before the last state is missing: the start and the version up to which all is known.
-    StateRequest(u64, u64),
+    /// An update is missing: the position up to which all is known.
+    StateRequest(StatePosition),
     /// No new streams on this connection.
     GoAway,
-    /// Facts beside the order of states: for one fellow, that lacks them.
-    DirectFacts(Vec<(FactKey, FactValue)>),
+    /// Facts outside of the order of updates, for one router of the own site that lacks them.
+    DirectFacts(Vec<Fact>),
 }
 
-/// Who speaks.
+/// How a gateway introduces itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The versions that it speaks, from and to.
-    pub versions: (u16, u16),
+    /// The versions of the frames that it speaks.
+    pub versions: VersionRange,
+    /// The name of its site.
     pub site: String,
-    /// Its name among the gateways of its site, and when it started.
+    /// Its name within its site.
     pub node: String,
+    /// When its process started, in Unix microseconds.
     pub epoch: u64,
-    /// The start and version up to which it knows the other's state.
-    pub known_state: (u64, u64),
-    /// Where the proof of who it is will stand; empty so far.
+    /// The position up to which it knows the state of the other side.
+    pub known_state: StatePosition,
+    /// Reserved for a proof of its identity; empty.
     pub proof: Vec<u8>,
 }
 
-/// A request that crosses.
+/// A request that is forwarded to another site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
-    /// Where a second run would be harm.
+    /// The fencing token, if a second execution would do harm.
     pub token: Option<Token>,
+    /// How long the answer may take, in milliseconds.
     pub remaining_ms: u32,
+    /// The number of its [`Priority`](crate::flow_control::Priority).
     pub priority: u8,
-    /// The sites that it has passed, the sender's last.
+    /// The names of the sites that it has passed, the sender's last.
     pub passed_sites: Vec<String>,
-    /// Only the rest of that copy is wanted, from that byte on.
-    pub resume_from: Option<(u64, ObjectVersion)>,
+    /// Set if the first part of the body is there already.
+    pub resume_from: Option<ResumePoint>,
+    /// Names and values, as the client has sent them.
     pub fields: Fields,
+    /// The body of the request.
     pub body: Bytes,
 }
 
-/// The beginning of an answer.
+/// Where a body that stopped is to go on.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct ResumePoint {
+    /// The first byte that is wanted.
+    pub offset: u64,
+    /// The version of the object that it has to be.
+    pub version: ObjectVersion,
+}
+
+/// The beginning of a response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ResponseHead {
+    /// Whether the request was served; else it failed.
     pub served: bool,
+    /// Names and values of the answer.
     pub fields: Fields,
-    /// Of the whole body, and the first byte of it that will come.
+    /// The length of the complete body, in bytes.
     pub body_length: u64,
+    /// The first byte of it that will be sent.
     pub offset: u64,
-    /// Which copy it is, where that is known.
+    /// The version of the object, where that is known.
     pub version: Option<ObjectVersion>,
 }
 
-/// Why something was turned away.
+impl ResponseHead {
+    /// The response to a request that failed.
+    pub fn failed() -> Self {
+        Self { served: false, fields: Vec::new(), body_length: 0, offset: 0, version: None }
+    }
+}
+
+/// Why a request was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// As many streams or attempts are open as may be.
+    /// As many streams, requests or attempts are open as may be.
     AtCapacity,
-    /// Its token is fenced off, or not remembered.
+    /// Its token is fenced, or older than what is remembered.
     TokenFenced,
-    /// What this side knows of the other's drains and purges is too old.
+    /// The receiver may not know of all drains and purges that the sender knew of.
     StateTooOld,
-    /// The site is left alone by its operators, or the gateway ends.
+    /// The receiver's site is drained by its operators, or the gateway shuts down.
     Draining,
-    /// The decisions there refused it.
+    /// The decisions of the receiver's site rejected it.
     Refused,
-    /// It has passed this site, or as many as it may.
+    /// It has passed the receiver's site, or as many sites as it may.
     HopLimit,
     /// It can't be read there.
     Unusable,
 }
 
+/// An answer as it is retained with its token. The sender of a query gets it in these bytes.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct CachedReply {
+    pub served: bool,
+    pub fields: Fields,
+    pub body: Bytes,
+}
+
+/// One frame.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Frame {
+    /// The stream that it belongs to; 0 for the connection.
     pub stream: u32,
+    /// What it says.
     pub message: Message,
 }
 
-/// Why a session ends.
+/// A frame that can't be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedFrame {
+    /// Its length, and the longest that is accepted.
     #[error("a frame of {0} bytes, {1} at the most")]
     InvalidLength(usize, usize),
+    /// Its kind is not known.
     #[error("a frame of an unknown kind")]
     UnknownKind,
+    /// Its payload is not one message.
     #[error("a frame that can't be read")]
     InvalidPayload,
 }
@@ -141,27 +200,27 @@
 const KIND_MESSAGE: u8 = 1;
 const KIND_DATA: u8 = 2;
 
-fn head(out: &mut BytesMut, kind: u8, stream: u32, payload: usize) {
+fn write_header(out: &mut BytesMut, kind: u8, stream: u32, payload: usize) {
     out.put_u32((KIND_AND_STREAM_BYTES + payload) as u32);
     out.put_u8(kind);
     out.put_u32(stream);
 }
 
-/// Adds a frame with bytes of a body.
+/// Appends a frame with bytes of a body.
 pub fn write_data(out: &mut BytesMut, stream: u32, bytes: &[u8]) {
     out.reserve(DATA_OVERHEAD_BYTES + bytes.len());
-    head(out, KIND_DATA, stream, bytes.len());
+    write_header(out, KIND_DATA, stream, bytes.len());
     out.extend_from_slice(bytes);
 }
 
-/// Adds a frame.
-pub fn write_message(out: &mut BytesMut, stream: u32, word: &Message) {
-    match word {
+/// Appends a frame.
+pub fn write_message(out: &mut BytesMut, stream: u32, message: &Message) {
+    match message {
         Message::Data(bytes) => write_data(out, stream, bytes),
-        word => {
-            // Words hold nothing that postcard can't write.
-            let payload = postcard::to_stdvec(word).unwrap_or_default();
-            head(out, KIND_MESSAGE, stream, payload.len());
+        message => {
+            // Messages hold nothing that postcard can't write.
+            let payload = postcard::to_stdvec(message).unwrap_or_default();
+            write_header(out, KIND_MESSAGE, stream, payload.len());
             out.extend_from_slice(&payload);
         }
     }
@@ -174,28 +233,33 @@
     out.to_vec()
 }
 
-/// Takes frames out of bytes as they come.
+/// Reads frames from bytes as they arrive.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
 impl FrameDecoder {
+    /// Adds bytes that have arrived.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that are there and belong to no whole frame yet.
+    /// Bytes of a frame that is not complete yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next frame, once it is there whole; `longest` counts its kind, stream and payload.
-    pub fn next_frame(&mut self, longest: usize) -> Result<Option<Frame>, MalformedFrame> {
+    /// The next frame, once it is complete. `max_bytes` bounds its kind, stream and payload, in bytes.
+    ///
+    /// # Errors
+    ///
+    /// The frame is too long, or can't be read; what follows can't be read, either.
+    pub fn next_frame(&mut self, max_bytes: usize) -> Result<Option<Frame>, MalformedFrame> {
         let Some((head, rest)) = self.buffer.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
-        if !(KIND_AND_STREAM_BYTES..=longest).contains(&length) {
-            return Err(MalformedFrame::InvalidLength(length, longest));
+        if !(KIND_AND_STREAM_BYTES..=max_bytes).contains(&length) {
+            return Err(MalformedFrame::InvalidLength(length, max_bytes));
         }
         if rest.len() < length {
             return Ok(None);
@@ -205,14 +269,14 @@
         let stream = self.buffer.get_u32();
         // Bytes of bodies are handed on as they lie.
         let payload = self.buffer.split_to(length - KIND_AND_STREAM_BYTES).freeze();
-        let word = match kind {
+        let message = match kind {
             KIND_DATA => Message::Data(payload),
             KIND_MESSAGE => match postcard::take_from_bytes::<Message>(&payload) {
-                Ok((word, [])) if !matches!(word, Message::Data(_)) => word,
+                Ok((message, [])) if !matches!(message, Message::Data(_)) => message,
                 _ => return Err(MalformedFrame::InvalidPayload),
             },
             _ => return Err(MalformedFrame::UnknownKind),
         };
-        Ok(Some(Frame { stream, message: word }))
+        Ok(Some(Frame { stream, message }))
     }
 }
--- a/crates/gateway/src/flow_control.rs
+++ b/crates/gateway/src/flow_control.rs
@@ -238,8 +238,14 @@
     streams: BTreeMap<u32, IncomingStream>,
 }
 
-/// Credit to be given to the other side: a stream, or 0 for the link, and how much.
-pub type CreditGrant = (u32, u32);
+/// Credit for the other side.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct CreditGrant {
+    /// The stream; 0 for the connection.
+    pub stream: u32,
+    /// How many more bytes it may send.
+    pub bytes: u32,
+}
 
 impl ReceiveWindow {
     pub fn new(bounds: FlowControlConfig) -> Self {
@@ -286,7 +292,7 @@
             open.consumed += bytes;
             if open.consumed >= half {
                 open.remaining += open.consumed;
-                grants.push((stream, std::mem::take(&mut open.consumed) as u32));
+                grants.push(CreditGrant { stream, bytes: std::mem::take(&mut open.consumed) as u32 });
             }
         }
         grants
@@ -298,7 +304,7 @@
             return Vec::new();
         }
         self.link_remaining += self.link_consumed;
-        vec![(0, std::mem::take(&mut self.link_consumed) as u32)]
+        vec![CreditGrant { stream: 0, bytes: std::mem::take(&mut self.link_consumed) as u32 }]
     }
 
     /// The stream is over, or was called off; `unread` bytes of it will never be passed on.
--- /dev/null
+++ b/crates/gateway/src/forwarding/mod.rs
@@ -0,0 +1,396 @@
+//! The requests of this gateway that other sites serve, from the choice of the site to the one reply.
+//!
+//! - this file: settings, the choice of a site, and the first attempt;
+//! - `pending`: the requests that have no reply yet;
+//! - `responses`: what the other site answers;
+//! - `recovery`: retries, lost connections, resumed bodies and time-outs.
+//!
+//! A request never has two attempts open. One that is not idempotent is not sent again before it is proven that its
+//! attempt never ran.
+
+mod pending;
+mod recovery;
+mod responses;
+
+use std::collections::BTreeMap;
+
+use bytes::Bytes;
+use linnethook::interface::Ms;
+
+use crate::actions::{Action, Reply};
+use crate::attempt_ledger::{SentAttempts, Ticket, Token};
+use crate::codec::{Fields, ForwardedRequest, ResumePoint};
+use crate::concurrency_window::ConcurrencyWindow;
+use crate::config::GatewayConfig;
+use crate::flow_control::Priority;
+use crate::links::Links;
+use crate::local_capacity::{LocalCapacity, RequestKind};
+use crate::routing::{Route, RouteQuery, RouteRefusal, RoutingTable, SiteId};
+use crate::site_names::{SiteNames, OWN_SITE};
+
+use pending::{ForwardState, PendingRequest, PendingRequests};
+
+pub(crate) use responses::Rejection;
+
+/// Limits of requests between sites.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct ForwardingConfig {
+    /// Attempts with tokens that may be open.
+    pub max_attempts: usize,
+    /// Requests of other sites that may be here.
+    pub max_remote_requests: usize,
+    /// A retry needs at least so much time before the deadline, in milliseconds.
+    pub min_retry_time: Ms,
+    /// How often a body that stopped is requested again.
+    pub max_retries: u32,
+    /// How long a body that stopped may wait for a connection, in milliseconds.
+    pub max_wait: Ms,
+    /// How many requests may wait so.
+    pub max_waiting: usize,
+    /// Bytes of bodies that may be buffered.
+    pub max_buffered_bytes: usize,
+    /// How many waiting requests resume at each check once a connection is back.
+    pub max_resumed_per_check: usize,
+    /// Whether a body that stopped resumes where it stopped.
+    pub resumes_bodies: bool,
+    /// Whether the outcome of an uncertain attempt is queried; else it fails at once, as with a plain gateway.
+    pub queries_outcomes: bool,
+    /// The longest answer, in bytes.
+    pub max_answer_bytes: u64,
+    /// How long an answer to another site may take to be written, in milliseconds.
+    pub answer_write_timeout: Ms,
+    /// When a rejected client may try again, in milliseconds, where nothing better is known.
+    pub retry_after: Ms,
+}
+
+impl Default for ForwardingConfig {
+    fn default() -> Self {
+        Self {
+            max_attempts: 4_096,
+            max_remote_requests: 1_024,
+            min_retry_time: 100.0,
+            max_retries: 4,
+            max_wait: 1_000.0,
+            max_waiting: 256,
+            max_buffered_bytes: 32 << 20,
+            max_resumed_per_check: 4,
+            resumes_bodies: true,
+            queries_outcomes: true,
+            max_answer_bytes: 262_144,
+            answer_write_timeout: 60_000.0,
+            retry_after: 500.0,
+        }
+    }
+}
+
+/// A request that needs a site.
+#[derive(Debug, Clone, PartialEq)]
+pub struct ForwardRequest {
+    /// The hash of the object.
+    pub object: u64,
+    /// It runs at the origin.
+    pub write: bool,
+    /// A second execution would do harm.
+    pub not_idempotent: bool,
+    /// The site that its class is bound to; `None` for the own one.
+    pub home_site: Option<SiteId>,
+    /// Its priority on a link.
+    pub priority: Priority,
+    /// The latency objective, in milliseconds.
+    pub latency_objective: Ms,
+    /// When it must have its reply.
+    pub deadline: Ms,
+    /// The names of the sites that it has passed.
+    pub passed_sites: Vec<String>,
+    /// Names and values, as the client has sent them.
+    pub fields: Fields,
+    /// The body of the request.
+    pub body: Bytes,
+}
+
+impl ForwardRequest {
+    /// What it needs of a site.
+    pub fn kind(&self) -> RequestKind {
+        if self.write {
+            RequestKind::Write
+        } else {
+            RequestKind::Read
+        }
+    }
+
+    fn is_bound_to_own_site(&self) -> bool {
+        self.home_site.is_none_or(|home| home == OWN_SITE)
+    }
+}
+
+/// Chooses the site of each request and owns those that are at other sites.
+#[derive(Debug)]
+pub(crate) struct Forwarder {
+    config: ForwardingConfig,
+    sites: SiteNames,
+    pub routing: RoutingTable,
+    pub local_capacity: LocalCapacity,
+    windows: BTreeMap<SiteId, ConcurrencyWindow>,
+    sent_attempts: SentAttempts,
+    pending: PendingRequests,
+}
+
+impl Forwarder {
+    /// `epoch` is the start of this process, in Unix microseconds.
+    pub fn new(config: &GatewayConfig, sites: SiteNames, epoch: u64) -> Self {
+        let windows = sites.others().map(|site| (site, ConcurrencyWindow::new(config.concurrency_window)));
+        Self {
+            config: config.forwarding,
+            routing: RoutingTable::new(OWN_SITE, config.routing),
+            local_capacity: LocalCapacity::new(config.local_capacity),
+            windows: windows.collect(),
+            sent_attempts: SentAttempts::new(epoch, config.forwarding.max_attempts),
+            pending: PendingRequests::default(),
+            sites,
+        }
+    }
+
+    pub fn window(&self, site: SiteId) -> Option<&ConcurrencyWindow> {
+        self.windows.get(&site)
+    }
+
+    /// The last connection with a gateway of a site is down.
+    pub fn reset_window(&mut self, site: SiteId) {
+        if let Some(window) = self.windows.get_mut(&site) {
+            window.reset();
+        }
+    }
+
+    pub fn pending_count(&self) -> usize {
+        self.pending.len()
+    }
+
+    pub fn uncertain_count(&self) -> usize {
+        self.sent_attempts.uncertain_count()
+    }
+
+    /// The last byte of a request with that token was written.
+    pub fn mark_written(&mut self, token: Token) {
+        self.sent_attempts.mark_written(token);
+    }
+
+    /// When [`Self::expire_requests`] is due.
+    pub fn next_deadline(&self) -> Option<Ms> {
+        let deadlines = self.pending.next_deadline().into_iter().chain(self.sent_attempts.next_deadline());
+        deadlines.reduce(f64::min)
+    }
+
+    /// Whether the own site is too unable for such requests: then one that was rejected here may be forwarded.
+    pub fn is_locally_unable(&self, kind: RequestKind) -> bool {
+        let view = self.local_capacity.view();
+        match kind {
+            RequestKind::Read => !view.has_caches,
+            RequestKind::Write => !view.has_origin,
+        }
+    }
+
+    /// A request of a client, or one that came from another site: served here, forwarded, or rejected at once.
+    pub fn submit_request(&mut self, links: &mut Links, now: Ms, ticket: Ticket, spec: ForwardRequest) {
+        let route = self.first_route(links, now, &spec);
+        match route {
+            Route::Local => serve_locally(links, ticket),
+            Route::Remote(site) => {
+                let request = PendingRequest::new(now, spec, Vec::new(), self.config.max_retries);
+                self.send_attempt(links, now, ticket, site, request);
+            }
+            Route::Refused(_) => {
+                links.counts.nowhere += 1;
+                links.counts.refused += 1;
+                let retry_after = self.config.retry_after;
+                links.push(Action::Answer(ticket, Reply::Rejected { retry_after }));
+            }
+        }
+    }
+
+    /// The own site has rejected a request, which so has never run, and is unable: whether it is forwarded instead.
+    /// If not, nothing was done and the rejection stands.
+    pub fn forward_rejected_request(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        ticket: Ticket,
+        spec: ForwardRequest,
+    ) -> bool {
+        if now + self.config.min_retry_time > spec.deadline {
+            return false;
+        }
+        let tried_sites = vec![OWN_SITE];
+        match self.choose_route(now, &spec, &tried_sites, true, None) {
+            Route::Remote(site) if self.may_send(links, site, spec.priority) => {
+                let request = PendingRequest::new(now, spec, tried_sites, self.config.max_retries);
+                self.send_attempt(links, now, ticket, site, request);
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// The route of a request that no site has tried yet.
+    fn first_route(&mut self, links: &Links, now: Ms, spec: &ForwardRequest) -> Route {
+        let route = match self.choose_route(now, spec, &[], false, None) {
+            Route::Remote(site) if !self.may_send(links, site, spec.priority) => {
+                let may_serve = !self.local_capacity.is_drained() && !self.is_locally_unable(spec.kind());
+                if may_serve {
+                    Route::Local
+                } else {
+                    Route::Refused(RouteRefusal::NoCapacity)
+                }
+            }
+            route => route,
+        };
+        // What can't be forwarded either is left to the own site: its caches may have the object, and what they lack
+        // is rejected there.
+        let is_own_read = spec.passed_sites.is_empty() && spec.is_bound_to_own_site() && !spec.write;
+        match route {
+            Route::Refused(_) if is_own_read && self.local_capacity.may_have_cached() => Route::Local,
+            route => route,
+        }
+    }
+
+    fn choose_route(
+        &mut self,
+        now: Ms,
+        spec: &ForwardRequest,
+        tried_sites: &[SiteId],
+        is_retry: bool,
+        admitted_site: Option<SiteId>,
+    ) -> Route {
+        if spec.is_bound_to_own_site()
+            && !tried_sites.contains(&OWN_SITE)
+            && self.local_capacity.take_probe(now, spec.kind())
+        {
+            return Route::Local;
+        }
+        let query = RouteQuery {
+            object: spec.object,
+            write: spec.write,
+            home_site: spec.home_site,
+            passed_sites: self.sites.ids(&spec.passed_sites),
+            tried_sites: tried_sites.to_vec(),
+            is_retry,
+            admitted_site,
+        };
+        self.routing.route(now, &query)
+    }
+
+    /// Whether one more request may be sent to a site now.
+    fn may_send(&self, links: &Links, site: SiteId, priority: Priority) -> bool {
+        self.windows.get(&site).is_some_and(|window| window.may_send(priority))
+            && self.pending.buffered_bytes() < self.config.max_buffered_bytes
+            && self.sent_attempts.len() < self.config.max_attempts
+            && links.connection_to(site).is_some()
+    }
+
+    /// Sends an attempt; there is room for it, and no other attempt of the request is open.
+    fn send_attempt(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        ticket: Ticket,
+        site: SiteId,
+        mut request: PendingRequest,
+    ) {
+        let Some(connection) = links.connection_to(site) else {
+            return self.reject_request(links, ticket, &request);
+        };
+        let deadline = request.spec.deadline;
+        if request.spec.not_idempotent {
+            let start = links.start_of_peer(connection);
+            let token = start.and_then(|start| self.sent_attempts.begin(ticket, start, connection, deadline));
+            if token.is_none() {
+                return self.reject_request(links, ticket, &request);
+            }
+            request.token = token;
+        }
+        let message = self.attempt_message(now, &request);
+        links.counts.resumed += u64::from(message.resume_from.is_some());
+        if let Some(session) = links.session_mut(connection) {
+            session.send_request(ticket, message);
+        }
+        links.counts.across += 1;
+        if let Some(window) = self.windows.get_mut(&site) {
+            window.start_request();
+        }
+        request.state = ForwardState::InFlight(connection, site);
+        request.last_site = Some(site);
+        self.pending.insert(ticket, request);
+        links.request_write(connection);
+    }
+
+    /// The message of an attempt; where a part of the body is here, only the rest is requested.
+    fn attempt_message(&self, now: Ms, request: &PendingRequest) -> ForwardedRequest {
+        let version = request.transfer.version().filter(|_| !request.body.is_empty());
+        let resume_from = version
+            .map(|version| ResumePoint { offset: request.body.len() as u64, version: version.clone() });
+        let spec = &request.spec;
+        let mut passed_sites = spec.passed_sites.clone();
+        passed_sites.push(self.sites.own().to_string());
+        ForwardedRequest {
+            token: request.token,
+            remaining_ms: (spec.deadline - now).clamp(1.0, f64::from(u32::MAX)) as u32,
+            priority: spec.priority as u8,
+            passed_sites,
+            resume_from,
+            fields: spec.fields.clone(),
+            body: spec.body.clone(),
+        }
+    }
+
+    /// Nothing of the request has run, and it is not sent again.
+    fn reject_request(&self, links: &mut Links, ticket: Ticket, request: &PendingRequest) {
+        links.counts.refused += 1;
+        let retry_after = request.retry_after.max(self.config.retry_after);
+        links.push(Action::Answer(ticket, Reply::Rejected { retry_after }));
+    }
+
+    /// Nobody waits for the reply any more.
+    pub fn cancel_request(&mut self, links: &mut Links, now: Ms, ticket: Ticket) {
+        let Some(request) = self.pending.remove(ticket) else { return };
+        self.record_outcome(now, &request, None);
+        cancel_stream(links, &request, ticket);
+        self.sent_attempts.abandon(ticket);
+    }
+
+    /// An attempt is over. `failed` is `None` where that says nothing of the path to the site.
+    fn record_outcome(&mut self, now: Ms, request: &PendingRequest, failed: Option<bool>) {
+        let site = match request.state {
+            ForwardState::InFlight(_, site) | ForwardState::Uncertain(site) => site,
+            ForwardState::Waiting(_) => return,
+        };
+        let is_late =
+            failed.map(|failed| failed || now - request.started_at > request.spec.latency_objective);
+        if let Some(window) = self.windows.get_mut(&site) {
+            let length = (failed == Some(false)).then_some(request.body.len() as f64);
+            window.finish_request(now, is_late, length);
+        }
+        if let Some(failed) = failed {
+            self.routing.record_outcome(site, failed);
+        }
+    }
+}
+
+fn serve_locally(links: &mut Links, ticket: Ticket) {
+    links.counts.home += 1;
+    links.push(Action::ServeLocally(ticket));
+}
+
+fn answer_request(links: &mut Links, ticket: Ticket, reply: Reply) {
+    match reply {
+        Reply::Served { .. } => links.counts.answered += 1,
+        Reply::Rejected { .. } => links.counts.refused += 1,
+        Reply::Failed => links.counts.failed += 1,
+    }
+    links.push(Action::Answer(ticket, reply));
+}
+
+/// Cancels the stream of an attempt, if it is in flight.
+fn cancel_stream(links: &mut Links, request: &PendingRequest, ticket: Ticket) {
+    if let ForwardState::InFlight(connection, _) = request.state {
+        links.cancel_request(connection, ticket);
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/forwarding/pending.rs
@@ -0,0 +1,195 @@
+//! The requests that were forwarded and have no reply yet.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use bytes::BytesMut;
+use linnethook::interface::Ms;
+
+use super::ForwardRequest;
+use crate::actions::ConnectionId;
+use crate::attempt_ledger::{Ticket, Token};
+use crate::codec::Fields;
+use crate::routing::SiteId;
+use crate::transfer::Transfer;
+
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum ForwardState {
+    /// On a stream of that connection.
+    InFlight(ConnectionId, SiteId),
+    /// Its connection was lost, and the outcome of its token is not known.
+    Uncertain(SiteId),
+    /// Its body stopped; it resumes until then, or not at all.
+    Waiting(Ms),
+}
+
+#[derive(Debug)]
+pub(super) struct PendingRequest {
+    pub spec: ForwardRequest,
+    pub started_at: Ms,
+    pub state: ForwardState,
+    pub token: Option<Token>,
+    pub transfer: Transfer,
+    /// Whether two versions of the object could be told apart.
+    pub has_version: bool,
+    /// The other site serves it, as its response has announced.
+    pub served: bool,
+    pub fields: Fields,
+    /// What has come of the body.
+    pub body: BytesMut,
+    pub tried_sites: Vec<SiteId>,
+    /// The site of the last attempt.
+    pub last_site: Option<SiteId>,
+    /// What the last site that rejected it has asked to wait, in milliseconds.
+    pub retry_after: Ms,
+}
+
+impl PendingRequest {
+    pub fn new(now: Ms, spec: ForwardRequest, tried_sites: Vec<SiteId>, max_retries: u32) -> Self {
+        Self {
+            started_at: now,
+            state: ForwardState::Waiting(now),
+            token: None,
+            transfer: Transfer::new(spec.deadline, max_retries),
+            has_version: false,
+            served: false,
+            fields: Vec::new(),
+            body: BytesMut::new(),
+            tried_sites,
+            last_site: None,
+            retry_after: 0.0,
+            spec,
+        }
+    }
+
+    /// What has come of the body can't be told from another version.
+    pub fn discard_body(&mut self) {
+        self.body.clear();
+        self.transfer.discard();
+    }
+
+    /// The site that has just turned the request down is not tried again.
+    pub fn exclude_current_site(&mut self) {
+        if let ForwardState::InFlight(_, site) = self.state {
+            self.tried_sites.push(site);
+        }
+    }
+}
+
+/// All requests without a reply.
+#[derive(Debug, Default)]
+pub(super) struct PendingRequests {
+    requests: BTreeMap<Ticket, PendingRequest>,
+    /// The deadlines of those without a token, in microseconds.
+    deadlines: BTreeSet<(u64, Ticket)>,
+    waiting: BTreeSet<Ticket>,
+    /// Bytes of bodies.
+    buffered_bytes: usize,
+}
+
+fn to_micros(at: Ms) -> u64 {
+    (at.max(0.0) * 1_000.0) as u64
+}
+
+impl PendingRequests {
+    pub fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// Bytes of bodies that are buffered.
+    pub fn buffered_bytes(&self) -> usize {
+        self.buffered_bytes
+    }
+
+    pub fn get(&self, ticket: Ticket) -> Option<&PendingRequest> {
+        self.requests.get(&ticket)
+    }
+
+    /// The body is changed by the methods below alone.
+    pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&ticket)
+    }
+
+    /// Adds a request. One without a token is due at its deadline; the ledger knows when the others are.
+    pub fn insert(&mut self, ticket: Ticket, request: PendingRequest) {
+        if request.token.is_none() {
+            self.deadlines.insert((to_micros(request.spec.deadline), ticket));
+        }
+        if matches!(request.state, ForwardState::Waiting(_)) {
+            self.waiting.insert(ticket);
+        }
+        self.buffered_bytes += request.body.len();
+        self.requests.insert(ticket, request);
+    }
+
+    pub fn remove(&mut self, ticket: Ticket) -> Option<PendingRequest> {
+        let request = self.requests.remove(&ticket)?;
+        self.deadlines.remove(&(to_micros(request.spec.deadline), ticket));
+        self.waiting.remove(&ticket);
+        self.buffered_bytes -= request.body.len();
+        Some(request)
+    }
+
+    /// Adds bytes to the body of a request.
+    pub fn append_body(&mut self, ticket: Ticket, bytes: &[u8]) {
+        if let Some(request) = self.requests.get_mut(&ticket) {
+            request.body.extend_from_slice(bytes);
+            self.buffered_bytes += bytes.len();
+        }
+    }
+
+    /// Cuts the body of a request to that length; the number of bytes that were dropped.
+    pub fn truncate_body(&mut self, ticket: Ticket, length: usize) -> usize {
+        let Some(request) = self.requests.get_mut(&ticket) else { return 0 };
+        let dropped = request.body.len().saturating_sub(length);
+        request.body.truncate(length);
+        self.buffered_bytes -= dropped;
+        dropped
+    }
+
+    /// Requests with a token that are in flight on a connection.
+    pub fn with_token_on(&self, connection: ConnectionId) -> impl Iterator<Item = Ticket> + '_ {
+        let is_there = move |request: &PendingRequest| {
+            request.token.is_some()
+                && matches!(request.state, ForwardState::InFlight(known, _) if known == connection)
+        };
+        self.requests.iter().filter(move |(_, request)| is_there(request)).map(|(ticket, _)| *ticket)
+    }
+
+    /// Requests that wait for a connection.
+    pub fn waiting(&self) -> &BTreeSet<Ticket> {
+        &self.waiting
+    }
+
+    /// Those whose time to wait is over.
+    pub fn waited_too_long(&self, now: Ms) -> Vec<Ticket> {
+        let is_over = |ticket: &&Ticket| {
+            let request = self.requests.get(ticket);
+            request.is_none_or(|r| matches!(r.state, ForwardState::Waiting(until) if now >= until))
+        };
+        self.waiting.iter().filter(is_over).copied().collect()
+    }
+
+    /// Takes out a request without a token whose deadline has passed.
+    pub fn pop_expired(&mut self, now: Ms) -> Option<(Ticket, PendingRequest)> {
+        while let Some((at, ticket)) = self.deadlines.first().copied() {
+            if at > to_micros(now) {
+                return None;
+            }
+            self.deadlines.remove(&(at, ticket));
+            if let Some(request) = self.remove(ticket) {
+                return Some((ticket, request));
+            }
+        }
+        None
+    }
+
+    /// When the next request is due.
+    pub fn next_deadline(&self) -> Option<Ms> {
+        let due = self.deadlines.first().map(|(at, _)| *at as Ms / 1_000.0);
+        let waiting = self.waiting.iter().filter_map(|ticket| match self.requests.get(ticket)?.state {
+            ForwardState::Waiting(until) => Some(until),
+            ForwardState::InFlight(..) | ForwardState::Uncertain(_) => None,
+        });
+        waiting.chain(due).reduce(f64::min)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/forwarding/recovery.rs
@@ -0,0 +1,167 @@
+//! What becomes of forwarded requests that were interrupted: retries, lost connections, resumed bodies and time-outs.
+
+use std::collections::BTreeSet;
+
+use linnethook::interface::Ms;
+
+use super::pending::{ForwardState, PendingRequest};
+use super::{answer_request, cancel_stream, serve_locally, Forwarder};
+use crate::actions::{ConnectionId, Reply};
+use crate::attempt_ledger::{Resolution, Ticket};
+use crate::codec::Message;
+use crate::flow_control::Priority;
+use crate::links::Links;
+use crate::routing::{Route, SiteId};
+use crate::transfer::{Resumption, Transfer};
+
+impl Forwarder {
+    /// A request that is proven not to have run, or is idempotent, is tried again if there is time and a site for it.
+    /// One whose attempt `was_interrupted` may wait for a connection.
+    pub(super) fn retry_request(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        ticket: Ticket,
+        mut request: PendingRequest,
+        was_interrupted: bool,
+    ) {
+        request.token = None;
+        if !self.config.resumes_bodies || !request.has_version {
+            links.counts.bytes_again += request.body.len() as u64;
+            request.discard_body();
+        }
+        if let Resumption::GiveUp = request.transfer.resume(now, self.config.min_retry_time) {
+            return self.reject_request(links, ticket, &request);
+        }
+        links.counts.again += 1;
+        match self.route_again(now, &request) {
+            Route::Local => serve_locally(links, ticket),
+            Route::Remote(site) if self.may_send(links, site, request.spec.priority) => {
+                self.send_attempt(links, now, ticket, site, request);
+            }
+            _ if was_interrupted && self.may_wait(&request) => {
+                // Its connection may be back in time, and then what has come of the body is not sent again.
+                let latest = request.spec.deadline - self.config.min_retry_time;
+                request.state = ForwardState::Waiting((now + self.config.max_wait).min(latest));
+                self.pending.insert(ticket, request);
+            }
+            _ => self.reject_request(links, ticket, &request),
+        }
+    }
+
+    fn route_again(&mut self, now: Ms, request: &PendingRequest) -> Route {
+        self.choose_route(now, &request.spec, &request.tried_sites, true, request.last_site)
+    }
+
+    fn may_wait(&self, request: &PendingRequest) -> bool {
+        self.config.max_wait > 0.0
+            && self.pending.waiting().len() < self.config.max_waiting
+            && self.pending.buffered_bytes() + request.body.len() < self.config.max_buffered_bytes
+    }
+
+    /// A connection is down. `tickets` had streams on it; the outcome of others was reported there as running.
+    pub fn handle_lost_connection(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        connection: ConnectionId,
+        tickets: Vec<Ticket>,
+    ) {
+        let mut affected: BTreeSet<Ticket> = self.pending.with_token_on(connection).collect();
+        affected.extend(tickets);
+        let resolutions = self.sent_attempts.connection_lost(connection);
+        for ticket in affected {
+            let Some(request) = self.pending.get_mut(ticket) else { continue };
+            let ForwardState::InFlight(_, site) = request.state else { continue };
+            if request.token.is_none() {
+                // That the connection is down says nothing of the site's capacity.
+                let Some(request) = self.pending.remove(ticket) else { continue };
+                self.record_outcome(now, &request, None);
+                self.retry_request(links, now, ticket, request, true);
+                continue;
+            }
+            request.state = ForwardState::Uncertain(site);
+            // What has come of its answer comes again with its outcome.
+            request.transfer = Transfer::new(request.spec.deadline, self.config.max_retries);
+            self.pending.truncate_body(ticket, 0);
+            self.note_uncertain(links, now, ticket);
+        }
+        for resolution in resolutions {
+            self.resolve_attempt(links, now, resolution);
+        }
+    }
+
+    fn note_uncertain(&mut self, links: &mut Links, now: Ms, ticket: Ticket) {
+        if !self.sent_attempts.is_uncertain(ticket) {
+            return;
+        }
+        links.counts.uncertain += 1;
+        if !self.config.queries_outcomes {
+            self.sent_attempts.abandon(ticket);
+            self.resolve_attempt(links, now, Resolution::Failed(ticket));
+        }
+    }
+
+    /// A connection is up: the outcome of uncertain attempts at that process is queried. `start` names the process.
+    pub fn query_outcomes(&mut self, links: &mut Links, connection: ConnectionId, start: u64) {
+        for token in self.sent_attempts.tokens_to_query(start) {
+            links.send(connection, &Message::OutcomeQuery(token));
+        }
+        links.request_write(connection);
+    }
+
+    /// Ends requests whose time is over.
+    pub fn expire_requests(&mut self, links: &mut Links, now: Ms) {
+        for resolution in self.sent_attempts.expire(now) {
+            self.resolve_attempt(links, now, resolution);
+        }
+        while let Some((ticket, request)) = self.pending.pop_expired(now) {
+            self.record_outcome(now, &request, Some(true));
+            cancel_stream(links, &request, ticket);
+            answer_request(links, ticket, Reply::Failed);
+        }
+        for ticket in self.pending.waited_too_long(now) {
+            if let Some(request) = self.pending.remove(ticket) {
+                self.reject_request(links, ticket, &request);
+            }
+        }
+    }
+
+    /// Resumes requests that wait for a connection, a few at a time.
+    pub fn resume_waiting(&mut self, links: &mut Links, now: Ms) {
+        // A route that is chosen and not used would cost one of the retries.
+        let may_send = |site: &SiteId| self.may_send(links, *site, Priority::LaterPart);
+        if self.pending.waiting().is_empty() || !self.routing.reachable_sites().iter().any(may_send) {
+            return;
+        }
+        let mut remaining = self.config.max_resumed_per_check;
+        let waiting: Vec<Ticket> = self.pending.waiting().iter().copied().collect();
+        for ticket in waiting {
+            if remaining == 0 {
+                return;
+            }
+            remaining -= usize::from(self.resume_request(links, now, ticket));
+        }
+    }
+
+    /// Whether a waiting request could be resumed, here or elsewhere.
+    fn resume_request(&mut self, links: &mut Links, now: Ms, ticket: Ticket) -> bool {
+        let Some(request) = self.pending.get(ticket) else { return false };
+        let (spec, tried_sites) = (request.spec.clone(), request.tried_sites.clone());
+        let last_site = request.last_site;
+        match self.choose_route(now, &spec, &tried_sites, true, last_site) {
+            Route::Remote(site) if self.may_send(links, site, spec.priority) => {
+                if let Some(request) = self.pending.remove(ticket) {
+                    self.send_attempt(links, now, ticket, site, request);
+                }
+                true
+            }
+            Route::Local => {
+                self.pending.remove(ticket);
+                serve_locally(links, ticket);
+                true
+            }
+            _ => false,
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/forwarding/responses.rs
@@ -0,0 +1,217 @@
+//! What another site answers to a request that was forwarded to it.
+
+use linnethook::interface::Ms;
+
+use super::pending::{ForwardState, PendingRequest};
+use super::{answer_request, cancel_stream, Forwarder};
+use crate::actions::{ConnectionId, Reply};
+use crate::attempt_ledger::{AttemptOutcome, Resolution, Ticket, Token};
+use crate::codec::{CachedReply, RejectReason, ResponseHead};
+use crate::links::Links;
+use crate::session::CloseReason;
+use crate::transfer::{ObjectVersion, ResponseFit};
+
+impl Forwarder {
+    /// A response begins.
+    ///
+    /// # Errors
+    ///
+    /// The response contradicts itself, or is not what was requested: the connection has to be closed.
+    pub fn begin_response(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        connection: ConnectionId,
+        ticket: Ticket,
+        head: ResponseHead,
+    ) -> Result<(), CloseReason> {
+        if head.body_length > self.config.max_answer_bytes {
+            self.discard_long_answer(links, now, connection, ticket, head.body_length);
+            return Ok(());
+        }
+        let Some(request) = self.pending.get_mut(ticket) else { return Ok(()) };
+        request.served = head.served;
+        request.fields = head.fields;
+        request.has_version = head.version.is_some();
+        let unknown = ObjectVersion { tag: String::new(), issued_at: 0.0, length: head.body_length };
+        let version = head.version.unwrap_or(unknown);
+        if version.length != head.body_length {
+            return Err(CloseReason::UnexpectedResponse);
+        }
+        let fit = request.transfer.begin_response(version, head.offset);
+        let received = request.transfer.received_bytes() as usize;
+        links.counts.bytes_again += self.pending.truncate_body(ticket, received) as u64;
+        match fit {
+            ResponseFit::Continues | ResponseFit::Restarts => Ok(()),
+            ResponseFit::Mismatch => Err(CloseReason::UnexpectedResponse),
+        }
+    }
+
+    /// An answer is longer than is accepted: its stream ends, and all others go on.
+    fn discard_long_answer(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        connection: ConnectionId,
+        ticket: Ticket,
+        length: u64,
+    ) {
+        let Some(token) = self.pending.get(ticket).map(|request| request.token) else { return };
+        if let Some(token) = token {
+            // It ran, whatever it answers.
+            let outcome = AttemptOutcome::Completed(None);
+            if self.sent_attempts.record_outcome(token, outcome, connection).is_none() {
+                return;
+            }
+        }
+        let Some(mut request) = self.pending.remove(ticket) else { return };
+        let longest = self.config.max_answer_bytes;
+        links.log(format!("an answer of {length} bytes is left: {longest} are taken"));
+        self.record_outcome(now, &request, None);
+        cancel_stream(links, &request, ticket);
+        if request.spec.not_idempotent {
+            return answer_request(links, ticket, Reply::Failed);
+        }
+        request.exclude_current_site();
+        self.retry_request(links, now, ticket, request, false);
+    }
+
+    /// Bytes of a body.
+    ///
+    /// # Errors
+    ///
+    /// The body is longer than its head has announced.
+    pub fn receive_body(&mut self, ticket: Ticket, bytes: &[u8]) -> Result<(), CloseReason> {
+        let Some(request) = self.pending.get_mut(ticket) else { return Ok(()) };
+        if !request.transfer.receive(bytes.len() as u64) {
+            return Err(CloseReason::UnexpectedResponse);
+        }
+        self.pending.append_body(ticket, bytes);
+        Ok(())
+    }
+
+    /// A response is complete.
+    ///
+    /// # Errors
+    ///
+    /// The body is shorter than its head has announced.
+    pub fn end_response(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        connection: ConnectionId,
+        ticket: Ticket,
+    ) -> Result<(), CloseReason> {
+        let Some(request) = self.pending.get(ticket) else { return Ok(()) };
+        if request.served && !request.transfer.is_complete() {
+            return Err(CloseReason::UnexpectedResponse);
+        }
+        let served = request.served;
+        if let Some(token) = request.token {
+            let outcome = AttemptOutcome::Completed(served.then(Vec::new));
+            if self.sent_attempts.record_outcome(token, outcome, connection).is_none() {
+                return Ok(());
+            }
+        }
+        let Some(request) = self.pending.remove(ticket) else { return Ok(()) };
+        self.record_outcome(now, &request, Some(!served));
+        if served {
+            let PendingRequest { fields, body, .. } = request;
+            answer_request(links, ticket, Reply::Served { fields, body: body.freeze(), version: None });
+        } else if request.spec.not_idempotent {
+            answer_request(links, ticket, Reply::Failed);
+        } else {
+            self.retry_request(links, now, ticket, request, true);
+        }
+        Ok(())
+    }
+
+    /// The other site has rejected a request, which so has never run there.
+    pub fn handle_rejection(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        connection: ConnectionId,
+        ticket: Ticket,
+        rejection: Rejection,
+    ) {
+        let Some(request) = self.pending.get(ticket) else { return };
+        if let Some(token) = request.token {
+            match self.sent_attempts.record_outcome(token, AttemptOutcome::NeverRan, connection) {
+                Some(Resolution::NeverRan(_)) => links.counts.freed += 1,
+                _ => return,
+            }
+        }
+        let Some(mut request) = self.pending.remove(ticket) else { return };
+        // That its state was too old or that it drains says nothing of the site's capacity.
+        let says_full = matches!(rejection.reason, RejectReason::AtCapacity | RejectReason::Refused);
+        self.record_outcome(now, &request, says_full.then_some(true));
+        request.retry_after = rejection.retry_after;
+        request.exclude_current_site();
+        self.retry_request(links, now, ticket, request, false);
+    }
+
+    /// The other side reports what became of an attempt.
+    pub fn handle_outcome(
+        &mut self,
+        links: &mut Links,
+        now: Ms,
+        connection: ConnectionId,
+        token: Token,
+        outcome: AttemptOutcome,
+    ) {
+        let is_running = outcome == AttemptOutcome::Running;
+        let Some(ticket) = self.sent_attempts.ticket_of(token) else { return };
+        let resolution = self.sent_attempts.record_outcome(token, outcome, connection);
+        if is_running {
+            if let Some(request) = self.pending.get_mut(ticket) {
+                let site = match request.state {
+                    ForwardState::InFlight(_, site) | ForwardState::Uncertain(site) => site,
+                    ForwardState::Waiting(_) => return,
+                };
+                request.state = ForwardState::InFlight(connection, site);
+            }
+        }
+        if let Some(resolution) = resolution {
+            self.resolve_attempt(links, now, resolution);
+        }
+    }
+
+    /// Does what follows from the outcome of an attempt with a token.
+    pub(super) fn resolve_attempt(&mut self, links: &mut Links, now: Ms, resolution: Resolution) {
+        match resolution {
+            Resolution::Answered(ticket, answer) => {
+                let Some(request) = self.pending.remove(ticket) else { return };
+                self.record_outcome(now, &request, Some(false));
+                let reply = match postcard::from_bytes::<CachedReply>(&answer) {
+                    Ok(CachedReply { served: true, fields, body }) => {
+                        Reply::Served { fields, body, version: None }
+                    }
+                    _ => Reply::Failed,
+                };
+                answer_request(links, ticket, reply);
+            }
+            Resolution::NeverRan(ticket) => {
+                let Some(request) = self.pending.remove(ticket) else { return };
+                links.counts.freed += 1;
+                self.record_outcome(now, &request, None);
+                self.retry_request(links, now, ticket, request, true);
+            }
+            Resolution::Failed(ticket) => {
+                let Some(request) = self.pending.remove(ticket) else { return };
+                let failed = matches!(request.state, ForwardState::InFlight(..)).then_some(true);
+                self.record_outcome(now, &request, failed);
+                cancel_stream(links, &request, ticket);
+                answer_request(links, ticket, Reply::Failed);
+            }
+        }
+    }
+}
+
+/// How another site has rejected a request.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Rejection {
+    pub reason: RejectReason,
+    /// When it may be sent there again, in milliseconds; 0 if that is not known.
+    pub retry_after: Ms,
+}
--- /dev/null
+++ b/crates/gateway/src/gateway/cluster.rs
@@ -0,0 +1,83 @@
+//! Routers of the own site: they exchange entries of their gossip over links, and no requests.
+
+use linnethook::interface::Ms;
+
+use super::{Action, ConnectionId, Gateway};
+use crate::codec::Message;
+use crate::session::CloseReason;
+use crate::site_state::{Fact, FactKey, FactValue, StatePosition};
+
+/// Bytes of entries in one frame, about.
+const MAX_UPDATE_BYTES: usize = 128 << 10;
+
+impl Gateway {
+    /// Requests on that connection all entries that are not known yet, and those that follow.
+    pub(super) fn request_peer_state(&mut self, connection: ConnectionId) {
+        let position = self.links.peer_of(connection).map(|peer| peer.state.position());
+        self.links.send(connection, &Message::StateRequest(position.unwrap_or_default()));
+        self.links.request_write(connection);
+    }
+
+    pub(super) fn handle_peer_entries(&mut self, connection: ConnectionId, facts: Vec<Fact>) {
+        let Some(peer) = self.links.peer_of(connection).filter(|peer| peer.is_in_cluster()) else { return };
+        let name = peer.node.clone();
+        for Fact { key, value } in facts {
+            if let (FactKey::PeerEntry(key), FactValue::PeerEntry(entry)) = (key, value) {
+                self.links.push(Action::PeerEntry { name: name.clone(), key, entry });
+            }
+        }
+    }
+
+    /// Sends entries, each with its key, to all routers of the own site, also to those that connect later.
+    pub fn broadcast_to_peers(&mut self, now: Ms, entries: Vec<(Vec<u8>, Vec<u8>)>) {
+        let Some(published) = &mut self.peer_entries else { return };
+        for (key, entry) in entries {
+            published.publish(now, FactKey::PeerEntry(key), FactValue::PeerEntry(entry));
+        }
+        for connection in self.links.cluster_connections() {
+            // Whoever has not requested entries yet gets them once it does.
+            let known = self.links.connections.get(&connection).filter(|known| known.sends_peer_state);
+            if let Some(version) = known.map(|known| known.session.sent_version) {
+                self.send_peer_state(connection, StatePosition { epoch: self.epoch, version });
+            }
+        }
+    }
+
+    /// Routers that connect later need not be sent that entry any more.
+    pub fn remove_peer_entry(&mut self, key: Vec<u8>) {
+        if let Some(published) = &mut self.peer_entries {
+            published.remove(&FactKey::PeerEntry(key));
+        }
+    }
+
+    /// Sends the entries that follow a position of the other side.
+    pub(super) fn send_peer_state(&mut self, connection: ConnectionId, position: StatePosition) {
+        let Some(published) = &self.peer_entries else { return };
+        let Some(known) = self.links.connections.get_mut(&connection) else { return };
+        known.sends_peer_state = true;
+        for update in published.update_chunks(position, MAX_UPDATE_BYTES) {
+            known.session.sent_version = update.version;
+            known.session.send(&Message::StateUpdate(update));
+        }
+        self.links.request_write(connection);
+    }
+
+    /// Sends entries, each with its key, to one router of the own site.
+    pub fn send_to_peer(&mut self, name: &str, entries: Vec<(Vec<u8>, Vec<u8>)>) {
+        let peers = self.links.peers.values().filter(|peer| peer.is_in_cluster() && peer.node == name);
+        let connection = peers.filter_map(|peer| peer.connections.first().copied()).next();
+        let Some(connection) = connection else { return };
+        let fact = |(key, entry)| Fact::new(FactKey::PeerEntry(key), FactValue::PeerEntry(entry));
+        self.links.send(connection, &Message::DirectFacts(entries.into_iter().map(fact).collect()));
+        self.links.request_write(connection);
+    }
+
+    /// Closes the links with routers of the own site, and opens and accepts none any more.
+    pub fn disconnect_peers(&mut self, now: Ms) {
+        self.peer_entries = None;
+        for connection in self.links.cluster_connections() {
+            self.close_connection(now, connection, CloseReason::Stopped);
+        }
+        self.dialers.abandon_site(self.sites.own());
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,31 +1,40 @@
-//! A gateway between sites: requests cross a link that fails, with one final answer each, and no booking is ever
-//! attempted twice at a time.
+//! A gateway between sites: requests cross links that fail, each with one final reply, and one that is not idempotent
+//! never runs twice.
 //!
-//! - [`gateway`]: the whole, with `forwarding` for requests that leave and `remote_requests` for those that come;
-//! - [`session`]: one connection, its words, turns and pulse;
-//! - [`codec`]: the frames of the link, whole or an error, however their bytes come;
-//! - [`attempt_ledger`]: who may run a request now, told by fencing tokens on both sides;
-//! - [`heartbeat`]: whether the other side is still there, and when to try again;
-//! - [`flow_control`]: who may send how much now, by credit and priority;
-//! - [`concurrency_window`]: how much may be under way to a site;
-//! - [`transfer`]: a body that comes in pieces, whole and of one copy or cut off;
-//! - [`site_state`]: what sites tell each other of themselves, by version;
-//! - [`local_capacity`]: what the own site can do;
-//! - [`routing`]: which site serves a request.
+//! - [`gateway`]: the facade that ties the parts together, with its [`actions`], [`config`] and [`status`];
+//! - [`routing`]: which site serves a request;
+//! - [`forwarding`]: requests that other sites serve;
+//! - `remote_requests`: requests of other sites that are served here;
+//! - [`attempt_ledger`]: who may run a request now, by fencing tokens;
+//! - [`transfer`]: a body that stops and resumes;
+//! - [`concurrency_window`]: how many requests may be in flight to a site;
+//! - [`local_capacity`]: what the own site can serve;
+//! - [`site_state`]: what sites publish of themselves, by version;
+//! - `links`, `dialers`: connections with other gateways, and when they are tried again;
+//! - [`session`]: one connection;
+//! - [`heartbeat`]: whether the other side is still there, and the pauses between attempts to connect;
+//! - [`flow_control`]: how much may be sent now, by credit and priority;
+//! - [`codec`]: the frames of a link.
 //!
-//! No part reads a clock, a socket, a file or chance of its own: times are arguments, and chance has a seed.
-//! `docs/gateway.md` weighs the ways.
+//! No part reads a clock, a socket, a file or a random source: times are arguments, and jitter has a seed.
+//! `docs/gateway.md` describes the design.
 
+pub mod actions;
 pub mod attempt_ledger;
 pub mod codec;
 pub mod concurrency_window;
+pub mod config;
+mod dialers;
 pub mod flow_control;
 pub mod forwarding;
 pub mod gateway;
 pub mod heartbeat;
+mod links;
 pub mod local_capacity;
-pub mod remote_requests;
+mod remote_requests;
 pub mod routing;
 pub mod session;
+mod site_names;
 pub mod site_state;
+pub mod status;
 pub mod transfer;
--- /dev/null
+++ b/crates/gateway/src/links.rs
@@ -0,0 +1,181 @@
+//! The links with other gateways: connections, who is at their other end, and the queue of actions and the counters
+//! that whoever handles them adds to.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use linnethook::interface::Ms;
+use xxhash_rust::xxh3::xxh3_64_with_seed;
+
+use crate::actions::{Action, ConnectionId};
+use crate::attempt_ledger::ReceivedAttempts;
+use crate::codec::Message;
+use crate::heartbeat::LinkHealth;
+use crate::routing::{SiteId, SiteView};
+use crate::session::Session;
+use crate::site_names::OWN_SITE;
+use crate::site_state::{FactKey, FactValue, ReceivedState};
+use crate::status::{ConnLine, GatewayCounts};
+
+/// A connection and what it belongs to.
+#[derive(Debug)]
+pub(crate) struct SiteConnection {
+    pub session: Session,
+    /// The other gateway, once it has introduced itself.
+    pub peer: Option<String>,
+    /// The entry that was dialled; `None` for accepted connections.
+    pub dialer: Option<usize>,
+    /// A router of the own site wants gossip entries here: on one of several connections.
+    pub sends_peer_state: bool,
+}
+
+impl SiteConnection {
+    pub fn status(&self, now: Ms) -> ConnLine {
+        let streams = self.session.open_streams();
+        ConnLine {
+            health: self.session.heartbeat.health(now).name().to_string(),
+            trip: self.session.heartbeat.round_trip(),
+            phi: self.session.heartbeat.phi(now),
+            out: streams.outgoing as u64,
+            serving: streams.incoming as u64,
+            waiting: self.session.queued_bytes(),
+        }
+    }
+
+    fn is_usable(&self, now: Ms) -> bool {
+        !self.session.is_leaving
+            && self.session.heartbeat.all_received_until().is_some()
+            && self.session.heartbeat.health(now) != LinkHealth::HalfOpen
+    }
+
+    fn may_carry_request(&self) -> bool {
+        self.session.may_open_stream() && self.session.heartbeat.all_received_until().is_some()
+    }
+}
+
+/// Another gateway.
+#[derive(Debug)]
+pub(crate) struct Peer {
+    pub site: SiteId,
+    /// Its name within its site.
+    pub node: String,
+    /// When its process started, in Unix microseconds.
+    pub epoch: u64,
+    pub received_attempts: ReceivedAttempts,
+    pub state: ReceivedState,
+    /// The connections with it, the oldest first.
+    pub connections: Vec<ConnectionId>,
+    pub last_received: Ms,
+}
+
+impl Peer {
+    pub fn is_in_cluster(&self) -> bool {
+        self.site == OWN_SITE
+    }
+}
+
+/// Names one start of another gateway.
+pub(crate) fn peer_start_id(name: &str, epoch: u64) -> u64 {
+    xxh3_64_with_seed(name.as_bytes(), epoch)
+}
+
+/// All links with other gateways.
+#[derive(Debug, Default)]
+pub(crate) struct Links {
+    pub connections: BTreeMap<ConnectionId, SiteConnection>,
+    pub peers: BTreeMap<String, Peer>,
+    pub actions: VecDeque<Action>,
+    pub counts: GatewayCounts,
+}
+
+impl Links {
+    pub fn push(&mut self, action: Action) {
+        self.actions.push_back(action);
+    }
+
+    pub fn log(&mut self, line: String) {
+        self.push(Action::Log(line));
+    }
+
+    pub fn session_mut(&mut self, connection: ConnectionId) -> Option<&mut Session> {
+        self.connections.get_mut(&connection).map(|connection| &mut connection.session)
+    }
+
+    /// Queues a message on no stream; a write has to be requested for it.
+    pub fn send(&mut self, connection: ConnectionId, message: &Message) {
+        if let Some(session) = self.session_mut(connection) {
+            session.send(message);
+        }
+    }
+
+    /// Has the owner write a connection that has output.
+    pub fn request_write(&mut self, connection: ConnectionId) {
+        if self.connections.get(&connection).is_some_and(|known| known.session.has_output()) {
+            self.push(Action::Write(connection));
+        }
+    }
+
+    /// Cancels a request that was sent on a connection.
+    pub fn cancel_request(&mut self, connection: ConnectionId, ticket: u64) {
+        if let Some(session) = self.session_mut(connection) {
+            session.cancel_request(ticket);
+        }
+        self.request_write(connection);
+    }
+
+    pub fn peer_of(&self, connection: ConnectionId) -> Option<&Peer> {
+        self.peers.get(self.connections.get(&connection)?.peer.as_ref()?)
+    }
+
+    pub fn peer_of_mut(&mut self, connection: ConnectionId) -> Option<&mut Peer> {
+        self.peers.get_mut(self.connections.get(&connection)?.peer.as_ref()?)
+    }
+
+    /// Whether a router of the own site is at the other end.
+    pub fn is_cluster_peer(&self, connection: ConnectionId) -> bool {
+        self.peer_of(connection).is_some_and(Peer::is_in_cluster)
+    }
+
+    /// The connections with routers of the own site.
+    pub fn cluster_connections(&self) -> Vec<ConnectionId> {
+        self.connections.keys().copied().filter(|connection| self.is_cluster_peer(*connection)).collect()
+    }
+
+    /// The connection for one more request to a site: the one with the fewest bytes to be written.
+    pub fn connection_to(&self, site: SiteId) -> Option<ConnectionId> {
+        let peers = self.peers.values().filter(|peer| peer.site == site);
+        let connections = peers.flat_map(|peer| peer.connections.iter().copied());
+        let usable = connections.filter(|connection| {
+            self.connections.get(connection).is_some_and(SiteConnection::may_carry_request)
+        });
+        usable.min_by_key(|connection| {
+            self.connections.get(connection).map(|known| known.session.queued_bytes())
+        })
+    }
+
+    /// Names the process at the other end of a connection.
+    pub fn start_of_peer(&self, connection: ConnectionId) -> Option<u64> {
+        let name = self.connections.get(&connection)?.peer.as_ref()?;
+        self.peers.get(name).map(|peer| peer_start_id(name, peer.epoch))
+    }
+
+    /// What is known of another site, by all of its gateways. Load that was reported more than `state_lifetime` ago
+    /// counts for nothing.
+    pub fn site_view(&self, now: Ms, site: SiteId, state_lifetime: Ms) -> SiteView {
+        let mut view = SiteView { utilization: 1.0, ..SiteView::default() };
+        for peer in self.peers.values().filter(|peer| peer.site == site) {
+            if let Some(FactValue::Drained(true)) = peer.state.get(now, state_lifetime, &FactKey::Operators) {
+                view.drained = true;
+            }
+            let load = peer.state.get(now, state_lifetime, &FactKey::Site);
+            let Some(FactValue::Load { utilization, caches, origin_reachable }) = load else { continue };
+            let mut connections = peer.connections.iter().filter_map(|id| self.connections.get(id));
+            if connections.any(|connection| connection.is_usable(now)) {
+                view.reachable = true;
+                view.has_caches |= *caches > 0;
+                view.has_origin |= *origin_reachable;
+                view.utilization = view.utilization.min(*utilization);
+            }
+        }
+        view
+    }
+}
--- a/crates/gateway/src/remote_requests.rs
+++ b/crates/gateway/src/remote_requests.rs
@@ -1,60 +1,62 @@
-//! Owns the requests that have come from other sites and are served here.
+//! The requests of other sites that are served here.
 //!
-//! Each is handed on once and owed one reply, which goes back on its stream, or, where that is gone, is kept with its
-//! token for whoever asks. Must never let a token run twice, nor say of one that ran that it did not.
+//! Each is handed on once and owed one reply. The reply goes back on its stream or, where that has ended, is retained
+//! with the request's token until the sender queries it. A token never runs twice, and one that ran is never reported
+//! as not run.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 use bytes::Bytes;
 use linnethook::interface::Ms;
-use serde::{Deserialize, Serialize};
 
+use crate::actions::{Action, ConnectionId, RemoteRequest, Reply, FIRST_REMOTE_TICKET};
 use crate::attempt_ledger::{Admission, AttemptOutcome, Ticket, Token};
-use crate::codec::{Fields, ForwardedRequest, Message, RejectReason, ResponseHead};
+use crate::codec::{CachedReply, ForwardedRequest, Message, RejectReason, ResponseHead, ResumePoint};
+use crate::config::GatewayConfig;
 use crate::flow_control::Priority;
-use crate::gateway::{is_stale, Action, ConnectionId, Gateway, RemoteRequest, Reply, FIRST_REMOTE_TICKET};
-use crate::transfer::ObjectVersion;
+use crate::links::{Links, Peer, SiteConnection};
 
-/// A request from another site.
+/// A stream that the other side has opened.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct StreamId {
+    pub connection: ConnectionId,
+    pub stream: u32,
+}
+
+/// A request of another site that has no reply yet.
 #[derive(Debug, Clone)]
 struct ServedRequest {
-    /// Where its answer goes; nothing once that is gone.
-    reply_to: Option<(ConnectionId, u32)>,
+    /// Where the reply goes; `None` once that stream has ended.
+    reply_to: Option<StreamId>,
     peer: String,
     token: Option<Token>,
-    resume_from: Option<(u64, ObjectVersion)>,
+    resume_from: Option<ResumePoint>,
     priority: Priority,
 }
 
-/// All of them.
-#[derive(Debug, Default)]
-pub(crate) struct ServedRequests {
-    last_number: Ticket,
-    requests: BTreeMap<Ticket, ServedRequest>,
-    by_stream: BTreeMap<(ConnectionId, u32), Ticket>,
-    /// Streams whose answers are being written, and until when that may take.
-    write_deadlines: BTreeMap<(u64, ConnectionId, u32), ()>,
-}
-
-impl ServedRequests {
-    pub fn len(&self) -> usize {
-        self.requests.len()
-    }
-
-    pub fn next_deadline(&self) -> Option<Ms> {
-        self.write_deadlines.first_key_value().map(|((at, ..), ())| *at as Ms)
-    }
+/// The rules by which requests of other sites are admitted.
+#[derive(Debug, Clone, Copy)]
+struct AdmissionRules {
+    max_requests: usize,
+    max_hops: usize,
+    /// See [`PeerConfig::max_state_delay`](crate::config::PeerConfig::max_state_delay).
+    max_state_delay: Ms,
 }
 
-/// An answer as it is kept with its token.
-#[derive(Debug, Serialize, Deserialize)]
-pub(crate) struct CachedReply {
-    pub served: bool,
-    pub fields: Fields,
-    pub body: Bytes,
+/// All requests of other sites.
+#[derive(Debug)]
+pub(crate) struct RemoteRequests {
+    rules: AdmissionRules,
+    answer_write_timeout: Ms,
+    own_site: String,
+    last_number: Ticket,
+    requests: BTreeMap<Ticket, ServedRequest>,
+    by_stream: BTreeMap<StreamId, Ticket>,
+    /// Streams whose answers are being written, by when that has to be over, in milliseconds.
+    write_deadlines: BTreeSet<(u64, StreamId)>,
 }
 
-pub(crate) fn priority_from_wire(number: u8) -> Priority {
+fn priority_from_wire(number: u8) -> Priority {
     match number {
         0 => Priority::Booking,
         1 => Priority::FirstPart,
@@ -62,212 +64,249 @@
     }
 }
 
-impl Gateway {
-    fn reject_stream(&mut self, conn: ConnectionId, stream: u32, why: RejectReason) {
-        self.counts.turned_away += 1;
-        self.counts.stale += u64::from(is_stale(why));
-        if let Some(line) = self.connections.get_mut(&conn) {
-            line.session.reject_stream(stream, why, 0.0);
+impl AdmissionRules {
+    /// Whether the other side may know of a drain that is not known here yet.
+    fn is_state_too_old(&self, now: Ms, connection: &SiteConnection) -> bool {
+        let received_until = connection.session.heartbeat.all_received_until();
+        self.max_state_delay > 0.0 && received_until.is_none_or(|at| now - at > self.max_state_delay)
+    }
+}
+
+impl RemoteRequests {
+    pub fn new(config: &GatewayConfig, own_site: &str) -> Self {
+        let rules = AdmissionRules {
+            max_requests: config.forwarding.max_remote_requests,
+            max_hops: config.routing.max_hops,
+            max_state_delay: config.peers.max_state_delay,
+        };
+        Self {
+            rules,
+            answer_write_timeout: config.forwarding.answer_write_timeout,
+            own_site: own_site.to_string(),
+            last_number: 0,
+            requests: BTreeMap::new(),
+            by_stream: BTreeMap::new(),
+            write_deadlines: BTreeSet::new(),
         }
     }
 
-    /// A request has come in whole.
-    pub(crate) fn handle_request(
+    /// Requests without a reply.
+    pub fn len(&self) -> usize {
+        self.requests.len()
+    }
+
+    /// When [`Self::expire_writes`] is due.
+    pub fn next_deadline(&self) -> Option<Ms> {
+        self.write_deadlines.first().map(|(at, _)| *at as Ms)
+    }
+
+    /// A request has come in; `is_draining` is whether this site takes none.
+    pub fn handle_request(
         &mut self,
+        links: &mut Links,
         now: Ms,
-        conn: ConnectionId,
-        stream: u32,
-        open: ForwardedRequest,
+        stream: StreamId,
+        request: ForwardedRequest,
+        is_draining: bool,
     ) {
-        let me = self.site_name(self.own_site).to_string();
-        let fresh = self.config.peers.max_state_delay;
-        let Some(line) = self.connections.get(&conn) else { return };
-        let Some(peer) = line.peer.clone() else { return };
-        // All that the other side was told up to then has come here.
-        let proven = line.session.heartbeat.all_received_until();
-        let stale = fresh > 0.0 && proven.is_none_or(|at| now - at > fresh);
-        // Fellows serve their own requests: none crosses between them.
-        let fellow = self.peers.get(&peer).is_some_and(|peer| peer.site == self.own_site);
-        let why = if fellow {
+        let Some(connection) = links.connections.get(&stream.connection) else { return };
+        let Some(peer) = connection.peer.clone() else { return };
+        let reason = self.reject_reason(links, now, connection, &request, is_draining);
+        if let Some(reason) = reason {
+            return reject_stream(links, stream, reason);
+        }
+        if let Some(token) = request.token {
+            let Some(known) = links.peers.get_mut(&peer) else { return };
+            match known.received_attempts.admit(token) {
+                Admission::Run => {}
+                Admission::AtCapacity => return reject_stream(links, stream, RejectReason::AtCapacity),
+                Admission::Known(outcome) => return report_outcome(links, stream, token, outcome),
+                Admission::Fenced => {
+                    let outcome = known.received_attempts.query_outcome(now, token);
+                    return report_outcome(links, stream, token, outcome);
+                }
+            }
+        }
+        self.serve(links, stream, peer, request);
+    }
+
+    fn reject_reason(
+        &self,
+        links: &Links,
+        now: Ms,
+        connection: &SiteConnection,
+        request: &ForwardedRequest,
+        is_draining: bool,
+    ) -> Option<RejectReason> {
+        let peer = connection.peer.as_ref().and_then(|name| links.peers.get(name));
+        let passed = &request.passed_sites;
+        // Routers of one site serve their own requests: none is forwarded between them.
+        if peer.is_some_and(Peer::is_in_cluster) {
             Some(RejectReason::Unusable)
-        } else if self.is_stopping || self.local_capacity.is_drained() {
+        } else if is_draining {
             Some(RejectReason::Draining)
-        } else if stale {
+        } else if self.rules.is_state_too_old(now, connection) {
             Some(RejectReason::StateTooOld)
-        } else if open.passed_sites.contains(&me) || open.passed_sites.len() >= self.config.routing.max_hops {
+        } else if passed.contains(&self.own_site) || passed.len() >= self.rules.max_hops {
             Some(RejectReason::HopLimit)
-        } else if self.served.requests.len() >= self.config.forwarding.max_remote_requests {
+        } else if self.requests.len() >= self.rules.max_requests {
             Some(RejectReason::AtCapacity)
         } else {
             None
-        };
-        if let Some(why) = why {
-            return self.reject_stream(conn, stream, why);
-        }
-        if let Some(token) = open.token {
-            let Some(known) = self.peers.get_mut(&peer) else { return };
-            match known.received_attempts.admit(token) {
-                Admission::Run => {}
-                Admission::AtCapacity => return self.reject_stream(conn, stream, RejectReason::AtCapacity),
-                Admission::Known(fate) => return self.report_outcome(conn, stream, token, fate),
-                Admission::Fenced => {
-                    let fate = known.received_attempts.query_outcome(now, token);
-                    return self.report_outcome(conn, stream, token, fate);
-                }
-            }
         }
-        self.served.last_number += 1;
-        let ticket = FIRST_REMOTE_TICKET + self.served.last_number;
-        let guest = ServedRequest {
-            reply_to: Some((conn, stream)),
+    }
+
+    fn serve(&mut self, links: &mut Links, stream: StreamId, peer: String, request: ForwardedRequest) {
+        self.last_number += 1;
+        let ticket = FIRST_REMOTE_TICKET + self.last_number;
+        let served = ServedRequest {
+            reply_to: Some(stream),
             peer,
-            token: open.token,
-            resume_from: open.resume_from,
-            priority: priority_from_wire(open.priority),
+            token: request.token,
+            resume_from: request.resume_from,
+            priority: priority_from_wire(request.priority),
         };
-        self.served.requests.insert(ticket, guest);
-        self.served.by_stream.insert((conn, stream), ticket);
-        let left = Ms::from(open.remaining_ms);
-        let ForwardedRequest { fields: head, body, passed_sites: passed, .. } = open;
-        self.actions.push_back(Action::ServeRemote(RemoteRequest {
+        self.requests.insert(ticket, served);
+        self.by_stream.insert(stream, ticket);
+        links.push(Action::ServeRemote(RemoteRequest {
             ticket,
-            fields: head,
-            body,
-            remaining: left,
-            passed_sites: passed,
+            fields: request.fields,
+            body: request.body,
+            remaining: Ms::from(request.remaining_ms),
+            passed_sites: request.passed_sites,
         }));
     }
 
-    fn report_outcome(&mut self, conn: ConnectionId, stream: u32, token: Token, fate: AttemptOutcome) {
-        self.counts.turned_away += 1;
-        if let Some(line) = self.connections.get_mut(&conn) {
-            line.session.drop_stream(stream);
-            line.session.send(&Message::OutcomeReport(token, fate));
+    /// The one reply to a request of another site. One that was rejected has never run.
+    pub fn complete(&mut self, links: &mut Links, now: Ms, ticket: Ticket, reply: Reply) {
+        let Some(request) = self.requests.remove(&ticket) else { return };
+        if let Some(stream) = request.reply_to {
+            self.by_stream.remove(&stream);
         }
-    }
-
-    /// The one reply to a request from another site. What was refused has never run.
-    pub fn complete_remote_request(&mut self, now: Ms, ticket: Ticket, reply: Reply) {
-        let Some(guest) = self.served.requests.remove(&ticket) else { return };
-        if let Some(back) = guest.reply_to {
-            self.served.by_stream.remove(&back);
+        if let Some(token) = request.token {
+            record_reply(links, now, &request.peer, token, &reply);
         }
-        if let Some(token) = guest.token {
-            self.record_reply(now, &guest.peer, token, &reply);
-        }
-        let sent =
-            guest.reply_to.is_some_and(|(conn, stream)| self.send_reply(now, conn, stream, &guest, reply));
-        if sent {
+        let is_sent =
+            request.reply_to.is_some_and(|stream| self.send_reply(links, now, stream, &request, reply));
+        if is_sent {
             return;
         }
-        // Its stream is gone: whoever waits for it hears of it on another, or asks.
-        let Some(token) = guest.token else { return };
-        let Some(peer) = self.peers.get_mut(&guest.peer) else { return };
-        let Some(conn) = peer.sessions.last().copied() else { return };
-        let fate = peer.received_attempts.query_outcome(now, token);
-        if let Some(line) = self.connections.get_mut(&conn) {
-            line.session.send(&Message::OutcomeReport(token, fate));
-        }
-        self.request_write(conn);
-    }
-
-    fn record_reply(&mut self, now: Ms, peer: &str, token: Token, reply: &Reply) {
-        let Some(peer) = self.peers.get_mut(peer) else { return };
-        let kept = match reply {
-            Reply::Rejected { .. } => return peer.received_attempts.record_rejection(now, token),
-            Reply::Served { fields: head, body, .. } => {
-                CachedReply { served: true, fields: head.clone(), body: body.clone() }
-            }
-            Reply::Failed => CachedReply { served: false, fields: Vec::new(), body: Bytes::new() },
-        };
-        // It holds nothing that postcard can't write.
-        peer.received_attempts.record_answer(now, token, postcard::to_stdvec(&kept).unwrap_or_default());
+        // Its stream has ended: the outcome is reported on another connection, or the sender queries it.
+        let Some(token) = request.token else { return };
+        let Some(peer) = links.peers.get_mut(&request.peer) else { return };
+        let Some(connection) = peer.connections.last().copied() else { return };
+        let outcome = peer.received_attempts.query_outcome(now, token);
+        links.send(connection, &Message::OutcomeReport(token, outcome));
+        links.request_write(connection);
     }
 
+    /// False if the stream has ended.
     fn send_reply(
         &mut self,
+        links: &mut Links,
         now: Ms,
-        conn: ConnectionId,
-        stream: u32,
-        guest: &ServedRequest,
+        to: StreamId,
+        request: &ServedRequest,
         reply: Reply,
     ) -> bool {
-        let Some(line) = self.connections.get_mut(&conn) else { return false };
-        let nothing =
-            ResponseHead { served: false, fields: Vec::new(), body_length: 0, offset: 0, version: None };
+        let Some(connection) = links.connections.get_mut(&to.connection) else { return false };
+        let session = &mut connection.session;
         match reply {
-            Reply::Rejected { retry_after: wait } => {
-                self.counts.turned_away += 1;
-                line.session.reject_stream(stream, RejectReason::Refused, wait);
+            Reply::Rejected { retry_after } => {
+                links.counts.turned_away += 1;
+                session.reject_stream(to.stream, RejectReason::Refused, retry_after);
             }
             Reply::Failed => {
-                if !line.session.send_response(stream, guest.priority, nothing, Bytes::new()) {
+                let head = ResponseHead::failed();
+                if !session.send_response(to.stream, request.priority, head, Bytes::new()) {
                     return false;
                 }
             }
-            Reply::Served { fields: head, body, version: copy } => {
-                self.counts.served += 1;
-                // The rest alone, where it is the rest of the same copy.
-                let length = body.len() as u64;
-                let same = guest.resume_from.as_ref().filter(|(from, wanted)| {
-                    copy.as_ref() == Some(wanted) && *from <= length && wanted.length == length
+            Reply::Served { fields, body, version } => {
+                links.counts.served += 1;
+                let body_length = body.len() as u64;
+                // The rest alone, where it is the rest of the same version.
+                let resume_from = request.resume_from.as_ref().filter(|from| {
+                    version.as_ref() == Some(&from.version)
+                        && from.offset <= body_length
+                        && from.version.length == body_length
                 });
-                let from = same.map_or(0, |(from, _)| *from);
-                let begins = ResponseHead {
-                    served: true,
-                    fields: head,
-                    body_length: length,
-                    offset: from,
-                    version: copy,
-                };
-                if !line.session.send_response(stream, guest.priority, begins, body.slice(from as usize..)) {
+                let offset = resume_from.map_or(0, |from| from.offset);
+                let head = ResponseHead { served: true, fields, body_length, offset, version };
+                if !session.send_response(to.stream, request.priority, head, body.slice(offset as usize..)) {
                     return false;
                 }
             }
         }
-        let until = (now + self.config.forwarding.answer_write_timeout) as u64;
-        self.served.write_deadlines.insert((until, conn, stream), ());
-        self.request_write(conn);
+        self.write_deadlines.insert(((now + self.answer_write_timeout) as u64, to));
+        links.request_write(to.connection);
         true
     }
 
-    /// The other side does not wait any more. What may do harm goes on to its end all the same, which is remembered.
-    pub(crate) fn handle_cancellation(&mut self, conn: ConnectionId, stream: u32) {
-        let Some(ticket) = self.served.by_stream.remove(&(conn, stream)) else { return };
-        self.abandon_served_request(ticket);
-    }
-
-    fn abandon_served_request(&mut self, ticket: Ticket) {
-        match self.served.requests.get_mut(&ticket) {
-            Some(guest) if guest.token.is_some() => guest.reply_to = None,
+    /// The other side does not wait any more. A request with a token runs on all the same, and its outcome is
+    /// remembered.
+    pub fn handle_cancellation(&mut self, links: &mut Links, stream: StreamId) {
+        let Some(ticket) = self.by_stream.remove(&stream) else { return };
+        match self.requests.get_mut(&ticket) {
+            Some(request) if request.token.is_some() => request.reply_to = None,
             Some(_) => {
-                self.served.requests.remove(&ticket);
-                self.actions.push_back(Action::CancelServe(ticket));
+                self.requests.remove(&ticket);
+                links.push(Action::CancelServe(ticket));
             }
             None => {}
         }
     }
 
-    /// A connection is gone with all its streams.
-    pub(crate) fn drop_served_streams(&mut self, conn: ConnectionId) {
-        let streams: Vec<(ConnectionId, u32)> =
-            self.served.by_stream.range((conn, 0)..=(conn, u32::MAX)).map(|(key, _)| *key).collect();
-        for (conn, stream) in streams {
-            self.handle_cancellation(conn, stream);
+    /// A connection is down with all its streams.
+    pub fn handle_lost_connection(&mut self, links: &mut Links, connection: ConnectionId) {
+        let all = StreamId { connection, stream: 0 }..=StreamId { connection, stream: u32::MAX };
+        let streams: Vec<StreamId> = self.by_stream.range(all).map(|(stream, _)| *stream).collect();
+        for stream in streams {
+            self.handle_cancellation(links, stream);
         }
-        self.served.write_deadlines.retain(|(_, other, _), ()| *other != conn);
+        self.write_deadlines.retain(|(_, stream)| stream.connection != connection);
     }
 
-    /// Answers that are not taken in time are dropped.
-    pub(crate) fn expire_writes(&mut self, now: Ms) {
-        while let Some(((at, conn, stream), ())) = self.served.write_deadlines.pop_first() {
+    /// Drops answers that the other side has not read in time.
+    pub fn expire_writes(&mut self, links: &mut Links, now: Ms) {
+        while let Some((at, stream)) = self.write_deadlines.first().copied() {
             if at as Ms > now {
-                self.served.write_deadlines.insert((at, conn, stream), ());
                 break;
             }
-            if let Some(line) = self.connections.get_mut(&conn) {
-                line.session.drop_stream(stream);
+            self.write_deadlines.pop_first();
+            if let Some(session) = links.session_mut(stream.connection) {
+                session.drop_stream(stream.stream);
             }
         }
     }
 }
+
+fn reject_stream(links: &mut Links, stream: StreamId, reason: RejectReason) {
+    links.counts.turned_away += 1;
+    links.counts.stale += u64::from(reason == RejectReason::StateTooOld);
+    if let Some(session) = links.session_mut(stream.connection) {
+        session.reject_stream(stream.stream, reason, 0.0);
+    }
+}
+
+/// The token has been here before: its outcome is reported in place of an answer.
+fn report_outcome(links: &mut Links, stream: StreamId, token: Token, outcome: AttemptOutcome) {
+    links.counts.turned_away += 1;
+    if let Some(session) = links.session_mut(stream.connection) {
+        session.drop_stream(stream.stream);
+        session.send(&Message::OutcomeReport(token, outcome));
+    }
+}
+
+fn record_reply(links: &mut Links, now: Ms, peer: &str, token: Token, reply: &Reply) {
+    let Some(peer) = links.peers.get_mut(peer) else { return };
+    let cached = match reply {
+        Reply::Rejected { .. } => return peer.received_attempts.record_rejection(now, token),
+        Reply::Served { fields, body, .. } => {
+            CachedReply { served: true, fields: fields.clone(), body: body.clone() }
+        }
+        Reply::Failed => CachedReply { served: false, fields: Vec::new(), body: Bytes::new() },
+    };
+    // It holds nothing that postcard can't write.
+    peer.received_attempts.record_answer(now, token, postcard::to_stdvec(&cached).unwrap_or_default());
+}
--- a/crates/gateway/tests/ledger.rs
+++ b/crates/gateway/tests/attempt_ledger.rs
@@ -3,13 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethook_gateway::attempt_ledger::{
-    Admission, AttemptLedgerConfig, AttemptOutcome, AttemptState, ReceivedAttempts, Resolution, SentAttempts,
-    Token,
+    Admission, AttemptLedgerConfig, AttemptOutcome, AttemptState, ReceivedAttempts, Resolution,
+    RetainedAttempts, SentAttempts, Token,
 };
 use linnethook_gateway::codec::{
     encode_frame, ForwardedRequest, Frame, FrameDecoder, Hello, MalformedFrame, Message, RejectReason,
-    ResponseHead,
+    ResponseHead, VersionRange,
 };
+use linnethook_gateway::site_state::StatePosition;
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
@@ -183,7 +184,7 @@
         let frames: Vec<Frame> = words.into_iter().map(|(stream, kind, bytes)| {
             let text = String::from_utf8_lossy(&bytes).into_owned();
             let word = match kind {
-                0 => Message::Hello(Hello { versions: (1, 2), site: text.clone(), node: text, epoch: 7, known_state: (1, 2), proof: bytes }),
+                0 => Message::Hello(Hello { versions: VersionRange { min: 1, max: 2 }, site: text.clone(), node: text, epoch: 7, known_state: StatePosition { epoch: 1, version: 2 }, proof: bytes }),
                 1 => Message::Request(Box::new(ForwardedRequest { token: Some(token), remaining_ms: 5, priority: 1, passed_sites: vec![text], resume_from: None, fields: Vec::new(), body: bytes.into() })),
                 2 => Message::Response(Box::new(ResponseHead { served: true, body_length: bytes.len() as u64, offset: 3, version: None, fields: vec![("a".to_string(), text)] })),
                 3 => Message::OutcomeReport(token, AttemptOutcome::Completed(Some(bytes))),
@@ -272,7 +273,7 @@
     assert_eq!(taken.admit(third), Admission::Run);
     taken.record_answer(13.0, third, vec![3, 4]);
     let fate = taken.query_outcome(14.0, other);
-    assert_eq!((fate.clone(), taken.retained().1), (AttemptOutcome::Completed(None), 2));
+    assert_eq!((fate.clone(), taken.retained().answer_bytes), (AttemptOutcome::Completed(None), 2));
     assert_eq!(sent.record_outcome(other, fate, 0), Some(Resolution::Failed(7)));
     // Past the horizon nothing is proven, and nothing is let in.
     taken.expire(500.0);
@@ -280,7 +281,7 @@
         (taken.query_outcome(501.0, other), taken.admit(other)),
         (AttemptOutcome::Forgotten, Admission::Fenced)
     );
-    assert_eq!(taken.retained(), (0, 0));
+    assert_eq!(taken.retained(), RetainedAttempts { tokens: 0, answer_bytes: 0 });
     // A sender that started again: its old tokens are void, its old hello is a replay.
     assert!(taken.accept_epoch(2) && !taken.accept_epoch(1));
     assert_eq!(taken.admit(Token { epoch: 1, number: 60 }), Admission::Fenced);
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -9,8 +9,9 @@
 use linnethook_gateway::attempt_ledger::{AttemptOutcome, Token};
 use linnethook_gateway::codec::{
     encode_frame, ForwardedRequest, Frame, FrameDecoder, Hello, Message, RejectReason, ResponseHead,
+    ResumePoint, VersionRange,
 };
-use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
+use linnethook_gateway::site_state::{Fact, FactKey, FactValue, StatePosition, StateUpdate};
 use linnethook_gateway::transfer::ObjectVersion;
 
 const LONGEST_FRAME: usize = 1 << 16;
@@ -19,15 +20,15 @@
     vec![("id".to_string(), "9b1f".to_string()), ("class".to_string(), "booking".to_string())]
 }
 
-fn facts() -> Vec<(FactKey, FactValue)> {
+fn facts() -> Vec<Fact> {
     vec![
-        (FactKey::Cache("cache-1".to_string()), FactValue::Cache { ready: false }),
-        (FactKey::Cache("cache-2".to_string()), FactValue::CacheRemoved),
-        (FactKey::Object("object-1".to_string()), FactValue::Purged { stamp: 1_700_000_000_000.5 }),
-        (FactKey::Group(7), FactValue::Purged { stamp: 3.0 }),
-        (FactKey::Site, FactValue::Load { utilization: 0.25, caches: 300, origin_reachable: true }),
-        (FactKey::Operators, FactValue::Drained(true)),
-        (FactKey::PeerEntry(vec![1, 2, 250]), FactValue::PeerEntry(vec![3, 255])),
+        Fact::new(FactKey::Cache("cache-1".to_string()), FactValue::Cache { ready: false }),
+        Fact::new(FactKey::Cache("cache-2".to_string()), FactValue::CacheRemoved),
+        Fact::new(FactKey::Object("object-1".to_string()), FactValue::Purged { stamp: 1_700_000_000_000.5 }),
+        Fact::new(FactKey::Group(7), FactValue::Purged { stamp: 3.0 }),
+        Fact::new(FactKey::Site, FactValue::Load { utilization: 0.25, caches: 300, origin_reachable: true }),
+        Fact::new(FactKey::Operators, FactValue::Drained(true)),
+        Fact::new(FactKey::PeerEntry(vec![1, 2, 250]), FactValue::PeerEntry(vec![3, 255])),
     ]
 }
 
@@ -36,11 +37,11 @@
     let token = Token { epoch: 1 << 40, number: 300 };
     let copy = ObjectVersion { tag: "v1".to_string(), issued_at: 1_700_000_000_000.5, length: 70_000 };
     let hello = Hello {
-        versions: (1, 2),
+        versions: VersionRange { min: 1, max: 2 },
         site: "north".to_string(),
         node: "r1".to_string(),
         epoch: 17,
-        known_state: (300, 70_000),
+        known_state: StatePosition { epoch: 300, version: 70_000 },
         proof: vec![9],
     };
     let open = ForwardedRequest {
@@ -48,7 +49,7 @@
         remaining_ms: 1_500,
         priority: 2,
         passed_sites: vec!["south".to_string()],
-        resume_from: Some((4_096, copy.clone())),
+        resume_from: Some(ResumePoint { offset: 4_096, version: copy.clone() }),
         fields: fields(),
         body: vec![1, 2, 3].into(),
     };
@@ -82,7 +83,7 @@
             "state".to_string(),
             Message::StateUpdate(StateUpdate { epoch: 17, since: 3, version: 300, facts: facts() }),
         ),
-        ("behind".to_string(), Message::StateRequest(17, 300)),
+        ("behind".to_string(), Message::StateRequest(StatePosition { epoch: 17, version: 300 })),
         ("leave".to_string(), Message::GoAway),
         ("direct".to_string(), Message::DirectFacts(facts())),
     ];
--- /dev/null
+++ b/crates/gateway/tests/heartbeat.rs
@@ -0,0 +1,78 @@
+//! The `heartbeat` module: whether the other side is still there, and the pauses between attempts to connect.
+
+use linnethook::interface::Ms;
+use linnethook_gateway::heartbeat::{
+    Heartbeat, HeartbeatConfig, LinkHealth, ReconnectBackoff, ReconnectConfig,
+};
+
+/// Signs of life that often, up to then; how long after the last one it is called silent.
+fn silent_after(rule: HeartbeatConfig, every: Ms, jitter: Ms) -> Ms {
+    let mut pulse = Heartbeat::new(0.0, rule);
+    let mut now = 0.0;
+    for n in 0..200 {
+        now += every + if n % 2 == 0 { jitter } else { -jitter };
+        pulse.record_receipt(now);
+        assert_eq!(pulse.health(now), LinkHealth::Healthy);
+    }
+    let heard = now;
+    while pulse.health(now) != LinkHealth::Silent {
+        now += 5.0;
+    }
+    now - heard
+}
+
+#[test]
+fn silence_is_told_by_what_was_usual_and_within_bounds() {
+    let rule = HeartbeatConfig::default();
+    let (even, uneven) = (silent_after(rule, 200.0, 5.0), silent_after(rule, 300.0, 150.0));
+    assert!((400.0..=450.0).contains(&even), "{even}");
+    assert!(uneven > even + 300.0 && uneven <= 2_000.0, "{uneven}");
+    assert!(silent_after(rule, 10.0, 1.0) >= 400.0, "never sooner than its bound");
+    assert!(silent_after(rule, 1_500.0, 400.0) <= 2_005.0, "never later");
+}
+
+#[test]
+fn a_slow_link_and_a_half_open_one_are_told_from_a_silent_one() {
+    let rule = HeartbeatConfig::default();
+    let mut pulse = Heartbeat::new(0.0, rule);
+    let mut now = 0.0;
+    for _ in 0..10 {
+        let number = pulse.next_ping(now).expect("a ping is due");
+        assert_eq!(pulse.next_ping(now + 1.0), None, "one at a time");
+        pulse.record_pong(now + 10.0, number + 7);
+        pulse.record_pong(now + 10.0, number);
+        now += 200.0;
+    }
+    assert_eq!(pulse.health(now), LinkHealth::Healthy);
+    for _ in 0..10 {
+        let number = pulse.next_ping(now).expect("a ping is due");
+        pulse.record_receipt(now + 100.0);
+        pulse.record_pong(now + 180.0, number);
+        now += 200.0;
+    }
+    assert_eq!(pulse.health(now), LinkHealth::Slow);
+    pulse.next_ping(now).expect("a ping is due");
+    for _ in 0..25 {
+        now += 100.0;
+        pulse.record_receipt(now);
+    }
+    assert_eq!(pulse.health(now), LinkHealth::HalfOpen, "something comes in, and nothing is answered");
+    assert_eq!(pulse.health(now + 2_000.0), LinkHealth::Silent);
+}
+
+#[test]
+fn pauses_grow_with_jitter_up_to_a_bound_and_begin_anew_after_a_good_while() {
+    let mut retry = ReconnectBackoff::new(ReconnectConfig::default(), HeartbeatConfig::default());
+    let waits: Vec<Ms> = (0..8).map(|n| retry.record_down(0.0, f64::from(n % 2))).collect();
+    assert!(waits[..6].windows(2).all(|pair| pair[1] >= pair[0]), "{waits:?}");
+    assert!(waits[7] <= 2_000.0 && waits[6] >= 1_000.0, "{waits:?}");
+    assert!(!retry.is_flapping(0.0), "it was never up");
+    for n in 0..3 {
+        let now = f64::from(n) * 300.0;
+        retry.record_up(now);
+        retry.record_down(now + 100.0, 1.0);
+    }
+    assert!(retry.is_flapping(800.0) && !retry.is_flapping(12_000.0));
+    retry.record_up(20_000.0);
+    assert!(retry.record_down(26_000.0, 1.0) <= 26_050.0);
+}
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use linnethook_gateway::flow_control::{
-    FlowControlConfig, FlowControlError, Priority, ReceiveWindow, SendScheduler,
+    CreditGrant, FlowControlConfig, FlowControlError, Priority, ReceiveWindow, SendScheduler,
 };
 use linnethook_gateway::routing::{
     Route, RouteQuery, RouteRefusal, RoutingConfig, RoutingTable, SiteId, SiteView,
@@ -54,7 +54,7 @@
                     receiving.close_stream(turn.stream, 0);
                 }
             }
-            for (stream, bytes) in grants {
+            for CreditGrant { stream, bytes } in grants {
                 sending.add_credit(stream, bytes).expect("no more than can be counted");
             }
         }
@@ -143,8 +143,8 @@
                 own = PublishedState::new(epoch, 64);
                 plain.iter().for_each(|(about, fact)| _ = own.publish(now, about.clone(), fact.clone()));
             }
-            let (known_epoch, known) = other.position();
-            let state = own.changes_since(known_epoch, known);
+            let known = other.position();
+            let state = own.changes_since(known);
             match chance.random_range(0..4) {
                 0 => {}
                 1 => late.push(state),
@@ -162,8 +162,8 @@
                 }
             }
         }
-        let (known_epoch, known) = other.position();
-        other.apply_update(4_000.0, own.changes_since(known_epoch, known), 1_000);
+        let known = other.position();
+        other.apply_update(4_000.0, own.changes_since(known), 1_000);
         // Where that told nothing new, it is the session that is alive.
         other.record_activity(4_000.0);
         for (about, fact) in &plain {
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -12,7 +12,7 @@
 use linnethook_gateway::flow_control::Priority;
 use linnethook_gateway::forwarding::ForwardRequest;
 use linnethook_gateway::gateway::{Action, Gateway, GatewayConfig, GatewaySetup, Reply};
-use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
+use linnethook_gateway::site_state::{Fact, FactKey, FactValue, StatePosition, StateUpdate};
 use proptest::prelude::{any, prop, prop_assert, prop_assert_eq, proptest, ProptestConfig};
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
@@ -38,7 +38,7 @@
         site: "there".to_string(),
         node: "h".to_string(),
         epoch,
-        known_state: (0, 0),
+        known_state: StatePosition::default(),
         proof: Vec::new(),
     })
 }
@@ -88,7 +88,8 @@
     gateway.on_timer(1.0);
     let frames = said(&mut gateway);
     answer_pings(&mut gateway, 2.0, &frames);
-    let load = (FactKey::Site, FactValue::Load { utilization: 0.1, caches: 3, origin_reachable: true });
+    let load =
+        Fact::new(FactKey::Site, FactValue::Load { utilization: 0.1, caches: 3, origin_reachable: true });
     say(
         &mut gateway,
         2.0,
@@ -155,7 +156,7 @@
                 13 => Message::End,
                 14 => Message::Ping(9),
                 15 => Message::Pong(chance.random_range(0..10)),
-                16 => Message::StateRequest(7, chance.random_range(0..10)),
+                16 => Message::StateRequest(StatePosition { epoch: 7, version: chance.random_range(0..10) }),
                 17 if chance.random_range(0..10) == 0 => hello(chance.random_range(4..7)),
                 _ => Message::StateUpdate(StateUpdate { epoch: 5, since: 0, version: asked, facts: Vec::new() }),
             };
@@ -269,7 +270,7 @@
     let frames = said(&mut gateway);
     answer_pings(&mut gateway, 271.0, &frames);
     actions(&mut gateway);
-    let facts = vec![(FactKey::Cache("c".to_string()), FactValue::Cache { ready: false })];
+    let facts = vec![Fact::new(FactKey::Cache("c".to_string()), FactValue::Cache { ready: false })];
     say(&mut gateway, 272.0, 0, Message::StateUpdate(StateUpdate { epoch: 5, since: 1, version: 2, facts }));
     say(&mut gateway, 272.0, 3, open(None));
     let order: Vec<u8> = actions(&mut gateway)
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -14,7 +14,7 @@
 
 use bytes::BytesMut;
 use linnethook_gateway::codec::{write_message, Message};
-use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
+use linnethook_gateway::site_state::{Fact, FactKey, FactValue, StateUpdate};
 use linnethook_membership::actions::{ClusterAction, EncodedEntry};
 use linnethook_membership::aggregation::location::Location;
 use linnethook_membership::cluster::Cluster;
@@ -297,9 +297,11 @@
 impl Frame {
     /// Facts as they travel: the bytes of the gateway's own frame.
     fn new(said: Vec<EncodedEntry>, alone: bool) -> Self {
-        let facts: Vec<(FactKey, FactValue)> = said
+        let facts: Vec<Fact> = said
             .iter()
-            .map(|(key, entry)| (FactKey::PeerEntry(key.clone()), FactValue::PeerEntry(entry.clone())))
+            .map(|(key, entry)| {
+                Fact::new(FactKey::PeerEntry(key.clone()), FactValue::PeerEntry(entry.clone()))
+            })
             .collect();
         let word = match alone {
             true => Message::DirectFacts(facts),
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -16,7 +16,7 @@
 use linnethook_audit::record::AuditedAction;
 use linnethook_gateway::codec::{write_message, Hello, Message, SUPPORTED_VERSIONS};
 use linnethook_gateway::session::{Session, SessionConfig};
-use linnethook_gateway::site_state::{FactKey, FactValue, StateUpdate};
+use linnethook_gateway::site_state::{Fact, FactKey, FactValue, StatePosition, StateUpdate};
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
 use linnethook_hierarchy::{AuthorId, Change, Hierarchy, Node, NodeId, Role, Source};
 use linnethook_membership::cluster::Cluster;
@@ -433,7 +433,7 @@
             site: "shop-12".to_string(),
             node: format!("r{n}"),
             epoch: 1,
-            known_state: (0, 0),
+            known_state: StatePosition::default(),
             proof: Vec::new(),
         }));
     }
@@ -473,8 +473,9 @@
         let Some((more, frames, spent)) = pulse() else { return Vec::new() };
         (bytes, writes, core) = (bytes + more, writes + frames, core + spent);
     }
-    let fact =
-        |n: usize| (FactKey::Object(format!("{n:016x}")), FactValue::Purged { stamp: 1_764_576_000_123.0 });
+    let fact = |n: usize| {
+        Fact::new(FactKey::Object(format!("{n:016x}")), FactValue::Purged { stamp: 1_764_576_000_123.0 })
+    };
     let length = |facts: usize| {
         let facts = (0..facts).map(fact).collect();
         let mut out = BytesMut::new();
--- a/crates/router/src/remote_sites/mod.rs
+++ b/crates/router/src/remote_sites/mod.rs
@@ -19,7 +19,7 @@
     Action as GatewayAction, ConnectionId, Gateway, GatewaySetup, RemoteRequest, Reply, FIRST_REMOTE_TICKET,
 };
 use linnethook_gateway::routing::SiteId;
-use linnethook_gateway::site_state::{FactKey, FactValue};
+use linnethook_gateway::site_state::{Fact, FactKey, FactValue};
 use linnethook_operator_config::config::GatewaySection;
 
 use crate::clock::Clock;
@@ -158,8 +158,8 @@
                 GatewayAction::Answer(ticket, reply) => return Some(SiteEffect::Answer(ticket, reply)),
                 GatewayAction::ServeRemote(came) => return Some(SiteEffect::Serve(came)),
                 GatewayAction::CancelServe(ticket) => return Some(SiteEffect::Cancel(ticket)),
-                GatewayAction::RemoteFact(about, fact) => {
-                    if let Some(effect) = announcement(about, fact) {
+                GatewayAction::RemoteFact(fact) => {
+                    if let Some(effect) = announcement(fact) {
                         return Some(effect);
                     }
                 }
@@ -314,9 +314,9 @@
 }
 
 /// What another site has announced, where that concerns the router.
-fn announcement(about: FactKey, fact: FactValue) -> Option<SiteEffect> {
+fn announcement(fact: Fact) -> Option<SiteEffect> {
     let purge = |object, group, stamp| SiteEffect::Purge(PurgeEvent { object, group, stamp });
-    match (about, fact) {
+    match (fact.key, fact.value) {
         (FactKey::Cache(name), FactValue::Cache { .. } | FactValue::CacheRemoved) => {
             Some(SiteEffect::EndpointChanged(name))
         }
--- a/crates/router/tests/gateway.rs
+++ b/crates/router/tests/gateway.rs
@@ -8,8 +8,10 @@
 
 use linnethook_gateway::attempt_ledger::Token;
 use linnethook_gateway::codec::{
-    encode_frame, ForwardedRequest, Frame, FrameDecoder, Hello, Message, ResponseHead, SUPPORTED_VERSIONS,
+    encode_frame, ForwardedRequest, Frame, FrameDecoder, Hello, Message, ResponseHead, VersionRange,
+    SUPPORTED_VERSIONS,
 };
+use linnethook_gateway::site_state::StatePosition;
 use linnethook_quickstart::Client;
 use linnethook_standins::checker::{judge, Breach, Rules};
 use linnethook_standins::faults::{self, Fault};
@@ -415,7 +417,7 @@
         site: site.to_string(),
         node: node.to_string(),
         epoch,
-        known_state: (0, 0),
+        known_state: StatePosition::default(),
         proof: Vec::new(),
     };
     let word = |stream: u32, word: Message| encode_frame(&Frame { stream, message: word });
@@ -441,7 +443,16 @@
         ("a frame of 4 GB", vec![255, 255, 255, 255, 1, 0, 0, 0, 0]),
         ("a word before its hello", word(0, Message::Ping(1))),
         ("a second hello", after(good.clone())),
-        ("another version", word(0, Message::Hello(Hello { versions: (7, 9), ..hello("north", "bad", 5) }))),
+        (
+            "another version",
+            word(
+                0,
+                Message::Hello(Hello {
+                    versions: VersionRange { min: 7, max: 9 },
+                    ..hello("north", "bad", 5)
+                }),
+            ),
+        ),
         ("this very site", word(0, Message::Hello(hello("south", "bad", 5)))),
         ("a strange site", word(0, Message::Hello(hello("east", "bad", 5)))),
         ("a start that is yet to come", word(0, Message::Hello(hello("north", NORTH, u64::MAX)))),
