--- a/crates/router/src/cluster/commands.rs
+++ b/crates/router/src/cluster/commands.rs
@@ -8,7 +8,8 @@
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
 
-use super::{ClusterAdapter, SiteQuery, CHECK_INTERVAL, MAX_QUERIES};
+use super::straggler::StragglerCheck;
+use super::{ClusterAdapter, GossipCounters, CHECK_INTERVAL};
 
 /// The answer to a question, and whether the cluster's timer is to run at once.
 pub struct ClusterReply {
@@ -44,19 +45,22 @@
 
 impl ClusterAdapter {
     fn view(&self, now: Ms) -> FleetShown {
+        let GossipCounters { drains, purges, batches, snapshots } = self.applied_from_gossip;
+        let operator_floor = self.membership.operator_floor();
+        let straggler = self.straggler.as_ref();
         FleetShown {
-            fellows: self.core.view(now),
-            barred: self.drained.iter().map(|(name, number)| (name.clone(), *number)).collect(),
-            drains: self.drains,
-            purges: self.purges,
-            batches: self.batches,
-            adopted: self.adopted,
-            whole: self.core.fleet_summary(now).map(|whole| whole.routers()),
-            set_by: self.core.operator_floor().map(|floor| (floor.version, floor.set_by)),
-            state: self.straggler.as_ref().map(|behind| behind.core.state()),
-            shut_out: self.straggler.as_ref().map_or(0, |behind| behind.shut_out),
-            account: self.audit.as_ref().map(|audit| {
-                let AuditLogSizes { own_records, replicas, dropped_records } = audit.sizes();
+            fellows: self.membership.view(now),
+            barred: self.endpoints.drained().map(|(name, position)| (name.clone(), position)).collect(),
+            drains,
+            purges,
+            batches,
+            adopted: snapshots,
+            whole: self.membership.fleet_summary(now).map(|summary| summary.routers()),
+            set_by: operator_floor.map(|floor| (floor.version, floor.set_by)),
+            state: straggler.map(StragglerCheck::state),
+            shut_out: straggler.map_or(0, StragglerCheck::rejected),
+            account: self.audit_log.as_ref().map(|audit_log| {
+                let AuditLogSizes { own_records, replicas, dropped_records } = audit_log.sizes();
                 let ReplicaSizes { logs, records, bytes } = replicas;
                 (own_records, logs as u64, records as u64, bytes as u64, dropped_records)
             }),
@@ -65,23 +69,20 @@
 
     /// Asks another site for its routers.
     fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<Answer, &'static str> {
-        let Some(id) = self.core.start_query(now, target) else {
+        let Some(id) = self.membership.start_query(now, target) else {
             // The timer runs all the same: the membership may have something to send.
-            let reason = match self.core.location() {
+            let reason = match self.membership.location() {
                 None => "no router has a place here: fleet show names all there are",
                 Some(_) => "too much was asked within half a minute",
             };
             return Ok(Answer::No(reason.to_string()));
         };
-        if self.queries.len() >= MAX_QUERIES {
-            self.queries.pop_front();
-        }
-        self.queries.push_back(SiteQuery { id, answer: None });
+        self.queries.add(id);
         Ok(Answer::Asking(id))
     }
 
     fn query_result(&self, id: u64) -> Option<Answer> {
-        let query = self.queries.iter().find(|query| query.id == id)?;
+        let query = self.queries.get(id)?;
         Some(Answer::Detail(query.answer.clone()))
     }
 
@@ -89,7 +90,7 @@
     /// excluded.
     fn set_floor(&mut self, now: Ms, version: u64) -> Option<Answer> {
         self.straggler.as_ref()?;
-        self.core.set_floor(now, version);
+        self.membership.set_floor(now, version);
         self.last_check = now - CHECK_INTERVAL;
         log_line!(version, "straggler: the floor was set to {version} by people");
         Some(Answer::Done(match version {
@@ -100,7 +101,7 @@
 
     /// All audit records that are stored here; `None` where there is no audit log.
     fn audit_records(&mut self, now: Ms) -> Option<Answer> {
-        let at = self.core.clock.next_timestamp(now);
-        self.audit.as_mut().map(|audit| Answer::Accounts(audit.all_records(now, at)))
+        let at = self.membership.clock.next_timestamp(now);
+        self.audit_log.as_mut().map(|audit_log| Answer::Accounts(audit_log.all_records(now, at)))
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -435,7 +435,7 @@
         let asked = request.asked;
         // A straggler starts no fills: cached copies are served.
         let cluster = self.cluster.as_mut().filter(|_| !asked.write && order.fill.source.is_some());
-        let shut_out = cluster.and_then(|cluster| cluster.exclusion(now, asked.object));
+        let shut_out = cluster.and_then(|cluster| cluster.reject_as_straggler(now, asked.object));
         let step = match (&mut self.hierarchy, shut_out) {
             (Some(hierarchy), Some(wait)) if hierarchy.fills(&order) => {
                 Some(hierarchy.held_alone(now, order, asked, wait))
@@ -603,7 +603,7 @@
     /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
     fn barred_for_now(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
         let cluster = self.cluster.as_mut().filter(|_| self.policy.needs_repeat_protection(spec))?;
-        let wait = cluster.exclusion(now, spec.object)?;
+        let wait = cluster.reject_as_straggler(now, spec.object)?;
         Some(wait.min(self.policy.max_retry_after()))
     }
 
