--- a/crates/router/src/audit_log/disk.rs
+++ b/crates/router/src/audit_log/disk.rs
@@ -70,6 +70,7 @@
         self.records.iter()
     }
 
+    /// Bytes of an incomplete record at the end, which were removed.
     pub fn truncated_bytes(&self) -> u64 {
         self.truncated_bytes
     }
--- a/crates/router/src/audit_log/mod.rs
+++ b/crates/router/src/audit_log/mod.rs
@@ -123,14 +123,17 @@
         }
     }
 
+    /// Counts an action in the current span.
     pub fn record_action(&mut self, at: Timestamp, action: AuditedAction) {
         self.log.record_action(at, action);
     }
 
+    /// Records an attempt of a write.
     pub fn record_write_attempt(&mut self, attempt: WriteAttempt) {
         self.log.record_write_attempt(attempt);
     }
 
+    /// Records how an attempt of a write ended.
     pub fn record_write_outcome(&mut self, outcome: WriteOutcome) {
         self.log.record_write_outcome(outcome);
     }
@@ -282,6 +285,7 @@
         self.log.records_from(1).chain(self.replicas.iter()).cloned().collect()
     }
 
+    /// How much is stored now.
     pub fn sizes(&self) -> AuditLogSizes {
         AuditLogSizes {
             own_records: self.log.head().0,
--- a/crates/router/src/buffers.rs
+++ b/crates/router/src/buffers.rs
@@ -21,6 +21,7 @@
 }
 
 impl BufferPool {
+    /// A pool of blocks of that many bytes; at most `max_free` unused ones are retained.
     pub fn new(block_size: usize, max_free: usize, max_in_use: usize) -> Self {
         let (free, size) = (Vec::new(), block_size.max(1));
         Self(Rc::new(RefCell::new(Blocks { free, size, max_free, max_in_use, in_use: 0 })))
@@ -79,20 +80,24 @@
 const SLICES_PER_WRITE: usize = 16;
 
 impl BufferChain {
+    /// An empty chain.
     pub fn new(pool: &BufferPool) -> Self {
         Self { pool: pool.clone(), blocks: VecDeque::new(), len: 0 }
     }
 
+    /// A chain with a copy of `bytes`.
     pub fn from_bytes(pool: &BufferPool, bytes: &[u8]) -> Self {
         let mut chain = Self::new(pool);
         chain.push(bytes);
         chain
     }
 
+    /// The number of bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether it has no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -131,6 +136,7 @@
         duplicate
     }
 
+    /// A copy of the bytes.
     pub fn to_vec(&self) -> Vec<u8> {
         self.blocks.iter().flat_map(|block| block.filled()).copied().collect()
     }
--- a/crates/router/src/cluster/audit.rs
+++ b/crates/router/src/cluster/audit.rs
@@ -8,6 +8,7 @@
 use super::ClusterAdapter;
 
 impl ClusterAdapter {
+    /// Records an action where there is an audit log.
     pub(super) fn record_action(&mut self, now: Ms, action: AuditedAction) {
         if let Some(audit_log) = &mut self.audit_log {
             audit_log.record_action(self.membership.clock.next_timestamp(now), action);
--- a/crates/router/src/cluster/batches.rs
+++ b/crates/router/src/cluster/batches.rs
@@ -10,6 +10,7 @@
 use super::{ClusterAdapter, ClusterEffect};
 
 impl ClusterAdapter {
+    /// Publishes the batches that this router was the first to have.
     pub(super) fn publish_batches(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter) {
         for batch in hierarchy.news() {
             let body = postcard::to_stdvec(&batch).unwrap_or_default();
@@ -20,6 +21,7 @@
         }
     }
 
+    /// Records the stages of rollouts that were entered.
     pub(super) fn record_rollout_stages(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter) {
         for (target, stage) in hierarchy.entered() {
             self.record_action(now, AuditedAction::RolloutStage { target, stage });
--- a/crates/router/src/cluster/queries.rs
+++ b/crates/router/src/cluster/queries.rs
@@ -27,6 +27,7 @@
         self.0.push_back(SiteQuery { id, answer: None });
     }
 
+    /// The query of that id, if it is remembered.
     pub fn get(&self, id: u64) -> Option<&SiteQuery> {
         self.0.iter().find(|query| query.id == id)
     }
--- a/crates/router/src/cluster/straggler.rs
+++ b/crates/router/src/cluster/straggler.rs
@@ -24,6 +24,7 @@
 }
 
 impl StragglerCheck {
+    /// A router that has just started, and reaches no other one yet.
     pub fn new(now: Ms, section: &StragglerSection) -> Self {
         Self {
             voters: section.voters.clone(),
@@ -39,10 +40,12 @@
         self.detector.set_config(section.parameters);
     }
 
+    /// The state as of the last check.
     pub fn state(&self) -> StragglerState {
         self.detector.state()
     }
 
+    /// Requests and fills that were rejected because this router is a straggler.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -15,7 +15,7 @@
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
-use crate::upstream::connect;
+use crate::sockets::connect;
 
 use super::event::WatchEvent;
 use super::http::decode_response;
--- a/crates/router/src/downstream/codec.rs
+++ b/crates/router/src/downstream/codec.rs
@@ -45,10 +45,12 @@
 }
 
 impl Fields {
+    /// Appends a field.
     pub fn put(&mut self, name: &str, value: &str) {
         self.0.push((name.to_string(), value.to_string()));
     }
 
+    /// The value of the first field of that name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -11,6 +11,7 @@
 use crate::buffers::{BufferChain, BufferPool};
 use crate::policy_adapter::{Ms, Ticket};
 
+/// The phases of a connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ConnectionPhase {
     Open,
@@ -50,6 +51,7 @@
     }
 }
 
+/// The state of one connection.
 pub(super) struct ClientConnection {
     pub stream: Rc<TcpStream>,
     pub token: RegistrationToken,
@@ -75,6 +77,7 @@
 }
 
 impl ClientConnection {
+    /// A connection that was just accepted.
     pub fn new(stream: Rc<TcpStream>, token: RegistrationToken, buffers: &BufferPool, now: Ms) -> Self {
         Self {
             stream,
@@ -94,6 +97,7 @@
         }
     }
 
+    /// Whether its messages are read.
     pub fn is_open(&self) -> bool {
         self.phase == ConnectionPhase::Open
     }
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -4,14 +4,11 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-use calloop::generic::{Generic, NoIoDrop};
-use calloop::{Interest, Mode, PostAction, Readiness};
-use socket2::{Domain, Socket, Type};
-
 use crate::descriptors::ran_out;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
+use crate::sockets;
 
 use super::codec;
 use super::connection::ClientConnection;
@@ -24,18 +21,9 @@
     ///
     /// Errors of the system, among them an address in use.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-        socket.set_reuse_address(true)?;
-        socket.set_nonblocking(true)?;
-        socket.bind(&address.into())?;
-        socket.listen(self.limits.accept_backlog)?;
-        let listener = TcpListener::from(socket);
+        let listener = sockets::listen(address, self.limits.accept_backlog)?;
         let address = listener.local_addr()?;
-        let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let ready = |_: Readiness, listener: &mut NoIoDrop<TcpListener>, handler: &mut W| {
-            Ok(if handler.accept_clients(listener) { PostAction::Continue } else { PostAction::Disable })
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let token = sockets::register_listener(&self.handle, listener, W::accept_clients)?;
         self.listener = Some(token);
         Ok(address)
     }
@@ -81,7 +69,7 @@
             };
             match self.add_client(now, stream) {
                 Ok(id) => self.read(now, id, events),
-                Err(error) => log_line!("a client could not be taken in: {error}"),
+                Err(error) => log_line!(reason = %error, "a client could not be taken in"),
             }
         }
         true
@@ -93,12 +81,8 @@
         self.last_id += 1;
         let id = self.last_id;
         let stream = Rc::new(stream);
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = move |readiness: Readiness, _: &mut _, handler: &mut W| {
-            handler.on_client_ready(id, readiness);
-            Ok(PostAction::Continue)
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let on_ready = move |handler: &mut W, readiness| handler.on_client_ready(id, readiness);
+        let token = sockets::register_stream(&self.handle, &stream, on_ready)?;
         let mut client = ClientConnection::new(stream, token, &self.buffers, now);
         if self.draining {
             client.output.append(codec::encode_go_away(&self.buffers));
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -34,6 +34,7 @@
 
 pub use request::{parse_request, ClientRequest};
 
+/// The number of a connection; numbers are not used again.
 pub type ClientId = u64;
 
 /// A stream of a client's connection, which is owed an answer. A stream is used once on its connection, while the ids of
@@ -92,6 +93,7 @@
 }
 
 impl<W: EventHandler> Downstreams<W> {
+    /// No connections, and no listener yet.
     pub fn new(
         limits: Limits,
         buffers: &BufferPool,
--- a/crates/router/src/downstream/timers.rs
+++ b/crates/router/src/downstream/timers.rs
@@ -78,7 +78,7 @@
         }
         self.accept_paused = false;
         if let Some(error) = self.listener.as_ref().and_then(|token| self.handle.enable(token).err()) {
-            log_line!("the listener: {error}");
+            log_line!(reason = %error, "the listener can't be enabled again");
         }
     }
 }
--- a/crates/router/src/downstream/writer.rs
+++ b/crates/router/src/downstream/writer.rs
@@ -73,7 +73,7 @@
     pub(super) fn break_off(&mut self, now: Ms, id: ClientId, reason: &str, events: &mut Vec<ClientEvent>) {
         let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) else { return };
         self.counts.malformed += 1;
-        log_line!("a client is broken off: {reason}");
+        log_line!(client = id, %reason, "a client is broken off");
         client.phase = ConnectionPhase::Closing;
         client.partial_since = None;
         client.input = BufferChain::new(&self.buffers);
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -7,7 +7,7 @@
 //! - [`hierarchy_adapter`]: the hierarchy of caches, and the admission of fills;
 //! - [`remote_sites`], [`cluster`], [`audit_log`]: other sites, other routers, and the audit log;
 //! - [`control`], [`hierarchy_control`], [`cli`], [`audit`]: the control socket, its answers, and the commands;
-//! - [`config`], [`operator_reload`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`]: the rest.
+//! - [`config`], [`operator_reload`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`], [`sockets`]: the rest.
 
 mod audit;
 mod audit_log;
@@ -40,6 +40,7 @@
 mod remote_sites;
 mod requests;
 mod router;
+mod sockets;
 mod start_error;
 mod upstream;
 
--- a/crates/router/src/remote_sites/links.rs
+++ b/crates/router/src/remote_sites/links.rs
@@ -15,7 +15,7 @@
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
-use crate::upstream::connect;
+use crate::sockets::connect;
 
 /// Links that may wait to be accepted.
 const LINK_BACKLOG: i32 = 64;
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -632,9 +632,9 @@
                 };
                 let orders = self.policy.handle(now, news);
                 self.execute(orders, ResponsePayload::Empty);
-            } else if let Some((connection, tickets)) = self.upstreams.next_stalled() {
-                tickets.into_iter().for_each(|ticket| self.check_client(ticket));
-                self.upstreams.write_queued(self.clock.now(), connection);
+            } else if let Some(stalled) = self.upstreams.next_stalled() {
+                stalled.tickets.into_iter().for_each(|ticket| self.check_client(ticket));
+                self.upstreams.write_queued(self.clock.now(), stalled.id);
             } else {
                 return;
             }
--- /dev/null
+++ b/crates/router/src/upstream/attempt_table.rs
@@ -0,0 +1,64 @@
+//! The attempts in flight.
+
+use std::collections::BTreeMap;
+
+use crate::policy_adapter::{AttemptKey, EndpointKey, Ms, Ticket};
+
+use super::connection::ConnectionId;
+use super::deadlines::DeadlineQueue;
+
+/// An attempt that was handed to a connection.
+#[derive(Debug)]
+pub(super) struct InFlightAttempt {
+    pub connection: ConnectionId,
+    pub endpoint: EndpointKey,
+    /// The id of its request, under which it is answered.
+    pub request_id: String,
+    pub sent_at: Ms,
+    pub deadline: Ms,
+    /// The tag of the copy that the client has.
+    pub client_copy: Option<String>,
+}
+
+/// The attempts in flight, and their deadlines.
+#[derive(Debug, Default)]
+pub(super) struct AttemptTable {
+    in_flight: BTreeMap<AttemptKey, InFlightAttempt>,
+    deadlines: DeadlineQueue<AttemptKey>,
+}
+
+impl AttemptTable {
+    /// The number of attempts in flight.
+    pub fn len(&self) -> usize {
+        self.in_flight.len()
+    }
+
+    /// Adds an attempt with its deadline.
+    pub fn insert(&mut self, attempt: AttemptKey, in_flight: InFlightAttempt) {
+        self.deadlines.insert(in_flight.deadline, attempt);
+        self.in_flight.insert(attempt, in_flight);
+    }
+
+    /// Removes an attempt with its deadline.
+    pub fn remove(&mut self, attempt: AttemptKey) -> Option<InFlightAttempt> {
+        let in_flight = self.in_flight.remove(&attempt)?;
+        self.deadlines.remove(in_flight.deadline, attempt);
+        Some(in_flight)
+    }
+
+    /// The attempts of a request, in the order sent.
+    pub fn of_request(&self, ticket: Ticket) -> impl Iterator<Item = (AttemptKey, &InFlightAttempt)> {
+        let range = AttemptKey { ticket, number: 0 }..=AttemptKey { ticket, number: u8::MAX };
+        self.in_flight.range(range).map(|(attempt, in_flight)| (*attempt, in_flight))
+    }
+
+    /// When [`Self::pop_overdue`] has something next.
+    pub fn next_deadline(&self) -> Option<Ms> {
+        self.deadlines.next()
+    }
+
+    /// The next attempt whose deadline has passed; its deadline is forgotten.
+    pub fn pop_overdue(&mut self, now: Ms) -> Option<AttemptKey> {
+        self.deadlines.pop_overdue(now)
+    }
+}
--- /dev/null
+++ b/crates/router/src/upstream/cancellation.rs
@@ -0,0 +1,120 @@
+//! How attempts are ended without a reply: cancelled, withdrawn from a queue, or timed out.
+
+use crate::event_handler::EventHandler;
+use crate::policy_adapter::{AttemptEnd, AttemptKey, EndpointKey, Ms, Ticket};
+
+use super::attempt_table::InFlightAttempt;
+use super::codec;
+use super::connection::{ConnectionId, QueuedMessage, RequestedObject};
+use super::Upstreams;
+
+/// A connection that accepts data again while attempts have been queued on it for a while.
+#[derive(Debug)]
+pub struct StalledConnection {
+    pub id: ConnectionId,
+    /// The requests of the queued attempts.
+    pub tickets: Vec<Ticket>,
+}
+
+impl<W: EventHandler> Upstreams<W> {
+    /// Cancels an attempt.
+    pub fn cancel(&mut self, now: Ms, attempt: AttemptKey) {
+        self.abandon(now, attempt, AttemptEnd::Cancelled);
+    }
+
+    /// Withdraws what is still queued of a purged object or group: its age limit is from before the purge.
+    ///
+    /// A connect may last longer than the grace of a purge.
+    pub fn withdraw_purged(&mut self, now: Ms, object: Option<u64>, group: u32) {
+        let is_purged = |requested: RequestedObject| match object {
+            Some(object) => requested.object == object,
+            None => requested.group == group,
+        };
+        self.withdraw(now, AttemptEnd::TimedOut, |_, queued| queued.object.is_some_and(is_purged));
+    }
+
+    /// Withdraws what is still queued of a request that nobody waits for any more.
+    ///
+    /// This is not a cancellation, which settings may forbid: nothing has reached a cache yet.
+    pub fn withdraw_request(&mut self, now: Ms, ticket: Ticket) {
+        let is_queued = |attempt: AttemptKey, in_flight: &InFlightAttempt| {
+            let connection = self.connections.get(&in_flight.connection);
+            connection.is_some_and(|connection| connection.has_queued(attempt))
+        };
+        let of_request = self.attempts.of_request(ticket);
+        let queued = of_request.filter(|(attempt, in_flight)| is_queued(*attempt, in_flight));
+        let queued: Vec<AttemptKey> = queued.map(|(attempt, _)| attempt).collect();
+        for attempt in queued {
+            self.abandon(now, attempt, AttemptEnd::Cancelled);
+        }
+    }
+
+    /// Withdraws queued attempts of which not a byte was written.
+    pub(super) fn withdraw(
+        &mut self,
+        now: Ms,
+        end: AttemptEnd,
+        matches: impl Fn(EndpointKey, &QueuedMessage) -> bool,
+    ) {
+        let mut withdrawn = Vec::new();
+        for connection in self.connections.values().filter(|connection| !connection.queue.is_empty()) {
+            let matching = connection.queue.iter().filter(|queued| matches(connection.endpoint, queued));
+            withdrawn.extend(matching.filter_map(|queued| queued.attempt));
+        }
+        withdrawn.sort_unstable();
+        for attempt in withdrawn {
+            self.abandon(now, attempt, end);
+        }
+    }
+
+    /// The next stalled connection: the clients of its requests are checked before the queue is written.
+    pub fn next_stalled(&mut self) -> Option<StalledConnection> {
+        let id = self.stalled.pop_first()?;
+        let queue = self.connections.get(&id).map(|connection| &connection.queue);
+        let attempts = queue.into_iter().flatten().filter_map(|queued| queued.attempt);
+        Some(StalledConnection { id, tickets: attempts.map(|attempt| attempt.ticket).collect() })
+    }
+
+    /// Ends an attempt that is in flight without a reply. Where it may be executed, it is cancelled at its endpoint.
+    pub(super) fn abandon(&mut self, now: Ms, attempt: AttemptKey, end: AttemptEnd) {
+        let Some(in_flight) = self.attempts.remove(attempt) else { return };
+        let was_fully_sent = self.cancel_at_endpoint(now, attempt, &in_flight);
+        let end = match end {
+            AttemptEnd::TimedOut if was_fully_sent == Some(false) => AttemptEnd::NotSent,
+            end => end,
+        };
+        self.complete(now, attempt, in_flight.endpoint, in_flight.sent_at, end);
+        self.close_idle_if_silent(in_flight.endpoint, in_flight.sent_at);
+        self.flush(now, in_flight.connection);
+    }
+
+    /// Has an attempt not executed, if that is possible. Whether its last byte was written; `None` where its connection
+    /// is closed already.
+    fn cancel_at_endpoint(
+        &mut self,
+        now: Ms,
+        attempt: AttemptKey,
+        in_flight: &InFlightAttempt,
+    ) -> Option<bool> {
+        let endpoint = self.endpoints.get(&in_flight.endpoint);
+        let is_silent = endpoint.is_none_or(|endpoint| endpoint.last_activity < in_flight.sent_at);
+        let connection = self.connections.get_mut(&in_flight.connection)?;
+        let exchange = connection.open.remove(&in_flight.request_id);
+        let was_fully_sent = exchange.is_some_and(|exchange| exchange.fully_sent);
+        if connection.remove_queued(attempt) {
+            // Not a byte of it was written: there is nothing to cancel.
+        } else if connection.open.is_empty() {
+            self.remove(in_flight.connection);
+        } else if is_silent {
+            // A silent endpoint reads no cancellation: what shares the connection ends with it.
+            self.close(now, in_flight.connection, "silent");
+        } else {
+            connection.draining = true;
+            let bytes = codec::encode_cancellation(&self.buffers, &in_flight.request_id);
+            connection.queue.push_front(QueuedMessage::control(None, now, bytes));
+            self.flush(now, in_flight.connection);
+            self.close_if_cancellation_waits(now, in_flight.connection);
+        }
+        Some(was_fully_sent)
+    }
+}
--- a/crates/router/src/upstream/codec.rs
+++ b/crates/router/src/upstream/codec.rs
@@ -1,6 +1,6 @@
 //! The protocol of caches: RESP arrays of bulk strings, to messages and back.
 //!
-//! The words of the protocol are named here and nowhere else.
+//! Commands and statuses are named here, fields in `request.rs` and `response.rs`, and nowhere else.
 
 use std::fmt;
 
@@ -36,8 +36,8 @@
 }
 
 impl ReplyStatus {
-    fn parse(word: &str) -> Option<Self> {
-        Some(match word {
+    fn parse(text: &str) -> Option<Self> {
+        Some(match text {
             "data" => Self::Data,
             "unchanged" => Self::Unchanged,
             "absent" => Self::Absent,
@@ -98,10 +98,12 @@
         Self(pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect())
     }
 
+    /// Appends a field.
     pub fn push(&mut self, name: &str, value: impl fmt::Display) {
         self.0.push((name.to_string(), value.to_string()));
     }
 
+    /// The value of the first field of that name.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.0.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
     }
@@ -147,7 +149,7 @@
     ) -> Result<Option<Reply>, ReplyError> {
         loop {
             if self.missing == 0 {
-                let Some(count) = length_line(input, b'*')? else { return Ok(None) };
+                let Some(count) = take_length_line(input, b'*')? else { return Ok(None) };
                 if !(2..=4).contains(&count) {
                     return Err(ReplyError::ArrayLength);
                 }
@@ -156,7 +158,7 @@
             let size = match self.size {
                 Some(size) => size,
                 None => {
-                    let Some(size) = length_line(input, b'$')? else { return Ok(None) };
+                    let Some(size) = take_length_line(input, b'$')? else { return Ok(None) };
                     if size > max_string {
                         return Err(ReplyError::StringLength);
                     }
@@ -178,13 +180,13 @@
             self.size = None;
             self.missing -= 1;
             if self.missing == 0 {
-                return reply(std::mem::take(&mut self.parts)).map(Some);
+                return parse_reply(std::mem::take(&mut self.parts)).map(Some);
             }
         }
     }
 }
 
-fn reply(parts: Vec<BufferChain>) -> Result<Reply, ReplyError> {
+fn parse_reply(parts: Vec<BufferChain>) -> Result<Reply, ReplyError> {
     let mut parts = parts.into_iter();
     let mut text = || -> Result<Option<String>, ReplyError> {
         let part = parts.next().map(|part| String::from_utf8(part.to_vec()));
@@ -199,7 +201,7 @@
 }
 
 /// Removes the line that announces a length, once it is complete.
-fn length_line(input: &mut BufferChain, sign: u8) -> Result<Option<usize>, ReplyError> {
+fn take_length_line(input: &mut BufferChain, sign: u8) -> Result<Option<usize>, ReplyError> {
     let mut start = [0; MAX_LENGTH_LINE];
     let seen = input.peek(&mut start);
     let start = &start[..seen];
@@ -219,9 +221,9 @@
 pub fn encode_request(pool: &BufferPool, id: &str, fields: &FieldList, body: BufferChain) -> BufferChain {
     let mut out = BufferChain::new(pool);
     out.push(b"*4\r\n");
-    string(&mut out, b"ASK");
-    string(&mut out, id.as_bytes());
-    string(&mut out, fields.to_string().as_bytes());
+    push_string(&mut out, b"ASK");
+    push_string(&mut out, id.as_bytes());
+    push_string(&mut out, fields.to_string().as_bytes());
     out.push(format!("${}\r\n", body.len()).as_bytes());
     out.append(body);
     out.push(b"\r\n");
@@ -238,14 +240,16 @@
     command(pool, &["INFO", id])
 }
 
-fn command(pool: &BufferPool, words: &[&str]) -> BufferChain {
+fn command(pool: &BufferPool, strings: &[&str]) -> BufferChain {
     let mut out = BufferChain::new(pool);
-    out.push(format!("*{}\r\n", words.len()).as_bytes());
-    words.iter().for_each(|word| string(&mut out, word.as_bytes()));
+    out.push(format!("*{}\r\n", strings.len()).as_bytes());
+    for text in strings {
+        push_string(&mut out, text.as_bytes());
+    }
     out
 }
 
-fn string(out: &mut BufferChain, bytes: &[u8]) {
+fn push_string(out: &mut BufferChain, bytes: &[u8]) {
     out.push(format!("${}\r\n", bytes.len()).as_bytes());
     out.push(bytes);
     out.push(b"\r\n");
--- /dev/null
+++ b/crates/router/src/upstream/completion.rs
@@ -0,0 +1,118 @@
+//! How attempts complete, by a reply or without one.
+
+use crate::buffers::BufferChain;
+use crate::event_handler::EventHandler;
+use crate::policy_adapter::{AttemptEnd, AttemptKey, AttemptReport, EndpointKey, Ms};
+
+use super::attempt::{CompletedAttempt, ResponsePayload};
+use super::codec::{FieldList, Reply, ReplyStatus};
+use super::connection::{ConnectionId, ExchangeOwner};
+use super::response::{self, CopyVersion};
+use super::Upstreams;
+
+/// What a reply comes to.
+struct AttemptOutcome {
+    end: AttemptEnd,
+    payload: ResponsePayload,
+}
+
+impl AttemptOutcome {
+    fn without_payload(end: AttemptEnd) -> Self {
+        Self { end, payload: ResponsePayload::Empty }
+    }
+}
+
+impl<W: EventHandler> Upstreams<W> {
+    /// Completes the attempt, or the health check, that a reply answers.
+    pub(super) fn on_reply(&mut self, now: Ms, id: ConnectionId, reply: Reply) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.last_used = now;
+        // Without an exchange it crossed the request's cancellation.
+        let Some(exchange) = connection.open.remove(&reply.id) else { return };
+        match exchange.owner {
+            ExchangeOwner::Attempt(attempt) => self.on_attempt_reply(now, id, attempt, reply),
+            ExchangeOwner::HealthCheck => {
+                let gauges = response::load_report(&reply.fields);
+                let is_healthy = reply.status == ReplyStatus::Healthy;
+                self.health_checks.report(connection.endpoint, is_healthy, gauges);
+                self.close_if_drained(id);
+            }
+        }
+    }
+
+    fn on_attempt_reply(&mut self, now: Ms, id: ConnectionId, attempt: AttemptKey, reply: Reply) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let Some(in_flight) = self.attempts.remove(attempt) else { return };
+        let Reply { id: request_id, status, fields, body } = reply;
+        if !matches!(status, ReplyStatus::Data | ReplyStatus::Unchanged) {
+            connection.retired_ids.insert(request_id);
+            connection.draining |= connection.retired_ids.len() >= self.limits.cache_streams;
+        }
+        let endpoint = connection.endpoint;
+        let outcome = self.outcome(in_flight.client_copy.as_deref(), status, &fields, body);
+        let report = AttemptReport {
+            attempt,
+            endpoint,
+            end: outcome.end,
+            elapsed: now - in_flight.sent_at,
+            source_wait: response::source_wait(&fields),
+            cache_result: response::cache_result(&fields),
+            gauges: response::load_report(&fields),
+        };
+        let fill_loop = response::fill_loop(&fields);
+        self.completed.push_back(CompletedAttempt { report, payload: outcome.payload, fill_loop });
+        self.close_if_drained(id);
+    }
+
+    fn outcome(
+        &self,
+        client_copy: Option<&str>,
+        status: ReplyStatus,
+        fields: &FieldList,
+        body: BufferChain,
+    ) -> AttemptOutcome {
+        match status {
+            ReplyStatus::Data => {
+                let version = if self.reports_versions { CopyVersion::of_reply(fields) } else { None };
+                let payload = ResponsePayload::Body(body, version);
+                AttemptOutcome { end: AttemptEnd::Answered, payload }
+            }
+            // Valid only for the copy that this client has.
+            ReplyStatus::Unchanged if response::names_copy(fields, client_copy) => {
+                AttemptOutcome { end: AttemptEnd::Answered, payload: ResponsePayload::NotModified }
+            }
+            ReplyStatus::Absent => AttemptOutcome::without_payload(AttemptEnd::CacheMiss),
+            ReplyStatus::Full => AttemptOutcome::without_payload(AttemptEnd::Rejected),
+            ReplyStatus::Moot => AttemptOutcome::without_payload(AttemptEnd::NotExecuted),
+            ReplyStatus::Unchanged | ReplyStatus::Failed | ReplyStatus::Healthy | ReplyStatus::Unhealthy => {
+                AttemptOutcome::without_payload(AttemptEnd::Failed)
+            }
+        }
+    }
+
+    /// Reports the end of an attempt that was not answered.
+    pub(super) fn complete(
+        &mut self,
+        now: Ms,
+        attempt: AttemptKey,
+        endpoint: EndpointKey,
+        sent_at: Ms,
+        end: AttemptEnd,
+    ) {
+        self.push_completed(AttemptReport {
+            attempt,
+            endpoint,
+            end,
+            elapsed: now - sent_at,
+            source_wait: 0.0,
+            cache_result: None,
+            gauges: Vec::new(),
+        });
+    }
+
+    /// Queues the report of an attempt that was not answered.
+    pub(super) fn push_completed(&mut self, report: AttemptReport) {
+        let (payload, fill_loop) = (ResponsePayload::Empty, None);
+        self.completed.push_back(CompletedAttempt { report, payload, fill_loop });
+    }
+}
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -2,34 +2,20 @@
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
-use std::net::{SocketAddr, TcpStream};
+use std::net::TcpStream;
 use std::rc::Rc;
 
 use calloop::RegistrationToken;
-use socket2::{Domain, Socket, Type};
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::policy_adapter::{AttemptKey, EndpointKey, Ms};
 
 use super::codec::{Reply, ReplyDecoder, ReplyError};
 
+/// The number of a connection; numbers are not used again.
 pub type ConnectionId = u64;
 
-/// Starts a connect without waiting for it.
-///
-/// # Errors
-///
-/// Errors of the system, but not that the connect is in progress.
-pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
-    let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-    socket.set_nonblocking(true)?;
-    socket.set_tcp_nodelay(true)?;
-    match socket.connect(&address.into()) {
-        Err(error) if error.raw_os_error() != Some(libc::EINPROGRESS) => Err(error),
-        _ => Ok(socket.into()),
-    }
-}
-
+/// Whether the system has established a connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ConnectionState {
     /// Abandoned at that time.
@@ -39,6 +25,13 @@
     Up,
 }
 
+/// What purges name: an object and its group.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct RequestedObject {
+    pub object: u64,
+    pub group: u32,
+}
+
 /// A message that waits to be written.
 #[derive(Debug)]
 pub(super) struct QueuedMessage {
@@ -47,8 +40,7 @@
     /// The attempt that it is, and the source that the attempt fills from.
     pub attempt: Option<AttemptKey>,
     pub source: Option<EndpointKey>,
-    /// The object and its group, by which purges name it.
-    pub object: Option<(u64, u32)>,
+    pub object: Option<RequestedObject>,
     pub queued_at: Ms,
     pub bytes: BufferChain,
 }
@@ -60,6 +52,7 @@
     }
 }
 
+/// Who waits for the answer to a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ExchangeOwner {
     Attempt(AttemptKey),
@@ -75,6 +68,7 @@
 }
 
 impl Exchange {
+    /// A message that was queued.
     pub fn new(owner: ExchangeOwner) -> Self {
         Self { owner, fully_sent: false }
     }
@@ -89,6 +83,7 @@
     Stalled,
 }
 
+/// A connection to an endpoint.
 #[derive(Debug)]
 pub(super) struct Connection {
     pub endpoint: EndpointKey,
@@ -98,9 +93,9 @@
     input: BufferChain,
     decoder: ReplyDecoder,
     pub queue: VecDeque<QueuedMessage>,
-    /// The message that is being written, and the id of its exchange.
+    /// The rest of the message that is being written, and the id of its exchange.
     output: BufferChain,
-    writing: Option<String>,
+    writing_id: Option<String>,
     /// Unanswered messages by id.
     pub open: HashMap<String, Exchange>,
     /// Ids that were answered with an error here: a second answer may follow, and would be taken for that of a retry
@@ -113,6 +108,7 @@
 }
 
 impl Connection {
+    /// A connect in progress; it is abandoned at `deadline`.
     pub fn new(
         endpoint: EndpointKey,
         stream: Rc<TcpStream>,
@@ -130,7 +126,7 @@
             decoder: ReplyDecoder::default(),
             queue: VecDeque::new(),
             output: BufferChain::new(buffers),
-            writing: None,
+            writing_id: None,
             open: HashMap::new(),
             retired_ids: HashSet::new(),
             last_used: now,
@@ -138,10 +134,12 @@
         }
     }
 
+    /// Whether the connect has succeeded.
     pub fn is_up(&self) -> bool {
         self.state == ConnectionState::Up
     }
 
+    /// Notes that the connect has succeeded.
     pub fn set_up(&mut self) {
         self.state = ConnectionState::Up;
     }
@@ -200,8 +198,8 @@
 
     /// Whether a cancellation is queued or written in part only.
     pub fn has_unsent_cancellation(&self) -> bool {
-        let writing_one = !self.output.is_empty() && self.writing.is_none();
-        writing_one || self.queue.iter().any(|queued| queued.id.is_none())
+        let is_writing_one = !self.output.is_empty() && self.writing_id.is_none();
+        is_writing_one || self.queue.iter().any(|queued| queued.id.is_none())
     }
 
     /// Whether a reply has begun though nothing is open.
@@ -242,7 +240,7 @@
                 }
                 let Some(next) = self.queue.pop_front() else { return Ok(WriteProgress::Done) };
                 self.output = next.bytes;
-                self.writing = next.id;
+                self.writing_id = next.id;
             }
             match self.output.write_to(&*self.stream) {
                 Ok(_) => {}
@@ -255,7 +253,7 @@
 
     /// Notes that the message being written has left in full.
     fn finish_message(&mut self) {
-        let Some(id) = self.writing.take() else { return };
+        let Some(id) = self.writing_id.take() else { return };
         if let Some(exchange) = self.open.get_mut(&id) {
             exchange.fully_sent = true;
         }
--- /dev/null
+++ b/crates/router/src/upstream/deadlines.rs
@@ -0,0 +1,48 @@
+//! Deadlines in their order.
+
+use std::collections::BTreeSet;
+
+use crate::policy_adapter::{micros, Ms};
+
+/// A deadline in whole microseconds, which have an order.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct Deadline<K> {
+    at_us: u64,
+    key: K,
+}
+
+/// Deadlines with the keys of what is due then.
+#[derive(Debug)]
+pub(super) struct DeadlineQueue<K>(BTreeSet<Deadline<K>>);
+
+impl<K> Default for DeadlineQueue<K> {
+    fn default() -> Self {
+        Self(BTreeSet::new())
+    }
+}
+
+impl<K: Ord> DeadlineQueue<K> {
+    /// Adds a deadline.
+    pub fn insert(&mut self, at: Ms, key: K) {
+        self.0.insert(Deadline { at_us: micros(at), key });
+    }
+
+    /// Removes a deadline, which may have passed already.
+    pub fn remove(&mut self, at: Ms, key: K) {
+        self.0.remove(&Deadline { at_us: micros(at), key });
+    }
+
+    /// The next deadline, in milliseconds.
+    pub fn next(&self) -> Option<Ms> {
+        self.0.first().map(|deadline| deadline.at_us as Ms / 1000.0)
+    }
+
+    /// Removes the next deadline that has passed.
+    pub fn pop_overdue(&mut self, now: Ms) -> Option<K> {
+        let is_overdue = self.0.first().is_some_and(|deadline| deadline.at_us <= micros(now));
+        if !is_overdue {
+            return None;
+        }
+        self.0.pop_first().map(|deadline| deadline.key)
+    }
+}
--- a/crates/router/src/upstream/health_check.rs
+++ b/crates/router/src/upstream/health_check.rs
@@ -1,12 +1,13 @@
 //! Health checks: sent to an endpoint on order, answered or timed out.
 
-use std::collections::{BTreeSet, VecDeque};
+use std::collections::VecDeque;
 
 use crate::event_handler::EventHandler;
-use crate::policy_adapter::{micros, EndpointKey, Ms};
+use crate::policy_adapter::{EndpointKey, Ms};
 
 use super::codec;
 use super::connection::{ConnectionId, ExchangeOwner, QueuedMessage};
+use super::deadlines::DeadlineQueue;
 use super::Upstreams;
 
 /// The result of a health check.
@@ -18,21 +19,29 @@
     pub gauges: Vec<(String, f64)>,
 }
 
+/// A health check that was sent.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct SentCheck {
+    connection: ConnectionId,
+    id: String,
+}
+
 /// Health checks that were sent, and results that were not taken yet.
 #[derive(Debug, Default)]
 pub(super) struct HealthChecks {
-    sent: u64,
-    /// Deadlines in microseconds, with the connection and the id of the check.
-    deadlines: BTreeSet<(u64, ConnectionId, String)>,
+    sent_count: u64,
+    /// Those of checks that were answered stay until they pass.
+    deadlines: DeadlineQueue<SentCheck>,
     results: VecDeque<HealthCheckResult>,
 }
 
 impl HealthChecks {
     fn next_id(&mut self) -> String {
-        self.sent += 1;
-        format!("probe-{}", self.sent)
+        self.sent_count += 1;
+        format!("probe-{}", self.sent_count)
     }
 
+    /// Queues a result.
     pub fn report(&mut self, endpoint: EndpointKey, healthy: bool, gauges: Vec<(String, f64)>) {
         self.results.push_back(HealthCheckResult { endpoint, healthy, gauges });
     }
@@ -42,15 +51,9 @@
         self.report(endpoint, false, Vec::new());
     }
 
+    /// When the next check may time out.
     pub fn next_deadline(&self) -> Option<Ms> {
-        self.deadlines.first().map(|(deadline, ..)| *deadline as Ms / 1000.0)
-    }
-
-    /// The next check whose deadline has passed; the deadline is forgotten, though the check may have been answered.
-    fn pop_overdue(&mut self, now: Ms) -> Option<(ConnectionId, String)> {
-        let overdue = self.deadlines.first().is_some_and(|(deadline, ..)| *deadline <= micros(now));
-        let (_, connection, id) = if overdue { self.deadlines.pop_first()? } else { return None };
-        Some((connection, id))
+        self.deadlines.next()
     }
 }
 
@@ -60,6 +63,7 @@
         self.health_checks.results.pop_front()
     }
 
+    /// Sends a health check; one that can't be sent has failed.
     pub fn send_health_check(&mut self, now: Ms, endpoint: EndpointKey) {
         let check = self.health_checks.next_id();
         let Some(id) = self.connection_for(now, endpoint, &check) else {
@@ -69,19 +73,20 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let message = QueuedMessage::control(Some(check.clone()), now, bytes);
         connection.enqueue(now, message, ExchangeOwner::HealthCheck);
-        self.health_checks.deadlines.insert((micros(now + self.limits.probe), id, check));
+        let sent = SentCheck { connection: id, id: check };
+        self.health_checks.deadlines.insert(now + self.limits.probe, sent);
         self.flush(now, id);
     }
 
     /// Fails checks that were not answered in time.
     pub(super) fn time_out_health_checks(&mut self, now: Ms) {
-        while let Some((id, check)) = self.health_checks.pop_overdue(now) {
-            let Some(connection) = self.connections.get_mut(&id) else { continue };
-            if connection.open.remove(&check).is_some() {
+        while let Some(check) = self.health_checks.deadlines.pop_overdue(now) {
+            let Some(connection) = self.connections.get_mut(&check.connection) else { continue };
+            if connection.open.remove(&check.id).is_some() {
                 connection.draining = true;
                 let endpoint = connection.endpoint;
                 self.health_checks.fail(endpoint);
-                self.close_if_drained(id);
+                self.close_if_drained(check.connection);
             }
         }
     }
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -3,20 +3,27 @@
 //! - [`codec`]: the protocol of caches, bytes to messages and back;
 //! - [`connection`]: one connection, with its queue and what is open on it;
 //! - [`pool`]: the endpoints, and which connection a message takes;
-//! - [`attempt`]: attempts from the order to their outcome;
+//! - [`attempt`], [`attempt_table`]: an attempt from its order to its outcome, and those in flight;
+//! - [`sending`], [`cancellation`], [`completion`]: how attempts are sent, ended without a reply, and completed;
 //! - [`health_check`]: health checks and their results;
-//! - [`response`]: what the fields of a reply say;
-//! - [`timers`]: deadlines of all of these.
+//! - [`request`], [`response`]: the fields of requests and replies;
+//! - [`timers`], [`deadlines`]: deadlines of all of these.
 //!
 //! This module never chooses where a request goes, and never reports an attempt as not executed that may have been:
 //! only an attempt that was not written in full, or one that the other side reports so, counts as not executed.
 
 mod attempt;
+mod attempt_table;
+mod cancellation;
 mod codec;
+mod completion;
 mod connection;
+mod deadlines;
 mod health_check;
 mod pool;
+mod request;
 mod response;
+mod sending;
 mod timers;
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -29,13 +36,13 @@
 use crate::event_handler::EventHandler;
 use crate::policy_adapter::{EndpointKey, Ms};
 
-use attempt::AttemptTable;
+use attempt_table::AttemptTable;
 use connection::Connection;
 use health_check::HealthChecks;
 use pool::Endpoint;
 
 pub use attempt::{AttemptOrder, CompletedAttempt, FillPath, RequestMessage, ResponsePayload};
-pub use connection::{connect, ConnectionId};
+pub use connection::ConnectionId;
 pub use response::{CopyVersion, FillLoop};
 
 /// All connections to caches, parents and the origin. Outcomes are queued here until the router takes them.
@@ -60,6 +67,7 @@
 }
 
 impl<W: EventHandler> Upstreams<W> {
+    /// No endpoints, and no connections.
     pub fn new(
         limits: Limits,
         buffers: &BufferPool,
@@ -93,10 +101,12 @@
         self.attempts.len()
     }
 
+    /// Listed endpoints.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
+    /// Open connections and connects in progress.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,12 +1,11 @@
 //! The endpoints and their connections: which connection a message takes, and when connections are opened and closed.
 
 use std::collections::HashSet;
+use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use calloop::generic::Generic;
-use calloop::{Interest, Mode, PostAction, Readiness};
 use socket2::SockRef;
 
 use crate::descriptors::{ran_out, Purpose};
@@ -14,8 +13,9 @@
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::{AttemptEnd, EndpointKey, Ms};
+use crate::sockets;
 
-use super::connection::{connect, Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
+use super::connection::{Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
 use super::Upstreams;
 
 /// A cache, parent or the origin, as the endpoint list has it.
@@ -23,30 +23,41 @@
 pub(super) struct Endpoint {
     pub uid: String,
     address: SocketAddr,
-    started: Ms,
+    started_at: Ms,
     /// When something was last received from it.
     pub last_activity: Ms,
     connections: Vec<ConnectionId>,
 }
 
+impl fmt::Display for Endpoint {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}@{}", self.uid, self.address)
+    }
+}
+
 impl<W: EventHandler> Upstreams<W> {
-    /// Applies an update of the endpoint list. An endpoint that is gone or was restarted gets fresh connections: another
+    /// The name and the address of an endpoint for the log; empty for one that is no longer listed.
+    pub(super) fn endpoint_label(&self, key: EndpointKey) -> String {
+        self.endpoints.get(&key).map(Endpoint::to_string).unwrap_or_default()
+    }
+
+    /// Applies an update of the endpoint list. An endpoint that is removed or was restarted gets fresh connections: another
     /// process may answer at its address now.
-    pub fn update_endpoints(&mut self, now: Ms, targets: &[EndpointEntry], complete: bool) {
-        let mut gone = Vec::new();
+    pub fn update_endpoints(&mut self, now: Ms, entries: &[EndpointEntry], complete: bool) {
+        let mut removed = Vec::new();
         if complete {
             let listed: HashSet<EndpointKey> =
-                targets.iter().map(|target| EndpointKey::of(&target.uid)).collect();
-            gone.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
+                entries.iter().map(|entry| EndpointKey::of(&entry.uid)).collect();
+            removed.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
         }
-        self.withdraw_for_unusable(now, targets, &gone);
+        self.withdraw_for_unusable(now, entries, &removed);
         let mut replaced = Vec::new();
-        for target in targets {
-            let key = EndpointKey::of(&target.uid);
-            if target.gone() {
-                gone.push(key);
-            } else if let Some(address) = target.endpoint {
-                if self.update_endpoint(key, target, address) {
+        for entry in entries {
+            let key = EndpointKey::of(&entry.uid);
+            if entry.gone() {
+                removed.push(key);
+            } else if let Some(address) = entry.endpoint {
+                if self.update_endpoint(key, entry, address) {
                     replaced.push(key);
                 }
             }
@@ -56,45 +67,45 @@
             let connections = endpoint.map(|endpoint| std::mem::take(&mut endpoint.connections));
             self.drain(connections.unwrap_or_default());
         }
-        // Endpoints are replaced all day: those that are gone must not accumulate.
-        for key in gone {
+        // Endpoints are replaced all day: those that are removed must not accumulate.
+        for key in removed {
             let connections = self.endpoints.remove(&key).map(|endpoint| endpoint.connections);
             self.drain(connections.unwrap_or_default());
         }
     }
 
-    /// Withdraws what is queued for, or fills from, an endpoint that drains, is gone or was replaced: it was ordered by an
+    /// Withdraws what is queued for, or fills from, an endpoint that drains, is removed or was replaced: it was ordered by an
     /// older list.
-    fn withdraw_for_unusable(&mut self, now: Ms, targets: &[EndpointEntry], gone: &[EndpointKey]) {
-        let mut unusable: HashSet<EndpointKey> = gone.iter().copied().collect();
-        let is_unusable = |target: &&EndpointEntry| !target.ready() || self.is_replaced(target);
-        unusable.extend(targets.iter().filter(is_unusable).map(|target| EndpointKey::of(&target.uid)));
+    fn withdraw_for_unusable(&mut self, now: Ms, entries: &[EndpointEntry], removed: &[EndpointKey]) {
+        let mut unusable: HashSet<EndpointKey> = removed.iter().copied().collect();
+        let is_unusable = |entry: &&EndpointEntry| !entry.ready() || self.is_replaced(entry);
+        unusable.extend(entries.iter().filter(is_unusable).map(|entry| EndpointKey::of(&entry.uid)));
         self.withdraw(now, AttemptEnd::TimedOut, |key, queued| {
             unusable.contains(&key) || queued.source.is_some_and(|source| unusable.contains(&source))
         });
     }
 
     /// Whether a line of the list names another process, or another address, than the known one.
-    fn is_replaced(&self, target: &EndpointEntry) -> bool {
-        let known = self.endpoints.get(&EndpointKey::of(&target.uid)).zip(target.endpoint);
+    fn is_replaced(&self, entry: &EndpointEntry) -> bool {
+        let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.endpoint);
         known.is_some_and(|(endpoint, address)| {
-            endpoint.address != address || endpoint.started != target.started()
+            endpoint.address != address || endpoint.started_at != entry.started()
         })
     }
 
     /// Stores an endpoint; true where it replaces another process or address.
-    fn update_endpoint(&mut self, key: EndpointKey, target: &EndpointEntry, address: SocketAddr) -> bool {
-        let started = target.started();
+    fn update_endpoint(&mut self, key: EndpointKey, entry: &EndpointEntry, address: SocketAddr) -> bool {
+        let started_at = entry.started();
         match self.endpoints.get_mut(&key) {
-            Some(endpoint) if endpoint.address == address && endpoint.started == started => false,
+            Some(endpoint) if endpoint.address == address && endpoint.started_at == started_at => false,
             Some(endpoint) => {
-                (endpoint.address, endpoint.started) = (address, started);
+                (endpoint.address, endpoint.started_at) = (address, started_at);
                 true
             }
             None => {
-                let uid = target.uid.clone();
+                let uid = entry.uid.clone();
                 let (last_activity, connections) = (0.0, Vec::new());
-                let endpoint = Endpoint { uid, address, started, last_activity, connections };
+                let endpoint = Endpoint { uid, address, started_at, last_activity, connections };
                 self.endpoints.insert(key, endpoint);
                 false
             }
@@ -143,7 +154,7 @@
         match opened {
             Ok(opened) => Some(opened),
             Err(error) => {
-                log_line!("connect to {address}: {error}");
+                log_line!(upstream = %self.endpoint_label(key), reason = %error, "connect failed");
                 least_loaded
             }
         }
@@ -165,20 +176,16 @@
         key: EndpointKey,
         address: SocketAddr,
     ) -> io::Result<ConnectionId> {
-        let stream = Rc::new(self.reserve.open(Purpose::Cache, || connect(address))?);
+        let stream = Rc::new(self.reserve.open(Purpose::Cache, || sockets::connect(address))?);
         // Bytes that the system holds can't be withdrawn any more.
         if let Err(error) = SockRef::from(&*stream).set_send_buffer_size(self.limits.cache_send) {
-            log_line!("a connection to {address} keeps its send buffer: {error}");
+            log_line!(upstream = %self.endpoint_label(key), reason = %error, "a connection keeps its send buffer");
         }
         self.connects += 1;
         self.last_id += 1;
         let id = self.last_id;
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = move |readiness: Readiness, _: &mut _, handler: &mut W| {
-            handler.on_upstream_ready(id, readiness);
-            Ok(PostAction::Continue)
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let on_ready = move |handler: &mut W, readiness| handler.on_upstream_ready(id, readiness);
+        let token = sockets::register_stream(&self.handle, &stream, on_ready)?;
         let deadline = now + self.limits.connect;
         let connection = Connection::new(key, stream, token, &self.buffers, now, deadline);
         self.connections.insert(id, connection);
@@ -196,10 +203,11 @@
         }
     }
 
-    /// Closes idle connections to an endpoint that has been silent since `sent`: they may be as dead as the one on which
+    /// Closes idle connections to an endpoint that has been silent since `sent_at`: they may be as dead as the one on which
     /// an attempt was abandoned, and new ones show whether it still accepts any.
-    pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent: Ms) {
-        let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent) else {
+    pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent_at: Ms) {
+        let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent_at)
+        else {
             return;
         };
         for id in endpoint.connections.clone() {
@@ -209,6 +217,7 @@
         }
     }
 
+    /// Reads and handles all replies that have arrived.
     pub(super) fn read(&mut self, now: Ms, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -232,6 +241,7 @@
         }
     }
 
+    /// Writes what is queued, but for attempts whose clients have to be checked first.
     pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
         self.write(now, id, now - self.limits.client_looked);
     }
@@ -265,17 +275,21 @@
     /// behind it, if at all.
     fn close_if_out_of_step(&mut self, now: Ms, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::has_unexpected_input) {
-            log_line!("an answer that nobody asked for ends its connection");
+            let upstream =
+                self.connections.get(&id).map(|connection| self.endpoint_label(connection.endpoint));
+            log_line!(upstream = %upstream.unwrap_or_default(), "an answer that nobody asked for ends its connection");
             self.close(now, id, "an answer that nobody asked for");
         }
     }
 
+    /// Closes a connection that takes no new messages once nothing is open on it.
     pub(super) fn close_if_drained(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_drained) {
             self.remove(id);
         }
     }
 
+    /// Closes a connection; what is open on it is not ended here.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         self.handle.remove(connection.token);
@@ -290,9 +304,8 @@
         let Some(connection) = self.remove(id) else { return };
         let key = connection.endpoint;
         if !connection.open.is_empty() {
-            let address = self.endpoints.get(&key).map(|endpoint| endpoint.address.to_string());
-            let (address, count) = (address.unwrap_or_default(), connection.open.len());
-            log_line!("connection to {address} ended with {count} open: {reason}");
+            let (upstream, open) = (self.endpoint_label(key), connection.open.len());
+            log_line!(%upstream, open, %reason, "a connection ended with messages open");
         }
         let mut open: Vec<Exchange> = connection.open.into_values().collect();
         open.sort_by_key(|exchange| match exchange.owner {
@@ -306,7 +319,7 @@
                     let Some(in_flight) = self.attempts.remove(attempt) else { continue };
                     let end =
                         if exchange.fully_sent { AttemptEnd::ConnectionLost } else { AttemptEnd::NotSent };
-                    self.complete(now, attempt, key, in_flight.sent, end);
+                    self.complete(now, attempt, key, in_flight.sent_at, end);
                 }
             }
         }
--- /dev/null
+++ b/crates/router/src/upstream/request.rs
@@ -0,0 +1,53 @@
+//! The fields of a request, by their names in the protocol.
+
+use crate::policy_adapter::FillSpec;
+
+use super::attempt::{AttemptOrder, FillPath, RequestMessage};
+use super::codec::FieldList;
+
+/// The fields of an attempt; `source_name` is the source that it fills from, where the order names one.
+pub(super) fn request_fields(
+    order: &AttemptOrder,
+    message: &RequestMessage,
+    source_name: Option<&str>,
+    fill_path: Option<&FillPath>,
+) -> FieldList {
+    let fill = &order.fill;
+    let mut fields = FieldList::default();
+    fields.push("kind", &message.class);
+    fields.push("obj", &message.object);
+    fields.push("seg", &message.part);
+    fields.push("ms", order.timeout.ceil().max(1.0));
+    if let Some(source_name) = source_name {
+        fields.push("parent", source_name);
+        let hints = fill_hints(fill);
+        if !hints.is_empty() {
+            fields.push("hints", hints.join("+"));
+        }
+    }
+    if fill.retention > 0 {
+        fields.push("shelf", fill.retention);
+    }
+    if fill.max_age > 0.0 {
+        // Rounded down, for a copy must not be older; but 0 would mean any fresh one.
+        fields.push("accept", fill.max_age.floor().max(1.0));
+    }
+    if let Some(key) = &message.idempotency_key {
+        fields.push("token", key);
+    }
+    if let Some(tag) = &message.client_copy {
+        fields.push("got", tag);
+    }
+    if let Some(path) = fill_path {
+        fields.push("passed", &path.passed);
+        if !path.via.is_empty() {
+            fields.push("via", path.via.join("+"));
+        }
+    }
+    fields
+}
+
+fn fill_hints(fill: &FillSpec) -> Vec<&'static str> {
+    let hints = [(fill.coalesce, "j"), (fill.only_if_cached, "h"), (fill.revalidate, "r")];
+    hints.into_iter().filter(|(is_set, _)| *is_set).map(|(_, hint)| hint).collect()
+}
--- a/crates/router/src/upstream/response.rs
+++ b/crates/router/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! What the fields of a reply say.
+//! The fields of a reply, by their names in the protocol.
 
 use crate::policy_adapter::{CacheResult, Ms};
 
@@ -13,6 +13,7 @@
 }
 
 impl CopyVersion {
+    /// The version that a reply names.
     pub(super) fn of_reply(fields: &FieldList) -> Option<Self> {
         let issued = fields.get("dated")?.parse().ok()?;
         Some(Self { tag: fields.get("digest")?.to_string(), issued })
@@ -30,16 +31,31 @@
 
 impl FillLoop {
     /// Reads `7:hub-a>hub-b`.
-    pub(super) fn parse(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         let (version, edge) = text.split_once(':')?;
         let (from, to) = edge.split_once('>')?;
         Some(Self { from: from.to_string(), to: to.to_string(), version: version.parse().ok()? })
     }
 }
 
-/// How a cache came to its reply, by the protocol's name for it.
-pub(super) fn cache_result(name: &str) -> Option<CacheResult> {
-    Some(match name {
+/// How long the cache waited for the source of its fill; 0 where it does not say.
+pub(super) fn source_wait(fields: &FieldList) -> Ms {
+    fields.get("first").and_then(|text| text.parse().ok()).unwrap_or(0.0)
+}
+
+/// The loop that a fill ran into.
+pub(super) fn fill_loop(fields: &FieldList) -> Option<FillLoop> {
+    fields.get("round").and_then(FillLoop::parse)
+}
+
+/// Whether a reply names the copy that the client has.
+pub(super) fn names_copy(fields: &FieldList, client_copy: Option<&str>) -> bool {
+    client_copy.is_some() && client_copy == fields.get("digest")
+}
+
+/// How a cache came to its reply.
+pub(super) fn cache_result(fields: &FieldList) -> Option<CacheResult> {
+    Some(match fields.get("res")? {
         "HIT" => CacheResult::Hit,
         "MISS" => CacheResult::FilledByParent,
         "MISS_ORIGIN" => CacheResult::FilledByOrigin,
--- /dev/null
+++ b/crates/router/src/upstream/sending.rs
@@ -0,0 +1,75 @@
+//! How attempts are sent.
+
+use crate::event_handler::EventHandler;
+use crate::log::log_line;
+use crate::policy_adapter::{AttemptEnd, AttemptKey, AttemptReport, CacheResult, EndpointKey, Ms};
+
+use super::attempt::{AttemptOrder, FillPath, RequestMessage};
+use super::attempt_table::InFlightAttempt;
+use super::codec;
+use super::connection::{ExchangeOwner, QueuedMessage, RequestedObject};
+use super::request::request_fields;
+use super::Upstreams;
+
+impl<W: EventHandler> Upstreams<W> {
+    /// Sends an attempt.
+    pub fn send(
+        &mut self,
+        now: Ms,
+        order: &AttemptOrder,
+        message: &RequestMessage,
+        fill_path: Option<&FillPath>,
+    ) {
+        let AttemptOrder { attempt, endpoint, timeout, ref fill } = *order;
+        let Some(id) = self.connection_for(now, endpoint, &message.id) else {
+            let upstream = self.endpoint_label(endpoint);
+            log_line!(%upstream, request = %message.id, attempt = attempt.number, "no connection for an attempt");
+            return self.complete(now, attempt, endpoint, now, AttemptEnd::NotSent);
+        };
+        let source_name =
+            fill.source.and_then(|source| self.endpoints.get(&source)).map(|source| &*source.uid);
+        let fields = request_fields(order, message, source_name, fill_path);
+        let bytes = codec::encode_request(&self.buffers, &message.id, &fields, message.body.duplicate());
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let object = u64::from_str_radix(&message.object, 16).ok();
+        let queued = QueuedMessage {
+            id: Some(message.id.clone()),
+            attempt: Some(attempt),
+            source: fill.source,
+            object: object.map(|object| RequestedObject { object, group: message.group }),
+            queued_at: now,
+            bytes,
+        };
+        connection.enqueue(now, queued, ExchangeOwner::Attempt(attempt));
+        let in_flight = InFlightAttempt {
+            connection: id,
+            endpoint,
+            request_id: message.id.clone(),
+            sent_at: now,
+            deadline: now + timeout.max(0.0),
+            client_copy: message.client_copy.clone(),
+        };
+        self.attempts.insert(attempt, in_flight);
+        self.flush(now, id);
+    }
+
+    /// Completes an attempt as cancelled that was never sent: nobody waits for it any more.
+    pub fn cancel_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey) {
+        self.complete(now, attempt, endpoint, now, AttemptEnd::Cancelled);
+    }
+
+    /// Completes an attempt as rejected whose fill was not admitted: it was never sent, and that is no fault of its
+    /// endpoint.
+    pub fn reject_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey, since: Ms) {
+        let elapsed = now - since;
+        self.push_completed(AttemptReport {
+            attempt,
+            endpoint,
+            end: AttemptEnd::Rejected,
+            elapsed,
+            source_wait: elapsed,
+            cache_result: Some(CacheResult::NoCapacity),
+            gauges: Vec::new(),
+        });
+    }
+}
