--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -4,7 +4,7 @@
 use linnethook_membership::actions::ClusterAction;
 
 use crate::clock::Clock;
-use crate::control::Detail;
+use crate::control::SiteDetail;
 use crate::discovery::event::{EndpointEntry, PurgeEvent};
 use crate::hierarchy_adapter::HierarchyAdapter;
 use crate::peer_message::PeerMessageKind;
@@ -62,7 +62,7 @@
             ClusterAction::SendTo(name, entries) => gateway.tell_fellow_alone(&name, entries),
             ClusterAction::CloseLinks => gateway.leave_fellows(now),
             ClusterAction::Answer { id, location, routers } => {
-                self.queries.set_answer(id, Detail { place: location.to_string(), routers });
+                self.queries.set_answer(id, SiteDetail { location: location.to_string(), routers });
             }
             ClusterAction::Event(event) => log_event(&event),
         }
--- a/crates/router/src/cluster/queries.rs
+++ b/crates/router/src/cluster/queries.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::control::Detail;
+use crate::control::SiteDetail;
 
 /// Queries that are remembered.
 const MAX_QUERIES: usize = 16;
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(super) struct SiteQuery {
     id: u64,
-    pub answer: Option<Detail>,
+    pub answer: Option<SiteDetail>,
 }
 
 /// The last queries; the newest comes last.
@@ -33,7 +33,7 @@
     }
 
     /// Stores an answer; that of a query that is no longer remembered is dropped.
-    pub fn set_answer(&mut self, id: u64, answer: Detail) {
+    pub fn set_answer(&mut self, id: u64, answer: SiteDetail) {
         if let Some(query) = self.0.iter_mut().find(|query| query.id == id) {
             query.answer = Some(answer);
         }
--- a/crates/router/src/cluster/snapshot.rs
+++ b/crates/router/src/cluster/snapshot.rs
@@ -30,7 +30,8 @@
     ) {
         let Ok(request_id) = postcard::from_bytes::<u64>(body) else { return };
         let Some(hierarchy) = hierarchy else { return };
-        for chunk in split_snapshot(request_id, &hierarchy.snapshot(), self.snapshot_transfer.config()) {
+        for chunk in split_snapshot(request_id, &hierarchy.encode_snapshot(), self.snapshot_transfer.config())
+        {
             let body = postcard::to_stdvec(&chunk).unwrap_or_default();
             self.membership.send_message(from, PeerMessageKind::SnapshotChunk.wire_tag(), body);
         }
@@ -51,10 +52,10 @@
     }
 
     fn adopt_snapshot(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter, from: &str, snapshot: &[u8]) {
-        match hierarchy.adopt(now, snapshot) {
+        match hierarchy.restore_snapshot(now, snapshot) {
             Ok(()) => {
                 self.applied_from_gossip.snapshots += 1;
-                self.versions.hierarchy = hierarchy.acts_on().into();
+                self.versions.hierarchy = hierarchy.active_version();
                 let HierarchyVersion { version, digest } = self.versions.hierarchy;
                 log_line!(version, "fellows: the hierarchy of {from} was adopted, with digest {digest:016x}");
             }
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -2,13 +2,15 @@
 //!
 //! - [`router`]: the state of a router, and the dispatch between its parts; [`event_loop`] runs it;
 //! - [`downstream`], [`upstream`], [`discovery`]: connections of clients, of caches, and of the journal service;
-//! - [`requests`]: the open requests;
+//! - [`run_phase`]: its phases, from serving to the end;
+//! - [`requests`], [`answers`]: the open requests, and their final answers;
 //! - [`policy_adapter`]: the policy, with its events and actions;
 //! - [`hierarchy_adapter`]: the hierarchy of caches, and the admission of fills;
 //! - [`remote_sites`], [`cluster`], [`audit_log`]: other sites, other routers, and the audit log;
 //! - [`control`], [`hierarchy_control`], [`cli`], [`audit`]: the control socket, its answers, and the commands;
-//! - [`config`], [`operator_reload`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`], [`sockets`]: the rest.
+//! - [`config`], [`operator_reload`], [`shadow_policy`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`], [`sockets`]: the rest.
 
+mod answers;
 mod audit;
 mod audit_log;
 mod buffers;
@@ -40,6 +42,8 @@
 mod remote_sites;
 mod requests;
 mod router;
+mod run_phase;
+mod shadow_policy;
 mod sockets;
 mod start_error;
 mod upstream;
