--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -9,7 +9,7 @@
 //! - [`hierarchy_adapter`]: the hierarchy of caches, and the admission of fills;
 //! - [`remote_sites`], [`cluster`], [`audit_log`]: other sites, other routers, and the audit log;
 //! - [`control`], [`hierarchy_control`], [`cli`], [`audit`]: the control socket, its answers, and the commands;
-//! - [`config`], [`operator_parts`], [`operator_reload`], [`shadow_policy`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`]: the rest.
+//! - [`config`], [`operator_parts`], [`operator_reload`], [`shadow_policy`], [`operator_digest`], [`log`], [`counters`], [`clock`], [`buffers`], [`descriptors`], [`sockets`]: the rest.
 
 mod answers;
 mod audit;
@@ -47,6 +47,7 @@
 mod router;
 mod run_phase;
 mod shadow_policy;
+mod sockets;
 mod start_error;
 mod upstream;
 
--- a/crates/router/src/operator_parts.rs
+++ b/crates/router/src/operator_parts.rs
@@ -130,7 +130,7 @@
         // A straggler starts no fills: cached copies are served.
         let may_fill = !profile.is_write && order.fill.source.is_some();
         let cluster = self.cluster.as_mut().filter(|_| may_fill);
-        let excluded = cluster.and_then(|cluster| cluster.exclusion(now, profile.object));
+        let excluded = cluster.and_then(|cluster| cluster.reject_as_straggler(now, profile.object));
         match (&mut self.hierarchy, excluded) {
             (Some(hierarchy), Some(retry_after)) if hierarchy.may_fill(&order) => {
                 Some(hierarchy.admit_from_cache_only(now, order, profile, retry_after))
--- a/crates/router/src/proxy/attempts.rs
+++ b/crates/router/src/proxy/attempts.rs
@@ -66,9 +66,9 @@
                 self.on_completed(now, completed);
             } else if let Some(check) = self.upstreams.next_health_check() {
                 self.on_health_check(now, check);
-            } else if let Some((connection, tickets)) = self.upstreams.next_stalled() {
-                tickets.into_iter().for_each(|ticket| self.check_client(ticket));
-                self.upstreams.write_queued(self.clock.now(), connection);
+            } else if let Some(stalled) = self.upstreams.next_stalled() {
+                stalled.tickets.into_iter().for_each(|ticket| self.check_client(ticket));
+                self.upstreams.write_queued(self.clock.now(), stalled.id);
             } else {
                 return;
             }
--- a/crates/router/src/proxy/clients.rs
+++ b/crates/router/src/proxy/clients.rs
@@ -143,7 +143,7 @@
     /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
     pub(super) fn exclusion(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
         let cluster = self.parts.cluster.as_mut().filter(|_| self.policy.needs_repeat_protection(spec))?;
-        let retry_after = cluster.exclusion(now, spec.object)?;
+        let retry_after = cluster.reject_as_straggler(now, spec.object)?;
         Some(retry_after.min(self.policy.max_retry_after()))
     }
 
