--- /dev/null
+++ b/crates/router/src/config/error.rs
@@ -0,0 +1,49 @@
+//! What is wrong with a configuration.
+
+use std::fmt;
+use std::io;
+use std::path::PathBuf;
+
+use linnethook_settings::SettingsError;
+
+/// What is wrong with a configuration.
+#[derive(Debug)]
+pub enum ConfigError {
+    /// The file can't be read.
+    Read(io::Error),
+    /// It is not JSON, or a field is missing or of another type.
+    Format(serde_json::Error),
+    /// A setting that can't be used.
+    Setting(SettingsError),
+    /// The seed is not hexadecimal.
+    Seed,
+    /// A setting that the operator file's `watch()` changes.
+    ShadowSetting(SettingsError),
+    /// One of these in a file.
+    File { path: PathBuf, source: Box<ConfigError> },
+}
+
+impl fmt::Display for ConfigError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Read(error) => error.fmt(f),
+            Self::Format(error) => error.fmt(f),
+            Self::Setting(error) => write!(f, "settings.{error}"),
+            Self::Seed => f.write_str("a seed that is not hexadecimal"),
+            Self::ShadowSetting(error) => write!(f, "watch(): settings.{error}"),
+            Self::File { path, source } => write!(f, "{}: {source}", path.display()),
+        }
+    }
+}
+
+impl std::error::Error for ConfigError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Read(error) => Some(error),
+            Self::Format(error) => Some(error),
+            Self::Setting(error) | Self::ShadowSetting(error) => Some(error),
+            Self::File { source, .. } => Some(source),
+            Self::Seed => None,
+        }
+    }
+}
--- a/crates/router/src/control/server.rs
+++ b/crates/router/src/control/server.rs
@@ -95,7 +95,7 @@
                 Err(error) => {
                     // An enabled listener would fail again at once, without end.
                     log_line!("control: {error}");
-                    self.accept_retry = Some(now + self.limits.client_sweep);
+                    self.accept_retry = Some(now + self.limits.accept.retry_pause_ms);
                     return false;
                 }
             }
@@ -103,7 +103,8 @@
     }
 
     fn add_connection(&mut self, now: Ms, stream: UnixStream) {
-        if self.connections.len() >= self.limits.control_connections || stream.set_nonblocking(true).is_err()
+        if self.connections.len() >= self.limits.control.max_connections
+            || stream.set_nonblocking(true).is_err()
         {
             return;
         }
@@ -122,7 +123,7 @@
             input: BufferChain::new(&self.pool),
             output: BufferChain::new(&self.pool),
             is_answered: false,
-            deadline: now + self.limits.control_time,
+            deadline: now + self.limits.control.connection_timeout_ms,
         };
         self.connections.insert(id, connection);
     }
@@ -149,7 +150,7 @@
                 continue;
             }
             let length = u32::from_be_bytes(head) as usize;
-            if length > self.limits.control_message || self.pool.is_exhausted() {
+            if length > self.limits.control.max_message_bytes || self.pool.is_exhausted() {
                 self.refuse(id, "the question is too long, or buffers are short".to_string());
                 return None;
             }
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -93,7 +93,7 @@
 
     /// Until when it is no failure that nothing is received: the service may hold a poll back for so long.
     pub fn silence_allowed_until(&self) -> Ms {
-        self.last_response + self.limits.journal_wait + self.limits.journal_late
+        self.last_response + self.limits.discovery.max_poll_wait_ms + self.limits.discovery.response_grace_ms
     }
 
     /// The position of the last event received.
@@ -124,13 +124,13 @@
         self.await_response(now);
         if self.connection.is_none() {
             // A connect is not held back by the service, so its deadline is shorter.
-            self.state = PollState::Polling { deadline: now + self.limits.journal_connect };
+            self.state = PollState::Polling { deadline: now + self.limits.discovery.connect_timeout_ms };
             match self.connect() {
                 Ok(connection) => self.connection = Some(connection),
                 Err(error) => return self.fail_poll(now, &error.to_string()),
             }
         }
-        let wait = self.limits.journal_wait;
+        let wait = self.limits.discovery.max_poll_wait_ms;
         let request = format!(
             "GET /journal?tail={}&max_wait={wait} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
             self.position, self.address
@@ -142,7 +142,7 @@
     }
 
     fn await_response(&mut self, now: Ms) {
-        let deadline = now + self.limits.journal_wait + self.limits.journal_late;
+        let deadline = now + self.limits.discovery.max_poll_wait_ms + self.limits.discovery.response_grace_ms;
         self.state = PollState::Polling { deadline };
     }
 
@@ -163,7 +163,7 @@
         self.lost += 1;
         log_line!("journal: poll from {} lost: {reason}", self.position);
         self.drop_connection();
-        self.state = PollState::Idle { next_poll: now + self.limits.journal_pause };
+        self.state = PollState::Idle { next_poll: now + self.limits.discovery.retry_pause_ms };
     }
 
     fn drop_connection(&mut self) {
@@ -200,7 +200,7 @@
                 Ok(0) => failure = Some("closed".to_string()),
                 Ok(n) => {
                     self.bytes_in += n as u64;
-                    if connection.input.len() > self.limits.journal_answer {
+                    if connection.input.len() > self.limits.discovery.max_response_bytes {
                         failure = Some("an answer of such a length".to_string());
                     }
                 }
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -28,7 +28,7 @@
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&address.into())?;
-        socket.listen(self.limits.accept_backlog)?;
+        socket.listen(self.limits.accept.backlog)?;
         let listener = TcpListener::from(socket);
         let address = listener.local_addr()?;
         let source = Generic::new(listener, Interest::READ, Mode::Level);
@@ -50,7 +50,7 @@
             self.accept_paused = true;
             return false;
         }
-        for _ in 0..self.limits.accept_turn {
+        for _ in 0..self.limits.accept.max_per_turn {
             if self.clients.len() >= self.max_clients && !self.displace_idle(now, events) {
                 self.accept_paused = true;
                 return false;
@@ -145,7 +145,7 @@
     pub(super) fn refill_reserve(&mut self, now: Ms, events: &mut Vec<ClientEvent>) -> bool {
         let mut closed = 0;
         while !self.reserve.refill() {
-            if closed == self.limits.accept_turn || !self.displace_idle(now, events) {
+            if closed == self.limits.accept.max_per_turn || !self.displace_idle(now, events) {
                 return false;
             }
             closed += 1;
@@ -155,7 +155,7 @@
 
     /// Whether it has been idle for as long as a request of it may take to arrive.
     fn may_be_displaced(&self, now: Ms, id: &ClientId, client: &ClientConnection) -> bool {
-        let spared_since = now - self.limits.client_spared;
+        let spared_since = now - self.limits.clients.displacement_grace_ms;
         let unread = client.is_open() && self.paused.contains(id);
         let partial_is_old = client.partial_since.is_none_or(|since| since <= spared_since);
         client.is_idle() && !unread && client.last_used <= spared_since && partial_is_old
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -110,7 +110,7 @@
             next_sweep: 0.0,
             listener: None,
             accept_paused: false,
-            max_clients: limits.clients,
+            max_clients: limits.clients.max_connections,
             short_since: None,
             accept_pending: false,
             draining: false,
--- a/crates/router/src/downstream/reader.rs
+++ b/crates/router/src/downstream/reader.rs
@@ -23,12 +23,12 @@
 
     fn read_turn(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         let mut has_unread_input = self.paused.remove(&id);
-        let mut budget = self.limits.read_turn;
+        let mut budget = self.limits.clients.max_read_bytes_per_turn;
         while let Some(client) = self.clients.get_mut(&id) {
             if client.phase == ConnectionPhase::Closing {
                 return;
             }
-            let behind = client.is_open() && client.output.len() > self.limits.write_backlog;
+            let behind = client.is_open() && client.output.len() > self.limits.clients.max_unwritten_bytes;
             if behind || budget == 0 || self.buffers.is_exhausted() {
                 // Its requests must not be forwarded for as long as its cancellations are not read.
                 self.paused.insert(id);
@@ -66,13 +66,19 @@
     /// within a bound. While buffers are exhausted, each client may still use one block for that.
     fn scan_ahead(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         let exhausted = self.buffers.is_exhausted();
-        let max_input = if exhausted { self.limits.block } else { self.limits.look_ahead };
+        let max_input = if exhausted {
+            self.limits.buffers.block_bytes
+        } else {
+            self.limits.clients.max_read_ahead_bytes
+        };
         let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) else { return };
         client.last_read = now;
         if client.read_ahead(max_input) {
             return self.remove(id, events);
         }
-        while let Some(head) = codec::peek_head(&client.input, client.scanned, self.limits.frame) {
+        while let Some(head) =
+            codec::peek_head(&client.input, client.scanned, self.limits.clients.max_frame_bytes)
+        {
             client.scanned += head.length;
             if let Some(ticket) = head.cancels.and_then(|stream| client.open.remove(&stream)) {
                 self.counts.withdrawn += u64::from(withdraw_request(ticket, events));
@@ -84,7 +90,7 @@
     /// for it, in a turn that may last for long.
     pub fn check(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         let Some(client) = self.clients.get(&id) else { return };
-        if now - client.last_read < self.limits.client_looked {
+        if now - client.last_read < self.limits.clients.check_interval_ms {
             return;
         }
         let before = client.input.len();
@@ -120,14 +126,16 @@
     pub fn has_readable_paused(&self) -> bool {
         let is_readable = |id| {
             let client = self.clients.get(id);
-            client.is_some_and(|client| !client.is_open() || client.output.len() <= self.limits.write_backlog)
+            client.is_some_and(|client| {
+                !client.is_open() || client.output.len() <= self.limits.clients.max_unwritten_bytes
+            })
         };
         !self.buffers.is_exhausted() && self.paused.iter().any(is_readable)
     }
 
     fn decode_input(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         while let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) {
-            let message = match codec::decode(&mut client.input, self.limits.frame) {
+            let message = match codec::decode(&mut client.input, self.limits.clients.max_frame_bytes) {
                 Ok(Some(message)) => message,
                 Ok(None) => {
                     client.scanned = 0;
@@ -167,10 +175,10 @@
         events: &mut Vec<ClientEvent>,
     ) -> Result<(), &'static str> {
         let Some(client) = self.clients.get_mut(&id) else { return Ok(()) };
-        if !client.streams.insert(stream, self.limits.client_streams) {
+        if !client.streams.insert(stream, self.limits.clients.max_streams_per_connection) {
             return Err("a stream that is not new");
         }
-        if client.open.len() >= self.limits.client_streams {
+        if client.open.len() >= self.limits.clients.max_streams_per_connection {
             return Err("more requests than may be open");
         }
         let client_stream = ClientStream { client: id, stream };
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -28,7 +28,10 @@
     let class = fields.get("c")?;
     let id = fields.get("i").filter(|id| is_hex_id(id))?;
     let object = fields.get("o").filter(|object| is_hex_id(object))?;
-    let wait = fields.get("d").and_then(parse_decimal).filter(|wait| (1.0..=limits.wait).contains(wait))?;
+    let wait = fields
+        .get("d")
+        .and_then(parse_decimal)
+        .filter(|wait| (1.0..=limits.requests.max_wait_ms).contains(wait))?;
     let forwarded = [Some(class), fields.get("known"), fields.get("k")];
     if !forwarded.iter().flatten().all(|text| is_list_item(text)) {
         return None;
@@ -38,7 +41,9 @@
         None => Some(0),
     };
     let size_kb = match fields.get("m") {
-        Some(text) => parse_decimal(text).filter(|size| *size > 0.0 && *size <= limits.size_kb)?,
+        Some(text) => {
+            parse_decimal(text).filter(|size| *size > 0.0 && *size <= limits.requests.max_size_kb)?
+        }
         None => 0.0,
     };
     let repeat = match fields.get("r") {
@@ -46,11 +51,11 @@
         None | Some("0" | "") => false,
         Some(_) => return None,
     };
-    if body.len() > limits.body {
+    if body.len() > limits.requests.max_body_bytes {
         return None;
     }
-    let part = number("chunk", limits.parts)?;
-    let group = number("tag", limits.groups)?;
+    let part = number("chunk", limits.requests.max_part)?;
+    let group = number("tag", limits.requests.max_group)?;
     let spec = RequestSpec {
         class: class.to_string(),
         object: u64::from_str_radix(object, 16).ok()?,
@@ -58,7 +63,7 @@
         group,
         size_kb,
         repeat,
-        budget: (wait - limits.way).max(0.0),
+        budget: (wait - limits.requests.network_allowance_ms).max(0.0),
     };
     let message = RequestMessage {
         id: id.to_string(),
--- a/crates/router/src/downstream/timers.rs
+++ b/crates/router/src/downstream/timers.rs
@@ -27,7 +27,7 @@
         if now < self.next_sweep {
             return;
         }
-        self.next_sweep = now + self.limits.client_sweep;
+        self.next_sweep = now + self.limits.clients.sweep_interval_ms;
         let (mut removed, mut broken_off) = (Vec::new(), Vec::new());
         for (&id, client) in &self.clients {
             match self.sweep_action(now, id, client) {
@@ -48,8 +48,9 @@
     fn sweep_action(&self, now: Ms, id: ClientId, client: &ClientConnection) -> SweepAction {
         let limits = &self.limits;
         let passed = |since: Ms, span: Ms| now - since > span;
-        let stalled = !client.output.is_empty() && passed(client.last_used, limits.client_stall);
-        let idle = client.is_idle() && passed(client.last_used, limits.client_idle);
+        let stalled =
+            !client.output.is_empty() && passed(client.last_used, limits.clients.write_stall_timeout_ms);
+        let idle = client.is_idle() && passed(client.last_used, limits.clients.idle_timeout_ms);
         let ended = matches!(client.phase, ConnectionPhase::Lingering { until, .. } if now >= until);
         if stalled || idle || ended {
             return SweepAction::Remove;
@@ -58,11 +59,11 @@
         if self.paused.contains(&id) || !client.is_open() {
             return SweepAction::Keep;
         }
-        if client.partial_since.is_some_and(|since| passed(since, limits.message)) {
+        if client.partial_since.is_some_and(|since| passed(since, limits.clients.message_timeout_ms)) {
             return SweepAction::BreakOff("a message that does not end");
         }
         let never_answered = !client.proven && client.open.is_empty();
-        if never_answered && passed(client.accepted_at, limits.client_first) {
+        if never_answered && passed(client.accepted_at, limits.clients.first_request_timeout_ms) {
             return SweepAction::BreakOff("nothing was asked");
         }
         SweepAction::Keep
@@ -70,8 +71,8 @@
 
     fn resume_accepting(&mut self, now: Ms) {
         // More descriptors may be available again after that time.
-        if self.short_since.is_some_and(|since| now - since > self.limits.client_idle) {
-            (self.max_clients, self.short_since) = (self.limits.clients, None);
+        if self.short_since.is_some_and(|since| now - since > self.limits.clients.idle_timeout_ms) {
+            (self.max_clients, self.short_since) = (self.limits.clients.max_connections, None);
         }
         if !self.accept_paused {
             return;
--- a/crates/router/src/downstream/writer.rs
+++ b/crates/router/src/downstream/writer.rs
@@ -41,7 +41,7 @@
         let body = BufferChain::new(&self.buffers);
         let answer = codec::encode_answer(&self.buffers, stream.stream, AnswerCode::Failed, &[], body);
         client.output.append(answer);
-        if client.invalid_requests >= self.limits.client_faults {
+        if client.invalid_requests >= self.limits.clients.max_invalid_requests {
             self.break_off(now, stream.client, "too many requests that can't be used", events);
         }
     }
@@ -62,8 +62,8 @@
             if client.stream.shutdown(Shutdown::Write).is_err() {
                 return self.remove(id, events);
             }
-            let until = now + self.limits.linger;
-            client.phase = ConnectionPhase::Lingering { until, bytes: self.limits.linger_bytes };
+            let until = now + self.limits.clients.linger_timeout_ms;
+            client.phase = ConnectionPhase::Lingering { until, bytes: self.limits.clients.max_linger_bytes };
             self.read(now, id, events);
         }
     }
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -45,10 +45,10 @@
     let path = std::env::var_os("LB_CONFIG").ok_or(StartError::NoConfig)?;
     let path = PathBuf::from(path);
     let config = Config::read(&path)?;
-    if config.limits.descriptors < config.file.sockets() {
+    if config.limits.descriptors.available < config.file.promised_descriptors() {
         log_line!(
             always "the configuration promises {} descriptors, the system gives {}",
-            config.file.sockets(), config.limits.descriptors
+            config.file.promised_descriptors(), config.limits.descriptors.available
         );
     }
     let events: EventLoop<'static, Router> = EventLoop::try_new()?;
@@ -72,7 +72,7 @@
     operator: Option<(PathBuf, OperatorConfig)>,
 ) -> Result<(), StartError> {
     let log_settings = operator.as_ref().and_then(|(_, operator)| operator.log);
-    log::hold_to(log_settings.map_or(config.limits.log_lines, |log| log.lines_per_second));
+    log::hold_to(log_settings.map_or(config.limits.max_log_lines_per_second, |log| log.lines_per_second));
     let mut router = Router::new(path, config, operator, &events.handle())?;
     while !router.is_drained() {
         events.dispatch(router.time_to_deadline(), &mut router)?;
--- a/crates/router/src/remote_sites/links.rs
+++ b/crates/router/src/remote_sites/links.rs
@@ -56,7 +56,7 @@
 
 impl<W: EventHandler> SiteLinks<W> {
     pub fn new(limits: Limits, handle: LoopHandle<'static, W>) -> Self {
-        let block = vec![0; limits.link_block].into_boxed_slice();
+        let block = vec![0; limits.links.block_bytes].into_boxed_slice();
         Self {
             limits,
             handle,
@@ -101,19 +101,19 @@
     /// Accepts a bounded number of links; those above the limit are closed at once. False where no more can be accepted for
     /// now.
     pub fn accept(&mut self, now: Ms, listener: &TcpListener, gateway: &mut Gateway) -> bool {
-        for _ in 0..self.limits.accept_turn {
+        for _ in 0..self.limits.accept.max_per_turn {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
                 Err(error) => {
                     // Without the pause the loop would spin where descriptors are short.
                     log_line!("a link's listener: {error}");
-                    self.resume_accepting = Some(now + self.limits.client_sweep);
+                    self.resume_accepting = Some(now + self.limits.accept.retry_pause_ms);
                     return false;
                 }
             };
             self.accepted += 1;
-            if self.connections.len() >= self.limits.links {
+            if self.connections.len() >= self.limits.links.max_connections {
                 continue;
             }
             match self.add(stream, None) {
@@ -142,8 +142,8 @@
 
     /// Starts a connect for the gateway's number of an address.
     pub fn dial(&mut self, now: Ms, dialer: usize, address: SocketAddr, gateway: &mut Gateway) {
-        let connecting = Connecting { deadline: now + self.limits.connect, dialer };
-        let started = match self.connections.len() < self.limits.links {
+        let connecting = Connecting { deadline: now + self.limits.upstreams.connect_timeout_ms, dialer };
+        let started = match self.connections.len() < self.limits.links.max_connections {
             true => connect(address).and_then(|stream| self.add(stream, Some(connecting))),
             false => Err(io::Error::other("as many connections of links as may be")),
         };
@@ -179,7 +179,7 @@
 
     fn read(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
         self.paused.remove(&conn);
-        let mut budget = self.limits.link_turn;
+        let mut budget = self.limits.links.max_read_bytes_per_turn;
         while let Some(connection) = self.connections.get_mut(&conn) {
             if budget == 0 {
                 self.paused.insert(conn);
@@ -216,7 +216,7 @@
         while let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.connecting.is_none()) {
             if connection.output.is_empty() {
                 connection.output.clear();
-                gateway.pull(conn, self.limits.link_block, &mut connection.output);
+                gateway.pull(conn, self.limits.links.block_bytes, &mut connection.output);
                 if connection.output.is_empty() {
                     return;
                 }
--- a/crates/router/src/remote_sites/requests.rs
+++ b/crates/router/src/remote_sites/requests.rs
@@ -91,7 +91,10 @@
 /// Reads a request from another site; `None` where it can't be used.
 pub fn parse_remote_request(came: &Came, buffers: &BufferPool, limits: &Limits) -> Option<ClientRequest> {
     let mut fields = Fields::from(came.head.clone());
-    fields.put("d", &format!("{}", (came.left + limits.way).min(limits.wait)));
+    fields.put(
+        "d",
+        &format!("{}", (came.left + limits.requests.network_allowance_ms).min(limits.requests.max_wait_ms)),
+    );
     let body = BufferChain::from_bytes(buffers, &came.body);
     parse_request(NO_CLIENT, &fields, body, limits)
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -87,23 +87,34 @@
         handle: &LoopHandle<'static, Self>,
     ) -> Result<Self, StartError> {
         let has_gateway = operator.as_ref().is_some_and(|(_, operator)| operator.gateway.is_some());
-        let limits = if has_gateway { config.limits.beside_links() } else { config.limits };
-        let reserve = Reserve::take(limits.reserve)?;
-        let buffers = BufferPool::new(limits.block, limits.blocks_kept, limits.blocks_most);
+        let limits = if has_gateway { config.limits.with_links() } else { config.limits };
+        let reserve = Reserve::take(limits.descriptors.reserved)?;
+        let buffers = BufferPool::new(
+            limits.buffers.block_bytes,
+            limits.buffers.max_free_blocks,
+            limits.buffers.max_blocks_in_use,
+        );
         // Errors in the shadow policy's settings are reported before anything starts.
         let shadow = operator.as_ref().and_then(|(_, operator)| operator.shadow_policy.as_ref());
         let shadow = shadow.map(|section| ShadowSetup::new(&config, section)).transpose()?;
         let settings_digest = operator.as_ref().map_or(0, |_| config.settings_digest());
-        let known = config.file.known;
-        let journal = config.file.journal;
+        let initial_events = config.file.initial_events;
+        let journal = config.file.journal_address;
         let mut router = Self {
             clock: Clock::new(),
             config_path: config_path.to_path_buf(),
             limits,
-            policy: PolicyAdapter::new(config.told, config.seed),
+            policy: PolicyAdapter::new(config.settings, config.seed),
             downstreams: Downstreams::new(limits, &buffers, &reserve, handle.clone()),
             upstreams: Upstreams::new(limits, &buffers, &reserve, handle.clone()),
-            discovery: DiscoveryClient::new(limits, &buffers, &reserve, handle.clone(), journal, known.pos),
+            discovery: DiscoveryClient::new(
+                limits,
+                &buffers,
+                &reserve,
+                handle.clone(),
+                journal,
+                initial_events.pos,
+            ),
             buffers,
             reserve,
             requests: OpenRequests::default(),
@@ -127,10 +138,10 @@
             router.apply_operator_file(&config.file.name, config.seed, settings_digest, &operator)?;
             router.operator = Some(file);
         }
-        router.on_watch_events(known.entries);
+        router.on_watch_events(initial_events.entries);
         router.on_cluster_timer();
         // Clients are accepted only once the endpoint list is known.
-        let address = router.downstreams.listen(config.file.listen)?;
+        let address = router.downstreams.listen(config.file.listen_address)?;
         log_line!("{} listens on {address}", config.file.name);
         Ok(router)
     }
@@ -192,7 +203,7 @@
     /// Reads the output of the evaluation, and applies it once it is complete.
     fn on_evaluation_ready(&mut self, output: &File) -> PostAction {
         let Some(mut evaluation) = self.evaluation.take() else { return PostAction::Remove };
-        if evaluation.read(output, self.limits.control_message) == EvaluationState::Running {
+        if evaluation.read(output, self.limits.control.max_message_bytes) == EvaluationState::Running {
             self.evaluation = Some(evaluation);
             return PostAction::Continue;
         }
@@ -493,7 +504,7 @@
         if !self.policy.knows_class(&spec) || self.requests.id_conflicts(&message) {
             return self.reject_invalid(stream);
         }
-        let overloaded = self.run_phase.is_closing() || self.requests.len() >= self.limits.open;
+        let overloaded = self.run_phase.is_closing() || self.requests.len() >= self.limits.requests.max_open;
         let shut_out = self.barred_for_now(now, &spec);
         if shut_out.is_some() || self.crosses() {
             let open = self.open_request(now, stream, spec, message, Vec::new());
@@ -748,7 +759,7 @@
             self.policy.knows_class(&request.spec) && !self.requests.id_conflicts(&request.message)
         };
         let request = request.filter(is_usable);
-        let overloaded = self.requests.len() >= self.limits.open || self.buffers.is_exhausted();
+        let overloaded = self.requests.len() >= self.limits.requests.max_open || self.buffers.is_exhausted();
         let Some(request) = request.filter(|_| !overloaded) else {
             self.counters.unusable += u64::from(!overloaded);
             return self.reply_to_site(ticket, Reply::Refused { wait: 0.0 });
@@ -808,7 +819,7 @@
 
     /// The share of the open requests that there may be.
     fn open_ratio(&self) -> f64 {
-        self.requests.len() as f64 / self.limits.open.max(1) as f64
+        self.requests.len() as f64 / self.limits.requests.max_open.max(1) as f64
     }
 
     // ---- Other routers.
@@ -947,8 +958,8 @@
         self.counters.reloads += 1;
         match self.reserve.lend(|| Config::read(&self.config_path)) {
             Ok(config) => {
-                log_line!(always "reloaded: the journal is at {}", config.file.journal);
-                self.discovery.set_address(self.clock.now(), config.file.journal);
+                log_line!(always "reloaded: the journal is at {}", config.file.journal_address);
+                self.discovery.set_address(self.clock.now(), config.file.journal_address);
             }
             Err(error) => log_line!(always "not reloaded: {error}"),
         }
--- a/crates/router/src/run_phase.rs
+++ b/crates/router/src/run_phase.rs
@@ -17,7 +17,11 @@
 impl ShutdownTimes {
     /// The times that the limits of the transport have.
     pub fn new(limits: &Limits) -> Self {
-        Self { min_drain: limits.stop_least, max_drain: limits.stop_most, close: limits.stop_last }
+        Self {
+            min_drain: limits.shutdown.min_drain_ms,
+            max_drain: limits.shutdown.max_drain_ms,
+            close: limits.shutdown.close_ms,
+        }
     }
 }
 
--- a/crates/router/src/shadow_policy.rs
+++ b/crates/router/src/shadow_policy.rs
@@ -26,7 +26,7 @@
     ///
     /// A changed setting that can't be used.
     pub fn new(config: &Config, section: &ShadowPolicySection) -> Result<Self, ConfigError> {
-        let settings = config.with(&changed_settings(section))?;
+        let settings = config.decode_changed_settings(&changed_settings(section))?;
         Ok(Self { settings, log_interval: section.log_interval_seconds * MS_PER_SECOND })
     }
 }
--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -296,7 +296,8 @@
         let Some(in_flight) = self.attempts.remove(attempt) else { return };
         if !matches!(reply.status, ReplyStatus::Data | ReplyStatus::Unchanged) {
             connection.retired_ids.insert(reply.id);
-            connection.draining |= connection.retired_ids.len() >= self.limits.cache_streams;
+            connection.draining |=
+                connection.retired_ids.len() >= self.limits.upstreams.max_streams_per_connection;
         }
         let source_wait = reply.fields.get("first").and_then(|first| first.parse().ok()).unwrap_or(0.0);
         let cache_result = reply.fields.get("res").and_then(response::cache_result);
--- a/crates/router/src/upstream/health_check.rs
+++ b/crates/router/src/upstream/health_check.rs
@@ -69,7 +69,11 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let message = QueuedMessage::control(Some(check.clone()), now, bytes);
         connection.enqueue(now, message, ExchangeOwner::HealthCheck);
-        self.health_checks.deadlines.insert((micros(now + self.limits.probe), id, check));
+        self.health_checks.deadlines.insert((
+            micros(now + self.limits.upstreams.health_check_timeout_ms),
+            id,
+            check,
+        ));
         self.flush(now, id);
     }
 
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -118,7 +118,7 @@
     /// what is open there stays open until its connection is closed.
     pub(super) fn connection_for(&mut self, now: Ms, key: EndpointKey, id: &str) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get(&key)?;
-        let max_streams = self.limits.cache_streams;
+        let max_streams = self.limits.upstreams.max_streams_per_connection;
         let known = endpoint.connections.iter().filter_map(|id| self.connections.get(id).map(|c| (*id, c)));
         let usable: Vec<(ConnectionId, &Connection)> =
             known.filter(|(_, connection)| connection.accepts(id, max_streams)).collect();
@@ -131,8 +131,8 @@
         let least_loaded = usable.iter().min_by_key(|(_, connection)| connection.open.len());
         let least_loaded = least_loaded.map(|(found, _)| *found);
         let address = endpoint.address;
-        if endpoint.connections.len() >= self.limits.cache_connections
-            || (self.connections.len() >= self.limits.connections && !self.close_longest_idle())
+        if endpoint.connections.len() >= self.limits.upstreams.max_connections_per_endpoint
+            || (self.connections.len() >= self.limits.upstreams.max_connections && !self.close_longest_idle())
         {
             return least_loaded;
         }
@@ -167,7 +167,9 @@
     ) -> io::Result<ConnectionId> {
         let stream = Rc::new(self.reserve.open(Purpose::Cache, || connect(address))?);
         // Bytes that the system holds can't be withdrawn any more.
-        if let Err(error) = SockRef::from(&*stream).set_send_buffer_size(self.limits.cache_send) {
+        if let Err(error) =
+            SockRef::from(&*stream).set_send_buffer_size(self.limits.upstreams.send_buffer_bytes)
+        {
             log_line!("a connection to {address} keeps its send buffer: {error}");
         }
         self.connects += 1;
@@ -179,7 +181,7 @@
             Ok(PostAction::Continue)
         };
         let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
-        let deadline = now + self.limits.connect;
+        let deadline = now + self.limits.upstreams.connect_timeout_ms;
         let connection = Connection::new(key, stream, token, &self.buffers, now, deadline);
         self.connections.insert(id, connection);
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
@@ -223,7 +225,7 @@
             }
             loop {
                 let Some(connection) = self.connections.get_mut(&id) else { return };
-                match connection.next_reply(self.limits.string) {
+                match connection.next_reply(self.limits.upstreams.max_string_bytes) {
                     Ok(Some(reply)) => self.on_reply(now, id, reply),
                     Ok(None) => break,
                     Err(error) => return self.close(now, id, &error.to_string()),
@@ -233,7 +235,7 @@
     }
 
     pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
-        self.write(now, id, now - self.limits.client_looked);
+        self.write(now, id, now - self.limits.clients.check_interval_ms);
     }
 
     /// Writes what is queued, however long it has been queued.
--- a/crates/router/src/upstream/timers.rs
+++ b/crates/router/src/upstream/timers.rs
@@ -11,11 +11,13 @@
         let attempts = self.attempts.next_deadline();
         let health_checks = self.health_checks.next_deadline();
         let connections = self.connections.values().map(|connection| {
-            connection.connect_deadline().unwrap_or(connection.last_used + self.limits.idle)
+            connection
+                .connect_deadline()
+                .unwrap_or(connection.last_used + self.limits.upstreams.idle_timeout_ms)
         });
         let up = self.connections.values().filter(|connection| connection.is_up());
         let queues = up.filter_map(|connection| {
-            connection.queue.front().map(|queued| queued.queued_at + self.limits.connect)
+            connection.queue.front().map(|queued| queued.queued_at + self.limits.upstreams.connect_timeout_ms)
         });
         attempts.into_iter().chain(health_checks).chain(connections).chain(queues).reduce(Ms::min)
     }
@@ -27,7 +29,7 @@
         }
         self.time_out_health_checks(now);
         // What has been queued for so long would be sent on grounds that are out of date.
-        let oldest = now - self.limits.connect;
+        let oldest = now - self.limits.upstreams.connect_timeout_ms;
         self.withdraw(now, AttemptEnd::TimedOut, |_, queued| queued.queued_at <= oldest);
         self.close_overdue_connections(now);
     }
@@ -37,7 +39,7 @@
         for (&id, connection) in &mut self.connections {
             match connection.connect_deadline() {
                 Some(deadline) if now >= deadline => late.push(id),
-                None if now >= connection.last_used + self.limits.idle => {
+                None if now >= connection.last_used + self.limits.upstreams.idle_timeout_ms => {
                     // One with open messages is checked again after the same time.
                     connection.last_used = now;
                     if connection.open.is_empty() {
