--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -114,7 +114,7 @@
             _ => return None,
         };
         log_line!(number = journal_position, "fellows: a purge, by the journal as fellows have it");
-        Some(ClusterEffect::Purge(PurgeEvent { object, group, stamp: purge.issued_at }))
+        Some(ClusterEffect::Purge(PurgeEvent { object, group, issued_at: purge.issued_at }))
     }
 
     /// Applies a batch of changes of the hierarchy.
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -286,19 +286,22 @@
     /// Lines of the own journal at a number: what fellows know of a later one still holds, and what of them is news
     /// is passed on.
     pub fn on_endpoint_update(&mut self, now: Ms, hosts: &mut EndpointUpdate, number: u64) {
-        if hosts.all {
-            let listed = |name: &String| hosts.targets.iter().any(|target| target.uid == *name);
+        if hosts.is_complete {
+            let listed = |name: &String| hosts.entries.iter().any(|target| target.uid == *name);
             self.endpoints.retain(|name, _| listed(name));
         }
-        for target in &mut hosts.targets {
+        for target in &mut hosts.entries {
             let name = target.uid.clone();
-            let line =
-                CacheStatus { ready: target.ready(), removed: target.gone(), started_at: target.started() };
+            let line = CacheStatus {
+                ready: target.is_ready(),
+                removed: target.is_removed(),
+                started_at: target.started_at(),
+            };
             let before = self.endpoints.insert(name.clone(), target.clone());
-            if target.gone() {
+            if target.is_removed() {
                 self.endpoints.remove(&name);
             }
-            let was_ready = before.is_none_or(|before| before.ready());
+            let was_ready = before.is_none_or(|before| before.is_ready());
             self.versions.drains_applied += u64::from(was_ready && !line.ready);
             let cache = EndpointKey::of(&name).number();
             if let Some(audit) = &mut self.audit {
@@ -322,8 +325,8 @@
             if self.drained.get(&name).is_some_and(|by| *by <= number) {
                 self.drained.remove(&name);
             }
-            if target.ready() && self.drained.contains_key(&name) {
-                target.bar();
+            if target.is_ready() && self.drained.contains_key(&name) {
+                target.mark_draining();
             }
         }
     }
@@ -346,14 +349,14 @@
         if !line.ready {
             let new = self.drained.insert(name.to_string(), number).is_none();
             let mut target = target.clone();
-            let counts = new && target.ready();
+            let counts = new && target.is_ready();
             self.drains += u64::from(counts);
             self.versions.drains_applied += u64::from(counts);
-            target.bar();
+            target.mark_draining();
             return counts.then_some(target);
         }
         // It is back. One that has started anew is cold, and that is for the own journal to tell.
-        if line.started_at != target.started() {
+        if line.started_at != target.started_at() {
             return None;
         }
         self.drained.remove(name).map(|_| target.clone())
@@ -363,10 +366,13 @@
 
     /// Publishes a purge of the own journal to routers whose journal is silent.
     pub fn on_watch_event(&mut self, now: Ms, event: &WatchEvent) {
-        let Some(purge) = &event.expire else { return };
+        let Some(purge) = &event.purge else { return };
         self.versions.purges_applied += 1;
-        self.record_action(now, AuditedAction::Purge { journal_position: event.pos, from_gossip: false });
-        let published = Purge { issued_at: purge.stamp, journal_position: event.pos };
+        self.record_action(
+            now,
+            AuditedAction::Purge { journal_position: event.position, from_gossip: false },
+        );
+        let published = Purge { issued_at: purge.issued_at, journal_position: event.position };
         self.core.publish_purge(now, &to_purge_key(purge), published);
     }
 
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -216,8 +216,8 @@
                 self.state = PollState::Idle { next_poll: now };
                 self.last_response = now;
                 // Events that were received before do not count twice.
-                events = page.entries.into_iter().filter(|event| event.pos > self.position).collect();
-                self.position = self.position.max(page.pos);
+                events = page.events.into_iter().filter(|event| event.position > self.position).collect();
+                self.position = self.position.max(page.position);
             }
             Err(error) => failure = Some(error.to_string()),
         }
--- a/crates/router/src/discovery/event.rs
+++ b/crates/router/src/discovery/event.rs
@@ -14,12 +14,14 @@
 use crate::log::log_line;
 use crate::policy_adapter::{EndpointInfo, ListedState, Ms, PolicyInput};
 
-/// Events up to a position.
+/// Events up to a position of the journal.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EventPage {
-    pub pos: u64,
-    #[serde(deserialize_with = "readable_events")]
-    pub entries: Vec<WatchEvent>,
+    /// The position of the last event.
+    #[serde(rename = "pos")]
+    pub position: u64,
+    #[serde(rename = "entries", deserialize_with = "readable_events")]
+    pub events: Vec<WatchEvent>,
 }
 
 /// Skips single events that can't be read: failing the poll would block all later events.
@@ -60,32 +62,33 @@
 /// A change of the endpoint list, a purge, or a change of the hierarchy.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WatchEvent {
-    pub pos: u64,
-    #[serde(default)]
-    pub hosts: Option<EndpointUpdate>,
-    #[serde(default)]
-    pub expire: Option<PurgeEvent>,
-    /// A change of the hierarchy; only an extended journal service publishes these.
-    #[serde(default)]
-    pub shape: Option<BatchSpec>,
+    #[serde(rename = "pos")]
+    pub position: u64,
+    #[serde(default, rename = "hosts")]
+    pub endpoints: Option<EndpointUpdate>,
+    #[serde(default, rename = "expire")]
+    pub purge: Option<PurgeEvent>,
+    /// Only an extended journal service publishes these.
+    #[serde(default, rename = "shape")]
+    pub hierarchy_batch: Option<BatchSpec>,
 }
 
 /// The endpoint list, or changes of it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointUpdate {
-    /// Whether endpoints that are not listed are gone.
-    #[serde(default)]
-    pub all: bool,
-    #[serde(default)]
-    pub targets: Vec<EndpointEntry>,
+    /// Whether endpoints that are not listed were removed.
+    #[serde(default, rename = "all")]
+    pub is_complete: bool,
+    #[serde(default, rename = "targets")]
+    pub entries: Vec<EndpointEntry>,
 }
 
-/// A line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointEntry {
     pub uid: String,
-    #[serde(default)]
-    pub endpoint: Option<SocketAddr>,
+    #[serde(default, rename = "endpoint")]
+    pub address: Option<SocketAddr>,
     #[serde(default, rename = "az")]
     zone: String,
     #[serde(default, rename = "model")]
@@ -97,7 +100,7 @@
     weight: f64,
     /// In Unix milliseconds.
     #[serde(default, rename = "boot_ms")]
-    started: Ms,
+    started_at: Ms,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
@@ -105,71 +108,79 @@
     Ready,
     #[serde(rename = "Terminating")]
     Draining,
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
-/// Copies of an object, or of a group of objects, from before a time are out of date.
+/// Copies of an object, or of a group of objects, that were made before a time are out of date.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PurgeEvent {
+    /// In hexadecimal; `None` for all objects of the group.
     #[serde(default, rename = "name")]
     pub object: Option<String>,
     #[serde(default, rename = "set")]
     pub group: u32,
     /// In Unix milliseconds.
-    pub stamp: Ms,
+    #[serde(rename = "stamp")]
+    pub issued_at: Ms,
 }
 
 impl EndpointUpdate {
-    pub fn news(&self) -> PolicyInput {
+    /// The update as it is reported to the policy.
+    pub fn policy_input(&self) -> PolicyInput {
         PolicyInput::Endpoints {
-            complete: self.all,
-            endpoints: self.targets.iter().map(EndpointEntry::host).collect(),
+            complete: self.is_complete,
+            endpoints: self.entries.iter().map(EndpointEntry::endpoint_info).collect(),
         }
     }
 }
 
 impl EndpointEntry {
-    pub fn ready(&self) -> bool {
+    /// Whether it takes new requests.
+    pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Marks it as draining, whatever the list says.
-    pub fn bar(&mut self) {
-        self.state = EndpointState::Draining;
+    /// Whether it is no longer in use.
+    pub fn is_removed(&self) -> bool {
+        self.state == EndpointState::Removed
     }
 
-    pub fn gone(&self) -> bool {
-        self.state == EndpointState::Gone
+    /// Marks it as draining, whatever the list has.
+    pub fn mark_draining(&mut self) {
+        self.state = EndpointState::Draining;
     }
 
-    pub fn started(&self) -> Ms {
-        self.started
+    /// When it started, in Unix milliseconds.
+    pub fn started_at(&self) -> Ms {
+        self.started_at
     }
 
-    pub fn host(&self) -> EndpointInfo {
+    /// The entry as it is reported to the policy.
+    pub fn endpoint_info(&self) -> EndpointInfo {
         EndpointInfo {
             uid: self.uid.clone(),
             zone: self.zone.clone(),
             kind: self.kind.clone(),
             cell: self.cell,
             weight: self.weight,
-            started: self.started,
+            started: self.started_at,
             state: match self.state {
                 EndpointState::Ready => ListedState::Ready,
                 EndpointState::Draining => ListedState::Draining,
-                EndpointState::Gone => ListedState::Gone,
+                EndpointState::Removed => ListedState::Gone,
             },
         }
     }
 }
 
 impl PurgeEvent {
-    /// `None` where the object's name can't be read.
-    pub fn news(&self) -> Option<PolicyInput> {
+    /// The purge as it is reported to the policy; `None` if the object's name is not hexadecimal.
+    pub fn policy_input(&self) -> Option<PolicyInput> {
         let object = match &self.object {
             Some(name) => Some(u64::from_str_radix(name, 16).ok()?),
             None => None,
         };
-        Some(PolicyInput::Purged { object, group: self.group, stamp: self.stamp })
+        Some(PolicyInput::Purged { object, group: self.group, stamp: self.issued_at })
     }
 }
--- a/crates/router/src/hierarchy_adapter/endpoints.rs
+++ b/crates/router/src/hierarchy_adapter/endpoints.rs
@@ -20,7 +20,7 @@
 }
 
 fn phase_of(entry: &EndpointEntry) -> EndpointPhase {
-    match (entry.ready(), entry.gone()) {
+    match (entry.is_ready(), entry.is_removed()) {
         (true, _) => EndpointPhase::Ready,
         (_, true) => EndpointPhase::Removed,
         _ => EndpointPhase::Draining,
@@ -50,11 +50,11 @@
     ) -> Vec<FillDecision> {
         let mut rejected = Vec::new();
         self.next_deadline = now;
-        for entry in &update.targets {
+        for entry in &update.entries {
             let endpoint = EndpointKey::of(&entry.uid);
             let id = node_id(endpoint);
             let phase = phase_of(entry);
-            let outcome = self.hierarchy.update_endpoint(now, id, phase, entry.started());
+            let outcome = self.hierarchy.update_endpoint(now, id, phase, entry.started_at());
             self.record_transitions(&outcome.transitions);
             let cancelled = outcome.cancelled.into_iter();
             rejected.extend(cancelled.filter_map(|ticket| self.reject_queued(attempt_of(ticket))));
--- a/crates/router/src/remote_sites/mod.rs
+++ b/crates/router/src/remote_sites/mod.rs
@@ -222,28 +222,28 @@
         update: &mut EndpointUpdate,
         is_at_this_site: impl Fn(&EndpointEntry) -> bool,
     ) {
-        if update.all {
-            self.remove_unlisted(now, &update.targets);
+        if update.is_complete {
+            self.remove_unlisted(now, &update.entries);
         }
-        for entry in &mut update.targets {
+        for entry in &mut update.entries {
             let name = entry.uid.clone();
             let about = About::Cache(name.clone());
             let known = self.endpoints.contains_key(&name);
-            if entry.gone() {
+            if entry.is_removed() {
                 self.endpoints.remove(&name);
                 self.gateway.say(now, about, Fact::Left);
                 continue;
             }
             let listed = ListedEndpoint { entry: entry.clone(), at_this_site: is_at_this_site(entry) };
             let before = self.endpoints.insert(name.clone(), listed);
-            let was_ready = before.is_none_or(|before| before.entry.ready());
-            if !entry.ready() {
+            let was_ready = before.is_none_or(|before| before.entry.is_ready());
+            if !entry.is_ready() {
                 self.gateway.say(now, about, Fact::Cache { ready: false });
             } else if known && !was_ready {
                 self.gateway.say(now, about, Fact::Cache { ready: true });
             }
-            if entry.ready() && self.gateway.bars(&name) {
-                entry.bar();
+            if entry.is_ready() && self.gateway.bars(&name) {
+                entry.mark_draining();
             }
         }
         self.report_load(now, 0.0);
@@ -262,10 +262,10 @@
     /// The line of an endpoint of the own list with what other sites have announced of it.
     pub fn current_entry(&self, name: &str) -> Option<EndpointUpdate> {
         let mut entry = self.endpoints.get(name)?.entry.clone();
-        if entry.ready() && self.gateway.bars(name) {
-            entry.bar();
+        if entry.is_ready() && self.gateway.bars(name) {
+            entry.mark_draining();
         }
-        Some(EndpointUpdate { all: false, targets: vec![entry] })
+        Some(EndpointUpdate { is_complete: false, entries: vec![entry] })
     }
 
     /// Announces a purge of the own journal.
@@ -274,7 +274,7 @@
             Some(name) => About::Object(name.clone()),
             None => About::Group(purge.group),
         };
-        self.gateway.say(now, about, Fact::Purged { stamp: purge.stamp });
+        self.gateway.say(now, about, Fact::Purged { stamp: purge.issued_at });
     }
 
     // ---- Load.
@@ -283,7 +283,7 @@
     /// there may be, or that of rejected requests.
     pub fn report_load(&mut self, now: Ms, open_ratio: f64) {
         let is_usable = |(name, listed): &(&String, &ListedEndpoint)| {
-            listed.at_this_site && listed.entry.ready() && !self.gateway.bars(name)
+            listed.at_this_site && listed.entry.is_ready() && !self.gateway.bars(name)
         };
         let usable = self.endpoints.iter().filter(is_usable).count() as u32;
         let load = open_ratio.max(self.rejected_ratio * REJECTED_LOAD_FACTOR).min(1.0);
@@ -313,7 +313,7 @@
 
 /// What another site has announced, where that concerns the router.
 fn announcement(about: About, fact: Fact) -> Option<SiteEffect> {
-    let purge = |object, group, stamp| SiteEffect::Purge(PurgeEvent { object, group, stamp });
+    let purge = |object, group, issued_at| SiteEffect::Purge(PurgeEvent { object, group, issued_at });
     match (about, fact) {
         (About::Cache(name), Fact::Cache { .. } | Fact::Left) => Some(SiteEffect::EndpointChanged(name)),
         (About::Object(name), Fact::Purged { stamp }) => Some(purge(Some(name), 0, stamp)),
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -113,7 +113,7 @@
                 &reserve,
                 handle.clone(),
                 journal,
-                initial_events.pos,
+                initial_events.position,
             ),
             buffers,
             reserve,
@@ -138,7 +138,7 @@
             router.apply_operator_file(&config.file.name, config.seed, settings_digest, &operator)?;
             router.operator = Some(file);
         }
-        router.on_watch_events(initial_events.entries);
+        router.on_watch_events(initial_events.events);
         router.on_cluster_timer();
         // Clients are accepted only once the endpoint list is known.
         let address = router.downstreams.listen(config.file.listen_address)?;
@@ -246,7 +246,7 @@
         let now = self.clock.now();
         let Some(hierarchy) = &mut self.hierarchy else { return };
         let policy = &self.policy;
-        let steps = hierarchy.update_endpoints(now, update, |entry| policy.is_local(&entry.host()));
+        let steps = hierarchy.update_endpoints(now, update, |entry| policy.is_local(&entry.endpoint_info()));
         self.execute_fill_steps(steps);
         self.report_fill_sources();
     }
@@ -335,7 +335,7 @@
         let now = self.clock.now();
         for event in events {
             self.counters.watch_events += 1;
-            if let (Some(batch), Some(hierarchy)) = (&event.shape, &mut self.hierarchy) {
+            if let (Some(batch), Some(hierarchy)) = (&event.hierarchy_batch, &mut self.hierarchy) {
                 if let Err(reason) = hierarchy.apply_journal_batch(now, batch) {
                     log_line!("hierarchy: batch {}/{}: {reason}", batch.author, batch.number);
                 }
@@ -344,18 +344,20 @@
             if let Some(cluster) = &mut self.cluster {
                 cluster.on_watch_event(now, &event);
             }
-            if let Some(mut update) = event.hosts {
+            if let Some(mut update) = event.endpoints {
                 if let Some(cluster) = &mut self.cluster {
-                    cluster.on_endpoint_update(now, &mut update, event.pos);
+                    cluster.on_endpoint_update(now, &mut update, event.position);
                 }
                 if let Some(remote_sites) = &mut self.remote_sites {
                     let policy = &self.policy;
-                    remote_sites.on_endpoint_update(now, &mut update, |entry| policy.is_local(&entry.host()));
+                    remote_sites.on_endpoint_update(now, &mut update, |entry| {
+                        policy.is_local(&entry.endpoint_info())
+                    });
                 }
                 self.apply_endpoint_update(&update);
             }
-            if let Some(purge) = &event.expire {
-                self.apply_purge(now, purge, event.pos);
+            if let Some(purge) = &event.purge {
+                self.apply_purge(now, purge, event.position);
             }
         }
     }
@@ -363,15 +365,15 @@
     /// Applies an update of the endpoint list.
     fn apply_endpoint_update(&mut self, update: &EndpointUpdate) {
         let now = self.clock.now();
-        self.upstreams.update_endpoints(now, &update.targets, update.all);
+        self.upstreams.update_endpoints(now, &update.entries, update.is_complete);
         self.update_hierarchy_endpoints(update);
-        let orders = self.policy.handle(now, update.news());
+        let orders = self.policy.handle(now, update.policy_input());
         self.execute(orders, ResponsePayload::Empty);
     }
 
     /// Applies a purge of the own journal.
     fn apply_purge(&mut self, now: Ms, purge: &PurgeEvent, position: u64) {
-        let Some(news) = purge.news() else {
+        let Some(news) = purge.policy_input() else {
             return log_line!("journal: a purge that can't be read, event {position}");
         };
         if let PolicyInput::Purged { object, group, .. } = news {
@@ -791,7 +793,7 @@
         let now = self.clock.now();
         let update = self.remote_sites.as_ref().and_then(|remote_sites| remote_sites.current_entry(name));
         if let Some(update) = update {
-            let state = if update.targets[0].ready() { "back" } else { "drained" };
+            let state = if update.entries[0].is_ready() { "back" } else { "drained" };
             log_line!("gateway: another site says that {name} is {state}");
             self.apply_endpoint_update(&update);
         }
@@ -803,7 +805,7 @@
 
     /// Another site, or another router, has announced a purge.
     fn purged(&mut self, purge: &PurgeEvent) {
-        if let Some(news) = purge.news() {
+        if let Some(news) = purge.policy_input() {
             let orders = self.policy.handle(self.clock.now(), news);
             self.execute(orders, ResponsePayload::Empty);
         }
@@ -859,10 +861,11 @@
     /// Applies a line of the endpoint list with what other routers report of it.
     fn apply_cluster_entry(&mut self, entry: EndpointEntry) {
         let now = self.clock.now();
-        let mut update = EndpointUpdate { all: false, targets: vec![entry] };
+        let mut update = EndpointUpdate { is_complete: false, entries: vec![entry] };
         if let Some(remote_sites) = &mut self.remote_sites {
             let policy = &self.policy;
-            remote_sites.on_endpoint_update(now, &mut update, |entry| policy.is_local(&entry.host()));
+            remote_sites
+                .on_endpoint_update(now, &mut update, |entry| policy.is_local(&entry.endpoint_info()));
         }
         self.apply_endpoint_update(&update);
     }
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -30,23 +30,23 @@
 }
 
 impl<W: EventHandler> Upstreams<W> {
-    /// Applies an update of the endpoint list. An endpoint that is gone or was restarted gets fresh connections: another
+    /// Applies an update of the endpoint list. An endpoint that was removed or restarted gets fresh connections: another
     /// process may answer at its address now.
-    pub fn update_endpoints(&mut self, now: Ms, targets: &[EndpointEntry], complete: bool) {
-        let mut gone = Vec::new();
+    pub fn update_endpoints(&mut self, now: Ms, entries: &[EndpointEntry], complete: bool) {
+        let mut removed = Vec::new();
         if complete {
             let listed: HashSet<EndpointKey> =
-                targets.iter().map(|target| EndpointKey::of(&target.uid)).collect();
-            gone.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
+                entries.iter().map(|entry| EndpointKey::of(&entry.uid)).collect();
+            removed.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
         }
-        self.withdraw_for_unusable(now, targets, &gone);
+        self.withdraw_for_unusable(now, entries, &removed);
         let mut replaced = Vec::new();
-        for target in targets {
-            let key = EndpointKey::of(&target.uid);
-            if target.gone() {
-                gone.push(key);
-            } else if let Some(address) = target.endpoint {
-                if self.update_endpoint(key, target, address) {
+        for entry in entries {
+            let key = EndpointKey::of(&entry.uid);
+            if entry.is_removed() {
+                removed.push(key);
+            } else if let Some(address) = entry.address {
+                if self.update_endpoint(key, entry, address) {
                     replaced.push(key);
                 }
             }
@@ -57,7 +57,7 @@
             self.drain(connections.unwrap_or_default());
         }
         // Endpoints are replaced all day: those that are gone must not accumulate.
-        for key in gone {
+        for key in removed {
             let connections = self.endpoints.remove(&key).map(|endpoint| endpoint.connections);
             self.drain(connections.unwrap_or_default());
         }
@@ -65,26 +65,26 @@
 
     /// Withdraws what is queued for, or fills from, an endpoint that drains, is gone or was replaced: it was ordered by an
     /// older list.
-    fn withdraw_for_unusable(&mut self, now: Ms, targets: &[EndpointEntry], gone: &[EndpointKey]) {
-        let mut unusable: HashSet<EndpointKey> = gone.iter().copied().collect();
-        let is_unusable = |target: &&EndpointEntry| !target.ready() || self.is_replaced(target);
-        unusable.extend(targets.iter().filter(is_unusable).map(|target| EndpointKey::of(&target.uid)));
+    fn withdraw_for_unusable(&mut self, now: Ms, entries: &[EndpointEntry], removed: &[EndpointKey]) {
+        let mut unusable: HashSet<EndpointKey> = removed.iter().copied().collect();
+        let is_unusable = |entry: &&EndpointEntry| !entry.is_ready() || self.is_replaced(entry);
+        unusable.extend(entries.iter().filter(is_unusable).map(|entry| EndpointKey::of(&entry.uid)));
         self.withdraw(now, AttemptEnd::TimedOut, |key, queued| {
             unusable.contains(&key) || queued.source.is_some_and(|source| unusable.contains(&source))
         });
     }
 
     /// Whether a line of the list names another process, or another address, than the known one.
-    fn is_replaced(&self, target: &EndpointEntry) -> bool {
-        let known = self.endpoints.get(&EndpointKey::of(&target.uid)).zip(target.endpoint);
+    fn is_replaced(&self, entry: &EndpointEntry) -> bool {
+        let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.address);
         known.is_some_and(|(endpoint, address)| {
-            endpoint.address != address || endpoint.started != target.started()
+            endpoint.address != address || endpoint.started != entry.started_at()
         })
     }
 
     /// Stores an endpoint; true where it replaces another process or address.
-    fn update_endpoint(&mut self, key: EndpointKey, target: &EndpointEntry, address: SocketAddr) -> bool {
-        let started = target.started();
+    fn update_endpoint(&mut self, key: EndpointKey, entry: &EndpointEntry, address: SocketAddr) -> bool {
+        let started = entry.started_at();
         match self.endpoints.get_mut(&key) {
             Some(endpoint) if endpoint.address == address && endpoint.started == started => false,
             Some(endpoint) => {
@@ -92,7 +92,7 @@
                 true
             }
             None => {
-                let uid = target.uid.clone();
+                let uid = entry.uid.clone();
                 let (last_activity, connections) = (0.0, Vec::new());
                 let endpoint = Endpoint { uid, address, started, last_activity, connections };
                 self.endpoints.insert(key, endpoint);
--- a/crates/router/tests/unit/config.rs
+++ b/crates/router/tests/unit/config.rs
@@ -10,7 +10,7 @@
         "flow_bytes_per_s": 310000, "link_bytes_per_s": 1240000,
         "known": {"pos": 3, "entries": []}, "settings": {"allowed": {"conn-idle": 15000}}}"#;
     let config = Config::decode(text, 4096).expect("a configuration");
-    assert_eq!((config.seed, config.file.initial_events.pos), (0x8c1f_30d2_7a5b_e964, 3));
+    assert_eq!((config.seed, config.file.initial_events.position), (0x8c1f_30d2_7a5b_e964, 3));
     assert!(config.limits.upstreams.idle_timeout_ms < 15_000.0);
     assert!(config.limits.shutdown.max_drain_ms < 700.0, "no class waits for longer than the rest");
     assert!(
@@ -143,7 +143,7 @@
         let read = Config::decode(changed.to_string().as_bytes(), 1_024);
         let outcome = read.map_or_else(
             |error| error.to_string(),
-            |config| format!("passed over, {} events", config.file.initial_events.entries.len()),
+            |config| format!("passed over, {} events", config.file.initial_events.events.len()),
         );
         out += &format!("{at}: {outcome}\n");
     }
--- a/crates/router/tests/unit/discovery.rs
+++ b/crates/router/tests/unit/discovery.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/discovery/http.rs and event.rs`, a part of its module.
+//! Unit tests of `src/discovery/http.rs` and `event.rs`, a part of the former.
 
 use super::*;
 use crate::buffers::BufferPool;
@@ -33,8 +33,9 @@
     );
     for bytes in [plain, chunked] {
         let page = read_by_bytes(bytes.as_bytes());
-        assert_eq!(page.pos, 43);
-        let purge = page.entries.last().and_then(|entry| entry.expire.as_ref()).and_then(PurgeEvent::news);
+        assert_eq!(page.position, 43);
+        let purge =
+            page.events.last().and_then(|event| event.purge.as_ref()).and_then(PurgeEvent::policy_input);
         let object = Some(0x7f3a_9c21_e0b4_d655);
         assert_eq!(purge, Some(PolicyInput::Purged { object, group: 0, stamp: 1_764_576_000_123.0 }));
     }
@@ -44,7 +45,7 @@
 #[test]
 fn an_event_that_cannot_be_read_does_not_hide_the_others() {
     let page: EventPage = serde_json::from_str(PAGE).expect("a page");
-    assert_eq!(page.entries.iter().map(|entry| entry.pos).collect::<Vec<u64>>(), [41, 43]);
+    assert_eq!(page.events.iter().map(|event| event.position).collect::<Vec<u64>>(), [41, 43]);
 }
 
 /// As any reader of JSON would have it that keeps the last of two: the event is not lost for it.
@@ -53,9 +54,9 @@
     let text = r#"{"pos":8,"entries":[{"pos":7,"expire":{"stamp":1,"stamp":5,"set":3}},{"pos":8}]}"#;
     let page: EventPage = serde_json::from_str(text).expect("a page");
     let purges: Vec<_> = page
-        .entries
+        .events
         .iter()
-        .map(|entry| (entry.pos, entry.expire.as_ref().and_then(PurgeEvent::news)))
+        .map(|event| (event.position, event.purge.as_ref().and_then(PurgeEvent::policy_input)))
         .collect();
     assert_eq!(purges, [(7, Some(PolicyInput::Purged { object: None, group: 3, stamp: 5.0 })), (8, None)]);
 }
