--- a/crates/router/src/cluster/endpoint_overrides.rs
+++ b/crates/router/src/cluster/endpoint_overrides.rs
@@ -22,11 +22,11 @@
 
     /// Stores a line of the own list. Whether the endpoint was ready before; a new one counts as ready.
     pub fn replace(&mut self, entry: &EndpointEntry) -> bool {
-        let before = match entry.gone() {
+        let before = match entry.is_removed() {
             true => self.listed.remove(&entry.uid),
             false => self.listed.insert(entry.uid.clone(), entry.clone()),
         };
-        before.is_none_or(|before| before.ready())
+        before.is_none_or(|before| before.is_ready())
     }
 
     /// Overrides a line of the own list at that position where another router's journal has a later drain of it.
@@ -34,8 +34,8 @@
         let Some(drained_at) = self.drained.get(&entry.uid) else { return };
         if *drained_at <= journal_position {
             self.drained.remove(&entry.uid);
-        } else if entry.ready() {
-            entry.bar();
+        } else if entry.is_ready() {
+            entry.mark_draining();
         }
     }
 
@@ -58,15 +58,15 @@
         let listed = self.listed.get(name)?;
         if status.ready {
             // One that was restarted is cold, which only the own journal can tell.
-            let same_process = status.started_at == listed.started();
+            let same_process = status.started_at == listed.started_at();
             return (same_process && self.drained.remove(name).is_some()).then(|| listed.clone());
         }
         let is_new = self.drained.insert(name.to_string(), journal_position).is_none();
-        if !is_new || !listed.ready() {
+        if !is_new || !listed.is_ready() {
             return None;
         }
         let mut drained = listed.clone();
-        drained.bar();
+        drained.mark_draining();
         Some(drained)
     }
 
--- a/crates/router/src/cluster/journal.rs
+++ b/crates/router/src/cluster/journal.rs
@@ -14,17 +14,21 @@
     /// Publishes changes of the endpoint list of the own journal. Lines of which other routers know a later drain are
     /// overridden in `update`.
     pub fn on_endpoint_update(&mut self, now: Ms, update: &mut EndpointUpdate, journal_position: u64) {
-        if update.all {
-            self.endpoints.retain_listed(&update.targets);
+        if update.is_complete {
+            self.endpoints.retain_listed(&update.entries);
         }
-        for entry in &mut update.targets {
+        for entry in &mut update.entries {
             self.on_listed_endpoint(now, entry, journal_position);
             self.endpoints.apply_to(entry, journal_position);
         }
     }
 
     fn on_listed_endpoint(&mut self, now: Ms, entry: &EndpointEntry, journal_position: u64) {
-        let status = CacheStatus { ready: entry.ready(), removed: entry.gone(), started_at: entry.started() };
+        let status = CacheStatus {
+            ready: entry.is_ready(),
+            removed: entry.is_removed(),
+            started_at: entry.started_at(),
+        };
         let was_ready = self.endpoints.replace(entry);
         let is_drained = was_ready && !status.ready;
         let is_restored = !was_ready && status.ready;
@@ -47,10 +51,13 @@
 
     /// Publishes a purge of the own journal to routers whose journal is silent.
     pub fn on_watch_event(&mut self, now: Ms, event: &WatchEvent) {
-        let Some(purge) = &event.expire else { return };
+        let Some(purge) = &event.purge else { return };
         self.versions.purges_applied += 1;
-        self.record_action(now, AuditedAction::Purge { journal_position: event.pos, from_gossip: false });
-        let published = Purge { issued_at: purge.stamp, journal_position: event.pos };
+        self.record_action(
+            now,
+            AuditedAction::Purge { journal_position: event.position, from_gossip: false },
+        );
+        let published = Purge { issued_at: purge.issued_at, journal_position: event.position };
         self.membership.publish_purge(now, &to_purge_key(purge), published);
     }
 
@@ -102,7 +109,7 @@
             _ => return None,
         };
         log_line!(journal_position, "fellows: a purge, by another router's journal");
-        Some(ClusterEffect::Purge(PurgeEvent { object, group, stamp: purge.issued_at }))
+        Some(ClusterEffect::Purge(PurgeEvent { object, group, issued_at: purge.issued_at }))
     }
 }
 
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -75,7 +75,7 @@
             policy,
             downstreams: Downstreams::new(limits, buffers, reserve, handle.clone()),
             upstreams,
-            requests: OpenRequests::new(limits.open),
+            requests: OpenRequests::new(limits.requests.max_open),
             policy_timer: None,
             is_closing: false,
             counters: Counters::default(),
--- a/crates/router/src/remote_sites/requests.rs
+++ b/crates/router/src/remote_sites/requests.rs
@@ -95,7 +95,13 @@
     limits: &Limits,
 ) -> Option<ClientRequest> {
     let mut fields = Fields::from(came.fields.clone());
-    fields.put("d", &format!("{}", (came.remaining + limits.way).min(limits.wait)));
+    fields.put(
+        "d",
+        &format!(
+            "{}",
+            (came.remaining + limits.requests.network_allowance_ms).min(limits.requests.max_wait_ms)
+        ),
+    );
     let body = BufferChain::from_bytes(buffers, &came.body);
     parse_request(NO_CLIENT, &fields, body, limits)
 }
--- a/crates/router/src/upstream/health_check.rs
+++ b/crates/router/src/upstream/health_check.rs
@@ -74,7 +74,7 @@
         let message = QueuedMessage::control(Some(check.clone()), now, bytes);
         connection.enqueue(now, message, ExchangeOwner::HealthCheck);
         let sent = SentCheck { connection: id, id: check };
-        self.health_checks.deadlines.insert(now + self.limits.probe, sent);
+        self.health_checks.deadlines.insert(now + self.limits.upstreams.health_check_timeout_ms, sent);
         self.flush(now, id);
     }
 
