--- a/crates/router/src/discovery/event.rs
+++ b/crates/router/src/discovery/event.rs
@@ -157,7 +157,7 @@
             state: match self.state {
                 EndpointState::Ready => ListedState::Ready,
                 EndpointState::Draining => ListedState::Draining,
-                EndpointState::Gone => ListedState::Gone,
+                EndpointState::Gone => ListedState::Removed,
             },
         }
     }
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -17,9 +17,10 @@
 /// The signals that a process of routers handles.
 pub const SIGNALS: [Signal; 4] = [Signal::SIGTERM, Signal::SIGINT, Signal::SIGUSR1, Signal::SIGHUP];
 
-/// Turns after the last request in which other routers can be told of the end, and how long one may take.
-const LAST_TURNS: usize = 4;
-const LAST_TURN: Duration = Duration::from_millis(5);
+/// Turns of the event loop after the last request, in which other routers are notified of the end.
+const FAREWELL_TURNS: usize = 4;
+/// How long such a turn may take.
+const FAREWELL_TURN_TIME: Duration = Duration::from_millis(5);
 
 /// Evaluates the operator file at the start, in a child process.
 ///
@@ -39,11 +40,13 @@
 ///
 /// A configuration or operator file that can't be used, and errors of the system.
 pub fn run(arguments: &cli::Run) -> Result<(), StartError> {
-    let file = arguments.operator.clone();
-    let operator = file.map(|file| read_operator(&file).map(|operator| (file, operator))).transpose()?;
-    log::begin(operator.as_ref().and_then(|(_, operator)| operator.log).is_some_and(|log| log.json));
-    let path = std::env::var_os("LB_CONFIG").ok_or(StartError::NoConfig)?;
-    let path = PathBuf::from(path);
+    let operator = match &arguments.operator {
+        Some(file) => Some((file.clone(), read_operator(file)?)),
+        None => None,
+    };
+    let log_settings = operator.as_ref().and_then(|(_, operator)| operator.log);
+    log::begin(log_settings.is_some_and(|log| log.json));
+    let path = PathBuf::from(std::env::var_os("LB_CONFIG").ok_or(StartError::NoConfig)?);
     let config = Config::read(&path)?;
     if config.limits.descriptors < config.file.sockets() {
         log_line!(
@@ -72,7 +75,7 @@
     operator: Option<(PathBuf, OperatorConfig)>,
 ) -> Result<(), StartError> {
     let log_settings = operator.as_ref().and_then(|(_, operator)| operator.log);
-    log::hold_to(log_settings.map_or(config.limits.log_lines, |log| log.lines_per_second));
+    log::limit_rate(log_settings.map_or(config.limits.log_lines, |log| log.lines_per_second));
     let mut router = Router::new(path, config, operator, &events.handle())?;
     while !router.is_drained() {
         events.dispatch(router.time_to_deadline(), &mut router)?;
@@ -87,8 +90,8 @@
     router.close_clients();
     if router.has_cluster() {
         router.end_audit_log();
-        for _ in 0..LAST_TURNS {
-            events.dispatch(LAST_TURN, &mut router)?;
+        for _ in 0..FAREWELL_TURNS {
+            events.dispatch(FAREWELL_TURN_TIME, &mut router)?;
             router.on_timer();
         }
     }
--- a/crates/router/src/log.rs
+++ b/crates/router/src/log.rs
@@ -1,6 +1,6 @@
-//! Owns the log lines: one macro over `tracing`, held to a rate, as text or as JSON lines on standard error.
+//! Log lines: one macro over `tracing`, with a limited rate, as text or as JSON lines on standard error.
 //!
-//! Must never flood the log, end the router because nobody reads it, or take part in a decision.
+//! A log that nobody reads never ends the router, and no decision depends on what was logged.
 
 use std::cell::Cell;
 use std::fmt;
@@ -12,26 +12,28 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// How many lines may go out in each second.
+/// How many lines may be written in each second.
 #[derive(Debug, Clone, Copy)]
 struct Budget {
+    /// The start of the current second.
     since: Instant,
     per_second: u32,
     left: u32,
-    held_back: u32,
+    /// Lines that were not written since the last one.
+    suppressed: u32,
 }
 
 thread_local! {
     static BUDGET: Cell<Option<Budget>> = const { Cell::new(None) };
 }
 
-/// Sets the rate; before that every line goes out.
-pub fn hold_to(per_second: u32) {
+/// Sets the rate of this thread; before that every line is written.
+pub fn limit_rate(per_second: u32) {
     let since = Instant::now();
-    BUDGET.set(Some(Budget { since, per_second, left: per_second, held_back: 0 }));
+    BUDGET.set(Some(Budget { since, per_second, left: per_second, suppressed: 0 }));
 }
 
-/// Whether a line may go out now, and how many were held back before it.
+/// Whether a line may be written now: how many were suppressed before it, or `None`.
 pub fn admit() -> Option<u32> {
     let Some(mut budget) = BUDGET.get() else { return Some(0) };
     if budget.since.elapsed() >= Duration::from_secs(1) {
@@ -39,44 +41,45 @@
         budget.left = budget.per_second;
     }
     let admitted = budget.left > 0;
-    let held_back = if admitted { std::mem::take(&mut budget.held_back) } else { 0 };
+    let suppressed = if admitted { std::mem::take(&mut budget.suppressed) } else { 0 };
     match admitted {
         true => budget.left -= 1,
-        false => budget.held_back += 1,
+        false => budget.suppressed += 1,
     }
     BUDGET.set(Some(budget));
-    admitted.then_some(held_back)
+    admitted.then_some(suppressed)
 }
 
-/// `linnethook: message name=value ...`, as it always was; the thread's name before the message where routers share a
-/// process.
-struct Plain {
-    named: bool,
+/// Writes `linnethook: message name=value ...`.
+struct PlainFormat {
+    /// The thread's name stands before the message: routers share the process.
+    has_thread_name: bool,
 }
 
-impl<S, N> FormatEvent<S, N> for Plain
+impl<S, N> FormatEvent<S, N> for PlainFormat
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
     fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
-        let mut line = Line::default();
+        let mut line = RecordedLine::default();
         event.record(&mut line);
         let thread = std::thread::current();
-        match thread.name().filter(|_| self.named) {
+        match thread.name().filter(|_| self.has_thread_name) {
             Some(name) => writeln!(to, "linnethook: {name}: {}{}", line.message, line.fields),
             None => writeln!(to, "linnethook: {}{}", line.message, line.fields),
         }
     }
 }
 
+/// The parts of a line as `tracing` hands them over.
 #[derive(Default)]
-struct Line {
+struct RecordedLine {
     message: String,
     fields: String,
 }
 
-impl Visit for Line {
+impl Visit for RecordedLine {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
             "message" => self.message = format!("{value:?}"),
@@ -85,8 +88,8 @@
     }
 }
 
-/// Has lines written from here on. A line that can't be written is passed over: guards against the end of whoever
-/// reads the log being the router's end too.
+/// Has lines written from here on. A line that can't be written is skipped, so that the router outlives the reader of its
+/// log.
 pub fn begin(json: bool) {
     write(json, false);
 }
@@ -96,28 +99,30 @@
     write(json, true);
 }
 
-fn write(json: bool, named: bool) {
+fn write(json: bool, has_thread_name: bool) {
     let builder = tracing_subscriber::fmt().with_writer(std::io::stderr).log_internal_errors(false);
     // A second call changes nothing: the first one stands.
     let _ = match json {
         true => {
-            let builder = builder.json().flatten_event(true).with_thread_names(named);
+            let builder = builder.json().flatten_event(true).with_thread_names(has_thread_name);
             tracing::subscriber::set_global_default(builder.finish())
         }
-        false => tracing::subscriber::set_global_default(builder.event_format(Plain { named }).finish()),
+        false => tracing::subscriber::set_global_default(
+            builder.event_format(PlainFormat { has_thread_name }).finish(),
+        ),
     };
 }
 
 /// Writes a line to the log, with fields before the message where there are any; one that begins with `always` is
-/// not held back.
+/// not subject to the rate.
 macro_rules! log_line {
     (always $($part:tt)*) => {
         tracing::info!($($part)*)
     };
     ($($part:tt)*) => {
-        if let Some(held_back) = $crate::log::admit() {
-            if held_back > 0 {
-                tracing::info!("{held_back} lines held back");
+        if let Some(suppressed) = $crate::log::admit() {
+            if suppressed > 0 {
+                tracing::info!("{suppressed} lines held back");
             }
             tracing::info!($($part)*);
         }
--- a/crates/router/src/multi_router.rs
+++ b/crates/router/src/multi_router.rs
@@ -3,6 +3,8 @@
 //!
 //! The first thread handles the signals and passes them to all routers; a router that fails ends them all.
 
+use std::fmt;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::thread;
 
@@ -17,27 +19,60 @@
 use crate::router::Router;
 use crate::start_error::StartError;
 
+/// Why one of several routers of a process does not start, or ends early.
+#[derive(Debug)]
+pub enum RouterError {
+    /// It could not start, or its event loop failed.
+    Failed(StartError),
+    /// Its thread panicked.
+    Panicked,
+    /// Its thread could not be started.
+    Thread(io::Error),
+}
+
+impl fmt::Display for RouterError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Self::Failed(error) => error.fmt(f),
+            Self::Panicked => f.write_str("a router's thread panicked"),
+            Self::Thread(error) => error.fmt(f),
+        }
+    }
+}
+
+impl std::error::Error for RouterError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            Self::Failed(error) => Some(error),
+            Self::Panicked => None,
+            Self::Thread(error) => Some(error),
+        }
+    }
+}
+
 /// How a router of this process ended.
-type RouterResult = Result<(), String>;
+type RouterResult = Result<(), RouterError>;
 
 /// The routers of this process, as its first thread sees them.
 #[derive(Default)]
 struct Routers {
     signals: Vec<Sender<Signal>>,
     running: usize,
-    first_failure: Option<String>,
+    first_failure: Option<RouterError>,
 }
 
 impl Routers {
+    /// Passes a signal to all routers.
     fn broadcast(&self, signal: Signal) {
         // A router that has ended receives nothing any more.
         self.signals.iter().for_each(|router| _ = router.send(signal));
     }
 
+    /// Ends the other routers where one has failed.
     fn on_ended(&mut self, result: RouterResult) {
         self.running -= 1;
-        if let Err(reason) = result {
-            self.first_failure.get_or_insert(reason);
+        if let Err(error) = result {
+            self.first_failure.get_or_insert(error);
             self.broadcast(Signal::SIGTERM);
         }
     }
@@ -62,16 +97,9 @@
 ///
 /// The first failure of a router, and errors of the system.
 pub fn run(files: &[PathBuf]) -> Result<(), StartError> {
-    let mut parts = Vec::new();
-    for path in files {
-        // One after the other: each is evaluated by a child process.
-        let file = path.with_extension("star");
-        let operator = file.exists().then(|| read_operator(&file)).transpose()?;
-        let operator = operator.map(|operator| (file, operator));
-        parts.push((path.clone(), Config::read(path)?, operator));
-    }
-    let json = |(_, operator): &(PathBuf, OperatorConfig)| operator.log.is_some_and(|log| log.json);
-    log::begin_named(parts.iter().any(|(.., operator)| operator.as_ref().is_some_and(json)));
+    // One after the other: each operator file is evaluated by a child process.
+    let setups = files.iter().map(|path| RouterSetup::read(path)).collect::<Result<Vec<_>, _>>()?;
+    log::begin_named(setups.iter().any(RouterSetup::logs_json));
     let mut events: EventLoop<'static, Routers> = EventLoop::try_new()?;
     // Before there are other threads, which must not receive signals.
     let signals = Signals::new(&SIGNALS)?;
@@ -87,46 +115,57 @@
     };
     events.handle().insert_source(results, on_result).map_err(|error| error.error)?;
     let mut routers = Routers::default();
-    for (path, config, operator) in parts {
-        start(&mut routers, &sender, path, config, operator);
+    for setup in setups {
+        start(&mut routers, &sender, setup);
     }
     while routers.running > 0 {
         events.dispatch(None, &mut routers)?;
     }
-    routers.first_failure.map_or(Ok(()), |reason| Err(StartError::Router(reason)))
+    routers.first_failure.map_or(Ok(()), |error| Err(StartError::Router(Box::new(error))))
 }
 
-/// Starts a router on a thread of its own.
-fn start(
-    routers: &mut Routers,
-    sender: &Sender<RouterResult>,
+/// What one router starts from.
+struct RouterSetup {
     path: PathBuf,
     config: Config,
+    /// The operator file, where there is one.
     operator: Option<(PathBuf, OperatorConfig)>,
-) {
+}
+
+impl RouterSetup {
+    fn read(path: &Path) -> Result<Self, StartError> {
+        let file = path.with_extension("star");
+        let operator = file.exists().then(|| read_operator(&file)).transpose()?;
+        let operator = operator.map(|operator| (file, operator));
+        Ok(Self { path: path.to_path_buf(), config: Config::read(path)?, operator })
+    }
+
+    fn logs_json(&self) -> bool {
+        let log = self.operator.as_ref().and_then(|(_, operator)| operator.log);
+        log.is_some_and(|log| log.json)
+    }
+}
+
+/// Starts a router on a thread of its own.
+fn start(routers: &mut Routers, sender: &Sender<RouterResult>, setup: RouterSetup) {
     let (signal_sender, signals) = channel();
-    let result = Err("a router's thread panicked".to_string());
-    let guard = ResultGuard { sender: sender.clone(), result };
-    let name = config.file.name.clone();
+    let guard = ResultGuard { sender: sender.clone(), result: Err(RouterError::Panicked) };
+    let name = setup.config.file.name.clone();
     let router = move || {
         let mut guard = guard;
-        guard.result = serve_one(&path, config, operator, signals).map_err(|error| error.to_string());
+        guard.result = serve_one(setup, signals).map_err(RouterError::Failed);
     };
     // Counted before it runs: a thread that can't be started reports its end too.
     routers.running += 1;
     routers.signals.push(signal_sender);
     if let Err(error) = thread::Builder::new().name(name).spawn(router) {
-        routers.first_failure.get_or_insert(error.to_string());
+        routers.first_failure.get_or_insert(RouterError::Thread(error));
     }
 }
 
 /// Runs a router on this thread.
-fn serve_one(
-    path: &Path,
-    config: Config,
-    operator: Option<(PathBuf, OperatorConfig)>,
-    signals: Channel<Signal>,
-) -> Result<(), StartError> {
+fn serve_one(setup: RouterSetup, signals: Channel<Signal>) -> Result<(), StartError> {
+    let RouterSetup { path, config, operator } = setup;
     let events: EventLoop<'static, Router> = EventLoop::try_new()?;
     let on_signal = |event: Event<Signal>, _: &mut (), router: &mut Router| {
         if let Event::Msg(signal) = event {
@@ -134,5 +173,5 @@
         }
     };
     events.handle().insert_source(signals, on_signal).map_err(|error| error.error)?;
-    serve(events, path, config, operator)
+    serve(events, &path, config, operator)
 }
--- a/crates/router/src/policy_adapter/events.rs
+++ b/crates/router/src/policy_adapter/events.rs
@@ -35,7 +35,7 @@
     /// It takes no new requests.
     Draining,
     /// It is no longer listed.
-    Gone,
+    Removed,
 }
 
 impl ListedState {
@@ -43,7 +43,7 @@
         match self {
             Self::Ready => EndpointPhase::Ready,
             Self::Draining => EndpointPhase::Draining,
-            Self::Gone => EndpointPhase::Removed,
+            Self::Removed => EndpointPhase::Removed,
         }
     }
 }
--- a/crates/router/src/proxy/endpoints.rs
+++ b/crates/router/src/proxy/endpoints.rs
@@ -15,7 +15,8 @@
         self.counters.watch_events += 1;
         if let (Some(batch), Some(hierarchy)) = (&event.shape, &mut self.parts.hierarchy) {
             if let Err(reason) = hierarchy.apply_journal_batch(now, batch) {
-                log_line!("hierarchy: batch {}/{}: {reason}", batch.author, batch.number);
+                let (author, number) = (batch.author, batch.number);
+                log_line!(author, number, %reason, "hierarchy: a batch of the journal was not applied");
             }
             self.report_fill_sources();
         }
--- a/crates/router/src/start_error.rs
+++ b/crates/router/src/start_error.rs
@@ -8,12 +8,14 @@
 use crate::cli::Failed as CommandError;
 use crate::config::ConfigError;
 use crate::hierarchy_adapter::HierarchyError;
+use crate::multi_router::RouterError;
 
 /// An error that ends the process with exit code 1.
 #[derive(Debug)]
 pub enum StartError {
     /// `LB_CONFIG` is not set.
     NoConfig,
+    /// The configuration can't be used.
     Config(ConfigError),
     /// The operator file can't be evaluated.
     Operator(OperatorError),
@@ -21,15 +23,19 @@
     Evaluation(CommandError),
     /// The hierarchy of the operator file can't be used.
     Hierarchy(HierarchyError),
+    /// The control socket can't be listened at.
     ControlSocket {
+        /// The path of the socket.
         path: String,
+        /// The error of the system.
         source: io::Error,
     },
     /// An error of the system, for instance an address in use.
     System(io::Error),
+    /// The event loop can't be used.
     EventLoop(calloop::Error),
     /// One of several routers of this process.
-    Router(String),
+    Router(Box<RouterError>),
 }
 
 impl fmt::Display for StartError {
@@ -40,7 +46,7 @@
             Self::Operator(error) => error.fmt(f),
             Self::Evaluation(error) => f.write_str(error.text()),
             Self::Hierarchy(error) => error.fmt(f),
-            Self::Router(reason) => f.write_str(reason),
+            Self::Router(error) => error.fmt(f),
             Self::ControlSocket { path, source } => write!(f, "control socket {path}: {source}"),
             Self::System(error) => error.fmt(f),
             Self::EventLoop(error) => error.fmt(f),
@@ -56,7 +62,8 @@
             Self::ControlSocket { source, .. } | Self::System(source) => Some(source),
             Self::Hierarchy(error) => Some(error),
             Self::EventLoop(error) => Some(error),
-            Self::NoConfig | Self::Evaluation(_) | Self::Router(_) => None,
+            Self::Router(error) => Some(error),
+            Self::NoConfig | Self::Evaluation(_) => None,
         }
     }
 }
--- a/crates/router/tests/unit/policy_adapter.rs
+++ b/crates/router/tests/unit/policy_adapter.rs
@@ -121,8 +121,8 @@
                 started: now,
                 state,
             };
-            let state = if n < 400 { ListedState::Ready } else { ListedState::Gone };
-            let hosts = vec![host(n, state), host(n.wrapping_sub(1), ListedState::Gone)];
+            let state = if n < 400 { ListedState::Ready } else { ListedState::Removed };
+            let hosts = vec![host(n, state), host(n.wrapping_sub(1), ListedState::Removed)];
             adapter.handle(now, PolicyInput::Endpoints { complete: false, endpoints: hosts });
             let expired = PolicyInput::Purged { object: Some(u64::from(n)), group: 0, stamp: now };
             adapter.handle(now, expired);
