--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-use crate::descriptors::ran_out;
+use crate::descriptors::is_out_of_descriptors;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
@@ -53,7 +53,7 @@
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => continue,
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 // There are fewer descriptors than configured: from here on idle clients are closed for new ones.
-                Err(error) if ran_out(&error) && !self.clients.is_empty() => {
+                Err(error) if is_out_of_descriptors(&error) && !self.clients.is_empty() => {
                     if self.short_since.is_none() {
                         log_line!("accept: {error}");
                     }
--- a/crates/router/src/event_loop.rs
+++ b/crates/router/src/event_loop.rs
@@ -45,7 +45,7 @@
         None => None,
     };
     let log_settings = operator.as_ref().and_then(|(_, operator)| operator.log);
-    log::begin(log_settings.is_some_and(|log| log.json));
+    log::start(log_settings.is_some_and(|log| log.json));
     let path = PathBuf::from(std::env::var_os("LB_CONFIG").ok_or(StartError::NoConfig)?);
     let config = Config::read(&path)?;
     if config.limits.descriptors.available < config.file.promised_descriptors() {
--- a/crates/router/src/log.rs
+++ b/crates/router/src/log.rs
@@ -90,12 +90,12 @@
 
 /// Has lines written from here on. A line that can't be written is skipped, so that the router outlives the reader of its
 /// log.
-pub fn begin(json: bool) {
+pub fn start(json: bool) {
     write(json, false);
 }
 
 /// The same for a process of several routers: each line has the name of its thread.
-pub fn begin_named(json: bool) {
+pub fn start_with_thread_names(json: bool) {
     write(json, true);
 }
 
--- a/crates/router/src/multi_router.rs
+++ b/crates/router/src/multi_router.rs
@@ -99,7 +99,7 @@
 pub fn run(files: &[PathBuf]) -> Result<(), StartError> {
     // One after the other: each operator file is evaluated by a child process.
     let setups = files.iter().map(|path| RouterSetup::read(path)).collect::<Result<Vec<_>, _>>()?;
-    log::begin_named(setups.iter().any(RouterSetup::logs_json));
+    log::start_with_thread_names(setups.iter().any(RouterSetup::logs_json));
     let mut events: EventLoop<'static, Routers> = EventLoop::try_new()?;
     // Before there are other threads, which must not receive signals.
     let signals = Signals::new(&SIGNALS)?;
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -19,7 +19,7 @@
 use crate::clock::Clock;
 use crate::config::Limits;
 use crate::counters::{Counters, Gauges};
-use crate::descriptors::Reserve;
+use crate::descriptors::DescriptorReserve;
 use crate::downstream::Downstreams;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
@@ -38,7 +38,7 @@
     /// Where buffers come from.
     pub buffers: &'a BufferPool,
     /// Descriptors for what has to go on.
-    pub reserve: &'a Reserve,
+    pub reserve: &'a DescriptorReserve,
     /// The event loop.
     pub handle: &'a LoopHandle<'static, W>,
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -20,7 +20,7 @@
 use crate::config::{Config, Limits};
 use crate::control::{ControlRequest, ControlResponse};
 use crate::counters::{CounterReport, Counters, DiscoveryCounts};
-use crate::descriptors::Reserve;
+use crate::descriptors::DescriptorReserve;
 use crate::discovery::event::WatchEvent;
 use crate::discovery::DiscoveryClient;
 use crate::hierarchy_control;
@@ -43,7 +43,7 @@
     /// The file that `LB_CONFIG` names, read again at each SIGHUP.
     config_path: PathBuf,
     limits: Limits,
-    reserve: Reserve,
+    reserve: DescriptorReserve,
     handle: LoopHandle<'static, Self>,
     proxy: Proxy<Self>,
     discovery: DiscoveryClient<Self>,
@@ -69,7 +69,7 @@
         let (operator_file, operator) = operator.unzip();
         let has_gateway = operator.as_ref().is_some_and(|operator| operator.gateway.is_some());
         let limits = if has_gateway { config.limits.with_links() } else { config.limits };
-        let reserve = Reserve::take(limits.descriptors.reserved)?;
+        let reserve = DescriptorReserve::new(limits.descriptors.reserved)?;
         let buffers = BufferPool::new(
             limits.buffers.block_bytes,
             limits.buffers.max_free_blocks,
@@ -223,7 +223,7 @@
     /// nothing.
     fn reload(&mut self) {
         self.reloads += 1;
-        match self.reserve.lend(|| Config::read(&self.config_path)) {
+        match self.reserve.run_with_all(|| Config::read(&self.config_path)) {
             Ok(config) => {
                 log_line!(always "reloaded: the journal is at {}", config.file.journal_address);
                 self.discovery.set_address(self.clock.now(), config.file.journal_address);
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -8,7 +8,7 @@
 
 use socket2::SockRef;
 
-use crate::descriptors::{ran_out, Purpose};
+use crate::descriptors::{is_out_of_descriptors, DescriptorPurpose};
 use crate::discovery::event::EndpointEntry;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
@@ -148,7 +148,7 @@
             return least_loaded;
         }
         let mut opened = self.open_connection(now, key, address);
-        if opened.as_ref().is_err_and(ran_out) && self.close_longest_idle() {
+        if opened.as_ref().is_err_and(is_out_of_descriptors) && self.close_longest_idle() {
             opened = self.open_connection(now, key, address);
         }
         match opened {
@@ -176,7 +176,7 @@
         key: EndpointKey,
         address: SocketAddr,
     ) -> io::Result<ConnectionId> {
-        let stream = Rc::new(self.reserve.open(Purpose::Cache, || sockets::connect(address))?);
+        let stream = Rc::new(self.reserve.open(DescriptorPurpose::Cache, || sockets::connect(address))?);
         // Bytes that the system holds can't be withdrawn any more.
         if let Err(error) =
             SockRef::from(&*stream).set_send_buffer_size(self.limits.upstreams.send_buffer_bytes)
