--- a/crates/router/src/buffers.rs
+++ b/crates/router/src/buffers.rs
@@ -1,4 +1,6 @@
 //! Buffers: reusable blocks of one size, and chains of them for longer messages.
+//!
+//! Bytes are copied into and out of the blocks of a chain; whole blocks move from chain to chain without a copy.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -23,8 +25,8 @@
 impl BufferPool {
     /// A pool of blocks of that many bytes; at most `max_free` unused ones are retained.
     pub fn new(block_size: usize, max_free: usize, max_in_use: usize) -> Self {
-        let (free, size) = (Vec::new(), block_size.max(1));
-        Self(Rc::new(RefCell::new(Blocks { free, size, max_free, max_in_use, in_use: 0 })))
+        let size = block_size.max(1);
+        Self(Rc::new(RefCell::new(Blocks { free: Vec::new(), size, max_free, max_in_use, in_use: 0 })))
     }
 
     /// Whether reading should pause until blocks are released. Blocks are handed out all the same.
@@ -55,6 +57,7 @@
     }
 }
 
+/// A block, filled from `start` to `end`.
 #[derive(Debug)]
 struct Block {
     bytes: Box<[u8]>,
@@ -105,7 +108,7 @@
     /// Appends bytes.
     pub fn push(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            let last = self.tail();
+            let last = self.writable_block();
             let n = bytes.len().min(last.bytes.len() - last.end);
             last.bytes[last.end..last.end + n].copy_from_slice(&bytes[..n]);
             last.end += n;
@@ -114,8 +117,8 @@
         }
     }
 
-    /// The last block, with free space in it.
-    fn tail(&mut self) -> &mut Block {
+    /// The last block, with free space in it; a new one where there is none.
+    fn writable_block(&mut self) -> &mut Block {
         if self.blocks.back().is_none_or(|block| block.end == block.bytes.len()) {
             self.blocks.push_back(self.pool.acquire());
         }
@@ -129,7 +132,7 @@
         self.blocks.append(&mut other.blocks);
     }
 
-    /// A second chain with a copy of the bytes.
+    /// Another chain with a copy of the bytes.
     pub fn duplicate(&self) -> Self {
         let mut duplicate = Self::new(&self.pool);
         self.blocks.iter().for_each(|block| duplicate.push(block.filled()));
@@ -167,9 +170,9 @@
         n = n.min(self.len);
         self.len -= n;
         while let Some(first) = self.blocks.front_mut() {
-            let here = first.filled().len().min(n);
-            first.start += here;
-            n -= here;
+            let dropped = first.filled().len().min(n);
+            first.start += dropped;
+            n -= dropped;
             if first.start < first.end {
                 break;
             }
@@ -181,22 +184,22 @@
 
     /// Splits the first `n` bytes off; complete blocks are moved, not copied.
     pub fn split_to(&mut self, n: usize) -> Self {
-        let mut left = n.min(self.len);
+        let mut remaining = n.min(self.len);
         let mut split = Self::new(&self.pool);
-        while left > 0 {
+        while remaining > 0 {
             let Some(first) = self.blocks.front() else { break };
-            let here = first.filled().len();
-            if here <= left {
+            let block_len = first.filled().len();
+            if block_len <= remaining {
                 if let Some(block) = self.blocks.pop_front() {
-                    split.len += here;
+                    split.len += block_len;
                     split.blocks.push_back(block);
                 }
-                self.len -= here;
-                left -= here;
+                self.len -= block_len;
+                remaining -= block_len;
             } else {
-                split.push(&first.filled()[..left]);
-                self.consume(left);
-                left = 0;
+                split.push(&first.filled()[..remaining]);
+                self.consume(remaining);
+                remaining = 0;
             }
         }
         split
@@ -208,7 +211,7 @@
     ///
     /// Those of the reader.
     pub fn read_from(&mut self, mut from: impl Read) -> io::Result<usize> {
-        let last = self.tail();
+        let last = self.writable_block();
         let end = last.end;
         let outcome = from.read(&mut last.bytes[end..]);
         if let Ok(n) = outcome {
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -6,8 +6,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use calloop::generic::Generic;
-use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
+use calloop::{LoopHandle, Readiness, RegistrationToken};
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
@@ -15,7 +14,7 @@
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
-use crate::sockets::connect;
+use crate::sockets::{connect, register_stream};
 
 use super::event::WatchEvent;
 use super::http::decode_response;
@@ -148,12 +147,7 @@
 
     fn connect(&self) -> io::Result<Connection> {
         let stream = Rc::new(self.reserve.open(Purpose::Discovery, || connect(self.address))?);
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = |readiness: Readiness, _: &mut _, handler: &mut W| {
-            handler.on_discovery_ready(readiness);
-            Ok(PostAction::Continue)
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let token = register_stream(&self.handle, &stream, W::on_discovery_ready)?;
         let (input, output) = (BufferChain::new(&self.buffers), BufferChain::new(&self.buffers));
         Ok(Connection { stream, token, up: false, input, output })
     }
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -14,6 +14,15 @@
 use super::connection::ClientConnection;
 use super::{ClientEvent, ClientId, Downstreams};
 
+/// What follows an accept that failed.
+enum AfterAcceptError {
+    AcceptNext,
+    /// All that waited were accepted.
+    NoneWaits,
+    /// The listener is disabled until the next sweep.
+    Pause,
+}
+
 impl<W: EventHandler> Downstreams<W> {
     /// Listens at an address; the one that it got is returned, since port 0 stands for any.
     ///
@@ -45,27 +54,17 @@
             }
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    self.accept_pending = false;
-                    return true;
-                }
-                // The client has closed the connection before it was accepted.
-                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => continue,
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                // There are fewer descriptors than configured: from here on idle clients are closed for new ones.
-                Err(error) if ran_out(&error) && !self.clients.is_empty() => {
-                    if self.short_since.is_none() {
-                        log_line!("accept: {error}");
+                Err(error) => match self.on_accept_error(now, &error) {
+                    AfterAcceptError::AcceptNext => continue,
+                    AfterAcceptError::NoneWaits => {
+                        self.accept_pending = false;
+                        return true;
                     }
-                    (self.max_clients, self.short_since) = (self.clients.len(), Some(now));
-                    continue;
-                }
-                Err(error) => {
-                    // Without the pause the next accept would fail at once, and the loop would spin.
-                    log_line!("accept: {error}");
-                    self.accept_paused = true;
-                    return false;
-                }
+                    AfterAcceptError::Pause => {
+                        self.accept_paused = true;
+                        return false;
+                    }
+                },
             };
             match self.add_client(now, stream) {
                 Ok(id) => self.read(now, id, events),
@@ -75,6 +74,28 @@
         true
     }
 
+    fn on_accept_error(&mut self, now: Ms, error: &io::Error) -> AfterAcceptError {
+        match error.kind() {
+            io::ErrorKind::WouldBlock => return AfterAcceptError::NoneWaits,
+            // The client has closed the connection before it was accepted.
+            io::ErrorKind::ConnectionAborted => return AfterAcceptError::AcceptNext,
+            io::ErrorKind::Interrupted => return AfterAcceptError::AcceptNext,
+            _ => {}
+        }
+        if ran_out(error) && !self.clients.is_empty() {
+            // There are fewer descriptors than configured: from here on idle clients are closed for new ones.
+            if self.short_since.is_none() {
+                log_line!("accept: {error}");
+            }
+            self.max_clients = self.clients.len();
+            self.short_since = Some(now);
+            return AfterAcceptError::AcceptNext;
+        }
+        // Without the pause the next accept would fail at once, and the loop would spin.
+        log_line!("accept: {error}");
+        AfterAcceptError::Pause
+    }
+
     fn add_client(&mut self, now: Ms, stream: TcpStream) -> io::Result<ClientId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
--- a/crates/router/src/downstream/reader.rs
+++ b/crates/router/src/downstream/reader.rs
@@ -137,7 +137,8 @@
                 }
                 Err(error) => return self.break_off(now, id, &error.to_string(), events),
             };
-            (client.partial_since, client.last_used) = (None, now);
+            client.partial_since = None;
+            client.last_used = now;
             match message {
                 ClientMessage::Request { stream, fields, body } => {
                     if let Err(reason) = self.add_request(id, stream, &fields, body, events) {
--- a/crates/router/src/downstream/timers.rs
+++ b/crates/router/src/downstream/timers.rs
@@ -28,7 +28,8 @@
             return;
         }
         self.next_sweep = now + self.limits.client_sweep;
-        let (mut removed, mut broken_off) = (Vec::new(), Vec::new());
+        let mut removed = Vec::new();
+        let mut broken_off = Vec::new();
         for (&id, client) in &self.clients {
             match self.sweep_action(now, id, client) {
                 SweepAction::Keep => {}
@@ -36,7 +37,9 @@
                 SweepAction::BreakOff(reason) => broken_off.push((id, reason)),
             }
         }
-        removed.into_iter().for_each(|id| self.remove(id, events));
+        for id in removed {
+            self.remove(id, events);
+        }
         for (id, reason) in broken_off {
             self.counts.silent += 1;
             self.break_off(now, id, reason, events);
@@ -71,7 +74,8 @@
     fn resume_accepting(&mut self, now: Ms) {
         // More descriptors may be available again after that time.
         if self.short_since.is_some_and(|since| now - since > self.limits.client_idle) {
-            (self.max_clients, self.short_since) = (self.limits.clients, None);
+            self.max_clients = self.limits.clients;
+            self.short_since = None;
         }
         if !self.accept_paused {
             return;
--- a/crates/router/src/upstream/completion.rs
+++ b/crates/router/src/upstream/completion.rs
@@ -112,7 +112,7 @@
 
     /// Queues the report of an attempt that was not answered.
     pub(super) fn push_completed(&mut self, report: AttemptReport) {
-        let (payload, fill_loop) = (ResponsePayload::Empty, None);
-        self.completed.push_back(CompletedAttempt { report, payload, fill_loop });
+        let payload = ResponsePayload::Empty;
+        self.completed.push_back(CompletedAttempt { report, payload, fill_loop: None });
     }
 }
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -99,13 +99,18 @@
         match self.endpoints.get_mut(&key) {
             Some(endpoint) if endpoint.address == address && endpoint.started_at == started_at => false,
             Some(endpoint) => {
-                (endpoint.address, endpoint.started_at) = (address, started_at);
+                endpoint.address = address;
+                endpoint.started_at = started_at;
                 true
             }
             None => {
-                let uid = entry.uid.clone();
-                let (last_activity, connections) = (0.0, Vec::new());
-                let endpoint = Endpoint { uid, address, started_at, last_activity, connections };
+                let endpoint = Endpoint {
+                    uid: entry.uid.clone(),
+                    address,
+                    started_at,
+                    last_activity: 0.0,
+                    connections: Vec::new(),
+                };
                 self.endpoints.insert(key, endpoint);
                 false
             }
@@ -154,7 +159,7 @@
         match opened {
             Ok(opened) => Some(opened),
             Err(error) => {
-                log_line!(upstream = %self.endpoint_label(key), reason = %error, "connect failed");
+                log_line!(upstream = %self.endpoint_label(key), reason = %error, "connect to an upstream failed");
                 least_loaded
             }
         }
@@ -304,7 +309,8 @@
         let Some(connection) = self.remove(id) else { return };
         let key = connection.endpoint;
         if !connection.open.is_empty() {
-            let (upstream, open) = (self.endpoint_label(key), connection.open.len());
+            let upstream = self.endpoint_label(key);
+            let open = connection.open.len();
             log_line!(%upstream, open, %reason, "a connection ended with messages open");
         }
         let mut open: Vec<Exchange> = connection.open.into_values().collect();
--- a/crates/router/src/upstream/timers.rs
+++ b/crates/router/src/upstream/timers.rs
@@ -33,7 +33,8 @@
     }
 
     fn close_overdue_connections(&mut self, now: Ms) {
-        let (mut late, mut idle) = (Vec::new(), Vec::new());
+        let mut late = Vec::new();
+        let mut idle = Vec::new();
         for (&id, connection) in &mut self.connections {
             match connection.connect_deadline() {
                 Some(deadline) if now >= deadline => late.push(id),
@@ -47,7 +48,9 @@
                 _ => {}
             }
         }
-        late.into_iter().for_each(|id| self.close(now, id, "not up in time"));
+        for id in late {
+            self.close(now, id, "not up in time");
+        }
         for id in idle {
             self.remove(id);
         }
