--- a/crates/router/src/upstream/sending.rs
+++ b/crates/router/src/upstream/sending.rs
@@ -58,10 +58,10 @@
         self.complete(now, attempt, endpoint, now, AttemptEnd::Cancelled);
     }
 
-    /// Completes an attempt as rejected whose fill was not admitted: it was never sent, and that is no fault of its
-    /// endpoint.
-    pub fn reject_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey, since: Ms) {
-        let elapsed = now - since;
+    /// Completes an attempt as rejected whose fill was queued and not admitted: it was never sent, and that is no fault of
+    /// its endpoint.
+    pub fn reject_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey, queued_at: Ms) {
+        let elapsed = now - queued_at;
         self.push_completed(AttemptReport {
             attempt,
             endpoint,
