--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -6,16 +6,15 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-use calloop::generic::Generic;
-use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
+use calloop::{LoopHandle, Readiness, RegistrationToken};
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
-use crate::descriptors::{Purpose, Reserve};
+use crate::descriptors::{DescriptorPurpose, DescriptorReserve};
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
-use crate::upstream::connect;
+use crate::sockets::{connect, register_stream};
 
 use super::event::WatchEvent;
 use super::http::decode_response;
@@ -44,7 +43,7 @@
 pub struct DiscoveryClient<W: EventHandler> {
     limits: Limits,
     buffers: BufferPool,
-    reserve: Reserve,
+    reserve: DescriptorReserve,
     handle: LoopHandle<'static, W>,
     address: SocketAddr,
     position: u64,
@@ -61,7 +60,7 @@
     pub fn new(
         limits: Limits,
         buffers: &BufferPool,
-        reserve: &Reserve,
+        reserve: &DescriptorReserve,
         handle: LoopHandle<'static, W>,
         address: SocketAddr,
         position: u64,
@@ -93,7 +92,7 @@
 
     /// Until when it is no failure that nothing is received: the service may hold a poll back for so long.
     pub fn silence_allowed_until(&self) -> Ms {
-        self.last_response + self.limits.journal_wait + self.limits.journal_late
+        self.last_response + self.limits.discovery.max_poll_wait_ms + self.limits.discovery.response_grace_ms
     }
 
     /// The position of the last event received.
@@ -124,13 +123,13 @@
         self.await_response(now);
         if self.connection.is_none() {
             // A connect is not held back by the service, so its deadline is shorter.
-            self.state = PollState::Polling { deadline: now + self.limits.journal_connect };
+            self.state = PollState::Polling { deadline: now + self.limits.discovery.connect_timeout_ms };
             match self.connect() {
                 Ok(connection) => self.connection = Some(connection),
                 Err(error) => return self.fail_poll(now, &error.to_string()),
             }
         }
-        let wait = self.limits.journal_wait;
+        let wait = self.limits.discovery.max_poll_wait_ms;
         let request = format!(
             "GET /journal?tail={}&max_wait={wait} HTTP/1.1\r\nHost: {}\r\nAccept: application/json\r\n\r\n",
             self.position, self.address
@@ -142,18 +141,13 @@
     }
 
     fn await_response(&mut self, now: Ms) {
-        let deadline = now + self.limits.journal_wait + self.limits.journal_late;
+        let deadline = now + self.limits.discovery.max_poll_wait_ms + self.limits.discovery.response_grace_ms;
         self.state = PollState::Polling { deadline };
     }
 
     fn connect(&self) -> io::Result<Connection> {
-        let stream = Rc::new(self.reserve.open(Purpose::Discovery, || connect(self.address))?);
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = |readiness: Readiness, _: &mut _, handler: &mut W| {
-            handler.on_discovery_ready(readiness);
-            Ok(PostAction::Continue)
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let stream = Rc::new(self.reserve.open(DescriptorPurpose::Discovery, || connect(self.address))?);
+        let token = register_stream(&self.handle, &stream, W::on_discovery_ready)?;
         let (input, output) = (BufferChain::new(&self.buffers), BufferChain::new(&self.buffers));
         Ok(Connection { stream, token, up: false, input, output })
     }
@@ -163,7 +157,7 @@
         self.lost += 1;
         log_line!("journal: poll from {} lost: {reason}", self.position);
         self.drop_connection();
-        self.state = PollState::Idle { next_poll: now + self.limits.journal_pause };
+        self.state = PollState::Idle { next_poll: now + self.limits.discovery.retry_pause_ms };
     }
 
     fn drop_connection(&mut self) {
@@ -200,7 +194,7 @@
                 Ok(0) => failure = Some("closed".to_string()),
                 Ok(n) => {
                     self.bytes_in += n as u64;
-                    if connection.input.len() > self.limits.journal_answer {
+                    if connection.input.len() > self.limits.discovery.max_response_bytes {
                         failure = Some("an answer of such a length".to_string());
                     }
                 }
@@ -216,8 +210,8 @@
                 self.state = PollState::Idle { next_poll: now };
                 self.last_response = now;
                 // Events that were received before do not count twice.
-                events = page.entries.into_iter().filter(|event| event.pos > self.position).collect();
-                self.position = self.position.max(page.pos);
+                events = page.events.into_iter().filter(|event| event.position > self.position).collect();
+                self.position = self.position.max(page.position);
             }
             Err(error) => failure = Some(error.to_string()),
         }
--- a/crates/router/src/hierarchy_control.rs
+++ b/crates/router/src/hierarchy_control.rs
@@ -1,86 +1,117 @@
-//! Questions of the control socket that concern the hierarchy. What a change does is judged by the hierarchy.
+//! Requests of the control socket that concern the hierarchy. The hierarchy judges what a change does.
+
+use std::collections::BTreeMap;
+
+use linnethook_hierarchy::change_spec::ChangeSpec;
+use linnethook_hierarchy::hierarchy;
 
 use crate::control::{BudgetView, ControlRequest, ControlResponse, HierarchyView, MigrationView};
-use crate::hierarchy_adapter::{Applied, HierarchyAdapter};
+use crate::hierarchy_adapter::{FillCounts, HierarchyAdapter, HierarchyError};
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
 
-/// Answers a question; `hierarchy` is `None` where the operator file has no `hierarchy()`.
-pub fn reply(hierarchy: Option<&mut HierarchyAdapter>, now: Ms, question: ControlRequest) -> ControlResponse {
+/// Answers a request; `hierarchy` is `None` where the operator file has no `hierarchy()`.
+pub fn reply(hierarchy: Option<&mut HierarchyAdapter>, now: Ms, request: ControlRequest) -> ControlResponse {
     let Some(hierarchy) = hierarchy else {
         return ControlResponse::Refused(
             "the hierarchy is off: the operator file has no hierarchy()".to_string(),
         );
     };
-    match question {
-        ControlRequest::ShowHierarchy => ControlResponse::Hierarchy(Box::new(shown(hierarchy, now))),
-        ControlRequest::ListNodes => ControlResponse::Nodes(hierarchy.nodes()),
-        ControlRequest::PlanChanges(changes) => match hierarchy.plan(now, &changes) {
-            Ok(plan) => ControlResponse::Plan(Box::new(plan)),
-            Err(reason) => ControlResponse::Refused(reason),
-        },
-        ControlRequest::ApplyChanges(changes) => match hierarchy.apply(now, changes) {
-            Applied::Done(batch) => {
-                log_line!(author = batch.author, number = batch.number, "hierarchy: a batch was applied");
-                ControlResponse::Applied(batch)
-            }
-            Applied::No(reason) => ControlResponse::Refused(reason),
-        },
-        ControlRequest::ReceiveBatch(batch) => match hierarchy.hear(now, &batch) {
-            Ok(()) => ControlResponse::Done("heard".to_string()),
-            Err(reason) => ControlResponse::Refused(reason),
-        },
-        ControlRequest::RollBack { author, number } => match hierarchy.roll_back(now, author, number) {
-            Ok(changes) => {
-                log_line!(author, number, "hierarchy: a batch was rolled back");
-                ControlResponse::Done(format!("batch {author}/{number} rolled back: {changes} changes"))
-            }
-            Err(reason) => ControlResponse::Refused(reason),
-        },
+    match request {
+        ControlRequest::ShowHierarchy => ControlResponse::Hierarchy(Box::new(hierarchy_view(hierarchy, now))),
+        ControlRequest::ListNodes => ControlResponse::Nodes(hierarchy.node_specs()),
+        ControlRequest::PlanChanges(changes) => {
+            let plan = hierarchy.plan(now, &changes);
+            plan.map_or_else(refuse, |plan| ControlResponse::Plan(Box::new(plan)))
+        }
+        ControlRequest::ApplyChanges(changes) => apply_changes(hierarchy, now, &changes),
+        ControlRequest::ReceiveBatch(batch) => {
+            let applied = hierarchy.apply_journal_batch(now, &batch);
+            applied.map_or_else(refuse, |()| ControlResponse::Done("heard".to_string()))
+        }
+        ControlRequest::RollBack { author, number } => roll_back(hierarchy, now, author, number),
         _ => ControlResponse::Refused("a question of another part".to_string()),
     }
 }
 
-/// The hierarchy as commands print it.
-fn shown(hierarchy: &HierarchyAdapter, now: Ms) -> HierarchyView {
+fn refuse(error: HierarchyError) -> ControlResponse {
+    ControlResponse::Refused(error.to_string())
+}
+
+fn apply_changes(hierarchy: &mut HierarchyAdapter, now: Ms, changes: &[ChangeSpec]) -> ControlResponse {
+    match hierarchy.apply(now, changes) {
+        Ok(batch) => {
+            log_line!(author = batch.author, number = batch.number, "hierarchy: a batch was applied");
+            ControlResponse::Applied(batch)
+        }
+        Err(error) => refuse(error),
+    }
+}
+
+fn roll_back(hierarchy: &mut HierarchyAdapter, now: Ms, author: u16, number: u64) -> ControlResponse {
+    match hierarchy.roll_back(now, author, number) {
+        Ok(changes) => {
+            log_line!(author, number, "hierarchy: a batch was rolled back");
+            ControlResponse::Done(format!("batch {author}/{number} rolled back: {changes} changes"))
+        }
+        Err(error) => refuse(error),
+    }
+}
+
+/// The state of the hierarchy as commands print it.
+fn hierarchy_view(hierarchy: &HierarchyAdapter, now: Ms) -> HierarchyView {
     let view = hierarchy.view(now);
-    let (queued_fills, fills_in_flight) = hierarchy.kept();
-    let migrations = view.migrations.iter().map(|m| MigrationView {
-        target: hierarchy.name(m.target),
-        author: m.author,
-        number: m.number,
-        stage: m.stage.name().to_string(),
-        fraction: m.fraction,
-        attempts: m.attempts,
-        new_failure_ratio: m.new_failure_ratio,
-        old_failure_ratio: m.old_failure_ratio,
-    });
-    let budgets = view.budgets.iter().map(|budget| BudgetView {
-        target: hierarchy.name(budget.target),
-        per_second: budget.per_second,
-        limit: budget.limit,
-    });
-    let counters = [
-        ("gone", view.counters.admitted),
-        ("joined", view.counters.joined),
-        ("waited", view.counters.queued),
-        ("over_fetched", view.counters.rejected_fetch_in_progress),
-        ("over_budget", view.counters.rejected_budget),
-        ("over_queue", view.counters.rejected_queue_full),
-        ("over_time", view.counters.rejected_queue_timeout),
-        ("leases_lost", view.counters.leases_expired),
-    ];
+    let FillCounts { queued, in_flight } = hierarchy.fill_counts();
+    let migrations = view.migrations.iter().map(|migration| migration_view(hierarchy, migration));
+    let budgets = view.budgets.iter().map(|budget| budget_view(hierarchy, budget));
     HierarchyView {
         version: view.version,
         nodes: view.nodes,
         suspended_edges: view.suspended_edges,
         backed_off_edges: view.backed_off_edges,
         pending_batches: view.pending_batches,
-        queued_fills,
-        fills_in_flight,
+        queued_fills: queued,
+        fills_in_flight: in_flight,
         migrations: migrations.collect(),
         budgets: budgets.collect(),
-        counters: counters.into_iter().map(|(name, count)| (name.to_string(), count)).collect(),
+        counters: shield_counters(&view),
         digest: view.digest,
     }
 }
+
+fn migration_view(hierarchy: &HierarchyAdapter, migration: &hierarchy::MigrationView) -> MigrationView {
+    MigrationView {
+        target: hierarchy.node_name(migration.target),
+        author: migration.author,
+        number: migration.number,
+        stage: migration.stage.name().to_string(),
+        fraction: migration.fraction,
+        attempts: migration.attempts,
+        new_failure_ratio: migration.new_failure_ratio,
+        old_failure_ratio: migration.old_failure_ratio,
+    }
+}
+
+fn budget_view(hierarchy: &HierarchyAdapter, budget: &hierarchy::BudgetView) -> BudgetView {
+    BudgetView {
+        target: hierarchy.node_name(budget.target),
+        per_second: budget.per_second,
+        limit: budget.limit,
+    }
+}
+
+/// The counters of the origin shield, by the names that commands print.
+fn shield_counters(view: &hierarchy::HierarchyView) -> BTreeMap<String, u64> {
+    let counters = &view.counters;
+    let named = [
+        ("gone", counters.admitted),
+        ("joined", counters.joined),
+        ("waited", counters.queued),
+        ("over_fetched", counters.rejected_fetch_in_progress),
+        ("over_budget", counters.rejected_budget),
+        ("over_queue", counters.rejected_queue_full),
+        ("over_time", counters.rejected_queue_timeout),
+        ("leases_lost", counters.leases_expired),
+    ];
+    named.into_iter().map(|(name, count)| (name.to_string(), count)).collect()
+}
--- a/crates/router/src/start_error.rs
+++ b/crates/router/src/start_error.rs
@@ -7,28 +7,35 @@
 
 use crate::cli::Failed as CommandError;
 use crate::config::ConfigError;
+use crate::hierarchy_adapter::HierarchyError;
+use crate::multi_router::RouterError;
 
 /// An error that ends the process with exit code 1.
 #[derive(Debug)]
 pub enum StartError {
     /// `LB_CONFIG` is not set.
     NoConfig,
+    /// The configuration can't be used.
     Config(ConfigError),
     /// The operator file can't be evaluated.
     Operator(OperatorError),
     /// The process that evaluates the operator file can't be started.
     Evaluation(CommandError),
     /// The hierarchy of the operator file can't be used.
-    Hierarchy(String),
+    Hierarchy(HierarchyError),
+    /// The control socket can't be listened at.
     ControlSocket {
+        /// The path of the socket.
         path: String,
+        /// The error of the system.
         source: io::Error,
     },
     /// An error of the system, for instance an address in use.
     System(io::Error),
+    /// The event loop can't be used.
     EventLoop(calloop::Error),
     /// One of several routers of this process.
-    Router(String),
+    Router(Box<RouterError>),
 }
 
 impl fmt::Display for StartError {
@@ -38,7 +45,8 @@
             Self::Config(error) => error.fmt(f),
             Self::Operator(error) => error.fmt(f),
             Self::Evaluation(error) => f.write_str(error.text()),
-            Self::Hierarchy(reason) | Self::Router(reason) => f.write_str(reason),
+            Self::Hierarchy(error) => error.fmt(f),
+            Self::Router(error) => error.fmt(f),
             Self::ControlSocket { path, source } => write!(f, "control socket {path}: {source}"),
             Self::System(error) => error.fmt(f),
             Self::EventLoop(error) => error.fmt(f),
@@ -52,8 +60,10 @@
             Self::Config(error) => Some(error),
             Self::Operator(error) => Some(error),
             Self::ControlSocket { source, .. } | Self::System(source) => Some(source),
+            Self::Hierarchy(error) => Some(error),
             Self::EventLoop(error) => Some(error),
-            Self::NoConfig | Self::Evaluation(_) | Self::Hierarchy(_) | Self::Router(_) => None,
+            Self::Router(error) => Some(error),
+            Self::NoConfig | Self::Evaluation(_) => None,
         }
     }
 }
