--- a/crates/audit/src/audit_log.rs
+++ b/crates/audit/src/audit_log.rs
@@ -42,6 +42,15 @@
     }
 }
 
+/// The newest record of a log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LogHead {
+    /// Its number.
+    pub number: u64,
+    /// Its hash.
+    pub hash: RecordHash,
+}
+
 /// The span that is not yet recorded.
 #[derive(Debug, Default)]
 struct OpenSpan {
@@ -71,8 +80,7 @@
     incarnation: u64,
     versions: ActiveVersions,
     open_span: OpenSpan,
-    last_number: u64,
-    head: RecordHash,
+    head: LogHead,
     links: VecDeque<ChainLink>,
     bytes: usize,
     is_closed: bool,
@@ -94,8 +102,7 @@
             incarnation,
             versions,
             open_span: OpenSpan::new(now, at),
-            last_number: 0,
-            head: [0; 32],
+            head: LogHead { number: 0, hash: [0; 32] },
             links: VecDeque::new(),
             bytes: 0,
             is_closed: false,
@@ -114,9 +121,9 @@
         self.incarnation
     }
 
-    /// The number of the newest record, and its hash.
-    pub fn head(&self) -> (u64, RecordHash) {
-        (self.last_number, self.head)
+    /// The newest record.
+    pub fn head(&self) -> LogHead {
+        self.head
     }
 
     /// Applies other limits.
@@ -240,9 +247,9 @@
 
     /// Appends a record. The oldest ones make room.
     fn append(&mut self, record: &Record) {
-        self.last_number += 1;
-        let link = ChainLink::new(&self.name, self.incarnation, self.last_number, self.head, record);
-        self.head = link.hash();
+        let number = self.head.number + 1;
+        let link = ChainLink::new(&self.name, self.incarnation, number, self.head.hash, record);
+        self.head = LogHead { number, hash: link.hash() };
         self.bytes += link.size_estimate();
         self.links.push_back(link);
         while self.bytes > self.config.max_log_bytes && self.links.len() > 1 {
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -7,6 +7,8 @@
 use linnethook_membership::Ms;
 use serde::{Deserialize, Serialize};
 
+use crate::error::{LogFileError, MalformedLink, RecordError};
+
 /// An action that is counted. Nodes are ids; their names are in the span.
 ///
 /// The order of the variants is part of the stored format.
@@ -252,14 +254,19 @@
         *hasher.finalize().as_bytes()
     }
 
-    /// The record; `None` where this build cannot read it.
-    pub fn decode_record(&self) -> Option<Record> {
+    /// The record.
+    ///
+    /// # Errors
+    ///
+    /// A record that this build cannot read.
+    pub fn decode_record(&self) -> Result<Record, RecordError> {
         if self.version != RECORD_VERSION {
-            return None;
+            return Err(RecordError::UnknownVersion(self.version));
         }
         match postcard::take_from_bytes(&self.body) {
-            Ok((record, [])) => Some(record),
-            _ => None,
+            Ok((record, [])) => Ok(record),
+            Ok((_, trailing)) => Err(RecordError::TrailingBytes(trailing.len())),
+            Err(error) => Err(RecordError::Malformed(error)),
         }
     }
 
@@ -273,9 +280,13 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a link; `None` for bytes that are not one.
-    pub fn decode(bytes: &[u8]) -> Option<Self> {
-        postcard::from_bytes(bytes).ok()
+    /// Reads a link.
+    ///
+    /// # Errors
+    ///
+    /// Bytes that are not one.
+    pub fn decode(bytes: &[u8]) -> Result<Self, MalformedLink> {
+        postcard::from_bytes(bytes).map_err(MalformedLink)
     }
 }
 
@@ -289,7 +300,12 @@
     bytes
 }
 
-/// The links of a file; `None` where its content is not what [`write_file`] writes.
-pub fn read_file(bytes: &[u8]) -> Option<Vec<ChainLink>> {
-    postcard::from_bytes(bytes.strip_prefix(FILE_MAGIC)?).ok()
+/// The links of a file.
+///
+/// # Errors
+///
+/// Content that is not what [`write_file`] writes.
+pub fn read_file(bytes: &[u8]) -> Result<Vec<ChainLink>, LogFileError> {
+    let links = bytes.strip_prefix(FILE_MAGIC).ok_or(LogFileError::NoLogFile)?;
+    postcard::from_bytes(links).map_err(LogFileError::Malformed)
 }
--- a/crates/audit/src/verification.rs
+++ b/crates/audit/src/verification.rs
@@ -10,7 +10,7 @@
 use linnethook_membership::Ms;
 use serde::Serialize;
 
-pub use queries::{AttemptTrace, AttributedSpan};
+pub use queries::{AttemptTrace, AttributedSpan, FirstSpan, HierarchyConflict, JournalEventApplication};
 
 use crate::record::{ChainLink, Record, RecordHash, Span};
 
@@ -64,34 +64,52 @@
     },
 }
 
+/// When a router started.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct StartTime {
+    /// The time that orders events.
+    pub at: Timestamp,
+    /// The same by the router's own clock, in Unix milliseconds.
+    pub wall_clock: Ms,
+}
+
+/// A record that has its place in a log, with its hash.
+#[derive(Debug, Clone)]
+struct VerifiedRecord {
+    hash: RecordHash,
+    record: Record,
+}
+
 /// The log of one incarnation of one router, as far as it is known.
 #[derive(Debug, Clone, Default)]
 pub struct VerifiedLog {
     /// By number; of two records at one place the one that the next record follows.
-    links: BTreeMap<u64, (RecordHash, Record)>,
+    records: BTreeMap<u64, VerifiedRecord>,
     /// Whether the router shut down gracefully.
     pub is_closed: bool,
     /// Up to when records cover what the router did.
     pub known_until: Timestamp,
-    /// When the router started, also by its own clock; `None` where that record is missing.
-    pub started: Option<(Timestamp, Ms)>,
+    /// When the router started; `None` where that record is missing.
+    pub started: Option<StartTime>,
 }
 
 impl VerifiedLog {
     fn insert(&mut self, number: u64, hash: RecordHash, record: Record) {
         match &record {
-            Record::Started { at, wall_clock } => self.started = Some((*at, *wall_clock)),
+            Record::Started { at, wall_clock } => {
+                self.started = Some(StartTime { at: *at, wall_clock: *wall_clock });
+            }
             Record::Closed { .. } => self.is_closed = true,
             Record::Span(_) => {}
         }
         self.known_until = self.known_until.max(record.covered_until());
-        self.links.insert(number, (hash, record));
+        self.records.insert(number, VerifiedRecord { hash, record });
     }
 
     /// From when on the log covers what the router did.
     fn known_from(&self) -> Option<Timestamp> {
-        let (_, first) = self.links.values().next()?;
-        Some(match first {
+        let first = self.records.values().next()?;
+        Some(match &first.record {
             Record::Started { at, .. } | Record::Closed { at } => *at,
             Record::Span(span) => span.from,
         })
@@ -102,7 +120,7 @@
         let mut gaps = Vec::new();
         let mut last_number = 0;
         let mut known_until = None;
-        for (number, (_, record)) in &self.links {
+        for (number, VerifiedRecord { record, .. }) in &self.records {
             if *number != last_number + 1 {
                 let to = if let Record::Span(span) = record { Some(span.from) } else { None };
                 gaps.push(GapBounds { after: last_number, from: known_until, to });
@@ -123,6 +141,30 @@
     to: Option<Timestamp>,
 }
 
+/// A log with its place.
+#[derive(Debug, Clone, Copy)]
+pub struct IncarnationLog<'a> {
+    /// The router.
+    pub name: &'a str,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// The log of the incarnation.
+    pub log: &'a VerifiedLog,
+}
+
+/// A span with its place.
+#[derive(Debug, Clone, Copy)]
+pub struct SpanRecord<'a> {
+    /// The router.
+    pub name: &'a str,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// The number of the record.
+    pub number: u64,
+    /// The span.
+    pub span: &'a Span,
+}
+
 /// All logs that some routers kept, with what was found in them.
 #[derive(Debug, Clone, Default)]
 pub struct VerifiedLogs {
@@ -167,13 +209,13 @@
             if candidates.len() > 1 {
                 self.findings.push(Finding::Fork { name: name.clone(), incarnation, number });
             }
-            let previous_hash = log.links.get(&(number - 1)).map(|(hash, _)| *hash);
+            let previous_hash = log.records.get(&(number - 1)).map(|previous| previous.hash);
             let following = links.get(&(number + 1));
             let Some(link) = select_link(candidates, previous_hash, following) else {
                 self.findings.push(Finding::Broken { name, incarnation, number });
                 continue;
             };
-            let Some(record) = link.decode_record() else {
+            let Ok(record) = link.decode_record() else {
                 self.findings.push(Finding::Unreadable { name, incarnation, number });
                 continue;
             };
@@ -187,7 +229,7 @@
         let mut logs = self.logs.iter().peekable();
         while let Some(((name, incarnation), log)) = logs.next() {
             let next = logs.peek().filter(|((next_name, _), _)| next_name == name);
-            let next_incarnation = next.and_then(|(_, log)| log.started).map(|(at, _)| at);
+            let next_incarnation = next.and_then(|(_, log)| log.started).map(|started| started.at);
             let gaps = log.gaps(next_incarnation).into_iter().map(|GapBounds { after, from, to }| {
                 Finding::Gap { name: name.clone(), incarnation: *incarnation, after, from, to }
             });
@@ -208,16 +250,20 @@
     }
 
     /// All logs, by name and incarnation.
-    pub fn incarnations(&self) -> impl Iterator<Item = (&(String, u64), &VerifiedLog)> {
-        self.logs.iter()
+    pub fn incarnations(&self) -> impl Iterator<Item = IncarnationLog<'_>> {
+        self.logs.iter().map(|((name, incarnation), log)| IncarnationLog {
+            name,
+            incarnation: *incarnation,
+            log,
+        })
     }
 
-    /// All spans: the router, its incarnation, the number of the record, and the span.
-    pub fn spans(&self) -> impl Iterator<Item = (&str, u64, u64, &Span)> {
-        self.logs.iter().flat_map(|((name, incarnation), log)| {
-            log.links.iter().filter_map(move |(number, (_, record))| match record {
-                Record::Span(span) => Some((name.as_str(), *incarnation, *number, &**span)),
-                _ => None,
+    /// All spans, by name, incarnation and number.
+    pub fn spans(&self) -> impl Iterator<Item = SpanRecord<'_>> {
+        self.incarnations().flat_map(|IncarnationLog { name, incarnation, log }| {
+            log.records.iter().filter_map(move |(number, verified)| match &verified.record {
+                Record::Span(span) => Some(SpanRecord { name, incarnation, number: *number, span }),
+                Record::Started { .. } | Record::Closed { .. } => None,
             })
         })
     }
--- a/crates/audit/src/verification/queries.rs
+++ b/crates/audit/src/verification/queries.rs
@@ -7,10 +7,10 @@
 use linnethook_membership::Ms;
 use serde::Serialize;
 
-use super::VerifiedLogs;
+use super::{SpanRecord, VerifiedLogs};
 use crate::record::{AuditedAction, Span, Tally, WriteAttempt, WriteOutcome};
 
-/// A span with its place.
+/// A copy of a span with its place.
 #[derive(Debug, Clone, Serialize)]
 pub struct AttributedSpan {
     /// The router.
@@ -74,6 +74,66 @@
     }
 }
 
+/// When an incarnation first acted on a version. Serialized as an array.
+#[derive(Debug, Clone, PartialEq, Serialize)]
+#[serde(into = "(String, u64, Timestamp, Ms)")]
+pub struct FirstSpan {
+    /// The router.
+    pub name: String,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// The time that orders events.
+    pub at: Timestamp,
+    /// The same by the router's own clock, in Unix milliseconds.
+    pub wall_clock: Ms,
+}
+
+impl From<FirstSpan> for (String, u64, Timestamp, Ms) {
+    fn from(first: FirstSpan) -> Self {
+        (first.name, first.incarnation, first.at, first.wall_clock)
+    }
+}
+
+/// A router that applied a drain or a purge of the journal. Serialized as an array.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize)]
+#[serde(into = "(String, u64, Timestamp, bool)")]
+pub struct JournalEventApplication {
+    /// The router.
+    pub name: String,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// When it applied the event first.
+    pub at: Timestamp,
+    /// Whether the news came from gossip and not from the own journal.
+    pub from_gossip: bool,
+}
+
+impl From<JournalEventApplication> for (String, u64, Timestamp, bool) {
+    fn from(application: JournalEventApplication) -> Self {
+        (application.name, application.incarnation, application.at, application.from_gossip)
+    }
+}
+
+/// Two routers that filled by two hierarchies at once. Serialized as an array.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize)]
+#[serde(into = "(String, String, Timestamp, Timestamp)")]
+pub struct HierarchyConflict {
+    /// The router of the smaller name.
+    pub first: String,
+    /// The other router.
+    pub second: String,
+    /// When the conflict began.
+    pub from: Timestamp,
+    /// When it ended.
+    pub to: Timestamp,
+}
+
+impl From<HierarchyConflict> for (String, String, Timestamp, Timestamp) {
+    fn from(conflict: HierarchyConflict) -> Self {
+        (conflict.first, conflict.second, conflict.from, conflict.to)
+    }
+}
+
 /// A span without duration still covers its begin.
 const SHORTEST_SPAN_MS: Ms = 1e-3;
 
@@ -82,8 +142,8 @@
         &'a self,
         matches: impl Fn(&Span) -> bool + 'a,
     ) -> impl Iterator<Item = AttributedSpan> + 'a {
-        let matching = self.spans().filter(move |(.., span)| matches(span));
-        matching.map(|(name, incarnation, number, span)| AttributedSpan {
+        let matching = self.spans().filter(move |record| matches(record.span));
+        matching.map(|SpanRecord { name, incarnation, number, span }| AttributedSpan {
             name: name.to_string(),
             incarnation,
             number,
@@ -108,7 +168,7 @@
     /// All that is known of the attempts of a non-idempotent request, by time.
     pub fn attempts_of_request(&self, request_id: &str) -> Vec<AttemptTrace> {
         let mut traces = Vec::<AttemptTrace>::new();
-        for (name, incarnation, _, span) in self.spans() {
+        for SpanRecord { name, incarnation, span, .. } in self.spans() {
             let attempts = span.write_attempts.iter().filter(|attempt| attempt.request_id == request_id);
             traces.extend(attempts.map(|attempt| AttemptTrace {
                 target: node_name(span, attempt.target),
@@ -131,21 +191,20 @@
         traces
     }
 
-    /// When each incarnation first acted on a version: its name and number, the time that orders events, and its own
-    /// clock.
-    pub fn first_spans_on_version(&self, version: &str) -> Vec<(String, u64, Timestamp, Ms)> {
-        let mut first = BTreeMap::<(String, u64), (Timestamp, Ms)>::new();
+    /// When each incarnation first acted on a version, by time.
+    pub fn first_spans_on_version(&self, version: &str) -> Vec<FirstSpan> {
+        let mut first_spans = BTreeMap::<(String, u64), FirstSpan>::new();
         for AttributedSpan { name, incarnation, span, .. } in self.spans_on_version(version) {
-            let at = (span.from, span.wall_clock.0);
-            let known = first.entry((name, incarnation)).or_insert(at);
-            if at.0 < known.0 {
-                *known = at;
+            let (at, wall_clock) = (span.from, span.wall_clock.0);
+            let candidate = FirstSpan { name: name.clone(), incarnation, at, wall_clock };
+            let known = first_spans.entry((name, incarnation)).or_insert_with(|| candidate.clone());
+            if candidate.at < known.at {
+                *known = candidate;
             }
         }
-        let flatten = |((name, incarnation), (at, clock))| (name, incarnation, at, clock);
-        let mut all: Vec<(String, u64, Timestamp, Ms)> = first.into_iter().map(flatten).collect();
-        all.sort_by_key(|(.., at, _)| *at);
-        all
+        let mut first_spans: Vec<FirstSpan> = first_spans.into_values().collect();
+        first_spans.sort_by_key(|first| first.at);
+        first_spans
     }
 
     /// The spans after that time in which a router did something on a hierarchy of another digest.
@@ -156,29 +215,28 @@
         self.matching_spans(is_behind).collect()
     }
 
-    /// Which routers applied the drain or the purge at a position of the journal: the router, its incarnation, when
-    /// first, and whether the news came from gossip.
-    pub fn journal_event_applied(&self, position: u64) -> Vec<(String, u64, Timestamp, bool)> {
+    /// Which routers applied the drain or the purge at a position of the journal, by time.
+    pub fn journal_event_applied(&self, position: u64) -> Vec<JournalEventApplication> {
         let mut all = Vec::new();
-        for (name, incarnation, _, span) in self.spans() {
+        for SpanRecord { name, incarnation, span, .. } in self.spans() {
             let applied = span.counts.iter().filter_map(|(action, Tally { first, .. })| {
                 let from_gossip = applies_journal_event(action, position)?;
-                Some((name.to_string(), incarnation, *first, from_gossip))
+                Some(JournalEventApplication { name: name.to_string(), incarnation, at: *first, from_gossip })
             });
             all.extend(applied);
         }
-        all.sort_by_key(|(.., at, _)| *at);
+        all.sort_by_key(|application| application.at);
         all
     }
 
-    /// Pairs of routers that filled by two hierarchies at once: their names, and from when to when.
-    pub fn conflicting_hierarchies(&self) -> Vec<(String, String, Timestamp, Timestamp)> {
+    /// Pairs of routers that filled by two hierarchies at once, by name.
+    pub fn conflicting_hierarchies(&self) -> Vec<HierarchyConflict> {
         let fills =
             |span: &Span| span.counts.iter().any(|(action, _)| matches!(action, AuditedAction::Fill { .. }));
-        let spans: Vec<_> = self.spans().filter(|(.., span)| fills(span)).collect();
+        let spans: Vec<_> = self.spans().filter(|record| fills(record.span)).collect();
         let mut found = BTreeMap::<(String, String), (Timestamp, Timestamp)>::new();
-        for (n, (name, _, _, span)) in spans.iter().enumerate() {
-            for (other_name, _, _, other) in &spans[n + 1..] {
+        for (n, SpanRecord { name, span, .. }) in spans.iter().enumerate() {
+            for SpanRecord { name: other_name, span: other, .. } in &spans[n + 1..] {
                 let (from, to) = (span.from.max(other.from), span.to.min(other.to));
                 let is_conflict =
                     span.versions.hierarchy.digest != other.versions.hierarchy.digest && from < to;
@@ -190,7 +248,8 @@
                 *known = (known.0.min(from), known.1.max(to));
             }
         }
-        found.into_iter().map(|((a, b), (from, to))| (a, b, from, to)).collect()
+        let conflict = |((first, second), (from, to))| HierarchyConflict { first, second, from, to };
+        found.into_iter().map(conflict).collect()
     }
 }
 
--- a/crates/audit/tests/audit_logs.rs
+++ b/crates/audit/tests/audit_logs.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// An account of so many spans on one version after another; ended or not.
+/// A log with that many spans, each on the version after the one before; closed or not.
 fn account(name: &str, start: u64, spans: u64, end: bool) -> AuditLog {
     let mut clock = HybridClock::default();
     let begin = start as f64;
@@ -63,12 +63,12 @@
     assert_eq!(accounts.spans_at(1_175.0).count(), 2);
     assert_eq!(accounts.spans_at(1_175.0).next().map(|line| line.span.versions.hierarchy.version), Some(2));
     let settled = accounts.first_spans_on_version("2");
-    assert_eq!(settled.iter().map(|(name, ..)| name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
+    assert_eq!(settled.iter().map(|first| first.name.as_str()).collect::<Vec<_>>(), ["a", "b"]);
     let trace = accounts.attempts_of_request("b-2");
     assert_eq!((trace.len(), trace[0].name.as_str(), trace[0].hierarchy_version), (1, "b", 2));
     assert_eq!(trace[0].outcome.as_ref().map(|end| end.outcome.as_str()), Some("answered"));
     assert_eq!(trace[0].target.as_deref(), Some("node-3"));
-    // For 20 ms each time one had gone on and the other had not.
+    // For 20 ms each the first router acts on the next version and the second does not yet.
     assert_eq!(accounts.conflicting_hierarchies().len(), 1);
     assert!(!accounts.spans_on_other_hierarchy(14, Timestamp { ms: 1_200, counter: 0 }).is_empty());
 }
@@ -78,11 +78,11 @@
     let killed = links(&account("a", 1_000, 3, false));
     let next = links(&account("a", 9_000, 1, true));
     let accounts = VerifiedLogs::new(killed.iter().chain(&next).cloned());
-    let last = killed[3].decode_record().map(|record| record.covered_until());
-    let began = next[0].decode_record().map(|record| record.covered_until());
+    let last = killed[3].decode_record().ok().map(|record| record.covered_until());
+    let began = next[0].decode_record().ok().map(|record| record.covered_until());
     let gap = Finding::Gap { name: "a".to_string(), incarnation: 1_000, after: 4, from: last, to: began };
     assert_eq!(accounts.findings, [gap]);
-    // One in the middle.
+    // A missing record in the middle of a log.
     let accounts = VerifiedLogs::new(next.iter().filter(|link| link.number != 2).cloned());
     assert!(
         matches!(&accounts.findings[..], [Finding::Gap { after: 1, from: Some(_), to: Some(_), .. }]),
@@ -95,17 +95,17 @@
 fn rewritten_record_and_second_log_of_incarnation_are_found() {
     let good = links(&account("a", 1_000, 3, true));
     let mut bad = good.clone();
-    let Some(Record::Span(mut span)) = bad[2].decode_record() else { panic!("a span") };
+    let Ok(Record::Span(mut span)) = bad[2].decode_record() else { panic!("a span") };
     span.write_attempts.clear();
     bad[2] = ChainLink::new("a", 1_000, 3, bad[2].previous_hash, &Record::Span(span));
-    // Alone: what follows does not hang on it.
+    // Without the original: the following record has another previous hash.
     let alone = VerifiedLogs::new(bad.clone());
     assert!(alone.findings.contains(&Finding::Broken {
         name: "a".to_string(),
         incarnation: 1_000,
         number: 4
     }));
-    // Beside a copy: two for one place, and the copy on which the rest hangs is the one that counts.
+    // Together with the original: a fork, and the record that the following one refers to is used.
     let both = VerifiedLogs::new(bad.into_iter().chain(good.clone()));
     assert_eq!(both.findings, [Finding::Fork { name: "a".to_string(), incarnation: 1_000, number: 3 }]);
     assert_eq!(both.attempts_of_request("a-2").len(), 1);
@@ -132,7 +132,7 @@
     assert_eq!(copies.insert(forged), ReplicaOutcome::Forked);
     let accounts = VerifiedLogs::new(copies.iter().cloned());
     assert_eq!(accounts.findings.len(), 1, "{:?}", accounts.findings);
-    // Room is made for the newest by the oldest.
+    // The oldest records are removed to make room for the newest.
     let mut small = LogReplicas::new(all[1].size_estimate() * 2);
     all.iter().for_each(|link| _ = small.insert(link.clone()));
     assert!(small.sizes().records < all.len());
@@ -156,15 +156,15 @@
     }
     account.finish(2.0, clock.next_timestamp(2.0), names);
     let accounts = VerifiedLogs::new(links(&account));
-    let span = accounts.spans().next().expect("a span").3;
+    let span = accounts.spans().next().expect("a span").span;
     assert_eq!((span.write_attempts.len(), span.omitted_writes), (5, 95));
     let published: u64 = span.counts.iter().map(|(_, tally)| tally.count).sum();
     assert_eq!(published + span.omitted_actions, 200);
 }
 
 proptest! {
-    /// Links lost, told twice and in any order: what is there is read, what is not is a gap, and no act is counted that
-    /// no link tells.
+    /// Links are lost, duplicated and reordered: those that remain are read, missing ones are gaps, and only the spans of
+    /// remaining links are counted.
     #[test]
     fn any_subset_of_records_is_verified_correctly(
         spans in 1u64..8,
@@ -188,12 +188,12 @@
         prop_assert_eq!(accounts.findings.is_empty(), total || retained.is_empty());
         let gaps = accounts.findings.iter().all(|finding| matches!(finding, Finding::Gap { .. }));
         prop_assert!(gaps);
-        prop_assert_eq!(accounts.spans().count(), retained.iter().filter(|l| matches!(l.decode_record(), Some(Record::Span(_)))).count());
+        prop_assert_eq!(accounts.spans().count(), retained.iter().filter(|l| matches!(l.decode_record(), Ok(Record::Span(_)))).count());
     }
 
     #[test]
     fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
-        if let Some(link) = ChainLink::decode(&bytes) {
+        if let Ok(link) = ChainLink::decode(&bytes) {
             let _ = VerifiedLogs::new([link]);
         }
     }
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -131,7 +131,7 @@
 fn links_and_files_keep_their_bytes() {
     let mut fixtures = Fixtures::new();
     for ((name, record), link) in records().into_iter().zip(links()) {
-        assert_eq!(link.decode_record(), Some(record));
+        assert_eq!(link.decode_record(), Ok(record));
         fixtures.insert(format!("link.{name}"), hex(&link.encode()));
         fixtures.insert(format!("hash.{name}"), hex(&link.hash()));
     }
@@ -148,7 +148,7 @@
     for ((name, record), link) in records().into_iter().zip(links()) {
         let bytes = unhex(&fixtures[&format!("link.{name}")]);
         let read = ChainLink::decode(&bytes).expect("a link");
-        assert_eq!((&read, read.decode_record()), (&link, Some(record)), "{name}");
+        assert_eq!((&read, read.decode_record()), (&link, Ok(record)), "{name}");
         assert_eq!(read.encode(), bytes, "{name}");
     }
     for name in ["file", "written"] {
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -410,7 +410,7 @@
         if ms % 100 == 99 {
             let new: Vec<usize> = account.records_from(highest).map(|link| link.encode().len()).collect();
             wrote += new.iter().sum::<usize>();
-            highest = account.head().0 + 1;
+            highest = account.head().number + 1;
         }
     }
     vec![
--- a/crates/router/src/audit_log/mod.rs
+++ b/crates/router/src/audit_log/mod.rs
@@ -180,7 +180,7 @@
     }
 
     fn queue_for_disk(&mut self) {
-        let (head, _) = self.log.head();
+        let head = self.log.head().number;
         if head <= self.last_queued {
             return;
         }
@@ -195,7 +195,7 @@
 
     /// Messages with the records that the holders of replicas lack.
     fn replicate(&mut self) -> Vec<PeerMessage> {
-        let (head, _) = self.log.head();
+        let head = self.log.head().number;
         let holders = self.choose_replica_holders();
         self.replica_holders.retain(|name, _| holders.contains(name));
         let mut messages = Vec::new();
@@ -249,7 +249,7 @@
     /// Stores a record of another router's log; the request for earlier records is returned where some are missing.
     fn on_record(&mut self, from: &str, body: &[u8]) -> Option<PeerMessage> {
         // Only the owner of a log sends its records.
-        let record = ChainLink::decode(body).filter(|record| record.name == from)?;
+        let record = ChainLink::decode(body).ok().filter(|record| record.name == from)?;
         let (incarnation, number) = (record.incarnation, record.number);
         match self.replicas.insert(record) {
             ReplicaOutcome::Missing(number) => {
@@ -288,7 +288,7 @@
     /// How much is stored now.
     pub fn sizes(&self) -> AuditLogSizes {
         AuditLogSizes {
-            own_records: self.log.head().0,
+            own_records: self.log.head().number,
             replicas: self.replicas.sizes(),
             dropped_records: self.dropped_records,
         }
@@ -299,7 +299,7 @@
 fn start_disk_writer(directory: &Path, replicas: &mut LogReplicas) -> Result<DiskWriter, DiskError> {
     let log = DiskLog::open(directory)?;
     let mut count = 0;
-    for record in log.records().filter_map(|record| ChainLink::decode(record)) {
+    for record in log.records().filter_map(|record| ChainLink::decode(record).ok()) {
         if replicas.next_number(&record.name, record.incarnation) == 1 {
             replicas.set_first_number(&record.name, record.incarnation, record.number);
         }
--- a/crates/router/src/cli/audit.rs
+++ b/crates/router/src/cli/audit.rs
@@ -15,7 +15,7 @@
     verification_text,
 };
 use super::client::{call, unexpected_response};
-use super::error::{CommandError, FileError};
+use super::error::{CommandError, FileError, LogFileReadError};
 use super::output::{json_text, OutputFormat};
 use super::ControlTarget;
 use crate::control::{ControlRequest, ControlResponse};
@@ -106,7 +106,8 @@
 
 fn read_log_file(file: &Path) -> Result<Vec<ChainLink>, CommandError> {
     let bytes = std::fs::read(file).map_err(|error| CommandError::ReadFile(FileError::new(file, error)))?;
-    read_file(&bytes).ok_or_else(|| CommandError::NoAuditFile(file.to_path_buf()))
+    read_file(&bytes)
+        .map_err(|source| CommandError::LogFile(LogFileReadError { path: file.to_path_buf(), source }))
 }
 
 fn export_links(file: &Path, links: &[ChainLink]) -> Result<String, CommandError> {
@@ -162,7 +163,7 @@
 fn report_settled(logs: &VerifiedLogs, version: &str) -> AuditReport {
     let first_spans = logs.first_spans_on_version(version);
     let digest = logs.spans_on_version(version).next().map(|span| span.span.versions.hierarchy.digest);
-    let settled_at = first_spans.last().map(|(.., at, _)| *at).unwrap_or_default();
+    let settled_at = first_spans.last().map(|first| first.at).unwrap_or_default();
     let behind = digest.map(|digest| logs.spans_on_other_hierarchy(digest, settled_at)).unwrap_or_default();
     let mut text = first_span_lines(&first_spans);
     text.extend(behind.iter().map(later_span_line));
--- a/crates/router/src/cli/audit_text.rs
+++ b/crates/router/src/cli/audit_text.rs
@@ -1,9 +1,11 @@
 //! The text of the commands that read audit logs. What needs attention stands in capitals.
 
 use linnethook_audit::record::{AuditedAction, Span};
-use linnethook_audit::verification::{AttemptTrace, AttributedSpan, Finding, VerifiedLogs};
+use linnethook_audit::verification::{
+    AttemptTrace, AttributedSpan, Finding, FirstSpan, HierarchyConflict, JournalEventApplication,
+    VerifiedLogs,
+};
 use linnethook_membership::hybrid_clock::Timestamp;
-use linnethook_membership::Ms;
 
 /// The names of the rollout's stages, by their numbers.
 const STAGE_NAMES: [&str; 5] = ["planned", "announced", "warming", "settled", "rolled back"];
@@ -91,9 +93,9 @@
 }
 
 /// When each router first acted on a version.
-pub fn first_span_lines(first_spans: &[(String, u64, Timestamp, Ms)]) -> String {
-    let first_ms = first_spans.first().map_or(0, |(.., at, _)| at.ms);
-    let line = |(name, incarnation, at, wall_clock): &(String, u64, Timestamp, Ms)| {
+pub fn first_span_lines(first_spans: &[FirstSpan]) -> String {
+    let first_ms = first_spans.first().map_or(0, |first| first.at.ms);
+    let line = |FirstSpan { name, incarnation, at, wall_clock }: &FirstSpan| {
         let delay_ms = at.ms - first_ms;
         format!(
             "{name} (start {incarnation}) from {at}, {delay_ms} ms after the first; by its clock {wall_clock:.0}\n"
@@ -110,13 +112,15 @@
 }
 
 /// When a router applied an event of the journal.
-pub fn applied_line((name, incarnation, at, from_gossip): &(String, u64, Timestamp, bool)) -> String {
+pub fn applied_line(application: &JournalEventApplication) -> String {
+    let JournalEventApplication { name, incarnation, at, from_gossip } = application;
     let source = if *from_gossip { "by the word of fellows" } else { "by its journal" };
     format!("{name} (start {incarnation}) at {at}, {source}\n")
 }
 
 /// Two routers that filled by two hierarchies at once.
-pub fn conflict_line((first, second, from, to): &(String, String, Timestamp, Timestamp)) -> String {
+pub fn conflict_line(conflict: &HierarchyConflict) -> String {
+    let HierarchyConflict { first, second, from, to } = conflict;
     format!("{first} and {second} filled by two shapes between {from} and {to}\n")
 }
 
--- a/crates/router/src/cli/error.rs
+++ b/crates/router/src/cli/error.rs
@@ -5,6 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
+use linnethook_audit::error::LogFileError;
 use linnethook_membership::aggregation::location::LocationError;
 use linnethook_operator_config::ConfigError;
 
@@ -29,7 +30,7 @@
     /// A file can't be read.
     ReadFile(FileError),
     /// The content of a file is not that of audit logs.
-    NoAuditFile(PathBuf),
+    LogFile(LogFileReadError),
     /// A file can't be written.
     WriteFile(FileError),
     /// The path of this program is not known.
@@ -55,7 +56,7 @@
             | Self::Location(_)
             | Self::Config(_)
             | Self::ReadFile(_)
-            | Self::NoAuditFile(_) => ExitCode::from(USAGE_EXIT_CODE),
+            | Self::LogFile(_) => ExitCode::from(USAGE_EXIT_CODE),
             Self::WriteFile(_)
             | Self::ProgramPath(_)
             | Self::Output(_)
@@ -78,9 +79,7 @@
             Self::Location(error) => write!(f, "--site: {error}"),
             Self::Config(error) => error.fmt(f),
             Self::ReadFile(error) | Self::WriteFile(error) => error.fmt(f),
-            Self::NoAuditFile(path) => {
-                write!(f, "{}: this is no file of accounts, or it is cut short", path.display())
-            }
+            Self::LogFile(error) => error.fmt(f),
             Self::ProgramPath(error) => write!(f, "the program's own path: {error}"),
             Self::Output(error) => error.fmt(f),
             Self::Router(error) => error.fmt(f),
@@ -98,11 +97,11 @@
             Self::ReadFile(error) | Self::WriteFile(error) => Some(&error.source),
             Self::ProgramPath(error) | Self::Output(error) => Some(error),
             Self::Router(error) => Some(error),
+            Self::LogFile(error) => Some(&error.source),
             Self::NoRouter
             | Self::NotOneRouter
             | Self::SeveralRouters
             | Self::NoAuditSource
-            | Self::NoAuditFile(_)
             | Self::LogsNotVerified(_)
             | Self::StartsRouters => None,
         }
@@ -143,6 +142,22 @@
     }
 }
 
+/// A file whose content is not that of audit logs.
+#[derive(Debug)]
+pub struct LogFileReadError {
+    /// The file.
+    pub path: PathBuf,
+    /// What is wrong with its content.
+    pub source: LogFileError,
+}
+
+impl fmt::Display for LogFileReadError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        // Operators know this text, whichever of the two it is.
+        write!(f, "{}: this is no file of accounts, or it is cut short", self.path.display())
+    }
+}
+
 /// Why a call to a router failed, with the socket of the router.
 #[derive(Debug)]
 pub struct RouterCallError {
--- a/crates/router/tests/audit.rs
+++ b/crates/router/tests/audit.rs
@@ -129,7 +129,7 @@
     rig.end_loads();
     let accounts = rig.accounts().expect("accounts");
     rig.accounted(&accounts).expect("the same as the record, but for gaps");
-    let starts = accounts.incarnations().filter(|((who, _), _)| who == "r0").count();
+    let starts = accounts.incarnations().filter(|log| log.name == "r0").count();
     assert_eq!(starts, 2, "the start before is there too");
     std::fs::remove_dir_all(&folder).expect("removed");
 }
@@ -311,7 +311,7 @@
     rig.accounted(&accounts).expect("the same as the record");
     let only_gaps = accounts.findings.iter().all(|finding| matches!(finding, Finding::Gap { .. }));
     assert!(only_gaps, "{:?}", accounts.findings);
-    let first = accounts.incarnations().find(|((who, _), _)| who == "r0").expect("the first start").1;
+    let first = accounts.incarnations().find(|log| log.name == "r0").expect("the first start").log;
     assert!(first.is_closed, "the fellows know that it ended");
     // By the folder alone its end is missing.
     let (good, text) = audit(&rig, &[0], &["verify"]);
--- a/crates/router/tests/rolling.rs
+++ b/crates/router/tests/rolling.rs
@@ -117,7 +117,7 @@
     let accounts = rig.accounts().expect("accounts");
     rig.accounted(&accounts).expect("the same as the record");
     for n in EARLIER {
-        let starts = accounts.incarnations().filter(|((who, _), _)| *who == name(n)).count();
+        let starts = accounts.incarnations().filter(|log| log.name == name(n)).count();
         assert_eq!(starts, 2, "both incarnations of {} are in the audit log", name(n));
     }
     rig.check(&[]).expect("no rule is broken");
--- a/crates/standins/src/rig.rs
+++ b/crates/standins/src/rig.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use linnethook_audit::record::read_file;
-use linnethook_audit::verification::{Finding, VerifiedLogs};
+use linnethook_audit::verification::{Finding, SpanRecord, VerifiedLogs};
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -623,7 +623,10 @@
             if !output.status.success() {
                 return Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()));
             }
-            links.extend(read_file(&std::fs::read(&file)?).ok_or(io::ErrorKind::InvalidData)?);
+            links.extend(
+                read_file(&std::fs::read(&file)?)
+                    .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?,
+            );
         }
         Ok(VerifiedLogs::new(links))
     }
@@ -636,7 +639,7 @@
         let mut told = BTreeSet::<(String, String)>::new();
         let mut open = Vec::new();
         let known_from = accounts.earliest_known();
-        for (router, _, _, span) in accounts.spans() {
+        for SpanRecord { name: router, span, .. } in accounts.spans() {
             for booking in &span.write_attempts {
                 told.insert((router.to_string(), booking.request_id.clone()));
                 // Turned back, cancelled or broken off it may never have got there.
--- a/crates/standins/src/scale/mod.rs
+++ b/crates/standins/src/scale/mod.rs
@@ -35,7 +35,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_audit::record::{read_file, ChainLink, Record};
+use linnethook_audit::record::{read_file, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -601,9 +601,10 @@
     fn acted(&self, n: usize) -> Result<Vec<Change>, Failure> {
         let file = self.places.folder.join("accounts");
         self.command(n, &["audit", "export", &file.display().to_string()])?;
-        let links = read_file(&std::fs::read(&file)?).ok_or("accounts that can't be read")?;
+        let links = read_file(&std::fs::read(&file)?)?;
         // Those of others are copies.
-        let records = links.iter().filter(|link| link.name == name(n)).filter_map(ChainLink::decode_record);
+        let records =
+            links.iter().filter(|link| link.name == name(n)).filter_map(|link| link.decode_record().ok());
         let spans = records.filter_map(|record| match record {
             Record::Span(span) => Some((span.versions.hierarchy.version, span.from.ms as f64)),
             _ => None,
