--- a/crates/router/src/audit_log/disk.rs
+++ b/crates/router/src/audit_log/disk.rs
@@ -146,3 +146,7 @@
         let _ = self.thread.join();
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/audit_disk.rs"]
+mod tests;
--- a/crates/router/src/cluster/endpoint_overrides.rs
+++ b/crates/router/src/cluster/endpoint_overrides.rs
@@ -75,3 +75,7 @@
         self.drained.iter().map(|(name, drained_at)| (name, *drained_at))
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/endpoint_overrides.rs"]
+mod tests;
--- a/crates/router/src/upstream/deadlines.rs
+++ b/crates/router/src/upstream/deadlines.rs
@@ -46,3 +46,7 @@
         self.0.pop_first().map(|deadline| deadline.key)
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/deadlines.rs"]
+mod tests;
--- /dev/null
+++ b/crates/router/tests/unit/deadlines.rs
@@ -0,0 +1,28 @@
+//! Unit tests of `src/upstream/deadlines.rs`, a part of its module.
+
+use super::*;
+
+#[test]
+fn deadlines_pass_in_their_order() {
+    let mut deadlines = DeadlineQueue::default();
+    deadlines.insert(20.0, "late");
+    deadlines.insert(10.5, "early");
+    assert_eq!(deadlines.next(), Some(10.5));
+    assert_eq!(deadlines.pop_overdue(10.4), None);
+    assert_eq!(deadlines.pop_overdue(10.5), Some("early"));
+    assert_eq!(deadlines.pop_overdue(10.5), None);
+    assert_eq!(deadlines.pop_overdue(30.0), Some("late"));
+    assert_eq!(deadlines.next(), None);
+}
+
+#[test]
+fn a_deadline_that_was_removed_does_not_pass() {
+    let mut deadlines = DeadlineQueue::default();
+    deadlines.insert(10.0, 1);
+    deadlines.insert(10.0, 2);
+    deadlines.remove(10.0, 1);
+    deadlines.remove(11.0, 2);
+    assert_eq!(deadlines.pop_overdue(10.0), Some(2));
+    deadlines.remove(10.0, 2);
+    assert_eq!(deadlines.pop_overdue(10.0), None);
+}
