--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -57,10 +57,10 @@
                 let kind = PeerMessageKind::from_wire_tag(kind)?;
                 return self.on_message(now, hierarchy, &from, kind, &bytes);
             }
-            ClusterAction::Broadcast(entries) => gateway.tell_fellows(now, entries),
-            ClusterAction::Retract(key) => gateway.drop_fellows(key),
-            ClusterAction::SendTo(name, entries) => gateway.tell_fellow_alone(&name, entries),
-            ClusterAction::CloseLinks => gateway.leave_fellows(now),
+            ClusterAction::Broadcast(entries) => gateway.broadcast_to_peers(now, entries),
+            ClusterAction::Retract(key) => gateway.remove_peer_entry(key),
+            ClusterAction::SendTo(name, entries) => gateway.send_to_peer(&name, entries),
+            ClusterAction::CloseLinks => gateway.disconnect_peers(now),
             ClusterAction::Answer { id, location, routers } => {
                 self.queries.set_answer(id, SiteDetail { location: location.to_string(), routers });
             }
--- a/crates/router/src/remote_sites/links.rs
+++ b/crates/router/src/remote_sites/links.rs
@@ -8,7 +8,7 @@
 use bytes::{Buf, BytesMut};
 use calloop::generic::{Generic, NoIoDrop};
 use calloop::{Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
-use linnethook_gateway::gateway::{Conn, Gateway};
+use linnethook_gateway::gateway::{ConnectionId, Gateway};
 use socket2::{Domain, Socket, Type};
 
 use crate::config::Limits;
@@ -41,10 +41,10 @@
 pub struct SiteLinks<W: EventHandler> {
     limits: Limits,
     handle: LoopHandle<'static, W>,
-    connections: BTreeMap<Conn, Connection>,
-    last: Conn,
+    connections: BTreeMap<ConnectionId, Connection>,
+    last: ConnectionId,
     /// Connections whose reading is paused: others have their turn.
-    paused: BTreeSet<Conn>,
+    paused: BTreeSet<ConnectionId>,
     block: Box<[u8]>,
     listener: Option<RegistrationToken>,
     /// When the listener is enabled again after a failed accept.
@@ -56,7 +56,7 @@
 
 impl<W: EventHandler> SiteLinks<W> {
     pub fn new(limits: Limits, handle: LoopHandle<'static, W>) -> Self {
-        let block = vec![0; limits.link_block].into_boxed_slice();
+        let block = vec![0; limits.links.block_bytes].into_boxed_slice();
         Self {
             limits,
             handle,
@@ -101,30 +101,30 @@
     /// Accepts a bounded number of links; those above the limit are closed at once. False where no more can be accepted for
     /// now.
     pub fn accept(&mut self, now: Ms, listener: &TcpListener, gateway: &mut Gateway) -> bool {
-        for _ in 0..self.limits.accept_turn {
+        for _ in 0..self.limits.accept.max_per_turn {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
                 Err(error) => {
                     // Without the pause the loop would spin where descriptors are short.
                     log_line!("a link's listener: {error}");
-                    self.resume_accepting = Some(now + self.limits.client_sweep);
+                    self.resume_accepting = Some(now + self.limits.accept.retry_pause_ms);
                     return false;
                 }
             };
             self.accepted += 1;
-            if self.connections.len() >= self.limits.links {
+            if self.connections.len() >= self.limits.links.max_connections {
                 continue;
             }
             match self.add(stream, None) {
-                Ok(conn) => gateway.opened(now, conn, None),
+                Ok(conn) => gateway.connection_opened(now, conn, None),
                 Err(error) => log_line!("a link could not be taken in: {error}"),
             }
         }
         true
     }
 
-    fn add(&mut self, stream: TcpStream, connecting: Option<Connecting>) -> io::Result<Conn> {
+    fn add(&mut self, stream: TcpStream, connecting: Option<Connecting>) -> io::Result<ConnectionId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.last += 1;
@@ -142,8 +142,8 @@
 
     /// Starts a connect for the gateway's number of an address.
     pub fn dial(&mut self, now: Ms, dialer: usize, address: SocketAddr, gateway: &mut Gateway) {
-        let connecting = Connecting { deadline: now + self.limits.connect, dialer };
-        let started = match self.connections.len() < self.limits.links {
+        let connecting = Connecting { deadline: now + self.limits.upstreams.connect_timeout_ms, dialer };
+        let started = match self.connections.len() < self.limits.links.max_connections {
             true => connect(address).and_then(|stream| self.add(stream, Some(connecting))),
             false => Err(io::Error::other("as many connections of links as may be")),
         };
@@ -154,13 +154,13 @@
     }
 
     /// Continues after a connection became ready.
-    pub fn ready(&mut self, now: Ms, conn: Conn, readiness: Readiness, gateway: &mut Gateway) {
+    pub fn ready(&mut self, now: Ms, conn: ConnectionId, readiness: Readiness, gateway: &mut Gateway) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if let Some(Connecting { dialer, .. }) = connection.connecting {
             match connection.stream.take_error() {
                 Ok(None) if readiness.writable => {
                     connection.connecting = None;
-                    gateway.opened(now, conn, Some(dialer));
+                    gateway.connection_opened(now, conn, Some(dialer));
                 }
                 Ok(None) => return,
                 Ok(Some(_)) | Err(_) => {
@@ -177,9 +177,9 @@
         }
     }
 
-    fn read(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
+    fn read(&mut self, now: Ms, conn: ConnectionId, gateway: &mut Gateway) {
         self.paused.remove(&conn);
-        let mut budget = self.limits.link_turn;
+        let mut budget = self.limits.links.max_read_bytes_per_turn;
         while let Some(connection) = self.connections.get_mut(&conn) {
             if budget == 0 {
                 self.paused.insert(conn);
@@ -190,7 +190,7 @@
                 Ok(n) => {
                     budget = budget.saturating_sub(n);
                     self.bytes_in += n as u64;
-                    gateway.came(now, conn, &self.block[..n]);
+                    gateway.receive(now, conn, &self.block[..n]);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -212,11 +212,11 @@
     }
 
     /// Writes as much as the system accepts.
-    pub fn write(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
+    pub fn write(&mut self, now: Ms, conn: ConnectionId, gateway: &mut Gateway) {
         while let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.connecting.is_none()) {
             if connection.output.is_empty() {
                 connection.output.clear();
-                gateway.pull(conn, self.limits.link_block, &mut connection.output);
+                gateway.take_output(conn, self.limits.links.block_bytes, &mut connection.output);
                 if connection.output.is_empty() {
                     return;
                 }
@@ -225,7 +225,7 @@
                 Ok(n) => {
                     connection.output.advance(n);
                     self.bytes_out += n as u64;
-                    gateway.wrote(conn, n);
+                    gateway.mark_written(conn, n);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -234,13 +234,13 @@
         }
     }
 
-    fn on_lost(&mut self, now: Ms, conn: Conn, gateway: &mut Gateway) {
+    fn on_lost(&mut self, now: Ms, conn: ConnectionId, gateway: &mut Gateway) {
         self.close(conn);
-        gateway.closed(now, conn);
+        gateway.connection_closed(now, conn);
     }
 
     /// Closes a connection; the gateway is not told.
-    pub fn close(&mut self, conn: Conn) {
+    pub fn close(&mut self, conn: ConnectionId) {
         self.paused.remove(&conn);
         if let Some(connection) = self.connections.remove(&conn) {
             self.handle.remove(connection.token);
@@ -258,7 +258,7 @@
         let late = self.connections.iter().filter_map(|(conn, connection)| {
             connection.connecting.filter(is_late).map(|connecting| (*conn, connecting.dialer))
         });
-        let late: Vec<(Conn, usize)> = late.collect();
+        let late: Vec<(ConnectionId, usize)> = late.collect();
         for (conn, dialer) in late {
             self.close(conn);
             gateway.dial_failed(now, dialer);
--- a/crates/router/src/upstream/completion.rs
+++ b/crates/router/src/upstream/completion.rs
@@ -46,7 +46,8 @@
         let Reply { id: request_id, status, fields, body } = reply;
         if !matches!(status, ReplyStatus::Data | ReplyStatus::Unchanged) {
             connection.retired_ids.insert(request_id);
-            connection.draining |= connection.retired_ids.len() >= self.limits.cache_streams;
+            connection.draining |=
+                connection.retired_ids.len() >= self.limits.upstreams.max_streams_per_connection;
         }
         let endpoint = connection.endpoint;
         let outcome = self.outcome(in_flight.client_copy.as_deref(), status, &fields, body);
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -32,7 +32,7 @@
 
 use crate::buffers::BufferPool;
 use crate::config::Limits;
-use crate::descriptors::Reserve;
+use crate::descriptors::DescriptorReserve;
 use crate::event_handler::EventHandler;
 use crate::policy_adapter::{EndpointKey, Ms};
 
@@ -43,13 +43,14 @@
 
 pub use attempt::{AttemptOrder, CompletedAttempt, FillPath, RequestMessage, ResponsePayload};
 pub use connection::ConnectionId;
+pub use health_check::HealthCheckResult;
 pub use response::{CopyVersion, FillLoop};
 
 /// All connections to caches, parents and the origin. Outcomes are queued here until the router takes them.
 pub struct Upstreams<W: EventHandler> {
     limits: Limits,
     buffers: BufferPool,
-    reserve: Reserve,
+    reserve: DescriptorReserve,
     handle: LoopHandle<'static, W>,
     endpoints: HashMap<EndpointKey, Endpoint>,
     connections: HashMap<ConnectionId, Connection>,
@@ -71,7 +72,7 @@
     pub fn new(
         limits: Limits,
         buffers: &BufferPool,
-        reserve: &Reserve,
+        reserve: &DescriptorReserve,
         handle: LoopHandle<'static, W>,
     ) -> Self {
         Self {
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -8,7 +8,7 @@
 
 use socket2::SockRef;
 
-use crate::descriptors::{ran_out, Purpose};
+use crate::descriptors::{is_out_of_descriptors, DescriptorPurpose};
 use crate::discovery::event::EndpointEntry;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
@@ -41,7 +41,7 @@
         self.endpoints.get(&key).map(Endpoint::to_string).unwrap_or_default()
     }
 
-    /// Applies an update of the endpoint list. An endpoint that is removed or was restarted gets fresh connections: another
+    /// Applies an update of the endpoint list. An endpoint that was removed or restarted gets fresh connections: another
     /// process may answer at its address now.
     pub fn update_endpoints(&mut self, now: Ms, entries: &[EndpointEntry], complete: bool) {
         let mut removed = Vec::new();
@@ -54,9 +54,9 @@
         let mut replaced = Vec::new();
         for entry in entries {
             let key = EndpointKey::of(&entry.uid);
-            if entry.gone() {
+            if entry.is_removed() {
                 removed.push(key);
-            } else if let Some(address) = entry.endpoint {
+            } else if let Some(address) = entry.address {
                 if self.update_endpoint(key, entry, address) {
                     replaced.push(key);
                 }
@@ -78,7 +78,7 @@
     /// older list.
     fn withdraw_for_unusable(&mut self, now: Ms, entries: &[EndpointEntry], removed: &[EndpointKey]) {
         let mut unusable: HashSet<EndpointKey> = removed.iter().copied().collect();
-        let is_unusable = |entry: &&EndpointEntry| !entry.ready() || self.is_replaced(entry);
+        let is_unusable = |entry: &&EndpointEntry| !entry.is_ready() || self.is_replaced(entry);
         unusable.extend(entries.iter().filter(is_unusable).map(|entry| EndpointKey::of(&entry.uid)));
         self.withdraw(now, AttemptEnd::TimedOut, |key, queued| {
             unusable.contains(&key) || queued.source.is_some_and(|source| unusable.contains(&source))
@@ -87,15 +87,15 @@
 
     /// Whether a line of the list names another process, or another address, than the known one.
     fn is_replaced(&self, entry: &EndpointEntry) -> bool {
-        let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.endpoint);
+        let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.address);
         known.is_some_and(|(endpoint, address)| {
-            endpoint.address != address || endpoint.started_at != entry.started()
+            endpoint.address != address || endpoint.started_at != entry.started_at()
         })
     }
 
     /// Stores an endpoint; true where it replaces another process or address.
     fn update_endpoint(&mut self, key: EndpointKey, entry: &EndpointEntry, address: SocketAddr) -> bool {
-        let started_at = entry.started();
+        let started_at = entry.started_at();
         match self.endpoints.get_mut(&key) {
             Some(endpoint) if endpoint.address == address && endpoint.started_at == started_at => false,
             Some(endpoint) => {
@@ -134,7 +134,7 @@
     /// what is open there stays open until its connection is closed.
     pub(super) fn connection_for(&mut self, now: Ms, key: EndpointKey, id: &str) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get(&key)?;
-        let max_streams = self.limits.cache_streams;
+        let max_streams = self.limits.upstreams.max_streams_per_connection;
         let known = endpoint.connections.iter().filter_map(|id| self.connections.get(id).map(|c| (*id, c)));
         let usable: Vec<(ConnectionId, &Connection)> =
             known.filter(|(_, connection)| connection.accepts(id, max_streams)).collect();
@@ -147,13 +147,13 @@
         let least_loaded = usable.iter().min_by_key(|(_, connection)| connection.open.len());
         let least_loaded = least_loaded.map(|(found, _)| *found);
         let address = endpoint.address;
-        if endpoint.connections.len() >= self.limits.cache_connections
-            || (self.connections.len() >= self.limits.connections && !self.close_longest_idle())
+        if endpoint.connections.len() >= self.limits.upstreams.max_connections_per_endpoint
+            || (self.connections.len() >= self.limits.upstreams.max_connections && !self.close_longest_idle())
         {
             return least_loaded;
         }
         let mut opened = self.open_connection(now, key, address);
-        if opened.as_ref().is_err_and(ran_out) && self.close_longest_idle() {
+        if opened.as_ref().is_err_and(is_out_of_descriptors) && self.close_longest_idle() {
             opened = self.open_connection(now, key, address);
         }
         match opened {
@@ -181,9 +181,11 @@
         key: EndpointKey,
         address: SocketAddr,
     ) -> io::Result<ConnectionId> {
-        let stream = Rc::new(self.reserve.open(Purpose::Cache, || sockets::connect(address))?);
+        let stream = Rc::new(self.reserve.open(DescriptorPurpose::Cache, || sockets::connect(address))?);
         // Bytes that the system holds can't be withdrawn any more.
-        if let Err(error) = SockRef::from(&*stream).set_send_buffer_size(self.limits.cache_send) {
+        if let Err(error) =
+            SockRef::from(&*stream).set_send_buffer_size(self.limits.upstreams.send_buffer_bytes)
+        {
             log_line!(upstream = %self.endpoint_label(key), reason = %error, "a connection keeps its send buffer");
         }
         self.connects += 1;
@@ -191,7 +193,7 @@
         let id = self.last_id;
         let on_ready = move |handler: &mut W, readiness| handler.on_upstream_ready(id, readiness);
         let token = sockets::register_stream(&self.handle, &stream, on_ready)?;
-        let deadline = now + self.limits.connect;
+        let deadline = now + self.limits.upstreams.connect_timeout_ms;
         let connection = Connection::new(key, stream, token, &self.buffers, now, deadline);
         self.connections.insert(id, connection);
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
@@ -237,7 +239,7 @@
             }
             loop {
                 let Some(connection) = self.connections.get_mut(&id) else { return };
-                match connection.next_reply(self.limits.string) {
+                match connection.next_reply(self.limits.upstreams.max_string_bytes) {
                     Ok(Some(reply)) => self.on_reply(now, id, reply),
                     Ok(None) => break,
                     Err(error) => return self.close(now, id, &error.to_string()),
@@ -248,7 +250,7 @@
 
     /// Writes what is queued, but for attempts whose clients have to be checked first.
     pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
-        self.write(now, id, now - self.limits.client_looked);
+        self.write(now, id, now - self.limits.clients.check_interval_ms);
     }
 
     /// Writes what is queued, however long it has been queued.
