--- a/crates/router/tests/unit/endpoint_overrides.rs
+++ b/crates/router/tests/unit/endpoint_overrides.rs
@@ -30,15 +30,15 @@
 fn a_drain_of_another_journal_overrides_the_own_list_until_that_has_come_as_far() {
     let mut overrides = overrides();
     let line = overrides.apply_status("cache-1", status(false), 7).expect("a change");
-    assert!(!line.ready());
+    assert!(!line.is_ready());
     assert_eq!(drained(&overrides), [("cache-1", 7)]);
 
     let mut earlier = entry("cache-1", "Ready");
     overrides.apply_to(&mut earlier, 6);
-    assert!(!earlier.ready(), "the drain is later");
+    assert!(!earlier.is_ready(), "the drain is later");
     let mut later = entry("cache-1", "Ready");
     overrides.apply_to(&mut later, 7);
-    assert!(later.ready(), "the own journal is as new");
+    assert!(later.is_ready(), "the own journal is as new");
     assert_eq!(drained(&overrides), []);
 }
 
@@ -49,7 +49,8 @@
     overrides.apply_status("cache-1", status(false), 7).expect("a change");
     overrides.apply_status("cache-2", status(false), 9).expect("a change");
     let restored = overrides.remove_up_to(8);
-    let names: Vec<(&str, bool)> = restored.iter().map(|entry| (entry.uid.as_str(), entry.ready())).collect();
+    let names: Vec<(&str, bool)> =
+        restored.iter().map(|entry| (entry.uid.as_str(), entry.is_ready())).collect();
     assert_eq!(names, [("cache-1", true)]);
     assert_eq!(drained(&overrides), [("cache-2", 9)]);
 }
@@ -60,7 +61,7 @@
     overrides.apply_status("cache-1", status(false), 7).expect("a change");
     let restarted = CacheStatus { started_at: STARTED_AT + 1.0, ..status(true) };
     assert!(overrides.apply_status("cache-1", restarted, 8).is_none());
-    assert!(overrides.apply_status("cache-1", status(true), 8).expect("a change").ready());
+    assert!(overrides.apply_status("cache-1", status(true), 8).expect("a change").is_ready());
     assert!(overrides.apply_status("cache-1", status(true), 9).is_none(), "it is back already");
 }
 
