--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -2,7 +2,9 @@
 //!
 //! - [`codec`]: the protocol of caches, bytes to messages and back;
 //! - [`connection`]: one connection, with its queue and what is open on it;
-//! - [`pool`]: the endpoints, and which connection a message takes;
+//! - [`endpoints`]: the endpoint list;
+//! - [`pool`]: which connection a message takes, and when connections are opened and closed;
+//! - [`transfer`]: reading and writing;
 //! - [`attempt`], [`attempt_table`]: an attempt from its order to its outcome, and those in flight;
 //! - [`sending`], [`cancellation`], [`completion`]: how attempts are sent, ended without a reply, and completed;
 //! - [`health_check`]: health checks and their results;
@@ -19,12 +21,14 @@
 mod completion;
 mod connection;
 mod deadlines;
+mod endpoints;
 mod health_check;
 mod pool;
 mod request;
 mod response;
 mod sending;
 mod timers;
+mod transfer;
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -38,8 +42,8 @@
 
 use attempt_table::AttemptTable;
 use connection::Connection;
+use endpoints::Endpoint;
 use health_check::HealthChecks;
-use pool::Endpoint;
 
 pub use attempt::{AttemptOrder, CompletedAttempt, FillPath, RequestMessage, ResponsePayload};
 pub use connection::ConnectionId;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,7 +1,5 @@
-//! The endpoints and their connections: which connection a message takes, and when connections are opened and closed.
+//! Which connection a message takes, and when connections are opened and closed.
 
-use std::collections::HashSet;
-use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,124 +7,16 @@
 use socket2::SockRef;
 
 use crate::descriptors::{is_out_of_descriptors, DescriptorPurpose};
-use crate::discovery::event::EndpointEntry;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::{AttemptEnd, EndpointKey, Ms};
 use crate::sockets;
 
-use super::connection::{Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
+use super::connection::{Connection, ConnectionId, Exchange, ExchangeOwner};
+use super::endpoints::Endpoint;
 use super::Upstreams;
 
-/// A cache, parent or the origin, as the endpoint list has it.
-#[derive(Debug)]
-pub(super) struct Endpoint {
-    pub uid: String,
-    address: SocketAddr,
-    started_at: Ms,
-    /// When something was last received from it.
-    pub last_activity: Ms,
-    connections: Vec<ConnectionId>,
-}
-
-impl fmt::Display for Endpoint {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}@{}", self.uid, self.address)
-    }
-}
-
 impl<W: EventHandler> Upstreams<W> {
-    /// The name and the address of an endpoint for the log; empty for one that is no longer listed.
-    pub(super) fn endpoint_label(&self, key: EndpointKey) -> String {
-        self.endpoints.get(&key).map(Endpoint::to_string).unwrap_or_default()
-    }
-
-    /// Applies an update of the endpoint list. An endpoint that was removed or restarted gets fresh connections: another
-    /// process may answer at its address now.
-    pub fn update_endpoints(&mut self, now: Ms, entries: &[EndpointEntry], complete: bool) {
-        let mut removed = Vec::new();
-        if complete {
-            let listed: HashSet<EndpointKey> =
-                entries.iter().map(|entry| EndpointKey::of(&entry.uid)).collect();
-            removed.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
-        }
-        self.withdraw_for_unusable(now, entries, &removed);
-        let mut replaced = Vec::new();
-        for entry in entries {
-            let key = EndpointKey::of(&entry.uid);
-            if entry.is_removed() {
-                removed.push(key);
-            } else if let Some(address) = entry.address {
-                if self.update_endpoint(key, entry, address) {
-                    replaced.push(key);
-                }
-            }
-        }
-        for key in replaced {
-            let endpoint = self.endpoints.get_mut(&key);
-            let connections = endpoint.map(|endpoint| std::mem::take(&mut endpoint.connections));
-            self.drain(connections.unwrap_or_default());
-        }
-        // Endpoints are replaced all day: those that are removed must not accumulate.
-        for key in removed {
-            let connections = self.endpoints.remove(&key).map(|endpoint| endpoint.connections);
-            self.drain(connections.unwrap_or_default());
-        }
-    }
-
-    /// Withdraws what is queued for, or fills from, an endpoint that drains, is removed or was replaced: it was ordered by an
-    /// older list.
-    fn withdraw_for_unusable(&mut self, now: Ms, entries: &[EndpointEntry], removed: &[EndpointKey]) {
-        let mut unusable: HashSet<EndpointKey> = removed.iter().copied().collect();
-        let is_unusable = |entry: &&EndpointEntry| !entry.is_ready() || self.is_replaced(entry);
-        unusable.extend(entries.iter().filter(is_unusable).map(|entry| EndpointKey::of(&entry.uid)));
-        self.withdraw(now, AttemptEnd::TimedOut, |key, queued| {
-            unusable.contains(&key) || queued.source.is_some_and(|source| unusable.contains(&source))
-        });
-    }
-
-    /// Whether a line of the list names another process, or another address, than the known one.
-    fn is_replaced(&self, entry: &EndpointEntry) -> bool {
-        let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.address);
-        known.is_some_and(|(endpoint, address)| {
-            endpoint.address != address || endpoint.started_at != entry.started_at()
-        })
-    }
-
-    /// Stores an endpoint; true where it replaces another process or address.
-    fn update_endpoint(&mut self, key: EndpointKey, entry: &EndpointEntry, address: SocketAddr) -> bool {
-        let started_at = entry.started_at();
-        match self.endpoints.get_mut(&key) {
-            Some(endpoint) if endpoint.address == address && endpoint.started_at == started_at => false,
-            Some(endpoint) => {
-                endpoint.address = address;
-                endpoint.started_at = started_at;
-                true
-            }
-            None => {
-                let endpoint = Endpoint {
-                    uid: entry.uid.clone(),
-                    address,
-                    started_at,
-                    last_activity: 0.0,
-                    connections: Vec::new(),
-                };
-                self.endpoints.insert(key, endpoint);
-                false
-            }
-        }
-    }
-
-    /// Lets connections finish what is open on them, and then closes them.
-    fn drain(&mut self, connections: Vec<ConnectionId>) {
-        for id in connections {
-            if let Some(connection) = self.connections.get_mut(&id) {
-                connection.draining = true;
-            }
-            self.close_if_drained(id);
-        }
-    }
-
     /// A connection for a message under that id: an idle one, a new one, or, at the limit of connections, the one with
     /// the fewest open messages.
     ///
@@ -134,22 +24,17 @@
     /// what is open there stays open until its connection is closed.
     pub(super) fn connection_for(&mut self, now: Ms, key: EndpointKey, id: &str) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get(&key)?;
-        let max_streams = self.limits.upstreams.max_streams_per_connection;
-        let known = endpoint.connections.iter().filter_map(|id| self.connections.get(id).map(|c| (*id, c)));
-        let usable: Vec<(ConnectionId, &Connection)> =
-            known.filter(|(_, connection)| connection.accepts(id, max_streams)).collect();
-        // The most recently used one, so that the others become old enough to be closed.
-        let idle = usable.iter().filter(|(_, connection)| connection.is_idle());
-        let latest = idle.max_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used));
-        if let Some((found, _)) = latest {
-            return Some(*found);
-        }
-        let least_loaded = usable.iter().min_by_key(|(_, connection)| connection.open.len());
-        let least_loaded = least_loaded.map(|(found, _)| *found);
         let address = endpoint.address;
-        if endpoint.connections.len() >= self.limits.upstreams.max_connections_per_endpoint
-            || (self.connections.len() >= self.limits.upstreams.max_connections && !self.close_longest_idle())
-        {
+        let connection_count = endpoint.connections.len();
+        if let Some(idle) = self.latest_idle(endpoint, id) {
+            return Some(idle);
+        }
+        let least_loaded = self.least_loaded(endpoint, id);
+        if connection_count >= self.limits.upstreams.max_connections_per_endpoint {
+            return least_loaded;
+        }
+        let is_full = self.connections.len() >= self.limits.upstreams.max_connections;
+        if is_full && !self.close_longest_idle() {
             return least_loaded;
         }
         let mut opened = self.open_connection(now, key, address);
@@ -165,6 +50,31 @@
         }
     }
 
+    /// The connections to an endpoint that accept a message under that id.
+    fn usable_connections<'a>(
+        &'a self,
+        endpoint: &'a Endpoint,
+        id: &'a str,
+    ) -> impl Iterator<Item = (ConnectionId, &'a Connection)> {
+        let max_streams = self.limits.upstreams.max_streams_per_connection;
+        let known = endpoint.connections.iter().filter_map(|id| Some((*id, self.connections.get(id)?)));
+        known.filter(move |(_, connection)| connection.accepts(id, max_streams))
+    }
+
+    /// The most recently used idle connection, so that the others become old enough to be closed.
+    fn latest_idle(&self, endpoint: &Endpoint, id: &str) -> Option<ConnectionId> {
+        let idle = self.usable_connections(endpoint, id).filter(|(_, connection)| connection.is_idle());
+        let latest = idle.max_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used));
+        latest.map(|(found, _)| found)
+    }
+
+    /// The connection with the fewest open messages.
+    fn least_loaded(&self, endpoint: &Endpoint, id: &str) -> Option<ConnectionId> {
+        let usable = self.usable_connections(endpoint, id);
+        let least_loaded = usable.min_by_key(|(_, connection)| connection.open.len());
+        least_loaded.map(|(found, _)| found)
+    }
+
     /// Closes the connection that has been idle for longest; false where each has something open.
     ///
     /// Without this an endpoint could not be reached because others were busy a while ago.
@@ -202,14 +112,6 @@
         Ok(id)
     }
 
-    /// Notes that something was received on a connection.
-    pub(super) fn note_activity(&mut self, now: Ms, id: ConnectionId) {
-        let key = self.connections.get(&id).map(|connection| connection.endpoint);
-        if let Some(endpoint) = key.and_then(|key| self.endpoints.get_mut(&key)) {
-            endpoint.last_activity = now;
-        }
-    }
-
     /// Closes idle connections to an endpoint that has been silent since `sent_at`: they may be as dead as the one on which
     /// an attempt was abandoned, and new ones show whether it still accepts any.
     pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent_at: Ms) {
@@ -224,52 +126,6 @@
         }
     }
 
-    /// Reads and handles all replies that have arrived.
-    pub(super) fn read(&mut self, now: Ms, id: ConnectionId) {
-        loop {
-            let Some(connection) = self.connections.get_mut(&id) else { return };
-            match connection.read() {
-                Ok(0) => return self.close(now, id, "closed"),
-                Ok(_) => self.note_activity(now, id),
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return self.close_if_out_of_step(now, id);
-                }
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                Err(error) => return self.close(now, id, &error.to_string()),
-            }
-            loop {
-                let Some(connection) = self.connections.get_mut(&id) else { return };
-                match connection.next_reply(self.limits.upstreams.max_string_bytes) {
-                    Ok(Some(reply)) => self.on_reply(now, id, reply),
-                    Ok(None) => break,
-                    Err(error) => return self.close(now, id, &error.to_string()),
-                }
-            }
-        }
-    }
-
-    /// Writes what is queued, but for attempts whose clients have to be checked first.
-    pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
-        self.write(now, id, now - self.limits.clients.check_interval_ms);
-    }
-
-    /// Writes what is queued, however long it has been queued.
-    pub fn write_queued(&mut self, now: Ms, id: ConnectionId) {
-        self.write(now, id, f64::NEG_INFINITY);
-    }
-
-    /// Writes what the system takes, but no attempt that was queued before `oldest`.
-    fn write(&mut self, now: Ms, id: ConnectionId, oldest: Ms) {
-        let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.is_up()) else {
-            return;
-        };
-        match connection.write(oldest) {
-            Ok(WriteProgress::Done) => {}
-            Ok(WriteProgress::Stalled) => _ = self.stalled.insert(id),
-            Err(error) => self.close(now, id, &error.to_string()),
-        }
-    }
-
     /// Closes a connection that does not take a cancellation at once: until it does, the cancelled message may be
     /// executed while a retry is in flight.
     pub(super) fn close_if_cancellation_waits(&mut self, now: Ms, id: ConnectionId) {
@@ -278,17 +134,6 @@
         }
     }
 
-    /// Closes a connection on which a reply has begun though nothing is open: the reply to the next message would come
-    /// behind it, if at all.
-    fn close_if_out_of_step(&mut self, now: Ms, id: ConnectionId) {
-        if self.connections.get(&id).is_some_and(Connection::has_unexpected_input) {
-            let upstream =
-                self.connections.get(&id).map(|connection| self.endpoint_label(connection.endpoint));
-            log_line!(upstream = %upstream.unwrap_or_default(), "an answer that nobody asked for ends its connection");
-            self.close(now, id, "an answer that nobody asked for");
-        }
-    }
-
     /// Closes a connection that takes no new messages once nothing is open on it.
     pub(super) fn close_if_drained(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_drained) {
@@ -321,15 +166,18 @@
             ExchangeOwner::HealthCheck => None,
         });
         for exchange in open {
-            match exchange.owner {
-                ExchangeOwner::HealthCheck => self.health_checks.fail(key),
-                ExchangeOwner::Attempt(attempt) => {
-                    let Some(in_flight) = self.attempts.remove(attempt) else { continue };
-                    let end =
-                        if exchange.fully_sent { AttemptEnd::ConnectionLost } else { AttemptEnd::NotSent };
-                    self.complete(now, attempt, key, in_flight.sent_at, end);
-                }
-            }
+            self.end_exchange(now, key, &exchange);
         }
     }
+
+    /// Ends a message whose connection is closed.
+    fn end_exchange(&mut self, now: Ms, key: EndpointKey, exchange: &Exchange) {
+        let attempt = match exchange.owner {
+            ExchangeOwner::HealthCheck => return self.health_checks.fail(key),
+            ExchangeOwner::Attempt(attempt) => attempt,
+        };
+        let Some(in_flight) = self.attempts.remove(attempt) else { return };
+        let end = if exchange.fully_sent { AttemptEnd::ConnectionLost } else { AttemptEnd::NotSent };
+        self.complete(now, attempt, key, in_flight.sent_at, end);
+    }
 }
