--- a/crates/router/src/audit_log/mod.rs
+++ b/crates/router/src/audit_log/mod.rs
@@ -257,7 +257,7 @@
                 Some(first_missing.message(from, PeerMessageKind::AuditRecordsRequest))
             }
             ReplicaOutcome::Forked => {
-                log_line!(incarnation, number, "audit: the log of {from} contradicts what it sent before");
+                log_line!(peer = %from, incarnation, number, "audit: a log contradicts what its owner sent before");
                 None
             }
             ReplicaOutcome::New | ReplicaOutcome::Known => None,
--- a/crates/router/src/cluster/commands.rs
+++ b/crates/router/src/cluster/commands.rs
@@ -1,4 +1,6 @@
-//! Questions of the control socket that concern the cluster.
+//! Requests of the control socket that concern the cluster.
+
+use std::fmt;
 
 use linnethook_membership::aggregation::query::QueryTarget;
 
@@ -12,37 +14,86 @@
 use super::straggler::StragglerCheck;
 use super::{ClusterAdapter, GossipCounters, CHECK_INTERVAL};
 
-/// The answer to a question, and whether the cluster's timer is to run at once.
+/// Why a request of the control socket is refused.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Refusal {
+    NoCluster,
+    NoStragglerCheck,
+    NoAuditLog,
+    /// No query of that id was started here, or it is no longer remembered.
+    UnknownQuery,
+    /// Queries go to locations, which no router of this cluster has.
+    NoLocations,
+    TooManyQueries,
+    /// Another part of the router handles the request.
+    NotOfTheCluster,
+}
+
+impl Refusal {
+    /// Whether the membership was asked, which may have something to send all the same.
+    fn is_by_membership(self) -> bool {
+        matches!(self, Self::NoLocations | Self::TooManyQueries)
+    }
+}
+
+impl fmt::Display for Refusal {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Self::NoCluster => "there are no fellows: the operator file has no fellows()",
+            Self::NoStragglerCheck => "nobody is shut out: the operator file has no straggler()",
+            Self::NoAuditLog => "there is no account: the operator file has no audit()",
+            Self::UnknownQuery => "that was not asked here",
+            Self::NoLocations => "no router has a place here: fleet show names all there are",
+            Self::TooManyQueries => "too much was asked within half a minute",
+            Self::NotOfTheCluster => "a question of another part",
+        })
+    }
+}
+
+impl std::error::Error for Refusal {}
+
+/// The response to a request, and whether the cluster's timer is to run at once.
 pub struct ClusterReply {
-    pub answer: ControlResponse,
+    pub response: ControlResponse,
     pub run_timer: bool,
 }
 
-/// Answers a question; `cluster` is `None` where the operator file has no `fellows()`.
-pub fn reply(cluster: Option<&mut ClusterAdapter>, now: Ms, question: ControlRequest) -> ClusterReply {
-    let run_timer = matches!(question, ControlRequest::StartQuery(_) | ControlRequest::SetFloor(_));
-    let answer = match (question, cluster) {
-        (ControlRequest::ShowFleet, Some(cluster)) => Ok(ControlResponse::Fleet(Box::new(cluster.view(now)))),
-        (ControlRequest::StartQuery(target), Some(cluster)) => cluster.start_query(now, target),
-        (ControlRequest::ShowFleet | ControlRequest::StartQuery(_), None) => {
-            Err("there are no fellows: the operator file has no fellows()")
+/// Handles a request; `cluster` is `None` where the operator file has no `fellows()`.
+pub fn reply(cluster: Option<&mut ClusterAdapter>, now: Ms, request: ControlRequest) -> ClusterReply {
+    let may_send = matches!(request, ControlRequest::StartQuery(_) | ControlRequest::SetFloor(_));
+    match handle(cluster, now, request) {
+        Ok(response) => ClusterReply { response, run_timer: may_send },
+        Err(refusal) => ClusterReply {
+            response: ControlResponse::Refused(refusal.to_string()),
+            run_timer: refusal.is_by_membership(),
+        },
+    }
+}
+
+fn handle(
+    cluster: Option<&mut ClusterAdapter>,
+    now: Ms,
+    request: ControlRequest,
+) -> Result<ControlResponse, Refusal> {
+    match request {
+        ControlRequest::ShowFleet => {
+            let view = cluster.ok_or(Refusal::NoCluster)?.view(now);
+            Ok(ControlResponse::Fleet(Box::new(view)))
+        }
+        ControlRequest::StartQuery(target) => cluster.ok_or(Refusal::NoCluster)?.start_query(now, target),
+        ControlRequest::FetchQueryResult(id) => {
+            let response = cluster.and_then(|cluster| cluster.query_result(id));
+            response.ok_or(Refusal::UnknownQuery)
         }
-        (ControlRequest::FetchQueryResult(id), cluster) => {
-            cluster.and_then(|cluster| cluster.query_result(id)).ok_or("that was not asked here")
+        ControlRequest::SetFloor(version) => {
+            let response = cluster.and_then(|cluster| cluster.set_floor(now, version));
+            response.ok_or(Refusal::NoStragglerCheck)
         }
-        (ControlRequest::SetFloor(version), cluster) => cluster
-            .and_then(|cluster| cluster.set_floor(now, version))
-            .ok_or("nobody is shut out: the operator file has no straggler()"),
-        (ControlRequest::ListAuditRecords, cluster) => cluster
-            .and_then(|cluster| cluster.audit_records(now))
-            .ok_or("there is no account: the operator file has no audit()"),
-        _ => Err("a question of another part"),
-    };
-    match answer {
-        Ok(answer) => ClusterReply { answer, run_timer },
-        Err(reason) => {
-            ClusterReply { answer: ControlResponse::Refused(reason.to_string()), run_timer: false }
+        ControlRequest::ListAuditRecords => {
+            let response = cluster.and_then(|cluster| cluster.audit_records(now));
+            response.ok_or(Refusal::NoAuditLog)
         }
+        _ => Err(Refusal::NotOfTheCluster),
     }
 }
 
@@ -87,14 +138,12 @@
     }
 
     /// Asks another site for its routers.
-    fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<ControlResponse, &'static str> {
+    fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<ControlResponse, Refusal> {
         let Some(id) = self.membership.start_query(now, target) else {
-            // The timer runs all the same: the membership may have something to send.
-            let reason = match self.membership.location() {
-                None => "no router has a place here: fleet show names all there are",
-                Some(_) => "too much was asked within half a minute",
-            };
-            return Ok(ControlResponse::Refused(reason.to_string()));
+            return Err(match self.membership.location() {
+                None => Refusal::NoLocations,
+                Some(_) => Refusal::TooManyQueries,
+            });
         };
         self.queries.add(id);
         Ok(ControlResponse::QueryStarted(id))
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -153,7 +153,7 @@
         if reply.run_timer {
             self.on_cluster_timer();
         }
-        reply.answer
+        reply.response
     }
 
     // ---- Timers.
