--- a/crates/router/src/answers.rs
+++ b/crates/router/src/answers.rs
@@ -13,15 +13,20 @@
 /// A field of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AnswerField {
+    /// Its name in the frame.
     pub name: &'static str,
+    /// Its value.
     pub value: String,
 }
 
 /// What the frame of a final answer says.
 #[derive(Debug)]
 pub struct ClientAnswer {
+    /// The result.
     pub code: AnswerCode,
+    /// The one field that it may have.
     pub field: Option<AnswerField>,
+    /// The payload.
     pub body: BufferChain,
 }
 
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -179,10 +179,14 @@
 
     /// What a drain waits for.
     pub fn open_work(&self) -> OpenWork {
-        OpenWork {
-            undecided_requests: self.policy.open_requests(),
-            requests_at_other_sites: if self.parts.forwards_requests() { self.requests.len() } else { 0 },
-            has_unsettled_clients: !self.downstreams.is_settled(),
+        // The gateway owes the answers to requests at other sites, and the policy does not count these.
+        let is_owed_by_gateway = self.parts.forwards_requests() && self.requests.len() > 0;
+        if self.policy.open_requests() > 0 || is_owed_by_gateway {
+            OpenWork::Requests
+        } else if self.downstreams.is_settled() {
+            OpenWork::Nothing
+        } else {
+            OpenWork::Clients
         }
     }
 }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -134,3 +134,7 @@
         Some(request)
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/requests.rs"]
+mod tests;
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -266,7 +266,7 @@
         if !self.run_phase.is_serving() {
             return;
         }
-        log_line!("stopping, {} requests open", self.proxy.open_work().undecided_requests);
+        log_line!("stopping, {} requests open", self.proxy.gauges().open_requests);
         let now = self.clock.now();
         self.run_phase.begin_drain(now);
         let events = self.proxy.begin_client_drain(now);
--- a/crates/router/src/run_phase.rs
+++ b/crates/router/src/run_phase.rs
@@ -23,19 +23,13 @@
 
 /// What a drain waits for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OpenWork {
-    /// Requests that the policy has not answered.
-    pub undecided_requests: usize,
-    /// Requests that other sites owe an answer to; the policy does not count these.
-    pub requests_at_other_sites: usize,
-    /// Whether a client may still send requests, or take answers.
-    pub has_unsettled_clients: bool,
-}
-
-impl OpenWork {
-    fn is_finished(self) -> bool {
-        self.undecided_requests == 0 && self.requests_at_other_sites == 0 && !self.has_unsettled_clients
-    }
+pub enum OpenWork {
+    /// Requests that are not answered, whether here or at other sites.
+    Requests,
+    /// Clients that may still send a request, or take an answer.
+    Clients,
+    /// All is answered, and no new requests are expected.
+    Nothing,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -89,11 +83,11 @@
         self.phase = Phase::Closing { until: now + self.times.close };
     }
 
-    /// Whether the drain is over: all is answered and no new requests are expected, or its time is up.
+    /// Whether the drain is over: it waits for nothing, or its time is up.
     pub fn is_drained(&self, now: Ms, open: OpenWork) -> bool {
         let Phase::Draining { since } = self.phase else { return false };
         let elapsed = now - since;
-        elapsed >= self.times.max_drain || (elapsed >= self.times.min_drain && open.is_finished())
+        elapsed >= self.times.max_drain || (elapsed >= self.times.min_drain && open == OpenWork::Nothing)
     }
 
     /// Whether the time for the last answers is up.
--- /dev/null
+++ b/crates/router/tests/unit/requests.rs
@@ -0,0 +1,57 @@
+//! Unit tests of `src/requests.rs`, a part of its module.
+
+use super::*;
+use crate::buffers::{BufferChain, BufferPool};
+
+fn message(id: &str, object: &str) -> RequestMessage {
+    RequestMessage {
+        id: id.to_string(),
+        class: "video".to_string(),
+        object: object.to_string(),
+        part: "0".to_string(),
+        group: 0,
+        client_copy: None,
+        idempotency_key: None,
+        body: BufferChain::new(&BufferPool::new(64, 1, 8)),
+    }
+}
+
+fn request(id: &str, object: &str) -> OpenRequest {
+    let profile = RequestProfile {
+        object: 7,
+        part: 0,
+        is_write: false,
+        size_bytes: 0.0,
+        latency_objective: 100.0,
+        received_at: 0.0,
+    };
+    let stream = ClientStream { client: 1, stream: 1 };
+    OpenRequest { stream, message: message(id, object), profile, cross_site: None }
+}
+
+#[test]
+fn an_id_conflicts_while_a_request_with_another_object_has_it() {
+    let mut requests = OpenRequests::new(8);
+    requests.insert(1, request("id", "a"));
+    requests.insert(2, request("id", "a"));
+    assert!(requests.id_conflicts(&message("id", "b")));
+    assert!(!requests.id_conflicts(&message("id", "a")));
+    assert!(!requests.id_conflicts(&message("other", "b")));
+    assert!(requests.remove(1).is_some());
+    assert!(requests.id_conflicts(&message("id", "b")), "the second one has it still");
+    assert!(requests.remove(2).is_some());
+    assert!(!requests.id_conflicts(&message("id", "b")));
+    assert!(requests.remove(2).is_none());
+}
+
+#[test]
+fn as_many_requests_are_open_as_there_may_be() {
+    let mut requests = OpenRequests::new(2);
+    requests.insert(1, request("a", "a"));
+    assert!(!requests.is_full());
+    assert_eq!(requests.open_ratio(), 0.5);
+    requests.insert(2, request("b", "b"));
+    assert!(requests.is_full());
+    assert_eq!(requests.open_ratio(), 1.0);
+    assert_eq!(OpenRequests::new(0).open_ratio(), 0.0);
+}
--- a/crates/router/tests/unit/run_phase.rs
+++ b/crates/router/tests/unit/run_phase.rs
@@ -3,8 +3,6 @@
 use super::*;
 
 const TIMES: ShutdownTimes = ShutdownTimes { min_drain: 100.0, max_drain: 500.0, close: 50.0 };
-const FINISHED: OpenWork =
-    OpenWork { undecided_requests: 0, requests_at_other_sites: 0, has_unsettled_clients: false };
 
 fn draining_since(since: Ms) -> RunPhase {
     let mut phase = RunPhase::serving(TIMES);
@@ -17,7 +15,7 @@
     let phase = RunPhase::serving(TIMES);
     assert!(phase.is_serving() && !phase.is_draining() && !phase.is_closing());
     assert_eq!(phase.next_deadline(1_000.0), None);
-    assert!(!phase.is_drained(1e9, FINISHED));
+    assert!(!phase.is_drained(1e9, OpenWork::Nothing));
     assert!(!phase.is_close_over(1e9));
 }
 
@@ -25,18 +23,13 @@
 fn a_drain_without_open_work_takes_the_least_time() {
     let phase = draining_since(1_000.0);
     assert!(phase.is_draining());
-    assert!(!phase.is_drained(1_099.0, FINISHED));
-    assert!(phase.is_drained(1_100.0, FINISHED));
+    assert!(!phase.is_drained(1_099.0, OpenWork::Nothing));
+    assert!(phase.is_drained(1_100.0, OpenWork::Nothing));
 }
 
 #[test]
 fn a_drain_waits_for_each_kind_of_open_work_and_no_longer_than_the_most_time() {
-    let open = [
-        OpenWork { undecided_requests: 1, ..FINISHED },
-        OpenWork { requests_at_other_sites: 1, ..FINISHED },
-        OpenWork { has_unsettled_clients: true, ..FINISHED },
-    ];
-    for open in open {
+    for open in [OpenWork::Requests, OpenWork::Clients] {
         let phase = draining_since(1_000.0);
         assert!(!phase.is_drained(1_499.0, open), "{open:?}");
         assert!(phase.is_drained(1_500.0, open), "{open:?}");
@@ -59,5 +52,5 @@
     assert_eq!(phase.next_deadline(1_500.0), Some(1_550.0));
     assert!(!phase.is_close_over(1_549.0));
     assert!(phase.is_close_over(1_550.0));
-    assert!(!phase.is_drained(1e9, FINISHED));
+    assert!(!phase.is_drained(1e9, OpenWork::Nothing));
 }
