--- a/crates/router/src/config/error.rs
+++ b/crates/router/src/config/error.rs
@@ -20,7 +20,12 @@
     /// A setting that the operator file's `watch()` changes.
     ShadowSetting(SettingsError),
     /// One of these in a file.
-    File { path: PathBuf, source: Box<ConfigError> },
+    File {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with it.
+        source: Box<ConfigError>,
+    },
 }
 
 impl fmt::Display for ConfigError {
--- a/crates/router/src/config/limits.rs
+++ b/crates/router/src/config/limits.rs
@@ -12,7 +12,9 @@
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename = "Platform")]
 pub(super) struct PlatformLimits {
+    /// Memory in MiB.
     pub memory_mb: f64,
+    /// How many descriptors it promises.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
 }
@@ -20,15 +22,25 @@
 /// Every size, count and time of the transport.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
+    /// Memory for what is read and written.
     pub buffers: BufferLimits,
+    /// Descriptors of the process.
     pub descriptors: DescriptorLimits,
+    /// How connections are accepted.
     pub accept: AcceptLimits,
+    /// Connections of clients.
     pub clients: ClientLimits,
+    /// What requests may have in their fields, and how many may be open.
     pub requests: RequestLimits,
+    /// Connections to caches, parents and the origin.
     pub upstreams: UpstreamLimits,
+    /// Polls of the journal service.
     pub discovery: DiscoveryLimits,
+    /// The shutdown after SIGTERM.
     pub shutdown: ShutdownLimits,
+    /// The control socket.
     pub control: ControlLimits,
+    /// Links with other sites.
     pub links: LinkLimits,
     /// Log lines in a second, where the operator file has no other bound.
     pub max_log_lines_per_second: u32,
@@ -149,6 +161,7 @@
 /// Connections of clients.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientLimits {
+    /// Connections at once.
     pub max_connections: usize,
     /// Open requests on one connection, by the protocol.
     pub max_streams_per_connection: usize,
@@ -216,8 +229,11 @@
     pub network_allowance_ms: Ms,
     /// The largest object, in units of 1,000 bytes.
     pub max_size_kb: f64,
+    /// The highest number of a part of an object.
     pub max_part: u32,
+    /// The highest number of a group of objects.
     pub max_group: u32,
+    /// The longest body.
     pub max_body_bytes: usize,
 }
 
@@ -246,6 +262,7 @@
 pub struct UpstreamLimits {
     /// Connections to all endpoints.
     pub max_connections: usize,
+    /// Connections to one endpoint.
     pub max_connections_per_endpoint: usize,
     /// Attempts on one connection.
     pub max_streams_per_connection: usize,
@@ -256,6 +273,7 @@
     /// How long a connect may take, and how long a message may wait for its first byte to be written. Connects to other
     /// sites have the same bound.
     pub connect_timeout_ms: Ms,
+    /// How long the reply to a health check may take.
     pub health_check_timeout_ms: Ms,
     /// A connection that was not used for so long is closed.
     pub idle_timeout_ms: Ms,
@@ -285,9 +303,11 @@
     pub max_poll_wait_ms: Ms,
     /// How much later the response may arrive.
     pub response_grace_ms: Ms,
+    /// How long a connect may take.
     pub connect_timeout_ms: Ms,
     /// The pause after a poll that failed.
     pub retry_pause_ms: Ms,
+    /// The longest response.
     pub max_response_bytes: usize,
 }
 
@@ -333,6 +353,7 @@
 /// The control socket, and the evaluation of the operator file.
 #[derive(Debug, Clone, Copy)]
 pub struct ControlLimits {
+    /// Connections at once.
     pub max_connections: usize,
     /// The longest request, and the most output of an evaluation of the operator file.
     pub max_message_bytes: usize,
@@ -352,6 +373,7 @@
 /// Links with other sites.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkLimits {
+    /// Connections at once.
     pub max_connections: usize,
     /// Bytes that are read or written at once.
     pub block_bytes: usize,
--- a/crates/router/src/config/mod.rs
+++ b/crates/router/src/config/mod.rs
@@ -50,9 +50,13 @@
 /// All that a router starts from.
 #[derive(Debug)]
 pub struct Config {
+    /// The file as it was read.
     pub file: ConfigFile,
+    /// The settings that the file has.
     pub settings: DecodedSettings,
+    /// The seed of the policy.
     pub seed: u64,
+    /// The limits of the transport that follow from the file.
     pub limits: Limits,
 }
 
--- a/crates/router/src/discovery/event.rs
+++ b/crates/router/src/discovery/event.rs
@@ -20,6 +20,7 @@
     /// The position of the last event.
     #[serde(rename = "pos")]
     pub position: u64,
+    /// The events in their order, without those that can't be decoded.
     #[serde(rename = "entries", deserialize_with = "readable_events")]
     pub events: Vec<WatchEvent>,
 }
@@ -62,13 +63,16 @@
 /// A change of the endpoint list, a purge, or a change of the hierarchy.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WatchEvent {
+    /// Its position in the journal.
     #[serde(rename = "pos")]
     pub position: u64,
+    /// A change of the endpoint list.
     #[serde(default, rename = "hosts")]
     pub endpoints: Option<EndpointUpdate>,
+    /// A purge.
     #[serde(default, rename = "expire")]
     pub purge: Option<PurgeEvent>,
-    /// Only an extended journal service publishes these.
+    /// A change of the hierarchy. Only an extended journal service publishes these.
     #[serde(default, rename = "shape")]
     pub hierarchy_batch: Option<BatchSpec>,
 }
@@ -79,6 +83,7 @@
     /// Whether endpoints that are not listed were removed.
     #[serde(default, rename = "all")]
     pub is_complete: bool,
+    /// The endpoints that are listed, or that have changed.
     #[serde(default, rename = "targets")]
     pub entries: Vec<EndpointEntry>,
 }
@@ -86,7 +91,9 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointEntry {
+    /// The name of the endpoint, the same at all routers.
     pub uid: String,
+    /// Where it accepts connections, if the list says so.
     #[serde(default, rename = "endpoint")]
     pub address: Option<SocketAddr>,
     #[serde(default, rename = "az")]
@@ -118,6 +125,7 @@
     /// In hexadecimal; `None` for all objects of the group.
     #[serde(default, rename = "name")]
     pub object: Option<String>,
+    /// The group of objects, where no object is named.
     #[serde(default, rename = "set")]
     pub group: u32,
     /// In Unix milliseconds.
--- a/crates/router/src/hierarchy_adapter/endpoints.rs
+++ b/crates/router/src/hierarchy_adapter/endpoints.rs
@@ -11,10 +11,13 @@
 /// A cache with the sources that it may be filled from now on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangedFillSources {
+    /// The cache.
     pub endpoint: EndpointKey,
+    /// The sources, also in the course of a migration.
     pub sources: FillSourceLists,
 }
 
+/// The node that an endpoint is.
 pub(super) fn node_id(endpoint: EndpointKey) -> NodeId {
     NodeId(endpoint.number())
 }
--- a/crates/router/src/hierarchy_adapter/fills.rs
+++ b/crates/router/src/hierarchy_adapter/fills.rs
@@ -1,5 +1,5 @@
-//! What becomes of the fills that the policy has chosen: they are admitted, queued, cancelled or completed, and edges on
-//! which they loop are backed off.
+//! What becomes of the fills that the policy has chosen: they are admitted, queued, cancelled or completed, and edges
+//! on which they loop are backed off.
 
 use linnethook_hierarchy::loop_detection;
 use linnethook_hierarchy::origin_shield::{self, Priority, QueuedDecision, ShieldDecision};
@@ -24,7 +24,9 @@
 pub struct RequestProfile {
     /// The hash of the object.
     pub object: u64,
+    /// The number of the object's part.
     pub part: u32,
+    /// Whether the class of the request is one of writes.
     pub is_write: bool,
     /// The size of the object in bytes, as far as known.
     pub size_bytes: f64,
@@ -38,9 +40,19 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum FillDecision {
     /// It is sent; the path goes with its fill where nodes understand it.
-    Send { order: AttemptOrder, fill_path: Option<FillPath> },
-    /// It is not sent: its fill was queued at that time, and is not admitted any more.
-    Reject { order: AttemptOrder, queued_at: Ms },
+    Send {
+        /// The attempt.
+        order: AttemptOrder,
+        /// The nodes that its fill passes.
+        fill_path: Option<FillPath>,
+    },
+    /// It is not sent: its fill was queued, and is not admitted any more.
+    Reject {
+        /// The attempt.
+        order: AttemptOrder,
+        /// Since when it was queued, in milliseconds.
+        queued_at: Ms,
+    },
 }
 
 /// How many fills there are.
@@ -160,8 +172,8 @@
         }
     }
 
-    /// Admits an attempt without a fill: cached copies are served, also stale ones, by the cache and by its source. Where
-    /// there are none and the request is rejected, its Retry-After is `retry_after`, in milliseconds.
+    /// Admits an attempt without a fill: cached copies are served, also stale ones, by the cache and by its source.
+    /// Where there are none and the request is rejected, its Retry-After is `retry_after`, in milliseconds.
     pub fn admit_from_cache_only(
         &mut self,
         now: Ms,
@@ -268,8 +280,8 @@
         self.apply_queue_decisions(now, decisions)
     }
 
-    /// Excludes the edge on which a fill looped for a while. If this router's hierarchy lacks that edge, the nodes follow
-    /// another version of it: then the source by which the fill got there is excluded.
+    /// Excludes the edge on which a fill looped, for a while. If this router's hierarchy lacks that edge, the nodes
+    /// follow another version of it: then the source by which the fill got there is excluded.
     fn back_off_looped_edge(&mut self, now: Ms, route: FillRoute, fill_loop: &FillLoop) {
         let FillLoop { from, to, version } = fill_loop;
         let (child, source) = (node_id(EndpointKey::of(from)), node_id(EndpointKey::of(to)));
--- a/crates/router/src/hierarchy_adapter/mod.rs
+++ b/crates/router/src/hierarchy_adapter/mod.rs
@@ -1,5 +1,5 @@
-//! The router's side of the hierarchy: what the policy may choose from, and what becomes of the fills that it has chosen
-//! on their way to the sockets.
+//! The router's side of the hierarchy: what the policy may choose from, and what becomes of the fills that it has
+//! chosen on their way to the sockets.
 //!
 //! - [`changes`]: batches of changes and where they come from, plans, and snapshots for other routers;
 //! - [`endpoints`]: the endpoint list, and the sources of fills that the policy may choose from;
--- a/crates/router/tests/unit/discovery.rs
+++ b/crates/router/tests/unit/discovery.rs
@@ -50,7 +50,7 @@
 
 /// As any reader of JSON would have it that keeps the last of two: the event is not lost for it.
 #[test]
-fn a_name_that_stands_twice_counts_where_it_stands_last() {
+fn of_two_fields_of_one_name_the_last_one_counts() {
     let text = r#"{"pos":8,"entries":[{"pos":7,"expire":{"stamp":1,"stamp":5,"set":3}},{"pos":8}]}"#;
     let page: EventPage = serde_json::from_str(text).expect("a page");
     let purges: Vec<_> = page
