--- a/crates/router/src/cluster/commands.rs
+++ b/crates/router/src/cluster/commands.rs
@@ -9,7 +9,8 @@
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
 
-use super::{ClusterAdapter, SiteQuery, CHECK_INTERVAL, MAX_QUERIES};
+use super::straggler::StragglerCheck;
+use super::{ClusterAdapter, GossipCounters, CHECK_INTERVAL};
 
 /// The answer to a question, and whether the cluster's timer is to run at once.
 pub struct ClusterReply {
@@ -47,34 +48,35 @@
 
 impl ClusterAdapter {
     fn view(&self, now: Ms) -> FleetView {
+        let GossipCounters { drains, purges, batches, snapshots } = self.applied_from_gossip;
+        let operator_floor = self.membership.operator_floor();
+        let straggler = self.straggler.as_ref();
         FleetView {
-            cluster: self.core.view(now),
+            cluster: self.membership.view(now),
             drained_by_gossip: self.drained_caches(),
-            drains_from_gossip: self.drains,
-            purges_from_gossip: self.purges,
-            batches_from_gossip: self.batches,
-            snapshots_adopted: self.adopted,
-            fleet_size: self.core.fleet_summary(now).map(|fleet| fleet.routers()),
-            operator_floor: self
-                .core
-                .operator_floor()
+            drains_from_gossip: drains,
+            purges_from_gossip: purges,
+            batches_from_gossip: batches,
+            snapshots_adopted: snapshots,
+            fleet_size: self.membership.fleet_summary(now).map(|fleet| fleet.routers()),
+            operator_floor: operator_floor
                 .map(|floor| OperatorFloorView { version: floor.version, set_by: floor.set_by }),
-            straggler_state: self.straggler.as_ref().map(|straggler| straggler.core.state()),
-            rejected_as_straggler: self.straggler.as_ref().map_or(0, |straggler| straggler.shut_out),
+            straggler_state: straggler.map(StragglerCheck::state),
+            rejected_as_straggler: straggler.map_or(0, StragglerCheck::rejected),
             audit_storage: self.audit_storage(),
         }
     }
 
     fn drained_caches(&self) -> Vec<DrainedCache> {
-        let drained = self.drained.iter();
+        let drained = self.endpoints.drained();
         drained
-            .map(|(name, position)| DrainedCache { name: name.clone(), journal_position: *position })
+            .map(|(name, journal_position)| DrainedCache { name: name.clone(), journal_position })
             .collect()
     }
 
     fn audit_storage(&self) -> Option<AuditStorageView> {
-        let audit = self.audit.as_ref()?;
-        let AuditLogSizes { own_records, replicas, dropped_records } = audit.sizes();
+        let audit_log = self.audit_log.as_ref()?;
+        let AuditLogSizes { own_records, replicas, dropped_records } = audit_log.sizes();
         Some(AuditStorageView {
             records: own_records,
             replica_logs: replicas.logs as u64,
@@ -86,23 +88,20 @@
 
     /// Asks another site for its routers.
     fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<ControlResponse, &'static str> {
-        let Some(id) = self.core.start_query(now, target) else {
+        let Some(id) = self.membership.start_query(now, target) else {
             // The timer runs all the same: the membership may have something to send.
-            let reason = match self.core.location() {
+            let reason = match self.membership.location() {
                 None => "no router has a place here: fleet show names all there are",
                 Some(_) => "too much was asked within half a minute",
             };
             return Ok(ControlResponse::Refused(reason.to_string()));
         };
-        if self.queries.len() >= MAX_QUERIES {
-            self.queries.pop_front();
-        }
-        self.queries.push_back(SiteQuery { id, answer: None });
+        self.queries.add(id);
         Ok(ControlResponse::QueryStarted(id))
     }
 
     fn query_result(&self, id: u64) -> Option<ControlResponse> {
-        let query = self.queries.iter().find(|query| query.id == id)?;
+        let query = self.queries.get(id)?;
         Some(ControlResponse::QueryResult(query.answer.clone()))
     }
 
@@ -110,7 +109,7 @@
     /// excluded.
     fn set_floor(&mut self, now: Ms, version: u64) -> Option<ControlResponse> {
         self.straggler.as_ref()?;
-        self.core.set_floor(now, version);
+        self.membership.set_floor(now, version);
         self.last_check = now - CHECK_INTERVAL;
         log_line!(version, "straggler: the floor was set to {version} by people");
         Some(ControlResponse::Done(match version {
@@ -121,7 +120,7 @@
 
     /// All audit records that are stored here; `None` where there is no audit log.
     fn audit_records(&mut self, now: Ms) -> Option<ControlResponse> {
-        let at = self.core.clock.next_timestamp(now);
-        self.audit.as_mut().map(|audit| ControlResponse::AuditRecords(audit.all_records(now, at)))
+        let at = self.membership.clock.next_timestamp(now);
+        self.audit_log.as_mut().map(|audit_log| ControlResponse::AuditRecords(audit_log.all_records(now, at)))
     }
 }
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -94,16 +94,10 @@
         });
         let setup = ProxySetup { clock, limits, buffers: &buffers, reserve: &reserve, handle };
         let proxy = Proxy::new(&setup, policy, parts);
-        let initial_events = config.file.initial_events;
+        let known = config.file.initial_events;
         let journal = config.file.journal_address;
-        let discovery = DiscoveryClient::new(
-            limits,
-            &buffers,
-            &reserve,
-            handle.clone(),
-            journal,
-            initial_events.position,
-        );
+        let discovery =
+            DiscoveryClient::new(limits, &buffers, &reserve, handle.clone(), journal, known.position);
         let mut router = Self {
             clock,
             config_path: config_path.to_path_buf(),
@@ -117,7 +111,7 @@
             reloads: 0,
             shadow_report,
         };
-        router.on_watch_events(initial_events.events);
+        router.on_watch_events(known.events);
         router.on_cluster_timer();
         // Clients are accepted only once the endpoint list is known.
         let address = router.proxy.listen(config.file.listen_address)?;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,12 +1,11 @@
 //! The endpoints and their connections: which connection a message takes, and when connections are opened and closed.
 
 use std::collections::HashSet;
+use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use calloop::generic::Generic;
-use calloop::{Interest, Mode, PostAction, Readiness};
 use socket2::SockRef;
 
 use crate::descriptors::{is_out_of_descriptors, DescriptorPurpose};
@@ -14,8 +13,9 @@
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::{AttemptEnd, EndpointKey, Ms};
+use crate::sockets;
 
-use super::connection::{connect, Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
+use super::connection::{Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
 use super::Upstreams;
 
 /// A cache, parent or the origin, as the endpoint list has it.
@@ -23,13 +23,24 @@
 pub(super) struct Endpoint {
     pub uid: String,
     address: SocketAddr,
-    started: Ms,
+    started_at: Ms,
     /// When something was last received from it.
     pub last_activity: Ms,
     connections: Vec<ConnectionId>,
 }
 
+impl fmt::Display for Endpoint {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}@{}", self.uid, self.address)
+    }
+}
+
 impl<W: EventHandler> Upstreams<W> {
+    /// The name and the address of an endpoint for the log; empty for one that is no longer listed.
+    pub(super) fn endpoint_label(&self, key: EndpointKey) -> String {
+        self.endpoints.get(&key).map(Endpoint::to_string).unwrap_or_default()
+    }
+
     /// Applies an update of the endpoint list. An endpoint that was removed or restarted gets fresh connections: another
     /// process may answer at its address now.
     pub fn update_endpoints(&mut self, now: Ms, entries: &[EndpointEntry], complete: bool) {
@@ -56,14 +67,14 @@
             let connections = endpoint.map(|endpoint| std::mem::take(&mut endpoint.connections));
             self.drain(connections.unwrap_or_default());
         }
-        // Endpoints are replaced all day: those that are gone must not accumulate.
+        // Endpoints are replaced all day: those that are removed must not accumulate.
         for key in removed {
             let connections = self.endpoints.remove(&key).map(|endpoint| endpoint.connections);
             self.drain(connections.unwrap_or_default());
         }
     }
 
-    /// Withdraws what is queued for, or fills from, an endpoint that drains, is gone or was replaced: it was ordered by an
+    /// Withdraws what is queued for, or fills from, an endpoint that drains, is removed or was replaced: it was ordered by an
     /// older list.
     fn withdraw_for_unusable(&mut self, now: Ms, entries: &[EndpointEntry], removed: &[EndpointKey]) {
         let mut unusable: HashSet<EndpointKey> = removed.iter().copied().collect();
@@ -78,23 +89,28 @@
     fn is_replaced(&self, entry: &EndpointEntry) -> bool {
         let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.address);
         known.is_some_and(|(endpoint, address)| {
-            endpoint.address != address || endpoint.started != entry.started_at()
+            endpoint.address != address || endpoint.started_at != entry.started_at()
         })
     }
 
     /// Stores an endpoint; true where it replaces another process or address.
     fn update_endpoint(&mut self, key: EndpointKey, entry: &EndpointEntry, address: SocketAddr) -> bool {
-        let started = entry.started_at();
+        let started_at = entry.started_at();
         match self.endpoints.get_mut(&key) {
-            Some(endpoint) if endpoint.address == address && endpoint.started == started => false,
+            Some(endpoint) if endpoint.address == address && endpoint.started_at == started_at => false,
             Some(endpoint) => {
-                (endpoint.address, endpoint.started) = (address, started);
+                endpoint.address = address;
+                endpoint.started_at = started_at;
                 true
             }
             None => {
-                let uid = entry.uid.clone();
-                let (last_activity, connections) = (0.0, Vec::new());
-                let endpoint = Endpoint { uid, address, started, last_activity, connections };
+                let endpoint = Endpoint {
+                    uid: entry.uid.clone(),
+                    address,
+                    started_at,
+                    last_activity: 0.0,
+                    connections: Vec::new(),
+                };
                 self.endpoints.insert(key, endpoint);
                 false
             }
@@ -143,7 +159,7 @@
         match opened {
             Ok(opened) => Some(opened),
             Err(error) => {
-                log_line!("connect to {address}: {error}");
+                log_line!(upstream = %self.endpoint_label(key), reason = %error, "connect to an upstream failed");
                 least_loaded
             }
         }
@@ -165,22 +181,18 @@
         key: EndpointKey,
         address: SocketAddr,
     ) -> io::Result<ConnectionId> {
-        let stream = Rc::new(self.reserve.open(DescriptorPurpose::Cache, || connect(address))?);
+        let stream = Rc::new(self.reserve.open(DescriptorPurpose::Cache, || sockets::connect(address))?);
         // Bytes that the system holds can't be withdrawn any more.
         if let Err(error) =
             SockRef::from(&*stream).set_send_buffer_size(self.limits.upstreams.send_buffer_bytes)
         {
-            log_line!("a connection to {address} keeps its send buffer: {error}");
+            log_line!(upstream = %self.endpoint_label(key), reason = %error, "a connection keeps its send buffer");
         }
         self.connects += 1;
         self.last_id += 1;
         let id = self.last_id;
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = move |readiness: Readiness, _: &mut _, handler: &mut W| {
-            handler.on_upstream_ready(id, readiness);
-            Ok(PostAction::Continue)
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let on_ready = move |handler: &mut W, readiness| handler.on_upstream_ready(id, readiness);
+        let token = sockets::register_stream(&self.handle, &stream, on_ready)?;
         let deadline = now + self.limits.upstreams.connect_timeout_ms;
         let connection = Connection::new(key, stream, token, &self.buffers, now, deadline);
         self.connections.insert(id, connection);
@@ -198,10 +210,11 @@
         }
     }
 
-    /// Closes idle connections to an endpoint that has been silent since `sent`: they may be as dead as the one on which
+    /// Closes idle connections to an endpoint that has been silent since `sent_at`: they may be as dead as the one on which
     /// an attempt was abandoned, and new ones show whether it still accepts any.
-    pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent: Ms) {
-        let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent) else {
+    pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent_at: Ms) {
+        let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent_at)
+        else {
             return;
         };
         for id in endpoint.connections.clone() {
@@ -211,6 +224,7 @@
         }
     }
 
+    /// Reads and handles all replies that have arrived.
     pub(super) fn read(&mut self, now: Ms, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -234,6 +248,7 @@
         }
     }
 
+    /// Writes what is queued, but for attempts whose clients have to be checked first.
     pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
         self.write(now, id, now - self.limits.clients.check_interval_ms);
     }
@@ -267,17 +282,21 @@
     /// behind it, if at all.
     fn close_if_out_of_step(&mut self, now: Ms, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::has_unexpected_input) {
-            log_line!("an answer that nobody asked for ends its connection");
+            let upstream =
+                self.connections.get(&id).map(|connection| self.endpoint_label(connection.endpoint));
+            log_line!(upstream = %upstream.unwrap_or_default(), "an answer that nobody asked for ends its connection");
             self.close(now, id, "an answer that nobody asked for");
         }
     }
 
+    /// Closes a connection that takes no new messages once nothing is open on it.
     pub(super) fn close_if_drained(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_drained) {
             self.remove(id);
         }
     }
 
+    /// Closes a connection; what is open on it is not ended here.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         self.handle.remove(connection.token);
@@ -292,9 +311,9 @@
         let Some(connection) = self.remove(id) else { return };
         let key = connection.endpoint;
         if !connection.open.is_empty() {
-            let address = self.endpoints.get(&key).map(|endpoint| endpoint.address.to_string());
-            let (address, count) = (address.unwrap_or_default(), connection.open.len());
-            log_line!("connection to {address} ended with {count} open: {reason}");
+            let upstream = self.endpoint_label(key);
+            let open = connection.open.len();
+            log_line!(%upstream, open, %reason, "a connection ended with messages open");
         }
         let mut open: Vec<Exchange> = connection.open.into_values().collect();
         open.sort_by_key(|exchange| match exchange.owner {
@@ -308,7 +327,7 @@
                     let Some(in_flight) = self.attempts.remove(attempt) else { continue };
                     let end =
                         if exchange.fully_sent { AttemptEnd::ConnectionLost } else { AttemptEnd::NotSent };
-                    self.complete(now, attempt, key, in_flight.sent, end);
+                    self.complete(now, attempt, key, in_flight.sent_at, end);
                 }
             }
         }
