--- a/crates/router/src/descriptors.rs
+++ b/crates/router/src/descriptors.rs
@@ -69,8 +69,8 @@
         Ok(Self(Rc::new(RefCell::new(Reserved { files, capacity }))))
     }
 
-    /// Opens something. Where descriptors have run out, one of the reserve after another is released, as far as they are
-    /// for that purpose.
+    /// Opens something. Where descriptors have run out, one of the reserve after another is released, as far as they
+    /// are for that purpose.
     ///
     /// # Errors
     ///
