--- a/crates/router/src/discovery/event.rs
+++ b/crates/router/src/discovery/event.rs
@@ -176,7 +176,7 @@
             state: match self.state {
                 EndpointState::Ready => ListedState::Ready,
                 EndpointState::Draining => ListedState::Draining,
-                EndpointState::Removed => ListedState::Gone,
+                EndpointState::Removed => ListedState::Removed,
             },
         }
     }
--- a/crates/router/src/log.rs
+++ b/crates/router/src/log.rs
@@ -1,6 +1,6 @@
-//! The log: one macro over `tracing`, limited to a rate, as text or as JSON lines on standard error.
+//! Log lines: one macro over `tracing`, with a limited rate, as text or as JSON lines on standard error.
 //!
-//! The log takes no part in decisions, and a router goes on when nobody reads it.
+//! A log that nobody reads never ends the router, and no decision depends on what was logged.
 
 use std::cell::Cell;
 use std::fmt;
@@ -12,50 +12,48 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Which lines may be written.
+/// How many lines may be written in each second.
 #[derive(Debug, Clone, Copy)]
-struct LineBudget {
-    /// When the present second began.
-    window_start: Instant,
-    lines_per_second: u32,
-    /// Lines that may still be written in the present second.
-    remaining: u32,
-    /// Lines that were suppressed since the last one that was written.
+struct Budget {
+    /// The start of the current second.
+    since: Instant,
+    per_second: u32,
+    left: u32,
+    /// Lines that were not written since the last one.
     suppressed: u32,
 }
 
 thread_local! {
-    static BUDGET: Cell<Option<LineBudget>> = const { Cell::new(None) };
+    static BUDGET: Cell<Option<Budget>> = const { Cell::new(None) };
 }
 
-/// Limits the rate of this thread's lines; without a call all lines are written.
-pub fn limit_rate(lines_per_second: u32) {
-    let window_start = Instant::now();
-    let budget = LineBudget { window_start, lines_per_second, remaining: lines_per_second, suppressed: 0 };
-    BUDGET.set(Some(budget));
+/// Sets the rate of this thread; before that every line is written.
+pub fn limit_rate(per_second: u32) {
+    let since = Instant::now();
+    BUDGET.set(Some(Budget { since, per_second, left: per_second, suppressed: 0 }));
 }
 
-/// Asks to write a line: `None` if it is suppressed, else how many were suppressed before it.
-pub fn admit_line() -> Option<u32> {
+/// Whether a line may be written now: how many were suppressed before it, or `None`.
+pub fn admit() -> Option<u32> {
     let Some(mut budget) = BUDGET.get() else { return Some(0) };
-    if budget.window_start.elapsed() >= Duration::from_secs(1) {
-        budget.window_start = Instant::now();
-        budget.remaining = budget.lines_per_second;
+    if budget.since.elapsed() >= Duration::from_secs(1) {
+        budget.since = Instant::now();
+        budget.left = budget.per_second;
+    }
+    let admitted = budget.left > 0;
+    let suppressed = if admitted { std::mem::take(&mut budget.suppressed) } else { 0 };
+    match admitted {
+        true => budget.left -= 1,
+        false => budget.suppressed += 1,
     }
-    let suppressed = if budget.remaining > 0 {
-        budget.remaining -= 1;
-        Some(std::mem::take(&mut budget.suppressed))
-    } else {
-        budget.suppressed += 1;
-        None
-    };
     BUDGET.set(Some(budget));
-    suppressed
+    admitted.then_some(suppressed)
 }
 
-/// `linnethook: message name=value ...`, with the thread's name before the message where routers share a process.
+/// Writes `linnethook: message name=value ...`.
 struct PlainFormat {
-    shows_thread_name: bool,
+    /// The thread's name stands before the message: routers share the process.
+    has_thread_name: bool,
 }
 
 impl<S, N> FormatEvent<S, N> for PlainFormat
@@ -63,30 +61,25 @@
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
 {
-    fn format_event(
-        &self,
-        _: &FmtContext<'_, S, N>,
-        mut writer: Writer<'_>,
-        event: &Event<'_>,
-    ) -> fmt::Result {
-        let mut text = EventText::default();
-        event.record(&mut text);
+    fn format_event(&self, _: &FmtContext<'_, S, N>, mut to: Writer<'_>, event: &Event<'_>) -> fmt::Result {
+        let mut line = RecordedLine::default();
+        event.record(&mut line);
         let thread = std::thread::current();
-        match thread.name().filter(|_| self.shows_thread_name) {
-            Some(name) => writeln!(writer, "linnethook: {name}: {}{}", text.message, text.fields),
-            None => writeln!(writer, "linnethook: {}{}", text.message, text.fields),
+        match thread.name().filter(|_| self.has_thread_name) {
+            Some(name) => writeln!(to, "linnethook: {name}: {}{}", line.message, line.fields),
+            None => writeln!(to, "linnethook: {}{}", line.message, line.fields),
         }
     }
 }
 
-/// The message of an event, and its fields in their order.
+/// The parts of a line as `tracing` hands them over.
 #[derive(Default)]
-struct EventText {
+struct RecordedLine {
     message: String,
     fields: String,
 }
 
-impl Visit for EventText {
+impl Visit for RecordedLine {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         match field.name() {
             "message" => self.message = format!("{value:?}"),
@@ -95,40 +88,39 @@
     }
 }
 
-/// Starts the log. A line that can't be written is dropped: the end of the process that reads the log must not end the
-/// router.
+/// Has lines written from here on. A line that can't be written is skipped, so that the router outlives the reader of its
+/// log.
 pub fn start(json: bool) {
-    install(json, false);
+    write(json, false);
 }
 
-/// Starts the log of a process of several routers: each line has the name of its thread.
+/// The same for a process of several routers: each line has the name of its thread.
 pub fn start_with_thread_names(json: bool) {
-    install(json, true);
+    write(json, true);
 }
 
-fn install(json: bool, shows_thread_name: bool) {
+fn write(json: bool, has_thread_name: bool) {
     let builder = tracing_subscriber::fmt().with_writer(std::io::stderr).log_internal_errors(false);
-    // Only the first call counts.
+    // A second call changes nothing: the first one stands.
     let _ = match json {
         true => {
-            let builder = builder.json().flatten_event(true).with_thread_names(shows_thread_name);
-            tracing::subscriber::set_global_default(builder.finish())
-        }
-        false => {
-            let builder = builder.event_format(PlainFormat { shows_thread_name });
+            let builder = builder.json().flatten_event(true).with_thread_names(has_thread_name);
             tracing::subscriber::set_global_default(builder.finish())
         }
+        false => tracing::subscriber::set_global_default(
+            builder.event_format(PlainFormat { has_thread_name }).finish(),
+        ),
     };
 }
 
-/// Writes a line to the log, with fields before the message where there are any. A line that begins with `always` is
-/// not limited to the rate.
+/// Writes a line to the log, with fields before the message where there are any; one that begins with `always` is
+/// not subject to the rate.
 macro_rules! log_line {
     (always $($part:tt)*) => {
         tracing::info!($($part)*)
     };
     ($($part:tt)*) => {
-        if let Some(suppressed) = $crate::log::admit_line() {
+        if let Some(suppressed) = $crate::log::admit() {
             if suppressed > 0 {
                 tracing::info!("{suppressed} lines held back");
             }
