--- a/crates/gateway/src/concurrency_window.rs
+++ b/crates/gateway/src/concurrency_window.rs
@@ -1,25 +1,30 @@
-//! Owns how much may be under way to one site at a time, by what the way there was seen to carry.
+//! How many requests may be in flight to a site: additive increase and multiplicative decrease, by whether answers meet
+//! their latency objective.
 //!
-//! Additive increase, multiplicative decrease over whether answers come within their wanted time. Must never let more
-//! out than its most, nor shut so far that nothing tells it that all is well again.
+//! The window never exceeds its maximum, and never closes so far that nothing could show a recovery.
 
 use linnethook::interface::Ms;
 
 use crate::flow_control::Priority;
 
-/// How a window moves.
+/// How a window changes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConcurrencyWindowConfig {
-    /// Requests under way: at the beginning and after a cut, at the least, and at the most.
+    /// Requests in flight at first, and at the most after an outage.
     pub initial: f64,
+    /// The smallest window.
     pub min: f64,
+    /// The largest window.
     pub max: f64,
-    /// The share of late ones that is borne, the weight of one in it, the factor of a cut, and the pause between two.
+    /// The ratio of late answers above which the window shrinks.
     pub max_late_ratio: f64,
+    /// The weight of one request in that ratio, and in the mean length of answers.
     pub sample_weight: f64,
+    /// The factor by which the window shrinks.
     pub decrease_factor: f64,
+    /// It shrinks once in that time, in milliseconds.
     pub decrease_interval: Ms,
-    /// The parts of the window that bookings, first parts and the rest may fill.
+    /// The ratios of the window that bookings, first parts and later parts may fill.
     pub priority_shares: [f64; 3],
     /// Bytes of answers that may be expected at a time.
     pub max_expected_bytes: f64,
@@ -41,6 +46,12 @@
     }
 }
 
+/// By how much the window grows with a full window of answers in time.
+const INCREASE_PER_WINDOW: f64 = 4.0;
+
+/// The window grows only while at least this ratio of it is in use.
+const MIN_USED_RATIO: f64 = 0.5;
+
 /// The window of one site.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyWindow {
@@ -49,15 +60,15 @@
     in_flight: u32,
     late_ratio: f64,
     decreased_at: Ms,
-    /// The usual length of an answer.
     mean_answer_bytes: f64,
 }
 
 impl ConcurrencyWindow {
-    pub fn new(rule: ConcurrencyWindowConfig) -> Self {
+    /// The window of a site that nothing is known of.
+    pub fn new(config: ConcurrencyWindowConfig) -> Self {
         Self {
-            config: rule,
-            limit: rule.initial,
+            config,
+            limit: config.initial,
             in_flight: 0,
             late_ratio: 0.0,
             decreased_at: f64::NEG_INFINITY,
@@ -65,49 +76,59 @@
         }
     }
 
-    /// The way there was cut: it begins anew.
+    /// The site was out of reach: the window is at most the initial one.
     pub fn reset(&mut self) {
-        (self.limit, self.late_ratio) = (self.config.initial.min(self.limit), 0.0);
+        self.limit = self.config.initial.min(self.limit);
+        self.late_ratio = 0.0;
     }
 
+    /// Requests that may be in flight.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
+    /// Requests that are in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether one more may go.
+    /// Whether one more request may be sent. There is always room for one.
     pub fn may_send(&self, priority: Priority) -> bool {
         let share = self.config.priority_shares[priority as usize];
         let count = f64::from(self.in_flight) + 1.0;
-        let bytes = (count * self.mean_answer_bytes) <= self.config.max_expected_bytes || self.in_flight == 0;
-        count <= (self.limit * share).max(1.0) && bytes
+        let expects_few_bytes =
+            (count * self.mean_answer_bytes) <= self.config.max_expected_bytes || self.in_flight == 0;
+        count <= (self.limit * share).max(1.0) && expects_few_bytes
     }
 
+    /// A request is sent.
     pub fn start_request(&mut self) {
         self.in_flight += 1;
     }
 
-    /// One has ended; `late` where it came after the time wanted, or not at all. `length` is that of its answer.
-    pub fn finish_request(&mut self, now: Ms, late: Option<bool>, length: Option<f64>) {
-        let full = f64::from(self.in_flight) >= self.limit * 0.5;
+    /// A request has ended. `is_late` is whether it missed its latency objective or failed, `None` where its end says
+    /// nothing of the site. `answer_bytes` is the length of its answer, if it has one.
+    pub fn finish_request(&mut self, now: Ms, is_late: Option<bool>, answer_bytes: Option<f64>) {
+        let is_used = f64::from(self.in_flight) >= self.limit * MIN_USED_RATIO;
         self.in_flight = self.in_flight.saturating_sub(1);
-        if let Some(length) = length {
-            self.mean_answer_bytes += (length - self.mean_answer_bytes) * self.config.sample_weight;
+        if let Some(bytes) = answer_bytes {
+            self.mean_answer_bytes += (bytes - self.mean_answer_bytes) * self.config.sample_weight;
         }
-        let Some(late) = late else { return };
-        self.late_ratio += (f64::from(u8::from(late)) - self.late_ratio) * self.config.sample_weight;
+        let Some(is_late) = is_late else { return };
+        self.late_ratio += (f64::from(u8::from(is_late)) - self.late_ratio) * self.config.sample_weight;
         if self.late_ratio > self.config.max_late_ratio {
-            if now - self.decreased_at >= self.config.decrease_interval {
-                self.decreased_at = now;
-                self.limit = (self.limit * self.config.decrease_factor).max(self.config.min);
-                self.late_ratio *= self.config.decrease_factor;
-            }
-        } else if full && !late {
-            // What is not used need not grow.
-            self.limit = (self.limit + 1.0 / self.limit.max(1.0) * 4.0).min(self.config.max);
+            self.decrease(now);
+        } else if is_used && !is_late {
+            let increase = 1.0 / self.limit.max(1.0) * INCREASE_PER_WINDOW;
+            self.limit = (self.limit + increase).min(self.config.max);
+        }
+    }
+
+    fn decrease(&mut self, now: Ms) {
+        if now - self.decreased_at >= self.config.decrease_interval {
+            self.decreased_at = now;
+            self.limit = (self.limit * self.config.decrease_factor).max(self.config.min);
+            self.late_ratio *= self.config.decrease_factor;
         }
     }
 }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -5,8 +5,8 @@
 use crate::attempt_ledger::AttemptLedgerConfig;
 use crate::concurrency_window::ConcurrencyWindowConfig;
 use crate::forwarding::ForwardingConfig;
-use crate::heartbeat::ReconnectConfig;
 use crate::local_capacity::LocalCapacityConfig;
+use crate::reconnect::ReconnectConfig;
 use crate::routing::RoutingConfig;
 use crate::session::SessionConfig;
 
--- a/crates/gateway/src/dialers.rs
+++ b/crates/gateway/src/dialers.rs
@@ -4,7 +4,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::heartbeat::ReconnectBackoff;
+use crate::reconnect::ReconnectBackoff;
 
 #[derive(Debug)]
 struct Dialer {
--- a/crates/gateway/src/flow_control.rs
+++ b/crates/gateway/src/flow_control.rs
@@ -1,33 +1,36 @@
-//! Owns the turns of many streams on one link: who may send how much now, and how much may still come in.
+//! How much may be sent now: credit by stream and by connection, as in RFC 9113, and turns by priority.
 //!
-//! Credit by stream and by link, as in RFC 9113: a reader that stops holds up its own stream and no other. Among those
-//! that may send, higher priorities go first and equal ones take turns; the lowest is never left out for good. Must
-//! never let through more than was granted, nor keep more than its bounds.
+//! A reader that stops holds up its own stream and no other. Among the streams that may send, higher priorities go
+//! first and equal ones take turns; the lowest is never starved. Nothing is sent that was not granted, and nothing is
+//! buffered beyond its bound.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Who goes first.
+/// The priority of a stream. The number of its variant is on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
+    /// A request that is not idempotent.
     Booking,
-    /// The first part of an object: somebody waits for it to begin.
+    /// The first part of an object, which a viewer waits for.
     FirstPart,
+    /// Any other part.
     LaterPart,
 }
 
-const PRIORITIES: [Priority; 3] = [Priority::Booking, Priority::FirstPart, Priority::LaterPart];
+const PRIORITY_COUNT: usize = 3;
 
-/// The bounds of a link.
+/// The bounds of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowControlConfig {
-    /// Streams at once, in each direction.
+    /// Streams at a time, in each direction.
     pub max_streams: usize,
-    /// What may be sent on a stream, and on the link, before more is granted.
+    /// What may be sent on a stream before more is granted.
     pub stream_window_bytes: u64,
+    /// What may be sent on a connection before more is granted.
     pub link_window_bytes: u64,
-    /// The most that goes in one turn.
+    /// What is sent in one turn at the most.
     pub max_turn_bytes: u64,
-    /// After so many turns of higher priorities a lower one has one.
+    /// After so many turns of higher priorities, a lower one has its turn.
     pub max_skipped_turns: u32,
 }
 
@@ -43,15 +46,19 @@
     }
 }
 
-/// What the other side has done that it may not.
+/// What the other side has done that it may not. The connection has to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FlowControlError {
+    /// It has sent more than was granted.
     #[error("more bytes than were granted")]
     WindowExceeded,
+    /// It grants without end.
     #[error("more credit than can be counted")]
     CreditOverflow,
+    /// It refers to a stream that was never opened.
     #[error("a stream that is not open")]
     UnknownStream,
+    /// It opens a stream twice.
     #[error("a stream that was used before")]
     StreamReused,
 }
@@ -61,175 +68,182 @@
     priority: Priority,
     credit: u64,
     queued_bytes: u64,
-    /// Nothing more will be added; it is over once all has gone.
+    /// Nothing more will be queued; the stream ends once all is sent.
     is_complete: bool,
+    /// It is in the queue of its priority.
     is_ready: bool,
 }
 
 /// What may be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendTurn {
+    /// The stream.
     pub stream: u32,
+    /// How many bytes of it.
     pub bytes: u64,
-    /// All that there is of the stream has gone with this.
+    /// The stream ends with them.
     pub is_last: bool,
 }
 
-/// The sending side of a link.
+/// The sending side of a connection.
 #[derive(Debug, Clone)]
 pub struct SendScheduler {
     config: FlowControlConfig,
     link_credit: u64,
     streams: BTreeMap<u32, OutgoingStream>,
-    /// Those that have something to send and credit for it, in their turns.
-    ready: [VecDeque<u32>; 3],
-    skipped_turns: [u32; 3],
+    /// By priority, the streams that have something to send and credit for it, in their turns.
+    ready: [VecDeque<u32>; PRIORITY_COUNT],
+    skipped_turns: [u32; PRIORITY_COUNT],
 }
 
 impl SendScheduler {
-    pub fn new(bounds: FlowControlConfig) -> Self {
+    /// A connection without streams.
+    pub fn new(config: FlowControlConfig) -> Self {
         Self {
-            link_credit: bounds.link_window_bytes,
-            config: bounds,
+            link_credit: config.link_window_bytes,
+            config,
             streams: BTreeMap::new(),
             ready: Default::default(),
-            skipped_turns: [0; 3],
+            skipped_turns: [0; PRIORITY_COUNT],
         }
     }
 
+    /// The number of open streams.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
+    /// Whether no stream is open.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Bytes that wait.
+    /// Bytes that wait to be sent.
     pub fn queued_bytes(&self) -> u64 {
-        self.streams.values().map(|out| out.queued_bytes).sum()
+        self.streams.values().map(|stream| stream.queued_bytes).sum()
     }
 
-    /// Whether somebody could send now, credit of the link allowing.
+    /// Whether a stream could send now, as far as the credit of the connection goes.
     pub fn has_ready_stream(&self) -> bool {
-        let able = |stream: &u32| {
-            self.streams
-                .get(stream)
-                .is_some_and(|out| out.is_complete && out.queued_bytes == 0 || self.link_credit > 0)
+        let may_send = |id: &u32| {
+            let stream = self.streams.get(id);
+            stream.is_some_and(|s| s.is_complete && s.queued_bytes == 0 || self.link_credit > 0)
         };
-        self.ready.iter().any(|ready| ready.iter().any(able))
+        self.ready.iter().any(|ready| ready.iter().any(may_send))
     }
 
-    /// A new stream; false where there are as many as may be.
-    pub fn open_stream(&mut self, stream: u32, priority: Priority) -> bool {
-        if self.streams.len() >= self.config.max_streams || self.streams.contains_key(&stream) {
+    /// Opens a stream; false if there are as many as may be, or if it is open.
+    pub fn open_stream(&mut self, id: u32, priority: Priority) -> bool {
+        if self.streams.len() >= self.config.max_streams || self.streams.contains_key(&id) {
             return false;
         }
         let credit = self.config.stream_window_bytes;
-        self.streams.insert(
-            stream,
-            OutgoingStream { priority, credit, queued_bytes: 0, is_complete: false, is_ready: false },
-        );
+        let stream =
+            OutgoingStream { priority, credit, queued_bytes: 0, is_complete: false, is_ready: false };
+        self.streams.insert(id, stream);
         true
     }
 
-    /// More bytes are there to be sent; `last` says that these are all.
-    pub fn queue_bytes(&mut self, stream: u32, bytes: u64, last: bool) {
-        if let Some(out) = self.streams.get_mut(&stream) {
-            out.queued_bytes += bytes;
-            out.is_complete |= last;
+    /// Queues bytes of a stream; `is_last` is whether none follow.
+    pub fn queue_bytes(&mut self, id: u32, bytes: u64, is_last: bool) {
+        if let Some(stream) = self.streams.get_mut(&id) {
+            stream.queued_bytes += bytes;
+            stream.is_complete |= is_last;
         }
-        self.enqueue_if_ready(stream);
+        self.enqueue_if_ready(id);
     }
 
-    /// The stream is called off.
-    pub fn cancel_stream(&mut self, stream: u32) {
-        self.streams.remove(&stream);
+    /// Drops a stream with what is queued.
+    pub fn cancel_stream(&mut self, id: u32) {
+        self.streams.remove(&id);
     }
 
-    /// The other side grants more, on a stream or, on stream 0, on the link.
-    pub fn add_credit(&mut self, stream: u32, bytes: u32) -> Result<(), FlowControlError> {
-        // Whoever grants without end wants the count to overflow.
-        let more = |credit: u64| {
+    /// The other side grants more bytes on a stream or, on stream 0, on the connection.
+    ///
+    /// # Errors
+    ///
+    /// The credit can't be counted any more.
+    pub fn add_credit(&mut self, id: u32, bytes: u32) -> Result<(), FlowControlError> {
+        let add = |credit: u64| {
             let sum = credit + u64::from(bytes);
             (sum <= u64::from(u32::MAX)).then_some(sum).ok_or(FlowControlError::CreditOverflow)
         };
-        if stream == 0 {
-            self.link_credit = more(self.link_credit)?;
+        if id == 0 {
+            self.link_credit = add(self.link_credit)?;
             return Ok(());
         }
-        // One that has just ended may still be granted something.
-        let Some(out) = self.streams.get_mut(&stream) else { return Ok(()) };
-        out.credit = more(out.credit)?;
-        self.enqueue_if_ready(stream);
+        // The stream may have ended while the credit was on its way.
+        let Some(stream) = self.streams.get_mut(&id) else { return Ok(()) };
+        stream.credit = add(stream.credit)?;
+        self.enqueue_if_ready(id);
         Ok(())
     }
 
-    fn enqueue_if_ready(&mut self, stream: u32) {
-        let Some(out) = self.streams.get_mut(&stream) else { return };
-        let able = out.queued_bytes > 0 && out.credit > 0 || out.is_complete && out.queued_bytes == 0;
-        if able && !out.is_ready {
-            out.is_ready = true;
-            self.ready[out.priority as usize].push_back(stream);
+    fn enqueue_if_ready(&mut self, id: u32) {
+        let Some(stream) = self.streams.get_mut(&id) else { return };
+        let has_bytes = stream.queued_bytes > 0 && stream.credit > 0;
+        let has_end = stream.is_complete && stream.queued_bytes == 0;
+        if (has_bytes || has_end) && !stream.is_ready {
+            stream.is_ready = true;
+            self.ready[stream.priority as usize].push_back(id);
         }
     }
 
-    /// Who sends next, and how much; `room` is what the connection takes now.
+    /// The next stream to send, and how much of it; `room` is how many bytes the connection accepts now.
     pub fn next_turn(&mut self, room: u64) -> Option<SendTurn> {
-        let place = self.choose_priority()?;
-        for n in 0..PRIORITIES.len() {
-            let waits = n > place && !self.ready[n].is_empty();
-            self.skipped_turns[n] = if waits { self.skipped_turns[n] + 1 } else { 0 };
+        let priority = self.choose_priority()?;
+        for lower in 0..PRIORITY_COUNT {
+            let is_skipped = lower > priority && !self.ready[lower].is_empty();
+            self.skipped_turns[lower] = if is_skipped { self.skipped_turns[lower] + 1 } else { 0 };
         }
-        while let Some(stream) = self.ready[place].pop_front() {
-            let Some(out) = self.streams.get_mut(&stream) else { continue };
-            out.is_ready = false;
-            let bytes = out
-                .queued_bytes
-                .min(out.credit)
-                .min(self.link_credit)
-                .min(self.config.max_turn_bytes)
-                .min(room);
-            let end = out.is_complete && bytes == out.queued_bytes;
-            if bytes == 0 && !end {
-                // The link's credit or the connection's room is at its end; the stream keeps its turn.
-                out.is_ready = true;
-                self.ready[place].push_front(stream);
+        while let Some(id) = self.ready[priority].pop_front() {
+            let Some(stream) = self.streams.get_mut(&id) else { continue };
+            stream.is_ready = false;
+            let bytes = stream.queued_bytes.min(stream.credit).min(self.link_credit);
+            let bytes = bytes.min(self.config.max_turn_bytes).min(room);
+            let is_last = stream.is_complete && bytes == stream.queued_bytes;
+            if bytes == 0 && !is_last {
+                // The connection's credit or room is used up; the stream keeps its turn.
+                stream.is_ready = true;
+                self.ready[priority].push_front(id);
                 return None;
             }
-            out.queued_bytes -= bytes;
-            out.credit -= bytes;
+            stream.queued_bytes -= bytes;
+            stream.credit -= bytes;
             self.link_credit -= bytes;
-            match end {
-                true => drop(self.streams.remove(&stream)),
-                false => self.enqueue_if_ready(stream),
+            if is_last {
+                self.streams.remove(&id);
+            } else {
+                self.enqueue_if_ready(id);
             }
-            return Some(SendTurn { stream, bytes, is_last: end });
+            return Some(SendTurn { stream: id, bytes, is_last });
         }
         None
     }
 
-    /// The highest priority that has somebody ready, or a lower one that was passed over for too long.
+    /// The highest priority that has a stream ready, or a lower one that was skipped too often.
     fn choose_priority(&mut self) -> Option<usize> {
-        for (ready, streams) in self.ready.iter_mut().zip([&self.streams; 3]) {
-            while ready.front().is_some_and(|stream| !streams.contains_key(stream)) {
+        for ready in &mut self.ready {
+            while ready.front().is_some_and(|id| !self.streams.contains_key(id)) {
                 ready.pop_front();
             }
         }
-        let waits = |n: &usize| !self.ready[*n].is_empty();
-        let starved = (0..3).filter(waits).find(|n| self.skipped_turns[*n] >= self.config.max_skipped_turns);
-        starved.or_else(|| (0..3).find(waits))
+        let is_ready = |priority: &usize| !self.ready[*priority].is_empty();
+        let is_starved = |priority: &usize| self.skipped_turns[*priority] >= self.config.max_skipped_turns;
+        let starved = (0..PRIORITY_COUNT).filter(is_ready).find(is_starved);
+        starved.or_else(|| (0..PRIORITY_COUNT).find(is_ready))
     }
 }
 
 #[derive(Debug, Clone, Copy)]
 struct IncomingStream {
-    /// What may still come, and what was taken out and not granted again.
+    /// Bytes that may still come.
     remaining: u64,
+    /// Bytes that were consumed and not granted again.
     consumed: u64,
 }
 
-/// The receiving side of a link.
+/// The receiving side of a connection.
 #[derive(Debug, Clone)]
 pub struct ReceiveWindow {
     config: FlowControlConfig,
@@ -248,52 +262,54 @@
 }
 
 impl ReceiveWindow {
-    pub fn new(bounds: FlowControlConfig) -> Self {
-        Self {
-            link_remaining: bounds.link_window_bytes,
-            link_consumed: 0,
-            config: bounds,
-            streams: BTreeMap::new(),
-        }
+    /// A connection without streams.
+    pub fn new(config: FlowControlConfig) -> Self {
+        Self { link_remaining: config.link_window_bytes, link_consumed: 0, config, streams: BTreeMap::new() }
     }
 
+    /// The number of open streams.
     pub fn len(&self) -> usize {
         self.streams.len()
     }
 
+    /// Whether no stream is open.
     pub fn is_empty(&self) -> bool {
         self.streams.is_empty()
     }
 
-    /// Something is to come on a stream that this side has opened.
-    pub fn open_stream(&mut self, stream: u32) {
-        self.streams
-            .insert(stream, IncomingStream { remaining: self.config.stream_window_bytes, consumed: 0 });
+    /// Expects bytes on a stream that this side has opened.
+    pub fn open_stream(&mut self, id: u32) {
+        let stream = IncomingStream { remaining: self.config.stream_window_bytes, consumed: 0 };
+        self.streams.insert(id, stream);
     }
 
-    /// Bytes came in. On a stream that was called off here they count for the link alone.
-    pub fn receive(&mut self, stream: u32, bytes: u64) -> Result<Vec<CreditGrant>, FlowControlError> {
-        self.link_remaining =
-            self.link_remaining.checked_sub(bytes).ok_or(FlowControlError::WindowExceeded)?;
-        match self.streams.get_mut(&stream) {
-            Some(open) => {
-                open.remaining = open.remaining.checked_sub(bytes).ok_or(FlowControlError::WindowExceeded)?;
+    /// Bytes were received. On a stream that is not open any more they count for the connection alone, and are consumed
+    /// at once.
+    ///
+    /// # Errors
+    ///
+    /// There are more of them than were granted.
+    pub fn receive(&mut self, id: u32, bytes: u64) -> Result<Vec<CreditGrant>, FlowControlError> {
+        let exceeded = FlowControlError::WindowExceeded;
+        self.link_remaining = self.link_remaining.checked_sub(bytes).ok_or(exceeded)?;
+        match self.streams.get_mut(&id) {
+            Some(stream) => {
+                stream.remaining = stream.remaining.checked_sub(bytes).ok_or(exceeded)?;
                 Ok(Vec::new())
             }
             None => Ok(self.consume_link(bytes)),
         }
     }
 
-    /// Bytes were passed on: what may be granted for them.
-    pub fn consume(&mut self, stream: u32, bytes: u64) -> Vec<CreditGrant> {
+    /// Bytes were consumed: what is granted for them.
+    pub fn consume(&mut self, id: u32, bytes: u64) -> Vec<CreditGrant> {
         let mut grants = self.consume_link(bytes);
         let half = self.config.stream_window_bytes / 2;
-        if let Some(open) = self.streams.get_mut(&stream) {
-            open.consumed += bytes;
-            if open.consumed >= half {
-                open.remaining += open.consumed;
-                grants.push(CreditGrant { stream, bytes: std::mem::take(&mut open.consumed) as u32 });
-            }
+        let Some(stream) = self.streams.get_mut(&id) else { return grants };
+        stream.consumed += bytes;
+        if stream.consumed >= half {
+            stream.remaining += stream.consumed;
+            grants.push(CreditGrant { stream: id, bytes: std::mem::take(&mut stream.consumed) as u32 });
         }
         grants
     }
@@ -307,9 +323,9 @@
         vec![CreditGrant { stream: 0, bytes: std::mem::take(&mut self.link_consumed) as u32 }]
     }
 
-    /// The stream is over, or was called off; `unread` bytes of it will never be passed on.
-    pub fn close_stream(&mut self, stream: u32, unread: u64) -> Vec<CreditGrant> {
-        match self.streams.remove(&stream) {
+    /// The stream has ended or was cancelled; `unread` bytes of it will never be consumed.
+    pub fn close_stream(&mut self, id: u32, unread: u64) -> Vec<CreditGrant> {
+        match self.streams.remove(&id) {
             Some(_) => self.consume_link(unread),
             None => Vec::new(),
         }
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -1,31 +1,32 @@
-//! Owns how a link is felt: whether the other side is still there, by accrual over what comes in (Hayashibara 2004),
-//! and when to try again where it is not.
+//! Whether the other side of a connection is still there: a phi accrual failure detector (Hayashibara 2004).
 //!
-//! Every byte that comes in is a sign of life, and so is an answered ping. Must never call a link down sooner or later
-//! than its bounds, whatever was seen before.
+//! Every byte that is received is a sign of life. How long a silence is suspicious follows from the intervals seen
+//! before, within fixed bounds. Pings tell a slow connection, and one that works in one direction only, from a silent one.
 
 use std::collections::VecDeque;
 
 use linnethook::interface::Ms;
 
-/// How a link is felt.
+/// When a connection counts as slow, silent or flapping.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeartbeatConfig {
-    /// How often the other side is pinged.
+    /// How often the other side is pinged, in milliseconds.
     pub interval: Ms,
-    /// Gaps between signs of life that are remembered.
+    /// Intervals between signs of life that are remembered.
     pub max_samples: usize,
-    /// A gap counts as at least so uneven.
+    /// The standard deviation of the intervals counts as at least that, in milliseconds.
     pub min_deviation: Ms,
-    /// The suspicion at which it is silent: the chance that it is not is one in ten to that.
+    /// The suspicion at which the other side is silent: the chance that it is not is one in ten to that.
     pub phi_threshold: f64,
-    /// It is never called silent sooner than after the first, and always after the second.
+    /// It is never silent sooner, in milliseconds.
     pub min_silence: Ms,
+    /// It is always silent after that, in milliseconds.
     pub max_silence: Ms,
-    /// An answer to a ping that takes that many times the best one: the link is slow.
+    /// The connection is slow if pings take that many times the best round trip.
     pub slow_ratio: f64,
-    /// So often down within so long: the link flaps.
+    /// The link flaps if it went down so often within `flap_window`.
     pub flap_threshold: usize,
+    /// See `flap_threshold`; in milliseconds.
     pub flap_window: Ms,
 }
 
@@ -45,15 +46,16 @@
     }
 }
 
-/// What a link is like.
+/// What a connection is like.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkHealth {
+    /// Nothing is wrong.
     Healthy,
-    /// Pings are answered, far later than they can be.
+    /// Pings are answered far later than they can be.
     Slow,
-    /// What is sent is not answered, though something comes in: one direction is dead.
+    /// Something is received, but pings are not answered: one direction is dead.
     HalfOpen,
-    /// Nothing comes in.
+    /// Nothing is received.
     Silent,
 }
 
@@ -69,29 +71,44 @@
     }
 }
 
+/// Receipts closer to each other than that are one sign of life, in milliseconds.
+const MIN_SAMPLE_INTERVAL: Ms = 1.0;
+
+/// Shorter round trips can't be told apart, in milliseconds.
+const MIN_ROUND_TRIP: Ms = 0.1;
+
+/// The weight of one ping in the smoothed round trip.
+const ROUND_TRIP_WEIGHT: f64 = 0.3;
+
+#[derive(Debug, Clone, Copy)]
+struct PendingPing {
+    number: u64,
+    sent_at: Ms,
+}
+
+/// The failure detector of one connection.
 #[derive(Debug, Clone)]
 pub struct Heartbeat {
     config: HeartbeatConfig,
-    gaps: VecDeque<f64>,
+    /// Intervals between signs of life, the oldest first.
+    intervals: VecDeque<Ms>,
     last_received: Ms,
-    /// The ping that is out: its number, and since when.
-    pending_ping: Option<(u64, Ms)>,
+    pending_ping: Option<PendingPing>,
     last_ping: u64,
-    best_round_trip: f64,
-    smoothed_round_trip: f64,
-    /// When the latest ping that was answered had been sent.
+    best_round_trip: Ms,
+    smoothed_round_trip: Ms,
+    /// When the latest answered ping was sent.
     answered_ping_sent: Option<Ms>,
 }
 
 impl Heartbeat {
-    /// A session that has just come up.
-    pub fn new(now: Ms, rule: HeartbeatConfig) -> Self {
-        let (gaps, out) = (VecDeque::from([rule.interval]), None);
+    /// A connection that has just been opened.
+    pub fn new(now: Ms, config: HeartbeatConfig) -> Self {
         Self {
-            config: rule,
-            gaps,
+            config,
+            intervals: VecDeque::from([config.interval]),
             last_received: now,
-            pending_ping: out,
+            pending_ping: None,
             last_ping: 0,
             best_round_trip: f64::INFINITY,
             smoothed_round_trip: 0.0,
@@ -99,68 +116,63 @@
         }
     }
 
-    /// Something came in.
+    /// Something was received.
     pub fn record_receipt(&mut self, now: Ms) {
-        let gap = now - self.last_received;
-        // What comes in one breath is one sign.
-        if gap >= 1.0 {
-            if self.gaps.len() >= self.config.max_samples.max(1) {
-                self.gaps.pop_front();
-            }
-            self.gaps.push_back(gap.min(self.config.max_silence));
-            self.last_received = now;
+        let interval = now - self.last_received;
+        if interval < MIN_SAMPLE_INTERVAL {
+            return;
+        }
+        if self.intervals.len() >= self.config.max_samples.max(1) {
+            self.intervals.pop_front();
         }
+        self.intervals.push_back(interval.min(self.config.max_silence));
+        self.last_received = now;
     }
 
-    /// The number of a ping to be sent now, if one is due. One that was not answered is not followed by others.
+    /// The number of a ping to be sent now, if one is due. There is one at a time.
     pub fn next_ping(&mut self, now: Ms) -> Option<u64> {
-        let due = match self.pending_ping {
-            Some(_) => false,
-            None => {
-                self.last_ping == 0
-                    || now - self.last_received >= self.config.interval / 2.0
-                    || self.smoothed_round_trip > 0.0
-            }
-        };
-        if !due {
+        let is_first = self.last_ping == 0;
+        let is_quiet = now - self.last_received >= self.config.interval / 2.0;
+        let has_round_trip = self.smoothed_round_trip > 0.0;
+        if self.pending_ping.is_some() || !(is_first || is_quiet || has_round_trip) {
             return None;
         }
         self.last_ping += 1;
-        self.pending_ping = Some((self.last_ping, now));
+        self.pending_ping = Some(PendingPing { number: self.last_ping, sent_at: now });
         Some(self.last_ping)
     }
 
-    /// A ping was answered. An answer to another number than the one that is out tells nothing.
+    /// A ping was answered. An answer to any but the pending one is a sign of life only.
     pub fn record_pong(&mut self, now: Ms, number: u64) {
         self.record_receipt(now);
-        if let Some((_, since)) = self.pending_ping.filter(|(out, _)| *out == number) {
-            self.pending_ping = None;
-            self.answered_ping_sent = Some(since);
-            let took = (now - since).max(0.1);
-            self.best_round_trip = self.best_round_trip.min(took);
-            self.smoothed_round_trip +=
-                (took - self.smoothed_round_trip) * if self.smoothed_round_trip > 0.0 { 0.3 } else { 1.0 };
-        }
+        let Some(ping) = self.pending_ping.filter(|ping| ping.number == number) else { return };
+        self.pending_ping = None;
+        self.answered_ping_sent = Some(ping.sent_at);
+        let round_trip = (now - ping.sent_at).max(MIN_ROUND_TRIP);
+        self.best_round_trip = self.best_round_trip.min(round_trip);
+        let weight = if self.smoothed_round_trip > 0.0 { ROUND_TRIP_WEIGHT } else { 1.0 };
+        self.smoothed_round_trip += (round_trip - self.smoothed_round_trip) * weight;
     }
 
-    /// All that the other side had said up to then is here: its answer to a ping comes behind that.
+    /// All that the other side had queued up to then has been received, since its answer to a ping comes behind that.
     pub fn all_received_until(&self) -> Option<Ms> {
         self.answered_ping_sent
     }
 
-    /// How long an answer to a ping takes; 0 where none came yet.
+    /// How long an answer to a ping takes, in milliseconds; 0 if none was received yet.
     pub fn round_trip(&self) -> Ms {
         self.smoothed_round_trip
     }
 
-    /// How unlikely it is that nothing came for so long if the other side is there: -log10 of that chance.
+    /// The suspicion that the other side is silent: `-log10` of the chance that nothing comes for so long if it is there.
     pub fn phi(&self, now: Ms) -> f64 {
-        let count = self.gaps.len().max(1) as f64;
-        let mean = self.gaps.iter().sum::<f64>() / count;
-        let variance = self.gaps.iter().map(|gap| (gap - mean).powi(2)).sum::<f64>() / count;
-        let spread = variance.sqrt().max(self.config.min_deviation);
-        let y = (now - self.last_received - mean) / spread;
-        // The logistic approximation of the normal distribution's tail; far out its logarithm by parts.
+        let count = self.intervals.len().max(1) as f64;
+        let mean = self.intervals.iter().sum::<f64>() / count;
+        let variance = self.intervals.iter().map(|interval| (interval - mean).powi(2)).sum::<f64>() / count;
+        let deviation = variance.sqrt().max(self.config.min_deviation);
+        let y = (now - self.last_received - mean) / deviation;
+        // The logistic approximation of the tail of the normal distribution. Far out, where the power overflows, its
+        // logarithm is taken directly.
         let exponent = y * (1.5976 + 0.070566 * y * y);
         match exponent > 300.0 {
             true => exponent / std::f64::consts::LN_10,
@@ -168,95 +180,28 @@
         }
     }
 
-    /// What the link is like now.
+    /// What the connection is like now.
     pub fn health(&self, now: Ms) -> LinkHealth {
-        let quiet = now - self.last_received;
-        let (least, most) = (self.config.min_silence, self.config.max_silence);
-        if quiet >= most || (quiet >= least && self.phi(now) >= self.config.phi_threshold) {
+        let silence = now - self.last_received;
+        let is_suspect = silence >= self.config.min_silence && self.phi(now) >= self.config.phi_threshold;
+        if silence >= self.config.max_silence || is_suspect {
             return LinkHealth::Silent;
         }
-        match self.pending_ping {
-            Some((_, since)) if now - since >= most => LinkHealth::HalfOpen,
-            _ if self.smoothed_round_trip > self.best_round_trip * self.config.slow_ratio
-                && self.smoothed_round_trip > self.config.min_deviation =>
-            {
-                LinkHealth::Slow
-            }
-            _ => LinkHealth::Healthy,
+        if self.pending_ping.is_some_and(|ping| now - ping.sent_at >= self.config.max_silence) {
+            return LinkHealth::HalfOpen;
         }
-    }
-
-    /// When it has to be looked at again.
-    pub fn next_check(&self, now: Ms) -> Ms {
-        (self.last_received + self.config.min_silence)
-            .max(now + self.config.interval / 4.0)
-            .min(now + self.config.interval)
-    }
-}
-
-/// When a link that is down is tried again.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ReconnectConfig {
-    pub initial_delay: Ms,
-    pub delay_multiplier: f64,
-    pub max_delay: Ms,
-    /// So long up, and the next pause is the first one again.
-    pub reset_after: Ms,
-}
-
-impl Default for ReconnectConfig {
-    fn default() -> Self {
-        Self { initial_delay: 50.0, delay_multiplier: 2.0, max_delay: 2_000.0, reset_after: 5_000.0 }
-    }
-}
-
-/// The pauses between tries, and how often the link went down.
-#[derive(Debug, Clone)]
-pub struct ReconnectBackoff {
-    config: ReconnectConfig,
-    heartbeat: HeartbeatConfig,
-    delay: Ms,
-    up_since: Option<Ms>,
-    downs: VecDeque<Ms>,
-}
-
-impl ReconnectBackoff {
-    pub fn new(rule: ReconnectConfig, flap: HeartbeatConfig) -> Self {
-        Self {
-            config: rule,
-            heartbeat: flap,
-            delay: rule.initial_delay,
-            up_since: None,
-            downs: VecDeque::new(),
+        let is_slow = self.smoothed_round_trip > self.best_round_trip * self.config.slow_ratio
+            && self.smoothed_round_trip > self.config.min_deviation;
+        if is_slow {
+            LinkHealth::Slow
+        } else {
+            LinkHealth::Healthy
         }
     }
 
-    /// The link came up.
-    pub fn record_up(&mut self, now: Ms) {
-        self.up_since = Some(now);
-    }
-
-    /// It went down, or could not be had; the time of the next try. `draw` is from 0 up to 1: full jitter, so that not
-    /// all come at once.
-    pub fn record_down(&mut self, now: Ms, draw: f64) -> Ms {
-        let up = self.up_since.take();
-        if up.is_some() {
-            self.downs.push_back(now);
-            if self.downs.len() > self.heartbeat.flap_threshold.max(1) {
-                self.downs.pop_front();
-            }
-        }
-        if up.is_some_and(|since| now - since >= self.config.reset_after) {
-            self.delay = self.config.initial_delay;
-        }
-        let wait = self.delay * (0.5 + 0.5 * draw.clamp(0.0, 1.0));
-        self.delay = (self.delay * self.config.delay_multiplier).min(self.config.max_delay);
-        now + wait
-    }
-
-    /// Whether it went down so often of late that being up tells little.
-    pub fn is_flapping(&self, now: Ms) -> bool {
-        let lately = self.downs.iter().filter(|at| now - **at < self.heartbeat.flap_window).count();
-        lately >= self.heartbeat.flap_threshold
+    /// When [`Self::health`] has to be asked for again.
+    pub fn next_check(&self, now: Ms) -> Ms {
+        let may_be_silent = self.last_received + self.config.min_silence;
+        may_be_silent.max(now + self.config.interval / 4.0).min(now + self.config.interval)
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -12,13 +12,17 @@
 //! - [`site_state`]: what sites publish of themselves, by version;
 //! - `links`, `dialers`: connections with other gateways, and when they are tried again;
 //! - [`session`]: one connection;
-//! - [`heartbeat`]: whether the other side is still there, and the pauses between attempts to connect;
+//! - [`heartbeat`]: whether the other side is still there;
+//! - [`reconnect`]: the pauses between attempts to connect;
 //! - [`flow_control`]: how much may be sent now, by credit and priority;
 //! - [`codec`]: the frames of a link.
 //!
 //! No part reads a clock, a socket, a file or a random source: times are arguments, and jitter has a seed.
 //! `docs/gateway.md` describes the design.
 
+#![warn(missing_docs, clippy::missing_errors_doc, clippy::too_many_arguments, clippy::too_many_lines)]
+#![warn(clippy::unwrap_used, clippy::wildcard_imports)]
+
 pub mod actions;
 pub mod attempt_ledger;
 pub mod codec;
@@ -31,6 +35,7 @@
 pub mod heartbeat;
 mod links;
 pub mod local_capacity;
+pub mod reconnect;
 mod remote_requests;
 pub mod routing;
 pub mod session;
--- a/crates/gateway/src/local_capacity.rs
+++ b/crates/gateway/src/local_capacity.rs
@@ -1,25 +1,26 @@
-//! Owns what the own site can do at the moment: by its list of caches, and by how requests ended that it served itself.
+//! What the own site can serve: by its list of caches, and by how requests ended that were served here.
 //!
-//! Must never call the home unable for good: a few requests go on trying it.
+//! A site never counts as unable for good: probes go on showing whether it has recovered.
 
 use linnethook::estimators::Ewma;
 use linnethook::interface::Ms;
 
 use crate::routing::SiteView;
 
-/// When the home counts as unable.
+/// When the own site counts as unable.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalCapacityConfig {
-    /// The share of requests that ended badly above which it is unable, the weight of one in it, and how many must have
-    /// been seen.
+    /// The ratio of failed requests above which it is unable.
     pub max_failure_ratio: f64,
+    /// The weight of one request in that ratio.
     pub sample_weight: f64,
+    /// How many requests must have been seen before the ratio counts.
     pub min_samples: f64,
-    /// So many good ones in a row, and it is able again.
+    /// It is able again after so many successes in a row.
     pub recovery_successes: u32,
-    /// While it is unable one request goes there all the same, so often.
+    /// While it is unable, one request in that time is a probe, in milliseconds.
     pub probe_interval: Ms,
-    /// After so long without any word a bad share counts for nothing.
+    /// After that time without any outcome, in milliseconds, earlier ones count for nothing.
     pub sample_lifetime: Ms,
 }
 
@@ -36,109 +37,138 @@
     }
 }
 
-/// What requests need of their home.
+/// What a request needs of the site that serves it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// Its caches.
     Read,
-    /// Its way to the origin.
+    /// Its path to the origin.
     Write,
 }
 
+/// How requests of one kind ended.
 #[derive(Debug, Clone, Copy, Default)]
 struct OutcomeHistory {
     failure_ratio: Ewma,
     is_unable: bool,
     last_outcome: Ms,
-    /// Good ones in a row.
     successes_in_a_row: u32,
-    /// When one last tried it.
     last_probe: Ms,
 }
 
-/// The home of one gateway.
+impl OutcomeHistory {
+    fn record(&mut self, now: Ms, failed: bool, config: &LocalCapacityConfig) {
+        if now - self.last_outcome > config.sample_lifetime {
+            self.failure_ratio = Ewma::default();
+            self.is_unable = false;
+        }
+        self.last_outcome = now;
+        self.failure_ratio.update_from_mean(f64::from(u8::from(failed)), config.sample_weight);
+        self.successes_in_a_row = if failed { 0 } else { self.successes_in_a_row + 1 };
+        if self.is_unable {
+            if self.successes_in_a_row >= config.recovery_successes {
+                self.is_unable = false;
+                self.failure_ratio = Ewma::default();
+            }
+        } else if self.failure_ratio.samples >= config.min_samples
+            && self.failure_ratio.value >= config.max_failure_ratio
+        {
+            self.is_unable = true;
+            // This request was as good as a probe.
+            self.last_probe = now;
+        }
+    }
+}
+
+/// What the own site can serve.
 #[derive(Debug, Clone)]
 pub struct LocalCapacity {
     config: LocalCapacityConfig,
     caches: u32,
     utilization: f64,
     drained: bool,
-    histories: [OutcomeHistory; 2],
+    reads: OutcomeHistory,
+    writes: OutcomeHistory,
 }
 
 impl LocalCapacity {
-    pub fn new(rule: LocalCapacityConfig) -> Self {
-        Self { config: rule, caches: 0, utilization: 0.0, drained: false, histories: Default::default() }
+    /// A site whose caches are not known yet.
+    pub fn new(config: LocalCapacityConfig) -> Self {
+        Self {
+            config,
+            caches: 0,
+            utilization: 0.0,
+            drained: false,
+            reads: OutcomeHistory::default(),
+            writes: OutcomeHistory::default(),
+        }
     }
 
-    /// How many caches of the site take new work.
+    /// Sets how many caches of the site take new work.
     pub fn set_listed_caches(&mut self, caches: u32) {
         self.caches = caches;
     }
 
-    /// The part of what it can carry that is in use.
-    pub fn set_utilization(&mut self, used: f64) {
-        self.utilization = used;
+    /// Sets the ratio of what the site can carry that is in use.
+    pub fn set_utilization(&mut self, utilization: f64) {
+        self.utilization = utilization;
     }
 
+    /// Sets whether the operators have drained the site.
     pub fn set_drained(&mut self, drained: bool) {
         self.drained = drained;
     }
 
+    /// Whether the operators have drained the site.
     pub fn is_drained(&self) -> bool {
         self.drained
     }
 
-    /// How a request ended that was served here; one whose client left tells nothing.
-    pub fn record_outcome(&mut self, now: Ms, need: RequestKind, bad: bool) {
-        let rule = self.config;
-        let side = &mut self.histories[need as usize];
-        if now - side.last_outcome > rule.sample_lifetime {
-            (side.failure_ratio, side.is_unable) = (Ewma::default(), false);
-        }
-        side.last_outcome = now;
-        side.failure_ratio.update_from_mean(f64::from(u8::from(bad)), rule.sample_weight);
-        side.successes_in_a_row = if bad { 0 } else { side.successes_in_a_row + 1 };
-        if side.is_unable && side.successes_in_a_row >= rule.recovery_successes {
-            (side.is_unable, side.failure_ratio) = (false, Ewma::default());
-        } else if !side.is_unable
-            && side.failure_ratio.samples >= rule.min_samples
-            && side.failure_ratio.value >= rule.max_failure_ratio
-        {
-            // It has just been tried.
-            (side.is_unable, side.last_probe) = (true, now);
+    fn history_mut(&mut self, kind: RequestKind) -> &mut OutcomeHistory {
+        match kind {
+            RequestKind::Read => &mut self.reads,
+            RequestKind::Write => &mut self.writes,
         }
     }
 
-    /// Whether this one is to try an unable home.
-    pub fn take_probe(&mut self, now: Ms, need: RequestKind) -> bool {
-        let side = &mut self.histories[need as usize];
-        let off = self.drained || !side.is_unable || need == RequestKind::Read && self.caches == 0;
-        if off || now - side.last_probe < self.config.probe_interval {
+    /// Records how a request ended that was served here. One whose client has disconnected is not recorded.
+    pub fn record_outcome(&mut self, now: Ms, kind: RequestKind, failed: bool) {
+        let config = self.config;
+        self.history_mut(kind).record(now, failed, &config);
+    }
+
+    /// Whether the next request of that kind is a probe of an unable site.
+    pub fn take_probe(&mut self, now: Ms, kind: RequestKind) -> bool {
+        let probe_interval = self.config.probe_interval;
+        let has_nothing_to_probe = self.drained || kind == RequestKind::Read && self.caches == 0;
+        let history = self.history_mut(kind);
+        if has_nothing_to_probe || !history.is_unable || now - history.last_probe < probe_interval {
             return false;
         }
-        side.last_probe = now;
+        history.last_probe = now;
         true
     }
 
+    /// The caches that can serve reads: none while the site is unable to.
     pub fn usable_caches(&self) -> u32 {
-        if self.histories[RequestKind::Read as usize].is_unable {
+        if self.reads.is_unable {
             0
         } else {
             self.caches
         }
     }
 
-    /// Whether its caches may still serve what they hold, whatever they lack and can't have.
+    /// Whether caches may still serve what they have, whatever they can't get.
     pub fn may_have_cached(&self) -> bool {
         self.caches > 0 && !self.drained
     }
 
+    /// The site as routes see it.
     pub fn view(&self) -> SiteView {
         SiteView {
             reachable: true,
             has_caches: self.usable_caches() > 0,
-            has_origin: !self.histories[RequestKind::Write as usize].is_unable,
+            has_origin: !self.writes.is_unable,
             utilization: self.utilization,
             drained: self.drained,
             flapping: false,
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -147,7 +147,7 @@
     tickets: BTreeMap<Ticket, u32>,
     incoming: BTreeMap<u32, IncomingRequest>,
     /// Bytes of output that were taken.
-    taken_bytes: u64,
+    handed_over_bytes: u64,
     /// Bytes of these that the system has accepted.
     written_bytes: u64,
     request_ends: VecDeque<RequestEnd>,
@@ -178,7 +178,7 @@
             outgoing: BTreeMap::new(),
             tickets: BTreeMap::new(),
             incoming: BTreeMap::new(),
-            taken_bytes: 0,
+            handed_over_bytes: 0,
             written_bytes: 0,
             request_ends: VecDeque::new(),
             cancelled_streams: BTreeSet::new(),
@@ -225,7 +225,7 @@
         let (stream, token) = (self.last_stream, request.token);
         write_message(&mut self.output, stream, &Message::Request(Box::new(request)));
         if let Some(token) = token {
-            let position = self.taken_bytes + self.output.len() as u64;
+            let position = self.handed_over_bytes + self.output.len() as u64;
             self.request_ends.push_back(RequestEnd { position, token });
         }
         self.outgoing.insert(stream, OutgoingRequest { ticket, response_begun: false });
@@ -316,7 +316,7 @@
                 write_message(into, turn.stream, &Message::End);
             }
         }
-        self.taken_bytes += (into.len() - start) as u64;
+        self.handed_over_bytes += (into.len() - start) as u64;
     }
 
     /// The system has accepted so many bytes of what was taken: the tokens of the requests that are written with them.
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -1,126 +1,148 @@
-//! Owns a body that comes across in pieces: where it stands when its stream stops, and what may be asked for next.
+//! A body that crosses a link: how much of it is here when its stream stops, and what is requested next.
 //!
-//! The client gets one whole, unchanged body, or one that it can tell is cut off. Must never join pieces of two copies.
+//! A client gets one complete, unchanged body, or one that it can tell is cut off. Bytes of two versions of an object are
+//! never joined.
 
 use linnethook::interface::Ms;
 use serde::{Deserialize, Serialize};
 
-/// By what two copies are told to be the same.
+/// What two copies of an object are told apart by.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ObjectVersion {
+    /// The origin's name for the version.
     pub tag: String,
+    /// When the origin issued it, in Unix milliseconds.
     pub issued_at: Ms,
+    /// The length of the body, in bytes.
     pub length: u64,
 }
 
-/// What is asked for after a stream has stopped.
+/// What is requested after a stream has stopped.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Resumption {
-    /// The rest of that copy, from that byte on.
-    Remainder { offset: u64, version: ObjectVersion },
-    /// All of it: nothing of it has been passed on yet.
+    /// The rest of that version.
+    Remainder {
+        /// The first byte that is missing.
+        offset: u64,
+        /// The version that it has to be.
+        version: ObjectVersion,
+    },
+    /// The complete body: nothing of it was received.
     Restart,
-    /// Some of it was passed on, and it can't be had unchanged in time: cut off.
+    /// Nothing: there is no time, or no try, left.
     GiveUp,
 }
 
-/// How an answer to that fits.
+/// How a response fits what was received before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseFit {
-    /// Its bytes go on where the others stopped.
+    /// Its bytes follow those that are here.
     Continues,
-    /// It is another copy, from its start; nothing was passed on yet, so it takes the place of what there is.
+    /// It is another version, from its start, and nothing was delivered yet: it replaces what is here.
     Restarts,
-    /// It is another copy, and some of the first was passed on.
+    /// It is another version, and some of the first one was delivered.
     Mismatch,
 }
 
-/// One body under way.
+/// One body.
 #[derive(Debug, Clone)]
 pub struct Transfer {
     version: Option<ObjectVersion>,
-    /// Bytes that came, and of these the bytes passed on to the client.
+    /// Bytes that were received.
     received: u64,
+    /// Bytes of these that the client has.
     delivered: u64,
     deadline: Ms,
     remaining_tries: u32,
-    /// Bytes that crossed more than once.
+    /// Bytes that have crossed more than once.
     repeated_bytes: u64,
 }
 
 impl Transfer {
-    /// A body that is wanted whole by then; it may be asked for so many times more.
-    pub fn new(deadline: Ms, tries: u32) -> Self {
-        Self { version: None, received: 0, delivered: 0, deadline, remaining_tries: tries, repeated_bytes: 0 }
+    /// A body that must be complete by then, and may be requested again so many times.
+    pub fn new(deadline: Ms, max_retries: u32) -> Self {
+        Self {
+            version: None,
+            received: 0,
+            delivered: 0,
+            deadline,
+            remaining_tries: max_retries,
+            repeated_bytes: 0,
+        }
     }
 
-    /// An answer begins, from that byte of the copy on.
-    pub fn begin_response(&mut self, copy: ObjectVersion, from: u64) -> ResponseFit {
-        let same = self.version.as_ref().is_some_and(|known| *known == copy);
-        match (&self.version, same) {
-            (None, _) if from == 0 => {}
-            (Some(_), true) if from == self.received => return ResponseFit::Continues,
-            // It gives more than was asked for: what is there already is passed over.
-            (Some(_), true) if from < self.received && self.delivered == 0 => {}
-            _ if from == 0 && self.delivered == 0 => {}
-            _ => return ResponseFit::Mismatch,
+    /// A response begins, with that byte of the version.
+    pub fn begin_response(&mut self, version: ObjectVersion, offset: u64) -> ResponseFit {
+        let is_same = self.version.as_ref() == Some(&version);
+        if is_same && offset == self.received {
+            return ResponseFit::Continues;
+        }
+        // Where nothing was delivered, a response that repeats bytes, or is of another version, replaces what is here.
+        let may_replace = match self.version {
+            None => offset == 0,
+            Some(_) => self.delivered == 0 && (offset == 0 || is_same && offset < self.received),
+        };
+        if !may_replace {
+            return ResponseFit::Mismatch;
         }
-        let anew = self.version.is_some();
+        let had_version = self.version.replace(version).is_some();
         self.repeated_bytes += self.received;
-        self.received = 0;
-        self.version = Some(copy);
-        if anew && from == 0 {
-            return ResponseFit::Restarts;
+        self.received = offset;
+        if had_version && offset == 0 {
+            ResponseFit::Restarts
+        } else {
+            ResponseFit::Continues
         }
-        self.received = from;
-        ResponseFit::Continues
     }
 
-    /// Bytes came; false if there are more than the copy has.
+    /// Bytes were received; false if there are more than the version has.
     pub fn receive(&mut self, bytes: u64) -> bool {
         self.received += bytes;
-        self.version.as_ref().is_some_and(|copy| self.received <= copy.length)
+        self.version.as_ref().is_some_and(|version| self.received <= version.length)
     }
 
+    /// The client has got so many more bytes.
     pub fn mark_delivered(&mut self, bytes: u64) {
         self.delivered = (self.delivered + bytes).min(self.received);
     }
 
-    /// Which copy it is, once one has begun.
+    /// The version, once a response has begun.
     pub fn version(&self) -> Option<&ObjectVersion> {
         self.version.as_ref()
     }
 
-    /// What came of it is dropped.
+    /// Discards what was received.
     pub fn discard(&mut self) {
         self.repeated_bytes += self.received;
-        (self.version, self.received) = (None, 0);
+        self.version = None;
+        self.received = 0;
     }
 
-    /// Bytes of it that are there.
+    /// Bytes that are here.
     pub fn received_bytes(&self) -> u64 {
         self.received
     }
 
+    /// Whether the body is complete.
     pub fn is_complete(&self) -> bool {
-        self.version.as_ref().is_some_and(|copy| copy.length == self.received)
+        self.version.as_ref().is_some_and(|version| version.length == self.received)
     }
 
-    /// Bytes that crossed more than once.
+    /// Bytes that have crossed more than once.
     pub fn repeated_bytes(&self) -> u64 {
         self.repeated_bytes
     }
 
-    /// The stream stopped before the body was whole. `least` is the time that a further try needs.
-    pub fn resume(&mut self, now: Ms, least: Ms) -> Resumption {
-        let in_time = now + least <= self.deadline && self.remaining_tries > 0;
-        if !in_time {
+    /// The stream has stopped before the body was complete: what to request next. A retry needs `min_retry_time`
+    /// milliseconds.
+    pub fn resume(&mut self, now: Ms, min_retry_time: Ms) -> Resumption {
+        if now + min_retry_time > self.deadline || self.remaining_tries == 0 {
             return Resumption::GiveUp;
         }
         self.remaining_tries -= 1;
         match &self.version {
-            Some(copy) if self.received > 0 => {
-                Resumption::Remainder { offset: self.received, version: copy.clone() }
+            Some(version) if self.received > 0 => {
+                Resumption::Remainder { offset: self.received, version: version.clone() }
             }
             _ => Resumption::Restart,
         }
--- a/crates/gateway/tests/attempt_ledger.rs
+++ b/crates/gateway/tests/attempt_ledger.rs
@@ -19,8 +19,8 @@
 #[derive(Debug, Clone)]
 enum Mail {
     Open(Token),
-    Ask(Token),
-    Told(Token, AttemptOutcome),
+    Query(Token),
+    Report(Token, AttemptOutcome),
 }
 
 proptest! {
@@ -30,11 +30,11 @@
     /// end in time, and none is called free that ran.
     #[test]
     fn no_booking_runs_twice(seed in any::<u64>()) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (mut near, mut far) = (1u64, 1u64);
         let mut sent = SentAttempts::new(near, 64);
-        let mut taken = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
-        taken.accept_epoch(near);
+        let mut received = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
+        received.accept_epoch(near);
         let (mut up, mut now) = (true, 0.0);
         // Mail arrives late or never, in any order; only what is sent while the link is up is on its way.
         let (mut to_far, mut to_near) = (Vec::<Mail>::new(), Vec::<Mail>::new());
@@ -45,8 +45,8 @@
         let mut next = 0u64;
         let mut free = Vec::<u64>::new();
         for _ in 0..600 {
-            now += chance.random_range(1..60) as f64;
-            match chance.random_range(0..20) {
+            now += random.random_range(1..60) as f64;
+            match random.random_range(0..20) {
                 0..=5 => {
                     // A new booking, or another attempt at one that is free.
                     let ticket = free.pop().unwrap_or_else(|| { next += 1; next });
@@ -55,7 +55,7 @@
                     if up && now < deadline {
                         let token = sent.begin(ticket, far, 0, deadline).expect("no other attempt is open");
                         tickets.insert(token, ticket);
-                        if chance.random_range(0..8) > 0 {
+                        if random.random_range(0..8) > 0 {
                             sent.mark_written(token);
                             to_far.push(Mail::Open(token));
                         }
@@ -66,39 +66,39 @@
                     }
                 }
                 6..=9 if up && !to_far.is_empty() => {
-                    let n = chance.random_range(0..to_far.len());
+                    let n = random.random_range(0..to_far.len());
                     match to_far.swap_remove(n) {
-                        Mail::Open(token) => match taken.admit(token) {
+                        Mail::Open(token) => match received.admit(token) {
                             Admission::Run => { running.insert(token); }
-                            Admission::Known(fate) => to_near.push(Mail::Told(token, fate)),
+                            Admission::Known(outcome) => to_near.push(Mail::Report(token, outcome)),
                             Admission::Fenced | Admission::AtCapacity => {}
                         },
-                        Mail::Ask(token) => {
-                            let fate = taken.query_outcome(now, token);
-                            to_near.push(Mail::Told(token, fate));
+                        Mail::Query(token) => {
+                            let outcome = received.query_outcome(now, token);
+                            to_near.push(Mail::Report(token, outcome));
                         }
-                        Mail::Told(..) => {}
+                        Mail::Report(..) => {}
                     }
                 }
                 10..=12 => {
                     // One ends where it runs: it took effect, or was turned away before it did.
                     if let Some(token) = running.pop_first() {
                         let ticket = tickets[&token];
-                        if chance.random_range(0..5) == 0 {
-                            taken.record_rejection(now, token);
-                            to_near.push(Mail::Told(token, AttemptOutcome::NeverRan));
+                        if random.random_range(0..5) == 0 {
+                            received.record_rejection(now, token);
+                            to_near.push(Mail::Report(token, AttemptOutcome::NeverRan));
                         } else {
                             *runs.entry(ticket).or_default() += 1;
                             prop_assert_eq!(runs[&ticket], 1, "it ran twice");
-                            taken.record_answer(now, token, vec![1]);
-                            to_near.push(Mail::Told(token, AttemptOutcome::Completed(Some(vec![1]))));
+                            received.record_answer(now, token, vec![1]);
+                            to_near.push(Mail::Report(token, AttemptOutcome::Completed(Some(vec![1]))));
                         }
                     }
                 }
                 13..=15 if up && !to_near.is_empty() => {
-                    let n = chance.random_range(0..to_near.len());
-                    if let Mail::Told(token, fate) = to_near.swap_remove(n) {
-                        match sent.record_outcome(token, fate, 0) {
+                    let n = random.random_range(0..to_near.len());
+                    if let Mail::Report(token, outcome) = to_near.swap_remove(n) {
+                        match sent.record_outcome(token, outcome, 0) {
                             Some(Resolution::NeverRan(ticket)) => {
                                 prop_assert!(!runs.contains_key(&ticket), "it ran, and is called free");
                                 free.push(ticket);
@@ -115,41 +115,41 @@
                     if up {
                         // Cut: what is on its way is lost, or still arrives.
                         to_near.clear();
-                        if chance.random_range(0..2) == 0 {
+                        if random.random_range(0..2) == 0 {
                             to_far.clear();
                         }
-                        for verdict in sent.connection_lost(0) {
-                            if let Resolution::NeverRan(ticket) = verdict {
+                        for resolution in sent.connection_lost(0) {
+                            if let Resolution::NeverRan(ticket) = resolution {
                                 free.push(ticket);
                             }
                         }
                     } else {
-                        taken.accept_epoch(near);
-                        to_far.extend(sent.tokens_to_query(far).into_iter().map(Mail::Ask));
+                        received.accept_epoch(near);
+                        to_far.extend(sent.tokens_to_query(far).into_iter().map(Mail::Query));
                     }
                     up = !up;
                 }
-                17 if chance.random_range(0..4) == 0 => {
+                17 if random.random_range(0..4) == 0 => {
                     // The far side starts again: what ran there may have run, and nothing is remembered.
                     far += 1;
                     for token in std::mem::take(&mut running) {
-                        if chance.random_range(0..2) == 0 {
+                        if random.random_range(0..2) == 0 {
                             *runs.entry(tickets[&token]).or_default() += 1;
                         }
                     }
                     to_far.clear();
                     to_near.clear();
-                    taken = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
-                    taken.accept_epoch(near);
-                    for verdict in sent.connection_lost(0) {
-                        if let Resolution::NeverRan(ticket) = verdict {
+                    received = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
+                    received.accept_epoch(near);
+                    for resolution in sent.connection_lost(0) {
+                        if let Resolution::NeverRan(ticket) = resolution {
                             free.push(ticket);
                         }
                     }
                     // Those that went to the start before can't be asked after.
                     prop_assert!(sent.tokens_to_query(far).is_empty());
                 }
-                18 if chance.random_range(0..4) == 0 => {
+                18 if random.random_range(0..4) == 0 => {
                     // The near side starts again: its clients are gone with it, and its tokens are void.
                     near += 1;
                     sent = SentAttempts::new(near, 64);
@@ -158,12 +158,12 @@
                         ends.insert(ticket, (ends[&ticket].0, Some(ends[&ticket].0)));
                     }
                     free.clear();
-                    prop_assert!(taken.accept_epoch(near) && !taken.accept_epoch(near - 1));
+                    prop_assert!(received.accept_epoch(near) && !received.accept_epoch(near - 1));
                 }
-                _ => taken.expire(now),
+                _ => received.expire(now),
             }
-            for verdict in sent.expire(now) {
-                if let Resolution::Failed(ticket) = verdict {
+            for resolution in sent.expire(now) {
+                if let Resolution::Failed(ticket) = resolution {
                     prop_assert!(ends[&ticket].1.is_none(), "a second end");
                     ends.insert(ticket, (ends[&ticket].0, Some(now)));
                 }
@@ -179,11 +179,11 @@
 
     /// Frames come out as they went in, however their bytes are split.
     #[test]
-    fn frames_survive_any_split(words in prop::collection::vec((any::<u32>(), 0u8..8, prop::collection::vec(any::<u8>(), 0..200)), 1..20), cuts in prop::collection::vec(1usize..50, 1..50)) {
+    fn frames_survive_any_split(messages in prop::collection::vec((any::<u32>(), 0u8..8, prop::collection::vec(any::<u8>(), 0..200)), 1..20), cuts in prop::collection::vec(1usize..50, 1..50)) {
         let token = Token { epoch: 3, number: 9 };
-        let frames: Vec<Frame> = words.into_iter().map(|(stream, kind, bytes)| {
+        let frames: Vec<Frame> = messages.into_iter().map(|(stream, kind, bytes)| {
             let text = String::from_utf8_lossy(&bytes).into_owned();
-            let word = match kind {
+            let message = match kind {
                 0 => Message::Hello(Hello { versions: VersionRange { min: 1, max: 2 }, site: text.clone(), node: text, epoch: 7, known_state: StatePosition { epoch: 1, version: 2 }, proof: bytes }),
                 1 => Message::Request(Box::new(ForwardedRequest { token: Some(token), remaining_ms: 5, priority: 1, passed_sites: vec![text], resume_from: None, fields: Vec::new(), body: bytes.into() })),
                 2 => Message::Response(Box::new(ResponseHead { served: true, body_length: bytes.len() as u64, offset: 3, version: None, fields: vec![("a".to_string(), text)] })),
@@ -193,7 +193,7 @@
                 6 => Message::Reject { reason: RejectReason::AtCapacity, retry_after_ms: 7 },
                 _ => Message::Data(bytes.into()),
             };
-            Frame { stream, message: word }
+            Frame { stream, message }
         }).collect();
         let bytes: Vec<u8> = frames.iter().flat_map(encode_frame).collect();
         let (mut decoder, mut found, mut rest) = (FrameDecoder::default(), Vec::new(), &bytes[..]);
@@ -227,7 +227,7 @@
     let mut decoder = FrameDecoder::default();
     decoder.push_bytes(&[255, 255, 255, 255]);
     assert_eq!(decoder.next_frame(1_000), Err(MalformedFrame::InvalidLength(u32::MAX as usize, 1_000)));
-    for (bytes, wrong) in [
+    for (bytes, error) in [
         (&[0, 0, 0, 4, 1][..], MalformedFrame::InvalidLength(4, 1_000)),
         (&[0, 0, 0, 5, 9, 0, 0, 0, 1], MalformedFrame::UnknownKind),
         (&[0, 0, 0, 6, 1, 0, 0, 0, 1, 200], MalformedFrame::InvalidPayload),
@@ -235,7 +235,7 @@
     ] {
         let mut decoder = FrameDecoder::default();
         decoder.push_bytes(bytes);
-        assert_eq!(decoder.next_frame(1_000), Err(wrong));
+        assert_eq!(decoder.next_frame(1_000), Err(error));
     }
 }
 
@@ -243,9 +243,9 @@
 #[test]
 fn what_is_proof_and_what_is_not() {
     let mut sent = SentAttempts::new(1, 2);
-    let mut taken =
+    let mut received =
         ReceivedAttempts::new(AttemptLedgerConfig { retention: 100.0, max_tokens: 4, max_answer_bytes: 3 });
-    assert!(taken.accept_epoch(1));
+    assert!(received.accept_epoch(1));
     let token = sent.begin(7, 1, 0, 1_000.0).expect("a token");
     assert_eq!((sent.begin(7, 1, 0, 1_000.0), sent.state_of(7)), (None, Some(AttemptState::Unwritten)));
     assert_eq!(sent.connection_lost(0), [Resolution::NeverRan(7)], "not a whole byte of it came");
@@ -258,33 +258,33 @@
             && sent.tokens_to_query(2).is_empty()
     );
     // It never came: freed here, and fenced off there.
-    let fate = taken.query_outcome(10.0, token);
+    let outcome = received.query_outcome(10.0, token);
     assert_eq!(
-        (sent.record_outcome(token, fate, 0), taken.admit(token)),
+        (sent.record_outcome(token, outcome, 0), received.admit(token)),
         (Some(Resolution::NeverRan(7)), Admission::Fenced)
     );
     // It ran, and its answer is kept; then only that it ran.
     let other = sent.begin(7, 1, 0, 1_000.0).expect("another attempt");
-    assert_eq!(taken.admit(other), Admission::Run);
-    assert_eq!(taken.query_outcome(11.0, other), AttemptOutcome::Running);
-    taken.record_answer(12.0, other, vec![1, 2]);
-    assert_eq!(taken.admit(other), Admission::Known(AttemptOutcome::Completed(Some(vec![1, 2]))));
+    assert_eq!(received.admit(other), Admission::Run);
+    assert_eq!(received.query_outcome(11.0, other), AttemptOutcome::Running);
+    received.record_answer(12.0, other, vec![1, 2]);
+    assert_eq!(received.admit(other), Admission::Known(AttemptOutcome::Completed(Some(vec![1, 2]))));
     let third = Token { number: 50, ..other };
-    assert_eq!(taken.admit(third), Admission::Run);
-    taken.record_answer(13.0, third, vec![3, 4]);
-    let fate = taken.query_outcome(14.0, other);
-    assert_eq!((fate.clone(), taken.retained().answer_bytes), (AttemptOutcome::Completed(None), 2));
-    assert_eq!(sent.record_outcome(other, fate, 0), Some(Resolution::Failed(7)));
+    assert_eq!(received.admit(third), Admission::Run);
+    received.record_answer(13.0, third, vec![3, 4]);
+    let outcome = received.query_outcome(14.0, other);
+    assert_eq!((outcome.clone(), received.retained().answer_bytes), (AttemptOutcome::Completed(None), 2));
+    assert_eq!(sent.record_outcome(other, outcome, 0), Some(Resolution::Failed(7)));
     // Past the horizon nothing is proven, and nothing is let in.
-    taken.expire(500.0);
+    received.expire(500.0);
     assert_eq!(
-        (taken.query_outcome(501.0, other), taken.admit(other)),
+        (received.query_outcome(501.0, other), received.admit(other)),
         (AttemptOutcome::Forgotten, Admission::Fenced)
     );
-    assert_eq!(taken.retained(), RetainedAttempts { tokens: 0, answer_bytes: 0 });
+    assert_eq!(received.retained(), RetainedAttempts { tokens: 0, answer_bytes: 0 });
     // A sender that started again: its old tokens are void, its old hello is a replay.
-    assert!(taken.accept_epoch(2) && !taken.accept_epoch(1));
-    assert_eq!(taken.admit(Token { epoch: 1, number: 60 }), Admission::Fenced);
+    assert!(received.accept_epoch(2) && !received.accept_epoch(1));
+    assert_eq!(received.admit(Token { epoch: 1, number: 60 }), Admission::Fenced);
     // Time runs out first.
     let last = sent.begin(8, 1, 0, 900.0).expect("a token");
     sent.mark_written(last);
--- a/crates/gateway/tests/concurrency_window.rs
+++ b/crates/gateway/tests/concurrency_window.rs
@@ -5,7 +5,7 @@
 
 /// Against a way that bears 20 at a time, whatever it began with: it comes near that and stays there.
 #[test]
-fn it_finds_what_the_way_bears() {
+fn the_window_finds_what_the_path_bears() {
     for first in [2.0, 200.0] {
         let mut window = ConcurrencyWindow::new(ConcurrencyWindowConfig {
             initial: first,
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -33,9 +33,9 @@
 }
 
 /// Every kind of frame, and every variant within them.
-fn words() -> Vec<(String, Message)> {
+fn messages() -> Vec<(String, Message)> {
     let token = Token { epoch: 1 << 40, number: 300 };
-    let copy = ObjectVersion { tag: "v1".to_string(), issued_at: 1_700_000_000_000.5, length: 70_000 };
+    let version = ObjectVersion { tag: "v1".to_string(), issued_at: 1_700_000_000_000.5, length: 70_000 };
     let hello = Hello {
         versions: VersionRange { min: 1, max: 2 },
         site: "north".to_string(),
@@ -44,33 +44,33 @@
         known_state: StatePosition { epoch: 300, version: 70_000 },
         proof: vec![9],
     };
-    let open = ForwardedRequest {
+    let request = ForwardedRequest {
         token: Some(token),
         remaining_ms: 1_500,
         priority: 2,
         passed_sites: vec!["south".to_string()],
-        resume_from: Some(ResumePoint { offset: 4_096, version: copy.clone() }),
+        resume_from: Some(ResumePoint { offset: 4_096, version: version.clone() }),
         fields: fields(),
         body: vec![1, 2, 3].into(),
     };
-    let begins = ResponseHead {
+    let head = ResponseHead {
         served: true,
         fields: fields(),
         body_length: 70_000,
         offset: 4_096,
-        version: Some(copy),
+        version: Some(version),
     };
-    let mut words = vec![
+    let mut messages = vec![
         ("hello".to_string(), Message::Hello(hello)),
-        ("open".to_string(), Message::Request(Box::new(open.clone()))),
+        ("open".to_string(), Message::Request(Box::new(request.clone()))),
         (
             "open.plain".to_string(),
-            Message::Request(Box::new(ForwardedRequest { token: None, resume_from: None, ..open })),
+            Message::Request(Box::new(ForwardedRequest { token: None, resume_from: None, ..request })),
         ),
-        ("answer".to_string(), Message::Response(Box::new(begins.clone()))),
+        ("answer".to_string(), Message::Response(Box::new(head.clone()))),
         (
             "answer.plain".to_string(),
-            Message::Response(Box::new(ResponseHead { served: false, version: None, ..begins })),
+            Message::Response(Box::new(ResponseHead { served: false, version: None, ..head })),
         ),
         ("data".to_string(), Message::Data(vec![0, 1, 255].into())),
         ("end".to_string(), Message::End),
@@ -96,20 +96,20 @@
         ("passed", RejectReason::HopLimit),
         ("unusable", RejectReason::Unusable),
     ];
-    for (name, why) in reasons {
-        words.push((format!("never.{name}"), Message::Reject { reason: why, retry_after_ms: 300 }));
+    for (name, reason) in reasons {
+        messages.push((format!("never.{name}"), Message::Reject { reason, retry_after_ms: 300 }));
     }
-    let fates = [
+    let outcomes = [
         ("ran", AttemptOutcome::Completed(Some(vec![1, 255]))),
         ("ran.forgotten_answer", AttemptOutcome::Completed(None)),
         ("running", AttemptOutcome::Running),
         ("never", AttemptOutcome::NeverRan),
         ("forgotten", AttemptOutcome::Forgotten),
     ];
-    for (name, fate) in fates {
-        words.push((format!("told.{name}"), Message::OutcomeReport(token, fate)));
+    for (name, outcome) in outcomes {
+        messages.push((format!("told.{name}"), Message::OutcomeReport(token, outcome)));
     }
-    words
+    messages
 }
 
 fn fixture() -> PathBuf {
@@ -131,8 +131,8 @@
 #[test]
 fn every_frame_keeps_its_bytes() {
     let mut lines = String::new();
-    for (name, word) in words() {
-        let _ = writeln!(lines, "{name}: {}", hex(&encode_frame(&Frame { stream: 300, message: word })));
+    for (name, message) in messages() {
+        let _ = writeln!(lines, "{name}: {}", hex(&encode_frame(&Frame { stream: 300, message })));
     }
     if !fixture().exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
         std::fs::write(fixture(), &lines).expect("written");
@@ -143,15 +143,15 @@
 #[test]
 fn frames_of_the_fixture_are_read_and_written_again_to_the_byte() {
     let fixture = std::fs::read_to_string(fixture()).expect("the fixture");
-    let words = words();
-    assert_eq!(fixture.lines().count(), words.len());
-    for (line, (name, word)) in fixture.lines().zip(words) {
+    let messages = messages();
+    assert_eq!(fixture.lines().count(), messages.len());
+    for (line, (name, message)) in fixture.lines().zip(messages) {
         let bytes = unhex(line.rsplit_once(": ").expect("a name and bytes").1);
         let mut decoder = FrameDecoder::default();
         decoder.push_bytes(&bytes);
         let frame =
             decoder.next_frame(LONGEST_FRAME).expect("a frame that can be read").expect("a complete frame");
-        assert_eq!(frame, Frame { stream: 300, message: word }, "{name}");
+        assert_eq!(frame, Frame { stream: 300, message }, "{name}");
         assert_eq!(encode_frame(&frame), bytes, "{name}");
         assert_eq!(decoder.buffered_bytes(), 0, "{name}");
     }
--- a/crates/gateway/tests/heartbeat.rs
+++ b/crates/gateway/tests/heartbeat.rs
@@ -1,63 +1,62 @@
-//! The `heartbeat` module: whether the other side is still there, and the pauses between attempts to connect.
+//! The modules `heartbeat` and `reconnect`: whether the other side is still there, and the pauses between attempts to connect.
 
 use linnethook::interface::Ms;
-use linnethook_gateway::heartbeat::{
-    Heartbeat, HeartbeatConfig, LinkHealth, ReconnectBackoff, ReconnectConfig,
-};
+use linnethook_gateway::heartbeat::{Heartbeat, HeartbeatConfig, LinkHealth};
+use linnethook_gateway::reconnect::{ReconnectBackoff, ReconnectConfig};
 
 /// Signs of life that often, up to then; how long after the last one it is called silent.
-fn silent_after(rule: HeartbeatConfig, every: Ms, jitter: Ms) -> Ms {
-    let mut pulse = Heartbeat::new(0.0, rule);
+fn silent_after(config: HeartbeatConfig, every: Ms, jitter: Ms) -> Ms {
+    let mut heartbeat = Heartbeat::new(0.0, config);
     let mut now = 0.0;
     for n in 0..200 {
         now += every + if n % 2 == 0 { jitter } else { -jitter };
-        pulse.record_receipt(now);
-        assert_eq!(pulse.health(now), LinkHealth::Healthy);
+        heartbeat.record_receipt(now);
+        assert_eq!(heartbeat.health(now), LinkHealth::Healthy);
     }
-    let heard = now;
-    while pulse.health(now) != LinkHealth::Silent {
+    let last_received = now;
+    while heartbeat.health(now) != LinkHealth::Silent {
         now += 5.0;
     }
-    now - heard
+    now - last_received
 }
 
 #[test]
-fn silence_is_told_by_what_was_usual_and_within_bounds() {
-    let rule = HeartbeatConfig::default();
-    let (even, uneven) = (silent_after(rule, 200.0, 5.0), silent_after(rule, 300.0, 150.0));
+fn silence_follows_from_earlier_intervals_within_bounds() {
+    let config = HeartbeatConfig::default();
+    let (even, uneven) = (silent_after(config, 200.0, 5.0), silent_after(config, 300.0, 150.0));
     assert!((400.0..=450.0).contains(&even), "{even}");
     assert!(uneven > even + 300.0 && uneven <= 2_000.0, "{uneven}");
-    assert!(silent_after(rule, 10.0, 1.0) >= 400.0, "never sooner than its bound");
-    assert!(silent_after(rule, 1_500.0, 400.0) <= 2_005.0, "never later");
+    assert!(silent_after(config, 10.0, 1.0) >= 400.0, "never sooner than its bound");
+    assert!(silent_after(config, 1_500.0, 400.0) <= 2_005.0, "never later");
 }
 
 #[test]
-fn a_slow_link_and_a_half_open_one_are_told_from_a_silent_one() {
-    let rule = HeartbeatConfig::default();
-    let mut pulse = Heartbeat::new(0.0, rule);
+fn slow_half_open_and_silent_links_are_distinguished() {
+    let config = HeartbeatConfig::default();
+    let mut heartbeat = Heartbeat::new(0.0, config);
     let mut now = 0.0;
     for _ in 0..10 {
-        let number = pulse.next_ping(now).expect("a ping is due");
-        assert_eq!(pulse.next_ping(now + 1.0), None, "one at a time");
-        pulse.record_pong(now + 10.0, number + 7);
-        pulse.record_pong(now + 10.0, number);
+        let number = heartbeat.next_ping(now).expect("a ping is due");
+        assert_eq!(heartbeat.next_ping(now + 1.0), None, "one at a time");
+        heartbeat.record_pong(now + 10.0, number + 7);
+        heartbeat.record_pong(now + 10.0, number);
         now += 200.0;
     }
-    assert_eq!(pulse.health(now), LinkHealth::Healthy);
+    assert_eq!(heartbeat.health(now), LinkHealth::Healthy);
     for _ in 0..10 {
-        let number = pulse.next_ping(now).expect("a ping is due");
-        pulse.record_receipt(now + 100.0);
-        pulse.record_pong(now + 180.0, number);
+        let number = heartbeat.next_ping(now).expect("a ping is due");
+        heartbeat.record_receipt(now + 100.0);
+        heartbeat.record_pong(now + 180.0, number);
         now += 200.0;
     }
-    assert_eq!(pulse.health(now), LinkHealth::Slow);
-    pulse.next_ping(now).expect("a ping is due");
+    assert_eq!(heartbeat.health(now), LinkHealth::Slow);
+    heartbeat.next_ping(now).expect("a ping is due");
     for _ in 0..25 {
         now += 100.0;
-        pulse.record_receipt(now);
+        heartbeat.record_receipt(now);
     }
-    assert_eq!(pulse.health(now), LinkHealth::HalfOpen, "something comes in, and nothing is answered");
-    assert_eq!(pulse.health(now + 2_000.0), LinkHealth::Silent);
+    assert_eq!(heartbeat.health(now), LinkHealth::HalfOpen, "something comes in, and nothing is answered");
+    assert_eq!(heartbeat.health(now + 2_000.0), LinkHealth::Silent);
 }
 
 #[test]
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -29,22 +29,22 @@
     /// All that is pushed arrives, nothing beyond what was granted, and a reader that stops holds up nobody else.
     #[test]
     fn streams_share_a_link(seed in any::<u64>()) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (mut sending, mut receiving) = (SendScheduler::new(BOUNDS), ReceiveWindow::new(BOUNDS));
         let mut wanted = BTreeMap::<u32, u64>::new();
         let mut got = BTreeMap::<u32, u64>::new();
         // Nobody ever reads stream 1.
         let stuck = 1u32;
         for stream in 1..=6u32 {
-            let priority = [Priority::Booking, Priority::FirstPart, Priority::LaterPart][chance.random_range(0..3)];
+            let priority = [Priority::Booking, Priority::FirstPart, Priority::LaterPart][random.random_range(0..3)];
             prop_assert!(sending.open_stream(stream, priority));
             receiving.open_stream(stream);
-            let bytes = if stream == stuck { 50_000 } else { chance.random_range(0..30_000) };
+            let bytes = if stream == stuck { 50_000 } else { random.random_range(0..30_000) };
             wanted.insert(stream, bytes);
             sending.queue_bytes(stream, bytes, true);
         }
         for _ in 0..5_000 {
-            let Some(turn) = sending.next_turn(chance.random_range(1..2_000)) else { break };
+            let Some(turn) = sending.next_turn(random.random_range(1..2_000)) else { break };
             prop_assert!(turn.bytes <= BOUNDS.max_turn_bytes);
             let mut grants = receiving.receive(turn.stream, turn.bytes).expect("within what was granted");
             *got.entry(turn.stream).or_default() += turn.bytes;
@@ -67,19 +67,19 @@
 
     /// However often and wherever it stops: one whole body of one copy, or cut off; what crossed twice is counted.
     #[test]
-    fn a_body_is_whole_and_of_one_copy(seed in any::<u64>()) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    fn a_body_is_complete_and_of_one_version(seed in any::<u64>()) {
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let copy = |tag: u32| ObjectVersion { tag: tag.to_string(), issued_at: 1.0, length: 1_000 + u64::from(tag) };
         let mut transfer = Transfer::new(10_000.0, 6);
         // What the client was given: which copy, and how much of it.
         let (mut given, mut at, mut now) = (Vec::<(u32, u64)>::new(), 0u64, 0.0);
         let (mut version, mut from) = (1u32, 0u64);
-        let passes_on = chance.random_range(0..2) == 0;
-        let whole = loop {
+        let passes_on = random.random_range(0..2) == 0;
+        let is_complete = loop {
             now += 100.0;
             // Another site may have another copy, or give it from the start although the rest was asked for.
-            version += u32::from(chance.random_range(0..4) == 0);
-            let begins = if chance.random_range(0..4) == 0 { 0 } else { from };
+            version += u32::from(random.random_range(0..4) == 0);
+            let begins = if random.random_range(0..4) == 0 { 0 } else { from };
             match transfer.begin_response(copy(version), begins) {
                 ResponseFit::Continues => {}
                 ResponseFit::Restarts => { given.clear(); at = 0; }
@@ -90,7 +90,7 @@
                 },
             }
             let at_now = if begins == 0 && !passes_on { 0 } else { at };
-            let bytes = chance.random_range(0..=(copy(version).length - at_now));
+            let bytes = random.random_range(0..=(copy(version).length - at_now));
             prop_assert!(transfer.receive(bytes));
             at = at_now + bytes;
             if passes_on {
@@ -112,14 +112,14 @@
         let versions: std::collections::BTreeSet<u32> = given.iter().filter(|g| g.1 > 0).map(|g| g.0).collect();
         prop_assert!(versions.len() <= 1, "pieces of two copies");
         let sum: u64 = given.iter().map(|g| g.1).sum();
-        prop_assert!(!whole || !passes_on || sum == copy(version).length, "{sum}");
+        prop_assert!(!is_complete || !passes_on || sum == copy(version).length, "{sum}");
     }
 
     /// Whatever is lost or comes twice: once the other side has heard the last, it knows what the one has said, and no
     /// purge is ever taken back.
     #[test]
     fn site_state_is_resumed(seed in any::<u64>()) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut own = PublishedState::new(1, 64);
         let mut other = ReceivedState::default();
         let mut plain = BTreeMap::<FactKey, FactValue>::new();
@@ -127,17 +127,17 @@
         let (mut epoch, mut stamps) = (1, BTreeMap::<FactKey, f64>::new());
         for n in 0..300u32 {
             let now = f64::from(n) * 10.0;
-            let (about, fact) = match chance.random_range(0..4) {
-                0 => (FactKey::Site, FactValue::Load { utilization: chance.random_range(0..10) as f64 / 10.0, caches: 3, origin_reachable: true }),
-                1 => (FactKey::Object(chance.random_range(0..9u32).to_string()), FactValue::Purged { stamp: now }),
+            let (about, fact) = match random.random_range(0..4) {
+                0 => (FactKey::Site, FactValue::Load { utilization: random.random_range(0..10) as f64 / 10.0, caches: 3, origin_reachable: true }),
+                1 => (FactKey::Object(random.random_range(0..9u32).to_string()), FactValue::Purged { stamp: now }),
                 _ => {
-                    let ready = chance.random_range(0..2) == 0;
-                    (FactKey::Cache(chance.random_range(0..5u32).to_string()), FactValue::Cache { ready })
+                    let ready = random.random_range(0..2) == 0;
+                    (FactKey::Cache(random.random_range(0..5u32).to_string()), FactValue::Cache { ready })
                 }
             };
             own.publish(now, about.clone(), fact.clone());
             plain.insert(about, fact);
-            if chance.random_range(0..60) == 0 {
+            if random.random_range(0..60) == 0 {
                 // It starts again, and says all anew.
                 epoch += 1;
                 own = PublishedState::new(epoch, 64);
@@ -145,12 +145,12 @@
             }
             let known = other.position();
             let state = own.changes_since(known);
-            match chance.random_range(0..4) {
+            match random.random_range(0..4) {
                 0 => {}
                 1 => late.push(state),
                 _ => { other.apply_update(now, state, 1_000); }
             }
-            if let Some(state) = late.pop().filter(|_| chance.random_range(0..3) == 0) {
+            if let Some(state) = late.pop().filter(|_| random.random_range(0..3) == 0) {
                 if let UpdateResult::Missing(from) = other.apply_update(now, state, 1_000) {
                     prop_assert!(from <= own.version());
                 }
@@ -212,7 +212,7 @@
         drained: false,
         flapping: false,
     };
-    let wish = |object| RouteQuery {
+    let query = |object| RouteQuery {
         object,
         write: false,
         home_site: None,
@@ -225,7 +225,7 @@
     let mut routes = RoutingTable::new(me, RoutingConfig::default());
     routes.update_site(0.0, other, well);
     let across = |routes: &mut RoutingTable, now: f64| {
-        (0..1_000).filter(|n| routes.route(now, &wish(*n)) == Route::Remote(other)).count()
+        (0..1_000).filter(|n| routes.route(now, &query(*n)) == Route::Remote(other)).count()
     };
     assert_eq!(across(&mut routes, 0.0), 0, "home serves");
     routes.set_own_view(SiteView { has_caches: false, ..well });
@@ -237,7 +237,7 @@
         "{counts:?}"
     );
     routes.update_site(11_000.0, other, SiteView { reachable: false, ..well });
-    assert_eq!(routes.route(11_000.0, &wish(1)), Route::Refused(RouteRefusal::NoCapableSite));
+    assert_eq!(routes.route(11_000.0, &query(1)), Route::Refused(RouteRefusal::NoCapableSite));
     // After a second nearly two thirds of the part that it had are left; after a long cut it begins anew.
     routes.update_site(12_000.0, other, well);
     let left = across(&mut routes, 12_000.0);
@@ -256,20 +256,20 @@
     routes.update_site(51_000.0, other, well);
     assert_eq!(across(&mut routes, 51_000.0), 1_000);
     // A write needs the way to the origin; what has come from there does not go back.
-    let write = RouteQuery { write: true, ..wish(5) };
+    let write = RouteQuery { write: true, ..query(5) };
     assert_eq!(routes.route(51_000.0, &write), Route::Local, "the own way to the origin is open");
     routes.set_own_view(SiteView { has_caches: false, has_origin: false, ..well });
     assert_eq!(routes.route(51_000.0, &write), Route::Remote(other));
     routes.update_site(51_000.0, other, SiteView { has_origin: false, ..well });
     assert_eq!(routes.route(51_000.0, &write), Route::Refused(RouteRefusal::NoCapableSite));
     routes.update_site(51_000.0, other, well);
-    let passed = |sites: &[SiteId]| RouteQuery { passed_sites: sites.to_vec(), ..wish(5) };
+    let passed = |sites: &[SiteId]| RouteQuery { passed_sites: sites.to_vec(), ..query(5) };
     assert_eq!(routes.route(51_000.0, &passed(&[other])), Route::Refused(RouteRefusal::HopLimit));
     assert_eq!(routes.route(51_000.0, &passed(&[me])), Route::Refused(RouteRefusal::HopLimit));
     // Repeats have a budget, which other requests fill.
-    let repeat = RouteQuery { is_retry: true, ..wish(5) };
-    let gone = (0..100).filter(|_| routes.route(51_000.0, &repeat) == Route::Remote(other)).count();
-    assert_eq!((gone, routes.route(51_000.0, &repeat)), (20, Route::Refused(RouteRefusal::RetryBudget)));
-    (0..11).for_each(|_| _ = routes.route(51_000.0, &wish(5)));
+    let repeat = RouteQuery { is_retry: true, ..query(5) };
+    let sent = (0..100).filter(|_| routes.route(51_000.0, &repeat) == Route::Remote(other)).count();
+    assert_eq!((sent, routes.route(51_000.0, &repeat)), (20, Route::Refused(RouteRefusal::RetryBudget)));
+    (0..11).for_each(|_| _ = routes.route(51_000.0, &query(5)));
     assert_eq!(routes.route(51_000.0, &repeat), Route::Remote(other));
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -18,7 +18,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn gateway(rules: GatewayConfig) -> Gateway {
+fn gateway(config: GatewayConfig) -> Gateway {
     let setup = GatewaySetup {
         site: "here".to_string(),
         other_sites: vec!["there".to_string()],
@@ -27,7 +27,7 @@
         seed: 1,
         dial_sites: Vec::new(),
         accepts_cluster_peers: false,
-        config: rules,
+        config,
     };
     Gateway::new(0.0, setup)
 }
@@ -55,12 +55,12 @@
     }))
 }
 
-fn say(gateway: &mut Gateway, now: f64, stream: u32, word: Message) {
-    gateway.receive(now, 1, &encode_frame(&Frame { stream, message: word }));
+fn send(gateway: &mut Gateway, now: f64, stream: u32, message: Message) {
+    gateway.receive(now, 1, &encode_frame(&Frame { stream, message }));
 }
 
 /// What the gateway has to say on its connection.
-fn said(gateway: &mut Gateway) -> Vec<Frame> {
+fn sent_frames(gateway: &mut Gateway) -> Vec<Frame> {
     let (mut bytes, mut decoder, mut frames) = (BytesMut::new(), FrameDecoder::default(), Vec::new());
     gateway.take_output(1, 1 << 24, &mut bytes);
     gateway.mark_written(1, bytes.len());
@@ -75,22 +75,22 @@
 fn answer_pings(gateway: &mut Gateway, now: f64, frames: &[Frame]) {
     for frame in frames {
         if let Message::Ping(number) = frame.message {
-            say(gateway, now, 0, Message::Pong(number));
+            send(gateway, now, 0, Message::Pong(number));
         }
     }
 }
 
 /// A gateway with a session that is up and fresh.
-fn connected(rules: GatewayConfig) -> Gateway {
-    let mut gateway = gateway(rules);
+fn connected(config: GatewayConfig) -> Gateway {
+    let mut gateway = gateway(config);
     gateway.connection_opened(0.0, 1, None);
-    say(&mut gateway, 0.0, 0, hello(5));
+    send(&mut gateway, 0.0, 0, hello(5));
     gateway.on_timer(1.0);
-    let frames = said(&mut gateway);
+    let frames = sent_frames(&mut gateway);
     answer_pings(&mut gateway, 2.0, &frames);
     let load =
         Fact::new(FactKey::Site, FactValue::Load { utilization: 0.1, caches: 3, origin_reachable: true });
-    say(
+    send(
         &mut gateway,
         2.0,
         0,
@@ -126,25 +126,25 @@
     /// each request of this side has one answer at the most, by its deadline.
     #[test]
     fn whatever_a_peer_says(seed in any::<u64>(), garbage in prop::collection::vec(any::<u8>(), 0..60)) {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let mut rules = GatewayConfig::default();
-        (rules.forwarding.max_remote_requests, rules.attempt_ledger.max_tokens, rules.routing.initial_share) = (16, 32, 1.0);
-        let mut gateway = connected(rules);
+        let mut random = Pcg64Mcg::seed_from_u64(seed);
+        let mut config = GatewayConfig::default();
+        (config.forwarding.max_remote_requests, config.attempt_ledger.max_tokens, config.routing.initial_share) = (16, 32, 1.0);
+        let mut gateway = connected(config);
         gateway.report_local_load(60.0, 0, 0.1);
         let (mut now, mut asked, mut answers, mut up) = (60.0, 0u64, BTreeMap::<u64, u32>::new(), true);
         for _ in 0..300 {
-            now += chance.random_range(0.0..20.0);
-            if chance.random_range(0..4) == 0 {
+            now += random.random_range(0.0..20.0);
+            if random.random_range(0..4) == 0 {
                 asked += 1;
-                gateway.submit_request(now, asked, wanted(chance.random_range(0..2) == 0, now + 300.0));
+                gateway.submit_request(now, asked, wanted(random.random_range(0..2) == 0, now + 300.0));
             }
-            let stream = chance.random_range(0..12);
-            let token = Token { epoch: chance.random_range(4..8), number: chance.random_range(0..40) };
-            let bytes = vec![1; chance.random_range(0..3_000)];
-            let length = chance.random_range(0..3_000);
-            let word = match chance.random_range(0..20) {
+            let stream = random.random_range(0..12);
+            let token = Token { epoch: random.random_range(4..8), number: random.random_range(0..40) };
+            let bytes = vec![1; random.random_range(0..3_000)];
+            let length = random.random_range(0..3_000);
+            let message = match random.random_range(0..20) {
                 0 => Message::Cancel,
-                1 => Message::Credit(chance.random_range(0..100_000)),
+                1 => Message::Credit(random.random_range(0..100_000)),
                 2..=5 => open(Some(token)),
                 6 => open(None),
                 7 => Message::OutcomeQuery(token),
@@ -155,17 +155,17 @@
                 12 => Message::Data(bytes.into()),
                 13 => Message::End,
                 14 => Message::Ping(9),
-                15 => Message::Pong(chance.random_range(0..10)),
-                16 => Message::StateRequest(StatePosition { epoch: 7, version: chance.random_range(0..10) }),
-                17 if chance.random_range(0..10) == 0 => hello(chance.random_range(4..7)),
+                15 => Message::Pong(random.random_range(0..10)),
+                16 => Message::StateRequest(StatePosition { epoch: 7, version: random.random_range(0..10) }),
+                17 if random.random_range(0..10) == 0 => hello(random.random_range(4..7)),
                 _ => Message::StateUpdate(StateUpdate { epoch: 5, since: 0, version: asked, facts: Vec::new() }),
             };
             if up {
-                say(&mut gateway, now, stream, word);
-                if chance.random_range(0..200) == 0 {
+                send(&mut gateway, now, stream, message);
+                if random.random_range(0..200) == 0 {
                     gateway.receive(now, 1, &garbage);
                 }
-                let frames = said(&mut gateway);
+                let frames = sent_frames(&mut gateway);
                 answer_pings(&mut gateway, now, &frames);
             }
             gateway.on_timer(now);
@@ -173,9 +173,9 @@
                 match action {
                     // At home it is answered by others.
                     Action::Answer(ticket, _) | Action::ServeLocally(ticket) => *answers.entry(ticket).or_default() += 1,
-                    Action::ServeRemote(came) if chance.random_range(0..3) > 0 => {
+                    Action::ServeRemote(requests) if random.random_range(0..3) > 0 => {
                         let body = Bytes::from(vec![2; 500]);
-                        gateway.complete_remote_request(now, came.ticket, Reply::Served { fields: Vec::new(), body, version: None });
+                        gateway.complete_remote_request(now, requests.ticket, Reply::Served { fields: Vec::new(), body, version: None });
                     }
                     Action::Close(..) => up = false,
                     _ => {}
@@ -184,7 +184,7 @@
             if !up {
                 up = true;
                 gateway.connection_opened(now, 1, None);
-                say(&mut gateway, now, 0, hello(5));
+                send(&mut gateway, now, 0, hello(5));
             }
             let status = gateway.status(now);
             let remembered: u64 = status.sites[0].gateways.iter().map(|g| g.remembered).sum();
@@ -205,18 +205,20 @@
 /// dropped.
 #[test]
 fn a_reader_that_stops_is_dropped_in_the_end() {
-    let mut rules = GatewayConfig::default();
-    rules.forwarding.answer_write_timeout = 1_000.0;
-    let mut gateway = connected(rules);
-    said(&mut gateway);
+    let mut config = GatewayConfig::default();
+    config.forwarding.answer_write_timeout = 1_000.0;
+    let mut gateway = connected(config);
+    sent_frames(&mut gateway);
     for stream in [1, 2] {
-        say(&mut gateway, 61.0, stream, open(None));
+        send(&mut gateway, 61.0, stream, open(None));
     }
-    let came: Vec<u64> = actions(&mut gateway)
+    let requests: Vec<u64> = actions(&mut gateway)
         .into_iter()
-        .filter_map(|action| if let Action::ServeRemote(came) = action { Some(came.ticket) } else { None })
+        .filter_map(
+            |action| if let Action::ServeRemote(requests) = action { Some(requests.ticket) } else { None },
+        )
         .collect();
-    for (ticket, size) in came.into_iter().zip([1_000_000, 1_000]) {
+    for (ticket, size) in requests.into_iter().zip([1_000_000, 1_000]) {
         let body = Bytes::from(vec![1; size]);
         gateway.complete_remote_request(
             61.0,
@@ -225,7 +227,7 @@
         );
     }
     let mut bytes = BTreeMap::<u32, usize>::new();
-    for frame in said(&mut gateway) {
+    for frame in sent_frames(&mut gateway) {
         if let Message::Data(data) = frame.message {
             *bytes.entry(frame.stream).or_default() += data.len();
         }
@@ -236,7 +238,7 @@
     while now < 1_200.0 {
         now += 50.0;
         gateway.on_timer(now);
-        let frames = said(&mut gateway);
+        let frames = sent_frames(&mut gateway);
         answer_pings(&mut gateway, now, &frames);
     }
     let connection = &gateway.status(now).sites[0].gateways[0].connections[0];
@@ -248,31 +250,31 @@
 #[test]
 fn a_request_is_let_in_only_while_the_other_sides_state_is_fresh() {
     let mut gateway = connected(GatewayConfig::default());
-    said(&mut gateway);
+    sent_frames(&mut gateway);
     let token = Token { epoch: 5, number: 1 };
-    say(&mut gateway, 150.0, 1, open(Some(token)));
+    send(&mut gateway, 150.0, 1, open(Some(token)));
     assert!(matches!(actions(&mut gateway).last(), Some(Action::ServeRemote(_) | Action::Write(_))));
     let late = Token { epoch: 5, number: 2 };
-    say(&mut gateway, 260.0, 2, open(Some(late)));
+    send(&mut gateway, 260.0, 2, open(Some(late)));
     let never = Frame {
         stream: 2,
         message: Message::Reject { reason: RejectReason::StateTooOld, retry_after_ms: 0 },
     };
-    let frames = said(&mut gateway);
+    let frames = sent_frames(&mut gateway);
     assert!(frames.contains(&never), "{frames:?}");
     // Fenced off when asked after, as one that never came.
-    say(&mut gateway, 261.0, 0, Message::OutcomeQuery(late));
-    let told = Frame { stream: 0, message: Message::OutcomeReport(late, AttemptOutcome::NeverRan) };
-    assert!(said(&mut gateway).contains(&told));
+    send(&mut gateway, 261.0, 0, Message::OutcomeQuery(late));
+    let report = Frame { stream: 0, message: Message::OutcomeReport(late, AttemptOutcome::NeverRan) };
+    assert!(sent_frames(&mut gateway).contains(&report));
     answer_pings(&mut gateway, 262.0, &[]);
     // A drain that is heard on the way is handed on before the request behind it.
     gateway.on_timer(270.0);
-    let frames = said(&mut gateway);
+    let frames = sent_frames(&mut gateway);
     answer_pings(&mut gateway, 271.0, &frames);
     actions(&mut gateway);
     let facts = vec![Fact::new(FactKey::Cache("c".to_string()), FactValue::Cache { ready: false })];
-    say(&mut gateway, 272.0, 0, Message::StateUpdate(StateUpdate { epoch: 5, since: 1, version: 2, facts }));
-    say(&mut gateway, 272.0, 3, open(None));
+    send(&mut gateway, 272.0, 0, Message::StateUpdate(StateUpdate { epoch: 5, since: 1, version: 2, facts }));
+    send(&mut gateway, 272.0, 3, open(None));
     let order: Vec<u8> = actions(&mut gateway)
         .iter()
         .filter_map(|action| match action {
@@ -288,14 +290,14 @@
 /// was handed to the system in part only is free when its connection goes.
 #[test]
 fn fates_belong_to_tokens_and_not_to_connections() {
-    let mut rules = GatewayConfig::default();
-    rules.routing.initial_share = 1.0;
-    let mut gateway = connected(rules);
+    let mut config = GatewayConfig::default();
+    config.routing.initial_share = 1.0;
+    let mut gateway = connected(config);
     gateway.report_local_load(61.0, 0, 0.1);
     (0..6).for_each(|_| {
         gateway.record_local_outcome(61.0, linnethook_gateway::local_capacity::RequestKind::Write, true)
     });
-    said(&mut gateway);
+    sent_frames(&mut gateway);
     actions(&mut gateway);
     // Written in part: free, and refused as there is no other site. It waits for a link until its time is up.
     gateway.submit_request(62.0, 1, wanted(true, 400.0));
@@ -306,14 +308,14 @@
     gateway.on_timer(310.0);
     assert!(actions(&mut gateway).iter().any(|a| matches!(a, Action::Answer(1, Reply::Rejected { .. }))));
     // Written whole: uncertain, and failed when its time is up.
-    let mut gateway = connected(rules);
+    let mut gateway = connected(config);
     gateway.report_local_load(61.0, 0, 0.1);
     (0..6).for_each(|_| {
         gateway.record_local_outcome(61.0, linnethook_gateway::local_capacity::RequestKind::Write, true)
     });
-    said(&mut gateway);
+    sent_frames(&mut gateway);
     gateway.submit_request(62.0, 1, wanted(true, 400.0));
-    said(&mut gateway);
+    sent_frames(&mut gateway);
     gateway.connection_closed(63.0, 1);
     gateway.on_timer(399.0);
     assert!(!actions(&mut gateway).iter().any(|a| matches!(a, Action::Answer(..))));
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -12,6 +12,7 @@
     "src",
     "crates/adapter",
     "crates/audit",
+    "crates/gateway",
     "crates/hierarchy",
     "crates/membership",
     "crates/operator-config",
