--- a/crates/router/src/control/server.rs
+++ b/crates/router/src/control/server.rs
@@ -15,7 +15,7 @@
 
 use crate::buffers::{BufferChain, BufferPool};
 use crate::config::Limits;
-use crate::descriptors::{Purpose, Reserve};
+use crate::descriptors::{DescriptorPurpose, DescriptorReserve};
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
@@ -41,7 +41,7 @@
 pub struct ControlServer<W: EventHandler> {
     limits: Limits,
     pool: BufferPool,
-    reserve: Reserve,
+    reserve: DescriptorReserve,
     handle: LoopHandle<'static, W>,
     path: PathBuf,
     listener: RegistrationToken,
@@ -60,7 +60,7 @@
     pub fn listen(
         limits: Limits,
         pool: &BufferPool,
-        reserve: &Reserve,
+        reserve: &DescriptorReserve,
         handle: LoopHandle<'static, W>,
         path: &Path,
     ) -> io::Result<Self> {
@@ -88,14 +88,14 @@
     /// stay enabled.
     pub fn accept(&mut self, now: Ms, listener: &UnixListener) -> bool {
         loop {
-            match self.reserve.open(Purpose::Control, || listener.accept()) {
+            match self.reserve.open(DescriptorPurpose::Control, || listener.accept()) {
                 Ok((stream, _)) => self.add_connection(now, stream),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
                     // An enabled listener would fail again at once, without end.
                     log_line!("control: {error}");
-                    self.accept_retry = Some(now + self.limits.client_sweep);
+                    self.accept_retry = Some(now + self.limits.accept.retry_pause_ms);
                     return false;
                 }
             }
@@ -103,7 +103,8 @@
     }
 
     fn add_connection(&mut self, now: Ms, stream: UnixStream) {
-        if self.connections.len() >= self.limits.control_connections || stream.set_nonblocking(true).is_err()
+        if self.connections.len() >= self.limits.control.max_connections
+            || stream.set_nonblocking(true).is_err()
         {
             return;
         }
@@ -122,7 +123,7 @@
             input: BufferChain::new(&self.pool),
             output: BufferChain::new(&self.pool),
             is_answered: false,
-            deadline: now + self.limits.control_time,
+            deadline: now + self.limits.control.connection_timeout_ms,
         };
         self.connections.insert(id, connection);
     }
@@ -149,7 +150,7 @@
                 continue;
             }
             let length = u32::from_be_bytes(head) as usize;
-            if length > self.limits.control_message || self.pool.is_exhausted() {
+            if length > self.limits.control.max_message_bytes || self.pool.is_exhausted() {
                 self.refuse(id, "the question is too long, or buffers are short".to_string());
                 return None;
             }
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -4,19 +4,25 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-use calloop::generic::{Generic, NoIoDrop};
-use calloop::{Interest, Mode, PostAction, Readiness};
-use socket2::{Domain, Socket, Type};
-
-use crate::descriptors::ran_out;
+use crate::descriptors::is_out_of_descriptors;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
+use crate::sockets;
 
 use super::codec;
 use super::connection::ClientConnection;
 use super::{ClientEvent, ClientId, Downstreams};
 
+/// What follows an accept that failed.
+enum AfterAcceptError {
+    AcceptNext,
+    /// All that waited were accepted.
+    NoneWaits,
+    /// The listener is disabled until the next sweep.
+    Pause,
+}
+
 impl<W: EventHandler> Downstreams<W> {
     /// Listens at an address; the one that it got is returned, since port 0 stands for any.
     ///
@@ -24,18 +30,9 @@
     ///
     /// Errors of the system, among them an address in use.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
-        let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
-        socket.set_reuse_address(true)?;
-        socket.set_nonblocking(true)?;
-        socket.bind(&address.into())?;
-        socket.listen(self.limits.accept_backlog)?;
-        let listener = TcpListener::from(socket);
+        let listener = sockets::listen(address, self.limits.accept.backlog)?;
         let address = listener.local_addr()?;
-        let source = Generic::new(listener, Interest::READ, Mode::Level);
-        let ready = |_: Readiness, listener: &mut NoIoDrop<TcpListener>, handler: &mut W| {
-            Ok(if handler.accept_clients(listener) { PostAction::Continue } else { PostAction::Disable })
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let token = sockets::register_listener(&self.handle, listener, W::accept_clients)?;
         self.listener = Some(token);
         Ok(address)
     }
@@ -50,55 +47,63 @@
             self.accept_paused = true;
             return false;
         }
-        for _ in 0..self.limits.accept_turn {
+        for _ in 0..self.limits.accept.max_per_turn {
             if self.clients.len() >= self.max_clients && !self.displace_idle(now, events) {
                 self.accept_paused = true;
                 return false;
             }
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
-                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    self.accept_pending = false;
-                    return true;
-                }
-                // The client has closed the connection before it was accepted.
-                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => continue,
-                Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
-                // There are fewer descriptors than configured: from here on idle clients are closed for new ones.
-                Err(error) if ran_out(&error) && !self.clients.is_empty() => {
-                    if self.short_since.is_none() {
-                        log_line!("accept: {error}");
+                Err(error) => match self.on_accept_error(now, &error) {
+                    AfterAcceptError::AcceptNext => continue,
+                    AfterAcceptError::NoneWaits => {
+                        self.accept_pending = false;
+                        return true;
                     }
-                    (self.max_clients, self.short_since) = (self.clients.len(), Some(now));
-                    continue;
-                }
-                Err(error) => {
-                    // Without the pause the next accept would fail at once, and the loop would spin.
-                    log_line!("accept: {error}");
-                    self.accept_paused = true;
-                    return false;
-                }
+                    AfterAcceptError::Pause => {
+                        self.accept_paused = true;
+                        return false;
+                    }
+                },
             };
             match self.add_client(now, stream) {
                 Ok(id) => self.read(now, id, events),
-                Err(error) => log_line!("a client could not be taken in: {error}"),
+                Err(error) => log_line!(reason = %error, "a client could not be taken in"),
             }
         }
         true
     }
 
+    fn on_accept_error(&mut self, now: Ms, error: &io::Error) -> AfterAcceptError {
+        match error.kind() {
+            io::ErrorKind::WouldBlock => return AfterAcceptError::NoneWaits,
+            // The client has closed the connection before it was accepted.
+            io::ErrorKind::ConnectionAborted => return AfterAcceptError::AcceptNext,
+            io::ErrorKind::Interrupted => return AfterAcceptError::AcceptNext,
+            _ => {}
+        }
+        if is_out_of_descriptors(error) && !self.clients.is_empty() {
+            // There are fewer descriptors than configured: from here on idle clients are closed for new ones.
+            if self.short_since.is_none() {
+                log_line!("accept: {error}");
+            }
+            self.max_clients = self.clients.len();
+            self.short_since = Some(now);
+            return AfterAcceptError::AcceptNext;
+        }
+        // Without the pause the next accept would fail at once, and the loop would spin.
+        log_line!("accept: {error}");
+        AfterAcceptError::Pause
+    }
+
     fn add_client(&mut self, now: Ms, stream: TcpStream) -> io::Result<ClientId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         self.last_id += 1;
         let id = self.last_id;
         let stream = Rc::new(stream);
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = move |readiness: Readiness, _: &mut _, handler: &mut W| {
-            handler.on_client_ready(id, readiness);
-            Ok(PostAction::Continue)
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
+        let on_ready = move |handler: &mut W, readiness| handler.on_client_ready(id, readiness);
+        let token = sockets::register_stream(&self.handle, &stream, on_ready)?;
         let mut client = ClientConnection::new(stream, token, &self.buffers, now);
         if self.draining {
             client.output.append(codec::encode_go_away(&self.buffers));
@@ -145,7 +150,7 @@
     pub(super) fn refill_reserve(&mut self, now: Ms, events: &mut Vec<ClientEvent>) -> bool {
         let mut closed = 0;
         while !self.reserve.refill() {
-            if closed == self.limits.accept_turn || !self.displace_idle(now, events) {
+            if closed == self.limits.accept.max_per_turn || !self.displace_idle(now, events) {
                 return false;
             }
             closed += 1;
@@ -155,7 +160,7 @@
 
     /// Whether it has been idle for as long as a request of it may take to arrive.
     fn may_be_displaced(&self, now: Ms, id: &ClientId, client: &ClientConnection) -> bool {
-        let spared_since = now - self.limits.client_spared;
+        let spared_since = now - self.limits.clients.displacement_grace_ms;
         let unread = client.is_open() && self.paused.contains(id);
         let partial_is_old = client.partial_since.is_none_or(|since| since <= spared_since);
         client.is_idle() && !unread && client.last_used <= spared_since && partial_is_old
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -26,7 +26,7 @@
 
 use crate::buffers::BufferPool;
 use crate::config::Limits;
-use crate::descriptors::Reserve;
+use crate::descriptors::DescriptorReserve;
 use crate::event_handler::EventHandler;
 use crate::policy_adapter::{Ms, Ticket};
 
@@ -34,6 +34,7 @@
 
 pub use request::{parse_request, ClientRequest};
 
+/// The number of a connection; numbers are not used again.
 pub type ClientId = u64;
 
 /// A stream of a client's connection, which is owed an answer. A stream is used once on its connection, while the ids of
@@ -71,7 +72,7 @@
 pub struct Downstreams<W: EventHandler> {
     limits: Limits,
     buffers: BufferPool,
-    reserve: Reserve,
+    reserve: DescriptorReserve,
     handle: LoopHandle<'static, W>,
     clients: HashMap<ClientId, ClientConnection>,
     last_id: ClientId,
@@ -92,10 +93,11 @@
 }
 
 impl<W: EventHandler> Downstreams<W> {
+    /// No connections, and no listener yet.
     pub fn new(
         limits: Limits,
         buffers: &BufferPool,
-        reserve: &Reserve,
+        reserve: &DescriptorReserve,
         handle: LoopHandle<'static, W>,
     ) -> Self {
         Self {
@@ -110,7 +112,7 @@
             next_sweep: 0.0,
             listener: None,
             accept_paused: false,
-            max_clients: limits.clients,
+            max_clients: limits.clients.max_connections,
             short_since: None,
             accept_pending: false,
             draining: false,
--- a/crates/router/src/remote_sites/mod.rs
+++ b/crates/router/src/remote_sites/mod.rs
@@ -2,12 +2,16 @@
 //!
 //! - [`links`]: the connections to gateways of other sites;
 //! - [`requests`]: requests that cross sites, and their answers, in the terms of the gateway and of the router;
+//! - [`serving`]: open requests, and the site that decides about them;
+//! - [`commands`]: requests of the control socket;
 //! - [`RemoteSites`]: the gateway with its links, and the endpoint list as this site publishes it.
 //!
 //! The gateway chooses sites. What other sites report never makes an endpoint usable that the own list has draining.
 
+mod commands;
 mod links;
 mod requests;
+mod serving;
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -32,6 +36,7 @@
 
 use links::SiteLinks;
 
+pub use commands::respond;
 pub use requests::{answer_of, parse_remote_request, reply_of, CrossSiteRequest};
 
 /// Whether a request came from another site.
@@ -224,28 +229,28 @@
         update: &mut EndpointUpdate,
         is_at_this_site: impl Fn(&EndpointEntry) -> bool,
     ) {
-        if update.all {
-            self.remove_unlisted(now, &update.targets);
+        if update.is_complete {
+            self.remove_unlisted(now, &update.entries);
         }
-        for entry in &mut update.targets {
+        for entry in &mut update.entries {
             let name = entry.uid.clone();
             let about = FactKey::Cache(name.clone());
             let known = self.endpoints.contains_key(&name);
-            if entry.gone() {
+            if entry.is_removed() {
                 self.endpoints.remove(&name);
                 self.gateway.publish_fact(now, about, FactValue::CacheRemoved);
                 continue;
             }
             let listed = ListedEndpoint { entry: entry.clone(), at_this_site: is_at_this_site(entry) };
             let before = self.endpoints.insert(name.clone(), listed);
-            let was_ready = before.is_none_or(|before| before.entry.ready());
-            if !entry.ready() {
+            let was_ready = before.is_none_or(|before| before.entry.is_ready());
+            if !entry.is_ready() {
                 self.gateway.publish_fact(now, about, FactValue::Cache { ready: false });
             } else if known && !was_ready {
                 self.gateway.publish_fact(now, about, FactValue::Cache { ready: true });
             }
-            if entry.ready() && self.gateway.is_cache_barred(&name) {
-                entry.bar();
+            if entry.is_ready() && self.gateway.is_cache_barred(&name) {
+                entry.mark_draining();
             }
         }
         self.report_load(now, 0.0);
@@ -264,10 +269,10 @@
     /// The line of an endpoint of the own list with what other sites have announced of it.
     pub fn current_entry(&self, name: &str) -> Option<EndpointUpdate> {
         let mut entry = self.endpoints.get(name)?.entry.clone();
-        if entry.ready() && self.gateway.is_cache_barred(name) {
-            entry.bar();
+        if entry.is_ready() && self.gateway.is_cache_barred(name) {
+            entry.mark_draining();
         }
-        Some(EndpointUpdate { all: false, targets: vec![entry] })
+        Some(EndpointUpdate { is_complete: false, entries: vec![entry] })
     }
 
     /// Announces a purge of the own journal.
@@ -276,7 +281,7 @@
             Some(name) => FactKey::Object(name.clone()),
             None => FactKey::Group(purge.group),
         };
-        self.gateway.publish_fact(now, about, FactValue::Purged { stamp: purge.stamp });
+        self.gateway.publish_fact(now, about, FactValue::Purged { stamp: purge.issued_at });
     }
 
     // ---- Load.
@@ -285,7 +290,7 @@
     /// there may be, or that of rejected requests.
     pub fn report_load(&mut self, now: Ms, open_ratio: f64) {
         let is_usable = |(name, listed): &(&String, &ListedEndpoint)| {
-            listed.at_this_site && listed.entry.ready() && !self.gateway.is_cache_barred(name)
+            listed.at_this_site && listed.entry.is_ready() && !self.gateway.is_cache_barred(name)
         };
         let usable = self.endpoints.iter().filter(is_usable).count() as u32;
         let load = open_ratio.max(self.rejected_ratio * REJECTED_LOAD_FACTOR).min(1.0);
@@ -315,7 +320,7 @@
 
 /// What another site has announced, where that concerns the router.
 fn announcement(fact: Fact) -> Option<SiteEffect> {
-    let purge = |object, group, stamp| SiteEffect::Purge(PurgeEvent { object, group, stamp });
+    let purge = |object, group, issued_at| SiteEffect::Purge(PurgeEvent { object, group, issued_at });
     match (fact.key, fact.value) {
         (FactKey::Cache(name), FactValue::Cache { .. } | FactValue::CacheRemoved) => {
             Some(SiteEffect::EndpointChanged(name))
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,21 +1,21 @@
 //! The endpoints and their connections: which connection a message takes, and when connections are opened and closed.
 
 use std::collections::HashSet;
+use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use calloop::generic::Generic;
-use calloop::{Interest, Mode, PostAction, Readiness};
 use socket2::SockRef;
 
-use crate::descriptors::{ran_out, Purpose};
+use crate::descriptors::{is_out_of_descriptors, DescriptorPurpose};
 use crate::discovery::event::EndpointEntry;
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 use crate::policy_adapter::{AttemptEnd, EndpointKey, Ms};
+use crate::sockets;
 
-use super::connection::{connect, Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
+use super::connection::{Connection, ConnectionId, Exchange, ExchangeOwner, WriteProgress};
 use super::Upstreams;
 
 /// A cache, parent or the origin, as the endpoint list has it.
@@ -23,30 +23,41 @@
 pub(super) struct Endpoint {
     pub uid: String,
     address: SocketAddr,
-    started: Ms,
+    started_at: Ms,
     /// When something was last received from it.
     pub last_activity: Ms,
     connections: Vec<ConnectionId>,
 }
 
+impl fmt::Display for Endpoint {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}@{}", self.uid, self.address)
+    }
+}
+
 impl<W: EventHandler> Upstreams<W> {
-    /// Applies an update of the endpoint list. An endpoint that is gone or was restarted gets fresh connections: another
+    /// The name and the address of an endpoint for the log; empty for one that is no longer listed.
+    pub(super) fn endpoint_label(&self, key: EndpointKey) -> String {
+        self.endpoints.get(&key).map(Endpoint::to_string).unwrap_or_default()
+    }
+
+    /// Applies an update of the endpoint list. An endpoint that was removed or restarted gets fresh connections: another
     /// process may answer at its address now.
-    pub fn update_endpoints(&mut self, now: Ms, targets: &[EndpointEntry], complete: bool) {
-        let mut gone = Vec::new();
+    pub fn update_endpoints(&mut self, now: Ms, entries: &[EndpointEntry], complete: bool) {
+        let mut removed = Vec::new();
         if complete {
             let listed: HashSet<EndpointKey> =
-                targets.iter().map(|target| EndpointKey::of(&target.uid)).collect();
-            gone.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
+                entries.iter().map(|entry| EndpointKey::of(&entry.uid)).collect();
+            removed.extend(self.endpoints.keys().filter(|key| !listed.contains(key)));
         }
-        self.withdraw_for_unusable(now, targets, &gone);
+        self.withdraw_for_unusable(now, entries, &removed);
         let mut replaced = Vec::new();
-        for target in targets {
-            let key = EndpointKey::of(&target.uid);
-            if target.gone() {
-                gone.push(key);
-            } else if let Some(address) = target.endpoint {
-                if self.update_endpoint(key, target, address) {
+        for entry in entries {
+            let key = EndpointKey::of(&entry.uid);
+            if entry.is_removed() {
+                removed.push(key);
+            } else if let Some(address) = entry.address {
+                if self.update_endpoint(key, entry, address) {
                     replaced.push(key);
                 }
             }
@@ -56,45 +67,50 @@
             let connections = endpoint.map(|endpoint| std::mem::take(&mut endpoint.connections));
             self.drain(connections.unwrap_or_default());
         }
-        // Endpoints are replaced all day: those that are gone must not accumulate.
-        for key in gone {
+        // Endpoints are replaced all day: those that are removed must not accumulate.
+        for key in removed {
             let connections = self.endpoints.remove(&key).map(|endpoint| endpoint.connections);
             self.drain(connections.unwrap_or_default());
         }
     }
 
-    /// Withdraws what is queued for, or fills from, an endpoint that drains, is gone or was replaced: it was ordered by an
+    /// Withdraws what is queued for, or fills from, an endpoint that drains, is removed or was replaced: it was ordered by an
     /// older list.
-    fn withdraw_for_unusable(&mut self, now: Ms, targets: &[EndpointEntry], gone: &[EndpointKey]) {
-        let mut unusable: HashSet<EndpointKey> = gone.iter().copied().collect();
-        let is_unusable = |target: &&EndpointEntry| !target.ready() || self.is_replaced(target);
-        unusable.extend(targets.iter().filter(is_unusable).map(|target| EndpointKey::of(&target.uid)));
+    fn withdraw_for_unusable(&mut self, now: Ms, entries: &[EndpointEntry], removed: &[EndpointKey]) {
+        let mut unusable: HashSet<EndpointKey> = removed.iter().copied().collect();
+        let is_unusable = |entry: &&EndpointEntry| !entry.is_ready() || self.is_replaced(entry);
+        unusable.extend(entries.iter().filter(is_unusable).map(|entry| EndpointKey::of(&entry.uid)));
         self.withdraw(now, AttemptEnd::TimedOut, |key, queued| {
             unusable.contains(&key) || queued.source.is_some_and(|source| unusable.contains(&source))
         });
     }
 
     /// Whether a line of the list names another process, or another address, than the known one.
-    fn is_replaced(&self, target: &EndpointEntry) -> bool {
-        let known = self.endpoints.get(&EndpointKey::of(&target.uid)).zip(target.endpoint);
+    fn is_replaced(&self, entry: &EndpointEntry) -> bool {
+        let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.address);
         known.is_some_and(|(endpoint, address)| {
-            endpoint.address != address || endpoint.started != target.started()
+            endpoint.address != address || endpoint.started_at != entry.started_at()
         })
     }
 
     /// Stores an endpoint; true where it replaces another process or address.
-    fn update_endpoint(&mut self, key: EndpointKey, target: &EndpointEntry, address: SocketAddr) -> bool {
-        let started = target.started();
+    fn update_endpoint(&mut self, key: EndpointKey, entry: &EndpointEntry, address: SocketAddr) -> bool {
+        let started_at = entry.started_at();
         match self.endpoints.get_mut(&key) {
-            Some(endpoint) if endpoint.address == address && endpoint.started == started => false,
+            Some(endpoint) if endpoint.address == address && endpoint.started_at == started_at => false,
             Some(endpoint) => {
-                (endpoint.address, endpoint.started) = (address, started);
+                endpoint.address = address;
+                endpoint.started_at = started_at;
                 true
             }
             None => {
-                let uid = target.uid.clone();
-                let (last_activity, connections) = (0.0, Vec::new());
-                let endpoint = Endpoint { uid, address, started, last_activity, connections };
+                let endpoint = Endpoint {
+                    uid: entry.uid.clone(),
+                    address,
+                    started_at,
+                    last_activity: 0.0,
+                    connections: Vec::new(),
+                };
                 self.endpoints.insert(key, endpoint);
                 false
             }
@@ -118,7 +134,7 @@
     /// what is open there stays open until its connection is closed.
     pub(super) fn connection_for(&mut self, now: Ms, key: EndpointKey, id: &str) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get(&key)?;
-        let max_streams = self.limits.cache_streams;
+        let max_streams = self.limits.upstreams.max_streams_per_connection;
         let known = endpoint.connections.iter().filter_map(|id| self.connections.get(id).map(|c| (*id, c)));
         let usable: Vec<(ConnectionId, &Connection)> =
             known.filter(|(_, connection)| connection.accepts(id, max_streams)).collect();
@@ -131,19 +147,19 @@
         let least_loaded = usable.iter().min_by_key(|(_, connection)| connection.open.len());
         let least_loaded = least_loaded.map(|(found, _)| *found);
         let address = endpoint.address;
-        if endpoint.connections.len() >= self.limits.cache_connections
-            || (self.connections.len() >= self.limits.connections && !self.close_longest_idle())
+        if endpoint.connections.len() >= self.limits.upstreams.max_connections_per_endpoint
+            || (self.connections.len() >= self.limits.upstreams.max_connections && !self.close_longest_idle())
         {
             return least_loaded;
         }
         let mut opened = self.open_connection(now, key, address);
-        if opened.as_ref().is_err_and(ran_out) && self.close_longest_idle() {
+        if opened.as_ref().is_err_and(is_out_of_descriptors) && self.close_longest_idle() {
             opened = self.open_connection(now, key, address);
         }
         match opened {
             Ok(opened) => Some(opened),
             Err(error) => {
-                log_line!("connect to {address}: {error}");
+                log_line!(upstream = %self.endpoint_label(key), reason = %error, "connect to an upstream failed");
                 least_loaded
             }
         }
@@ -165,21 +181,19 @@
         key: EndpointKey,
         address: SocketAddr,
     ) -> io::Result<ConnectionId> {
-        let stream = Rc::new(self.reserve.open(Purpose::Cache, || connect(address))?);
+        let stream = Rc::new(self.reserve.open(DescriptorPurpose::Cache, || sockets::connect(address))?);
         // Bytes that the system holds can't be withdrawn any more.
-        if let Err(error) = SockRef::from(&*stream).set_send_buffer_size(self.limits.cache_send) {
-            log_line!("a connection to {address} keeps its send buffer: {error}");
+        if let Err(error) =
+            SockRef::from(&*stream).set_send_buffer_size(self.limits.upstreams.send_buffer_bytes)
+        {
+            log_line!(upstream = %self.endpoint_label(key), reason = %error, "a connection keeps its send buffer");
         }
         self.connects += 1;
         self.last_id += 1;
         let id = self.last_id;
-        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
-        let ready = move |readiness: Readiness, _: &mut _, handler: &mut W| {
-            handler.on_upstream_ready(id, readiness);
-            Ok(PostAction::Continue)
-        };
-        let token = self.handle.insert_source(source, ready).map_err(|e| io::Error::other(e.error))?;
-        let deadline = now + self.limits.connect;
+        let on_ready = move |handler: &mut W, readiness| handler.on_upstream_ready(id, readiness);
+        let token = sockets::register_stream(&self.handle, &stream, on_ready)?;
+        let deadline = now + self.limits.upstreams.connect_timeout_ms;
         let connection = Connection::new(key, stream, token, &self.buffers, now, deadline);
         self.connections.insert(id, connection);
         if let Some(endpoint) = self.endpoints.get_mut(&key) {
@@ -196,10 +210,11 @@
         }
     }
 
-    /// Closes idle connections to an endpoint that has been silent since `sent`: they may be as dead as the one on which
+    /// Closes idle connections to an endpoint that has been silent since `sent_at`: they may be as dead as the one on which
     /// an attempt was abandoned, and new ones show whether it still accepts any.
-    pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent: Ms) {
-        let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent) else {
+    pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent_at: Ms) {
+        let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent_at)
+        else {
             return;
         };
         for id in endpoint.connections.clone() {
@@ -209,6 +224,7 @@
         }
     }
 
+    /// Reads and handles all replies that have arrived.
     pub(super) fn read(&mut self, now: Ms, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return };
@@ -223,7 +239,7 @@
             }
             loop {
                 let Some(connection) = self.connections.get_mut(&id) else { return };
-                match connection.next_reply(self.limits.string) {
+                match connection.next_reply(self.limits.upstreams.max_string_bytes) {
                     Ok(Some(reply)) => self.on_reply(now, id, reply),
                     Ok(None) => break,
                     Err(error) => return self.close(now, id, &error.to_string()),
@@ -232,8 +248,9 @@
         }
     }
 
+    /// Writes what is queued, but for attempts whose clients have to be checked first.
     pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
-        self.write(now, id, now - self.limits.client_looked);
+        self.write(now, id, now - self.limits.clients.check_interval_ms);
     }
 
     /// Writes what is queued, however long it has been queued.
@@ -265,17 +282,21 @@
     /// behind it, if at all.
     fn close_if_out_of_step(&mut self, now: Ms, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::has_unexpected_input) {
-            log_line!("an answer that nobody asked for ends its connection");
+            let upstream =
+                self.connections.get(&id).map(|connection| self.endpoint_label(connection.endpoint));
+            log_line!(upstream = %upstream.unwrap_or_default(), "an answer that nobody asked for ends its connection");
             self.close(now, id, "an answer that nobody asked for");
         }
     }
 
+    /// Closes a connection that takes no new messages once nothing is open on it.
     pub(super) fn close_if_drained(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_drained) {
             self.remove(id);
         }
     }
 
+    /// Closes a connection; what is open on it is not ended here.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         self.handle.remove(connection.token);
@@ -290,9 +311,9 @@
         let Some(connection) = self.remove(id) else { return };
         let key = connection.endpoint;
         if !connection.open.is_empty() {
-            let address = self.endpoints.get(&key).map(|endpoint| endpoint.address.to_string());
-            let (address, count) = (address.unwrap_or_default(), connection.open.len());
-            log_line!("connection to {address} ended with {count} open: {reason}");
+            let upstream = self.endpoint_label(key);
+            let open = connection.open.len();
+            log_line!(%upstream, open, %reason, "a connection ended with messages open");
         }
         let mut open: Vec<Exchange> = connection.open.into_values().collect();
         open.sort_by_key(|exchange| match exchange.owner {
@@ -306,7 +327,7 @@
                     let Some(in_flight) = self.attempts.remove(attempt) else { continue };
                     let end =
                         if exchange.fully_sent { AttemptEnd::ConnectionLost } else { AttemptEnd::NotSent };
-                    self.complete(now, attempt, key, in_flight.sent, end);
+                    self.complete(now, attempt, key, in_flight.sent_at, end);
                 }
             }
         }
