--- a/crates/gateway/src/attempt_ledger/sent.rs
+++ b/crates/gateway/src/attempt_ledger/sent.rs
@@ -15,8 +15,6 @@
     InFlight,
     /// Its connection was lost: it may have run.
     Uncertain,
-    /// Proven never to have run.
-    NeverRan,
 }
 
 #[derive(Debug, Clone)]
