--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -121,15 +121,7 @@
     /// from the chosen one is read first: a close would leave it without an answer.
     fn displace_idle(&mut self, now: Ms, events: &mut Vec<ClientEvent>) -> bool {
         loop {
-            let candidates =
-                self.clients.iter().filter(|(id, client)| self.may_be_displaced(now, id, client));
-            let least_useful = candidates.min_by(|(_, a), (_, b)| {
-                let rank = |client: &ClientConnection| {
-                    (client.partial_since.is_some(), client.is_open(), client.proven)
-                };
-                rank(a).cmp(&rank(b)).then(a.last_used.total_cmp(&b.last_used))
-            });
-            let Some(id) = least_useful.map(|(id, _)| *id) else { return false };
+            let Some(id) = self.least_useful_idle(now) else { return false };
             self.read(now, id, events);
             let Some(client) = self.clients.get(&id) else { return true };
             if !self.may_be_displaced(now, &id, client) {
@@ -146,6 +138,16 @@
         }
     }
 
+    fn least_useful_idle(&self, now: Ms) -> Option<ClientId> {
+        let usefulness =
+            |client: &ClientConnection| (client.partial_since.is_some(), client.is_open(), client.proven);
+        let candidates = self.clients.iter().filter(|(id, client)| self.may_be_displaced(now, id, client));
+        let least_useful = candidates.min_by(|(_, a), (_, b)| {
+            usefulness(a).cmp(&usefulness(b)).then(a.last_used.total_cmp(&b.last_used))
+        });
+        least_useful.map(|(id, _)| *id)
+    }
+
     /// Closes a bounded number of idle connections until the reserve of descriptors is complete; whether it is.
     pub(super) fn refill_reserve(&mut self, now: Ms, events: &mut Vec<ClientEvent>) -> bool {
         let mut closed = 0;
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -8,6 +8,20 @@
 use super::codec::Fields;
 use super::ClientStream;
 
+/// The names of the fields on the wire.
+mod field {
+    pub const CLASS: &str = "c";
+    pub const ID: &str = "i";
+    pub const OBJECT: &str = "o";
+    pub const WAIT_MS: &str = "d";
+    pub const CLIENT_COPY: &str = "known";
+    pub const IDEMPOTENCY_KEY: &str = "k";
+    pub const SIZE_KB: &str = "m";
+    pub const REPEAT: &str = "r";
+    pub const PART: &str = "chunk";
+    pub const GROUP: &str = "tag";
+}
+
 /// A request that was received.
 #[derive(Debug)]
 pub struct ClientRequest {
@@ -25,59 +39,68 @@
     body: BufferChain,
     limits: &Limits,
 ) -> Option<ClientRequest> {
-    let class = fields.get("c")?;
-    let id = fields.get("i").filter(|id| is_hex_id(id))?;
-    let object = fields.get("o").filter(|object| is_hex_id(object))?;
-    let wait = fields
-        .get("d")
-        .and_then(parse_decimal)
-        .filter(|wait| (1.0..=limits.requests.max_wait_ms).contains(wait))?;
-    let forwarded = [Some(class), fields.get("known"), fields.get("k")];
-    if !forwarded.iter().flatten().all(|text| is_list_item(text)) {
+    let class = fields.get(field::CLASS)?;
+    let id = fields.get(field::ID).filter(|id| is_hex_id(id))?;
+    let object = fields.get(field::OBJECT).filter(|object| is_hex_id(object))?;
+    let wait = parse_decimal(fields.get(field::WAIT_MS)?)?;
+    let client_copy = fields.get(field::CLIENT_COPY);
+    let idempotency_key = fields.get(field::IDEMPOTENCY_KEY);
+    let forwarded = [Some(class), client_copy, idempotency_key];
+    let is_usable = (1.0..=limits.requests.max_wait_ms).contains(&wait)
+        && forwarded.iter().flatten().all(|text| is_list_item(text))
+        && body.len() <= limits.requests.max_body_bytes;
+    if !is_usable {
         return None;
     }
-    let number = |name: &str, most: u32| match fields.get(name) {
-        Some(text) => parse_digits(text).filter(|number| *number <= most),
-        None => Some(0),
-    };
-    let size_kb = match fields.get("m") {
-        Some(text) => {
-            parse_decimal(text).filter(|size| *size > 0.0 && *size <= limits.requests.max_size_kb)?
-        }
-        None => 0.0,
-    };
-    let repeat = match fields.get("r") {
-        Some("1") => true,
-        None | Some("0" | "") => false,
-        Some(_) => return None,
-    };
-    if body.len() > limits.requests.max_body_bytes {
-        return None;
-    }
-    let part = number("chunk", limits.requests.max_part)?;
-    let group = number("tag", limits.requests.max_group)?;
+    let part = parse_number(fields, field::PART, limits.requests.max_part)?;
+    let group = parse_number(fields, field::GROUP, limits.requests.max_group)?;
     let spec = RequestSpec {
         class: class.to_string(),
         object: u64::from_str_radix(object, 16).ok()?,
         part,
         group,
-        size_kb,
-        repeat,
+        size_kb: parse_size_kb(fields, limits.requests.max_size_kb)?,
+        repeat: parse_repeat(fields)?,
         budget: (wait - limits.requests.network_allowance_ms).max(0.0),
     };
     let message = RequestMessage {
         id: id.to_string(),
         class: class.to_string(),
         object: object.to_string(),
-        part: fields.get("chunk").unwrap_or("0").to_string(),
+        part: fields.get(field::PART).unwrap_or("0").to_string(),
         group,
-        client_copy: fields.get("known").map(str::to_string),
-        idempotency_key: fields.get("k").map(str::to_string),
+        client_copy: client_copy.map(str::to_string),
+        idempotency_key: idempotency_key.map(str::to_string),
         body,
     };
     Some(ClientRequest { stream, spec, message })
 }
 
+/// A whole number up to `max`; 0 where the field is missing.
+fn parse_number(fields: &Fields, name: &str, max: u32) -> Option<u32> {
+    match fields.get(name) {
+        Some(text) => parse_digits(text).filter(|number| *number <= max),
+        None => Some(0),
+    }
+}
+
+/// The size that the client expects; 0 where it names none.
+fn parse_size_kb(fields: &Fields, max: f64) -> Option<f64> {
+    match fields.get(field::SIZE_KB) {
+        Some(text) => parse_decimal(text).filter(|size| *size > 0.0 && *size <= max),
+        None => Some(0.0),
+    }
+}
+
+/// Whether the client has sent the request before.
+fn parse_repeat(fields: &Fields) -> Option<bool> {
+    match fields.get(field::REPEAT) {
+        Some("1") => Some(true),
+        None | Some("0" | "") => Some(false),
+        Some(_) => None,
+    }
+}
+
 /// Whether a text can be forwarded to caches as it is, in a list that knows no quotes.
 fn is_list_item(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic() && !b",=+".contains(&byte))
