--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -14,7 +14,7 @@
 //! - [`snapshot_transfer`]: a complete snapshot from a peer, for a router that gossip alone cannot bring up to date;
 //! - [`hybrid_clock`]: the time by which actions of several routers are ordered.
 //!
-//! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/fellows.md` and
+//! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/membership.md` and
 //! `docs/summaries.md` describe the design.
 
 #![warn(missing_docs, clippy::missing_errors_doc, clippy::too_many_arguments, clippy::too_many_lines)]
