--- a/crates/router/src/proxy/clients.rs
+++ b/crates/router/src/proxy/clients.rs
@@ -93,7 +93,7 @@
         }
         let ClientRequest { stream, spec, message } = request;
         let is_overloaded = self.is_closing || self.requests.is_full();
-        let rejection = self.exclusion(now, &spec).or(is_overloaded.then_some(0.0));
+        let rejection = self.reject_as_straggler(now, &spec).or(is_overloaded.then_some(0.0));
         let open = OpenRequest::new(now, &self.policy, stream, &spec, message);
         if self.parts.forwards_requests() {
             self.requests.insert(ticket, open.across_sites(now, &self.policy, spec, Vec::new()));
@@ -141,7 +141,7 @@
     }
 
     /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
-    pub(super) fn exclusion(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
+    pub(super) fn reject_as_straggler(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
         let cluster = self.parts.cluster.as_mut().filter(|_| self.policy.needs_repeat_protection(spec))?;
         let retry_after = cluster.reject_as_straggler(now, spec.object)?;
         Some(retry_after.min(self.policy.max_retry_after()))
--- a/crates/router/src/proxy/remote_sites.rs
+++ b/crates/router/src/proxy/remote_sites.rs
@@ -159,7 +159,7 @@
             self.counters.unusable += u64::from(!is_overloaded);
             return self.reject_remote(now, ticket, 0.0);
         };
-        if let Some(retry_after) = self.exclusion(now, &request.spec) {
+        if let Some(retry_after) = self.reject_as_straggler(now, &request.spec) {
             return self.reject_remote(now, ticket, retry_after);
         }
         self.counters.record_request(request.message.body.len());
