--- a/crates/gateway/src/forwarding/mod.rs
+++ b/crates/gateway/src/forwarding/mod.rs
@@ -199,8 +199,8 @@
                 self.send_attempt(links, now, ticket, site, request);
             }
             Route::Refused(_) => {
-                links.counts.nowhere += 1;
-                links.counts.refused += 1;
+                links.counts.without_site += 1;
+                links.counts.rejected += 1;
                 let retry_after = self.config.retry_after;
                 links.push(Action::Answer(ticket, Reply::Rejected { retry_after }));
             }
@@ -308,11 +308,11 @@
             request.token = token;
         }
         let message = self.attempt_message(now, &request);
-        links.counts.resumed += u64::from(message.resume_from.is_some());
+        links.counts.resumed_bodies += u64::from(message.resume_from.is_some());
         if let Some(session) = links.session_mut(connection) {
             session.send_request(ticket, message);
         }
-        links.counts.across += 1;
+        links.counts.attempts_sent += 1;
         if let Some(window) = self.windows.get_mut(&site) {
             window.start_request();
         }
@@ -343,7 +343,7 @@
 
     /// Nothing of the request has run, and it is not sent again.
     fn reject_request(&self, links: &mut Links, ticket: Ticket, request: &PendingRequest) {
-        links.counts.refused += 1;
+        links.counts.rejected += 1;
         let retry_after = request.retry_after.max(self.config.retry_after);
         links.push(Action::Answer(ticket, Reply::Rejected { retry_after }));
     }
@@ -375,14 +375,14 @@
 }
 
 fn serve_locally(links: &mut Links, ticket: Ticket) {
-    links.counts.home += 1;
+    links.counts.served_locally += 1;
     links.push(Action::ServeLocally(ticket));
 }
 
 fn answer_request(links: &mut Links, ticket: Ticket, reply: Reply) {
     match reply {
         Reply::Served { .. } => links.counts.answered += 1,
-        Reply::Rejected { .. } => links.counts.refused += 1,
+        Reply::Rejected { .. } => links.counts.rejected += 1,
         Reply::Failed => links.counts.failed += 1,
     }
     links.push(Action::Answer(ticket, reply));
--- a/crates/gateway/src/forwarding/recovery.rs
+++ b/crates/gateway/src/forwarding/recovery.rs
@@ -27,13 +27,13 @@
     ) {
         request.token = None;
         if !self.config.resumes_bodies || !request.has_version {
-            links.counts.bytes_again += request.body.len() as u64;
+            links.counts.discarded_body_bytes += request.body.len() as u64;
             request.discard_body();
         }
         if let Resumption::GiveUp = request.transfer.resume(now, self.config.min_retry_time) {
             return self.reject_request(links, ticket, &request);
         }
-        links.counts.again += 1;
+        links.counts.retries += 1;
         match self.route_again(now, &request) {
             Route::Local => serve_locally(links, ticket),
             Route::Remote(site) if self.may_send(links, site, request.spec.priority) => {
@@ -95,7 +95,7 @@
         if !self.sent_attempts.is_uncertain(ticket) {
             return;
         }
-        links.counts.uncertain += 1;
+        links.counts.became_uncertain += 1;
         if !self.config.queries_outcomes {
             self.sent_attempts.abandon(ticket);
             self.resolve_attempt(links, now, Resolution::Failed(ticket));
--- a/crates/gateway/src/forwarding/responses.rs
+++ b/crates/gateway/src/forwarding/responses.rs
@@ -40,7 +40,7 @@
         }
         let fit = request.transfer.begin_response(version, head.offset);
         let received = request.transfer.received_bytes() as usize;
-        links.counts.bytes_again += self.pending.truncate_body(ticket, received) as u64;
+        links.counts.discarded_body_bytes += self.pending.truncate_body(ticket, received) as u64;
         match fit {
             ResponseFit::Continues | ResponseFit::Restarts => Ok(()),
             ResponseFit::Mismatch => Err(CloseReason::UnexpectedResponse),
@@ -138,7 +138,7 @@
         let Some(request) = self.pending.get(ticket) else { return };
         if let Some(token) = request.token {
             match self.sent_attempts.record_outcome(token, AttemptOutcome::NeverRan, connection) {
-                Some(Resolution::NeverRan(_)) => links.counts.freed += 1,
+                Some(Resolution::NeverRan(_)) => links.counts.proven_not_run += 1,
                 _ => return,
             }
         }
@@ -193,7 +193,7 @@
             }
             Resolution::NeverRan(ticket) => {
                 let Some(request) = self.pending.remove(ticket) else { return };
-                links.counts.freed += 1;
+                links.counts.proven_not_run += 1;
                 self.record_outcome(now, &request, None);
                 self.retry_request(links, now, ticket, request, true);
             }
--- a/crates/gateway/src/gateway/connections.rs
+++ b/crates/gateway/src/gateway/connections.rs
@@ -71,7 +71,7 @@
 
     fn remove_connection(&mut self, now: Ms, connection: ConnectionId, reason: CloseReason) {
         let Some(removed) = self.links.connections.remove(&connection) else { return };
-        self.links.counts.body_bytes += removed.session.received_body_bytes;
+        self.links.counts.received_body_bytes += removed.session.received_body_bytes;
         if let Some(entry) = removed.dialer {
             self.dial_failed(now, entry);
         }
@@ -111,7 +111,7 @@
             }
             return;
         };
-        self.links.counts.downs += 1;
+        self.links.counts.connections_down += 1;
         let streams = removed.session.open_streams();
         self.links.log(format!(
             "gateway: a connection with {peer} is down, {} requests out and {} from there: {reason}{}",
@@ -248,7 +248,7 @@
         peer.connections.push(connection);
         let excess = peer.connections.len().saturating_sub(self.config.peers.max_connections);
         replaced.extend(peer.connections.drain(..excess));
-        self.links.counts.ups += 1;
+        self.links.counts.connections_up += 1;
         if let Some(known) = self.links.connections.get_mut(&connection) {
             known.peer = Some(name.to_string());
             if let Some(entry) = known.dialer {
--- a/crates/gateway/src/remote_requests.rs
+++ b/crates/gateway/src/remote_requests.rs
@@ -213,7 +213,7 @@
         let session = &mut connection.session;
         match reply {
             Reply::Rejected { retry_after } => {
-                links.counts.turned_away += 1;
+                links.counts.remote_rejected += 1;
                 session.reject_stream(to.stream, RejectReason::Refused, retry_after);
             }
             Reply::Failed => {
@@ -223,7 +223,7 @@
                 }
             }
             Reply::Served { fields, body, version } => {
-                links.counts.served += 1;
+                links.counts.remote_served += 1;
                 let body_length = body.len() as u64;
                 // The rest alone, where it is the rest of the same version.
                 let resume_from = request.resume_from.as_ref().filter(|from| {
@@ -282,8 +282,8 @@
 }
 
 fn reject_stream(links: &mut Links, stream: StreamId, reason: RejectReason) {
-    links.counts.turned_away += 1;
-    links.counts.stale += u64::from(reason == RejectReason::StateTooOld);
+    links.counts.remote_rejected += 1;
+    links.counts.remote_rejected_for_old_state += u64::from(reason == RejectReason::StateTooOld);
     if let Some(session) = links.session_mut(stream.connection) {
         session.reject_stream(stream.stream, reason, 0.0);
     }
@@ -291,7 +291,7 @@
 
 /// The token has been here before: its outcome is reported in place of an answer.
 fn report_outcome(links: &mut Links, stream: StreamId, token: Token, outcome: AttemptOutcome) {
-    links.counts.turned_away += 1;
+    links.counts.remote_rejected += 1;
     if let Some(session) = links.session_mut(stream.connection) {
         session.drop_stream(stream.stream);
         session.send(&Message::OutcomeReport(token, outcome));
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,45 +1,61 @@
-//! A gateway as commands show it. The field names are those of the JSON that commands print.
+//! A gateway as commands show it. Where the JSON that commands print has another name, the field bears it as an
+//! attribute.
 
 use linnethook::interface::Ms;
 use serde::{Deserialize, Serialize};
 
-/// Counters since the start.
+/// Counters since the start. Commands print them under the names of the JSON.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct GatewayCounts {
     /// Requests that were handed to the own site.
-    pub home: u64,
+    #[serde(rename = "home")]
+    pub served_locally: u64,
     /// Attempts that were sent to other sites.
-    pub across: u64,
+    #[serde(rename = "across")]
+    pub attempts_sent: u64,
     /// Requests for which there was no site.
-    pub nowhere: u64,
+    #[serde(rename = "nowhere")]
+    pub without_site: u64,
     /// Further attempts.
-    pub again: u64,
+    #[serde(rename = "again")]
+    pub retries: u64,
     /// Bodies that were resumed.
-    pub resumed: u64,
+    #[serde(rename = "resumed")]
+    pub resumed_bodies: u64,
     /// Requests that another site has served.
     pub answered: u64,
     /// Requests that were rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
     /// Attempts whose outcome became uncertain.
-    pub uncertain: u64,
+    #[serde(rename = "uncertain")]
+    pub became_uncertain: u64,
     /// Attempts that were proven not to have run.
-    pub freed: u64,
+    #[serde(rename = "freed")]
+    pub proven_not_run: u64,
     /// Requests of other sites that were served.
-    pub served: u64,
+    #[serde(rename = "served")]
+    pub remote_served: u64,
     /// Requests of other sites that were rejected.
-    pub turned_away: u64,
+    #[serde(rename = "turned_away")]
+    pub remote_rejected: u64,
     /// Those of them that were rejected since the state of the sender's site was too old.
-    pub stale: u64,
+    #[serde(rename = "stale")]
+    pub remote_rejected_for_old_state: u64,
     /// Connections that came up.
-    pub ups: u64,
+    #[serde(rename = "ups")]
+    pub connections_up: u64,
     /// Connections that went down.
-    pub downs: u64,
+    #[serde(rename = "downs")]
+    pub connections_down: u64,
     /// Bytes of bodies that were received.
-    pub body_bytes: u64,
+    #[serde(rename = "body_bytes")]
+    pub received_body_bytes: u64,
     /// Bytes of bodies that were discarded and requested again.
-    pub bytes_again: u64,
+    #[serde(rename = "bytes_again")]
+    pub discarded_body_bytes: u64,
 }
 
 /// A connection.
