--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// The size that the client expects; 0 where it names none.
+/// The size of the object as the client states it; 0 where it does not.
 fn parse_size_kb(fields: &Fields, max: f64) -> Option<f64> {
     match fields.get(field::SIZE_KB) {
         Some(text) => parse_decimal(text).filter(|size| *size > 0.0 && *size <= max),
