--- a/crates/gateway/src/forwarding/mod.rs
+++ b/crates/gateway/src/forwarding/mod.rs
@@ -1,6 +1,6 @@
 //! The requests of this gateway that other sites serve, from the choice of the site to the one reply.
 //!
-//! - this file: settings, the choice of a site, and the first attempt;
+//! - this file: the choice of a site, and attempts;
 //! - `pending`: the requests that have no reply yet;
 //! - `responses`: what the other site answers;
 //! - `recovery`: retries, lost connections, resumed bodies and time-outs.
@@ -8,6 +8,7 @@
 //! A request never has two attempts open. One that is not idempotent is not sent again before it is proven that its
 //! attempt never ran.
 
+mod config;
 mod pending;
 mod recovery;
 mod responses;
@@ -21,7 +22,6 @@
 use crate::attempt_ledger::{SentAttempts, Ticket, Token};
 use crate::codec::{Fields, ForwardedRequest, ResumePoint};
 use crate::concurrency_window::ConcurrencyWindow;
-use crate::config::GatewayConfig;
 use crate::flow_control::Priority;
 use crate::links::Links;
 use crate::local_capacity::{LocalCapacity, RequestKind};
@@ -30,59 +30,9 @@
 
 use pending::{ForwardState, PendingRequest, PendingRequests};
 
+pub use config::ForwardingConfig;
 pub(crate) use responses::Rejection;
 
-/// Limits of requests between sites.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ForwardingConfig {
-    /// Attempts with tokens that may be open.
-    pub max_attempts: usize,
-    /// Requests of other sites that may be here.
-    pub max_remote_requests: usize,
-    /// A retry needs at least so much time before the deadline, in milliseconds.
-    pub min_retry_time: Ms,
-    /// How often a body that stopped is requested again.
-    pub max_retries: u32,
-    /// How long a body that stopped may wait for a connection, in milliseconds.
-    pub max_wait: Ms,
-    /// How many requests may wait so.
-    pub max_waiting: usize,
-    /// Bytes of bodies that may be buffered.
-    pub max_buffered_bytes: usize,
-    /// How many waiting requests resume at each check once a connection is back.
-    pub max_resumed_per_check: usize,
-    /// Whether a body that stopped resumes where it stopped.
-    pub resumes_bodies: bool,
-    /// Whether the outcome of an uncertain attempt is queried; else it fails at once, as with a plain gateway.
-    pub queries_outcomes: bool,
-    /// The longest answer, in bytes.
-    pub max_answer_bytes: u64,
-    /// How long an answer to another site may take to be written, in milliseconds.
-    pub answer_write_timeout: Ms,
-    /// When a rejected client may try again, in milliseconds, where nothing better is known.
-    pub retry_after: Ms,
-}
-
-impl Default for ForwardingConfig {
-    fn default() -> Self {
-        Self {
-            max_attempts: 4_096,
-            max_remote_requests: 1_024,
-            min_retry_time: 100.0,
-            max_retries: 4,
-            max_wait: 1_000.0,
-            max_waiting: 256,
-            max_buffered_bytes: 32 << 20,
-            max_resumed_per_check: 4,
-            resumes_bodies: true,
-            queries_outcomes: true,
-            max_answer_bytes: 262_144,
-            answer_write_timeout: 60_000.0,
-            retry_after: 500.0,
-        }
-    }
-}
-
 /// A request that needs a site.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ForwardRequest {
@@ -136,15 +86,21 @@
 }
 
 impl Forwarder {
-    /// `epoch` is the start of this process, in Unix microseconds.
-    pub fn new(config: &GatewayConfig, sites: SiteNames, epoch: u64) -> Self {
-        let windows = sites.others().map(|site| (site, ConcurrencyWindow::new(config.concurrency_window)));
+    /// Each other site begins with `window`; `sent_attempts` is the ledger of this process, and empty.
+    pub fn new(
+        config: ForwardingConfig,
+        sites: SiteNames,
+        routing: RoutingTable,
+        local_capacity: LocalCapacity,
+        window: &ConcurrencyWindow,
+        sent_attempts: SentAttempts,
+    ) -> Self {
         Self {
-            config: config.forwarding,
-            routing: RoutingTable::new(OWN_SITE, config.routing),
-            local_capacity: LocalCapacity::new(config.local_capacity),
-            windows: windows.collect(),
-            sent_attempts: SentAttempts::new(epoch, config.forwarding.max_attempts),
+            config,
+            routing,
+            local_capacity,
+            windows: sites.others().map(|site| (site, window.clone())).collect(),
+            sent_attempts,
             pending: PendingRequests::default(),
             sites,
         }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -19,16 +19,17 @@
 use bytes::BytesMut;
 use linnethook::interface::Ms;
 
-use crate::attempt_ledger::Ticket;
+use crate::attempt_ledger::{SentAttempts, Ticket};
 use crate::codec::Message;
+use crate::concurrency_window::ConcurrencyWindow;
 use crate::dialers::Dialers;
 use crate::forwarding::{ForwardRequest, Forwarder};
 use crate::links::Links;
-use crate::local_capacity::RequestKind;
+use crate::local_capacity::{LocalCapacity, RequestKind};
 use crate::reconnect::ReconnectBackoff;
 use crate::remote_requests::RemoteRequests;
-use crate::routing::SiteId;
-use crate::site_names::SiteNames;
+use crate::routing::{RoutingTable, SiteId};
+use crate::site_names::{SiteNames, OWN_SITE};
 use crate::site_state::PublishedState;
 
 pub use crate::actions::{Action, ConnectionId, RemoteRequest, Reply, FIRST_REMOTE_TICKET};
@@ -70,7 +71,14 @@
         Self {
             dialers: Dialers::new(now, setup.dial_sites, &backoff, setup.seed),
             links: Links::default(),
-            forwarder: Forwarder::new(&config, sites.clone(), epoch),
+            forwarder: Forwarder::new(
+                config.forwarding,
+                sites.clone(),
+                RoutingTable::new(OWN_SITE, config.routing),
+                LocalCapacity::new(config.local_capacity),
+                &ConcurrencyWindow::new(config.concurrency_window),
+                SentAttempts::new(epoch, config.forwarding.max_attempts),
+            ),
             remote_requests: RemoteRequests::new(&config, sites.own()),
             published: PublishedState::new(epoch, config.peers.max_facts),
             peer_entries: setup.accepts_cluster_peers.then(|| PublishedState::new(epoch, usize::MAX)),
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -1,7 +1,8 @@
 //! Whether the other side of a connection is still there: a phi accrual failure detector (Hayashibara 2004).
 //!
 //! Every byte that is received is a sign of life. How long a silence is suspicious follows from the intervals seen
-//! before, within fixed bounds. Pings tell a slow connection, and one that works in one direction only, from a silent one.
+//! before, within fixed bounds. Pings tell a slow connection, and one that works in one direction only, from a silent
+//! one.
 
 use std::collections::VecDeque;
 
@@ -164,7 +165,8 @@
         self.smoothed_round_trip
     }
 
-    /// The suspicion that the other side is silent: `-log10` of the chance that nothing comes for so long if it is there.
+    /// The suspicion that the other side is silent: `-log10` of the chance that nothing comes for so long if it is
+    /// there.
     pub fn phi(&self, now: Ms) -> f64 {
         let count = self.intervals.len().max(1) as f64;
         let mean = self.intervals.iter().sum::<f64>() / count;
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -60,10 +60,13 @@
     pub node: String,
     /// When its process started, in Unix microseconds.
     pub epoch: u64,
+    /// The tokens that it has sent.
     pub received_attempts: ReceivedAttempts,
+    /// What it has published.
     pub state: ReceivedState,
     /// The connections with it, the oldest first.
     pub connections: Vec<ConnectionId>,
+    /// When anything was received from it.
     pub last_received: Ms,
 }
 
@@ -82,12 +85,15 @@
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     pub connections: BTreeMap<ConnectionId, SiteConnection>,
+    /// By site and name; within the own site also by start.
     pub peers: BTreeMap<String, Peer>,
+    /// What the owner is to do, in its order.
     pub actions: VecDeque<Action>,
     pub counts: GatewayCounts,
 }
 
 impl Links {
+    /// Queues an action.
     pub fn push(&mut self, action: Action) {
         self.actions.push_back(action);
     }
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -1,7 +1,7 @@
 //! A body that crosses a link: how much of it is here when its stream stops, and what is requested next.
 //!
-//! A client gets one complete, unchanged body, or one that it can tell is cut off. Bytes of two versions of an object are
-//! never joined.
+//! A client gets one complete, unchanged body, or one that it can tell is cut off. Bytes of two versions of an object
+//! are never joined.
 
 use linnethook::interface::Ms;
 use serde::{Deserialize, Serialize};
