--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,7 +15,7 @@
 //! - [`hybrid_clock`]: the time by which actions of several routers are ordered;
 //! - [`decode_error`]: why bytes from another router can't be read.
 //!
-//! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/fellows.md` and
+//! No part reads a clock, a socket, a file or a random source: times are arguments. `docs/membership.md` and
 //! `docs/summaries.md` describe the design.
 
 #![warn(missing_docs, clippy::missing_errors_doc, clippy::too_many_arguments, clippy::too_many_lines)]
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -7,15 +7,20 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Packages whose names are finished, from the root of the workspace.
+/// Packages, and directories of packages, whose names are finished, from the root of the workspace.
 const FINISHED_PACKAGES: &[&str] = &[
     "src",
     "crates/adapter",
     "crates/audit",
+    "crates/gateway",
     "crates/hierarchy",
     "crates/membership",
     "crates/operator-config",
     "crates/persistence",
+    "crates/router/src/audit_log",
+    "crates/router/src/cluster",
+    "crates/router/src/downstream",
+    "crates/router/src/upstream",
     "crates/settings",
     "crates/shadow-policy",
     "examples/quickstart",
