--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -22,7 +22,7 @@
     members.map_or(0, |members| members.iter().filter(|(_, m)| m.state == MemberState::Alive).count())
 }
 
-/// Whether each that runs sees so many others alive.
+/// Whether each running router sees that many others alive.
 fn all_see(net: &Net, others: usize) -> bool {
     (0..net.nodes.len()).filter(|n| net.runs(*n)).all(|n| alive(net, n) == others)
 }
@@ -31,7 +31,7 @@
     Some(net.nodes[n].core.as_ref()?.members().get(name)?.state)
 }
 
-/// Those that run, in two groups without a word between them.
+/// The running routers, in two groups that exchange no messages.
 fn split(net: &mut Net, left: usize) {
     for (a, b) in net.links() {
         if (a < left) != (b < left) {
@@ -68,13 +68,13 @@
         }
         _ => None,
     };
-    // By a router of the larger half: those beyond the cut, and the one that crashed.
+    // As a router of the larger half sees them: the routers behind the partition, and the crashed one.
     let names: Vec<String> = net.nodes[12].notes.iter().filter_map(|(_, note)| suspected(note)).collect();
     assert!(names.iter().all(|name| name[1..].parse::<usize>().is_ok_and(|n| n < 8)), "{names:?}");
     assert!(net.until(30_000.0, digests_agree).is_some(), "all know the same in the end");
 }
 
-/// Fellows of one that is frozen find its links silent; it comes back by itself.
+/// The peers of a frozen router find its links silent; it recovers by itself.
 #[test]
 fn frozen_router_is_suspect_and_returns_with_its_incarnation() {
     let mut net = fleet(6);
@@ -89,8 +89,8 @@
     assert_eq!(net.nodes[2].core.as_ref().map(|core| core.participation()), Some(Participation::Active));
 }
 
-/// Two processes under one name: the later one is refused, both are told, and the fleet goes on with the earlier one.
-/// The earlier one, frozen while the later one starts, leaves the name to it.
+/// Two processes of one name: the later one is rejected, both are notified, and the fleet keeps the earlier one. An
+/// earlier one that is frozen while the later one starts yields the name to it.
 #[test]
 fn later_incarnation_is_rejected_unless_earlier_one_was_frozen() {
     for slept in [false, true] {
@@ -100,7 +100,7 @@
             net.freeze(2);
             net.run(net.now + 3_000.0);
         }
-        // Another node takes the name: all that counts is what is said under it.
+        // Another node uses the name: only the messages under that name matter.
         net.nodes[5].name = "r2".to_string();
         net.crash(5);
         net.run(net.now + 100.0);
@@ -128,7 +128,7 @@
     }
 }
 
-/// News of the journal that one has reach all, once each, and an older word never comes after a newer one.
+/// Journal events that one router has reach all others, once each, and never an older one after a newer one.
 #[test]
 fn journal_news_reaches_all_and_stale_news_is_ignored() {
     let mut net = fleet(12);
@@ -150,7 +150,7 @@
             node.done.iter().filter(|(_, action)| matches!(action, ClusterAction::Purged { .. })).count();
         assert_eq!(purges, usize::from(n != 3));
     }
-    // Cut off for a drain, and back.
+    // The router is partitioned during a drain, and reconnected.
     for other in 0..12 {
         net.cut(0, other);
     }
@@ -168,7 +168,7 @@
     assert!(net.until(3_000.0, knows).is_some());
 }
 
-/// What was lost on the way, by whatever fault, is found by digests and said again, and nothing else.
+/// Entries that were lost, by whatever fault, are found by digests and sent again; no other entry is.
 #[test]
 fn gap_is_found_by_digests_and_only_missing_entries_are_sent() {
     let mut net = fleet(3);
@@ -182,7 +182,7 @@
     }
     net.run(now + 20_000.0);
     assert!(digests_agree(&net));
-    // One does not get what two of them are about next, though its links are up.
+    // One router does not receive the next two purges, though its links are up.
     let before = net.nodes[0].core.as_ref().map(|core| core.counters.entries_repaired);
     net.deaf(1, true);
     let now = net.now;
@@ -199,11 +199,11 @@
     assert!(net.until(30_000.0, digests_agree).is_some());
     let repaired = net.nodes[0].core.as_ref().map(|core| core.counters.entries_repaired);
     let sent = repaired.unwrap_or(0) - before.unwrap_or(0);
-    // Two parts of sixteen, from one or two fellows, not all.
+    // Two of sixteen partitions, from one or two peers and not from all.
     assert!((2..=80).contains(&sent), "{sent}");
 }
 
-/// What a straggler says of the world counts for nothing at others; once it has caught up it is told again, and counts.
+/// Entries from a straggler are ignored by others; once it has caught up they are sent again, and count.
 #[test]
 fn news_of_straggler_counts_after_catching_up() {
     let mut net = fleet(3);
@@ -243,7 +243,7 @@
     assert!(heeds(&net, 0) && heeds(&net, 1), "told again, and heeded");
 }
 
-/// Whatever goes wrong, no router says more than its pace.
+/// Under any fault, no router sends more than its rate limit allows.
 #[test]
 fn rate_limit_bounds_sent_bytes() {
     let mut rules = MembershipConfig::default();
@@ -263,13 +263,13 @@
     net.run(now + 5_000.0);
     for (node, before) in net.nodes.iter().zip(before) {
         let messages = node.core.as_ref().map_or(0, |core| core.counters.bytes_sent) - before;
-        // Its rate, what was saved up, digests, and one bundle.
+        // The rate, the burst of the token bucket, digests, and one bundle.
         assert!(messages <= 4_000 * 6 + 6_000, "{}: {messages}", node.name);
     }
 }
 
-/// Crashes, cuts, frozen processes and restarts by seed; once all is mended, all know the same of all, nobody is taken
-/// for dead or alive wrongly, and what was told meanwhile is known everywhere.
+/// Random crashes, partitions, frozen processes and restarts; after recovery all routers agree on the state of all, no
+/// state is wrong, and what was published meanwhile is known everywhere.
 #[test]
 fn all_routers_agree_after_random_faults() {
     for seed in 0..60 {
@@ -317,8 +317,8 @@
     }
 }
 
-/// All that crosses links in a fleet without places, byte by byte and at its time: that it is what it was before links
-/// were pruned and had quiet times of their own, which are for places alone.
+/// All messages of a fleet without locations, with their bytes and times: pruned links and quiet times, which are for
+/// locations alone, do not change them.
 #[test]
 fn without_locations_every_byte_is_sent_at_its_time() {
     let mut net = Net::new(21, 12, 3, MembershipConfig::default(), Wire { loss: 0.02, ..Wire::default() });
--- a/crates/membership/tests/entry_table.rs
+++ b/crates/membership/tests/entry_table.rs
@@ -10,7 +10,7 @@
 }
 
 proptest! {
-    /// Whatever the order in which facts come, and however often: the same facts, and the same digests.
+    /// Entries received in any order and any number of times give the same table and the same digests.
     #[test]
     fn tables_with_same_entries_are_equal_in_any_order(
         facts in proptest::collection::vec((0u32..20, 0u64..6, 0u8..4), 0..120),
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -253,7 +253,7 @@
     support::compare(&file("frames.txt"), &fixtures);
 }
 
-/// What an earlier build has written is read, and written again to the same bytes.
+/// Fixtures of an earlier build are read, and written again to the same bytes.
 #[test]
 fn fixtures_are_read_and_written_again_to_the_same_bytes() {
     let fixtures = support::read(&file("frames.txt"));
@@ -316,7 +316,7 @@
     support::compare(&file("json.txt"), &fixtures);
 }
 
-/// What a frame is, by its key.
+/// The kind of a frame, by its key.
 fn kind(key: &[u8]) -> String {
     match (key, EntryKey::decode(key)) {
         ([], _) => "digests".to_string(),
@@ -331,7 +331,7 @@
     }
 }
 
-/// All that crosses links between places, byte by byte and at its time, with loss, cuts, crashes, restarts, a frozen
+/// All messages between locations, with their bytes and times, under loss, partitions, crashes, restarts, a frozen
 /// process, two processes of one name, queries, a floor, drains, purges and batches.
 #[test]
 fn between_locations_every_byte_is_sent_at_its_time() {
--- a/crates/membership/tests/locations.rs
+++ b/crates/membership/tests/locations.rs
@@ -41,7 +41,7 @@
     (0..net.nodes.len()).filter(|n| net.runs(*n)).all(|n| holds(&fleet_summary(net, n)))
 }
 
-/// What anybody counts who looks at the processes themselves: how many run, and by what they act on.
+/// A count of the processes themselves: how many run, and on which versions they act.
 fn plain(net: &Net, active: impl Fn(usize) -> ActiveVersions) -> (u64, BTreeMap<VersionGroup, u64>) {
     let mut groups = BTreeMap::new();
     let running: Vec<usize> = (0..net.nodes.len()).filter(|n| net.runs(*n)).collect();
@@ -49,7 +49,7 @@
     (running.len() as u64, groups)
 }
 
-/// The totals that every router has are those of a plain count.
+/// The totals that every router has are those of the count of processes.
 fn agrees(net: &Net, active: impl Fn(usize) -> ActiveVersions + Copy) -> bool {
     let (alive, groups) = plain(net, active);
     every(net, |total| total.alive == alive && total.groups == groups && total.unreachable == 0)
@@ -62,9 +62,9 @@
     }
 }
 
-// ---- The checker of what crossed.
+// ---- The checker of the messages on links.
 
-/// Statements and steps that reached another site, and summaries that went beyond the place around their own.
+/// Statuses and version updates that reached another site, and summaries that left the location around their own.
 fn leaks(net: &Net) -> Vec<String> {
     let places: BTreeMap<&str, &Location> =
         net.nodes.iter().filter_map(|node| Some((node.name.as_str(), node.place.as_ref()?))).collect();
@@ -87,7 +87,7 @@
     leaks
 }
 
-/// Who spoke for a place since then, by what crossed.
+/// The routers that aggregated a location since that time, by the messages on links.
 fn speakers(net: &Net, of: &Location, since: Ms) -> BTreeSet<String> {
     let sent = net.record.iter().flatten().filter(|(at, ..)| *at >= since);
     let published = sent.filter_map(|(_, from, _, (key, entry))| {
@@ -100,7 +100,7 @@
     published.collect()
 }
 
-// ---- What is known.
+// ---- What routers know of the fleet.
 
 #[test]
 fn router_knows_its_site_and_one_summary_per_sibling_location() {
@@ -133,12 +133,12 @@
         assert_eq!(members, expected.iter().map(String::as_str).collect(), "r{n}");
         assert!(core.members().iter().all(|(_, member)| member.state == MemberState::Alive));
         assert!(core.members().iter().all(|(_, member)| member.status.versions.journal_position >= 100));
-        // Statements and steps of five, summaries of three sites, two zones and two regions.
+        // Statuses and version updates of five routers; summaries of three sites, two zones and two regions.
         assert_eq!(core.table().len(), 5 + 5 + 3 + 2 + 2, "r{n}");
         assert_eq!(core.counters.out_of_scope, 0, "r{n}: nothing came that is for others");
     }
     assert_eq!(leaks(&net), [""; 0]);
-    // The parts of the site's zone: exactly the three sites, each told by its first router alone.
+    // The children of the site's zone: exactly the three sites, each aggregated by its first router alone.
     for site in 0..shape.sites() {
         let first = format!("r{}", [site * 5].iter().min().expect("one"));
         let names: BTreeSet<String> = (site * 5..site * 5 + 5).map(|n| format!("r{n}")).collect();
@@ -147,7 +147,7 @@
     }
 }
 
-/// While nothing changes, summaries are renewed, and tables are compared: nothing else is said.
+/// While nothing changes, summaries are renewed and tables compared; nothing else is sent.
 #[test]
 fn without_location_no_topology_message_is_sent() {
     let mut net = Net::new(4, 8, 2, MembershipConfig::default(), Wire::default());
@@ -173,8 +173,8 @@
         .all(|core| core.fleet_summary(20_000.0).is_none()));
 }
 
-/// One router goes over to other settings, then all to another hierarchy: it stands in all summaries within 5 s, also
-/// with 1% lost on the way and one slow member.
+/// One router changes its settings, then all change the hierarchy: all summaries show it within 5 s, also with 1% loss
+/// and one slow router.
 #[test]
 fn change_is_in_all_summaries_within_five_seconds() {
     for (seed, loss, slow) in [(2, 0.0, None), (3, 0.01, None), (4, 0.01, Some(17))] {
@@ -199,8 +199,8 @@
     }
 }
 
-/// The hierarchy changes again and again at all routers, as often as a fleet's does: a site says so as a whole, only once
-/// in a while, and no summary is of the middle of a change.
+/// The hierarchy changes repeatedly at all routers, as often as in a fleet: a site publishes one summary for a change, at
+/// a bounded rate, and none that shows a part of its routers before the change and a part behind it.
 #[test]
 fn repeated_hierarchy_transitions_are_published_at_interval() {
     let (mut net, shape) = fleet(16, Wire::default());
@@ -217,7 +217,7 @@
                 .filter_map(|n| fleet_summary(&net, n).oldest_hierarchy())
                 .min()
                 .expect("known");
-            // Since when the oldest version that is told anywhere is not acted on any more.
+            // How long ago the oldest version that any summary reports was last in use.
             late = late.max(now - from - oldest as Ms * 3_600.0);
         }
     }
@@ -235,13 +235,13 @@
     }
     let by_site = published.len() as Ms / shape.sites() as Ms;
     assert!(by_site <= 55_000.0 / rule.transition_interval + 1.0, "{by_site} by site");
-    // Each level waits for that time at the most, and gathers.
+    // Each level waits for that time at most, and collects changes meanwhile.
     assert!(late < 3.0 * (rule.transition_interval + 1_000.0), "{late}");
 }
 
 // ---- Faults.
 
-/// Whoever speaks for a site, its zone and its region is killed, then its successor with it; then all are back.
+/// The aggregator of a site, its zone and its region is killed, then its successor too; then all are restarted.
 #[test]
 fn next_aggregator_takes_over_from_suspect_one_and_hands_back() {
     let (mut net, shape) = fleet(5, Wire::default());
@@ -276,14 +276,14 @@
     let left = shape.all() as u64 - 1;
     net.freeze(0);
     assert!(net.until(8_000.0, |net| every(net, |total| total.alive == left)).is_some());
-    // Meanwhile all go over to another hierarchy.
+    // Meanwhile all routers change to another hierarchy.
     (1..shape.all()).for_each(|n| net.core(n).set_versions(&on(4)));
     net.run(net.now + 20_000.0);
     net.wake(0);
     net.core(0).set_versions(&on(4));
     let (from, all) = (net.now, shape.all() as u64);
     assert!(net.until(8_000.0, |net| agrees(net, |_| on(4))).is_some());
-    // From then on nobody falls back to what it knew before it slept.
+    // From then on no router falls back to the state before it was frozen.
     while net.now < from + 40_000.0 {
         net.run(net.now + 50.0);
         assert!(
@@ -293,8 +293,8 @@
     }
 }
 
-/// The links between its site and all others are gone, then between it and its site: both ends count what they can
-/// hear of, and it heals by itself.
+/// The links between its site and all others fail, then those between it and its site: both sides count what they can
+/// reach, and the fleet recovers by itself.
 #[test]
 fn partitioned_site_is_counted_as_unreachable_on_both_sides() {
     let (mut net, shape) = fleet(7, Wire::default());
@@ -323,7 +323,7 @@
     );
 }
 
-/// Two regions are apart for ten minutes, each changes meanwhile, and what is caught up keeps to the budget.
+/// Two regions are partitioned for ten minutes, both change meanwhile, and catching up stays within the rate limit.
 #[test]
 fn region_partitioned_for_ten_minutes_catches_up_within_budget() {
     let mut rules = MembershipConfig::default();
@@ -370,8 +370,8 @@
     );
 }
 
-/// Crashes, cuts, frozen processes and restarts by seed: once all is mended, all count the same, which is the plain
-/// count, and nothing went where it is not for.
+/// Random crashes, partitions, frozen processes and restarts: after recovery all routers have the totals of the count
+/// of processes, and no message left its scope.
 #[test]
 fn totals_equal_plain_count_after_random_faults() {
     for seed in 0..16 {
@@ -417,15 +417,15 @@
     }
 }
 
-// ---- A build without places.
+// ---- A build without locations.
 
-/// A fleet in which some routers have no place.
+/// A fleet in which some routers have no location.
 fn mixed(seed: u64, without: &[usize], more: &[(usize, usize)]) -> (Net, Shape) {
     let shape = shape();
     let net = Net::tree(seed, &shape, MembershipConfig::default(), Wire::default());
     let links: BTreeSet<(usize, usize)> = net.links().into_iter().collect();
     let places = (0..shape.all()).map(|n| (!without.contains(&n)).then(|| shape.place(n / 5))).collect();
-    // Without a place its links stay in its site.
+    // A router without a location has links within its site only.
     let in_site = |(a, b): &(usize, usize)| a / 5 == b / 5;
     let plain = |(a, b): &(usize, usize)| !without.contains(a) && !without.contains(b);
     let links = links.into_iter().filter(|link| in_site(link) || plain(link)).chain(more.iter().copied());
@@ -444,10 +444,10 @@
             .all(|n| fleet_summary(net, n).alive == all && fleet_summary(net, n).unreachable == 0)
     };
     assert!(net.until(40_000.0, placed).is_some(), "{:?}", fleet_summary(&net, 0));
-    // It sees its site as it saw all before.
+    // It sees the routers of its site as it saw all routers before.
     let core = net.nodes[7].core.as_ref().expect("it runs");
     assert_eq!(core.members().iter().filter(|(_, member)| member.state == MemberState::Alive).count(), 4);
-    // News that are for all go through it.
+    // Entries for the whole fleet are forwarded by it.
     let now = net.now;
     net.core(7).publish_cache(now, "c1", CacheStatus { ready: false, removed: false, started_at: 0.0 }, 9);
     net.run(now + 5_000.0);
@@ -463,9 +463,9 @@
     assert_eq!(leaks(&net), [""; 0]);
 }
 
-// ---- Detail.
+// ---- Queries for the routers of a site.
 
-/// Whoever asks gets what the site has that knows it; also when the one that spoke for it is killed.
+/// A query is answered by the site that knows the router, also after the aggregator of that site was killed.
 #[test]
 fn query_is_answered_by_the_site_it_asks_for() {
     let (mut net, shape) = fleet(11, Wire::default());
@@ -498,17 +498,17 @@
     let (_, lines) = answer(&net, 40, asked).expect("there");
     let dead = lines.iter().find(|line| line.name == "r55").expect("named");
     assert_eq!(dead.state, MemberState::Suspect);
-    // Nobody passes a question on twice, and more of them than there is room for are not taken.
+    // No router forwards a query twice, and queries above the limit are rejected.
     let now = net.now;
     let asked =
         |net: &mut Net| net.core(40).start_query(now, QueryTarget::Router("nobody".to_string())).is_some();
     let accepted = (0..400).filter(|_| asked(&mut net)).count();
-    // Beside these it remembers the two from before.
+    // The two earlier queries are remembered as well.
     assert_eq!(accepted, 254);
 }
 
-/// A roll of voters in several sites settles a version for all, and stragglers are named everywhere, as far as the
-/// bound goes, and counted beyond.
+/// Voters in several sites settle a version for all; stragglers are named everywhere up to the limit, and counted above
+/// it.
 #[test]
 fn remote_voters_decide_floor_and_summaries_name_stragglers() {
     let (mut net, shape) = fleet(12, Wire::default());
@@ -523,7 +523,7 @@
     (0..shape.all()).for_each(|n| net.core(n).set_versions(&on(4)));
     net.run(net.now + 3_000.0);
     assert!((0..shape.all()).all(|n| net.core(n).floor(&voters) == 4));
-    // One in each site, and two more of one, stay behind; one of them speaks for the site.
+    // One router of each site and two more of one site stay behind; one of them aggregates its site.
     let stays = |n: usize| n % 5 == 2 || n == 40 || n == 41;
     (0..shape.all()).filter(|n| !stays(*n)).for_each(|n| net.core(n).set_versions(&on(5)));
     net.run(net.now + 2_000.0);
@@ -537,14 +537,14 @@
         total.straggler_count == names.len() as u64 && total.stragglers.iter().eq(names.iter().take(8))
     };
     assert!(every(&net, named), "{:?}", fleet_summary(&net, 0));
-    // Those beyond the bound are named by whoever is nearer.
+    // Stragglers above the limit are named by routers that are nearer to them.
     let mut all = BTreeSet::new();
     for node in &net.nodes {
         let shown = node.core.as_ref().expect("it runs").view(net.now);
         all.extend(shown.locations.into_iter().flat_map(|line| line.stragglers));
     }
     assert_eq!(all, names);
-    // Also where one tells of itself.
+    // Also at a straggler itself.
     let own = |n: usize| net.nodes[n].core.as_ref().expect("it runs").view(net.now).me.straggler;
     assert!((0..shape.all()).all(|n| own(n) == stays(n)));
     (0..shape.all()).for_each(|n| net.core(n).set_versions(&on(5)));
@@ -556,7 +556,7 @@
     assert!(every(&net, |total| total.straggler_count == 0 && total.stragglers.is_empty()));
 }
 
-/// What is told to all goes as it does without places: no later, in the same fleet by the same links.
+/// Entries for the whole fleet are as fast as without locations, in the same fleet with the same links.
 #[test]
 fn drains_spread_no_later_than_without_locations() {
     let shape = shape();
@@ -587,14 +587,14 @@
         (times[times.len() / 2], times[times.len() - 1])
     };
     let (without, with) = (known(false), known(true));
-    // Bundles leave each 100 ms: when they do is a matter of what was said before.
+    // Bundles leave every 100 ms; the phase depends on what was sent before.
     assert!(with.0 <= without.0 + 100.0 && with.1 <= without.1 + 200.0, "{without:?} {with:?}");
 }
 
-// ---- Planted faults: what finds each.
+// ---- Injected faults, each with the check that detects it.
 
-/// One that goes on speaking for a site after it was succeeded: a word of a dead router comes again and again, always
-/// as the newest. The record shows two speakers; the one that is right outbids it, and the totals are right again.
+/// A router goes on aggregating a site after it was replaced: summaries of a dead router arrive again and again, always
+/// as the newest. The record shows two aggregators; the valid one supersedes it, and the totals are right again.
 #[test]
 fn persistent_rival_aggregator_is_detected_and_superseded() {
     let (mut net, shape) = fleet(14, Wire::default());
@@ -608,7 +608,7 @@
     for _ in 0..5 {
         let (now, key) = (net.now, EntryKey::Summary(place.clone()).encode());
         let entry = GossipEntry::new(Revision::new(now as u64 + 200, 0), 1, &published);
-        // As if over the link that it had.
+        // As if over its earlier link.
         let at = net.linked(0).into_iter().find(|n| *n < 5).expect("a fellow");
         let name = net.nodes[at].name.clone();
         net.nodes[at].name = "r0".to_string();
@@ -634,8 +634,8 @@
     assert!(every(&net, |total| total.alive == left));
 }
 
-/// All that was said of places before a router died is said again after it, as by a link that was held up for long: it
-/// is older than what is known, and changes no count.
+/// All summaries from before the crash of a router arrive again after it, as over a link with a long delay: they are
+/// older than the known ones and change no count.
 #[test]
 fn stale_summary_changes_no_count() {
     let (mut net, shape) = fleet(17, Wire::default());
@@ -662,8 +662,8 @@
     assert!(every(&net, |total| total.alive == left), "{:?}", fleet_summary(&net, 0));
 }
 
-/// One without a place that has links with two sites, which its operators are told not to do: its word is counted in
-/// both, and what one of them says reaches the other. The plain count and the checker of what crossed find both.
+/// A router without a location has links with two sites, against the documentation: it is counted in both, and entries
+/// of one reach the other. The count of processes and the checker of the messages on links detect both.
 #[test]
 fn checks_detect_double_count_and_status_leak() {
     let (mut net, shape) = mixed(15, &[7], &[(7, 41)]);
@@ -674,13 +674,13 @@
     assert!(!agrees(&net, |_| ActiveVersions::default()));
     let leaks = leaks(&net);
     assert!(leaks.iter().any(|leak| leak.contains("r6 of")), "{:?}", leaks.first());
-    // What reached the wrong site counts for nothing there.
+    // Entries that reached the wrong site are ignored there.
     let core = net.nodes[41].core.as_ref().expect("it runs");
     assert!(core.members().get("r6").is_none() && core.counters.out_of_scope > 0);
 }
 
-/// A change of the last router of all, for none of whose places anybody of its own site speaks, in a fleet that has much
-/// else to say: it goes on from hop to hop over links that are quiet, and no place waits for more than its own gathering.
+/// A change of the last router, no location of which is aggregated within its own site, in a busy fleet: it is forwarded
+/// hop by hop over quiet links, and no location delays it by more than its own collecting.
 #[test]
 fn change_crosses_tree_without_waiting_at_each_hop() {
     let rules = MembershipConfig::default();
@@ -708,7 +708,7 @@
         assert!(counted(&net, 1), "seed {seed}: all are counted");
         let at = net.now;
         let known = play(&mut net, 7, at + 10_000.0, &|net| counted(net, 2)) - at;
-        // Each of the four levels gathers, and its hops take little more than one bundle together.
+        // Each of the four levels collects changes, and its hops take little longer than one bundle together.
         let most = 4.0 * (rules.aggregation.gather_delay + rules.flush_interval) + 500.0;
         assert!(known <= most, "seed {seed}: {known} of {most}");
     }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -18,7 +18,7 @@
     members.iter().map(|(name, member)| (name.clone(), member.state)).collect()
 }
 
-/// A chain me - a - b: b is there as long as a and b both tell of their link, and a is there.
+/// A chain me - a - b: b is alive as long as a is alive and both a and b report their link.
 #[test]
 fn router_is_alive_while_reachable_over_links_that_both_ends_report() {
     let mut members = MemberList::new(MembershipTimeouts::default(), "me");
@@ -26,19 +26,19 @@
     members.update_status(0.0, "a", 1, says(&[("me", 1), ("b", 1)], false));
     members.update_status(0.0, "b", 1, says(&[("a", 1)], false));
     assert!(members.tick(0.0).is_empty());
-    // One end alone: cut in one direction, or dead.
+    // Only one end reports the link: a partition in one direction, or a dead router.
     members.update_status(100.0, "a", 1, says(&[("me", 1)], false));
     assert!(members.tick(100.0).is_empty(), "not at once");
     assert_eq!(members.tick(1_100.0), [change("b", MemberState::Suspect)]);
     members.update_status(2_000.0, "a", 1, says(&[("me", 1), ("b", 1)], false));
     assert_eq!(members.tick(2_000.0), [change("b", MemberState::Alive)]);
-    // The other end alone says so, too.
+    // Only the other end reports the link.
     members.update_status(2_100.0, "b", 1, says(&[], false));
     members.tick(2_100.0);
     assert_eq!(members.tick(3_200.0), [change("b", MemberState::Suspect)]);
     members.update_status(3_300.0, "b", 1, says(&[("a", 1)], false));
     assert_eq!(members.tick(3_300.0), [change("b", MemberState::Alive)]);
-    // The own link goes: both are out of reach, whatever they said of each other.
+    // The own link fails: both are unreachable, whatever they reported of each other.
     members.set_link("a", 1, false);
     members.tick(4_000.0);
     assert_eq!(members.next_deadline(4_000.0), 5_000.0);
@@ -58,7 +58,7 @@
     assert_eq!(members.update_status(0.0, "a", 7, says(&[], false)), Some(MemberChange::Restarted(1)));
     assert_eq!(members.update_status(0.0, "a", 1, says(&[("b", 1)], true)), None);
     assert_eq!(members.get("a").map(|a| (a.incarnation, a.status.leaving)), Some((7, false)));
-    // The link is with the earlier start.
+    // The link is with the earlier incarnation.
     members.tick(0.0);
     members.tick(1_000.0);
     assert_eq!(members.get("a").map(|a| a.state), Some(MemberState::Suspect));
--- a/crates/membership/tests/plumtree.rs
+++ b/crates/membership/tests/plumtree.rs
@@ -21,7 +21,7 @@
 const KEY: &[u8] = b"key";
 const OTHER: &[u8] = b"other";
 
-/// A router with links to `a`, `b` and `c`, all of which know of lazy links.
+/// A router with links to `a`, `b` and `c`, all of which support lazy links.
 fn three() -> Plumtree {
     let mut tree = Plumtree::new(PlumtreeConfig::default());
     for name in ["a", "b", "c"] {
@@ -52,14 +52,14 @@
     let pruned = take_messages(&mut tree, "b").prune;
     assert_eq!(pruned.len(), 1);
     assert!(take_messages(&mut tree, "b").is_empty(), "told once");
-    // The other end takes it, and makes its end lazy.
+    // The other end receives the prune and makes its end lazy.
     let mut there = three();
     there.handle_prune("a", &pruned);
     assert!(there.is_lazy("a", KEY) && !there.is_lazy("a", OTHER));
-    // Next it comes over the pruned link first, which was on its way: the one before stays.
+    // The next entry arrives over the pruned link first, sent before the prune: the eager link stays.
     tree.record_new(1.0, KEY, Revision::new(1, 2), Some("b"));
     assert!(!tree.is_lazy("b", KEY), "what a fact comes over first is eager");
-    // The first of both goes down: what comes over another one twice does not prune the only one left.
+    // The eager link fails: a duplicate over another link does not prune the only one left.
     tree.record_new(2.0, KEY, Revision::new(1, 3), Some("a"));
     tree.remove_link("a");
     tree.record_duplicate("c", KEY, Revision::new(1, 3));
@@ -79,8 +79,8 @@
     assert!(tree.handle_graft("b", &[7]).is_empty());
 }
 
-/// A digest came of a fact that does not come: it is asked for where it was heard of first, then at the next one, and the
-/// link is eager again at the end that has it.
+/// A digest arrived of an entry that does not: it is requested from the first peer that announced it, then from the
+/// next one, and the link is eager again at the end that has it.
 #[test]
 fn announced_entry_is_grafted_from_one_peer_after_another() {
     let rule = PlumtreeConfig::default();
@@ -106,7 +106,7 @@
     assert_eq!(here.next_deadline(), f64::INFINITY, "nobody is left who has it");
     assert_eq!(there.handle_graft("a", &graft), [KEY.to_vec()]);
     assert!(!there.is_lazy("a", KEY));
-    // What is here is not asked for, nor told to whom has it.
+    // An entry that is present is not requested, nor announced to a peer that has it.
     here.record_new(1_000.0, KEY, Revision::new(1, 2), Some("b"));
     here.queue_ihave("a", KEY, Revision::new(1, 2));
     here.handle_ihave(1_001.0, "a", &have);
@@ -121,7 +121,7 @@
     assert_eq!(decode_digests(&vec![0; 4 * 5_000]), None);
 }
 
-/// What a fact leaves behind is bounded, whatever is said.
+/// The state that entries leave behind is bounded, whatever is received.
 #[test]
 fn remembered_digests_are_bounded_and_expire() {
     let mut tree = three();
@@ -133,7 +133,7 @@
     let retained = tree.sizes();
     assert!(retained.seen <= 8_192 && retained.missing <= 4_096 && retained.lazy <= 4_096, "{retained:?}");
     tree.record_new(1_000_000.0, KEY, Revision::new(1, 1), None);
-    // What is not kept any more leaves nothing, and what nobody else has is given up.
+    // A removed entry leaves no state, and the request for an entry that no peer has is given up.
     tree.record_new(1_000_000.0, OTHER, Revision::new(1, 1), Some("a"));
     tree.remove_link("c");
     tree.add_link("c");
@@ -147,7 +147,7 @@
     assert_eq!((retained.seen, retained.missing), (2, 0));
 }
 
-/// A greeting to an older build is one that it reads, and one of an older build says nothing of lazy links.
+/// An older build reads the handshake, and the handshake of an older build does not support lazy links.
 #[test]
 fn handshake_is_compatible_with_older_build() {
     let place = Location::parse("a/b").expect("a place");
@@ -188,7 +188,7 @@
     running.iter().all(|n| counted(net, *n, running.len() as u64, changed))
 }
 
-/// Lets time pass in a fleet whose journals move all the time.
+/// Advances the time in a fleet whose journal positions change all the time.
 fn play(net: &mut Net, until: Ms) {
     while net.now < until {
         let now = net.now;
@@ -215,7 +215,7 @@
     (all.iter().map(|c| c.entries_new).sum(), all.iter().map(|c| c.entries_stale).sum(), bytes)
 }
 
-/// Once links are pruned hardly a fact comes twice, and less is said by a quarter and more.
+/// Once links are pruned there are few duplicates, and at least a quarter less is sent.
 #[test]
 fn pruned_links_carry_few_duplicates_and_lose_no_entry() {
     let measure = |prunes: bool| {
@@ -226,7 +226,7 @@
         let until = net.now + 40_000.0;
         play(&mut net, until);
         let after = counts(&net);
-        // Steps and summaries are as new everywhere as they were told.
+        // Version updates and summaries are up to date everywhere.
         assert!(every(&net, 0));
         (after.0 - before.0, after.1 - before.1, after.2 - before.2)
     };
@@ -237,7 +237,7 @@
     assert!(pruned.2 * 4 < eager.2 * 3, "{pruned:?} {eager:?}");
 }
 
-/// How long it takes until all count a change of the last router's settings.
+/// The time until all routers have counted a change of the last router's settings.
 fn change_known(net: &mut Net) -> Option<Ms> {
     let (at, last) = (net.now, net.nodes.len() - 1);
     net.core(last).set_versions(&ActiveVersions { settings_digest: 7, ..ActiveVersions::default() });
@@ -245,8 +245,8 @@
     Some(known - at)
 }
 
-/// One in each site that stands in the way of what others say dies, or hears nothing and is not found out, right before
-/// a change; and one is slow by seconds.
+/// Right before a change one router of each site that forwards for others crashes, or receives nothing without being
+/// detected; and one is slow by seconds.
 #[test]
 fn change_spreads_in_time_past_dead_deaf_or_slow_routers() {
     for seed in [2, 3] {
@@ -257,7 +257,7 @@
         assert!(net.until(5_000.0, |net| every(net, 1)).is_some(), "seed {seed}: two died");
 
         let mut net = fleet(seed, MembershipConfig::default(), Wire { loss: 0.01, ..Wire::default() });
-        // It hears nothing; all others come to know, though what went over it has to find another way.
+        // It receives nothing; all others learn of the change, though its tree edges have to be replaced.
         let deaf = [6, 22, 41];
         deaf.iter().for_each(|n| net.deaf(*n, true));
         net.core(59).set_versions(&ActiveVersions { settings_digest: 7, ..ActiveVersions::default() });
@@ -277,7 +277,7 @@
     }
 }
 
-/// What is pruned heals: after a router on the way has died and links are pruned anew, hardly a fact comes twice again.
+/// The tree repairs itself: after a forwarding router has crashed and links are pruned again, there are few duplicates.
 #[test]
 fn links_are_pruned_again_after_router_on_path_died() {
     let mut net = fleet(4, MembershipConfig::default(), Wire::default());
@@ -293,7 +293,7 @@
     assert!(change_known(&mut net).is_some());
 }
 
-/// Routers of a build that knows of no lazy links: they are told of none, and all count the same in time.
+/// Routers of a build without lazy links: no digest is sent to them, and all routers have the same totals in time.
 #[test]
 fn links_with_older_build_stay_eager() {
     let mut net = Net::tree(5, &shape(), MembershipConfig::default(), Wire::default());
--- a/crates/membership/tests/summary.rs
+++ b/crates/membership/tests/summary.rs
@@ -57,7 +57,7 @@
     sum
 }
 
-/// What anybody who knew all of them would count.
+/// The count over all routers.
 fn plain(routers: &[Router], sum: &Summary) -> Result<(), TestCaseError> {
     let alive = |r: &&Router| r.standing == MemberState::Alive;
     let count = |fits: &dyn Fn(&&Router) -> bool| routers.iter().filter(fits).count() as u64;
@@ -89,7 +89,7 @@
 }
 
 proptest! {
-    /// Parts merge in any order and any grouping to the same, which is what a plain count has.
+    /// Summaries merged in any order and any grouping equal the count over all routers.
     #[test]
     fn summaries_merge_in_any_order_to_the_plain_count(routers in routers()) {
         let part = |site: usize| sum(routers.iter().filter(move |r| r.site == site));
@@ -108,7 +108,7 @@
         plain(&routers, &forth)?;
     }
 
-    /// As it is told, part by part and then as a whole: bounded, and all totals as in a plain count.
+    /// Published by part and then merged: bounded in size, and all totals equal the count over all routers.
     #[test]
     fn truncated_summary_keeps_bounds_and_totals(routers in routers()) {
         let mut all = Summary::default();
@@ -121,7 +121,7 @@
         plain(&routers, &all.truncated())?;
     }
 
-    /// Whatever of it is lost, comes late or twice: the newest word of each part counts, once.
+    /// Summaries are lost, delayed or duplicated: the newest one of each part counts, once.
     #[test]
     fn location_counts_once_by_its_newest_report(
         messages in proptest::collection::vec((0usize..6, 1u64..9), 0..60),
@@ -131,7 +131,7 @@
         let mut newest = BTreeMap::<usize, u64>::new();
         let clock = Timestamp { ms: 10, counter: 0 };
         for (site, order) in messages {
-            // The table lets only newer ones through.
+            // The entry table accepts newer ones only.
             let known = newest.entry(site).or_default();
             if order > *known {
                 *known = order;
@@ -144,7 +144,7 @@
         let north = Location::parse("n").expect("a place");
         let counted = tree.summarize(6.0, clock, &north).alive;
         prop_assert_eq!(counted, newest.iter().map(|(site, order)| order * 10 + *site as u64).sum::<u64>());
-        // Of none anything is heard any more: all that there were are counted as that.
+        // All summaries are stale: all routers count as unreachable.
         let later = tree.summarize(6.0 + tree.validity(), clock, &north);
         prop_assert_eq!((later.alive, later.unreachable), (0, counted));
     }
--- a/crates/membership/tests/versions.rs
+++ b/crates/membership/tests/versions.rs
@@ -7,7 +7,7 @@
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion, RouterStatus};
 use serde::Deserialize;
 
-/// What a build of version 1 reads.
+/// The status as a build of version 1 reads it.
 #[derive(Debug, Deserialize)]
 struct First {
     _build: String,
