--- a/crates/router/tests/audit.rs
+++ b/crates/router/tests/audit.rs
@@ -22,17 +22,17 @@
 }
 
 /// A command on the accounts of some routers.
-fn audit(rig: &Rig, routers: &[usize], words: &[&str]) -> (bool, String) {
+fn audit(rig: &Rig, routers: &[usize], arguments: &[&str]) -> (bool, String) {
     let sockets: Vec<String> =
         routers.iter().map(|n| rig.fleet.socket(&name(*n)).display().to_string()).collect();
     let output =
-        rig.fleet.command(&[&["audit"], words, &["--socket", &sockets.join(",")]].concat()).expect("run");
+        rig.fleet.command(&[&["audit"], arguments, &["--socket", &sockets.join(",")]].concat()).expect("run");
     let text = if output.status.success() { output.stdout } else { output.stderr };
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
-fn floor(rig: &Rig, n: usize, words: &[&str]) {
-    rig.fleet.asked(&name(n), &[&["fleet", "floor"], words].concat()).expect("done");
+fn floor(rig: &Rig, n: usize, arguments: &[&str]) {
+    rig.fleet.asked(&name(n), &[&["fleet", "floor"], arguments].concat()).expect("done");
 }
 
 fn version(rig: &Rig, n: usize) -> u64 {
@@ -79,7 +79,7 @@
 /// Killed outright: what it did is with its fellows, but for a gap that is named with its bounds. Ended as it should:
 /// nothing is missing.
 #[test]
-fn what_a_killed_router_did_is_with_its_fellows_or_in_a_gap_that_is_named() {
+fn what_a_killed_router_did_is_at_its_peers_or_in_a_reported_gap() {
     let mut rig = rig("");
     rig.load_all().expect("load");
     pause(2_500);
@@ -172,7 +172,7 @@
 /// A floor above all that there is: within its bound all shut themselves out. Bookings are refused at once, what is held
 /// is served, and once the floor is taken back they come back by stages.
 #[test]
-fn a_floor_that_nobody_reaches_shuts_out_and_is_taken_back() {
+fn a_floor_that_no_router_reaches_excludes_all_until_it_is_cleared() {
     let mut rig = rig("bound = 0.5, back = 1, come_back = 0.2");
     rig.load_all().expect("load");
     pause(1_500);
@@ -190,9 +190,9 @@
         matches!(&line.what, What::Asked { asked, .. } if asked.class == "booking" && asked.router.is_some())
     });
     assert_eq!(ran.count(), 0, "no booking is begun");
-    let held =
+    let cached_answers =
         all[from.min(all.len())..].iter().filter(|line| matches!(&line.what, What::Final { code: 1, .. }));
-    assert!(held.count() > 20, "what is held is served");
+    assert!(cached_answers.count() > 20, "what is held is served");
     let shut_out = rig.shown(0).expect("shown")["shut_out"].as_u64();
     assert!(shut_out > Some(0));
     // It is a fact: a router that starts again meanwhile hears of it from its fellows.
@@ -291,7 +291,7 @@
 /// The folder of an account is rolled back to what it was: what fellows keep is more, contradicts nothing, and fills
 /// what the folder lacks.
 #[test]
-fn a_folder_rolled_back_contradicts_nothing_and_fellows_have_the_rest() {
+fn a_directory_rolled_back_contradicts_nothing_and_peers_have_the_rest() {
     let folder = std::env::temp_dir().join(format!("lh-audit-back-{}", std::process::id()));
     let with = |n: usize, text: String| match n {
         0 => text.replace("audit(", &format!("audit(folder = \"{}\", ", folder.display())),
--- a/crates/router/tests/gone.rs
+++ b/crates/router/tests/client_departures.rs
@@ -65,14 +65,14 @@
             client.ask(40 + stream, &small(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
         }
         client.give_up(1).expect("sent");
-        assert!(fleet.heard_at_last().is_empty(), "behind {behind} requests");
+        assert!(fleet.remaining_requests().is_empty(), "behind {behind} requests");
     }
 }
 
 /// The end of a client that is held back is heard, though it has asked for more before it.
 #[test]
 fn what_a_client_waited_for_is_not_sent_once_it_has_ended_behind_unread_requests() {
-    for way in ["an orderly end", "one direction", "a reset"] {
+    for manner in ["an orderly end", "one direction", "a reset"] {
         let mut fleet = long_answers(|_| ());
         let mut client = fleet.waiting();
         small_buffer(&client);
@@ -80,15 +80,15 @@
         for stream in 0..20 {
             client.ask(40 + stream, &small(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
         }
-        let _kept = leave(client, way, &[]);
-        assert!(fleet.heard_at_last().is_empty(), "{way}");
+        let _client = leave(client, manner, &[]);
+        assert!(fleet.remaining_requests().is_empty(), "{manner}");
     }
 }
 
 /// Where buffers are crowded nobody is read on, whoever is to blame; what is given up is heard all the same.
 #[test]
 fn what_is_given_up_while_buffers_are_crowded_is_not_sent() {
-    for way in WAYS {
+    for manner in MANNERS {
         let mut fleet = long_answers(|config| config["limits"]["memory_mb"] = json!(8));
         let client = fleet.waiting();
         let mut others = [fleet.router.client(), fleet.router.client(), fleet.router.client()];
@@ -99,8 +99,8 @@
         let buffers =
             |counters: &str| counters.split("buffers=").nth(1)?.split(' ').next()?.parse::<u32>().ok();
         counted(&fleet.router, |counters| buffers(counters.trim_end()).is_some_and(|buffers| buffers >= 256));
-        let _kept = leave(client, way, &[1]);
-        assert!(fleet.heard_at_last().is_empty(), "{way}");
+        let _client = leave(client, manner, &[1]);
+        assert!(fleet.remaining_requests().is_empty(), "{manner}");
     }
 }
 
@@ -125,7 +125,7 @@
     answered.sort_unstable();
     let wanted = (3..34).chain([40, 41, 43, 44, 45]).map(|stream| (66, stream)).chain([(81, 50)]);
     assert_eq!(answered, wanted.collect::<Vec<(u8, u32)>>());
-    assert!(fleet.heard_at_last().is_empty());
+    assert!(fleet.remaining_requests().is_empty());
 }
 
 // ---- A loop that is busy.
@@ -133,7 +133,7 @@
 /// The answer that makes a further attempt due and the client's leaving come in the same turn, in this order.
 #[test]
 fn no_further_attempt_begins_where_the_answer_and_the_leaving_come_in_one_turn() {
-    for way in WAYS {
+    for manner in MANNERS {
         let fleet = fleet_of(holding(), holding(), echo("origin"));
         let mut client = fleet.router.client();
         client.ask(1, &video("00000000000000e1", OF_A), b"").expect("sent");
@@ -141,11 +141,11 @@
         stand_still(&fleet.router);
         fleet.a.answer(connection, &id, &Answer::with_status("full")).expect("answered");
         thread::sleep(Duration::from_millis(20));
-        let _kept = leave(client, way, &[1]);
+        let _client = leave(client, manner, &[1]);
         thread::sleep(Duration::from_millis(200));
         go_on(&fleet.router);
         let others = [&fleet.a, &fleet.b, &fleet.parent, &fleet.origin];
-        assert_eq!(left_over_at(&others), 0, "{way}");
+        assert_eq!(left_over_at(&others), 0, "{manner}");
     }
 }
 
@@ -179,36 +179,36 @@
         cache.answer(*connection, id, &Answer::with_status("full")).expect("answered");
     }
     thread::sleep(Duration::from_millis(20));
-    let kept: Vec<_> =
-        clients.into_iter().zip(WAYS.iter().cycle()).map(|(c, way)| leave(c, way, &[1])).collect();
+    let clients_left: Vec<_> =
+        clients.into_iter().zip(MANNERS.iter().cycle()).map(|(c, manner)| leave(c, manner, &[1])).collect();
     thread::sleep(Duration::from_millis(200));
     go_on(&fleet.router);
     let sent = left_over_at(&[&fleet.a, &fleet.b, &fleet.parent, &fleet.origin]);
     assert_eq!(sent, 0, "of {}", out.len());
-    drop(kept);
+    drop(clients_left);
 }
 
 /// A connection that comes up, and the leaving of the client whose request waits for it, come in one turn.
 #[test]
 fn nothing_is_sent_where_the_connection_and_the_leaving_come_in_one_turn() {
-    for way in WAYS {
+    for manner in MANNERS {
         let mut fleet = shut(no_cancel);
         let client = fleet.waiting();
         fleet.router.signal(Signal::SIGSTOP);
         let a = fleet.open();
         // A connect that got no answer is tried again by the system a second later.
         thread::sleep(Duration::from_millis(1_500));
-        let _kept = leave(client, way, &[1]);
+        let _client = leave(client, manner, &[1]);
         thread::sleep(Duration::from_millis(200));
         go_on(&fleet.router);
-        assert_eq!(left_over_at(&[&a, &fleet.b, &fleet.parent, &fleet.origin]), 0, "{way}");
+        assert_eq!(left_over_at(&[&a, &fleet.b, &fleet.parent, &fleet.origin]), 0, "{manner}");
     }
 }
 
 /// The time for a further attempt, or for giving the present one up, is over in the turn in which the leaving comes.
 #[test]
 fn no_retry_is_fired_in_the_turn_in_which_the_leaving_comes() {
-    for way in WAYS {
+    for manner in MANNERS {
         for full in [true, false] {
             let origin = if full { cache(|_, _, _| Some(Answer::with_status("full"))) } else { holding() };
             let fleet = fleet_of(holding(), echo("b"), origin);
@@ -218,18 +218,18 @@
                 client.ask(1, &booking("00000000000000b1", "3000"), b"pay").expect("sent");
                 asked(&fleet.origin);
             } else {
-                let wish =
+                let fields =
                     [("c", "video"), ("i", "00000000000000e1"), ("o", OF_A), ("d", "400"), ("m", "20")];
-                client.ask(1, &wish, b"").expect("sent");
+                client.ask(1, &fields, b"").expect("sent");
                 asked(&fleet.a);
             }
             stand_still(&fleet.router);
             let all = [&fleet.a, &fleet.b, &fleet.parent, &fleet.origin];
             left_over_at(&all);
-            let _kept = leave(client, way, &[1]);
+            let _client = leave(client, manner, &[1]);
             thread::sleep(Duration::from_millis(200));
             go_on(&fleet.router);
-            assert_eq!(left_over_at(&all), 0, "{way}, full: {full}");
+            assert_eq!(left_over_at(&all), 0, "{manner}, full: {full}");
         }
     }
 }
@@ -248,9 +248,9 @@
     for (n, client) in clients.iter_mut().enumerate() {
         for stream in 1..=4 {
             let (id, object) = (format!("{n:08x}{stream:08x}"), format!("{:016x}", 77 * stream));
-            let wish =
+            let fields =
                 [("c", "video"), ("i", id.as_str()), ("o", object.as_str()), ("d", "3000"), ("m", "20")];
-            client.ask(stream, &wish, b"").expect("sent");
+            client.ask(stream, &fields, b"").expect("sent");
         }
         client.ask_ready(5).expect("sent");
         assert_eq!(client.read().expect("an answer").stream, 5, "nothing is answered before");
@@ -301,11 +301,11 @@
     answer: impl Fn(u64) -> Option<Answer> + Send + Sync + 'static,
 ) -> Heeds {
     let (record, count) = (record.clone(), AtomicU64::new(0));
-    Arc::new(move |came, id: &str, fields: &Fields| {
+    Arc::new(move |arrived_at, id: &str, fields: &Fields| {
         let attempt = count.fetch_add(1, Ordering::Relaxed);
         let (id, object, router) = (id.to_string(), fields["obj"].clone(), Some("n0".to_string()));
         let asked = Asked { at: at.to_string(), id, object, router, ..Asked::default() };
-        record.note_at(came, What::Asked { attempt, asked });
+        record.note_at(arrived_at, What::Asked { attempt, asked });
         answer(attempt)
     })
 }
@@ -342,13 +342,13 @@
             router,
         });
         let class = if harmful { "booking" } else { "video" };
-        let wish = [("c", class), ("i", id.as_str()), ("o", object.as_str()), ("d", "3000"), ("m", "20")];
-        client.ask(self.last, &wish, b"").expect("sent");
+        let fields = [("c", class), ("i", id.as_str()), ("o", object.as_str()), ("d", "3000"), ("m", "20")];
+        client.ask(self.last, &fields, b"").expect("sent");
         self.open.push((self.last, request));
     }
 
     /// Leaves, and what stays of its connection.
-    fn leave(&mut self, record: &Record, way: &str) -> Option<Client> {
+    fn leave(&mut self, record: &Record, manner: &str) -> Option<Client> {
         let mut client = self.client.take()?;
         client.stream.set_nonblocking(true).expect("no waiting");
         // What has been answered by now is not waited for.
@@ -363,7 +363,7 @@
             record.note(What::Released { request: *request });
         }
         let streams: Vec<u32> = self.open.iter().map(|(stream, _)| *stream).collect();
-        leave(client, way, &streams)
+        leave(client, manner, &streams)
     }
 }
 
@@ -397,7 +397,7 @@
     script.sort_by_key(|(at, ..)| *at);
     let (pulse, begun) = (Pulse::start(), Instant::now());
     let (mut door, mut busy) = (Some(door), busy);
-    let (mut request, mut kept) = (0, Vec::new());
+    let (mut request, mut clients_left) = (0, Vec::new());
     for (at, n, does) in script {
         while begun.elapsed() < Duration::from_millis(at) {
             thread::sleep(Duration::from_millis(1));
@@ -416,12 +416,12 @@
                 request += 1;
                 visitors[n].ask(&record, request, &mut chance);
             }
-            Does::Leaves => kept.push(visitors[n].leave(&record, WAYS[(n / 2) % 4])),
+            Does::Leaves => clients_left.push(visitors[n].leave(&record, MANNERS[(n / 2) % 4])),
         }
     }
     thread::sleep(Duration::from_millis(2_500));
     let rules = Rules { slack: 50.0 + pulse.end(), ..Rules::default() };
-    drop(kept);
+    drop(clients_left);
     (leavers(&record.lines(), &rules), rules)
 }
 
--- a/crates/router/tests/command_output.rs
+++ b/crates/router/tests/command_output.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn responses_that_cannot_be_used_are_reported_in_the_same_words() {
+fn responses_that_cannot_be_used_are_reported_by_the_same_text() {
     let directory = Directory::new("responses");
     let cases = [
         ("no response", Vec::new()),
--- a/crates/router/tests/commands.rs
+++ b/crates/router/tests/commands.rs
@@ -24,10 +24,10 @@
     (output.status.code().unwrap_or(-1), text(&output.stdout), text(&output.stderr))
 }
 
-fn ask(fleet: &Fleet, words: &[&str]) -> (i32, String, String) {
+fn ask(fleet: &Fleet, arguments: &[&str]) -> (i32, String, String) {
     let socket = fleet.socket("n0").display().to_string();
-    let words = [&["hierarchy"], words, &["--socket", &socket]].concat();
-    text(&fleet.command(&words).expect("the program runs"))
+    let arguments = [&["hierarchy"], arguments, &["--socket", &socket]].concat();
+    text(&fleet.command(&arguments).expect("the program runs"))
 }
 
 /// What asks for gigabytes in one step is ended by the system, and the program that asked says so.
@@ -51,7 +51,7 @@
         assert!(format!("{out}{err}").contains(expected), "{out}{err}");
         assert_eq!(format!("{out}{err}").lines().count(), 1, "{err}");
     }
-    for (words, code, expected) in [
+    for (arguments, code, expected) in [
         (&["check", "/nowhere.star"][..], 2, "/nowhere.star: No such file"),
         (&["fly"], 2, "unrecognized subcommand"),
         (&["settings"], 0, "| `warm` | 30 seconds | 0.1 to 86400 |"),
@@ -60,9 +60,9 @@
         (&["hierarchy", "show"], 2, "--socket"),
         (&["hierarchy", "show", "--socket", "/nowhere.sock"], 1, "/nowhere.sock: No such file"),
     ] {
-        let (found, out, err) = text(&fleet.command(words).expect("the program runs"));
-        assert_eq!(found, code, "{words:?}: {out}{err}");
-        assert!(format!("{out}{err}").contains(expected), "{words:?}: {out}{err}");
+        let (found, out, err) = text(&fleet.command(arguments).expect("the program runs"));
+        assert_eq!(found, code, "{arguments:?}: {out}{err}");
+        assert!(format!("{out}{err}").contains(expected), "{arguments:?}: {out}{err}");
     }
 }
 
@@ -105,7 +105,7 @@
 
 /// A question that is cut in half, garbage, or of four gigabytes: nothing is done, and the next one is answered.
 #[test]
-fn a_control_message_counts_only_whole() {
+fn a_control_message_counts_only_when_complete() {
     let fleet = fleet("");
     let path = fleet.socket("n0");
     let mode = std::fs::metadata(&path).expect("the socket").permissions().mode();
@@ -121,7 +121,8 @@
         let _ = stream.read_to_end(&mut rest);
     }
     // Held open without a word: others are served all the same.
-    let _held: Vec<UnixStream> = (0..3).map(|_| UnixStream::connect(&path).expect("a connection")).collect();
+    let _open_connections: Vec<UnixStream> =
+        (0..3).map(|_| UnixStream::connect(&path).expect("a connection")).collect();
     assert_eq!(ask(&fleet, &["nodes"]).1, before);
 }
 
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -184,7 +184,8 @@
         operator: Option<&str>,
         descriptors: Option<u32>,
     ) -> Self {
-        Self::try_start(journal, change, operator, descriptors).unwrap_or_else(|said| panic!("{said:?}"))
+        Self::try_start(journal, change, operator, descriptors)
+            .unwrap_or_else(|log_lines| panic!("{log_lines:?}"))
     }
 
     /// The same, or what one that does not start has said.
@@ -237,16 +238,16 @@
                 }
             }
         });
-        let mut said = Vec::new();
+        let mut log_lines = Vec::new();
         let address = loop {
             match log.recv_timeout(PATIENCE) {
                 Ok(line) if line.contains("listens on") => break line,
-                Ok(line) => said.push(line),
+                Ok(line) => log_lines.push(line),
                 Err(RecvTimeoutError::Timeout) => panic!("it neither starts nor ends"),
                 Err(RecvTimeoutError::Disconnected) => {
-                    assert_eq!(child.wait().ok().and_then(|end| end.code()), Some(1), "{said:?}");
+                    assert_eq!(child.wait().ok().and_then(|end| end.code()), Some(1), "{log_lines:?}");
                     let _ = std::fs::remove_file(path);
-                    return Err(said);
+                    return Err(log_lines);
                 }
             }
         };
@@ -358,7 +359,7 @@
 
 /// The next request that a stand-in was sent.
 pub fn asked(cache: &Cache) -> (usize, String, Fields, Vec<u8>) {
-    match wait(&cache.events, |heard| matches!(heard, CacheEvent::Request { .. })) {
+    match wait(&cache.events, |event| matches!(event, CacheEvent::Request { .. })) {
         CacheEvent::Request { connection, id, fields, body } => (connection, id, fields, body),
         other => panic!("not a request: {other:?}"),
     }
@@ -387,11 +388,12 @@
             let mut block = [0; 256];
             while !ends.load(Ordering::Relaxed) {
                 for client in &mut clients {
-                    let gone = client.as_mut().is_none_or(|client| match client.stream.read(&mut block) {
-                        Ok(n) => n == 0,
-                        Err(wrong) => wrong.kind() != ErrorKind::WouldBlock,
-                    });
-                    if gone {
+                    let has_left =
+                        client.as_mut().is_none_or(|client| match client.stream.read(&mut block) {
+                            Ok(n) => n == 0,
+                            Err(error) => error.kind() != ErrorKind::WouldBlock,
+                        });
+                    if has_left {
                         *client = come();
                     }
                 }
@@ -427,7 +429,7 @@
 
 /// The requests that a stand-in was sent and nobody has looked at, by connection and id.
 pub fn asks(cache: &Cache) -> Vec<(usize, String)> {
-    let ask = |heard| match heard {
+    let ask = |event| match event {
         CacheEvent::Request { connection, id, .. } => Some((connection, id)),
         _ => None,
     };
@@ -436,5 +438,5 @@
 
 /// Requests that a stand-in was sent and nobody has looked at.
 pub fn left_over(cache: &Cache) -> usize {
-    cache.events.try_iter().filter(|heard| matches!(heard, CacheEvent::Request { .. })).count()
+    cache.events.try_iter().filter(|event| matches!(event, CacheEvent::Request { .. })).count()
 }
--- a/crates/router/tests/common/shut.rs
+++ b/crates/router/tests/common/shut.rs
@@ -92,13 +92,13 @@
     }
 
     /// Opens the door, lets the router end, and tells what has come in there.
-    pub fn heard_at_last(&mut self) -> Vec<Fields> {
+    pub fn remaining_requests(&mut self) -> Vec<Fields> {
         let a = self.open();
         // A connect that got no answer is tried again by the system a second later.
         std::thread::sleep(Duration::from_millis(1_500));
         self.router.signal(Signal::SIGTERM);
         self.router.ended();
-        let fields = |heard| match heard {
+        let fields = |event| match event {
             CacheEvent::Request { fields, .. } => Some(fields),
             _ => None,
         };
@@ -107,11 +107,11 @@
 }
 
 /// The ways in which a client leaves.
-pub const WAYS: [&str; 4] = ["a frame", "an orderly end", "one direction", "a reset"];
+pub const MANNERS: [&str; 4] = ["a frame", "an orderly end", "one direction", "a reset"];
 
 /// Has a client leave. What stays of its connection has to be kept for as long as it is not to end otherwise.
-pub fn leave(mut client: Client, way: &str, streams: &[u32]) -> Option<Client> {
-    match way {
+pub fn leave(mut client: Client, manner: &str, streams: &[u32]) -> Option<Client> {
+    match manner {
         "a frame" => streams.iter().for_each(|stream| client.give_up(*stream).expect("sent")),
         "an orderly end" => return None,
         "one direction" => client.stream.shutdown(Shutdown::Write).expect("closed"),
--- a/crates/router/tests/common/timed.rs
+++ b/crates/router/tests/common/timed.rs
@@ -34,7 +34,7 @@
         let mut parts = [IoSliceMut::new(buffer)];
         let fd = self.stream.as_raw_fd();
         let message = recvmsg::<()>(fd, &mut parts, Some(&mut space), MsgFlags::empty())?;
-        let stamps = message.cmsgs()?.find_map(|said| match said {
+        let stamps = message.cmsgs()?.find_map(|message| match message {
             ControlMessageOwned::ScmTimestampns(stamp) => Some(stamp),
             _ => None,
         });
--- a/crates/router/tests/descriptors.rs
+++ b/crates/router/tests/descriptors.rs
@@ -54,19 +54,19 @@
 
 /// What a command has to say: its exit code, and its lines.
 fn command(socket: &Path) -> (Option<i32>, String) {
-    let words = ["hierarchy", "show", "--socket"];
+    let arguments = ["hierarchy", "show", "--socket"];
     let mut command = Command::new(env!("CARGO_BIN_EXE_linnethook"));
-    let output = command.args(words).arg(socket).stdin(Stdio::null()).output().expect("the program runs");
+    let output = command.args(arguments).arg(socket).stdin(Stdio::null()).output().expect("the program runs");
     let text = [output.stdout, output.stderr].concat();
     (output.status.code(), String::from_utf8_lossy(&text).into_owned())
 }
 
 /// Waits until places have been given from one idle client to another: whatever they may fill is full.
-fn filled(router: &Router, said: &mut Vec<String>) {
+fn filled(router: &Router, log_lines: &mut Vec<String>) {
     let from = router.counters().0["made_room"];
     loop {
         let (counters, lines) = router.counters();
-        said.extend(lines);
+        log_lines.extend(lines);
         if counters["made_room"] >= from + 8 {
             return;
         }
@@ -103,7 +103,7 @@
 }
 
 /// Discovery is back: it is asked from the last number taken, what it tells counts, and clients are served.
-fn whole_again(cut: Cut, said: &mut Vec<String>) {
+fn assert_recovered(cut: Cut, log_lines: &mut Vec<String>) {
     let Cut { b, router, discovery, known, socket, _rest } = cut;
     let next = known.len() as u64 + 1;
     let (address, since) = (b.address, Instant::now());
@@ -117,13 +117,13 @@
     let mut client = router.client();
     ask(&mut client, 8);
     assert_eq!(served(&mut client, 8), [8, 0], "the second drains");
-    said.extend(router.counters().1);
+    log_lines.extend(router.counters().1);
     let _ = std::fs::remove_file(socket);
 }
 
 /// Nothing that has to go on was without a descriptor.
-fn nothing_ran_out(said: &[String]) {
-    let out: Vec<&String> = said.iter().filter(|line| line.contains("os error 24")).collect();
+fn nothing_ran_out(log_lines: &[String]) {
+    let out: Vec<&String> = log_lines.iter().filter(|line| line.contains("os error 24")).collect();
     assert!(out.is_empty(), "{} lines, as {out:?}", out.len());
 }
 
@@ -133,15 +133,15 @@
     let cut = cut(outage, sockets, Some(descriptors));
     let before = command(&cut.socket);
     let crowd = Crowd::start(cut.router.address, CROWD);
-    let mut said = Vec::new();
-    filled(&cut.router, &mut said);
+    let mut log_lines = Vec::new();
+    filled(&cut.router, &mut log_lines);
     let mut client = cut.router.client();
     ask(&mut client, 8);
     served(&mut client, 8);
     assert_eq!(command(&cut.socket), before);
-    whole_again(cut, &mut said);
+    assert_recovered(cut, &mut log_lines);
     drop(crowd);
-    nothing_ran_out(&said);
+    nothing_ran_out(&log_lines);
 }
 
 #[test]
@@ -169,11 +169,11 @@
 /// All clients come within one turn of the loop, and after it no descriptor is to be had: what has to go on has some
 /// that were taken at the start, and gets more from idle clients.
 #[test]
-fn descriptors_that_are_filled_in_one_turn_and_taken_away_come_from_idle_clients() {
+fn descriptors_that_are_filled_in_one_turn_and_lost_come_from_idle_clients() {
     for outage in [Outage::Refusing, Outage::Silent, Outage::Trickling] {
         let cut = cut(outage, 1024, None);
         let before = command(&cut.socket);
-        let mut said = Vec::new();
+        let mut log_lines = Vec::new();
         // It stands still while they come.
         cut.router.signal(Signal::SIGSTOP);
         let crowd = Crowd::start(cut.router.address, CROWD);
@@ -186,11 +186,11 @@
         ask(&mut client, 8);
         served(&mut client, 8);
         assert_eq!(command(&cut.socket), before);
-        whole_again(cut, &mut said);
+        assert_recovered(cut, &mut log_lines);
         drop(crowd);
         // Newcomers wait, and for a moment caches share connections.
-        said.retain(|line| !line.contains("accept: ") && !line.contains("connect to "));
-        nothing_ran_out(&said);
+        log_lines.retain(|line| !line.contains("accept: ") && !line.contains("connect to "));
+        nothing_ran_out(&log_lines);
     }
 }
 
@@ -247,7 +247,7 @@
 
 /// Connections to caches are full, all idle at one of them: another one is reached all the same.
 #[test]
-fn an_idle_connection_to_one_cache_gives_way_for_another_cache() {
+fn an_idle_connection_to_one_cache_is_closed_for_another_cache() {
     let fleet = narrow_fleet_of(34, echo("a"), echo("b"));
     let mut client = fleet.router.client();
     let mut whose = HashSet::new();
--- a/crates/router/tests/endings.rs
+++ b/crates/router/tests/endings.rs
@@ -47,7 +47,7 @@
             targets = vec![host("cache-a", fleet.at_the_door, "Gone")];
         }
         fleet.tell(json!({"hosts": {"rev": 2, "all": complete, "targets": targets}}));
-        assert!(fleet.heard_at_last().is_empty(), "complete: {complete}");
+        assert!(fleet.remaining_requests().is_empty(), "complete: {complete}");
         assert!(client.read().expect("an answer").body.starts_with(b"b "));
     }
 }
@@ -60,19 +60,19 @@
     let mut line = host("cache-a", fleet.at_the_door, "Ready");
     line["boot_ms"] = json!(1_000);
     fleet.tell(json!({"hosts": {"rev": 2, "all": false, "targets": [line]}}));
-    assert!(fleet.heard_at_last().is_empty());
+    assert!(fleet.remaining_requests().is_empty());
     assert!(client.read().expect("an answer").body.starts_with(b"b "));
 }
 
 /// What waits for a connection and would be filled from a parent that has gone is not sent with that source.
 #[test]
-fn what_waits_and_names_a_source_that_has_gone_is_ordered_anew() {
+fn a_queued_attempt_with_a_removed_source_is_replaced() {
     let mut fleet = shut(|_| ());
     let mut client = fleet.waiting();
     let mut targets = fleet.hosts();
     targets.remove(2);
     fleet.tell(json!({"hosts": {"rev": 2, "all": true, "targets": targets}}));
-    assert!(fleet.heard_at_last().is_empty());
+    assert!(fleet.remaining_requests().is_empty());
     assert!(client.read().expect("an answer").body.starts_with(b"b "));
     let (_, _, fields, _) = asked(&fleet.b);
     assert_eq!(fields["parent"], "origin");
@@ -91,7 +91,7 @@
         let mut named = named;
         named["stamp"] = json!(now.as_millis() as u64);
         fleet.tell(json!({"expire": named}));
-        assert!(fleet.heard_at_last().is_empty(), "by group: {by_group}");
+        assert!(fleet.remaining_requests().is_empty(), "by group: {by_group}");
         assert!(client.read().expect("an answer").body.starts_with(b"b "));
         let (_, _, fields, _) = asked(&fleet.b);
         assert!(fields.contains_key("accept"), "{fields:?}");
@@ -102,11 +102,11 @@
 #[test]
 fn what_a_client_waited_for_is_not_sent_once_it_has_left() {
     for may_cancel in [true, false] {
-        for way in WAYS {
+        for manner in MANNERS {
             let mut fleet = shut(|config| config["settings"]["allowed"]["may-cancel"] = json!(may_cancel));
             let client = fleet.waiting();
-            let _kept = leave(client, way, &[1]);
-            assert!(fleet.heard_at_last().is_empty(), "{way}, may cancel: {may_cancel}");
+            let _client = leave(client, manner, &[1]);
+            assert!(fleet.remaining_requests().is_empty(), "{manner}, may cancel: {may_cancel}");
         }
     }
 }
@@ -117,7 +117,7 @@
     let mut fleet = shut(|config| config["settings"]["allowed"]["may-cancel"] = json!(false));
     let clients: Vec<Client> = (0..40).map(|_| fleet.waiting()).collect();
     drop(clients);
-    assert!(fleet.heard_at_last().is_empty());
+    assert!(fleet.remaining_requests().is_empty());
 }
 
 /// A client that does not take its answers is not read for a while; its end is noticed all the same.
@@ -128,7 +128,7 @@
     small_buffer(&client);
     hoard(&fleet.router, &mut client, 3);
     client.stream.shutdown(Shutdown::Write).expect("closed");
-    assert!(fleet.heard_at_last().is_empty());
+    assert!(fleet.remaining_requests().is_empty());
 }
 
 // ---- What is out at a cache.
@@ -158,25 +158,25 @@
     // Of such a size that nothing is overdue for as long as the test may last.
     let ask = |client: &mut Client, stream: u32, n: u32| {
         let id = format!("{n:016x}");
-        let wish = [("c", "video"), ("i", id.as_str()), ("o", OF_A), ("d", "60000"), ("m", "100000")];
-        client.ask(stream, &wish, &[7; 48_000]).expect("sent");
+        let fields = [("c", "video"), ("i", id.as_str()), ("o", OF_A), ("d", "60000"), ("m", "100000")];
+        client.ask(stream, &fields, &[7; 48_000]).expect("sent");
     };
-    let taken = |client: &mut Client| {
+    let assert_served = |client: &mut Client| {
         client.ask_ready(1_000).expect("sent");
         assert_eq!(client.read().expect("an answer").kind, 81, "nothing is answered before");
     };
     let mut first = router.client();
     (1..=8).for_each(|stream| ask(&mut first, stream, stream));
-    taken(&mut first);
+    assert_served(&mut first);
     let mut clients: Vec<Client> = (0..15).map(|_| router.client()).collect();
     for (n, client) in (1..).zip(&mut clients) {
         (1..=30).for_each(|stream| ask(client, stream, n * 100 + stream));
-        taken(client);
+        assert_served(client);
     }
     // It says something, so that it is not taken for a machine that is cut off.
-    let taken_in: Vec<_> = (0..8).map(|_| listener.accept().expect("a connection").0).collect();
-    (&taken_in[0]).write_all(b"*4\r\n$4\r\nffff\r\n$6\r\nabsent\r\n$1\r\n-\r\n$0\r\n\r\n").expect("sent");
-    taken(&mut first);
+    let accepted: Vec<_> = (0..8).map(|_| listener.accept().expect("a connection").0).collect();
+    (&accepted[0]).write_all(b"*4\r\n$4\r\nffff\r\n$6\r\nabsent\r\n$1\r\n-\r\n$0\r\n\r\n").expect("sent");
+    assert_served(&mut first);
     // All but the first on each connection are given up. What stays is answered at once.
     for client in &mut clients {
         (1..=30).for_each(|stream| client.give_up(stream).expect("sent"));
@@ -194,7 +194,7 @@
 
 /// An id comes again with a further attempt: a second answer to the first one must not be taken for its answer.
 #[test]
-fn a_second_answer_to_an_attempt_is_not_taken_for_that_to_the_next_under_the_same_id() {
+fn a_second_answer_to_an_attempt_does_not_answer_the_next_one_of_the_same_id() {
     let fleet = fleet_of(echo("a"), echo("b"), holding());
     let mut client = fleet.router.client();
     client.ask(1, &booking("00000000000000b1", "3000"), b"pay").expect("sent");
@@ -220,9 +220,9 @@
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", OF_A), b"").expect("sent");
     let (first, id, ..) = asked(&fleet.a);
-    let whole = b"$4\r\ndata\r\n$15\r\nres=HIT,first=0\r\n$3\r\none\r\n";
+    let complete_reply = b"$4\r\ndata\r\n$15\r\nres=HIT,first=0\r\n$3\r\none\r\n";
     let mut bytes = format!("*4\r\n${}\r\n{id}\r\n", id.len()).into_bytes();
-    bytes.extend(whole);
+    bytes.extend(complete_reply);
     bytes.extend(b"*4\r\n$16\r\n0000");
     fleet.a.write(first, &bytes).expect("written");
     assert_eq!(client.read().expect("an answer").body, b"one");
@@ -253,7 +253,7 @@
     fleet.a.answer(beside, &other, &Answer::data("beside")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"beside");
     client.give_up(2).expect("sent");
-    wait(&fleet.a.events, |heard| *heard == CacheEvent::Closed { connection: endless });
+    wait(&fleet.a.events, |event| *event == CacheEvent::Closed { connection: endless });
     fleet.router.signal(Signal::SIGUSR1);
     let line = fleet.router.logged("counters");
     assert!(line.contains("open=0 out=0 buffers=0"), "{line}");
@@ -335,7 +335,7 @@
 
 /// What has come in part when the time is over is told so, beside the answer to what is still open.
 #[test]
-fn at_the_end_half_a_message_is_told_and_what_is_open_is_answered() {
+fn at_the_end_half_a_message_is_reported_and_what_is_open_is_answered() {
     let mut ending = ending();
     let (router, open, half) = (&mut ending.router, &mut ending.open, &mut ending.half);
     half.stream.write_all(&request(2, &booking("00000000000000b2", "900"), b"pay")[..20]).expect("sent");
@@ -343,8 +343,8 @@
     let answer = open.read().expect("an answer");
     assert_eq!((answer.stream, answer.code), (1, FAILED), "it may have run");
     assert!(open.read().is_err(), "nothing comes after it");
-    let told = half.read().expect("an error");
-    assert_eq!((told.kind, told.stream, told.code), (66, 0, FAILED));
+    let error = half.read().expect("an error");
+    assert_eq!((error.kind, error.stream, error.code), (66, 0, FAILED));
     assert_eq!(router.ended().code(), Some(0));
 }
 
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -30,7 +30,7 @@
 }
 
 /// The standing of a router as another one sees it.
-fn stands(shown: &serde_json::Value, n: usize, standing: &str) -> bool {
+fn has_state(shown: &serde_json::Value, n: usize, standing: &str) -> bool {
     line(shown, &name(n)).is_some_and(|line| line["standing"] == standing)
 }
 
@@ -41,7 +41,7 @@
     let start = line(&rig.shown(0).expect("shown"), "r2").expect("known")["start"].as_u64();
     rig.kill(2);
     for n in [0, 1, 3] {
-        rig.until(n, "r2 is suspected", |shown| stands(shown, 2, "Suspected") && alive(shown) == 2)
+        rig.until(n, "r2 is suspected", |shown| has_state(shown, 2, "Suspected") && alive(shown) == 2)
             .expect("seen");
     }
     rig.start_again(2).expect("it starts");
@@ -98,7 +98,7 @@
 /// An older word of the own journal does not take back a newer one of fellows: drained, back, and drained again, of
 /// which the own journal has told the first two.
 #[test]
-fn an_older_word_never_takes_back_a_newer_one() {
+fn an_older_entry_never_replaces_a_newer_one() {
     let mut rig = rig(3);
     rig.load_all().expect("load");
     for phase in [Phase::Draining, Phase::Ready, Phase::Draining] {
@@ -126,10 +126,10 @@
 /// A drain that the own journal has taken back since, long enough ago that nobody passes that on any more, is no news
 /// when a fellow still tells of it.
 #[test]
-fn what_fellows_know_of_before_is_no_news_to_the_own_journal() {
+fn what_peers_reported_first_is_not_new_in_the_own_journal() {
     let plan = Plan { routers: 2, ..Plan::default() };
-    let fellows = format!("{}, purges = 10", plan.fellows);
-    let mut rig = Rig::start(PROGRAM, Plan { fellows, ..plan }).expect("a fleet");
+    let section = format!("{}, purges = 10", plan.fellows);
+    let mut rig = Rig::start(PROGRAM, Plan { fellows: section, ..plan }).expect("a fleet");
     rig.load_all().expect("load");
     rig.tell("cache-1", Phase::Draining, &[0]).expect("told");
     rig.until(1, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("heard");
@@ -154,7 +154,7 @@
     rig.isolate(3).expect("cut off");
     rig.tell("cache-0", Phase::Draining, &[0, 1, 2]).expect("told");
     rig.move_cache(1, 1).expect("applied");
-    rig.until(0, "r3 is suspected", |shown| stands(shown, 3, "Suspected")).expect("seen");
+    rig.until(0, "r3 is suspected", |shown| has_state(shown, 3, "Suspected")).expect("seen");
     let shown = rig.shown(3).expect("shown");
     assert!(shown["drains"] == 0 && shown["batches"] == 0, "{shown}");
     rig.mend_all();
@@ -167,7 +167,7 @@
 
 /// It hears, and is not heard: the link counts for nothing, as neither end can rely on it; over a third it still does.
 #[test]
-fn a_one_way_cut_takes_the_link_away_and_a_way_round_keeps_both_alive() {
+fn a_cut_in_one_direction_ends_the_link_and_another_path_keeps_both_alive() {
     let mut rig = rig(3);
     rig.load_all().expect("load");
     rig.one_way(1, 2);
@@ -180,7 +180,7 @@
         assert_eq!(alive(&rig.shown(n).expect("shown")), 2, "r{n} sees both");
     }
     rig.one_way(0, 2);
-    rig.until(0, "r2 is out of reach", |shown| stands(shown, 2, "Suspected")).expect("seen");
+    rig.until(0, "r2 is out of reach", |shown| has_state(shown, 2, "Suspected")).expect("seen");
     rig.until(2, "and all others are for it", |shown| alive(shown) == 0).expect("seen");
     rig.mend_all();
     rig.settle().expect("all of one mind");
@@ -193,7 +193,7 @@
     rig.load_all().expect("load");
     pause(500);
     rig.freeze(1).expect("frozen");
-    rig.until(0, "suspected", |shown| stands(shown, 1, "Suspected")).expect("seen");
+    rig.until(0, "suspected", |shown| has_state(shown, 1, "Suspected")).expect("seen");
     rig.tell("cache-0", Phase::Draining, &[0, 2]).expect("told");
     pause(2_500);
     rig.wake(1).expect("awake");
@@ -224,13 +224,13 @@
 fn a_frozen_process_that_wakes_leaves_its_name_to_its_successor() {
     let mut rig = rig(3);
     rig.freeze(1).expect("frozen");
-    rig.until(0, "suspected", |shown| stands(shown, 1, "Suspected")).expect("seen");
+    rig.until(0, "suspected", |shown| has_state(shown, 1, "Suspected")).expect("seen");
     let twin = rig.start_twin(1).expect("a successor");
-    rig.until(0, "the successor", |shown| stands(shown, 1, "Alive")).expect("seen");
+    rig.until(0, "the successor", |shown| has_state(shown, 1, "Alive")).expect("seen");
     rig.wake(1).expect("awake");
     rig.fleet.logged("r1", "it takes no part").expect("it yields");
     assert_eq!(rig.fleet.asked(&twin, &["fleet", "show"]).expect("shown")["fellows"]["part"], "Takes");
-    rig.until(2, "still the successor", |shown| stands(shown, 1, "Alive")).expect("seen");
+    rig.until(2, "still the successor", |shown| has_state(shown, 1, "Alive")).expect("seen");
 }
 
 /// A fellow that takes bytes slowly, and a connection whose bytes are lost or come twice: a link may end, and no word
@@ -279,10 +279,10 @@
     for n in 0..5 {
         rig.stop(n).expect("it ends");
         let other = (n + 1) % 5;
-        rig.until(other, "it has left", |shown| stands(shown, n, "Left")).expect("seen");
+        rig.until(other, "it has left", |shown| has_state(shown, n, "Left")).expect("seen");
         rig.start_again(n).expect("it starts");
         rig.load(n).expect("load");
-        rig.until(other, "it is back", |shown| stands(shown, n, "Alive")).expect("seen");
+        rig.until(other, "it is back", |shown| has_state(shown, n, "Alive")).expect("seen");
     }
     rig.settle().expect("all have it still");
     clean(&mut rig);
@@ -313,7 +313,7 @@
 /// A batch that is too long to be passed on: the others take a snapshot, whole or not at all. One of them is killed again
 /// and again while it comes over a slow link.
 #[test]
-fn a_snapshot_is_adopted_whole_however_often_its_taker_is_killed() {
+fn a_snapshot_is_adopted_in_full_however_often_its_receiver_is_killed() {
     let mut rig = rig(3);
     rig.load_all().expect("load");
     rig.slow(2, 0, 30_000.0);
@@ -342,7 +342,7 @@
 /// Killed right after an operator's batch was taken, before anybody heard of it or just after, and another batch at once
 /// after its start: all come to one shape, whichever of both there is.
 #[test]
-fn a_router_killed_between_a_batch_and_its_word_of_it_leaves_one_shape() {
+fn a_router_killed_between_a_batch_and_its_gossip_leaves_one_hierarchy() {
     for wait in [0, 60, 150, 400] {
         let mut rig = rig(3);
         rig.move_cache(0, 0).expect("applied");
@@ -398,8 +398,8 @@
         "{text}"
     );
     assert!(text.lines().any(|l| l.starts_with("r1 alive") && !l.contains("differs")), "{text}");
-    let words = ["fleet", "watch", "--looks", "2", "--every", "0.1", "--socket", &socket];
-    let output = rig.fleet.command(&words).expect("run");
+    let arguments = ["fleet", "watch", "--looks", "2", "--every", "0.1", "--socket", &socket];
+    let output = rig.fleet.command(&arguments).expect("run");
     assert!(output.status.success() && String::from_utf8_lossy(&output.stdout).contains("r1 alive"));
 }
 
--- a/crates/router/tests/gateway.rs
+++ b/crates/router/tests/gateway.rs
@@ -172,7 +172,7 @@
 /// A fitting video stops in the middle: the link is cut, or goes silent in either direction or both; it comes back soon,
 /// just in time, or too late. The client gets one whole body, or is refused in time.
 #[test]
-fn a_video_that_stops_in_the_middle_is_whole_or_refused() {
+fn a_video_that_stops_in_the_middle_is_completed_or_refused() {
     const SIZE: usize = 200_000;
     // How it stops, after how long it is back, and whether the client is to have its video.
     let table: [(&str, &[usize], u64, bool); 7] = [
@@ -188,7 +188,7 @@
     let settings = format!("{QUICK}, fresh = 0");
     let sites = sites(&settings, |kind| Makeup { size: SIZE, ..Makeup::new(kind) });
     without_caches(&sites);
-    for (n, (how, directions, back, whole)) in table.into_iter().enumerate() {
+    for (n, (how, directions, back, is_complete)) in table.into_iter().enumerate() {
         sites.until_up().expect("the link is up");
         sites.middle.weather(BACK, Weather { rate: 400_000.0, ..Weather::default() });
         let before = sites.middle.passed().bodies[BACK];
@@ -202,7 +202,7 @@
         }
         let answer = thread::spawn(move || one.answer().expect("an answer"));
         let begun = Instant::now();
-        while begun.elapsed() < Duration::from_millis(back) && (whole || !answer.is_finished()) {
+        while begun.elapsed() < Duration::from_millis(back) && (is_complete || !answer.is_finished()) {
             thread::sleep(Duration::from_millis(5));
         }
         sites.middle.mend();
@@ -213,7 +213,7 @@
         let case = format!(
             "{how} {directions:?} for {back} ms: {code} after {took:.0} ms, {anew} bytes on new connections"
         );
-        assert_eq!((code, body.len()), if whole { (1, SIZE) } else { (2, 0) }, "{case}");
+        assert_eq!((code, body.len()), if is_complete { (1, SIZE) } else { (2, 0) }, "{case}");
         // What was there already did not cross again.
         assert!((anew as usize) <= SIZE - 60_000, "{case}");
         println!("{case}");
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_booking_that_was_written_whole_and_has_not_run_runs_once_at_the_most() {
+fn a_booking_that_was_sent_in_full_and_has_not_run_runs_once_at_the_most() {
     silent_with_a_booking(When::Before);
 }
 
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_booking_whose_answer_is_on_its_way_runs_once_at_the_most() {
+fn a_booking_whose_answer_is_in_flight_runs_once_at_the_most() {
     silent_with_a_booking(When::After);
 }
 
@@ -328,7 +328,7 @@
 
 /// A drain or a purge is known at the north alone: while requests cross, during a cut, and with one under way.
 #[test]
-fn what_one_side_is_told_of_holds_at_the_other() {
+fn what_one_side_is_notified_of_holds_at_the_other() {
     let sites = sites(QUICK, Makeup::new);
     without_caches(&sites);
     let load = Load { rate: 80.0, objects: 40, ..Load::default() };
@@ -420,10 +420,10 @@
         known_state: StatePosition::default(),
         proof: Vec::new(),
     };
-    let word = |stream: u32, word: Message| encode_frame(&Frame { stream, message: word });
-    let good = word(0, Message::Hello(hello("north", "bad", 5)));
+    let frame = |stream: u32, frame: Message| encode_frame(&Frame { stream, message: frame });
+    let good = frame(0, Message::Hello(hello("north", "bad", 5)));
     let open = |stream: u32| {
-        word(
+        frame(
             stream,
             Message::Request(Box::new(ForwardedRequest {
                 token: Some(Token { epoch: 5, number: u64::from(stream) }),
@@ -441,11 +441,11 @@
     let table: Vec<(&str, Vec<u8>)> = vec![
         ("garbage", (0..2_000u32).map(|n| (n * 7 % 251) as u8).collect()),
         ("a frame of 4 GB", vec![255, 255, 255, 255, 1, 0, 0, 0, 0]),
-        ("a word before its hello", word(0, Message::Ping(1))),
+        ("a word before its hello", frame(0, Message::Ping(1))),
         ("a second hello", after(good.clone())),
         (
             "another version",
-            word(
+            frame(
                 0,
                 Message::Hello(Hello {
                     versions: VersionRange { min: 7, max: 9 },
@@ -453,20 +453,20 @@
                 }),
             ),
         ),
-        ("this very site", word(0, Message::Hello(hello("south", "bad", 5)))),
-        ("a strange site", word(0, Message::Hello(hello("east", "bad", 5)))),
-        ("a start that is yet to come", word(0, Message::Hello(hello("north", NORTH, u64::MAX)))),
-        ("an earlier start", word(0, Message::Hello(hello("north", NORTH, 1)))),
+        ("this very site", frame(0, Message::Hello(hello("south", "bad", 5)))),
+        ("a strange site", frame(0, Message::Hello(hello("east", "bad", 5)))),
+        ("a start that is yet to come", frame(0, Message::Hello(hello("north", NORTH, u64::MAX)))),
+        ("an earlier start", frame(0, Message::Hello(hello("north", NORTH, 1)))),
         ("a stream again", after([open(3), open(3)].concat())),
-        ("an answer to nothing", after(word(1, Message::Response(Box::new(begins))))),
-        ("bytes for nothing", after(word(9, Message::Data(vec![0; 100].into())))),
+        ("an answer to nothing", after(frame(1, Message::Response(Box::new(begins))))),
+        ("bytes for nothing", after(frame(9, Message::Data(vec![0; 100].into())))),
         (
             "credit without end",
-            after([word(0, Message::Credit(u32::MAX)), word(0, Message::Credit(u32::MAX))].concat()),
+            after([frame(0, Message::Credit(u32::MAX)), frame(0, Message::Credit(u32::MAX))].concat()),
         ),
         (
             "pings without end, and it reads nothing",
-            after((0..300_000u64).flat_map(|n| word(0, Message::Ping(n))).collect()),
+            after((0..300_000u64).flat_map(|n| frame(0, Message::Ping(n))).collect()),
         ),
         ("half a frame, then silence", good[..7].to_vec()),
     ];
@@ -478,7 +478,7 @@
         let _ = stream.write_all(&bytes);
         let mut rest = Vec::new();
         let ended = stream.read_to_end(&mut rest);
-        let in_time = ended.as_ref().err().is_none_or(|wrong| wrong.kind() != ErrorKind::WouldBlock);
+        let in_time = ended.as_ref().err().is_none_or(|error| error.kind() != ErrorKind::WouldBlock);
         assert!(in_time, "{what}: {ended:?}");
         assert!(rest.len() < 8 << 20, "{what}");
     }
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -33,9 +33,9 @@
     }
 
     /// The exit code and the output of the program, with the folder's path taken out.
-    fn run(&self, words: &[&str], config: Option<&Path>) -> String {
+    fn run(&self, arguments: &[&str], config: Option<&Path>) -> String {
         let mut command = Command::new(PROGRAM);
-        command.args(words).stdin(Stdio::null()).current_dir(&self.0);
+        command.args(arguments).stdin(Stdio::null()).current_dir(&self.0);
         for name in ["LB_CONFIG", "LB_OPERATOR", "LB_CONTROL"] {
             command.env_remove(name);
         }
@@ -61,10 +61,10 @@
 }
 
 #[test]
-fn bad_configurations_are_refused_in_the_same_words() {
+fn bad_configurations_are_refused_by_the_same_text() {
     let folder = Folder::new("config");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let port = taken.local_addr().expect("its address").port();
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let port = occupied.local_addr().expect("its address").port();
     let cases = [
         ("not JSON", "name = n0".to_string()),
         ("empty", String::new()),
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn bad_commands_and_operator_files_are_refused_in_the_same_words() {
+fn bad_commands_and_operator_files_are_refused_by_the_same_text() {
     let folder = Folder::new("commands");
     let good = folder.write("config.json", &example(|_| ()));
     folder.write("bad.star", "hierarchy(warm = \"soon\")");
@@ -127,7 +127,8 @@
         &["run", "--operator", "socket.star"],
         &["hollow", "nowhere.json"],
     ];
-    let run = |words: &&[&str]| format!("{}: {}", words.join(" "), folder.run(words, Some(&good)));
+    let run =
+        |arguments: &&[&str]| format!("{}: {}", arguments.join(" "), folder.run(arguments, Some(&good)));
     assert_golden("bad_commands.txt", &cases.iter().map(run).collect::<String>());
 }
 
@@ -147,15 +148,16 @@
         &["audit", "--help"],
         &["settings"],
     ];
-    let run = |words: &&[&str]| format!("{}: {}", words.join(" "), folder.run(words, None));
+    let run = |arguments: &&[&str]| format!("{}: {}", arguments.join(" "), folder.run(arguments, None));
     assert_golden("help.txt", &cases.iter().map(run).collect::<String>());
 }
 
 /// The names of the counters in their order, without their values.
 fn names(fleet: &Fleet) -> String {
     let line = fleet.router.counters_line();
-    let words = line.split_whitespace().map(|word| word.split_once('=').map_or(word, |(name, _)| name));
-    words.collect::<Vec<_>>().join("\n") + "\n"
+    let arguments =
+        line.split_whitespace().map(|field| field.split_once('=').map_or(field, |(name, _)| name));
+    arguments.collect::<Vec<_>>().join("\n") + "\n"
 }
 
 #[test]
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -55,10 +55,10 @@
     Load { wait: UNHURRIED, ..Load::default() }
 }
 
-fn ask(fleet: &Fleet, router: &str, words: &[&str]) -> (i32, String) {
+fn ask(fleet: &Fleet, router: &str, arguments: &[&str]) -> (i32, String) {
     let socket = fleet.socket(router).display().to_string();
-    let words = [&["hierarchy"], words, &["--socket", &socket, "--format", "json"]].concat();
-    let output = fleet.command(&words).expect("the program runs");
+    let arguments = [&["hierarchy"], arguments, &["--socket", &socket, "--format", "json"]].concat();
+    let output = fleet.command(&arguments).expect("the program runs");
     let text = if output.status.success() { output.stdout } else { output.stderr };
     (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
 }
@@ -297,7 +297,7 @@
 /// The parent that caches fill from dies, and a new one gets its address: under its own name, cold, and only once a
 /// change has made it a source.
 #[test]
-fn a_new_parent_at_the_address_of_one_that_has_gone() {
+fn a_new_parent_at_the_address_of_one_that_was_removed() {
     let mut fleet = fleet_by(&["n0"], QUICK, Makeup::new, |_| {});
     let running = fleet.load("n0", &Load { rate: 100.0, objects: 600, ..Load::default() }).expect("clients");
     thread::sleep(Duration::from_millis(600));
--- a/crates/router/tests/places.rs
+++ b/crates/router/tests/places.rs
@@ -20,9 +20,9 @@
 
 fn plan() -> Plan {
     let plan = Plan::default();
-    let fellows = format!("{}, progress = 0.5, gather = 0.1, renew = 0.5", plan.fellows);
+    let section = format!("{}, progress = 0.5, gather = 0.1, renew = 0.5", plan.fellows);
     let places: Vec<String> = PLACES.map(str::to_string).to_vec();
-    Plan { routers: PLACES.len(), places, fellows, rate: 10.0, ..plan }
+    Plan { routers: PLACES.len(), places, fellows: section, rate: 10.0, ..plan }
 }
 
 fn rig() -> Rig {
@@ -38,7 +38,7 @@
 }
 
 /// A place stands so, as a router has it: by whom it is told, and how many are alive.
-fn told(shown: &Value, of: &str, by: usize, alive: u64) -> bool {
+fn is_summarized(shown: &Value, of: &str, by: usize, alive: u64) -> bool {
     place(shown, of).is_some_and(|line| {
         line["by"] == name(by).as_str() && line["alive"] == alive && line["fresh"] == true
     })
@@ -46,7 +46,9 @@
 
 /// The sums of all sites and regions that a router in the north knows, by the routers that run.
 fn north(shown: &Value, by: usize, south: u64) -> bool {
-    told(shown, "south", by, south) && told(shown, "north", 5, 2) && told(shown, "north/z2/c", 5, 2)
+    is_summarized(shown, "south", by, south)
+        && is_summarized(shown, "north", 5, 2)
+        && is_summarized(shown, "north/z2/c", 5, 2)
 }
 
 #[test]
@@ -55,7 +57,9 @@
     rig.load_all().expect("load");
     rig.until(5, "all are counted", |shown| north(shown, 0, 5) && shown["whole"] == 7).expect("seen");
     rig.until(0, "the sites of the zone", |shown| {
-        told(shown, "south/z1/a", 0, 3) && told(shown, "south/z1/b", 3, 2) && told(shown, "north", 5, 2)
+        is_summarized(shown, "south/z1/a", 0, 3)
+            && is_summarized(shown, "south/z1/b", 3, 2)
+            && is_summarized(shown, "north", 5, 2)
     })
     .expect("seen");
     let shown = rig.shown(0).expect("shown");
@@ -68,7 +72,7 @@
     rig.until(5, "r1 speaks", |shown| north(shown, 1, 4)).expect("seen");
     rig.kill(1);
     rig.until(5, "r2 speaks for what is left", |shown| north(shown, 2, 3)).expect("seen");
-    rig.until(3, "and so it is in the zone", |shown| told(shown, "south/z1/a", 2, 1)).expect("seen");
+    rig.until(3, "and so it is in the zone", |shown| is_summarized(shown, "south/z1/a", 2, 1)).expect("seen");
     for n in [0, 1] {
         rig.start_again(n).expect("it starts");
         rig.load(n).expect("load");
@@ -95,7 +99,7 @@
     rig.one_way(0, 2);
     rig.until(1, "r0 is out of reach", |shown| alive(shown) == 1).expect("seen");
     // Both speak, each for its part; the one that counts more goes on.
-    rig.until(3, "r1 speaks for the site", |shown| told(shown, "south/z1/a", 1, 2)).expect("seen");
+    rig.until(3, "r1 speaks for the site", |shown| is_summarized(shown, "south/z1/a", 1, 2)).expect("seen");
     rig.mend_all();
     rig.until(5, "r0 speaks again", |shown| north(shown, 0, 5)).expect("seen");
     rig.settle().expect("all of one mind");
@@ -113,7 +117,8 @@
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
     rig.split(5);
     let apart = |shown: &Value| {
-        place(shown, "south").is_some_and(|line| line["fresh"] == false) && told(shown, "north", 5, 2)
+        place(shown, "south").is_some_and(|line| line["fresh"] == false)
+            && is_summarized(shown, "north", 5, 2)
     };
     rig.until(6, "the south is not heard of", apart).expect("seen");
     rig.tell("cache-1", Phase::Draining, &[0]).expect("told");
@@ -186,10 +191,10 @@
         site[1].as_array().into_iter().flatten().filter_map(|line| line["name"].as_str()).collect();
     assert_eq!(names, ["r5", "r6"]);
     let socket = rig.fleet.socket("r0").display().to_string();
-    let run = |words: &[&str]| {
-        let words: Vec<&str> =
-            ["fleet", "show"].iter().chain(words).chain(&["--socket", &socket]).copied().collect();
-        rig.fleet.command(&words).expect("run")
+    let run = |arguments: &[&str]| {
+        let arguments: Vec<&str> =
+            ["fleet", "show"].iter().chain(arguments).chain(&["--socket", &socket]).copied().collect();
+        rig.fleet.command(&arguments).expect("run")
     };
     let text = String::from_utf8_lossy(&run(&[]).stdout).into_owned();
     assert!(text.lines().any(|l| l.starts_with("north: 2 alive, 2 as here")), "{text}");
@@ -205,14 +210,16 @@
     let mut rig = rig();
     rig.load_all().expect("load");
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
-    rig.until(0, "the other site", |shown| told(shown, "south/z1/b", 3, 2)).expect("seen");
+    rig.until(0, "the other site", |shown| is_summarized(shown, "south/z1/b", 3, 2)).expect("seen");
     [0, 3, 5].into_iter().for_each(|n| rig.kill(n));
-    rig.until(6, "the next ones speak", |shown| told(shown, "south", 1, 3) && told(shown, "north", 6, 1))
-        .expect("seen");
-    rig.until(2, "in the zone too", |shown| told(shown, "south/z1/b", 4, 1)).expect("seen");
+    rig.until(6, "the next ones speak", |shown| {
+        is_summarized(shown, "south", 1, 3) && is_summarized(shown, "north", 6, 1)
+    })
+    .expect("seen");
+    rig.until(2, "in the zone too", |shown| is_summarized(shown, "south/z1/b", 4, 1)).expect("seen");
     // The one that is gone is known by name in its site, and whoever asks for it elsewhere hears so.
-    let gone = |shown: &Value| line(shown, "r0").is_some_and(|line| line["standing"] != "Alive");
-    rig.until(1, "r0 is missing", gone).expect("seen");
+    let is_missing = |shown: &Value| line(shown, "r0").is_some_and(|line| line["standing"] != "Alive");
+    rig.until(1, "r0 is missing", is_missing).expect("seen");
     let detail = rig.fleet.asked("r6", &["fleet", "show", "r0"]).expect("answered");
     assert!(detail[0] == "south/z1/a" && detail[1][0]["name"] == "r0", "{detail}");
     assert!(detail[1][0]["standing"] != "Alive", "{detail}");
@@ -222,7 +229,7 @@
         rig.load(n).expect("load");
     }
     rig.until(6, "they speak again", |shown| north(shown, 0, 5)).expect("seen");
-    rig.until(2, "in the zone too", |shown| told(shown, "south/z1/b", 3, 2)).expect("seen");
+    rig.until(2, "in the zone too", |shown| is_summarized(shown, "south/z1/b", 3, 2)).expect("seen");
     rig.look().expect("shown");
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken");
@@ -246,7 +253,9 @@
         rig.until(n, "all are counted", |shown| north(shown, 0, 5) && shown["whole"] == 7).expect("seen");
     }
     for n in [0, 4] {
-        let zone = |shown: &Value| told(shown, "south/z1/a", 0, 3) && told(shown, "south/z1/b", 3, 2);
+        let zone = |shown: &Value| {
+            is_summarized(shown, "south/z1/a", 0, 3) && is_summarized(shown, "south/z1/b", 3, 2)
+        };
         rig.until(n, "the zone", zone).expect("seen");
     }
     rig.look().expect("shown");
@@ -280,7 +289,8 @@
         all.is_some_and(|all| all.iter().any(|line| line[0] == "cache-2"))
     };
     for n in [0, 1, 2, 3] {
-        rig.until(n, "it has caught up", |shown| barred(shown) && told(shown, "north", 5, 2)).expect("heard");
+        rig.until(n, "it has caught up", |shown| barred(shown) && is_summarized(shown, "north", 5, 2))
+            .expect("heard");
     }
     rig.settle().expect("one hierarchy");
     let after = (rig.bytes_across(5), Instant::now());
@@ -309,7 +319,9 @@
     let plan = Plan { routers: 4, places, links: Some(vec![(1, 0), (2, 1), (3, 2)]), ..plan() };
     let mut rig = Rig::start_with(PROGRAM, plan, old).expect("a fleet");
     rig.load_all().expect("load");
-    let all = |shown: &Value| told(shown, "south", 0, 3) && told(shown, "north", 3, 1) && shown["whole"] == 4;
+    let all = |shown: &Value| {
+        is_summarized(shown, "south", 0, 3) && is_summarized(shown, "north", 3, 1) && shown["whole"] == 4
+    };
     for n in [0, 2, 3] {
         rig.until(n, "all are counted", all).expect("seen");
     }
@@ -322,7 +334,7 @@
     rig.settle().expect("one hierarchy");
     // Killed, the two at its sides do not hear of each other; started again, it passes all on as before.
     rig.kill(1);
-    let apart = |shown: &Value| told(shown, "south/a", 0, 1) && alive(shown) == 0;
+    let apart = |shown: &Value| is_summarized(shown, "south/a", 0, 1) && alive(shown) == 0;
     rig.until(0, "it is alone", apart).expect("seen");
     rig.start_again(1).expect("it starts");
     rig.load(1).expect("load");
@@ -342,7 +354,7 @@
     let mut rig = Rig::start(PROGRAM, Plan { straggler, ..plan() }).expect("a fleet");
     rig.load_all().expect("load");
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
-    rig.until(0, "the zone", |shown| told(shown, "south/z1/a", 0, 3)).expect("seen");
+    rig.until(0, "the zone", |shown| is_summarized(shown, "south/z1/a", 0, 3)).expect("seen");
     let bound = Duration::from_secs(1);
     let named = |of: &'static str, names: &'static [&'static str]| {
         move |shown: &Value| {
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_request_is_taken_however_its_bytes_come() {
+fn a_request_is_accepted_however_its_bytes_arrive() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     for byte in request(1, &video("0000000000000001", "00000000000000aa"), b"xyz") {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn long_answers_come_whole() {
+fn long_answers_are_complete() {
     let long: Vec<u8> = (0..240_000u32).map(|n| (n % 251) as u8).collect();
     let body = long.clone();
     let both = move || {
@@ -102,7 +102,7 @@
     let (silent, other, connection, id) = asked_either(&fleet.a, &fleet.b);
     let (again, same, ..) = asked(other);
     assert_eq!(same, id);
-    let end = wait(&silent.events, |heard| !matches!(heard, CacheEvent::Opened { .. }));
+    let end = wait(&silent.events, |event| !matches!(event, CacheEvent::Opened { .. }));
     assert_eq!(end, CacheEvent::Closed { connection });
     other.answer(again, &id, &Answer::data("late but whole")).expect("answered");
     let answer = client.read().expect("an answer");
@@ -129,17 +129,18 @@
     };
     let (shared, given_up) = asks.iter().find(shares).cloned().expect("a shared connection");
     let other = |(connection, id): &&(usize, String)| *connection == shared && *id != given_up;
-    let (_, kept) = asks.iter().find(other).cloned().expect("what shares it");
-    let (alone, heard) = asks.iter().find(|(connection, _)| *connection != shared).cloned().expect("another");
-    cache.answer(alone, &heard, &Answer::data("heard")).expect("answered");
+    let (_, other_id) = asks.iter().find(other).cloned().expect("what shares it");
+    let (alone, alone_id) =
+        asks.iter().find(|(connection, _)| *connection != shared).cloned().expect("another");
+    cache.answer(alone, &alone_id, &Answer::data("heard")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"heard");
     client.give_up(u32::from_str_radix(&given_up, 16).expect("a stream")).expect("sent");
-    let quit = wait(&cache.events, |heard| !matches!(heard, CacheEvent::Opened { .. }));
+    let quit = wait(&cache.events, |event| !matches!(event, CacheEvent::Opened { .. }));
     assert_eq!(quit, CacheEvent::Cancel { connection: shared, id: given_up.clone() });
     cache.answer(shared, &given_up, &Answer::data("late")).expect("answered");
-    cache.answer(shared, &kept, &Answer::data("kept")).expect("answered");
+    cache.answer(shared, &other_id, &Answer::data("kept")).expect("answered");
     let answer = client.read().expect("an answer");
-    assert_eq!((format!("{:016x}", answer.stream), answer.body), (kept, b"kept".to_vec()));
+    assert_eq!((format!("{:016x}", answer.stream), answer.body), (other_id, b"kept".to_vec()));
 }
 
 #[test]
@@ -162,7 +163,7 @@
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     let (cache, _, connection, _) = asked_either(&fleet.a, &fleet.b);
     client.give_up(1).expect("sent");
-    wait(&cache.events, |heard| *heard == CacheEvent::Closed { connection });
+    wait(&cache.events, |event| *event == CacheEvent::Closed { connection });
     // The next answer on the connection is that of the next question.
     client.ask_ready(2).expect("sent");
     let next = client.read().expect("an answer");
@@ -196,7 +197,7 @@
 #[test]
 fn a_write_that_reached_nobody_is_refused() {
     let fleet = fleet();
-    let (_taken, nobody) = nobody();
+    let (_occupied, nobody) = nobody();
     fleet.journal.publish(json!({"hosts": {"rev": 2, "all": false,
         "targets": [host("origin", nobody, "Ready")]}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn a_copy_that_holds_is_said_only_to_the_client_that_has_it() {
+fn a_current_copy_is_reported_only_to_the_client_that_has_it() {
     let unchanged = || {
         cache(|_, fields, _| {
             let digest = if fields.contains_key("got") { "digest=4be0c1,res=HIT" } else { "res=HIT" };
@@ -255,7 +256,7 @@
 }
 
 #[test]
-fn a_copy_that_no_cache_names_is_not_said_to_hold() {
+fn a_copy_that_no_cache_names_is_not_reported_as_current() {
     let unnamed =
         || cache(|_, _, _| Some(Answer { status: "unchanged", fields: "res=HIT".into(), body: Vec::new() }));
     let fleet = fleet_of(unnamed(), unnamed(), echo("origin"));
@@ -268,7 +269,7 @@
 }
 
 #[test]
-fn a_malformed_frame_is_told_of_on_stream_0_and_ends_the_connection() {
+fn a_malformed_frame_is_reported_on_stream_0_and_ends_the_connection() {
     let fleet = fleet();
     for bytes in [&[0, 0, 0, 5, 99, 0, 0, 0, 1][..], &[0xff; 9], &[0, 0, 0, 6, 65, 0, 0, 0, 0, 0]] {
         let mut client = fleet.router.client();
@@ -287,7 +288,7 @@
 
 /// Whoever does nothing is owed a close within 3 s, and must not hold the place of one with something to ask.
 #[test]
-fn silent_connections_make_room_and_are_told_and_closed_in_time() {
+fn silent_connections_are_notified_and_closed_in_time() {
     let fleet = narrow_fleet_of(64, echo("a"), echo("b"));
     let start = std::time::Instant::now();
     let mut silent: Vec<Client> = (0..60).map(|_| fleet.router.client()).collect();
@@ -300,8 +301,8 @@
         client.ask(stream, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
         assert_eq!(client.read().expect("an answer").code, SERVED);
     }
-    let told = silent.iter_mut().chain([&mut half]).filter_map(|client| client.read().ok()).count();
-    assert!(told > 0, "those not closed to make room are told why");
+    let error = silent.iter_mut().chain([&mut half]).filter_map(|client| client.read().ok()).count();
+    assert!(error > 0, "those not closed to make room are told why");
     // 2 s by the limits; some more, as tests run beside each other.
     assert!(start.elapsed().as_millis() < 5_000, "{:?}", start.elapsed());
 }
@@ -345,7 +346,7 @@
 }
 
 #[test]
-fn half_a_message_that_gives_way_for_another_client_is_told() {
+fn half_a_message_whose_client_is_displaced_is_reported() {
     let (fleet, mut client) = one_place();
     let bytes = request(2, &video("00000000000000e1", "00000000000000aa"), b"");
     client.stream.write_all(&bytes[..40]).expect("sent");
@@ -427,7 +428,7 @@
 
 /// Caches tell requests by their ids alone.
 #[test]
-fn the_id_of_an_open_request_is_not_taken_for_another_object() {
+fn the_id_of_an_open_request_is_rejected_for_another_object() {
     let fleet = fleet_of(holding(), holding(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
@@ -441,7 +442,7 @@
 }
 
 #[test]
-fn what_is_taken_back_at_once_and_more_than_may_be_open_reach_no_cache() {
+fn requests_cancelled_at_once_or_over_the_limit_reach_no_cache() {
     let fleet = fleet_of(holding(), holding(), echo("origin"));
     let ask = |stream: u32| request(stream, &video(&format!("{stream:016x}"), "00000000000000aa"), b"");
     let mut client = fleet.router.client();
@@ -478,7 +479,7 @@
     let frames: Vec<(u32, u8)> =
         std::iter::from_fn(|| client.read().ok()).map(|f| (f.stream, f.code)).collect();
     assert_eq!(frames, [(1, FAILED), (2, FAILED), (3, FAILED), (0, FAILED)]);
-    wait(&cache.events, |heard| *heard == CacheEvent::Closed { connection });
+    wait(&cache.events, |event| *event == CacheEvent::Closed { connection });
     assert_eq!(left_over(&fleet.a) + left_over(&fleet.b), 0);
 }
 
@@ -507,7 +508,7 @@
 
 /// Each replaced cache used to leave a line for good.
 #[test]
-fn what_is_kept_of_replaced_caches_ends_with_them() {
+fn the_state_of_replaced_caches_ends_with_them() {
     let fleet = fleet();
     for rev in 0..300u32 {
         let line = |rev: u32, state: &str| {
@@ -548,7 +549,7 @@
 }
 
 #[test]
-fn a_poll_that_was_lost_is_made_again_from_the_last_number() {
+fn a_lost_poll_is_repeated_from_the_last_position() {
     let fleet = fleet();
     wait(&fleet.journal.polls, |tail| *tail == 1);
     fleet.journal.drop_poll();
@@ -608,8 +609,8 @@
     client.ask(2, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     let (cache, _, connection, id) = asked_either(&fleet.a, &fleet.b);
     fleet.router.signal(Signal::SIGTERM);
-    let told = client.read().expect("a frame");
-    assert_eq!((told.kind, told.stream), (90, 0));
+    let error = client.read().expect("a frame");
+    assert_eq!((error.kind, error.stream), (90, 0));
     let mut late = fleet.router.client();
     assert_eq!(late.read().expect("a frame").kind, 90);
     late.ask_ready(1).expect("sent");
@@ -742,7 +743,7 @@
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     let (cache, _, connection, _) = asked_either(&fleet.a, &fleet.b);
     client.stream.shutdown(Shutdown::Both).expect("closed");
-    wait(&cache.events, |heard| *heard == CacheEvent::Closed { connection });
+    wait(&cache.events, |event| *event == CacheEvent::Closed { connection });
 }
 
 /// A figure that is missing, nothing, very small, very large or no figure at all: either the router says in one line
@@ -766,35 +767,35 @@
     ];
     let fleet = fleet();
     let (mut refused, mut answered) = (0, 0);
-    for way in places {
+    for path in places {
         for value in &values {
             let change = |config: &mut serde_json::Value| {
                 let mut at = &mut config["settings"];
-                for step in &way[..way.len() - 1] {
+                for step in &path[..path.len() - 1] {
                     at = match step.parse::<usize>() {
                         Ok(n) => &mut at[n],
                         Err(_) => &mut at[*step],
                     };
                 }
-                let last = way[way.len() - 1];
+                let last = path[path.len() - 1];
                 match value.is_null() {
                     true => drop(at.as_object_mut().expect("an object").remove(last)),
                     false => at[last] = value.clone(),
                 }
             };
             match Router::try_start(&fleet.journal, change, None, None) {
-                Err(said) => {
-                    assert_eq!(said.len(), 1, "{way:?} {value}: {said:?}");
-                    assert!(said[0].contains(way[way.len() - 1]), "{way:?} {value}: {said:?}");
+                Err(log_lines) => {
+                    assert_eq!(log_lines.len(), 1, "{path:?} {value}: {log_lines:?}");
+                    assert!(log_lines[0].contains(path[path.len() - 1]), "{path:?} {value}: {log_lines:?}");
                     refused += 1;
                 }
                 Ok(router) => {
                     let mut client = router.client();
-                    let wish =
+                    let fields =
                         [("c", "video"), ("i", "00000000000000e1"), ("o", "00000000000000aa"), ("d", "900")];
-                    client.ask(1, &wish, b"").expect("sent");
+                    client.ask(1, &fields, b"").expect("sent");
                     let answer = client.read().expect("an answer");
-                    assert_eq!((answer.kind, answer.stream), (66, 1), "{way:?} {value}");
+                    assert_eq!((answer.kind, answer.stream), (66, 1), "{path:?} {value}");
                     answered += 1;
                 }
             }
--- a/crates/router/tests/scale.rs
+++ b/crates/router/tests/scale.rs
@@ -103,12 +103,12 @@
 #[test]
 fn a_router_that_can_not_begin_ends_its_process() {
     let journal = Journal::start("127.0.0.1:0", Vec::new()).expect("a journal");
-    let taken = TcpListener::bind("127.0.0.1:0").expect("it listens");
-    let taken = taken.local_addr().expect("its address").to_string();
-    let mut process = Process::start("taken", &journal, &["127.0.0.1:0", &taken, "127.0.0.1:0"]);
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("it listens");
+    let occupied = occupied.local_addr().expect("its address").to_string();
+    let mut process = Process::start("taken", &journal, &["127.0.0.1:0", &occupied, "127.0.0.1:0"]);
     assert_eq!(process.code(), Some(1));
-    let said: Vec<String> = process.log.iter().collect();
-    assert!(said.iter().any(|line| line.contains("in use")), "{said:?}");
+    let bytes_sent: Vec<String> = process.log.iter().collect();
+    assert!(bytes_sent.iter().any(|line| line.contains("in use")), "{bytes_sent:?}");
 }
 
 fn row<'a>(rows: &'a [Sample], form: Form, measure: &str) -> &'a Sample {
@@ -142,8 +142,11 @@
             assert!((ratio.worst - 1.0).abs() < slack && (ratio.median - 1.0).abs() < slack, "{ratio:?}");
         }
         // As shipped no more than 32 KB/s of facts may be said, and what was saved up of two seconds.
-        let said = row(&rows, form, "fact bytes").worst;
-        assert!(said > 0.0 && said < 32_768.0 * (1.0 + 2.0 / 6.0), "{said} bytes of facts a second");
+        let bytes_sent = row(&rows, form, "fact bytes").worst;
+        assert!(
+            bytes_sent > 0.0 && bytes_sent < 32_768.0 * (1.0 + 2.0 / 6.0),
+            "{bytes_sent} bytes of facts a second"
+        );
     }
     for measure in ["link said", "link heard", "journal heard", "facts said", "fact bytes"] {
         let [real, hollow] = [Form::Real, Form::Hollow].map(|form| row(&rows, form, measure).median);
--- a/crates/router/tests/unit/answers.rs
+++ b/crates/router/tests/unit/answers.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_rejection_tells_whole_milliseconds_and_nothing_for_0() {
+fn a_rejection_has_integer_milliseconds_and_no_field_for_0() {
     let wait = |retry_after| frame(rejected(retry_after), ResponsePayload::Empty);
     assert_eq!(wait(0.0), (AnswerCode::Rejected, None, Vec::new()));
     assert_eq!(wait(12.2), (AnswerCode::Rejected, Some(("w", "13".to_string())), Vec::new()));
--- a/crates/router/tests/unit/log.rs
+++ b/crates/router/tests/unit/log.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn lines_beyond_the_rate_are_held_back_and_counted() {
+fn lines_over_the_rate_are_suppressed_and_counted() {
     assert_eq!(admit(), Some(0));
     limit_rate(2);
     assert_eq!([admit(), admit(), admit(), admit()], [Some(0), Some(0), None, None]);
--- a/crates/router/tests/unit/policy_adapter.rs
+++ b/crates/router/tests/unit/policy_adapter.rs
@@ -6,8 +6,8 @@
     let text = include_str!("../../../../examples/config.json");
     let config: serde_json::Value = serde_json::from_str(text).expect("the example configuration");
     let settings = config["settings"].to_string();
-    let told = linnethook_settings::decode(settings.as_bytes()).expect("its settings");
-    let mut adapter = PolicyAdapter::new(told, 7);
+    let settings = linnethook_settings::decode(settings.as_bytes()).expect("its settings");
+    let mut adapter = PolicyAdapter::new(settings, 7);
     let host = |uid: &str, zone: &str, kind: &str| EndpointInfo {
         uid: uid.to_string(),
         zone: zone.to_string(),
@@ -105,7 +105,7 @@
 
 /// A long day replaces its caches, objects and ids many times over: what is kept must not grow with them.
 #[test]
-fn what_is_kept_does_not_grow_with_what_has_gone() {
+fn the_state_does_not_grow_with_past_requests() {
     let mut adapter = adapter();
     let mut now = 1000.0;
     let mut ticket = 0;
@@ -243,8 +243,8 @@
     let text = include_str!("../../../../examples/config.json");
     let config: serde_json::Value = serde_json::from_str(text).expect("the example configuration");
     let adapter = |settings: &serde_json::Value| {
-        let told = linnethook_settings::decode(settings.to_string().as_bytes()).expect("its settings");
-        PolicyAdapter::new(told, 7)
+        let settings = linnethook_settings::decode(settings.to_string().as_bytes()).expect("its settings");
+        PolicyAdapter::new(settings, 7)
     };
     let other = renamed(&config["settings"]);
     let alone = stretch(&mut adapter(&config["settings"]), "", |_| ());
