--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -34,7 +34,9 @@
 
 pub use crate::actions::{Action, ConnectionId, RemoteRequest, Reply, FIRST_REMOTE_TICKET};
 pub use crate::config::{GatewayConfig, GatewaySetup, PeerConfig};
-pub use crate::status::{ConnLine, GatewayCounts, GatewayLine, RouteLine, SiteLine, Status};
+pub use crate::status::{
+    ConnectionView, GatewayCounts, GatewayStatusView, PeerGatewayView, RemoteSiteView, RouteView, SiteShare,
+};
 
 /// How often the views of other sites are refreshed, in milliseconds.
 const VIEW_REFRESH_INTERVAL: Ms = 50.0;
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -14,7 +14,7 @@
 use crate::session::Session;
 use crate::site_names::OWN_SITE;
 use crate::site_state::{FactKey, FactValue, ReceivedState};
-use crate::status::{ConnLine, GatewayCounts};
+use crate::status::{ConnectionView, GatewayCounts};
 
 /// A connection and what it belongs to.
 #[derive(Debug)]
@@ -29,15 +29,15 @@
 }
 
 impl SiteConnection {
-    pub fn status(&self, now: Ms) -> ConnLine {
+    pub fn status(&self, now: Ms) -> ConnectionView {
         let streams = self.session.open_streams();
-        ConnLine {
+        ConnectionView {
             health: self.session.heartbeat.health(now).name().to_string(),
-            trip: self.session.heartbeat.round_trip(),
+            round_trip: self.session.heartbeat.round_trip(),
             phi: self.session.heartbeat.phi(now),
-            out: streams.outgoing as u64,
-            serving: streams.incoming as u64,
-            waiting: self.session.queued_bytes(),
+            outgoing: streams.outgoing as u64,
+            incoming: streams.incoming as u64,
+            queued_bytes: self.session.queued_bytes(),
         }
     }
 
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -60,80 +60,122 @@
 
 /// A connection.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ConnLine {
+pub struct ConnectionView {
     /// The name of its [`LinkHealth`](crate::heartbeat::LinkHealth).
     #[serde(rename = "feel")]
     pub health: String,
     /// How long an answer to a ping takes, in milliseconds.
-    pub trip: Ms,
+    #[serde(rename = "trip")]
+    pub round_trip: Ms,
     /// The suspicion that the other side is silent.
     pub phi: f64,
     /// Requests to the other side.
-    pub out: u64,
+    #[serde(rename = "out")]
+    pub outgoing: u64,
     /// Requests from the other side.
-    pub serving: u64,
+    #[serde(rename = "serving")]
+    pub incoming: u64,
     /// Bytes that wait to be written.
-    pub waiting: u64,
+    #[serde(rename = "waiting")]
+    pub queued_bytes: u64,
 }
 
 /// Another gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct GatewayLine {
+pub struct PeerGatewayView {
     /// Its site and its name.
     pub name: String,
     /// The connections with it.
-    pub connections: Vec<ConnLine>,
+    pub connections: Vec<ConnectionView>,
     /// Tokens from there that are remembered.
-    pub remembered: u64,
+    #[serde(rename = "remembered")]
+    pub remembered_tokens: u64,
 }
 
 /// Another site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SiteLine {
+pub struct RemoteSiteView {
     /// Its name.
     pub name: String,
     /// A connection is up, and the site's state is recent.
-    pub reachable: bool,
+    #[serde(rename = "reachable")]
+    pub is_reachable: bool,
     /// It has usable caches.
-    pub caches: bool,
+    #[serde(rename = "caches")]
+    pub has_caches: bool,
     /// Its path to the origin is open.
-    pub origin: bool,
+    #[serde(rename = "origin")]
+    pub has_origin: bool,
     /// Its utilization, from 0 to 1.
-    pub used: f64,
+    #[serde(rename = "used")]
+    pub utilization: f64,
     /// Its operators, or those of this site, have drained it.
-    pub drained: bool,
+    #[serde(rename = "drained")]
+    pub is_drained: bool,
     /// It is shut for its utilization or its failures.
-    pub shut: bool,
+    #[serde(rename = "shut")]
+    pub is_shut: bool,
     /// The link to it flaps.
-    pub flapping: bool,
+    #[serde(rename = "flapping")]
+    pub is_flapping: bool,
     /// The smoothed ratio of requests that failed or were late there.
-    pub bad: f64,
+    #[serde(rename = "bad")]
+    pub failure_ratio: f64,
     /// The share of the objects whose reads may go there.
-    pub part: f64,
+    #[serde(rename = "part")]
+    pub read_share: f64,
     /// The share of the objects whose writes may go there.
-    pub part_writes: f64,
+    #[serde(rename = "part_writes")]
+    pub write_share: f64,
     /// Requests that may be in flight there.
-    pub window: f64,
+    #[serde(rename = "window")]
+    pub concurrency_limit: f64,
     /// Requests that are in flight there.
-    pub out: u32,
+    #[serde(rename = "out")]
+    pub in_flight: u32,
     /// Its gateways.
-    pub gateways: Vec<GatewayLine>,
+    pub gateways: Vec<PeerGatewayView>,
+}
+
+/// A site, and the share of the objects whose requests may go there. Its JSON is a pair.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(String, f64)", into = "(String, f64)")]
+pub struct SiteShare {
+    /// The name of the site.
+    pub site: String,
+    /// The share, from 0 to 1.
+    pub share: f64,
+}
+
+impl From<(String, f64)> for SiteShare {
+    fn from((site, share): (String, f64)) -> Self {
+        Self { site, share }
+    }
+}
+
+impl From<SiteShare> for (String, f64) {
+    fn from(entry: SiteShare) -> Self {
+        (entry.site, entry.share)
+    }
 }
 
 /// Where reads, or writes, go.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct RouteLine {
+pub struct RouteView {
     /// `reads` or `writes`.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub request_kind: String,
     /// Whether the own site can serve them.
-    pub home: bool,
+    #[serde(rename = "home")]
+    pub is_served_locally: bool,
     /// The other sites that can, each with the share that may go there.
-    pub across: Vec<(String, f64)>,
+    #[serde(rename = "across")]
+    pub remote_sites: Vec<SiteShare>,
 }
 
 /// A gateway.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Status {
+pub struct GatewayStatusView {
     /// The own site.
     pub site: String,
     /// Its name within its site.
@@ -141,21 +183,27 @@
     /// When its process started, in Unix microseconds.
     pub epoch: u64,
     /// Caches of the own site that can be used.
-    pub caches: u32,
+    #[serde(rename = "caches")]
+    pub usable_caches: u32,
     /// The own path to the origin is open.
-    pub origin: bool,
+    #[serde(rename = "origin")]
+    pub has_origin: bool,
     /// The own utilization, from 0 to 1.
-    pub used: f64,
+    #[serde(rename = "used")]
+    pub utilization: f64,
     /// The operators have drained this site.
-    pub drained: bool,
+    #[serde(rename = "drained")]
+    pub is_drained: bool,
     /// The other sites.
-    pub sites: Vec<SiteLine>,
+    pub sites: Vec<RemoteSiteView>,
     /// Requests that are at other sites.
-    pub out: u64,
+    #[serde(rename = "out")]
+    pub forwarded: u64,
     /// Those of them whose outcome is uncertain.
     pub uncertain: u64,
     /// Requests of other sites that are here.
-    pub serving: u64,
+    #[serde(rename = "serving")]
+    pub remote_requests: u64,
     /// Counters since the start.
     pub counts: GatewayCounts,
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -187,8 +187,8 @@
                 send(&mut gateway, now, 0, hello(5));
             }
             let status = gateway.status(now);
-            let remembered: u64 = status.sites[0].gateways.iter().map(|g| g.remembered).sum();
-            prop_assert!(status.serving <= 16 && remembered <= 32, "{status:?}");
+            let remembered: u64 = status.sites[0].gateways.iter().map(|g| g.remembered_tokens).sum();
+            prop_assert!(status.remote_requests <= 16 && remembered <= 32, "{status:?}");
         }
         gateway.on_timer(now + 400.0);
         for action in actions(&mut gateway) {
@@ -233,7 +233,7 @@
         }
     }
     assert_eq!(bytes, BTreeMap::from([(1, 256 << 10), (2, 1_000)]));
-    assert!(gateway.status(62.0).sites[0].gateways[0].connections[0].waiting > 700_000);
+    assert!(gateway.status(62.0).sites[0].gateways[0].connections[0].queued_bytes > 700_000);
     let mut now = 62.0;
     while now < 1_200.0 {
         now += 50.0;
@@ -242,7 +242,7 @@
         answer_pings(&mut gateway, now, &frames);
     }
     let connection = &gateway.status(now).sites[0].gateways[0].connections[0];
-    assert!(connection.waiting < 1_000 && connection.serving == 0, "{connection:?}");
+    assert!(connection.queued_bytes < 1_000 && connection.incoming == 0, "{connection:?}");
 }
 
 /// What the sender was told 200 ms ago may not be known here: a request is turned away, and has never run. With a
--- a/crates/router/src/cli/gateway_text.rs
+++ b/crates/router/src/cli/gateway_text.rs
@@ -1,23 +1,24 @@
 //! The text of the commands of a gateway. What needs attention stands in capitals.
 
-use linnethook_gateway::gateway::{RouteLine, Status};
-use linnethook_gateway::status::{ConnLine, GatewayLine, SiteLine};
+use linnethook_gateway::status::{
+    ConnectionView, GatewayStatusView, PeerGatewayView, RemoteSiteView, RouteView,
+};
 
 use super::output::counters_text;
 
 /// The state of a gateway: itself, the other sites, their gateways and the connections with these.
-pub fn status_text(status: &Status) -> String {
+pub fn status_text(status: &GatewayStatusView) -> String {
     let mut out = format!(
         "{}/{}: {} caches, {}, load {:.2}{}; {} requests across, {} of them uncertain, {} from other sites\n",
         status.site,
         status.node,
-        status.caches,
-        if status.origin { "origin reached" } else { "ORIGIN NOT REACHED" },
-        status.used,
-        if status.drained { ", LEFT ALONE" } else { "" },
-        status.out,
+        status.usable_caches,
+        if status.has_origin { "origin reached" } else { "ORIGIN NOT REACHED" },
+        status.utilization,
+        if status.is_drained { ", LEFT ALONE" } else { "" },
+        status.forwarded,
         status.uncertain,
-        status.serving
+        status.remote_requests
     );
     for site in &status.sites {
         out += &site_line(site);
@@ -26,52 +27,53 @@
     out + &counters_text(&status.counts) + "\n"
 }
 
-fn site_line(site: &SiteLine) -> String {
+fn site_line(site: &RemoteSiteView) -> String {
     format!(
         "{}: {}{}{}{}{}{}, load {:.2}; may get {:.0}% of the reads and {:.0}% of the writes, {} out of {:.0}; ended badly {:.2}\n",
         site.name,
-        if site.reachable { "reached" } else { "NOT REACHED" },
-        if site.caches { "" } else { ", no caches" },
-        if site.origin { "" } else { ", no way to the origin" },
-        if site.drained { ", LEFT ALONE" } else { "" },
-        if site.flapping { ", FLAPPING" } else { "" },
-        if site.shut { ", shut" } else { "" },
-        site.used,
-        site.part * 100.0,
-        site.part_writes * 100.0,
-        site.out,
-        site.window,
-        site.bad
+        if site.is_reachable { "reached" } else { "NOT REACHED" },
+        if site.has_caches { "" } else { ", no caches" },
+        if site.has_origin { "" } else { ", no way to the origin" },
+        if site.is_drained { ", LEFT ALONE" } else { "" },
+        if site.is_flapping { ", FLAPPING" } else { "" },
+        if site.is_shut { ", shut" } else { "" },
+        site.utilization,
+        site.read_share * 100.0,
+        site.write_share * 100.0,
+        site.in_flight,
+        site.concurrency_limit,
+        site.failure_ratio
     )
 }
 
-fn gateway_lines(gateway: &GatewayLine) -> String {
-    let mut out = format!("  {}: {} tokens remembered\n", gateway.name, gateway.remembered);
+fn gateway_lines(gateway: &PeerGatewayView) -> String {
+    let mut out = format!("  {}: {} tokens remembered\n", gateway.name, gateway.remembered_tokens);
     out.extend(gateway.connections.iter().map(connection_line));
     out
 }
 
-fn connection_line(connection: &ConnLine) -> String {
+fn connection_line(connection: &ConnectionView) -> String {
     format!(
         "    {}, answers in {:.1} ms, phi {:.1}; {} out, {} from there, {} bytes waiting\n",
         connection.health,
-        connection.trip,
+        connection.round_trip,
         connection.phi,
-        connection.out,
-        connection.serving,
-        connection.waiting
+        connection.outgoing,
+        connection.incoming,
+        connection.queued_bytes
     )
 }
 
 /// Where reads and writes go, one line each.
-pub fn routes_text(routes: &[RouteLine]) -> String {
+pub fn routes_text(routes: &[RouteView]) -> String {
     routes.iter().map(route_line).collect()
 }
 
-fn route_line(route: &RouteLine) -> String {
-    let home = if route.home { "home" } else { "home CAN'T" };
-    let sites = route.across.iter().map(|(site, share)| format!("{site} ({:.0}%)", share * 100.0));
+fn route_line(route: &RouteView) -> String {
+    let home = if route.is_served_locally { "home" } else { "home CAN'T" };
+    let sites =
+        route.remote_sites.iter().map(|entry| format!("{} ({:.0}%)", entry.site, entry.share * 100.0));
     let sites = sites.collect::<Vec<_>>().join(", ");
     let sites = if sites.is_empty() { "nowhere" } else { &sites };
-    format!("{}: {home}, else {sites}\n", route.what)
+    format!("{}: {home}, else {sites}\n", route.request_kind)
 }
--- a/crates/router/src/control/messages.rs
+++ b/crates/router/src/control/messages.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use linnethook_audit::record::ChainLink;
-use linnethook_gateway::gateway::{RouteLine, Status};
+use linnethook_gateway::gateway::{GatewayStatusView, RouteView};
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
 use linnethook_membership::aggregation::query::QueryTarget;
 use linnethook_membership::straggler::StragglerState;
@@ -68,9 +68,9 @@
     /// The batch that the changes have become.
     Applied(BatchSpec),
     /// The state of the gateway.
-    GatewayStatus(Box<Status>),
+    GatewayStatus(Box<GatewayStatusView>),
     /// Where reads and writes go.
-    GatewayRoutes(Vec<RouteLine>),
+    GatewayRoutes(Vec<RouteView>),
     /// The fleet as the router sees it.
     Fleet(Box<FleetView>),
     /// The id of the query that was started.
--- a/crates/router/src/remote_sites/commands.rs
+++ b/crates/router/src/remote_sites/commands.rs
@@ -40,7 +40,7 @@
             SiteResponse::without_effects(ControlResponse::GatewayStatus(Box::new(gateway.status(now))))
         }
         ControlRequest::GatewayRoutes => {
-            SiteResponse::without_effects(ControlResponse::GatewayRoutes(gateway.route_lines(now)))
+            SiteResponse::without_effects(ControlResponse::GatewayRoutes(gateway.route_views(now)))
         }
         ControlRequest::DrainSite { site, drained } => remote_sites.drain_site(now, &site, drained),
         _ => SiteResponse::refused("a question of another part"),
--- a/crates/router/src/remote_sites/mod.rs
+++ b/crates/router/src/remote_sites/mod.rs
@@ -161,7 +161,7 @@
                 GatewayAction::Write(conn) => self.links.write(now, conn, &mut self.gateway),
                 GatewayAction::ServeLocally(ticket) => return Some(SiteEffect::Decide(ticket)),
                 GatewayAction::Answer(ticket, reply) => return Some(SiteEffect::Answer(ticket, reply)),
-                GatewayAction::ServeRemote(came) => return Some(SiteEffect::Serve(came)),
+                GatewayAction::ServeRemote(request) => return Some(SiteEffect::Serve(request)),
                 GatewayAction::CancelServe(ticket) => return Some(SiteEffect::Cancel(ticket)),
                 GatewayAction::RemoteFact(fact) => {
                     if let Some(effect) = announcement(fact) {
@@ -259,8 +259,8 @@
     fn remove_unlisted(&mut self, now: Ms, targets: &[EndpointEntry]) {
         let listed: Vec<&str> = targets.iter().map(|entry| entry.uid.as_str()).collect();
         let names = self.endpoints.keys().filter(|name| !listed.contains(&name.as_str()));
-        let gone: Vec<String> = names.cloned().collect();
-        for name in gone {
+        let removed: Vec<String> = names.cloned().collect();
+        for name in removed {
             self.endpoints.remove(&name);
             self.gateway.publish_fact(now, FactKey::Cache(name), FactValue::CacheRemoved);
         }
--- a/crates/router/src/remote_sites/requests.rs
+++ b/crates/router/src/remote_sites/requests.rs
@@ -90,19 +90,19 @@
 
 /// Reads a request from another site; `None` where it can't be used.
 pub fn parse_remote_request(
-    came: &RemoteRequest,
+    request: &RemoteRequest,
     buffers: &BufferPool,
     limits: &Limits,
 ) -> Option<ClientRequest> {
-    let mut fields = Fields::from(came.fields.clone());
+    let mut fields = Fields::from(request.fields.clone());
     fields.put(
         "d",
         &format!(
             "{}",
-            (came.remaining + limits.requests.network_allowance_ms).min(limits.requests.max_wait_ms)
+            (request.remaining + limits.requests.network_allowance_ms).min(limits.requests.max_wait_ms)
         ),
     );
-    let body = BufferChain::from_bytes(buffers, &came.body);
+    let body = BufferChain::from_bytes(buffers, &request.body);
     parse_request(NO_CLIENT, &fields, body, limits)
 }
 
--- a/crates/router/tests/unit/cli.rs
+++ b/crates/router/tests/unit/cli.rs
@@ -3,7 +3,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use linnethook_gateway::gateway::{RouteLine, Status};
+use linnethook_gateway::gateway::{GatewayStatusView, RouteView};
 use linnethook_hierarchy::change_spec::{BatchSpec, NodeSpec, PlanSpec};
 use serde::Serialize;
 
@@ -128,8 +128,8 @@
     out += &json_text(&value::<Vec<NodeSpec>>("nodes"));
     out += &json_text(&value::<PlanSpec>("plan"));
     out += &json_text(&value::<BatchSpec>("batch"));
-    out += &json_text(&value::<Status>("status"));
-    out += &json_text(&value::<Vec<RouteLine>>("routes"));
+    out += &json_text(&value::<GatewayStatusView>("status"));
+    out += &json_text(&value::<Vec<RouteView>>("routes"));
     let detail = SiteDetail { location: "eu/south".to_string(), routers: vec![value("router")] };
     let lines: Vec<_> = detail.routers.iter().collect();
     out += &json_text(&(&detail.location, &lines));
@@ -147,7 +147,7 @@
     out += &batch_text(&value("batch"), 1);
     out += &batch_text(&value("batch"), 3);
     out += &status_text(&value("status"));
-    out += &routes_text(&list::<RouteLine>("routes"));
+    out += &routes_text(&list::<RouteView>("routes"));
     fleets().iter().for_each(|shown| out += &fleet_text(shown));
     assert_golden("control_text.txt", &out);
 }
--- a/crates/standins/src/bin/link-speed.rs
+++ b/crates/standins/src/bin/link-speed.rs
@@ -152,7 +152,7 @@
     let counted = std::cell::Cell::new(0u64);
     let over = |gateway: &mut Gateway| {
         let at = now();
-        if gateway.route_lines(at)[0].across.is_empty() {
+        if gateway.route_views(at)[0].remote_sites.is_empty() {
             return false;
         }
         begun.get_or_insert_with(Instant::now);
--- a/crates/standins/src/twosites.rs
+++ b/crates/standins/src/twosites.rs
@@ -310,8 +310,8 @@
     fn measure(&mut self) {
         for n in 0..2 {
             let status = self.sides[n].gateway.status(self.now);
-            let remembered = status.sites.iter().flat_map(|s| &s.gateways).map(|g| g.remembered).sum();
-            let now = [self.wires.len() as u64, status.out, status.serving, remembered];
+            let remembered = status.sites.iter().flat_map(|s| &s.gateways).map(|g| g.remembered_tokens).sum();
+            let now = [self.wires.len() as u64, status.forwarded, status.remote_requests, remembered];
             for (most, now) in self.out.most.iter_mut().zip(now) {
                 *most = (*most).max(now);
             }
