--- a/crates/gateway/src/gateway/cluster.rs
+++ b/crates/gateway/src/gateway/cluster.rs
@@ -10,6 +10,15 @@
 /// Bytes of entries in one frame, about.
 const MAX_UPDATE_BYTES: usize = 128 << 10;
 
+/// An entry or a message for a router of the own site. The gateway does not interpret it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct PeerEntry {
+    /// The key: a later entry replaces an earlier one of the same key.
+    pub key: Vec<u8>,
+    /// The value.
+    pub value: Vec<u8>,
+}
+
 impl Gateway {
     /// Requests on that connection all entries that are not known yet, and those that follow.
     pub(super) fn request_peer_state(&mut self, connection: ConnectionId) {
@@ -28,11 +37,11 @@
         }
     }
 
-    /// Sends entries, each with its key, to all routers of the own site, also to those that connect later.
-    pub fn broadcast_to_peers(&mut self, now: Ms, entries: Vec<(Vec<u8>, Vec<u8>)>) {
+    /// Sends entries to all routers of the own site, also to those that connect later.
+    pub fn broadcast_to_peers(&mut self, now: Ms, entries: Vec<PeerEntry>) {
         let Some(published) = &mut self.peer_entries else { return };
-        for (key, entry) in entries {
-            published.publish(now, FactKey::PeerEntry(key), FactValue::PeerEntry(entry));
+        for PeerEntry { key, value } in entries {
+            published.publish(now, FactKey::PeerEntry(key), FactValue::PeerEntry(value));
         }
         for connection in self.links.cluster_connections() {
             // Whoever has not requested entries yet gets them once it does.
@@ -62,12 +71,12 @@
         self.links.request_write(connection);
     }
 
-    /// Sends entries, each with its key, to one router of the own site.
-    pub fn send_to_peer(&mut self, name: &str, entries: Vec<(Vec<u8>, Vec<u8>)>) {
+    /// Sends entries to one router of the own site.
+    pub fn send_to_peer(&mut self, name: &str, entries: Vec<PeerEntry>) {
         let peers = self.links.peers.values().filter(|peer| peer.is_in_cluster() && peer.node == name);
         let connection = peers.filter_map(|peer| peer.connections.first().copied()).next();
         let Some(connection) = connection else { return };
-        let fact = |(key, entry)| Fact::new(FactKey::PeerEntry(key), FactValue::PeerEntry(entry));
+        let fact = |PeerEntry { key, value }| Fact::new(FactKey::PeerEntry(key), FactValue::PeerEntry(value));
         self.links.send(connection, &Message::DirectFacts(entries.into_iter().map(fact).collect()));
         self.links.request_write(connection);
     }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -32,6 +32,7 @@
 use crate::site_names::{SiteNames, OWN_SITE};
 use crate::site_state::PublishedState;
 
+pub use self::cluster::PeerEntry;
 pub use crate::actions::{Action, ConnectionId, RemoteRequest, Reply, FIRST_REMOTE_TICKET};
 pub use crate::config::{GatewayConfig, GatewaySetup, PeerConfig};
 pub use crate::status::{
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -299,9 +299,8 @@
     fn new(said: Vec<EncodedEntry>, alone: bool) -> Self {
         let facts: Vec<Fact> = said
             .iter()
-            .map(|(key, entry)| {
-                Fact::new(FactKey::PeerEntry(key.clone()), FactValue::PeerEntry(entry.clone()))
-            })
+            .cloned()
+            .map(|entry| Fact::new(FactKey::PeerEntry(entry.key), FactValue::PeerEntry(entry.value)))
             .collect();
         let word = match alone {
             true => Message::DirectFacts(facts),
@@ -340,7 +339,7 @@
             self.meter.heard += letter.frame.bytes as u64;
             self.meter.facts += letter.frame.said.len() as u64;
             let from = format!("r{}", letter.from);
-            letter.frame.said.iter().for_each(|(key, entry)| core.receive(now, &from, key, entry));
+            letter.frame.said.iter().for_each(|entry| core.receive(now, &from, &entry.key, &entry.value));
         }
         if !ready.is_empty() {
             self.meter.hearing += began.elapsed();
@@ -437,7 +436,7 @@
                     RouterStatus { versions: acts.clone(), links, leaving: false, location: None };
                 let entry = statement
                     .encode(Revision::new(start(node), 2), MembershipConfig::default().status_version);
-                (EntryKey::Router(name(node)).encode(), entry.encode())
+                EncodedEntry::new(EntryKey::Router(name(node)).encode(), entry.encode())
             })
             .collect();
         // All that is known at the beginning is said before any link is there to carry it, and nothing is saved up then.
@@ -461,9 +460,9 @@
             for other in &links[node] {
                 core.set_link(&name(*other), start(*other), true);
             }
-            for (other, (key, entry)) in statements.iter().enumerate() {
+            for (other, entry) in statements.iter().enumerate() {
                 if other != node {
-                    core.receive(now, "r", key, entry);
+                    core.receive(now, "r", &entry.key, &entry.value);
                 }
             }
             core.tick(now);
@@ -744,8 +743,9 @@
         let due = core.next_deadline(now);
         if up {
             // As the gateway does: who connects is told all that there is, once, in pieces.
+            let known = core.table().iter();
             let all: Vec<EncodedEntry> =
-                core.table().iter().map(|(key, entry)| (key.clone(), entry.encode())).collect();
+                known.map(|(key, entry)| EncodedEntry::new(key.clone(), entry.encode())).collect();
             for piece in all.chunks(1_024) {
                 self.nodes[at].say(To::One(other), piece.to_vec());
             }
--- a/crates/membership/src/actions.rs
+++ b/crates/membership/src/actions.rs
@@ -7,8 +7,26 @@
 use crate::membership::MemberChange;
 use crate::view::RouterView;
 
-/// The key and the value of an entry or a message, as bytes.
-pub type EncodedEntry = (Vec<u8>, Vec<u8>);
+/// An entry or a message as it is sent.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct EncodedEntry {
+    /// The encoded key of an entry, or the tag of a message.
+    pub key: Vec<u8>,
+    /// The encoded entry, or the body of the message.
+    pub value: Vec<u8>,
+}
+
+impl EncodedEntry {
+    /// An entry of that key, or a message with that tag.
+    pub fn new(key: Vec<u8>, value: Vec<u8>) -> Self {
+        Self { key, value }
+    }
+
+    /// Bytes of the key and the value.
+    pub fn byte_count(&self) -> usize {
+        self.key.len() + self.value.len()
+    }
+}
 
 /// Something for the owner of the cluster to do.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/membership/src/aggregation/topology.rs
+++ b/crates/membership/src/aggregation/topology.rs
@@ -220,7 +220,7 @@
                 self.is_deferred = true;
                 break;
             }
-            bundle.push((key.clone(), encoded));
+            bundle.push(EncodedEntry::new(key.clone(), encoded));
             self.links.pop_pending(peer);
         }
         bundle
@@ -240,7 +240,7 @@
         self.plumtree.mark_sent(peer);
         let kinds = [(PRUNE_TAG, messages.prune), (IHAVE_TAG, messages.ihave), (GRAFT_TAG, messages.graft)];
         let sent = kinds.into_iter().filter(|(_, digests)| !digests.is_empty());
-        sent.map(|(tag, digests)| (vec![tag], encode_digests(&digests))).collect()
+        sent.map(|(tag, digests)| EncodedEntry::new(vec![tag], encode_digests(&digests))).collect()
     }
 }
 
--- a/crates/membership/src/cluster.rs
+++ b/crates/membership/src/cluster.rs
@@ -21,7 +21,7 @@
 
 use std::collections::VecDeque;
 
-use crate::actions::{ClusterAction, ClusterEvent, Participation};
+use crate::actions::{ClusterAction, ClusterEvent, EncodedEntry, Participation};
 use crate::aggregation::location::{Location, MAX_DEPTH};
 use crate::aggregation::topology::Topology;
 use crate::config::MembershipConfig;
@@ -206,7 +206,7 @@
     pub fn send_message(&mut self, peer: &str, kind: u8, bytes: Vec<u8>) -> bool {
         let is_accepted = self.participation == Participation::Active && self.outbox.has_room_for(1);
         if is_accepted {
-            self.outbox.queue_direct(peer, (vec![kind.max(FIRST_MESSAGE_TAG)], bytes));
+            self.outbox.queue_direct(peer, EncodedEntry::new(vec![kind.max(FIRST_MESSAGE_TAG)], bytes));
         }
         is_accepted
     }
--- a/crates/membership/src/cluster/receive.rs
+++ b/crates/membership/src/cluster/receive.rs
@@ -1,7 +1,7 @@
 //! Entries and messages from peers: what of them is new, what counts here, and what is forwarded.
 
 use super::Cluster;
-use crate::actions::{ClusterAction, ClusterEvent, Participation};
+use crate::actions::{ClusterAction, ClusterEvent, EncodedEntry, Participation};
 use crate::aggregation::location::Location;
 use crate::aggregation::scope::LinkHandshake;
 use crate::aggregation::summary::SummaryReport;
@@ -367,7 +367,7 @@
         }
         self.counters.entries_repaired += missing.len() as u64;
         for (key, entry) in missing {
-            self.outbox.queue_direct(from, (key, entry.encode()));
+            self.outbox.queue_direct(from, EncodedEntry::new(key, entry.encode()));
         }
         self.flush(now);
     }
--- a/crates/membership/src/cluster/send.rs
+++ b/crates/membership/src/cluster/send.rs
@@ -4,7 +4,7 @@
 
 use super::Cluster;
 use crate::actions::{ClusterAction, EncodedEntry};
-use crate::gossip::outbox::{encoded_bytes, Bundle};
+use crate::gossip::outbox::Bundle;
 use crate::gossip::wire::{HANDSHAKE_TAG, TIMESTAMP_TAG};
 use crate::Ms;
 
@@ -13,7 +13,7 @@
     pub(super) fn send_handshake(&mut self, peer: &str) {
         let Some(topology) = &self.topology else { return };
         let handshake = topology.handshake(self.versions.hierarchy);
-        self.outbox.queue_direct(peer, (vec![HANDSHAKE_TAG], handshake.encode()));
+        self.outbox.queue_direct(peer, EncodedEntry::new(vec![HANDSHAKE_TAG], handshake.encode()));
     }
 
     /// Sends what waits, as far as the rate limit allows: entries for all peers first, by urgency.
@@ -53,7 +53,7 @@
         let max_bytes = self.config.bundle_bytes;
         let bundle = topology.take_entries(now, &peer, &self.table, max_bytes, &mut self.rate_limiter);
         let messages = topology.take_plumtree_messages(now, &peer, &mut self.rate_limiter);
-        let bytes = bundle.bytes + messages.iter().map(encoded_bytes).sum::<usize>();
+        let bytes = bundle.bytes + messages.iter().map(EncodedEntry::byte_count).sum::<usize>();
         let mut entries = bundle.entries;
         if !entries.is_empty() {
             entries = self.with_timestamp(now, entries);
@@ -105,7 +105,8 @@
             let digests = self.table.digests_within(common_depth);
             let bytes = postcard::to_stdvec(&digests).unwrap_or_default();
             self.count_sent(bytes.len());
-            self.actions.push_back(ClusterAction::SendTo(peer, vec![(Vec::new(), bytes)]));
+            let message = EncodedEntry::new(Vec::new(), bytes);
+            self.actions.push_back(ClusterAction::SendTo(peer, vec![message]));
         }
     }
 
@@ -128,7 +129,7 @@
     /// Puts the timestamp of this router before the entries.
     fn with_timestamp(&mut self, now: Ms, mut entries: Vec<EncodedEntry>) -> Vec<EncodedEntry> {
         let timestamp = postcard::to_stdvec(&self.clock.next_timestamp(now)).unwrap_or_default();
-        entries.insert(0, (vec![TIMESTAMP_TAG], timestamp));
+        entries.insert(0, EncodedEntry::new(vec![TIMESTAMP_TAG], timestamp));
         entries
     }
 
--- a/crates/membership/src/gossip/outbox.rs
+++ b/crates/membership/src/gossip/outbox.rs
@@ -42,16 +42,11 @@
 
     /// Adds an entry.
     pub fn push(&mut self, entry: EncodedEntry) {
-        self.bytes += encoded_bytes(&entry);
+        self.bytes += entry.byte_count();
         self.entries.push(entry);
     }
 }
 
-/// Bytes of a key and its value.
-pub fn encoded_bytes((key, value): &EncodedEntry) -> usize {
-    key.len() + value.len()
-}
-
 /// What waits to be sent.
 #[derive(Debug, Clone, Default)]
 pub struct Outbox {
@@ -134,7 +129,7 @@
                 break;
             }
             if let Some((_, key)) = self.broadcast.pop_first() {
-                bundle.push((key, encoded));
+                bundle.push(EncodedEntry::new(key, encoded));
             }
         }
         bundle
@@ -151,7 +146,7 @@
         // The limit of one bundle holds for all peers together.
         let mut total = Bundle::default();
         while let Some((_, entry)) = self.direct.front() {
-            let bytes = encoded_bytes(entry);
+            let bytes = entry.byte_count();
             if !total.admits(now, bytes, 1, max_bytes, rate_limiter) {
                 break;
             }
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -68,6 +68,9 @@
     }
 }
 
+/// A delivered entry or message, as the tests compare it.
+pub type KeyAndValue = (Vec<u8>, Vec<u8>);
+
 pub struct Net {
     pub now: Ms,
     pub nodes: Vec<Node>,
@@ -87,7 +90,7 @@
     deaf: BTreeSet<usize>,
     last: BTreeMap<(usize, usize), Ms>,
     /// What crossed links, where that is wanted: when, from, to, key and entry.
-    pub record: Option<Vec<(Ms, usize, usize, EncodedEntry)>>,
+    pub record: Option<Vec<(Ms, usize, usize, KeyAndValue)>>,
     events: BTreeMap<(u64, u64), Event>,
     count: u64,
 }
@@ -299,7 +302,7 @@
     fn send(&mut self, from: usize, to: usize, entries: Vec<EncodedEntry>) {
         let Some((low, high)) = self.up.get(&pair(from, to)).copied() else { return };
         let starts = if from < to { (low, high) } else { (high, low) };
-        let bytes: usize = entries.iter().map(|(key, entry)| key.len() + entry.len() + 4).sum();
+        let bytes: usize = entries.iter().map(|entry| entry.byte_count() + 4).sum();
         self.nodes[from].bytes += bytes as u64 + 20;
         let slow = self.slow.get(&from).copied().unwrap_or(0.0) + self.slow.get(&to).copied().unwrap_or(0.0);
         let mut at = self.now + self.wire.delay + slow;
@@ -318,7 +321,9 @@
         while let Some(action) = self.nodes[n].core.as_mut().and_then(Cluster::next_action) {
             match action {
                 ClusterAction::Broadcast(entries) => {
-                    self.nodes[n].entries.extend(entries.iter().cloned());
+                    self.nodes[n]
+                        .entries
+                        .extend(entries.iter().cloned().map(|entry| (entry.key, entry.value)));
                     for other in self.linked(n) {
                         self.send(n, other, entries.clone());
                     }
@@ -355,7 +360,8 @@
                 for (at, other) in [(a, b), (b, a)] {
                     let (name, start) = (self.nodes[other].name.clone(), self.nodes[other].start);
                     self.core(at).set_link(&name, start, true);
-                    let all: Vec<EncodedEntry> = self.nodes[at].entries.clone().into_iter().collect();
+                    let entries = self.nodes[at].entries.clone().into_iter();
+                    let all = entries.map(|(key, value)| EncodedEntry::new(key, value)).collect();
                     self.send(at, other, all);
                 }
             }
@@ -372,13 +378,14 @@
                     return;
                 }
                 let name = self.nodes[from].name.clone();
-                let bytes: usize = entries.iter().map(|(key, entry)| key.len() + entry.len() + 4).sum();
+                let bytes: usize = entries.iter().map(|entry| entry.byte_count() + 4).sum();
                 self.nodes[to].bytes_received += bytes as u64 + 20;
                 if let Some(record) = &mut self.record {
-                    record.extend(entries.iter().map(|entries| (now, from, to, entries.clone())));
+                    let copies = entries.iter().cloned().map(|entry| (entry.key, entry.value));
+                    record.extend(copies.map(|copy| (now, from, to, copy)));
                 }
-                for (key, entry) in entries {
-                    self.core(to).receive(now, &name, &key, &entry);
+                for EncodedEntry { key, value } in entries {
+                    self.core(to).receive(now, &name, &key, &value);
                 }
             }
         }
--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -1,7 +1,7 @@
 //! What the membership asks for: it is done here, but for what the router has to do.
 
-use linnethook_gateway::gateway::Gateway;
-use linnethook_membership::actions::ClusterAction;
+use linnethook_gateway::gateway::{Gateway, PeerEntry};
+use linnethook_membership::actions::{ClusterAction, EncodedEntry};
 
 use crate::clock::Clock;
 use crate::control::SiteDetail;
@@ -57,9 +57,9 @@
                 let kind = PeerMessageKind::from_wire_tag(kind)?;
                 return self.on_message(now, hierarchy, &from, kind, &bytes);
             }
-            ClusterAction::Broadcast(entries) => gateway.broadcast_to_peers(now, entries),
+            ClusterAction::Broadcast(entries) => gateway.broadcast_to_peers(now, peer_entries(entries)),
             ClusterAction::Retract(key) => gateway.remove_peer_entry(key),
-            ClusterAction::SendTo(name, entries) => gateway.send_to_peer(&name, entries),
+            ClusterAction::SendTo(name, entries) => gateway.send_to_peer(&name, peer_entries(entries)),
             ClusterAction::CloseLinks => gateway.disconnect_peers(now),
             ClusterAction::Answer { id, location, routers } => {
                 self.queries.set_answer(id, SiteDetail { location: location.to_string(), routers });
@@ -94,3 +94,8 @@
         }
     }
 }
+
+/// Entries of the membership as the gateway carries them.
+fn peer_entries(entries: Vec<EncodedEntry>) -> Vec<PeerEntry> {
+    entries.into_iter().map(|EncodedEntry { key, value }| PeerEntry { key, value }).collect()
+}
