--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -8,7 +8,7 @@
 
 use linnethook_model::plan::{Fault, Plan};
 use linnethook_model::world::World;
-use linnethook_standins::checker::Rule;
+use linnethook_testbed::checker::Rule;
 
 /// What is looked for.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -16,8 +16,8 @@
 use linnethook_model::plan::Plan;
 use linnethook_model::seen::Seen;
 use linnethook_quickstart::Client;
-use linnethook_standins::load::Numbers;
-use linnethook_standins::record::{now, Record, What};
+use linnethook_testbed::load::RequestNumbers;
+use linnethook_testbed::recording::{now, RecordedEvent, Recording};
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
@@ -78,8 +78,8 @@
     pub plan: &'a Plan,
     pub routers: &'a [(String, SocketAddr)],
     pub connections: usize,
-    pub record: Record,
-    pub numbers: Numbers,
+    pub record: Recording,
+    pub numbers: RequestNumbers,
 }
 
 /// Of the bounds between clients' wishes and what their routers are asked.
@@ -213,7 +213,7 @@
         let connection = &mut self.connections[n];
         connection.last += 1;
         connection.open.insert(connection.last, (wish, request));
-        self.clients.record.note(What::Requested {
+        self.clients.record.note(RecordedEvent::Requested {
             request,
             id: id.clone(),
             object: object.clone(),
@@ -232,7 +232,7 @@
         let known = self.connections[came.connection].open.remove(&stream);
         // One that is not known is noted too: the checker must see it.
         let request = known.map_or(u64::MAX, |(_, request)| request);
-        self.clients.record.note(What::Final { request, code, dated: None });
+        self.clients.record.note(RecordedEvent::Final { request, code, dated: None });
         let Some((wish, _)) = known else { return };
         let at = (came.at - self.begun).as_secs_f64();
         let (plan, second) = (self.clients.plan, wish.first as usize);
@@ -259,7 +259,7 @@
         let connection = &mut self.connections[n];
         connection.up = false;
         for (_, (wish, request)) in connection.open.drain() {
-            self.clients.record.note(What::Released { request });
+            self.clients.record.note(RecordedEvent::Released { request });
             Seen::count(&mut self.seen.failed, wish.first as usize);
         }
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -252,7 +252,7 @@
     let case = |variant: &str| Case { variant: variant.to_string(), ..cases[0].clone() };
     if routers.is_empty() {
         sockets::check(plan).map_err(input)?;
-        let program = linnethook_standins::fleet::router_program(program).map_err(input)?;
+        let program = linnethook_testbed::process_cluster::router_program(program).map_err(input)?;
         let (seen, breaches) = sockets::play(plan, &program, &stop).map_err(other)?;
         breaches.iter().take(10).for_each(|breach| eprintln!("{breach}"));
         rows.push(Row::new(&case("sockets"), &seen, Some(breaches.len() as u64)));
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -23,7 +23,7 @@
 use linnethook_membership::gossip::entry::{EntryKey, Purge};
 use linnethook_membership::versions::{ActiveVersions, RouterStatus};
 use linnethook_membership::view::ClusterCounters;
-use linnethook_standins::scale::{self as sockets, by_place, join, SITE};
+use linnethook_testbed::scale::{self as sockets, by_place, join, SITE};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/lab/src/scale/mod.rs
+++ b/crates/lab/src/scale/mod.rs
@@ -20,7 +20,7 @@
 use std::time::{Duration, Instant};
 
 use clap::{Args, ValueEnum};
-use linnethook_standins::scale as sockets;
+use linnethook_testbed::scale as sockets;
 use xxhash_rust::xxh3::xxh3_64;
 
 use fleet::{Fleet, Meter, Seen, Setup, Trouble};
@@ -398,7 +398,7 @@
 
     fn sockets(&mut self) -> io::Result<()> {
         let options = self.options;
-        let program = linnethook_standins::fleet::router_program(options.program.as_deref());
+        let program = linnethook_testbed::process_cluster::router_program(options.program.as_deref());
         let program = match program {
             Ok(program) => program,
             Err(why) => {
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -10,11 +10,11 @@
 
 use linnethook_model::plan::{Fault, Plan};
 use linnethook_model::seen::Seen;
-use linnethook_standins::checker::{judge, Breach, Rules};
-use linnethook_standins::faults::{Fault as OnSockets, When};
-use linnethook_standins::fleet::Fleet;
-use linnethook_standins::node::{Kind, Makeup};
-use linnethook_standins::record::{now, Phase};
+use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
+use linnethook_testbed::checker::{judge, Breach, RuleBounds};
+use linnethook_testbed::faults::{Fault as OnSockets, When};
+use linnethook_testbed::process_cluster::ProcessCluster;
+use linnethook_testbed::recording::{now, Phase};
 use serde_json::json;
 
 use crate::faults::told;
@@ -84,20 +84,30 @@
     windows(plan).map(|_| ())
 }
 
-fn fleet(plan: &Plan, program: &Path) -> std::io::Result<Fleet> {
-    let mut fleet = Fleet::new(program)?;
-    let made = |kind: Kind, copies: usize, takes: f64| Makeup {
+fn fleet(plan: &Plan, program: &Path) -> std::io::Result<ProcessCluster> {
+    let mut fleet = ProcessCluster::new(program)?;
+    let made = |kind: ServerRole, copies: usize, takes: f64| CacheServerConfig {
         copies,
         latency: Duration::from_secs_f64(takes / 1_000.0),
         size: plan.demand.size as usize,
-        ..Makeup::new(kind)
+        ..CacheServerConfig::new(kind)
     };
-    fleet.add("origin", "hub", 20.0, made(Kind::Origin, 1, plan.origin_takes))?;
+    fleet.add("origin", "hub", 20.0, made(ServerRole::Origin, 1, plan.origin_takes))?;
     for n in 0..plan.parents {
-        fleet.add(&format!("parent-{n}"), "hub", 8.0, made(Kind::Parent, plan.parent_copies, plan.far))?;
+        fleet.add(
+            &format!("parent-{n}"),
+            "hub",
+            8.0,
+            made(ServerRole::Parent, plan.parent_copies, plan.far),
+        )?;
     }
     for n in 0..plan.caches {
-        fleet.add(&format!("cache-{n}"), "shop", 8.0, made(Kind::Cache, plan.cache_copies, plan.near))?;
+        fleet.add(
+            &format!("cache-{n}"),
+            "shop",
+            8.0,
+            made(ServerRole::Cache, plan.cache_copies, plan.near),
+        )?;
     }
     for n in 0..plan.routers {
         fleet.start_router(&format!("n{n}"), None, |config| {
@@ -137,7 +147,7 @@
         for (at, fault) in &plan.faults {
             let heard = at + plan.list_late / 1_000.0;
             match fault {
-                Fault::Die(n) => steps.extend([(*at, *n, None), (heard, *n, Some(Phase::Gone))]),
+                Fault::Die(n) => steps.extend([(*at, *n, None), (heard, *n, Some(Phase::Removed))]),
                 Fault::Start(n) => steps.push((heard, *n, Some(Phase::Ready))),
                 Fault::Drain(n) => steps.push((heard, *n, Some(Phase::Draining))),
                 _ => {}
@@ -158,7 +168,7 @@
         driven.join().unwrap_or_else(|_| Err("the load has failed".to_string()))
     })?;
     let origin = fleet.record.by_second("origin", since, plan.seconds.ceil() as usize + 5);
-    let breaches = judge(&fleet.record.lines(), &Rules { slack: 150.0, ..Rules::default() });
+    let breaches = judge(&fleet.record.lines(), &RuleBounds { slack: 150.0, ..RuleBounds::default() });
     let fills = origin.iter().map(|n| u64::from(*n)).sum();
     Ok((Seen { origin, fills, ..seen }, breaches))
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -11,7 +11,7 @@
 use linnethook_lab::{report, settings};
 use linnethook_model::plain::Way;
 use linnethook_model::plan::{Fault, Plan};
-use linnethook_standins::checker::Rule;
+use linnethook_testbed::checker::Rule;
 use proptest::prelude::{prop_assert_eq, proptest, ProptestConfig};
 
 const SMALL: &str = r#"
--- a/crates/model/src/notes.rs
+++ b/crates/model/src/notes.rs
@@ -3,7 +3,7 @@
 //! Must never note what a router says of itself, only what reached it, its servers and its clients.
 
 use linnethook::interface::{Endpoint, EndpointPhase, FillInstruction, SlowStart};
-use linnethook_standins::record::{Asked, Cold, Line, Phase as Told, What};
+use linnethook_testbed::recording::{Asked, Phase as Told, RecordEntry, RecordedEvent, WarmUpCapacity};
 
 use crate::plan::Plan;
 use crate::Micros;
@@ -11,7 +11,7 @@
 /// The lines so far; where none are wanted nothing is made.
 #[derive(Debug, Default)]
 pub struct Notes {
-    lines: Option<Vec<Line>>,
+    lines: Option<Vec<RecordEntry>>,
 }
 
 /// What is noted of a request.
@@ -61,18 +61,18 @@
         Self { lines: Some(Vec::new()) }
     }
 
-    pub fn into_lines(self) -> Vec<Line> {
+    pub fn into_lines(self) -> Vec<RecordEntry> {
         self.lines.unwrap_or_default()
     }
 
-    fn put(&mut self, now: Micros, what: impl FnOnce() -> What) {
+    fn put(&mut self, now: Micros, what: impl FnOnce() -> RecordedEvent) {
         if let Some(lines) = &mut self.lines {
-            lines.push(Line { at: now as f64 / 1_000.0, what: what() });
+            lines.push(RecordEntry { at: now as f64 / 1_000.0, what: what() });
         }
     }
 
     pub fn requested(&mut self, now: Micros, wish: &Wish) {
-        self.put(now, || What::Requested {
+        self.put(now, || RecordedEvent::Requested {
             request: wish.request,
             id: wish.request.to_string(),
             object: object_name(wish.object),
@@ -85,28 +85,28 @@
 
     pub fn answered(&mut self, now: Micros, request: u64, code: u8, dated: Option<Micros>) {
         let dated = dated.map(|at| at as f64 / 1_000.0);
-        self.put(now, || What::Final { request, code, dated });
+        self.put(now, || RecordedEvent::Final { request, code, dated });
     }
 
     /// A request reached a server: from a router by its attempt, or from a server with a fill.
     pub fn asked(&mut self, now: Micros, plan: &Plan, at: usize, attempt: u64, wish: &Wish, from: Asker) {
         self.put(now, || {
-            let (by, version, only_held) = match from {
+            let (by, version, cached_only) = match from {
                 Asker::Router(fill) => (None, None, fill.is_some_and(|(_, fill)| fill.only_if_cached)),
-                Asker::Server(by, version, only_held) => (Some(by), version, only_held),
+                Asker::Server(by, version, cached_only) => (Some(by), version, cached_only),
             };
             let source = match from {
                 Asker::Router(fill) => fill.map(|(source, _)| name(plan, source)),
                 Asker::Server(..) => None,
             };
-            What::Asked {
+            RecordedEvent::Asked {
                 attempt,
                 asked: Asked {
                     at: name(plan, at),
                     id: wish.request.to_string(),
                     object: object_name(wish.object),
                     source,
-                    only_held,
+                    cached_only,
                     passed: by.map(|by| name(plan, by)).into_iter().collect(),
                     version,
                     router: by.is_none().then(|| router(wish.router)),
@@ -117,28 +117,28 @@
     }
 
     pub fn ended(&mut self, now: Micros, attempt: u64, ran: bool) {
-        self.put(now, || What::Ended { attempt, word: String::new(), res: String::new(), ran });
+        self.put(now, || RecordedEvent::Ended { attempt, status: String::new(), res: String::new(), ran });
     }
 
     pub fn listed(&mut self, now: Micros, plan: &Plan, by: usize, server: usize, member: &Endpoint) {
         let phase = match member.phase {
             EndpointPhase::Ready => Told::Ready,
             EndpointPhase::Draining => Told::Draining,
-            EndpointPhase::Removed => Told::Gone,
+            EndpointPhase::Removed => Told::Removed,
         };
-        self.put(now, || What::Listed { router: router(by), node: name(plan, server), phase });
+        self.put(now, || RecordedEvent::Listed { router: router(by), node: name(plan, server), phase });
     }
 
     pub fn purged(&mut self, now: Micros, by: usize, object: u64, stamp: Micros) {
         let (object, stamp) = (Some(object_name(object)), stamp as f64 / 1_000.0);
-        self.put(now, || What::Purged { router: router(by), object, group: None, stamp });
+        self.put(now, || RecordedEvent::Purged { router: router(by), object, group: None, stamp });
     }
 
     /// The shape that routers have heard of, by its edges.
     pub fn shape(&mut self, now: Micros, plan: &Plan, version: u64, edges: &[(usize, usize)]) {
         self.put(now, || {
             let edges = edges.iter().map(|(from, to)| (name(plan, *from), name(plan, *to))).collect();
-            What::Shape { version, edges }
+            RecordedEvent::Shape { version, edges }
         });
     }
 
@@ -151,25 +151,25 @@
         token: Option<(u64, u64)>,
         passed: Vec<String>,
     ) {
-        self.put(now, || What::Crossed { to, id, token, passed });
+        self.put(now, || RecordedEvent::Crossed { to, id, token, passed });
     }
 
     pub fn proven(&mut self, now: Micros, token: (u64, u64)) {
-        self.put(now, || What::Proven { token });
+        self.put(now, || RecordedEvent::Proven { token });
     }
 
     pub fn started(&mut self, now: Micros, plan: &Plan, server: usize, able: f64, cold: SlowStart) {
-        let cold = Cold {
+        let cold = WarmUpCapacity {
             capacity: able,
             from: cold.initial_ratio,
             warm_in: cold.duration,
             fall_multiple: cold.overload_multiple,
             window: cold.overload_window,
         };
-        self.put(now, || What::Started { node: name(plan, server), cold });
+        self.put(now, || RecordedEvent::Started { node: name(plan, server), cold });
     }
 
     pub fn fell(&mut self, now: Micros, plan: &Plan, server: usize) {
-        self.put(now, || What::Fell { node: name(plan, server) });
+        self.put(now, || RecordedEvent::Fell { node: name(plan, server) });
     }
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -18,8 +18,8 @@
     Event as PolicyEvent, FillInstruction, Idempotence, LoadReport, OutcomeDetail, RequestClass, Settings,
     SiblingFill, SlowStart,
 };
-use linnethook_standins::checker::{judge, Breach, Rules};
-use linnethook_standins::record::Line;
+use linnethook_testbed::checker::{judge, Breach, RuleBounds};
+use linnethook_testbed::recording::RecordEntry;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
@@ -265,20 +265,20 @@
 
     /// Plays a day and has its record judged by the rules that hold on sockets too.
     pub fn judged(plan: Plan) -> Result<(Seen, Vec<Breach>), Unusable> {
-        let rules = Rules {
+        let rules = RuleBounds {
             drain_grace: DRAIN_GRACE,
             purge_grace: PURGE_GRACE,
             // The way to a server and back, and no more: there are no threads here.
             slack: plan.far * 2.0 + 1.0,
             going_over: plan.tiers.map_or(0.0, |tiers| tiers.longest() + plan.list_late + plan.wait),
-            ..Rules::default()
+            ..RuleBounds::default()
         };
         let (seen, lines) = Self::noted(plan)?;
         Ok((seen, judge(&lines, &rules)))
     }
 
     /// Plays a day and keeps its record.
-    pub fn noted(plan: Plan) -> Result<(Seen, Vec<Line>), Unusable> {
+    pub fn noted(plan: Plan) -> Result<(Seen, Vec<RecordEntry>), Unusable> {
         let (seen, notes) = Self::with(plan, Notes::wanted())?.play();
         Ok((seen, notes.into_lines()))
     }
--- a/crates/model/tests/day.rs
+++ b/crates/model/tests/day.rs
@@ -4,8 +4,8 @@
 use linnethook_model::plain::Way;
 use linnethook_model::plan::{Blow, Sites, Tiers};
 use linnethook_model::world::{Fault, Plan, Seen, World};
-use linnethook_standins::checker::Rule;
-use linnethook_standins::record::What;
+use linnethook_testbed::checker::Rule;
+use linnethook_testbed::recording::RecordedEvent;
 
 fn play(plan: &Plan) -> Seen {
     World::new(plan.clone()).expect("a plan").run()
@@ -187,7 +187,7 @@
     println!("{:.3} alone, {:.3} with the other site, {} across", alone.share(), both.share(), both.across);
     assert!(breaches.is_empty(), "{:?}", breaches.first());
     assert!(again == both && lines == World::noted(plan).expect("a plan").1, "one seed is one run");
-    let crossed = lines.iter().filter(|line| matches!(line.what, What::Crossed { .. })).count();
+    let crossed = lines.iter().filter(|line| matches!(line.what, RecordedEvent::Crossed { .. })).count();
     assert!(crossed > 100 && both.across > 50 && both.share() > alone.share() + 0.03, "{crossed}");
 }
 
--- a/crates/router/tests/audit.rs
+++ b/crates/router/tests/audit.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use linnethook_audit::verification::Finding;
-use linnethook_standins::checker::Rule;
-use linnethook_standins::record::{Phase, What};
-use linnethook_standins::rig::{line, name, Plan, Rig};
+use linnethook_testbed::checker::Rule;
+use linnethook_testbed::harness::{line, name, Harness, Plan};
+use linnethook_testbed::recording::{Phase, RecordedEvent};
 use serde_json::Value;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
@@ -16,13 +16,13 @@
     thread::sleep(Duration::from_millis(ms));
 }
 
-fn rig(straggler: &str) -> Rig {
+fn rig(straggler: &str) -> Harness {
     let plan = Plan { straggler: Some(straggler.to_string()), ..Plan::default() };
-    Rig::start(PROGRAM, plan).expect("a fleet")
+    Harness::start(PROGRAM, plan).expect("a fleet")
 }
 
 /// A command on the accounts of some routers.
-fn audit(rig: &Rig, routers: &[usize], words: &[&str]) -> (bool, String) {
+fn audit(rig: &Harness, routers: &[usize], words: &[&str]) -> (bool, String) {
     let sockets: Vec<String> =
         routers.iter().map(|n| rig.fleet.socket(&name(*n)).display().to_string()).collect();
     let output =
@@ -31,11 +31,11 @@
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
-fn floor(rig: &Rig, n: usize, words: &[&str]) {
+fn floor(rig: &Harness, n: usize, words: &[&str]) {
     rig.fleet.asked(&name(n), &[&["fleet", "floor"], words].concat()).expect("done");
 }
 
-fn version(rig: &Rig, n: usize) -> u64 {
+fn version(rig: &Harness, n: usize) -> u64 {
     rig.fleet.asked(&name(n), &["hierarchy", "show"]).expect("shown")["version"].as_u64().expect("a version")
 }
 
@@ -65,7 +65,9 @@
     // One booking, asked of another router than the one that ran it.
     let lines = rig.fleet.record.lines();
     let booking = lines.iter().find_map(|line| match &line.what {
-        What::Asked { asked, .. } if asked.class == "booking" && asked.router.as_deref() == Some("r0") => {
+        RecordedEvent::Asked { asked, .. }
+            if asked.class == "booking" && asked.router.as_deref() == Some("r0") =>
+        {
             Some(asked.id.clone())
         }
         _ => None,
@@ -116,7 +118,8 @@
         0 => text.replace("audit(", &format!("audit(folder = \"{}\", copies = 0, ", folder.display())),
         _ => text,
     };
-    let mut rig = Rig::start_with(PROGRAM, Plan { routers: 2, ..Plan::default() }, with).expect("a fleet");
+    let mut rig =
+        Harness::start_with(PROGRAM, Plan { routers: 2, ..Plan::default() }, with).expect("a fleet");
     rig.load_all().expect("load");
     pause(1_800);
     rig.kill(0);
@@ -155,7 +158,7 @@
         .expect("heard");
     rig.until(0, "r2 counts again", |shown| line(shown, "r2").is_some_and(|l| l["straggler"] == false))
         .expect("seen");
-    rig.fleet.record.note(What::Floored { router: name(2), version: 2 });
+    rig.fleet.record.note(RecordedEvent::Floored { router: name(2), version: 2 });
     for node in ["south", "centre", "cache-0", "cache-1", "cache-2"] {
         rig.fleet.node(node).set_floor(2);
     }
@@ -180,18 +183,19 @@
     let out = |shown: &Value| shown["state"]["Out"] == "Behind";
     for n in 0..3 {
         rig.until(n, "it is shut out", out).expect("seen");
-        rig.fleet.record.note(What::Floored { router: name(n), version: 99 });
+        rig.fleet.record.note(RecordedEvent::Floored { router: name(n), version: 99 });
     }
     pause(200);
     let from = rig.fleet.record.len();
     pause(1_000);
     let all = rig.fleet.record.lines();
     let ran = all[from.min(all.len())..].iter().filter(|line| {
-        matches!(&line.what, What::Asked { asked, .. } if asked.class == "booking" && asked.router.is_some())
+        matches!(&line.what, RecordedEvent::Asked { asked, .. } if asked.class == "booking" && asked.router.is_some())
     });
     assert_eq!(ran.count(), 0, "no booking is begun");
-    let held =
-        all[from.min(all.len())..].iter().filter(|line| matches!(&line.what, What::Final { code: 1, .. }));
+    let held = all[from.min(all.len())..]
+        .iter()
+        .filter(|line| matches!(&line.what, RecordedEvent::Final { code: 1, .. }));
     assert!(held.count() > 20, "what is held is served");
     let shut_out = rig.shown(0).expect("shown")["shut_out"].as_u64();
     assert!(shut_out > Some(0));
@@ -201,7 +205,7 @@
     rig.load(2).expect("load");
     rig.until(2, "the floor outlasts a restart", out).expect("heard");
     for n in 0..3 {
-        rig.fleet.record.note(What::Floored { router: name(n), version: 0 });
+        rig.fleet.record.note(RecordedEvent::Floored { router: name(n), version: 0 });
     }
     floor(&rig, 0, &["clear"]);
     for n in 0..3 {
@@ -237,8 +241,8 @@
     pause(800);
     let lines = rig.fleet.record.lines();
     let begun = lines[from.min(lines.len())..].iter().filter(|line| {
-        matches!(&line.what, What::Asked { asked, .. } if asked.router.as_deref() == Some("r0")
-            && (asked.class == "booking" || asked.source.is_some() && !asked.only_held))
+        matches!(&line.what, RecordedEvent::Asked { asked, .. } if asked.router.as_deref() == Some("r0")
+            && (asked.class == "booking" || asked.source.is_some() && !asked.cached_only))
     });
     assert_eq!(begun.count(), 0);
     rig.silence_journal(0, false);
@@ -270,9 +274,9 @@
 #[test]
 fn bookings_that_were_written_before_a_long_sleep_run_once_and_are_in_the_account() {
     let plan = Plan { rate: 60.0, ..Plan::default() };
-    let mut rig = Rig::start(PROGRAM, plan).expect("a fleet");
-    let slow = linnethook_standins::faults::When::Between(0.0, f64::INFINITY);
-    rig.fleet.node("origin").script().add(linnethook_standins::faults::Fault::Slow(400.0), slow);
+    let mut rig = Harness::start(PROGRAM, plan).expect("a fleet");
+    let slow = linnethook_testbed::faults::When::Between(0.0, f64::INFINITY);
+    rig.fleet.node("origin").script().add(linnethook_testbed::faults::Fault::Slow(400.0), slow);
     rig.load_all().expect("load");
     pause(1_500);
     rig.freeze(1).expect("frozen");
@@ -297,7 +301,7 @@
         0 => text.replace("audit(", &format!("audit(folder = \"{}\", ", folder.display())),
         _ => text,
     };
-    let mut rig = Rig::start_with(PROGRAM, Plan::default(), with).expect("a fleet");
+    let mut rig = Harness::start_with(PROGRAM, Plan::default(), with).expect("a fleet");
     rig.load_all().expect("load");
     pause(1_500);
     let before = std::fs::read(folder.join("promises")).expect("a log");
--- a/crates/router/tests/commands.rs
+++ b/crates/router/tests/commands.rs
@@ -5,15 +5,15 @@
 use std::os::unix::net::UnixStream;
 use std::process::Output;
 
-use linnethook_standins::fleet::{operator_file, Fleet};
-use linnethook_standins::node::Makeup;
+use linnethook_testbed::cache_server::CacheServerConfig;
+use linnethook_testbed::process_cluster::{operator_file, ProcessCluster};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 
-fn fleet(settings: &str) -> Fleet {
-    let mut fleet = Fleet::two_hubs(PROGRAM, 2, Makeup::new).expect("a fleet");
+fn fleet(settings: &str) -> ProcessCluster {
+    let mut fleet = ProcessCluster::two_hubs(PROGRAM, 2, CacheServerConfig::new).expect("a fleet");
     let operator = operator_file(2, "south", settings);
     fleet.start_router("n0", Some(&operator), |_| {}).expect("a router");
     fleet
@@ -24,7 +24,7 @@
     (output.status.code().unwrap_or(-1), text(&output.stdout), text(&output.stderr))
 }
 
-fn ask(fleet: &Fleet, words: &[&str]) -> (i32, String, String) {
+fn ask(fleet: &ProcessCluster, words: &[&str]) -> (i32, String, String) {
     let socket = fleet.socket("n0").display().to_string();
     let words = [&["hierarchy"], words, &["--socket", &socket]].concat();
     text(&fleet.command(&words).expect("the program runs"))
@@ -33,7 +33,7 @@
 /// What asks for gigabytes in one step is ended by the system, and the program that asked says so.
 #[test]
 fn a_file_is_checked_in_bounds() {
-    let fleet = Fleet::new(PROGRAM).expect("a folder");
+    let fleet = ProcessCluster::new(PROGRAM).expect("a folder");
     let good = operator_file(2, "south", "warm = 3");
     let doubled = "x = \"a\"\nfor n in range(60):\n    x = x + x";
     let table = [
@@ -151,7 +151,7 @@
 /// Log lines for programs: one JSON object each, with the message and its fields.
 #[test]
 fn the_log_is_written_as_json_where_the_file_says_so() {
-    let mut fleet = Fleet::two_hubs(PROGRAM, 2, Makeup::new).expect("a fleet");
+    let mut fleet = ProcessCluster::two_hubs(PROGRAM, 2, CacheServerConfig::new).expect("a fleet");
     let operator = operator_file(2, "south", "announce = 0") + "log(format = \"json\")\n";
     fleet.start_router("n0", Some(&operator), |_| {}).expect("a router");
     let file = fleet
--- a/crates/router/tests/common/timed.rs
+++ b/crates/router/tests/common/timed.rs
@@ -12,7 +12,7 @@
 
 use linnethook_quickstart::cache::{array, encode, fields};
 use linnethook_quickstart::Answer;
-use linnethook_standins::record::{now, Ms};
+use linnethook_testbed::recording::{now, Ms};
 use nix::sys::socket::sockopt::ReceiveTimestampns;
 use nix::sys::socket::{recvmsg, setsockopt, ControlMessageOwned, MsgFlags};
 use nix::sys::time::TimeSpec;
--- a/crates/router/tests/descriptors.rs
+++ b/crates/router/tests/descriptors.rs
@@ -13,7 +13,7 @@
 
 use common::*;
 use linnethook_quickstart::{Answer, Cache, Client, Journal};
-use linnethook_standins::ready::{Discovery, Outage};
+use linnethook_testbed::cold_restart::{Discovery, Outage};
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
 
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -3,27 +3,27 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_standins::middle::Spoils;
-use linnethook_standins::record::{Phase, What};
-use linnethook_standins::rig::{alive, line, name, script, Plan, Rig};
+use linnethook_testbed::fault_proxy::Corruption;
+use linnethook_testbed::harness::{alive, line, name, script, Harness, Plan};
+use linnethook_testbed::recording::{Phase, RecordedEvent};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 
-fn rig(routers: usize) -> Rig {
-    Rig::start(PROGRAM, Plan { routers, ..Plan::default() }).expect("a fleet")
+fn rig(routers: usize) -> Harness {
+    Harness::start(PROGRAM, Plan { routers, ..Plan::default() }).expect("a fleet")
 }
 
 fn pause(ms: u64) {
     thread::sleep(Duration::from_millis(ms));
 }
 
-fn clean(rig: &mut Rig) {
+fn clean(rig: &mut Harness) {
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken");
 }
 
-fn served_share(rig: &Rig) -> f64 {
-    let sum = |list: fn(&linnethook_standins::load::Ends) -> &Vec<u32>| -> f64 {
+fn served_share(rig: &Harness) -> f64 {
+    let sum = |list: fn(&linnethook_testbed::load::LoadResults) -> &Vec<u32>| -> f64 {
         rig.ends.iter().map(|ends| f64::from(list(ends).iter().sum::<u32>())).sum()
     };
     sum(|ends| &ends.served) / sum(|ends| &ends.asked).max(1.0)
@@ -67,14 +67,14 @@
         let barred = |shown: &serde_json::Value| shown["barred"][0][0] == "cache-1" && shown["drains"] == 1;
         rig.until(n, "the drain", barred).expect("heard");
         let (router, node) = (name(n), "cache-1".to_string());
-        rig.fleet.record.note(What::Listed { router, node, phase: Phase::Draining });
+        rig.fleet.record.note(RecordedEvent::Listed { router, node, phase: Phase::Draining });
     }
     // An operator's batch, applied at one.
     rig.move_cache(2, 0).expect("applied");
     rig.settle().expect("all act on the same hierarchy");
     assert_eq!(rig.shown(0).expect("shown")["batches"], 1);
     let object = rig.fleet.record.lines().iter().find_map(|line| match &line.what {
-        What::Asked { asked, .. } if asked.class == "video" => Some(asked.object.clone()),
+        RecordedEvent::Asked { asked, .. } if asked.class == "video" => Some(asked.object.clone()),
         _ => None,
     });
     rig.purge(&object.expect("an object"), &[0]).expect("told");
@@ -107,10 +107,10 @@
     let barred = |shown: &serde_json::Value| shown["barred"][0] == serde_json::json!(["cache-1", 4]);
     rig.until(1, "the newest word", barred).expect("heard");
     let (router, node) = (name(1), "cache-1".to_string());
-    rig.fleet.record.note(What::Listed { router, node, phase: Phase::Draining });
+    rig.fleet.record.note(RecordedEvent::Listed { router, node, phase: Phase::Draining });
     pause(300);
     let from = rig.fleet.record.len();
-    rig.hear(1, 2).expect("told");
+    rig.deliver_events(1, 2).expect("told");
     let own = |shown: &serde_json::Value| shown["fellows"]["me"]["acts"]["journal"] == 3;
     let shown = rig.until(1, "the older words", own).expect("heard");
     assert!(barred(&shown), "{shown}");
@@ -118,7 +118,7 @@
     rig.end_loads();
     let lines = rig.fleet.record.lines();
     let asked = lines[from..].iter().filter(|line| {
-        matches!(&line.what, What::Asked { asked, .. } if asked.at == "cache-1" && asked.router.as_deref() == Some("r1"))
+        matches!(&line.what, RecordedEvent::Asked { asked, .. } if asked.at == "cache-1" && asked.router.as_deref() == Some("r1"))
     });
     assert_eq!(asked.count(), 0, "none goes to a cache that fellows know as drained");
 }
@@ -128,8 +128,8 @@
 #[test]
 fn what_fellows_know_of_before_is_no_news_to_the_own_journal() {
     let plan = Plan { routers: 2, ..Plan::default() };
-    let fellows = format!("{}, purges = 10", plan.fellows);
-    let mut rig = Rig::start(PROGRAM, Plan { fellows, ..plan }).expect("a fleet");
+    let cluster_settings = format!("{}, purges = 10", plan.cluster_settings);
+    let mut rig = Harness::start(PROGRAM, Plan { cluster_settings, ..plan }).expect("a fleet");
     rig.load_all().expect("load");
     rig.tell("cache-1", Phase::Draining, &[0]).expect("told");
     rig.until(1, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("heard");
@@ -208,7 +208,7 @@
 fn a_second_process_of_the_same_name_is_refused_and_named_at_both() {
     let mut rig = rig(3);
     let first = line(&rig.shown(0).expect("shown"), "r1").expect("known")["start"].clone();
-    let twin = rig.start_twin(1).expect("a second r1");
+    let twin = rig.start_duplicate(1).expect("a second r1");
     rig.fleet.logged(&twin, "THIS ROUTER'S NAME IS TAKEN").expect("told there");
     rig.fleet.logged("r1", "ANOTHER PROCESS HAS THIS ROUTER'S NAME").expect("and here");
     for n in [0, 2] {
@@ -225,7 +225,7 @@
     let mut rig = rig(3);
     rig.freeze(1).expect("frozen");
     rig.until(0, "suspected", |shown| stands(shown, 1, "Suspected")).expect("seen");
-    let twin = rig.start_twin(1).expect("a successor");
+    let twin = rig.start_duplicate(1).expect("a successor");
     rig.until(0, "the successor", |shown| stands(shown, 1, "Alive")).expect("seen");
     rig.wake(1).expect("awake");
     rig.fleet.logged("r1", "it takes no part").expect("it yields");
@@ -249,9 +249,9 @@
     let upto = |shown: &serde_json::Value| line(shown, "r1").is_some_and(|l| l["acts"]["journal"] == 41);
     rig.until(0, "r1's number", upto).expect("the fast ones are not held up");
     rig.mend_all();
-    for spoils in [Spoils::Lost, Spoils::Repeated] {
-        rig.spoil(1, 0, spoils);
-        rig.spoil(0, 2, spoils);
+    for corruption in [Corruption::Lost, Corruption::Repeated] {
+        rig.corrupt(1, 0, corruption);
+        rig.corrupt(0, 2, corruption);
         pause(300);
     }
     rig.mend_all();
@@ -366,7 +366,7 @@
         1 => text.replace("fellows(", "fellows(speaks = 1, "),
         _ => text,
     };
-    let mut rig = Rig::start_with(PROGRAM, Plan::default(), old).expect("a fleet");
+    let mut rig = Harness::start_with(PROGRAM, Plan::default(), old).expect("a fleet");
     rig.tell("cache-1", Phase::Draining, &[0, 1, 2]).expect("told");
     let drains = |who: &'static str, drains: u64| {
         move |shown: &serde_json::Value| {
@@ -389,7 +389,7 @@
         2 => text.replace("warm = 2", "warm = 3"),
         _ => text,
     };
-    let rig = Rig::start_with(PROGRAM, Plan::default(), other).expect("a fleet");
+    let rig = Harness::start_with(PROGRAM, Plan::default(), other).expect("a fleet");
     let socket = rig.fleet.socket("r0").display().to_string();
     let output = rig.fleet.command(&["fleet", "show", "--socket", &socket]).expect("run");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
--- a/crates/router/tests/gateway.rs
+++ b/crates/router/tests/gateway.rs
@@ -13,25 +13,25 @@
 };
 use linnethook_gateway::site_state::StatePosition;
 use linnethook_quickstart::Client;
-use linnethook_standins::checker::{judge, Breach, Rules};
-use linnethook_standins::faults::{self, Fault};
-use linnethook_standins::load::Load;
-use linnethook_standins::middle::{TwoSites, Weather, BACK, NORTH, SOUTH, THERE};
-use linnethook_standins::node::{Kind, Makeup};
-use linnethook_standins::record::{now, Phase, Record, What};
+use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
+use linnethook_testbed::checker::{judge, Breach, RuleBounds};
+use linnethook_testbed::fault_proxy::{LinkConditions, TwoSites, NORTH, SOUTH, TO_ACCEPTOR, TO_DIALER};
+use linnethook_testbed::faults::{self, Fault};
+use linnethook_testbed::load::Load;
+use linnethook_testbed::recording::{now, Phase, RecordedEvent, Recording};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 /// Sites that have come back get all at once and links are tried again soon, so that a test need not wait.
 const QUICK: &str = ", first = 1.0, window = 64, flapping = 1.0, retry_most = 0.1";
 
-fn sites(settings: &str, makeup: impl Fn(Kind) -> Makeup) -> TwoSites {
-    let sites = TwoSites::start(Path::new(PROGRAM), settings, makeup).expect("two sites");
+fn sites(settings: &str, server_config: impl Fn(ServerRole) -> CacheServerConfig) -> TwoSites {
+    let sites = TwoSites::start(Path::new(PROGRAM), settings, server_config).expect("two sites");
     sites.until_up().expect("the link is up");
     sites
 }
 
 fn clean(sites: &TwoSites) {
-    let rules = Rules { slack: 150.0, ..Rules::default() };
+    let rules = RuleBounds { slack: 150.0, ..RuleBounds::default() };
     let breaches: Vec<Breach> = judge(&sites.north.record.lines(), &rules);
     assert!(breaches.is_empty(), "{}", breaches.iter().take(8).map(|b| format!("{b}\n")).collect::<String>());
     for (fleet, origin) in [(&sites.north, "north-origin"), (&sites.south, "south-origin")] {
@@ -44,7 +44,9 @@
     let lines = sites.north.record.lines();
     lines
         .iter()
-        .filter(|l| matches!(&l.what, What::Asked { asked, .. } if asked.at == origin && asked.id == id))
+        .filter(
+            |l| matches!(&l.what, RecordedEvent::Asked { asked, .. } if asked.at == origin && asked.id == id),
+        )
         .count()
 }
 
@@ -64,7 +66,7 @@
     id: String,
     wait: f64,
     since: f64,
-    record: Record,
+    record: Recording,
 }
 
 impl One {
@@ -77,7 +79,7 @@
         let since = now();
         let (record, router) = (&fleet.record, router.to_string());
         let deadline = since + wait;
-        record.note(What::Requested {
+        record.note(RecordedEvent::Requested {
             request,
             id: id.clone(),
             object: object.clone(),
@@ -99,14 +101,14 @@
                 Ok(frame) if frame.kind == 66 && frame.stream == 1 => {
                     let text = String::from_utf8_lossy(&frame.body[..frame.body.len().min(120)]).into_owned();
                     let dated = text.split(' ').nth(2).and_then(|at| at.parse().ok());
-                    self.record.note(What::Final { request: self.request, code: frame.code, dated });
+                    self.record.note(RecordedEvent::Final { request: self.request, code: frame.code, dated });
                     let took = now() - self.since;
                     assert!(took <= self.wait + 100.0, "answered after {took:.0} ms");
                     return Some((frame.code, frame.body, took));
                 }
                 Ok(_) => {}
                 Err(_) => {
-                    self.record.note(What::Released { request: self.request });
+                    self.record.note(RecordedEvent::Released { request: self.request });
                     return None;
                 }
             }
@@ -117,7 +119,7 @@
 /// The north's caches are gone, by its own list.
 fn without_caches(sites: &TwoSites) {
     for cache in ["north-cache-0", "north-cache-1"] {
-        sites.north.tell(cache, Phase::Gone).expect("told");
+        sites.north.tell(cache, Phase::Removed).expect("told");
     }
     sites.until(NORTH, "no caches", |status| status["caches"] == 0).expect("told");
 }
@@ -136,17 +138,17 @@
 
 #[test]
 fn home_serves_all_while_it_can_and_the_other_site_once_it_can_not() {
-    let sites = sites(", rise = 0.2, rise_writes = 0.2", Makeup::new);
+    let sites = sites(", rise = 0.2, rise_writes = 0.2", CacheServerConfig::new);
     let load = Load { rate: 60.0, bookings: 0.3, ..Load::default() };
     let running = sites.north.load(NORTH, &load).expect("clients");
     thread::sleep(Duration::from_millis(1_000));
-    assert_eq!(sites.middle.passed().opened, [0, 0], "nothing crosses while home can");
+    assert_eq!(sites.proxy.passed().opened, [0, 0], "nothing crosses while home can");
     sites.north.node("north-origin").kill();
     thread::sleep(Duration::from_millis(3_000));
     let ends = running.finish();
     let (_, text) = sites.gateway(NORTH, &["status"]).expect("status");
     clean(&sites);
-    assert!(sites.middle.passed().opened[0] > 20, "{text}");
+    assert!(sites.proxy.passed().opened[0] > 20, "{text}");
     assert!(ends.served_share(2..4) > 0.8, "{ends:?}");
     assert!(sites.status(SOUTH).expect("status")["counts"]["served"].as_u64() > Some(20));
     // What people see of it, and a site that is to be left alone.
@@ -155,10 +157,10 @@
     assert!(routes.contains("writes: home CAN'T, else south (100%)"), "{routes}");
     assert!(sites.gateway(SOUTH, &["drain", "south"]).expect("drained").0);
     sites.until(NORTH, "told of the drain", |status| status["sites"][0]["drained"] == true).expect("told");
-    let before = sites.middle.passed().opened[0];
+    let before = sites.proxy.passed().opened[0];
     let (code, _, took) = One::ask(&sites, NORTH, "booking", 1, 2_000.0).answer().expect("an answer");
     assert!(code == 2 && took < 500.0, "refused at once: {code} after {took:.0} ms");
-    assert_eq!(sites.middle.passed().opened[0], before);
+    assert_eq!(sites.proxy.passed().opened[0], before);
     assert!(sites.gateway(SOUTH, &["undrain", "south"]).expect("undrained").0);
     sites
         .until(NORTH, "told that it is back", |status| status["sites"][0]["drained"] == false)
@@ -177,38 +179,38 @@
     // How it stops, after how long it is back, and whether the client is to have its video.
     let table: [(&str, &[usize], u64, bool); 7] = [
         ("cut", &[], 300, true),
-        ("silent", &[THERE, BACK], 250, true),
-        ("silent", &[THERE, BACK], 900, true),
-        ("silent", &[BACK], 900, true),
-        ("silent", &[THERE], 900, true),
+        ("silent", &[TO_ACCEPTOR, TO_DIALER], 250, true),
+        ("silent", &[TO_ACCEPTOR, TO_DIALER], 900, true),
+        ("silent", &[TO_DIALER], 900, true),
+        ("silent", &[TO_ACCEPTOR], 900, true),
         ("cut", &[], 6_000, false),
-        ("silent", &[THERE, BACK], 6_000, false),
+        ("silent", &[TO_ACCEPTOR, TO_DIALER], 6_000, false),
     ];
     // On so thin a link an answer to a ping waits behind the video.
     let settings = format!("{QUICK}, fresh = 0");
-    let sites = sites(&settings, |kind| Makeup { size: SIZE, ..Makeup::new(kind) });
+    let sites = sites(&settings, |kind| CacheServerConfig { size: SIZE, ..CacheServerConfig::new(kind) });
     without_caches(&sites);
     for (n, (how, directions, back, whole)) in table.into_iter().enumerate() {
         sites.until_up().expect("the link is up");
-        sites.middle.weather(BACK, Weather { rate: 400_000.0, ..Weather::default() });
-        let before = sites.middle.passed().bodies[BACK];
+        sites.proxy.conditions(TO_DIALER, LinkConditions { rate: 400_000.0, ..LinkConditions::default() });
+        let before = sites.proxy.passed().bodies[TO_DIALER];
         let mut one = One::ask(&sites, NORTH, "video", 100 + n as u64, 3_000.0);
-        until("half of the video", || sites.middle.passed().bodies[BACK] > before + 60_000);
-        let old = sites.middle.passed().by_connection.keys().max().copied();
+        until("half of the video", || sites.proxy.passed().bodies[TO_DIALER] > before + 60_000);
+        let old = sites.proxy.passed().by_connection.keys().max().copied();
         if how == "cut" {
-            sites.middle.cut();
+            sites.proxy.cut();
         } else {
-            sites.middle.silence(directions);
+            sites.proxy.silence(directions);
         }
         let answer = thread::spawn(move || one.answer().expect("an answer"));
         let begun = Instant::now();
         while begun.elapsed() < Duration::from_millis(back) && (whole || !answer.is_finished()) {
             thread::sleep(Duration::from_millis(5));
         }
-        sites.middle.mend();
+        sites.proxy.mend();
         let (code, body, took) = answer.join().expect("an answer");
         // On the connections after that one; what it had under way may still have passed to nobody.
-        let passed = sites.middle.passed().by_connection;
+        let passed = sites.proxy.passed().by_connection;
         let anew: u64 = passed.iter().filter(|(n, _)| Some(**n) > old).map(|(_, bytes)| bytes).sum();
         let case = format!(
             "{how} {directions:?} for {back} ms: {code} after {took:.0} ms, {anew} bytes on new connections"
@@ -265,16 +267,16 @@
     ];
     for (back, sender, receiver) in table {
         // The home is not tried meanwhile: the booking crosses at once.
-        let mut sites = sites(&format!("{QUICK}, home_try = 60"), Makeup::new);
+        let mut sites = sites(&format!("{QUICK}, home_try = 60"), CacheServerConfig::new);
         without_store(&sites);
         match when {
-            When::Before => sites.middle.silence(&[THERE]),
+            When::Before => sites.proxy.silence(&[TO_ACCEPTOR]),
             When::During => sites
                 .south
                 .node("south-origin")
                 .script()
                 .add(Fault::Slow(600.0), faults::When::Count { after: 0, most: 1 }),
-            When::After => sites.middle.silence(&[BACK]),
+            When::After => sites.proxy.silence(&[TO_DIALER]),
         }
         let mut one = One::ask(&sites, NORTH, "booking", 7, 2_500.0);
         if when == When::Before {
@@ -282,7 +284,7 @@
         } else {
             until("it runs", || runs(&sites, "south-origin", &one.id) == 1);
         }
-        sites.middle.silence(&[THERE, BACK]);
+        sites.proxy.silence(&[TO_ACCEPTOR, TO_DIALER]);
         if receiver {
             sites.restart_south().expect("started again");
         }
@@ -292,11 +294,11 @@
         }
         let answer = if back < u64::MAX {
             thread::sleep(Duration::from_millis(back));
-            sites.middle.mend();
+            sites.proxy.mend();
             one.answer()
         } else {
             let answer = one.answer();
-            sites.middle.mend();
+            sites.proxy.mend();
             answer
         };
         sites.until_up().expect("the link is up again");
@@ -329,7 +331,7 @@
 /// A drain or a purge is known at the north alone: while requests cross, during a cut, and with one under way.
 #[test]
 fn what_one_side_is_told_of_holds_at_the_other() {
-    let sites = sites(QUICK, Makeup::new);
+    let sites = sites(QUICK, CacheServerConfig::new);
     without_caches(&sites);
     let load = Load { rate: 80.0, objects: 40, ..Load::default() };
     let running = sites.north.load(NORTH, &load).expect("clients");
@@ -337,7 +339,9 @@
         let lines = sites.north.record.lines();
         lines
             .iter()
-            .filter(|l| l.at > since && matches!(&l.what, What::Asked { asked, .. } if asked.at == node))
+            .filter(|l| {
+                l.at > since && matches!(&l.what, RecordedEvent::Asked { asked, .. } if asked.at == node)
+            })
             .count()
     };
     let begun = now();
@@ -353,11 +357,11 @@
     let back = now();
     until("it is used again", || asked_since("south-cache-0", back) > 3);
     // During a cut: nothing crosses before it is known.
-    sites.middle.cut();
+    sites.proxy.cut();
     sites.north.tell_foreign(NORTH, "south-cache-1", Phase::Draining, SOUTH);
     thread::sleep(Duration::from_millis(400));
     let mended = now();
-    sites.middle.mend();
+    sites.proxy.mend();
     sites.until_up().expect("the link is up");
     thread::sleep(Duration::from_millis(500));
     assert_eq!(asked_since("south-cache-1", mended), 0);
@@ -371,10 +375,10 @@
     };
     purge(1..20);
     thread::sleep(Duration::from_millis(500));
-    sites.middle.cut();
+    sites.proxy.cut();
     purge(20..41);
     thread::sleep(Duration::from_millis(300));
-    sites.middle.mend();
+    sites.proxy.mend();
     sites.until_up().expect("the link is up");
     thread::sleep(Duration::from_millis(2_000));
     let ends = running.finish();
@@ -386,7 +390,7 @@
 /// forth, and no more crosses than was asked for.
 #[test]
 fn stores_that_are_lost_in_turn_cause_no_ping_pong() {
-    let mut sites = sites(QUICK, Makeup::new);
+    let mut sites = sites(QUICK, CacheServerConfig::new);
     let load = Load { rate: 40.0, bookings: 1.0, ..Load::default() };
     let north = sites.north.load(NORTH, &load).expect("clients");
     let south = sites.south.load(SOUTH, &Load { seed: 2, ..load }).expect("clients");
@@ -402,7 +406,7 @@
     pause();
     let (north, south) = (north.finish(), south.finish());
     let asked: u32 = north.asked.iter().chain(&south.asked).sum();
-    let opened: u64 = sites.middle.passed().opened.iter().sum();
+    let opened: u64 = sites.proxy.passed().opened.iter().sum();
     assert!(opened > 0 && opened <= u64::from(asked), "{opened} crossings of {asked}");
     clean(&sites);
 }
@@ -410,7 +414,7 @@
 /// Whoever breaks the frames' rules is broken off, and nobody else notices.
 #[test]
 fn a_bad_peer_is_broken_off() {
-    let sites = sites("", Makeup::new);
+    let sites = sites("", CacheServerConfig::new);
     let address = sites.south.links(SOUTH).expect("an address");
     let hello = |site: &str, node: &str, epoch: u64| Hello {
         versions: SUPPORTED_VERSIONS,
@@ -504,7 +508,7 @@
 /// A link that flaps: what is kept stays bounded, the log is quiet, and home serves as if there were none.
 #[test]
 fn a_flapping_link_leaves_home_alone() {
-    let sites = sites("", Makeup::new);
+    let sites = sites("", CacheServerConfig::new);
     let load = Load { rate: 80.0, bookings: 0.2, ..Load::default() };
     let running = sites.north.load(NORTH, &load).expect("clients");
     let process = sites.north.process_id(NORTH).expect("a process");
@@ -512,14 +516,14 @@
     let mut most = 0;
     for n in 0..20 {
         if n % 2 == 0 {
-            sites.middle.cut();
+            sites.proxy.cut();
         } else {
-            sites.middle.mend();
+            sites.proxy.mend();
         }
         thread::sleep(Duration::from_millis(300));
         most = most.max(descriptors());
     }
-    sites.middle.mend();
+    sites.proxy.mend();
     sites.until_up().expect("the link is up");
     let ends = running.finish();
     assert!(ends.served_share(0..100) > 0.99, "{ends:?}");
--- a/crates/router/tests/gone.rs
+++ b/crates/router/tests/gone.rs
@@ -15,11 +15,11 @@
 use common::timed::{serve, Heeds};
 use common::{asked, asked_either, asks, cache, echo, fleet_of, holding, left_over, Fields, Late, Router};
 use linnethook_quickstart::{Answer, Cache, Client, Journal};
-use linnethook_standins::checker::{leavers, Leavers, Rules};
-use linnethook_standins::faults::{Fault, When};
-use linnethook_standins::fleet::{operator_file, Fleet};
-use linnethook_standins::node::Makeup;
-use linnethook_standins::record::{now, Asked, Record, What};
+use linnethook_testbed::cache_server::CacheServerConfig;
+use linnethook_testbed::checker::{disconnected_clients, DisconnectedClients, RuleBounds};
+use linnethook_testbed::faults::{Fault, When};
+use linnethook_testbed::process_cluster::{operator_file, ProcessCluster};
+use linnethook_testbed::recording::{now, Asked, RecordedEvent, Recording};
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -240,7 +240,8 @@
 /// time there, in the place of others.
 #[test]
 fn a_fill_that_waits_at_the_shield_ends_with_its_client() {
-    let mut fleet = Fleet::two_hubs(env!("CARGO_BIN_EXE_linnethook"), 1, Makeup::new).expect("a fleet");
+    let mut fleet = ProcessCluster::two_hubs(env!("CARGO_BIN_EXE_linnethook"), 1, CacheServerConfig::new)
+        .expect("a fleet");
     fleet.node("cache-0").script().add(Fault::Silent, When::Count { after: 0, most: 1_000 });
     let operator = operator_file(1, "south", "extended = True");
     let address = fleet.start_router("n0", Some(&operator), no_cancel).expect("a router");
@@ -296,7 +297,7 @@
 
 /// What a stand-in does about each request in turn, and the record of when all that reached it came to this machine.
 fn noting(
-    record: &Record,
+    record: &Recording,
     at: &'static str,
     answer: impl Fn(u64) -> Option<Answer> + Send + Sync + 'static,
 ) -> Heeds {
@@ -305,7 +306,7 @@
         let attempt = count.fetch_add(1, Ordering::Relaxed);
         let (id, object, router) = (id.to_string(), fields["obj"].clone(), Some("n0".to_string()));
         let asked = Asked { at: at.to_string(), id, object, router, ..Asked::default() };
-        record.note_at(came, What::Asked { attempt, asked });
+        record.note_at(came, RecordedEvent::Asked { attempt, asked });
         answer(attempt)
     })
 }
@@ -325,14 +326,14 @@
 }
 
 impl Visitor {
-    fn ask(&mut self, record: &Record, request: u64, chance: &mut Pcg64Mcg) {
+    fn ask(&mut self, record: &Recording, request: u64, chance: &mut Pcg64Mcg) {
         let Some(client) = &mut self.client else { return };
         self.last += 1;
         let (id, object) = (format!("{request:016x}"), format!("{:016x}", chance.random_range(1..500u64)));
         let deadline = now() + 3_000.0;
         let harmful = request.is_multiple_of(3);
         let (router, asked) = ("n0".to_string(), object.clone());
-        record.note(What::Requested {
+        record.note(RecordedEvent::Requested {
             request,
             id: id.clone(),
             object: asked,
@@ -348,19 +349,19 @@
     }
 
     /// Leaves, and what stays of its connection.
-    fn leave(&mut self, record: &Record, way: &str) -> Option<Client> {
+    fn leave(&mut self, record: &Recording, way: &str) -> Option<Client> {
         let mut client = self.client.take()?;
         client.stream.set_nonblocking(true).expect("no waiting");
         // What has been answered by now is not waited for.
         while let Ok(frame) = client.read() {
             if let Some(n) = self.open.iter().position(|(stream, _)| *stream == frame.stream) {
                 let (_, request) = self.open.swap_remove(n);
-                record.note(What::Final { request, code: frame.code, dated: None });
+                record.note(RecordedEvent::Final { request, code: frame.code, dated: None });
             }
         }
         client.stream.set_nonblocking(false).expect("waiting again");
         for (_, request) in &self.open {
-            record.note(What::Released { request: *request });
+            record.note(RecordedEvent::Released { request: *request });
         }
         let streams: Vec<u32> = self.open.iter().map(|(stream, _)| *stream).collect();
         leave(client, way, &streams)
@@ -369,8 +370,8 @@
 
 /// 200 clients with hung and full caches, a connect that comes up late, and bookings that are tried again all the
 /// time; half of them leave one by one, the others in one burst. Where it is `busy`, a page of purges comes just then.
-fn evening(seed: u64, busy: bool, may_cancel: bool) -> (Leavers, Rules) {
-    let (record, door) = (Record::default(), Late::new());
+fn evening(seed: u64, busy: bool, may_cancel: bool) -> (DisconnectedClients, RuleBounds) {
+    let (record, door) = (Recording::default(), Late::new());
     let hung = |n: u64| match n % 3 {
         0 => None,
         1 => Some(Answer::with_status("full")),
@@ -420,9 +421,9 @@
         }
     }
     thread::sleep(Duration::from_millis(2_500));
-    let rules = Rules { slack: 50.0 + pulse.end(), ..Rules::default() };
+    let rules = RuleBounds { slack: 50.0 + pulse.end(), ..RuleBounds::default() };
     drop(kept);
-    (leavers(&record.lines(), &rules), rules)
+    (disconnected_clients(&record.lines(), &rules), rules)
 }
 
 /// Of the requests whose clients left while they waited, none is sent on: not even later than the 0.1 s.
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -6,14 +6,14 @@
 
 use linnethook_hierarchy::change_spec::{ChangeSpec, NodeSpec};
 use linnethook_hierarchy::Role;
-use linnethook_standins::checker::{judge, Breach, Rule, Rules};
-use linnethook_standins::faults::{Fault, When};
-use linnethook_standins::fleet::{
-    operator_file, reroute, sources, unhurried, unhurried_by_flow, Fleet, UNHURRIED,
+use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
+use linnethook_testbed::checker::{judge, Breach, Rule, RuleBounds};
+use linnethook_testbed::faults::{Fault, When};
+use linnethook_testbed::load::Load;
+use linnethook_testbed::process_cluster::{
+    operator_file, reroute, sources, unhurried, unhurried_by_flow, ProcessCluster, UNHURRIED,
 };
-use linnethook_standins::load::Load;
-use linnethook_standins::node::{Kind, Makeup};
-use linnethook_standins::record::{now, Asked, Cold, Phase, What};
+use linnethook_testbed::recording::{now, Asked, Phase, RecordedEvent, WarmUpCapacity};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -23,22 +23,30 @@
 const QUICK: &str =
     "extended = True, announce = 0.3, warm = 2, settle = 1, rest = 0.5, retire = 3, least = 20, held = 3";
 
-fn fleet(routers: &[&str], settings: &str, makeup: impl Fn(Kind) -> Makeup) -> Fleet {
-    fleet_by(routers, settings, makeup, unhurried_by_flow(10))
+fn fleet(
+    routers: &[&str],
+    settings: &str,
+    server_config: impl Fn(ServerRole) -> CacheServerConfig,
+) -> ProcessCluster {
+    fleet_by(routers, settings, server_config, unhurried_by_flow(10))
 }
 
 /// One whose nodes start cold.
-fn cold_fleet(routers: &[&str], settings: &str, makeup: impl Fn(Kind) -> Makeup) -> Fleet {
-    fleet_by(routers, settings, makeup, unhurried)
+fn cold_fleet(
+    routers: &[&str],
+    settings: &str,
+    server_config: impl Fn(ServerRole) -> CacheServerConfig,
+) -> ProcessCluster {
+    fleet_by(routers, settings, server_config, unhurried)
 }
 
 fn fleet_by(
     routers: &[&str],
     settings: &str,
-    makeup: impl Fn(Kind) -> Makeup,
+    server_config: impl Fn(ServerRole) -> CacheServerConfig,
     change: impl Fn(&mut serde_json::Value),
-) -> Fleet {
-    let mut fleet = Fleet::two_hubs(PROGRAM, 3, makeup).expect("a fleet");
+) -> ProcessCluster {
+    let mut fleet = ProcessCluster::two_hubs(PROGRAM, 3, server_config).expect("a fleet");
     let operator = operator_file(3, "south", settings);
     fleet.note_shape(1, &[("south", &["origin"]), ("centre", &["origin"])]);
     let caches: Vec<String> = (0..3).map(|n| format!("cache-{n}")).collect();
@@ -55,7 +63,7 @@
     Load { wait: UNHURRIED, ..Load::default() }
 }
 
-fn ask(fleet: &Fleet, router: &str, words: &[&str]) -> (i32, String) {
+fn ask(fleet: &ProcessCluster, router: &str, words: &[&str]) -> (i32, String) {
     let socket = fleet.socket(router).display().to_string();
     let words = [&["hierarchy"], words, &["--socket", &socket, "--format", "json"]].concat();
     let output = fleet.command(&words).expect("the program runs");
@@ -65,13 +73,13 @@
 
 const SHOW: [&str; 2] = ["hierarchy", "show"];
 
-fn show(fleet: &Fleet, router: &str) -> serde_json::Value {
+fn show(fleet: &ProcessCluster, router: &str) -> serde_json::Value {
     fleet.asked(router, &SHOW).expect("shown")
 }
 
 /// Waits until a router shows what is wanted; the time is only a bound.
 fn until(
-    fleet: &Fleet,
+    fleet: &ProcessCluster,
     router: &str,
     what: &str,
     fits: impl Fn(&serde_json::Value) -> bool,
@@ -79,23 +87,25 @@
     fleet.until(router, &SHOW, what, fits).expect("it shows")
 }
 
-fn clean(fleet: &Fleet) {
+fn clean(fleet: &ProcessCluster) {
     clean_but(fleet, &[]);
 }
 
 /// No breach of any rule; some are not asked for where a test breaks them by its stand-ins.
-fn clean_but(fleet: &Fleet, expected: &[Rule]) {
+fn clean_but(fleet: &ProcessCluster, expected: &[Rule]) {
     // As long as the stages of `QUICK` take, with all the time that they may stand still.
-    let rules = Rules { slack: 150.0, going_over: 7_000.0, ..Rules::default() };
+    let rules = RuleBounds { slack: 150.0, going_over: 7_000.0, ..RuleBounds::default() };
     let mut breaches: Vec<Breach> = judge(&fleet.record.lines(), &rules);
     breaches.retain(|breach| !expected.contains(&breach.rule));
     assert!(breaches.is_empty(), "{}", breaches.iter().take(8).map(|b| format!("{b}\n")).collect::<String>());
 }
 
-fn asks(fleet: &Fleet) -> Vec<(f64, Asked)> {
+fn asks(fleet: &ProcessCluster) -> Vec<(f64, Asked)> {
     let lines = fleet.record.lines().into_iter();
     lines
-        .filter_map(|l| if let What::Asked { asked, .. } = l.what { Some((l.at, asked)) } else { None })
+        .filter_map(
+            |l| if let RecordedEvent::Asked { asked, .. } = l.what { Some((l.at, asked)) } else { None },
+        )
         .collect()
 }
 
@@ -109,7 +119,7 @@
 
 /// Has all routers hear of a batch that gives nodes other sources.
 fn change(
-    fleet: &mut Fleet,
+    fleet: &mut ProcessCluster,
     author: u16,
     number: u64,
     stamp: u64,
@@ -131,7 +141,7 @@
 /// that holds, and every rule is kept.
 #[test]
 fn a_move_under_load_passes_its_stages_and_keeps_the_rules() {
-    let mut fleet = fleet(&["n0"], QUICK, Makeup::new);
+    let mut fleet = fleet(&["n0"], QUICK, CacheServerConfig::new);
     let load = Load { rate: 150.0, objects: 400, bookings: 0.05, ..patient() };
     let running = fleet.load("n0", &load).expect("clients");
     thread::sleep(Duration::from_millis(1_500));
@@ -146,7 +156,7 @@
     clean(&fleet);
     assert!(ends.served_share(0..100) > 0.95, "{ends:?}");
     let all = asks(&fleet);
-    let beside = all.iter().filter(|(_, a)| a.at == "south" && a.only_held).count();
+    let beside = all.iter().filter(|(_, a)| a.at == "south" && a.cached_only).count();
     assert!(beside > 0, "the new parent asked the old one for what it holds");
     let last = all.iter().rev().find(|(_, a)| a.source.is_some()).expect("fills");
     assert_eq!(last.1.source.as_deref(), Some("centre"));
@@ -159,7 +169,7 @@
 #[test]
 fn crossing_changes_that_close_a_loop_leave_one_edge_out_at_every_router() {
     let routers = ["n0", "n1"];
-    let mut fleet = fleet(&routers, QUICK, Makeup::new);
+    let mut fleet = fleet(&routers, QUICK, CacheServerConfig::new);
     let loads: Vec<_> = routers
         .iter()
         .zip(1..)
@@ -194,7 +204,7 @@
 /// the router leaves the way by which it got there.
 #[test]
 fn a_loop_that_only_others_see_is_turned_away_and_left() {
-    let own = |kind| Makeup { obeys: false, ..Makeup::new(kind) };
+    let own = |kind| CacheServerConfig { obeys: false, ..CacheServerConfig::new(kind) };
     let fleet = fleet(&["n0"], QUICK, own);
     fleet.node("south").set_upstream(&["centre"], 5);
     fleet.node("centre").set_upstream(&["south"], 4);
@@ -204,7 +214,8 @@
     thread::sleep(Duration::from_millis(700));
     let ends = running.finish();
     let lines = fleet.record.lines();
-    let round = lines.iter().filter(|l| matches!(&l.what, What::Ended { res, .. } if res == "LOOP")).count();
+    let round =
+        lines.iter().filter(|l| matches!(&l.what, RecordedEvent::Ended { res, .. } if res == "LOOP")).count();
     assert!(round > 0);
     let other_ways = asks(&fleet).iter().filter(|(_, a)| a.source.as_deref() == Some("origin")).count();
     assert!(other_ways > 0 && ends.served_share(0..100) > 0.5, "{other_ways} {ends:?}");
@@ -216,7 +227,7 @@
 /// drains are kept, and what was rolled back comes again when its source is back.
 #[test]
 fn sources_that_are_lost_in_the_middle_of_a_change() {
-    let mut fleet = cold_fleet(&["n0"], QUICK, Makeup::new);
+    let mut fleet = cold_fleet(&["n0"], QUICK, CacheServerConfig::new);
     let running = fleet.load("n0", &Load { rate: 120.0, objects: 600, ..patient() }).expect("clients");
     thread::sleep(Duration::from_millis(500));
     change(&mut fleet, 9, 1, 2, &[(1, 1)], &caches_to("centre"), &["n0"]);
@@ -225,13 +236,13 @@
     until(&fleet, "n0", "rolled back", |shown| shown["moves"][0]["stage"] == "rolledback(lost)");
     thread::sleep(Duration::from_millis(400));
     fleet.node("centre").kill();
-    fleet.tell("centre", Phase::Gone).expect("told");
+    fleet.tell("centre", Phase::Removed).expect("told");
     thread::sleep(Duration::from_millis(600));
     fleet.restart("centre").expect("it starts again at its address");
     until(&fleet, "n0", "warming again", |shown| shown["moves"][0]["stage"] == "warming");
     // Now the old one dies: there is nothing to go back to.
     fleet.node("south").kill();
-    fleet.tell("south", Phase::Gone).expect("told");
+    fleet.tell("south", Phase::Removed).expect("told");
     until(&fleet, "n0", "all by the new one", |shown| {
         shown["moves"].as_array().is_some_and(|moves| moves.iter().all(|m| m["part"] == 1.0))
     });
@@ -250,12 +261,13 @@
 /// origin is not flooded.
 #[test]
 fn a_cold_hub_cache_takes_fills_while_the_origin_is_slow() {
-    let cold = Cold { capacity: 60.0, from: 0.1, warm_in: 4_000.0, fall_multiple: 2.0, window: 1_000.0 };
-    let makeup = move |kind| {
-        let cold = if kind == Kind::Parent { cold } else { Cold::default() };
-        Makeup { cold, ..Makeup::new(kind) }
+    let cold =
+        WarmUpCapacity { capacity: 60.0, from: 0.1, warm_in: 4_000.0, fall_multiple: 2.0, window: 1_000.0 };
+    let server_config = move |kind| {
+        let cold = if kind == ServerRole::Parent { cold } else { WarmUpCapacity::default() };
+        CacheServerConfig { cold, ..CacheServerConfig::new(kind) }
     };
-    let mut fleet = cold_fleet(&["n0"], QUICK, makeup);
+    let mut fleet = cold_fleet(&["n0"], QUICK, server_config);
     thread::sleep(Duration::from_millis(4_200));
     fleet.node("centre").kill();
     fleet.restart("centre").expect("it starts cold");
@@ -274,7 +286,7 @@
 /// A change is taken back in the middle, under load: from then on nothing fills by the new source.
 #[test]
 fn a_change_rolled_back_in_the_middle() {
-    let mut fleet = fleet(&["n0"], QUICK, Makeup::new);
+    let mut fleet = fleet(&["n0"], QUICK, CacheServerConfig::new);
     let running = fleet.load("n0", &Load { rate: 100.0, objects: 2_000, ..patient() }).expect("clients");
     thread::sleep(Duration::from_millis(500));
     change(&mut fleet, 9, 1, 2, &[(1, 1)], &caches_to("centre"), &["n0"]);
@@ -298,12 +310,12 @@
 /// change has made it a source.
 #[test]
 fn a_new_parent_at_the_address_of_one_that_has_gone() {
-    let mut fleet = fleet_by(&["n0"], QUICK, Makeup::new, |_| {});
+    let mut fleet = fleet_by(&["n0"], QUICK, CacheServerConfig::new, |_| {});
     let running = fleet.load("n0", &Load { rate: 100.0, objects: 600, ..Load::default() }).expect("clients");
     thread::sleep(Duration::from_millis(600));
-    fleet.succeed("south", "north", Makeup::new(Kind::Parent)).expect("a successor");
+    fleet.succeed("south", "north", CacheServerConfig::new(ServerRole::Parent)).expect("a successor");
     thread::sleep(Duration::from_millis(500));
-    let strange = |fleet: &Fleet| asks(fleet).iter().filter(|(_, a)| a.at == "north").count();
+    let strange = |fleet: &ProcessCluster| asks(fleet).iter().filter(|(_, a)| a.at == "north").count();
     assert_eq!(strange(&fleet), 0, "the shape does not have it yet");
     let spec = NodeSpec {
         name: "north".to_string(),
@@ -337,7 +349,7 @@
 /// twice, one on an old version, and a router that starts again between the stages.
 #[test]
 fn purges_repeats_and_restarts_in_the_course_of_a_change() {
-    let mut fleet = fleet(&["n0", "n1"], QUICK, Makeup::new);
+    let mut fleet = fleet(&["n0", "n1"], QUICK, CacheServerConfig::new);
     let hot = Load { rate: 80.0, objects: 5, ..patient() };
     let running = fleet.load("n0", &hot).expect("clients");
     thread::sleep(Duration::from_millis(500));
@@ -370,7 +382,7 @@
         let settings = QUICK
             .replace("announce = 0.3, warm = 2, settle = 1", "announce = 0.05, warm = 0.2, settle = 0.1");
         let routers = ["n0", "n1"];
-        let mut fleet = fleet(&routers, &settings, Makeup::new);
+        let mut fleet = fleet(&routers, &settings, CacheServerConfig::new);
         let load = Load { rate: 60.0, bookings: 0.05, seed, ..patient() };
         let loads: Vec<_> =
             routers.iter().map(|router| fleet.load(router, &load).expect("clients")).collect();
--- a/crates/router/tests/places.rs
+++ b/crates/router/tests/places.rs
@@ -4,8 +4,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_standins::record::{Line, Phase, What};
-use linnethook_standins::rig::{alive, line, name, Plan, Rig};
+use linnethook_testbed::harness::{alive, line, name, Harness, Plan};
+use linnethook_testbed::recording::{Phase, RecordEntry, RecordedEvent};
 use serde_json::Value;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
@@ -20,13 +20,13 @@
 
 fn plan() -> Plan {
     let plan = Plan::default();
-    let fellows = format!("{}, progress = 0.5, gather = 0.1, renew = 0.5", plan.fellows);
+    let cluster_settings = format!("{}, progress = 0.5, gather = 0.1, renew = 0.5", plan.cluster_settings);
     let places: Vec<String> = PLACES.map(str::to_string).to_vec();
-    Plan { routers: PLACES.len(), places, fellows, rate: 10.0, ..plan }
+    Plan { routers: PLACES.len(), places, cluster_settings, rate: 10.0, ..plan }
 }
 
-fn rig() -> Rig {
-    Rig::start(PROGRAM, plan()).expect("a fleet")
+fn rig() -> Harness {
+    Harness::start(PROGRAM, plan()).expect("a fleet")
 }
 
 fn pause(ms: u64) {
@@ -121,7 +121,7 @@
     for n in [1, 2, 3, 4] {
         rig.until(n, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("heard");
         let (router, node) = (name(n), "cache-1".to_string());
-        rig.fleet.record.note(What::Listed { router, node, phase: Phase::Draining });
+        rig.fleet.record.note(RecordedEvent::Listed { router, node, phase: Phase::Draining });
     }
     let shown = rig.shown(5).expect("shown");
     assert!(shown["drains"] == 0 && shown["batches"] == 0, "{shown}");
@@ -130,7 +130,7 @@
         let caught_up = |shown: &Value| shown["drains"] == 1 && shown["batches"] == 1;
         rig.until(n, "it has caught up", caught_up).expect("heard");
         let (router, node) = (name(n), "cache-1".to_string());
-        rig.fleet.record.note(What::Listed { router, node, phase: Phase::Draining });
+        rig.fleet.record.note(RecordedEvent::Listed { router, node, phase: Phase::Draining });
     }
     rig.settle().expect("one shape");
     // One shape at all, as the sums have it.
@@ -158,7 +158,7 @@
     let all = (0..PLACES.len()).flat_map(|a| (0..a).map(move |b| (a, b)));
     let links = all.filter(|(a, b)| PLACES[*a] == PLACES[*b] || *a != 1 && *b != 1).collect();
     let plan = Plan { links: Some(links), ..plan() };
-    let mut rig = Rig::start_with(PROGRAM, plan, old).expect("a fleet");
+    let mut rig = Harness::start_with(PROGRAM, plan, old).expect("a fleet");
     rig.load_all().expect("load");
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
     rig.until(1, "it sees its site", |shown| alive(shown) == 2 && shown["whole"].is_null()).expect("seen");
@@ -167,7 +167,7 @@
     for n in [0, 2, 3, 4, 5, 6] {
         rig.until(n, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("heard");
         let (router, node) = (name(n), "cache-1".to_string());
-        rig.fleet.record.note(What::Listed { router, node, phase: Phase::Draining });
+        rig.fleet.record.note(RecordedEvent::Listed { router, node, phase: Phase::Draining });
     }
     pause(400);
     rig.end_loads();
@@ -307,7 +307,7 @@
         _ => text,
     };
     let plan = Plan { routers: 4, places, links: Some(vec![(1, 0), (2, 1), (3, 2)]), ..plan() };
-    let mut rig = Rig::start_with(PROGRAM, plan, old).expect("a fleet");
+    let mut rig = Harness::start_with(PROGRAM, plan, old).expect("a fleet");
     rig.load_all().expect("load");
     let all = |shown: &Value| told(shown, "south", 0, 3) && told(shown, "north", 3, 1) && shown["whole"] == 4;
     for n in [0, 2, 3] {
@@ -339,7 +339,7 @@
 #[test]
 fn stragglers_are_named_in_all_places() {
     let straggler = Some("bound = 1, back = 0.5, come_back = 0.2".to_string());
-    let mut rig = Rig::start(PROGRAM, Plan { straggler, ..plan() }).expect("a fleet");
+    let mut rig = Harness::start(PROGRAM, Plan { straggler, ..plan() }).expect("a fleet");
     rig.load_all().expect("load");
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
     rig.until(0, "the zone", |shown| told(shown, "south/z1/a", 0, 3)).expect("seen");
@@ -386,13 +386,14 @@
 fn drains_and_purges_are_heeded_in_all_places_as_without_places() {
     for places in [Vec::new(), plan().places] {
         let links = Some((1..PLACES.len()).map(|n| (n, n - 1)).collect());
-        let mut rig = Rig::start(PROGRAM, Plan { places, links, objects: 10, ..plan() }).expect("a fleet");
+        let mut rig =
+            Harness::start(PROGRAM, Plan { places, links, objects: 10, ..plan() }).expect("a fleet");
         rig.load_all().expect("load");
         let others = [1, 2, 3, 4, 5, 6];
-        let videos = |rig: &Rig| {
+        let videos = |rig: &Harness| {
             let lines = rig.fleet.record.lines();
-            let object = |line: &Line| match &line.what {
-                What::Asked { asked, .. } if asked.class == "video" => Some(asked.object.clone()),
+            let object = |line: &RecordEntry| match &line.what {
+                RecordedEvent::Asked { asked, .. } if asked.class == "video" => Some(asked.object.clone()),
                 _ => None,
             };
             lines.iter().filter_map(object).collect::<Vec<_>>()
--- a/crates/router/tests/rolling.rs
+++ b/crates/router/tests/rolling.rs
@@ -9,8 +9,8 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_standins::record::{Phase, What};
-use linnethook_standins::rig::{line, name, Plan, Rig};
+use linnethook_testbed::harness::{line, name, Harness, Plan};
+use linnethook_testbed::recording::{Phase, RecordedEvent};
 use serde_json::Value;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
@@ -24,18 +24,18 @@
 }
 
 /// Each router keeps its audit log in a folder of its own.
-fn start_mixed_fleet(folder: &Path) -> Rig {
+fn start_mixed_fleet(folder: &Path) -> Harness {
     let programs = EARLIER.into_iter().map(|n| (n, earlier_build())).collect::<BTreeMap<_, _>>();
     let plan = Plan { routers: ROUTERS, programs, ..Plan::default() };
     let with_folder = |n: usize, text: String| {
         let own = folder.join(name(n));
         text.replace("audit(", &format!("audit(folder = \"{}\", ", own.display()))
     };
-    Rig::start_with(PROGRAM, plan, with_folder).expect("a fleet")
+    Harness::start_with(PROGRAM, plan, with_folder).expect("a fleet")
 }
 
 /// A drain that the endpoint list of one router alone tells of reaches all others.
-fn drain_reaches_all(rig: &mut Rig, node: &str, notified: usize) {
+fn drain_reaches_all(rig: &mut Harness, node: &str, notified: usize) {
     rig.tell(node, Phase::Draining, &[notified]).expect("told");
     for n in (0..ROUTERS).filter(|n| *n != notified) {
         let barred = |shown: &Value| {
@@ -44,13 +44,13 @@
         };
         rig.until(n, "the drain", barred).expect("passed on");
         let (router, node) = (name(n), node.to_string());
-        rig.fleet.record.note(What::Listed { router, node, phase: Phase::Draining });
+        rig.fleet.record.note(RecordedEvent::Listed { router, node, phase: Phase::Draining });
     }
 }
 
 /// The same for a purge. A router counts what it learns from its peers before its own endpoint list tells of it.
-fn purge_reaches_all(rig: &mut Rig, object: &str, notified: usize) {
-    let purges = |rig: &Rig, n: usize| rig.shown(n).expect("shown")["purges"].as_u64().expect("a count");
+fn purge_reaches_all(rig: &mut Harness, object: &str, notified: usize) {
+    let purges = |rig: &Harness, n: usize| rig.shown(n).expect("shown")["purges"].as_u64().expect("a count");
     let before: Vec<u64> = (0..ROUTERS).map(|n| purges(rig, n)).collect();
     rig.purge(object, &[notified]).expect("told");
     for n in (0..ROUTERS).filter(|n| *n != notified) {
@@ -59,10 +59,10 @@
 }
 
 /// Two objects that clients have asked for.
-fn requested_objects(rig: &Rig) -> Vec<String> {
+fn requested_objects(rig: &Harness) -> Vec<String> {
     let mut objects = Vec::new();
     for line in rig.fleet.record.lines() {
-        if let What::Asked { asked, .. } = &line.what {
+        if let RecordedEvent::Asked { asked, .. } = &line.what {
             if asked.class == "video" && !objects.contains(&asked.object) {
                 objects.push(asked.object.clone());
             }
@@ -73,7 +73,7 @@
 }
 
 /// All routers were given the same settings and operator file, and say so by equal digests, whichever build they run.
-fn digests_are_equal(rig: &Rig) {
+fn digests_are_equal(rig: &Harness) {
     for asked in [EARLIER[0], CURRENT[0]] {
         let shown = rig.shown(asked).expect("shown");
         let own = &shown["fellows"]["me"]["acts"];
--- a/crates/router/tests/scale.rs
+++ b/crates/router/tests/scale.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use linnethook_quickstart::Journal;
-use linnethook_standins::scale::{run, Fault, Form, Plan, Sample};
+use linnethook_testbed::scale::{run, Fault, Form, Plan, Sample};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
--- a/crates/router/tests/starts.rs
+++ b/crates/router/tests/starts.rs
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_standins::checker::{judge, Rules};
-use linnethook_standins::fleet::{operator_file, reroute, Fleet};
-use linnethook_standins::load::{Ends, Load, Running};
-use linnethook_standins::node::{Kind, Makeup};
-use linnethook_standins::ready::{peak_memory, restart, spread, Case, Outage};
-use linnethook_standins::record::{now, What};
+use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
+use linnethook_testbed::checker::{judge, RuleBounds};
+use linnethook_testbed::cold_restart::{peak_memory, restart, spread, Outage, StartScenario};
+use linnethook_testbed::load::{Load, LoadResults, RunningLoad};
+use linnethook_testbed::process_cluster::{operator_file, reroute, ProcessCluster};
+use linnethook_testbed::recording::{now, RecordedEvent};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 const QUICK: &str =
@@ -26,8 +26,8 @@
     TURN.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn fleet(settings: &str, makeup: impl Fn(Kind) -> Makeup) -> Fleet {
-    let mut fleet = Fleet::two_hubs(PROGRAM, 3, makeup).expect("a fleet");
+fn fleet(settings: &str, server_config: impl Fn(ServerRole) -> CacheServerConfig) -> ProcessCluster {
+    let mut fleet = ProcessCluster::two_hubs(PROGRAM, 3, server_config).expect("a fleet");
     let caches = ["cache-0", "cache-1", "cache-2"];
     let lists = caches.map(|cache| (cache, &["south", "origin"][..]));
     fleet.note_shape(1, &[&lists[..], &[("south", &["origin"]), ("centre", &["origin"])]].concat());
@@ -37,28 +37,28 @@
 }
 
 /// All caches are to fill by the other parent from now on.
-fn change(fleet: &mut Fleet, routers: &[&str]) {
+fn change(fleet: &mut ProcessCluster, routers: &[&str]) {
     let lists = ["cache-0", "cache-1", "cache-2"].map(|cache| (cache, &["centre", "origin"][..]));
     let batch = reroute(9, 1, 2, &[(1, 1)], &lists);
     fleet.note_shape(2, &lists);
     routers.iter().for_each(|router| fleet.tell_batch(router, &batch).expect("told"));
 }
 
-fn load(fleet: &Fleet, router: &str, seed: u64, objects: u64) -> Running {
+fn load(fleet: &ProcessCluster, router: &str, seed: u64, objects: u64) -> RunningLoad {
     let load = Load { seed, rate: 100.0, objects, bookings: 0.1, ..Load::default() };
     fleet.load(router, &load).expect("clients")
 }
 
 /// Waits for the end of the change, and of what came of it.
-fn over(fleet: &Fleet, router: &str) {
+fn over(fleet: &ProcessCluster, router: &str) {
     let none = |shown: &serde_json::Value| {
         shown["version"] == 2 && shown["moves"].as_array().is_some_and(Vec::is_empty)
     };
     fleet.until(router, &SHOW, "nothing on its way", none).expect("the change ends");
 }
 
-fn clean(fleet: &Fleet) {
-    let rules = Rules { slack: 500.0, going_over: 7_000.0, ..Rules::default() };
+fn clean(fleet: &ProcessCluster) {
+    let rules = RuleBounds { slack: 500.0, going_over: 7_000.0, ..RuleBounds::default() };
     let breaches = judge(&fleet.record.lines(), &rules);
     assert!(breaches.is_empty(), "{}", breaches.iter().take(8).map(|b| format!("{b}\n")).collect::<String>());
     assert!(fleet.node("origin").ran_twice().is_empty());
@@ -69,7 +69,7 @@
 }
 
 /// Nothing that the origin bears is refused.
-fn all_served(ends: &Ends, shown: &serde_json::Value) {
+fn all_served(ends: &LoadResults, shown: &serde_json::Value) {
     let (asked, served, refused) = (sum(&ends.asked), sum(&ends.served), sum(&ends.refused));
     assert!(
         f64::from(served) >= 0.97 * f64::from(asked),
@@ -81,7 +81,7 @@
 #[test]
 fn a_router_that_starts_just_before_a_change_refuses_nothing_that_the_origin_bears() {
     let _turn = turn();
-    let mut fleet = fleet(QUICK, Makeup::new);
+    let mut fleet = fleet(QUICK, CacheServerConfig::new);
     let running = load(&fleet, "n0", 1, 2_000);
     thread::sleep(Duration::from_millis(500));
     change(&mut fleet, &["n0"]);
@@ -96,7 +96,7 @@
 fn a_router_killed_within_a_change_serves_all_once_it_is_back() {
     let _turn = turn();
     for objects in [2_000, 400] {
-        let mut fleet = fleet(QUICK, Makeup::new);
+        let mut fleet = fleet(QUICK, CacheServerConfig::new);
         let before = load(&fleet, "n0", 1, objects);
         thread::sleep(Duration::from_millis(3_000));
         change(&mut fleet, &["n0"]);
@@ -114,15 +114,15 @@
 
 /// What reached the origin in the worst second after the routers were killed within the change: only the first of
 /// them, or all at once.
-fn worst_second(all: bool) -> (u32, Ends) {
+fn worst_second(all: bool) -> (u32, LoadResults) {
     let routers = ["n0", "n1", "n2"];
     // The origin bears next to what goes there: a flood would be late.
-    let mut fleet = fleet(QUICK, Makeup::new);
+    let mut fleet = fleet(QUICK, CacheServerConfig::new);
     let operator = operator_file(3, "south", QUICK);
     for router in &routers[1..] {
         fleet.start_router(router, Some(&operator), |_| {}).expect("a router");
     }
-    let mut loads: Vec<Running> =
+    let mut loads: Vec<RunningLoad> =
         routers.iter().zip(1..).map(|(router, seed)| load(&fleet, router, seed, 1_000)).collect();
     thread::sleep(Duration::from_millis(4_000));
     change(&mut fleet, &routers);
@@ -133,10 +133,10 @@
     loads.into_iter().for_each(|load| drop(load.finish()));
     let since = now();
     killed.iter().for_each(|router| _ = fleet.start_again(router).expect("it starts again"));
-    let back: Vec<Running> =
+    let back: Vec<RunningLoad> =
         killed.iter().zip(11..).map(|(router, seed)| load(&fleet, router, seed, 1_000)).collect();
     killed.iter().for_each(|router| over(&fleet, router));
-    let mut ends = Ends::default();
+    let mut ends = LoadResults::default();
     for running in back {
         let one = running.finish();
         ends.asked.extend(one.asked);
@@ -146,7 +146,7 @@
     rest.into_iter().for_each(|load| drop(load.finish()));
     clean(&fleet);
     let fills = fleet.record.lines().into_iter().filter(|line| line.at >= since).filter(|line| {
-        matches!(&line.what, What::Asked { asked, .. } if asked.at == "origin" && asked.class != "booking")
+        matches!(&line.what, RecordedEvent::Asked { asked, .. } if asked.at == "origin" && asked.class != "booking")
     });
     let at: Vec<f64> = fills.map(|line| line.at).collect();
     let worst = at.iter().map(|from| at.iter().filter(|at| (0.0..1_000.0).contains(&(**at - from))).count());
@@ -168,7 +168,7 @@
 
 /// All of the routers say that they are ready while discovery has said nothing that is whole, and no cache has where
 /// all hang: neither is waited for. The times are printed and not judged.
-fn all_ready(case: &Case) {
+fn all_ready(case: &StartScenario) {
     let _turn = turn();
     let started = restart(Path::new(PROGRAM), case).expect("stand-ins");
     let times: Vec<Duration> = started.iter().flatten().copied().collect();
@@ -179,24 +179,24 @@
 #[test]
 fn thirty_routers_that_start_at_once_are_ready_without_discovery() {
     for outage in [Outage::Refusing, Outage::Silent, Outage::Trickling] {
-        all_ready(&Case::new(outage, 30));
+        all_ready(&StartScenario::new(outage, 30));
     }
 }
 
 #[test]
 fn thirty_routers_that_start_at_once_are_ready_with_all_caches_hung() {
-    all_ready(&Case { hung: true, ..Case::new(Outage::Silent, 30) });
+    all_ready(&StartScenario { hung: true, ..StartScenario::new(Outage::Silent, 30) });
 }
 
 #[test]
 fn thirty_routers_that_start_at_once_are_ready_with_a_large_list() {
-    all_ready(&Case { listed: 200, purges: 1_000, ..Case::new(Outage::Silent, 30) });
+    all_ready(&StartScenario { listed: 200, purges: 1_000, ..StartScenario::new(Outage::Silent, 30) });
 }
 
 #[test]
 fn thirty_routers_that_start_at_once_are_ready_on_busy_cores() {
     let cores = thread::available_parallelism().map_or(4, usize::from);
-    all_ready(&Case { busy: 2 * cores, ..Case::new(Outage::Silent, 30) });
+    all_ready(&StartScenario { busy: 2 * cores, ..StartScenario::new(Outage::Silent, 30) });
 }
 
 /// A purge is some 80 bytes of the configuration. Where all of them were first held as trees of values, each took 1,750
@@ -205,7 +205,7 @@
 fn a_long_list_takes_a_few_times_its_text_while_a_router_starts() {
     let _turn = turn();
     let peak = |purges| {
-        let case = Case { purges, ..Case::new(Outage::Silent, 1) };
+        let case = StartScenario { purges, ..StartScenario::new(Outage::Silent, 1) };
         peak_memory(Path::new(PROGRAM), &case).expect("a router")
     };
     let (some, many) = (peak(10_000), peak(60_000));
--- a/crates/standins/src/aggregates.rs
+++ b/crates/testbed/src/aggregates.rs
@@ -5,8 +5,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::checker::{Breach, Rule, Rules};
-use crate::record::{Line, Ms, ShownPlace, Way, What};
+use crate::checker::{Breach, Rule, RuleBounds};
+use crate::recording::{LinkState, LocationSummary, Ms, RecordEntry, RecordedEvent};
 
 /// How late a fleet with places may be, by its settings. All in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -54,21 +54,21 @@
 /// Processes by router.
 type Lives<'a> = BTreeMap<&'a str, Vec<Life>>;
 
-fn lives(lines: &[Line]) -> Lives<'_> {
+fn lives(lines: &[RecordEntry]) -> Lives<'_> {
     let mut lives = Lives::new();
     for line in lines {
         match &line.what {
-            What::Ran { router, .. } => {
+            RecordedEvent::Ran { router, .. } => {
                 let all = lives.entry(router.as_str()).or_default();
                 if all.last().is_none_or(|last| last.to.is_finite()) {
                     all.push(Life { from: line.at, to: f64::INFINITY, versions: Vec::new() });
                 }
             }
-            What::Ceased { router } => {
+            RecordedEvent::Ceased { router } => {
                 let last = lives.get_mut(router.as_str()).and_then(|all| all.last_mut());
                 last.into_iter().for_each(|last| last.to = last.to.min(line.at));
             }
-            What::Asked { asked, .. } if asked.source.is_some() && !asked.only_held => {
+            RecordedEvent::Asked { asked, .. } if asked.source.is_some() && !asked.cached_only => {
                 let router = asked.router.as_deref().unwrap_or_default();
                 let last = lives.get_mut(router).and_then(|all| all.last_mut());
                 if let (Some(last), Some(version)) = (last, asked.version) {
@@ -83,12 +83,12 @@
 
 /// What there is at a time, by the record up to then.
 #[derive(Default)]
-struct World<'a> {
+struct FleetHistory<'a> {
     /// Where each router stands that has ever run.
     places: BTreeMap<&'a str, &'a str>,
     up: BTreeSet<&'a str>,
     paused: BTreeSet<&'a str>,
-    ways: BTreeMap<(&'a str, &'a str), Way>,
+    ways: BTreeMap<(&'a str, &'a str), LinkState>,
     /// When all that has changed is known everywhere, and the same of changes of the hierarchy by restarts.
     due: Ms,
     /// The floor, since when, and how long a router may stay below it.
@@ -102,7 +102,7 @@
     parts: Option<Vec<BTreeSet<&'a str>>>,
 }
 
-impl<'a> World<'a> {
+impl<'a> FleetHistory<'a> {
     fn levels(&self) -> f64 {
         self.places.values().map(|place| around(place).count()).max().unwrap_or(0) as f64
     }
@@ -117,19 +117,19 @@
         here.map(|(name, _)| *name).collect()
     }
 
-    fn way(&self, from: &str, to: &str) -> Option<Way> {
+    fn way(&self, from: &str, to: &str) -> Option<LinkState> {
         self.ways.get(&(from, to)).copied()
     }
 
     /// Something changed that is known everywhere so much later.
-    fn changed(&mut self, at: Ms, within: Ms, rules: &Rules) {
+    fn changed(&mut self, at: Ms, within: Ms, rules: &RuleBounds) {
         let by_level = rules.aggregates.by_level * self.levels();
         self.due = self.due.max(at + within + by_level + rules.slack);
         self.parts = self.reach();
     }
 
     /// One that stopped: where its site has nobody left, that is noticed only by summaries that are not renewed.
-    fn stopped(&mut self, at: Ms, router: &str, rules: &Rules) {
+    fn stopped(&mut self, at: Ms, router: &str, rules: &RuleBounds) {
         let bounds = rules.aggregates;
         let left = self.places.get(router).is_some_and(|site| !self.within(site).is_empty());
         let site = if left { 0.0 } else { bounds.relied_on };
@@ -141,7 +141,7 @@
         let mut reached = BTreeSet::from([from]);
         let mut open = vec![from];
         while let Some(at) = open.pop() {
-            let next = among.iter().filter(|to| self.way(at, to) == Some(Way::Open));
+            let next = among.iter().filter(|to| self.way(at, to) == Some(LinkState::Open));
             for to in next {
                 if reached.insert(to) {
                     open.push(to);
@@ -158,7 +158,7 @@
             .ways
             .iter()
             .filter(|(ends, _)| both(ends))
-            .all(|((from, to), way)| *way != Way::Uneven && self.way(to, from) == Some(*way));
+            .all(|((from, to), way)| *way != LinkState::Uneven && self.way(to, from) == Some(*way));
         if !even {
             return None;
         }
@@ -184,58 +184,58 @@
         self.parts.as_ref()?.iter().find(|part| part.contains(router))
     }
 
-    fn take(&mut self, line: &'a Line, rules: &Rules) {
+    fn take(&mut self, line: &'a RecordEntry, rules: &RuleBounds) {
         let bounds = rules.aggregates;
         match &line.what {
-            What::Ran { router, place } => {
+            RecordedEvent::Ran { router, place } => {
                 self.places.insert(router, place);
                 self.up.insert(router);
                 self.paused.remove(router.as_str());
                 self.changed(line.at, bounds.links + bounds.suspect, rules);
             }
-            What::Ceased { router } => {
+            RecordedEvent::Ceased { router } => {
                 self.up.remove(router.as_str());
                 self.stopped(line.at, router, rules);
             }
-            What::Paused { router } => {
+            RecordedEvent::Paused { router } => {
                 self.paused.insert(router);
                 self.stopped(line.at, router, rules);
             }
-            What::Woken { router } if self.paused.remove(router.as_str()) => {
+            RecordedEvent::Woken { router } if self.paused.remove(router.as_str()) => {
                 self.changed(line.at, bounds.links + bounds.suspect + bounds.relied_on, rules);
             }
-            What::Linked { from, to, way } if self.ways.insert((from, to), *way) != Some(*way) => {
+            RecordedEvent::Linked { from, to, way } if self.ways.insert((from, to), *way) != Some(*way) => {
                 self.changed(line.at, bounds.links + bounds.suspect + bounds.relied_on, rules);
             }
-            What::Shape { version, .. } => self.newest = self.newest.max(*version),
-            What::Raised { version, bound } => self.floor = Some((*version, line.at, *bound)),
+            RecordedEvent::Shape { version, .. } => self.newest = self.newest.max(*version),
+            RecordedEvent::Raised { version, bound } => self.floor = Some((*version, line.at, *bound)),
             _ => {}
         }
     }
 }
 
 /// When all that has changed by the end of a record is known everywhere.
-pub fn quiet_from(lines: &[Line], rules: &Rules) -> Ms {
-    let mut world = World::default();
+pub fn quiet_from(lines: &[RecordEntry], rules: &RuleBounds) -> Ms {
+    let mut world = FleetHistory::default();
     lines.iter().for_each(|line| world.take(line, rules));
     world.due
 }
 
 /// What a router shows of places: never more than there were, the plain count once nothing has changed for the bound,
 /// no newer a version than one that a router acts on, and every straggler.
-pub(crate) fn aggregates(lines: &[Line], rules: &Rules) -> Vec<Breach> {
-    if !lines.iter().any(|line| matches!(line.what, What::Shown { .. })) {
+pub(crate) fn aggregates(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
+    if !lines.iter().any(|line| matches!(line.what, RecordedEvent::Shown { .. })) {
         return Vec::new();
     }
     let lives = lives(lines);
-    let mut world = World::default();
+    let mut world = FleetHistory::default();
     let mut out = Vec::new();
     for line in lines {
         world.take(line, rules);
-        let What::Shown { router, since, whole, places } = &line.what else { continue };
+        let RecordedEvent::Shown { router, since, fleet_size, places } = &line.what else { continue };
         let Some(own) = world.places.get(router.as_str()).copied() else { continue };
         let judge = Judge { rules, lives: &lives, world: &world, router, own, since: *since, at: line.at };
-        let mut wrong = judge.whole(*whole);
+        let mut wrong = judge.fleet_size(*fleet_size);
         wrong.extend(places.iter().filter_map(|place| judge.place(place)));
         wrong.extend(judge.missing(places));
         let breach = |what| Breach { at: line.at, rule: Rule::Aggregates, what: format!("{router} {what}") };
@@ -253,7 +253,7 @@
     out
 }
 
-impl World<'_> {
+impl FleetHistory<'_> {
     /// Whether one process of a router ran all that time.
     fn lived(&self, lives: &Lives, router: &str, from: Ms, to: Ms) -> bool {
         let life = |life: &Life| life.from <= from && life.to >= to;
@@ -263,9 +263,9 @@
 
 /// One answer of a router, asked at `since` and there at `at`.
 struct Judge<'w, 'a> {
-    rules: &'w Rules,
+    rules: &'w RuleBounds,
     lives: &'w Lives<'a>,
-    world: &'w World<'a>,
+    world: &'w FleetHistory<'a>,
     router: &'w str,
     /// Where that router stands.
     own: &'a str,
@@ -300,16 +300,16 @@
         here.count() as u64
     }
 
-    fn whole(&self, whole: Option<u64>) -> Vec<String> {
+    fn fleet_size(&self, fleet_size: Option<u64>) -> Vec<String> {
         let all = self.world.places.len() as u64;
-        let over = whole.filter(|whole| *whole > all);
+        let over = fleet_size.filter(|fleet_size| *fleet_size > all);
         over.into_iter()
-            .map(|whole| format!("counts {whole} routers in all, and {all} have ever run"))
+            .map(|fleet_size| format!("counts {fleet_size} routers in all, and {all} have ever run"))
             .collect()
     }
 
-    fn place(&self, shown: &ShownPlace) -> Option<String> {
-        let ShownPlace { place, fresh, alive, counted, oldest, .. } = shown;
+    fn place(&self, shown: &LocationSummary) -> Option<String> {
+        let LocationSummary { place, fresh, alive, counted, oldest, .. } = shown;
         let ever = self.ever(place);
         if *counted > ever {
             return Some(format!("counts {counted} routers in {place}, and {ever} have ever run there"));
@@ -342,7 +342,7 @@
     }
 
     /// Places of which it ought to know and shows nothing.
-    fn missing(&self, shown: &[ShownPlace]) -> Vec<String> {
+    fn missing(&self, shown: &[LocationSummary]) -> Vec<String> {
         let Some(part) = self.quiet() else { return Vec::new() };
         let known: BTreeSet<&str> = shown.iter().map(|shown| shown.place.as_str()).collect();
         let for_here = |place: &str| match place.rsplit_once('/') {
@@ -391,7 +391,7 @@
     }
 
     /// A straggler that is not counted, or not named where there is room.
-    fn behind(&self, shown: &ShownPlace) -> Option<String> {
+    fn behind(&self, shown: &LocationSummary) -> Option<String> {
         let AggregateBounds { suspect, by_level, .. } = self.rules.aggregates;
         let (floor, raised, bound) = self.world.floor?;
         if self.since < raised + bound + suspect + self.world.levels() * by_level + self.rules.slack {
--- a/crates/standins/src/bin/cold-start.rs
+++ b/crates/testbed/src/bin/cold-start.rs
@@ -7,12 +7,12 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_standins::checker::{judge, Rule, Rules};
-use linnethook_standins::cold::{bound, sums};
-use linnethook_standins::fleet::{router_program, Fleet};
-use linnethook_standins::load::Load;
-use linnethook_standins::node::{Kind, Makeup};
-use linnethook_standins::record::{Cold, Phase};
+use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
+use linnethook_testbed::checker::{judge, Rule, RuleBounds};
+use linnethook_testbed::cold_start::{bound, sums};
+use linnethook_testbed::load::Load;
+use linnethook_testbed::process_cluster::{router_program, ProcessCluster};
+use linnethook_testbed::recording::{Phase, WarmUpCapacity};
 use serde_json::json;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
@@ -21,18 +21,23 @@
 /// Transfers that a cache sends at once. Each takes 0.4 s by these settings, so that it does ten requests a second; by
 /// the example's rule it bears 22 in the first three seconds.
 const ABLE: f64 = 4.0;
-const COLD: Cold =
-    Cold { capacity: 10.0, from: 0.25, warm_in: 15_000.0, fall_multiple: 3.0, window: 3_000.0 };
+const COLD: WarmUpCapacity =
+    WarmUpCapacity { capacity: 10.0, from: 0.25, warm_in: 15_000.0, fall_multiple: 3.0, window: 3_000.0 };
 /// Requests a second of all routers.
 const RATE: f64 = 60.0;
 
 fn play(program: &Path, routers: usize) -> Result<bool, Failure> {
-    let mut fleet = Fleet::new(program)?;
-    fleet.add("origin", "hub", 20.0, Makeup::new(Kind::Origin))?;
-    fleet.add("south", "hub", 30.0, Makeup::new(Kind::Parent))?;
+    let mut fleet = ProcessCluster::new(program)?;
+    fleet.add("origin", "hub", 20.0, CacheServerConfig::new(ServerRole::Origin))?;
+    fleet.add("south", "hub", 30.0, CacheServerConfig::new(ServerRole::Parent))?;
     for n in 0..CACHES {
-        let cold = if n == 0 { COLD } else { Cold::default() };
-        fleet.add(&format!("cache-{n}"), "shop", ABLE, Makeup { cold, ..Makeup::new(Kind::Cache) })?;
+        let cold = if n == 0 { COLD } else { WarmUpCapacity::default() };
+        fleet.add(
+            &format!("cache-{n}"),
+            "shop",
+            ABLE,
+            CacheServerConfig { cold, ..CacheServerConfig::new(ServerRole::Cache) },
+        )?;
     }
     let names: Vec<String> = (0..routers).map(|n| format!("n{n}")).collect();
     for (n, name) in names.iter().enumerate() {
@@ -56,7 +61,7 @@
     }
     thread::sleep(Duration::from_secs(6));
     fleet.node("cache-0").kill();
-    fleet.tell("cache-0", Phase::Gone)?;
+    fleet.tell("cache-0", Phase::Removed)?;
     thread::sleep(Duration::from_secs(1));
     fleet.restart("cache-0")?;
     thread::sleep(Duration::from_millis(14_000));
@@ -64,8 +69,8 @@
     let lines = fleet.record.lines();
     let sum = sums(&lines, 7_000.0).into_iter().next_back().ok_or("the cache never started")?;
     let in_windows =
-        |from: f64| sum.came.iter().filter(|at| (from..from + COLD.window).contains(*at)).count();
-    let count = |list: fn(&linnethook_standins::load::Ends) -> &Vec<u32>| {
+        |from: f64| sum.arrivals.iter().filter(|at| (from..from + COLD.window).contains(*at)).count();
+    let count = |list: fn(&linnethook_testbed::load::LoadResults) -> &Vec<u32>| {
         ends.iter().flat_map(list).map(|n| u64::from(*n)).sum::<u64>()
     };
     println!("{routers} routers, {} asked, {} served", count(|e| &e.asked), count(|e| &e.served));
@@ -89,7 +94,7 @@
         sum.worst_budget,
         fleet.node("cache-0").has_fallen(),
     );
-    let breaches = judge(&lines, &Rules { slack: 150.0, ..Rules::default() });
+    let breaches = judge(&lines, &RuleBounds { slack: 150.0, ..RuleBounds::default() });
     let pushed = breaches.iter().filter(|breach| breach.rule == Rule::NoPush).count();
     println!("breaches: {} in all, {pushed} of the rule on cold starts", breaches.len());
     breaches.iter().take(5).for_each(|breach| println!("  {breach}"));
@@ -98,7 +103,7 @@
 
 fn main() -> Result<(), Failure> {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let routers = words.first().map_or(Ok(20), |word| word.parse::<usize>())?.clamp(1, 30);
+    let routers = words.first().map_or(Ok(20), |status| status.parse::<usize>())?.clamp(1, 30);
     let program = router_program(words.get(1).map(Path::new))?;
     if play(&program, routers)? {
         Ok(())
--- a/crates/standins/src/bin/cuts.rs
+++ b/crates/testbed/src/bin/cuts.rs
@@ -7,9 +7,9 @@
 use std::time::Instant;
 
 use linnethook_gateway::gateway::GatewayConfig;
-use linnethook_standins::checker::{judge, Rules as Checked};
-use linnethook_standins::record::Ms;
-use linnethook_standins::twosites::{bad_day, Blow, Outcome, Play, Tally, World};
+use linnethook_testbed::checker::{judge, RuleBounds as Checked};
+use linnethook_testbed::recording::Ms;
+use linnethook_testbed::two_sites::{bad_day, Outcome, Scenario, Simulation, SiteFault, Tally};
 
 const CUTS: usize = 12;
 const LENGTH: Ms = 60_000.0;
@@ -41,9 +41,12 @@
     let (mut bodies, mut again, mut most, mut cuts) = (0, 0, [0; 4], 0);
     for seed in 1..=seeds {
         let script = bad_day(seed, LENGTH, CUTS);
-        cuts += script.iter().filter(|(_, blow)| matches!(blow, Blow::Cut | Blow::Silent { .. })).count();
-        let play = Play { seed, length: LENGTH, script, rules, carries: 5_000.0, ..Play::default() };
-        let out: Outcome = World::new(play).run();
+        cuts += script
+            .iter()
+            .filter(|(_, blow)| matches!(blow, SiteFault::Cut | SiteFault::Silent { .. }))
+            .count();
+        let play = Scenario { seed, length: LENGTH, script, rules, carries: 5_000.0, ..Scenario::default() };
+        let out: Outcome = Simulation::new(play).run();
         let found = judge(&out.lines, &Checked { slack: 5.0, ..Checked::default() });
         found.iter().take(3).for_each(|breach| println!("{name}, seed {seed}: {breach}"));
         breaches += found.len();
@@ -81,33 +84,33 @@
 
 /// How soon each kind of failure is known, and what comes after it.
 fn failures(seeds: u64) {
-    let kinds: [(&str, Blow); 4] = [
-        ("cut", Blow::Cut),
-        ("silent in both directions", Blow::Silent { to: [true; 2] }),
-        ("silent towards the asker", Blow::Silent { to: [true, false] }),
-        ("silent towards the server", Blow::Silent { to: [false, true] }),
+    let kinds: [(&str, SiteFault); 4] = [
+        ("cut", SiteFault::Cut),
+        ("silent in both directions", SiteFault::Silent { to: [true; 2] }),
+        ("silent towards the asker", SiteFault::Silent { to: [true, false] }),
+        ("silent towards the server", SiteFault::Silent { to: [false, true] }),
     ];
     let (lost, back, gone) = (20_000.0, 23_000.0, 60_000.0);
     for (name, blow) in kinds {
         let (mut known, mut again, mut peaks) = (Vec::new(), Vec::new(), Vec::new());
         for seed in 1..=seeds {
             let script = vec![
-                (100.0, Blow::Caches(0, false)),
-                (100.0, Blow::Store(0, false)),
+                (100.0, SiteFault::Caches(0, false)),
+                (100.0, SiteFault::Store(0, false)),
                 (lost, blow),
-                (back, Blow::Mend),
+                (back, SiteFault::Mend),
             ];
             let (bookings, reads) = (20.0, 80.0);
-            let play = Play {
+            let play = Scenario {
                 seed,
                 length: gone,
                 script,
                 bookings,
                 reads,
                 sizes: (20_000, 60_000),
-                ..Play::default()
+                ..Scenario::default()
             };
-            let out = World::new(play).run();
+            let out = Simulation::new(play).run();
             known.extend(out.downs.iter().find(|at| **at >= lost).map(|at| at - lost));
             let second = |list: &[u32], from: Ms| -> f64 {
                 let from = (from / 100.0) as usize;
@@ -139,13 +142,13 @@
     rules.routing.flapping_share = 1.0;
     let (mut reads, mut bodies, mut again) = (Tally::default(), 0, 0);
     for seed in 1..=seeds {
-        let mut script = vec![(100.0, Blow::Caches(0, false))];
+        let mut script = vec![(100.0, SiteFault::Caches(0, false))];
         for n in 0..40 {
             let at = 15_000.0 + f64::from(n) * 1_000.0;
-            script.extend([(at, Blow::Cut), (at + 150.0, Blow::Mend)]);
+            script.extend([(at, SiteFault::Cut), (at + 150.0, SiteFault::Mend)]);
         }
         let sizes = (150_000, 240_000);
-        let play = Play {
+        let play = Scenario {
             seed,
             script,
             rules,
@@ -153,9 +156,9 @@
             reads: 5.0,
             carries: 1_500.0,
             sizes,
-            ..Play::default()
+            ..Scenario::default()
         };
-        let out = World::new(Play { aim: 1_500.0, wait: 3_000.0, ..play }).run();
+        let out = Simulation::new(Scenario { aim: 1_500.0, wait: 3_000.0, ..play }).run();
         add(&mut reads, out.reads);
         (bodies, again) = (bodies + out.bodies, again + out.bodies_again);
     }
@@ -169,9 +172,11 @@
 
 /// A link that flaps for a minute: what is kept stays bounded, and home serves as if there were none.
 fn flapping() {
-    let mut script = vec![(10.0, Blow::Store(1, false))];
-    script.extend((0..200).map(|n| (f64::from(n) * 300.0, if n % 2 == 0 { Blow::Cut } else { Blow::Mend })));
-    let out = World::new(Play { script, bookings: 20.0, ..Play::default() }).run();
+    let mut script = vec![(10.0, SiteFault::Store(1, false))];
+    script.extend(
+        (0..200).map(|n| (f64::from(n) * 300.0, if n % 2 == 0 { SiteFault::Cut } else { SiteFault::Mend })),
+    );
+    let out = Simulation::new(Scenario { script, bookings: 20.0, ..Scenario::default() }).run();
     println!("flapping every 300 ms for a minute: {} notes, the most at a time {:?}", out.notes, out.most);
     println!("  bookings: {}", shares(out.bookings));
     println!("  parts of videos: {}", shares(out.reads));
--- a/crates/standins/src/bin/fleet-figures.rs
+++ b/crates/testbed/src/bin/fleet-figures.rs
@@ -10,11 +10,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_standins::fleet::{operator_file, router_program, Fleet};
-use linnethook_standins::load::{Ends, Load};
-use linnethook_standins::node::Makeup;
-use linnethook_standins::record::Phase;
-use linnethook_standins::rig::{alive, line, name, Plan, Rig};
+use linnethook_testbed::cache_server::CacheServerConfig;
+use linnethook_testbed::harness::{alive, line, name, Harness, Plan};
+use linnethook_testbed::load::{Load, LoadResults};
+use linnethook_testbed::process_cluster::{operator_file, router_program, ProcessCluster};
+use linnethook_testbed::recording::Phase;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -26,7 +26,7 @@
 
 /// How long until each of some routers shows something, each asked by a thread of its own.
 fn times(
-    rig: &Rig,
+    rig: &Harness,
     program: &Path,
     routers: &[usize],
     fits: impl Fn(&serde_json::Value) -> bool + Sync,
@@ -55,7 +55,7 @@
     })
 }
 
-fn said(rig: &Rig, routers: usize) -> Result<u64, Failure> {
+fn bytes_sent(rig: &Harness, routers: usize) -> Result<u64, Failure> {
     let mut all = 0;
     for n in 0..routers {
         all += rig.shown(n)?["fellows"]["counts"]["said_bytes"].as_u64().unwrap_or(0);
@@ -74,13 +74,13 @@
         links
     });
     // As shipped, but for what the rig would wait for.
-    let plan = Plan { routers, links, fellows: String::new(), rate: 10.0, ..Plan::default() };
-    let mut rig = Rig::start(program, plan)?;
+    let plan = Plan { routers, links, cluster_settings: String::new(), rate: 10.0, ..Plan::default() };
+    let mut rig = Harness::start(program, plan)?;
     rig.load_all()?;
     thread::sleep(Duration::from_secs(3));
-    let (before, since) = (said(&rig, routers)?, Instant::now());
+    let (before, since) = (bytes_sent(&rig, routers)?, Instant::now());
     thread::sleep(Duration::from_secs(10));
-    let quiet = (said(&rig, routers)? - before) as f64 / since.elapsed().as_secs_f64();
+    let quiet = (bytes_sent(&rig, routers)? - before) as f64 / since.elapsed().as_secs_f64();
     let all: Vec<usize> = (1..routers).collect();
     let mut drains = Vec::new();
     for n in 0..10u64 {
@@ -119,15 +119,15 @@
     Ok(())
 }
 
-fn share(ends: &[Ends]) -> String {
-    let sum = |list: fn(&Ends) -> &Vec<u32>| ends.iter().flat_map(list).sum::<u32>();
+fn share(ends: &[LoadResults]) -> String {
+    let sum = |list: fn(&LoadResults) -> &Vec<u32>| ends.iter().flat_map(list).sum::<u32>();
     format!("{} of {}", sum(|ends| &ends.served), sum(|ends| &ends.asked))
 }
 
 /// Each by itself for some seconds: with fellows that are cut off, and without any.
 fn cut(program: &PathBuf) -> Result<(), Failure> {
     let plan = Plan { rate: 100.0, straggler: Some("alone = 2".to_string()), ..Plan::default() };
-    let mut rig = Rig::start(program, plan.clone())?;
+    let mut rig = Harness::start(program, plan.clone())?;
     rig.split(1);
     rig.split(2);
     rig.until(0, "it is alone", |shown| alive(shown) == 0)?;
@@ -136,7 +136,7 @@
     rig.end_loads();
     let with = share(&rig.ends);
     drop(rig);
-    let mut fleet = Fleet::two_hubs(program, 3, Makeup::new)?;
+    let mut fleet = ProcessCluster::two_hubs(program, 3, CacheServerConfig::new)?;
     let operator = operator_file(3, "south", &plan.hierarchy);
     let mut loads = Vec::new();
     for n in 0..3 {
@@ -147,16 +147,16 @@
         loads.push(fleet.load(&name(n as usize), &load)?);
     }
     thread::sleep(Duration::from_secs(10));
-    let ends: Vec<Ends> = loads.into_iter().map(|load| load.finish()).collect();
+    let ends: Vec<LoadResults> = loads.into_iter().map(|load| load.finish()).collect();
     println!("a full cut for 10 s, three routers: {with} served with fellows, {} without any", share(&ends));
     Ok(())
 }
 
 fn main() -> Result<(), Failure> {
     let words: Vec<String> = std::env::args().skip(1).collect();
-    let given = words.iter().find(|word| !word.starts_with("--"));
+    let given = words.iter().find(|status| !status.starts_with("--"));
     let program = router_program(given.map(Path::new))?;
-    if words.iter().any(|word| word == "--cut") {
+    if words.iter().any(|status| status == "--cut") {
         return cut(&program);
     }
     println!("| routers | a drain known, of one journal: median 99% last | a killed one suspected | bytes a second while quiet | suspected while one is slow | breaches |");
--- a/crates/standins/src/bin/hub-move.rs
+++ b/crates/testbed/src/bin/hub-move.rs
@@ -9,11 +9,11 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_standins::checker::{judge, Rules};
-use linnethook_standins::fleet::{operator_file, reroute, router_program, Fleet};
-use linnethook_standins::load::Load;
-use linnethook_standins::node::{Kind, Makeup};
-use linnethook_standins::record::now;
+use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
+use linnethook_testbed::checker::{judge, RuleBounds};
+use linnethook_testbed::load::Load;
+use linnethook_testbed::process_cluster::{operator_file, reroute, router_program, ProcessCluster};
+use linnethook_testbed::recording::now;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -56,19 +56,19 @@
 }
 
 /// Caches keep a fortieth of the objects each, parents two fifths: so some always have to come from the origin.
-fn makeup(scale: Scale) -> impl Fn(Kind) -> Makeup {
+fn server_config(scale: Scale) -> impl Fn(ServerRole) -> CacheServerConfig {
     move |kind| {
         let copies = match kind {
-            Kind::Cache => scale.objects / 40,
-            Kind::Parent => scale.objects * 2 / 5,
-            Kind::Origin => 1,
+            ServerRole::Cache => scale.objects / 40,
+            ServerRole::Parent => scale.objects * 2 / 5,
+            ServerRole::Origin => 1,
         };
-        Makeup { copies: copies as usize, ..Makeup::new(kind) }
+        CacheServerConfig { copies: copies as usize, ..CacheServerConfig::new(kind) }
     }
 }
 
 fn play(program: &Path, name: &'static str, switches: &str, scale: Scale) -> Result<Outcome, Failure> {
-    let mut fleet = Fleet::two_hubs(program, 3, makeup(scale))?;
+    let mut fleet = ProcessCluster::two_hubs(program, 3, server_config(scale))?;
     let settings = format!("extended = True, {switches}, {}", scale.settings);
     fleet.start_router("n0", Some(&operator_file(3, "south", &settings)), |_| {})?;
     let load = Load { rate: scale.rate, clients: 16, objects: scale.objects, skew: 0.7, ..Load::default() };
@@ -83,7 +83,7 @@
     let ends = running.finish();
     let origin = fleet.record.by_second("origin", since, scale.before + scale.after);
     let steady = f64::from(origin[scale.before - 10..scale.before].iter().sum::<u32>()) / 10.0;
-    let breaches = judge(&fleet.record.lines(), &Rules { slack: 150.0, ..Rules::default() });
+    let breaches = judge(&fleet.record.lines(), &RuleBounds { slack: 150.0, ..RuleBounds::default() });
     breaches.iter().take(5).for_each(|breach| println!("{name}: {breach}"));
     Ok(Outcome {
         name,
@@ -97,7 +97,7 @@
 
 fn main() -> Result<(), Failure> {
     let mut words: Vec<String> = std::env::args().skip(1).collect();
-    let short = words.iter().position(|word| word == "--short").map(|n| words.remove(n)).is_some();
+    let short = words.iter().position(|status| status == "--short").map(|n| words.remove(n)).is_some();
     let scale = if short { SHORT } else { WHOLE };
     let program = router_program(words.first().map(Path::new))?;
     let variants =
--- a/crates/standins/src/bin/link-speed.rs
+++ b/crates/testbed/src/bin/link-speed.rs
@@ -12,8 +12,8 @@
 use linnethook_gateway::flow_control::Priority;
 use linnethook_gateway::forwarding::ForwardRequest;
 use linnethook_gateway::gateway::{Action, Gateway, GatewayConfig, GatewaySetup, RemoteRequest, Reply};
-use linnethook_standins::middle::{Ends, Middle, BACK};
-use linnethook_standins::record::{now, Record};
+use linnethook_testbed::fault_proxy::{FaultProxy, ProxyEnds, TO_DIALER};
+use linnethook_testbed::recording::{now, Recording};
 
 const PART: usize = 64 << 10;
 const OPEN: u64 = 32;
@@ -79,12 +79,12 @@
     Ok(())
 }
 
-fn middle() -> io::Result<(Middle, TcpListener)> {
+fn proxy() -> io::Result<(FaultProxy, TcpListener)> {
     let sites = ["north".to_string(), "south".to_string()];
-    let middle = Middle::start(Ends { sites, record: Record::default() })?;
+    let proxy = FaultProxy::start(ProxyEnds { sites, record: Recording::default() })?;
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    middle.lead_to(listener.local_addr()?);
-    Ok((middle, listener))
+    proxy.set_target(listener.local_addr()?);
+    Ok((proxy, listener))
 }
 
 /// Seconds and processor seconds of this process so far.
@@ -97,7 +97,7 @@
 }
 
 fn plain(bytes: usize) -> io::Result<f64> {
-    let (middle, listener) = middle()?;
+    let (proxy, listener) = proxy()?;
     let sender = thread::spawn(move || -> io::Result<()> {
         let (mut stream, _) = listener.accept()?;
         let block = vec![7; PART];
@@ -106,7 +106,7 @@
         }
         Ok(())
     });
-    let mut stream = TcpStream::connect(middle.address)?;
+    let mut stream = TcpStream::connect(proxy.address)?;
     let begun = Instant::now();
     let mut block = vec![0; PART];
     let mut got = 0;
@@ -119,7 +119,7 @@
 }
 
 fn link(bytes: usize) -> io::Result<(f64, f64)> {
-    let (middle, listener) = middle()?;
+    let (proxy, listener) = proxy()?;
     let server = thread::spawn(move || -> io::Result<()> {
         let (stream, _) = listener.accept()?;
         let mut gateway = gateway("south", "north", false);
@@ -137,7 +137,7 @@
         let _ = drive(&stream, &mut gateway, act, |_| false);
         Ok(())
     });
-    let stream = TcpStream::connect(middle.address)?;
+    let stream = TcpStream::connect(proxy.address)?;
     let mut gateway = gateway("north", "south", false);
     gateway.report_local_load(now(), 0, 0.0);
     let parts = (bytes / PART) as u64;
@@ -181,9 +181,9 @@
     };
     drive(&stream, &mut gateway, act, over)?;
     let took = begun.map_or(0.0, |begun| begun.elapsed().as_secs_f64());
-    let passed = middle.passed();
-    let overhead = passed.bytes[BACK] as f64 / (parts as f64 * PART as f64) - 1.0;
-    drop((stream, middle));
+    let passed = proxy.passed();
+    let overhead = passed.bytes[TO_DIALER] as f64 / (parts as f64 * PART as f64) - 1.0;
+    drop((stream, proxy));
     let _ = server.join();
     Ok((parts as f64 * PART as f64 / took, overhead))
 }
--- a/crates/standins/src/bin/process-faults.rs
+++ b/crates/testbed/src/bin/process-faults.rs
@@ -10,8 +10,8 @@
 use std::sync::Mutex;
 use std::thread;
 
-use linnethook_standins::fleet::router_program;
-use linnethook_standins::rig::{script, Plan, Played, Rig, Script};
+use linnethook_testbed::harness::{script, Harness, Plan, Played, Script};
+use linnethook_testbed::process_cluster::router_program;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -26,23 +26,23 @@
     let mut wanted = Wanted { seeds: 0..20, jobs: 4, steps: 14, program: None };
     let mut words = std::env::args().skip(1);
     let mut seen = false;
-    while let Some(word) = words.next() {
+    while let Some(status) = words.next() {
         let mut number =
             || words.next().ok_or("a number is missing")?.parse::<usize>().map_err(Failure::from);
-        match word.as_str() {
+        match status.as_str() {
             "--jobs" => wanted.jobs = number()?.max(1),
             "--steps" => wanted.steps = number()?,
-            word if !seen => {
+            status if !seen => {
                 seen = true;
-                wanted.seeds = match word.split_once("..") {
+                wanted.seeds = match status.split_once("..") {
                     Some((from, to)) => from.parse()?..to.parse()?,
                     None => {
-                        let seed: u64 = word.parse()?;
+                        let seed: u64 = status.parse()?;
                         seed..seed + 1
                     }
                 };
             }
-            word => wanted.program = Some(PathBuf::from(word)),
+            status => wanted.program = Some(PathBuf::from(status)),
         }
     }
     Ok(wanted)
@@ -52,8 +52,9 @@
     let routers = 3 + seed as usize % 5;
     let plan = Plan { routers, at_once: 0, ..Plan::default() };
     let script = script(seed, routers, plan.caches, steps);
-    let played =
-        Rig::start(program, plan).map_err(|wrong| wrong.to_string()).and_then(|mut rig| rig.play(&script));
+    let played = Harness::start(program, plan)
+        .map_err(|wrong| wrong.to_string())
+        .and_then(|mut rig| rig.play(&script));
     (script, played)
 }
 
--- a/crates/standins/src/bin/starts.rs
+++ b/crates/testbed/src/bin/starts.rs
@@ -10,12 +10,12 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_standins::checker::{judge, Rules};
-use linnethook_standins::fleet::{operator_file, reroute, router_program, Fleet};
-use linnethook_standins::load::{Load, Running};
-use linnethook_standins::node::{Kind, Makeup};
-use linnethook_standins::ready::{peak_memory, restart, spread, Case, Outage};
-use linnethook_standins::record::now;
+use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
+use linnethook_testbed::checker::{judge, RuleBounds};
+use linnethook_testbed::cold_restart::{peak_memory, restart, spread, Outage, StartScenario};
+use linnethook_testbed::load::{Load, RunningLoad};
+use linnethook_testbed::process_cluster::{operator_file, reroute, router_program, ProcessCluster};
+use linnethook_testbed::recording::now;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
@@ -24,24 +24,24 @@
 /// Seconds before the change, from it to the kill, and from that to the end.
 const TIMES: [u64; 3] = [12, 4, 14];
 
-fn makeup(kind: Kind) -> Makeup {
+fn server_config(kind: ServerRole) -> CacheServerConfig {
     let copies = match kind {
-        Kind::Cache => OBJECTS / 40,
-        Kind::Parent => OBJECTS * 2 / 5,
-        Kind::Origin => 1,
+        ServerRole::Cache => OBJECTS / 40,
+        ServerRole::Parent => OBJECTS * 2 / 5,
+        ServerRole::Origin => 1,
     };
-    Makeup { copies: copies as usize, ..Makeup::new(kind) }
+    CacheServerConfig { copies: copies as usize, ..CacheServerConfig::new(kind) }
 }
 
 fn play(program: &Path, extended: bool, killed: usize) -> Result<(), Failure> {
-    let mut fleet = Fleet::two_hubs(program, 3, makeup)?;
+    let mut fleet = ProcessCluster::two_hubs(program, 3, server_config)?;
     let extended_word = if extended { "True" } else { "False" };
     let settings = format!("extended = {extended_word}, announce = 1, warm = 8, settle = 4");
     let operator = operator_file(3, "south", &settings);
     for router in ROUTERS {
         fleet.start_router(router, Some(&operator), |_| {})?;
     }
-    let start = |fleet: &Fleet, router: &str, seed: u64| -> std::io::Result<Running> {
+    let start = |fleet: &ProcessCluster, router: &str, seed: u64| -> std::io::Result<RunningLoad> {
         let load = Load { seed, rate: 100.0, objects: OBJECTS, skew: 0.7, ..Load::default() };
         fleet.load(router, &load)
     };
@@ -81,7 +81,7 @@
     let origin = fleet.record.by_second("origin", since, TIMES.iter().sum::<u64>() as usize);
     let steady = origin[before - 6..before].iter().sum::<u32>() / 6;
     let worst = origin[before + TIMES[1] as usize..].iter().max().copied().unwrap_or(0);
-    let rules = Rules { slack: 150.0, going_over: 70_000.0, ..Rules::default() };
+    let rules = RuleBounds { slack: 150.0, going_over: 70_000.0, ..RuleBounds::default() };
     println!(
         "beside: {extended}, killed: {killed} | origin a second: {steady} before, {worst} in the worst after | \
          served after {served} of {asked} | breaches {}",
@@ -95,17 +95,26 @@
 
 fn ready(program: &Path) -> Result<(), Failure> {
     let cores = thread::available_parallelism().map_or(4, usize::from);
-    let silent = Case::new(Outage::Silent, AT_ONCE);
+    let silent = StartScenario::new(Outage::Silent, AT_ONCE);
     let cases = [
-        ("discovery refuses", Case::new(Outage::Refusing, AT_ONCE)),
+        ("discovery refuses", StartScenario::new(Outage::Refusing, AT_ONCE)),
         ("discovery is silent", silent),
-        ("discovery trickles", Case::new(Outage::Trickling, AT_ONCE)),
-        ("silent, all caches hang", Case { hung: true, ..silent }),
-        ("silent, 1,000 caches and 5,000 purges known", Case { listed: 1_000, purges: 5_000, ..silent }),
-        ("silent, 2,700 caches and 50,000 purges known", Case { listed: 2_700, purges: 50_000, ..silent }),
-        ("the same, one router alone", Case { listed: 2_700, purges: 50_000, processes: 1, ..silent }),
-        ("silent, twice as many busy threads as cores", Case { busy: 2 * cores, ..silent }),
-        ("all of it", Case { hung: true, listed: 1_000, purges: 5_000, busy: 2 * cores, ..silent }),
+        ("discovery trickles", StartScenario::new(Outage::Trickling, AT_ONCE)),
+        ("silent, all caches hang", StartScenario { hung: true, ..silent }),
+        (
+            "silent, 1,000 caches and 5,000 purges known",
+            StartScenario { listed: 1_000, purges: 5_000, ..silent },
+        ),
+        (
+            "silent, 2,700 caches and 50,000 purges known",
+            StartScenario { listed: 2_700, purges: 50_000, ..silent },
+        ),
+        (
+            "the same, one router alone",
+            StartScenario { listed: 2_700, purges: 50_000, processes: 1, ..silent },
+        ),
+        ("silent, twice as many busy threads as cores", StartScenario { busy: 2 * cores, ..silent }),
+        ("all of it", StartScenario { hung: true, listed: 1_000, purges: 5_000, busy: 2 * cores, ..silent }),
     ];
     println!(
         "| {AT_ONCE} routers start at once | ready | median | 95% | worst | one's memory at the most, MB |\n\
@@ -122,7 +131,7 @@
 
 fn main() -> Result<(), Failure> {
     let mut arguments = std::env::args().skip(1).peekable();
-    let only_ready = arguments.next_if(|word| word == "ready").is_some();
+    let only_ready = arguments.next_if(|status| status == "ready").is_some();
     let program = router_program(arguments.next().as_deref().map(Path::new))?;
     if only_ready {
         return ready(&program);
--- a/crates/standins/src/bin/two-sites.rs
+++ b/crates/testbed/src/bin/two-sites.rs
@@ -7,16 +7,16 @@
 use std::thread;
 use std::time::Duration;
 
-use linnethook_standins::checker::{judge, Rules};
-use linnethook_standins::fleet::router_program;
-use linnethook_standins::load::{Ends, Load};
-use linnethook_standins::middle::{TwoSites, BACK, NORTH, SOUTH, THERE};
-use linnethook_standins::node::Makeup;
-use linnethook_standins::record::Phase;
+use linnethook_testbed::cache_server::CacheServerConfig;
+use linnethook_testbed::checker::{judge, RuleBounds};
+use linnethook_testbed::fault_proxy::{TwoSites, NORTH, SOUTH, TO_ACCEPTOR, TO_DIALER};
+use linnethook_testbed::load::{Load, LoadResults};
+use linnethook_testbed::process_cluster::router_program;
+use linnethook_testbed::recording::Phase;
 
 type Failure = Box<dyn std::error::Error>;
 
-fn line(second: usize, ends: &Ends, crossed: u64, status: &serde_json::Value, what: &str) -> String {
+fn line(second: usize, ends: &LoadResults, crossed: u64, status: &serde_json::Value, what: &str) -> String {
     let at = |list: &[u32]| list.get(second).copied().unwrap_or(0);
     let south = &status["sites"][0];
     format!(
@@ -34,7 +34,7 @@
 fn main() -> Result<(), Failure> {
     let words: Vec<String> = std::env::args().skip(1).collect();
     let program = router_program(words.first().map(Path::new))?;
-    let mut sites = TwoSites::start(&program, "", Makeup::new)?;
+    let mut sites = TwoSites::start(&program, "", CacheServerConfig::new)?;
     sites.until_up()?;
     let load = Load { rate: 150.0, bookings: 0.2, clients: 8, ..Load::default() };
     let running = sites.north.load(NORTH, &load)?;
@@ -45,24 +45,24 @@
             3 => {
                 sites.north.node("north-origin").kill();
                 for cache in ["north-cache-0", "north-cache-1"] {
-                    sites.north.tell(cache, Phase::Gone)?;
+                    sites.north.tell(cache, Phase::Removed)?;
                 }
                 "the north loses its store and its caches"
             }
             12 => {
-                sites.middle.cut();
+                sites.proxy.cut();
                 "the link is cut"
             }
             14 => {
-                sites.middle.mend();
+                sites.proxy.mend();
                 "the link is back"
             }
             18 => {
-                sites.middle.silence(&[THERE, BACK]);
+                sites.proxy.silence(&[TO_ACCEPTOR, TO_DIALER]);
                 "the link goes silent"
             }
             20 => {
-                sites.middle.mend();
+                sites.proxy.mend();
                 "the link is back"
             }
             24 => {
@@ -75,12 +75,12 @@
             _ => "",
         };
         thread::sleep(Duration::from_millis(1_000));
-        let crossed: u64 = sites.middle.passed().opened.iter().sum();
+        let crossed: u64 = sites.proxy.passed().opened.iter().sum();
         println!("{}", line(second, &running.ends(), crossed - before, &sites.status(NORTH)?, what));
         before = crossed;
     }
     let ends = running.finish();
-    let breaches = judge(&sites.north.record.lines(), &Rules { slack: 150.0, ..Rules::default() });
+    let breaches = judge(&sites.north.record.lines(), &RuleBounds { slack: 150.0, ..RuleBounds::default() });
     breaches.iter().take(5).for_each(|breach| println!("{breach}"));
     let sum = |list: &[u32]| list.iter().sum::<u32>();
     println!(
--- a/crates/standins/src/node.rs
+++ b/crates/testbed/src/cache_server.rs
@@ -15,11 +15,11 @@
 use linnethook_quickstart::Answer;
 
 use crate::faults::{Fault, Script};
-use crate::record::{now, Asked, Cold, Ms, Record, What};
-use crate::server::{ask, Answers, Ask, Reaction, Server};
+use crate::recording::{now, Asked, Ms, RecordedEvent, Recording, WarmUpCapacity};
+use crate::server::{ask, CacheRequest, HandlerResponse, RequestHandler, Server};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum ServerRole {
     Cache,
     Parent,
     Origin,
@@ -27,8 +27,8 @@
 
 /// How a node works.
 #[derive(Debug, Clone)]
-pub struct Makeup {
-    pub kind: Kind,
+pub struct CacheServerConfig {
+    pub kind: ServerRole,
     /// Copies that it keeps; the one used longest ago goes first.
     pub copies: usize,
     /// How long an answer of its own takes.
@@ -45,23 +45,23 @@
     pub patience: Duration,
     /// Bytes of an answer.
     pub size: usize,
-    pub cold: Cold,
+    pub cold: WarmUpCapacity,
 }
 
-impl Makeup {
-    pub fn new(kind: Kind) -> Self {
-        let upstream = if kind == Kind::Origin { Vec::new() } else { vec!["origin".to_string()] };
+impl CacheServerConfig {
+    pub fn new(kind: ServerRole) -> Self {
+        let upstream = if kind == ServerRole::Origin { Vec::new() } else { vec!["origin".to_string()] };
         Self {
             kind,
             copies: 100_000,
-            latency: Duration::from_millis(if kind == Kind::Origin { 10 } else { 1 }),
+            latency: Duration::from_millis(if kind == ServerRole::Origin { 10 } else { 1 }),
             fresh: BTreeMap::new(),
             writes: vec!["booking".to_string()],
             upstream,
             obeys: true,
             patience: Duration::from_secs(2),
             size: 1_000,
-            cold: Cold::default(),
+            cold: WarmUpCapacity::default(),
         }
     }
 }
@@ -97,7 +97,7 @@
     uses: u64,
     filling: HashSet<Key>,
     started: Ms,
-    came: VecDeque<Ms>,
+    arrivals: VecDeque<Ms>,
     fallen: bool,
     /// Fills on an older version than that are turned away.
     floor: u64,
@@ -110,9 +110,9 @@
 
 struct Inner {
     name: String,
-    makeup: Makeup,
+    server_config: CacheServerConfig,
     directory: Directory,
-    record: Record,
+    record: Recording,
     script: Script,
     state: Mutex<State>,
     filled: Condvar,
@@ -126,7 +126,7 @@
 }
 
 /// A node with its servers.
-pub struct Node {
+pub struct CacheServer {
     inner: Arc<Inner>,
     servers: Mutex<BTreeMap<String, (SocketAddr, Server)>>,
 }
@@ -134,19 +134,19 @@
 /// The name of the front at which nodes ask each other.
 const NODES: &str = "";
 
-impl Node {
+impl CacheServer {
     pub fn start(
         name: &str,
-        makeup: Makeup,
+        server_config: CacheServerConfig,
         directory: &Directory,
-        record: &Record,
+        record: &Recording,
         attempts: &Arc<AtomicU64>,
     ) -> io::Result<Self> {
-        let upstream = makeup.upstream.clone();
+        let upstream = server_config.upstream.clone();
         let state = State { started: now(), upstream, ..State::default() };
         let inner = Arc::new(Inner {
             name: name.to_string(),
-            makeup,
+            server_config,
             directory: directory.clone(),
             record: record.clone(),
             script: Script::default(),
@@ -162,9 +162,9 @@
     }
 
     fn note_start(&self) {
-        let cold = self.inner.makeup.cold;
+        let cold = self.inner.server_config.cold;
         if cold.fall_multiple > 0.0 {
-            self.inner.record.note(What::Started { node: self.inner.name.clone(), cold });
+            self.inner.record.note(RecordedEvent::Started { node: self.inner.name.clone(), cold });
         }
     }
 
@@ -260,7 +260,7 @@
 
 /// What came of looking for an object.
 struct Found {
-    word: &'static str,
+    status: &'static str,
     res: String,
     copy: Option<Copy>,
     /// Further fields of the answer.
@@ -269,8 +269,8 @@
 }
 
 impl Found {
-    fn without(word: &'static str, res: &str) -> Self {
-        Self { word, res: res.to_string(), copy: None, more: String::new(), ran: false }
+    fn without(status: &'static str, res: &str) -> Self {
+        Self { status, res: res.to_string(), copy: None, more: String::new(), ran: false }
     }
 }
 
@@ -281,34 +281,35 @@
 
     /// Counts one that came in; false once it has fallen over.
     fn bears(&self) -> bool {
-        let cold = self.makeup.cold;
+        let cold = self.server_config.cold;
         let mut state = self.lock();
         if state.fallen {
             return false;
         }
         if cold.fall_multiple > 0.0 {
             let at = now();
-            state.came.push_back(at);
-            while state.came.front().is_some_and(|first| at - first > cold.window) {
-                state.came.pop_front();
+            state.arrivals.push_back(at);
+            while state.arrivals.front().is_some_and(|first| at - first > cold.window) {
+                state.arrivals.pop_front();
             }
-            let able = cold.able(at - state.started) * cold.fall_multiple * cold.window / 1000.0;
-            if state.came.len() as f64 > able * 1.1 {
+            let capacity_at =
+                cold.capacity_at(at - state.started) * cold.fall_multiple * cold.window / 1000.0;
+            if state.arrivals.len() as f64 > capacity_at * 1.1 {
                 state.fallen = true;
                 drop(state);
-                self.record.note(What::Fell { node: self.name.clone() });
+                self.record.note(RecordedEvent::Fell { node: self.name.clone() });
                 return false;
             }
         }
         true
     }
 
-    fn find(&self, ask: &Ask) -> Found {
+    fn find(&self, ask: &CacheRequest) -> Found {
         let text = |name: &str| ask.fields.get(name).map(String::as_str);
         let class = text("kind").unwrap_or_default();
         let key = (text("obj").unwrap_or_default().to_string(), part(ask));
-        if self.makeup.kind == Kind::Origin {
-            thread::sleep(self.makeup.latency);
+        if self.server_config.kind == ServerRole::Origin {
+            thread::sleep(self.server_config.latency);
             return self.give_out(ask, class, &key);
         }
         let passed = match text("passed").map(FillPath::parse) {
@@ -323,7 +324,7 @@
             return held.map_or_else(
                 || Found::without("absent", "NO_FILL"),
                 |copy| Found {
-                    word: "data",
+                    status: "data",
                     res: "HIT".into(),
                     copy: Some(copy),
                     more: String::new(),
@@ -340,37 +341,37 @@
             }
             Some((_, Err(PathRejection::HopLimit))) => return Found::without("full", "LOOP"),
         };
-        let fresh = self.makeup.fresh.get(class).copied().unwrap_or(0.0);
+        let fresh = self.server_config.fresh.get(class).copied().unwrap_or(0.0);
         let oldest = text("accept").and_then(|age| age.parse::<Ms>().ok()).filter(|age| *age > 0.0);
         let oldest = oldest.or((fresh > 0.0).then_some(fresh)).unwrap_or(f64::INFINITY);
-        thread::sleep(self.makeup.latency);
+        thread::sleep(self.server_config.latency);
         if let Some(copy) = self.held(&key, oldest) {
             let stale = fresh > 0.0 && now() - copy.dated > fresh;
             let res = if stale { "STALE" } else { "HIT" };
             return Found {
-                word: "data",
+                status: "data",
                 res: res.to_string(),
                 copy: Some(copy),
                 more: String::new(),
                 ran: true,
             };
         }
-        let only_held = hints(ask).any(|hint| hint == "h");
+        let cached_only = hints(ask).any(|hint| hint == "h");
         // A cache is told its source; a parent goes on by the way that it is told, or by its own idea.
-        let told = self.makeup.kind == Kind::Cache;
+        let told = self.server_config.kind == ServerRole::Cache;
         let hops: Vec<String> = match (told, text("parent"), text("via")) {
             (true, None, _) => return Found::without("absent", "NO_FILL"),
             (true, Some(source), _) => {
-                vec![if only_held { format!("{source}:h") } else { source.to_string() }]
+                vec![if cached_only { format!("{source}:h") } else { source.to_string() }]
             }
-            (false, _, _) if only_held => return Found::without("absent", "UP_MISS"),
-            (false, _, Some(via)) if self.makeup.obeys => via.split('+').map(str::to_string).collect(),
+            (false, _, _) if cached_only => return Found::without("absent", "UP_MISS"),
+            (false, _, Some(via)) if self.server_config.obeys => via.split('+').map(str::to_string).collect(),
             (false, ..) => self.lock().upstream.first().cloned().into_iter().collect(),
         };
         if !self.begin(&key) {
             return match self.held(&key, oldest) {
                 Some(copy) => Found {
-                    word: "data",
+                    status: "data",
                     res: "COLLAPSED".into(),
                     copy: Some(copy),
                     more: String::new(),
@@ -404,7 +405,7 @@
             return true;
         }
         let busy = |state: &mut State| state.filling.contains(key);
-        let waited = self.filled.wait_timeout_while(state, self.makeup.patience, busy);
+        let waited = self.filled.wait_timeout_while(state, self.server_config.patience, busy);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
         false
     }
@@ -415,7 +416,9 @@
         let used = state.uses;
         state.copies.insert(key.clone(), Copy { used, ..copy.clone() });
         state.order.push_back((key.clone(), used));
-        while state.copies.len() > self.makeup.copies || state.order.len() > self.makeup.copies * 4 {
+        while state.copies.len() > self.server_config.copies
+            || state.order.len() > self.server_config.copies * 4
+        {
             let Some((key, used)) = state.order.pop_front() else { break };
             // Used again since: a later place in the order stands for it.
             if state.copies.get(&key).is_some_and(|copy| copy.used == used) {
@@ -426,7 +429,7 @@
 
     fn fill(
         &self,
-        asked: &Ask,
+        asked: &CacheRequest,
         key: &Key,
         hops: &[String],
         passed: Option<&FillPath>,
@@ -464,22 +467,22 @@
                 last = Found::without("full", "UP_DOWN");
                 continue;
             };
-            match ask(address, &asked.id, &fields.join(","), b"", self.makeup.patience) {
-                Ok((word, fields, body)) if word == "data" => {
+            match ask(address, &asked.id, &fields.join(","), b"", self.server_config.patience) {
+                Ok((status, fields, body)) if status == "data" => {
                     let dated = fields.get("dated").and_then(|at| at.parse().ok()).unwrap_or(0.0);
                     let copy = Copy { body, dated, used: 0 };
                     self.keep(key, &copy);
                     let origin = fields.get("res").is_some_and(|res| res == "MISS_ORIGIN");
                     let res = if origin { "MISS_ORIGIN" } else { "MISS" };
                     let res = res.to_string();
-                    return Found { word: "data", res, copy: Some(copy), more: String::new(), ran: true };
+                    return Found { status: "data", res, copy: Some(copy), more: String::new(), ran: true };
                 }
                 Ok((_, fields, _)) if fields.get("res").is_some_and(|res| res == "LOOP") => {
                     let round = fields.get("round").map(|round| format!(",round={round}"));
                     return Found { more: round.unwrap_or_default(), ..Found::without("full", "LOOP") };
                 }
-                Ok((word, ..)) if word == "absent" => last = Found::without("absent", "UP_MISS"),
-                Ok((word, ..)) if word == "full" => last = Found::without("full", "UP_BUSY"),
+                Ok((status, ..)) if status == "absent" => last = Found::without("absent", "UP_MISS"),
+                Ok((status, ..)) if status == "full" => last = Found::without("full", "UP_BUSY"),
                 Ok(_) => last = Found::without("failed", "ORIGIN_ERR"),
                 Err(_) => last = Found::without("full", "UP_DOWN"),
             }
@@ -491,30 +494,30 @@
     }
 
     /// The origin gives a copy out, or runs what is to be run there.
-    fn give_out(&self, ask: &Ask, class: &str, key: &Key) -> Found {
-        if self.makeup.writes.iter().any(|write| write == class) {
+    fn give_out(&self, ask: &CacheRequest, class: &str, key: &Key) -> Found {
+        if self.server_config.writes.iter().any(|write| write == class) {
             let mut state = self.lock();
             *state.runs.entry(ask.id.clone()).or_default() += 1;
         }
         let dated = now();
         // What a client can tell the copy by.
         let mut body = format!("{} {} {dated} ", key.0, key.1).into_bytes();
-        body.resize(body.len().max(self.makeup.size), b'.');
+        body.resize(body.len().max(self.server_config.size), b'.');
         let copy = Copy { body, dated, used: 0 };
-        Found { word: "data", res: "MISS_ORIGIN".into(), copy: Some(copy), more: String::new(), ran: true }
+        Found { status: "data", res: "MISS_ORIGIN".into(), copy: Some(copy), more: String::new(), ran: true }
     }
 }
 
-fn part(ask: &Ask) -> u32 {
+fn part(ask: &CacheRequest) -> u32 {
     ask.fields.get("seg").and_then(|part| part.parse().ok()).unwrap_or(0)
 }
 
-fn hints(ask: &Ask) -> impl Iterator<Item = &str> {
+fn hints(ask: &CacheRequest) -> impl Iterator<Item = &str> {
     ask.fields.get("hints").map(String::as_str).unwrap_or_default().split('+')
 }
 
-impl Answers for Front {
-    fn answer(&self, ask: &Ask) -> Reaction {
+impl RequestHandler for Front {
+    fn answer(&self, ask: &CacheRequest) -> HandlerResponse {
         let inner = &self.inner;
         let attempt = inner.attempts.fetch_add(1, Ordering::Relaxed);
         let text = |name: &str| ask.fields.get(name).cloned();
@@ -527,52 +530,52 @@
             part: part(ask),
             source: text("parent"),
             via: text("via").map(|via| via.split('+').map(str::to_string).collect()).unwrap_or_default(),
-            only_held: hints(ask).any(|hint| hint == "h"),
+            cached_only: hints(ask).any(|hint| hint == "h"),
             passed: passed.iter().flat_map(FillPath::names).map(str::to_string).collect(),
             version: passed.as_ref().map(|passed| passed.version),
             router: self.router.clone(),
         };
-        inner.record.note(What::Asked { attempt, asked });
-        let ended = |word: &str, res: &str, ran: bool| {
-            let (word, res) = (word.to_string(), res.to_string());
-            inner.record.note(What::Ended { attempt, word, res, ran });
+        inner.record.note(RecordedEvent::Asked { attempt, asked });
+        let ended = |status: &str, res: &str, ran: bool| {
+            let (status, res) = (status.to_string(), res.to_string());
+            inner.record.note(RecordedEvent::Ended { attempt, status, res, ran });
         };
         let fault = inner.script.next();
         let bears = inner.bears();
         match fault {
             _ if !bears => {
                 ended("", "FALLEN", false);
-                return Reaction::Reset;
+                return HandlerResponse::Reset;
             }
             Some(Fault::Refuse) => {
                 ended("full", "", false);
-                return Reaction::Answer(Answer::with_status("full"));
+                return HandlerResponse::Answer(Answer::with_status("full"));
             }
             Some(Fault::Reset) => {
                 ended("", "RESET", false);
-                return Reaction::Reset;
+                return HandlerResponse::Reset;
             }
-            Some(Fault::Silent) => return Reaction::Nothing,
+            Some(Fault::Silent) => return HandlerResponse::Nothing,
             Some(Fault::Slow(by)) => thread::sleep(Duration::from_secs_f64(by / 1000.0)),
             Some(Fault::Fail | Fault::Cut) | None => {}
         }
         let found = inner.find(ask);
-        let Found { word, res, copy, more, ran } = found;
+        let Found { status, res, copy, more, ran } = found;
         if fault == Some(Fault::Fail) {
             ended("failed", &res, ran);
-            return Reaction::Answer(Answer::with_status("failed"));
+            return HandlerResponse::Answer(Answer::with_status("failed"));
         }
-        ended(word, &res, ran);
+        ended(status, &res, ran);
         let dated = copy.as_ref().map(|copy| {
             let digest = xxhash_rust::xxh3::xxh3_64(&copy.body[..copy.body.len().min(80)]);
             format!(",digest={digest:016x},dated={}", copy.dated)
         });
         let dated = dated.unwrap_or_default();
         let fields = format!("res={res},first=0{dated}{more}");
-        let answer = Answer { status: word, fields, body: copy.map(|copy| copy.body).unwrap_or_default() };
+        let answer = Answer { status, fields, body: copy.map(|copy| copy.body).unwrap_or_default() };
         match fault {
-            Some(Fault::Cut) => Reaction::Half(answer),
-            _ => Reaction::Answer(answer),
+            Some(Fault::Cut) => HandlerResponse::Half(answer),
+            _ => HandlerResponse::Answer(answer),
         }
     }
 }
--- a/crates/standins/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -7,11 +7,11 @@
 use std::fmt;
 
 use crate::aggregates::{aggregates, AggregateBounds};
-use crate::record::{Cold, Line, Ms, Phase, What};
+use crate::recording::{Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
 
 /// The figures of the rules.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
+pub struct RuleBounds {
     pub drain_grace: Ms,
     pub purge_grace: Ms,
     /// What sockets and threads may add to any time.
@@ -24,7 +24,7 @@
     pub aggregates: AggregateBounds,
 }
 
-impl Default for Rules {
+impl Default for RuleBounds {
     fn default() -> Self {
         Self {
             drain_grace: 250.0,
@@ -75,7 +75,7 @@
 }
 
 /// Judges a record. Requests that are open at its end and in time are no breach.
-pub fn judge(lines: &[Line], rules: &Rules) -> Vec<Breach> {
+pub fn judge(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let passes = [
         one_answer,
         no_second_effect,
@@ -96,7 +96,7 @@
 
 /// Requests whose clients left while they waited, and each time that one was sent on later than it may be.
 #[derive(Debug, Default)]
-pub struct Leavers {
+pub struct DisconnectedClients {
     pub cases: usize,
     pub sent_on: Vec<Breach>,
     /// Those among them that are late by the older figure as well.
@@ -108,21 +108,23 @@
 const HEARD_OF_LATE: Ms = 300.0;
 
 /// What became of requests whose clients left. Not a pass of `judge`: it is a share that is asked for.
-pub fn leavers(lines: &[Line], rules: &Rules) -> Leavers {
-    let mut out = Leavers::default();
+pub fn disconnected_clients(lines: &[RecordEntry], rules: &RuleBounds) -> DisconnectedClients {
+    let mut out = DisconnectedClients::default();
     let mut waiting = BTreeMap::<u64, (&str, &str)>::new();
     let mut left = BTreeMap::<(&str, &str), Ms>::new();
     for line in lines {
         match &line.what {
-            What::Requested { request, id, router, .. } => _ = waiting.insert(*request, (router, id)),
-            What::Final { request, .. } => _ = waiting.remove(request),
-            What::Released { request } => {
+            RecordedEvent::Requested { request, id, router, .. } => {
+                _ = waiting.insert(*request, (router, id))
+            }
+            RecordedEvent::Final { request, .. } => _ = waiting.remove(request),
+            RecordedEvent::Released { request } => {
                 if let Some(who) = waiting.remove(request) {
                     out.cases += 1;
                     left.insert(who, line.at);
                 }
             }
-            What::Asked { asked, .. } => {
+            RecordedEvent::Asked { asked, .. } => {
                 let Some(router) = asked.router.as_deref() else { continue };
                 let Some(since) = left.get(&(router, asked.id.as_str())) else { continue };
                 let late = line.at - since;
@@ -140,13 +142,13 @@
     out
 }
 
-fn no_old_version(lines: &[Line], rules: &Rules) -> Vec<Breach> {
+fn no_old_version(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     let mut floors = BTreeMap::<&str, (u64, Ms)>::new();
     for line in lines {
         match &line.what {
-            What::Floored { router, version } => _ = floors.insert(router, (*version, line.at)),
-            What::Asked { asked, .. } if asked.source.is_some() && !asked.only_held => {
+            RecordedEvent::Floored { router, version } => _ = floors.insert(router, (*version, line.at)),
+            RecordedEvent::Asked { asked, .. } if asked.source.is_some() && !asked.cached_only => {
                 let Some(router) = asked.router.as_deref() else { continue };
                 let Some((floor, since)) = floors.get(router) else { continue };
                 let version = asked.version.unwrap_or(*floor);
@@ -163,12 +165,12 @@
 
 /// A record as it is to be judged where processes stood still: what a router was told meanwhile counts from when it
 /// went on, and what it owed by then is owed so much later.
-pub fn with_pauses(lines: &[Line], grace: Ms) -> Vec<Line> {
+pub fn with_pauses(lines: &[RecordEntry], grace: Ms) -> Vec<RecordEntry> {
     let mut spans = Vec::<(&str, Ms, Ms)>::new();
     for line in lines {
         match &line.what {
-            What::Paused { router } => spans.push((router, line.at, f64::INFINITY)),
-            What::Woken { router } => {
+            RecordedEvent::Paused { router } => spans.push((router, line.at, f64::INFINITY)),
+            RecordedEvent::Woken { router } => {
                 let open = spans.iter_mut().find(|(paused, _, to)| paused == router && to.is_infinite());
                 open.into_iter().for_each(|(.., to)| *to = line.at);
             }
@@ -179,11 +181,13 @@
         let inside = |(paused, from, to): &&(&str, Ms, Ms)| *paused == router && (*from..=*to).contains(&at);
         spans.iter().find(inside).map_or(at, |(.., to)| *to)
     };
-    let moved = |line: &Line| {
+    let moved = |line: &RecordEntry| {
         let mut line = line.clone();
         match &mut line.what {
-            What::Listed { router, .. } | What::Purged { router, .. } => line.at = until(router, line.at),
-            What::Requested { router, deadline, .. } => {
+            RecordedEvent::Listed { router, .. } | RecordedEvent::Purged { router, .. } => {
+                line.at = until(router, line.at)
+            }
+            RecordedEvent::Requested { router, deadline, .. } => {
                 let at = until(router, *deadline);
                 let late = spans.iter().any(|(paused, from, to)| {
                     paused == router && line.at <= *to && *deadline >= *from && *deadline < *to + grace
@@ -194,7 +198,7 @@
         }
         line
     };
-    let mut moved: Vec<Line> = lines.iter().map(moved).collect();
+    let mut moved: Vec<RecordEntry> = lines.iter().map(moved).collect();
     moved.sort_by(|a, b| a.at.total_cmp(&b.at));
     moved
 }
@@ -202,7 +206,7 @@
 const SERVED: u8 = 1;
 const REFUSED: u8 = 2;
 
-fn one_answer(lines: &[Line], rules: &Rules) -> Vec<Breach> {
+fn one_answer(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     let mut open = BTreeMap::<u64, Ms>::new();
     let mut known = BTreeSet::new();
@@ -210,11 +214,11 @@
     let end = lines.last().map_or(0.0, |line| line.at);
     for line in lines {
         match &line.what {
-            What::Requested { request, deadline, .. } => {
+            RecordedEvent::Requested { request, deadline, .. } => {
                 open.insert(*request, *deadline);
                 known.insert(*request);
             }
-            What::Final { request, .. } => match open.remove(request) {
+            RecordedEvent::Final { request, .. } => match open.remove(request) {
                 Some(deadline) if line.at > deadline + rules.slack => {
                     breach(
                         line.at,
@@ -230,7 +234,7 @@
                 }
                 None => breach(line.at, format!("request {request} was never asked")),
             },
-            What::Released { request } => {
+            RecordedEvent::Released { request } => {
                 open.remove(request);
             }
             _ => {}
@@ -252,7 +256,7 @@
     ran: bool,
 }
 
-fn no_second_effect(lines: &[Line], _: &Rules) -> Vec<Breach> {
+fn no_second_effect(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     let mut harmful = BTreeMap::<&str, u64>::new();
     let mut names = BTreeMap::<u64, &str>::new();
@@ -262,12 +266,12 @@
     let mut breach = |at, what| out.push(Breach { at, rule: Rule::NoSecondEffect, what });
     for line in lines {
         match &line.what {
-            What::Requested { request, id, harmful: true, .. } => {
+            RecordedEvent::Requested { request, id, harmful: true, .. } => {
                 harmful.insert(id, *request);
                 names.insert(*request, id);
             }
             // Attempts of routers; nodes on the way to the origin pass the same one on.
-            What::Asked { attempt, asked }
+            RecordedEvent::Asked { attempt, asked }
                 if asked.router.is_some() && harmful.contains_key(asked.id.as_str()) =>
             {
                 if refused.contains(asked.id.as_str()) {
@@ -281,13 +285,13 @@
                 of.insert(*attempt, (asked.id.as_str(), all.len()));
                 all.push(Attempt { from: line.at, to: f64::INFINITY, ran: false });
             }
-            What::Ended { attempt, ran, .. } => {
+            RecordedEvent::Ended { attempt, ran, .. } => {
                 let Some((id, n)) = of.get(attempt) else { continue };
                 if let Some(known) = attempts.get_mut(id).and_then(|all| all.get_mut(*n)) {
                     (known.to, known.ran) = (line.at, *ran);
                 }
             }
-            What::Final { request, code: REFUSED, .. } => {
+            RecordedEvent::Final { request, code: REFUSED, .. } => {
                 let Some(id) = names.get(request) else { continue };
                 refused.insert(id);
                 let may_have_run = |a: &Attempt| a.ran || (a.to > line.at && a.from <= line.at);
@@ -301,19 +305,19 @@
     out
 }
 
-fn drains(lines: &[Line], rules: &Rules) -> Vec<Breach> {
+fn drains(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     // By router and node: since when it is told not to use it.
     let mut barred = BTreeMap::<(&str, &str), Ms>::new();
     for line in lines {
         match &line.what {
-            What::Listed { router, node, phase: Phase::Ready } => {
+            RecordedEvent::Listed { router, node, phase: Phase::Ready } => {
                 barred.remove(&(router, node));
             }
-            What::Listed { router, node, .. } => {
+            RecordedEvent::Listed { router, node, .. } => {
                 barred.entry((router, node)).or_insert(line.at);
             }
-            What::Asked { asked, .. } => {
+            RecordedEvent::Asked { asked, .. } => {
                 let Some(router) = asked.router.as_deref() else { continue };
                 let via = asked.via.iter().map(|hop| hop.trim_end_matches(":h"));
                 let named = std::iter::once(asked.at.as_str()).chain(asked.source.as_deref()).chain(via);
@@ -333,26 +337,27 @@
     out
 }
 
-fn no_push(lines: &[Line], rules: &Rules) -> Vec<Breach> {
+fn no_push(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
-    let mut started = BTreeMap::<&str, (Ms, Cold)>::new();
-    let mut came = BTreeMap::<&str, Vec<Ms>>::new();
+    let mut started = BTreeMap::<&str, (Ms, WarmUpCapacity)>::new();
+    let mut arrivals = BTreeMap::<&str, Vec<Ms>>::new();
     for line in lines {
         match &line.what {
-            What::Started { node, cold } => {
+            RecordedEvent::Started { node, cold } => {
                 started.insert(node, (line.at, *cold));
-                came.remove(node.as_str());
+                arrivals.remove(node.as_str());
             }
-            What::Asked { asked, .. } => {
+            RecordedEvent::Asked { asked, .. } => {
                 let Some((since, cold)) = started.get(asked.at.as_str()) else { continue };
                 let age = line.at - since;
                 if age > cold.warm_in || cold.fall_multiple <= 0.0 {
                     continue;
                 }
-                let all = came.entry(asked.at.as_str()).or_default();
+                let all = arrivals.entry(asked.at.as_str()).or_default();
                 all.push(line.at);
                 all.retain(|at| line.at - at < cold.window);
-                let bears = cold.able(age) * cold.fall_multiple * cold.window / 1000.0 * rules.push_slack;
+                let bears =
+                    cold.capacity_at(age) * cold.fall_multiple * cold.window / 1000.0 * rules.push_slack;
                 if all.len() as f64 > bears {
                     let what = format!(
                         "{} got {} in {:.0} ms, it bears {bears:.0}",
@@ -364,7 +369,7 @@
                     all.clear();
                 }
             }
-            What::Fell { node } => {
+            RecordedEvent::Fell { node } => {
                 let what = format!("{node} fell over");
                 out.push(Breach { at: line.at, rule: Rule::NoPush, what });
             }
@@ -374,19 +379,19 @@
     out
 }
 
-fn purges(lines: &[Line], rules: &Rules) -> Vec<Breach> {
+fn purges(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     let mut asked = BTreeMap::<u64, (&str, u32, &str, Ms)>::new();
     let mut told = Vec::<(&str, Option<&str>, Option<u32>, Ms, Ms)>::new();
     for line in lines {
         match &line.what {
-            What::Purged { router, object, group, stamp } => {
+            RecordedEvent::Purged { router, object, group, stamp } => {
                 told.push((router, object.as_deref(), *group, *stamp, line.at));
             }
-            What::Requested { request, object, group, router, .. } => {
+            RecordedEvent::Requested { request, object, group, router, .. } => {
                 asked.insert(*request, (object, *group, router, line.at));
             }
-            What::Final { request, code: SERVED, dated: Some(dated) } => {
+            RecordedEvent::Final { request, code: SERVED, dated: Some(dated) } => {
                 let Some((object, group, router, since)) = asked.get(request) else { continue };
                 let meant = |(by, o, g, ..): &&(&str, Option<&str>, Option<u32>, Ms, Ms)| {
                     by == router && (o.is_some_and(|o| o == *object) || g.is_some_and(|g| g == *group))
@@ -407,12 +412,12 @@
     out
 }
 
-fn no_loop(lines: &[Line], _: &Rules) -> Vec<Breach> {
+fn no_loop(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     let mut round = BTreeSet::new();
     for line in lines {
         match &line.what {
-            What::Asked { attempt, asked } => {
+            RecordedEvent::Asked { attempt, asked } => {
                 let mut met = BTreeSet::new();
                 let twice = asked.passed.iter().find(|node| !met.insert(node.as_str()));
                 if let Some(node) = twice {
@@ -423,7 +428,7 @@
                 }
             }
             // It came back, which only others could see; it must not have been let through.
-            What::Ended { attempt, res, .. } if round.remove(attempt) && res != "LOOP" => {
+            RecordedEvent::Ended { attempt, res, .. } if round.remove(attempt) && res != "LOOP" => {
                 let what = format!("attempt {attempt} came back to its node, which took it: {res}");
                 out.push(Breach { at: line.at, rule: Rule::NoLoop, what });
             }
@@ -433,7 +438,7 @@
     out
 }
 
-fn no_strange_edge(lines: &[Line], rules: &Rules) -> Vec<Breach> {
+fn no_strange_edge(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     // A record may begin with later shapes: versions count, not times.
     let mut shapes = BTreeMap::<u64, BTreeSet<(&str, &str)>>::new();
@@ -441,7 +446,7 @@
     let mut last = BTreeMap::<(&str, &str), Ms>::new();
     let mut present = BTreeSet::new();
     for line in lines {
-        if let What::Shape { version, edges } = &line.what {
+        if let RecordedEvent::Shape { version, edges } = &line.what {
             let edges: BTreeSet<(&str, &str)> = edges.iter().map(|(a, b)| (a.as_str(), b.as_str())).collect();
             present.difference(&edges).for_each(|edge| _ = last.insert(*edge, line.at));
             present.clone_from(&edges);
@@ -450,13 +455,13 @@
     }
     present.iter().for_each(|edge| _ = last.insert(*edge, f64::INFINITY));
     for line in lines {
-        let What::Asked { asked, .. } = &line.what else { continue };
+        let RecordedEvent::Asked { asked, .. } = &line.what else { continue };
         let Some(version) = asked.version else { continue };
         let Some((_, edges)) = shapes.range(..=version).next_back() else { continue };
         let mut edge = |from: &str, to: &str| {
             let going_over = last.get(&(from, to)).is_some_and(|last| line.at <= last + rules.going_over);
             // Who gives what it holds fills nothing: it may be asked beside the shape.
-            if !edges.contains(&(from, to)) && !going_over && !asked.only_held {
+            if !edges.contains(&(from, to)) && !going_over && !asked.cached_only {
                 let what = format!("a fill of {} used {from} to {to} at version {version}", asked.object);
                 out.push(Breach { at: line.at, rule: Rule::NoStrangeEdge, what });
             }
@@ -471,15 +476,15 @@
     out
 }
 
-fn no_overlap(lines: &[Line], _: &Rules) -> Vec<Breach> {
+fn no_overlap(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     // The attempt of each request that may run, by its token.
     let mut open = BTreeMap::<&str, (u64, u64)>::new();
     let mut proven = BTreeSet::new();
     for line in lines {
         match &line.what {
-            What::Proven { token } => _ = proven.insert(*token),
-            What::Crossed { id, token: Some(token), .. } => {
+            RecordedEvent::Proven { token } => _ = proven.insert(*token),
+            RecordedEvent::Crossed { id, token: Some(token), .. } => {
                 let before = open.insert(id, *token).filter(|before| before != token);
                 if let Some(before) = before.filter(|before| !proven.contains(before)) {
                     let what = format!("request {id} crossed again while {before:?} may run");
@@ -492,10 +497,10 @@
     out
 }
 
-fn no_return(lines: &[Line], _: &Rules) -> Vec<Breach> {
+fn no_return(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     for line in lines {
-        if let What::Crossed { to, id, passed, .. } = &line.what {
+        if let RecordedEvent::Crossed { to, id, passed, .. } = &line.what {
             let mut met = BTreeSet::new();
             if passed.contains(to) || !passed.iter().all(|site| met.insert(site)) {
                 let what = format!("request {id} crossed to {to}, having passed {passed:?}");
--- a/crates/standins/src/ready.rs
+++ b/crates/testbed/src/cold_restart.rs
@@ -101,7 +101,7 @@
 
 /// What routers start into.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
+pub struct StartScenario {
     pub outage: Outage,
     /// Processes that start at once.
     pub processes: usize,
@@ -114,7 +114,7 @@
     pub busy: usize,
 }
 
-impl Case {
+impl StartScenario {
     /// A small list, caches that answer, and nothing else to do.
     pub fn new(outage: Outage, processes: usize) -> Self {
         Self { outage, processes, listed: 4, purges: 0, hung: false, busy: 0 }
@@ -170,7 +170,7 @@
 }
 
 /// The events that a router finds in its configuration.
-fn known(case: &Case, address: SocketAddr) -> Value {
+fn known(case: &StartScenario, address: SocketAddr) -> Value {
     let target = |n: usize| {
         let (uid, zone, model) = match n {
             0 => ("origin".to_string(), "hub", "store"),
@@ -200,7 +200,7 @@
 }
 
 impl Scene {
-    fn set(case: &Case) -> io::Result<Self> {
+    fn set(case: &StartScenario) -> io::Result<Self> {
         let discovery = Discovery::start(case.outage)?;
         let hung = TcpListener::bind("127.0.0.1:0")?;
         let well = Cache::start("127.0.0.1:0", Arc::new(|_, _, _| Some(Answer::data("held"))))?;
@@ -222,7 +222,7 @@
 ///
 /// # Errors
 /// Where a stand-in or the configuration can't be set up.
-pub fn restart(program: &Path, case: &Case) -> io::Result<Vec<Option<Duration>>> {
+pub fn restart(program: &Path, case: &StartScenario) -> io::Result<Vec<Option<Duration>>> {
     let scene = Scene::set(case)?;
     let asks = if case.hung { 8 } else { 0 };
     start_all(program, &scene.config.0, case.processes, asks);
@@ -234,7 +234,7 @@
 ///
 /// # Errors
 /// Where a stand-in or the configuration can't be set up, the router does not start, or the system does not say.
-pub fn peak_memory(program: &Path, case: &Case) -> io::Result<u64> {
+pub fn peak_memory(program: &Path, case: &StartScenario) -> io::Result<u64> {
     let scene = Scene::set(case)?;
     let (process, _) = start(program, &scene.config.0, 0)?;
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id()))?;
--- a/crates/standins/src/cold.rs
+++ b/crates/testbed/src/cold_start.rs
@@ -6,11 +6,11 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::record::{Cold, Line, Ms, Phase, What};
+use crate::recording::{Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
 
 /// What one start of a node was asked for, over all windows that end as a request comes.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ColdSum {
+pub struct ColdStartLoad {
     pub node: String,
     pub windows: u32,
     /// Windows with more than N, and with more than N + 2 x root of N + 2.
@@ -23,7 +23,7 @@
     pub worst_budget: f64,
     pub budget: f64,
     /// When each request came, after the start.
-    pub came: Vec<Ms>,
+    pub arrivals: Vec<Ms>,
 }
 
 /// N + 2 x root of N + 2.
@@ -33,30 +33,30 @@
 
 struct Start {
     at: Ms,
-    cold: Cold,
+    cold: WarmUpCapacity,
     told: BTreeMap<String, Ms>,
     window: VecDeque<(Ms, bool)>,
-    sum: ColdSum,
+    sum: ColdStartLoad,
 }
 
 /// The account of each start in the record. Routers that are not told of one within `deemed` count as told then.
-pub fn sums(lines: &[Line], deemed: Ms) -> Vec<ColdSum> {
+pub fn sums(lines: &[RecordEntry], deemed: Ms) -> Vec<ColdStartLoad> {
     let mut under_way = BTreeMap::<&str, Start>::new();
     let mut out = Vec::new();
     for line in lines {
         match &line.what {
-            What::Started { node, cold } => {
-                let sum = ColdSum { node: node.clone(), ..ColdSum::default() };
+            RecordedEvent::Started { node, cold } => {
+                let sum = ColdStartLoad { node: node.clone(), ..ColdStartLoad::default() };
                 let (told, window) = (BTreeMap::new(), VecDeque::new());
                 let start = Start { at: line.at, cold: *cold, told, window, sum };
                 out.extend(under_way.insert(node, start).map(|start| start.sum));
             }
-            What::Listed { router, node, phase: Phase::Ready } => {
+            RecordedEvent::Listed { router, node, phase: Phase::Ready } => {
                 if let Some(start) = under_way.get_mut(node.as_str()) {
                     start.told.entry(router.clone()).or_insert(line.at);
                 }
             }
-            What::Asked { asked, .. } => {
+            RecordedEvent::Asked { asked, .. } => {
                 if let Some(start) = under_way.get_mut(asked.at.as_str()) {
                     let told = asked.router.as_ref().is_none_or(|router| start.told.contains_key(router));
                     start.count(line.at, told || line.at - start.at > deemed);
@@ -79,11 +79,11 @@
         while self.window.front().is_some_and(|(first, _)| at - first > self.cold.window) {
             self.window.pop_front();
         }
-        let budget = self.cold.able(age) * self.cold.fall_multiple * self.cold.window / 1_000.0;
+        let budget = self.cold.capacity_at(age) * self.cold.fall_multiple * self.cold.window / 1_000.0;
         let count = self.window.len() as f64;
         let part = count / bound(budget);
         let sum = &mut self.sum;
-        sum.came.push(age);
+        sum.arrivals.push(age);
         sum.windows += 1;
         sum.over_budget += u32::from(count > budget);
         if part > 1.0 {
--- a/crates/standins/src/middle.rs
+++ b/crates/testbed/src/fault_proxy.rs
@@ -13,11 +13,11 @@
 use linnethook_gateway::attempt_ledger::AttemptOutcome;
 use linnethook_gateway::codec::{FrameDecoder, Message};
 
-use crate::record::{Record, What};
+use crate::recording::{RecordedEvent, Recording};
 
 /// What befalls one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Weather {
+pub struct LinkConditions {
     /// Nothing passes, and nothing is said of it.
     pub silent: bool,
     pub delay: Duration,
@@ -26,12 +26,12 @@
     /// After so many more bytes all connections are reset.
     pub cut_after: Option<usize>,
     /// What comes next is lost, or comes twice: once, and on the connection on which it comes.
-    pub spoils: Option<Spoils>,
+    pub corruption: Option<Corruption>,
 }
 
 /// What befalls the bytes of a connection that no wire would do to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spoils {
+pub enum Corruption {
     Lost,
     Repeated,
 }
@@ -52,7 +52,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    weather: [Weather; 2],
+    conditions: [LinkConditions; 2],
     /// Connections are reset, and new ones too.
     cut: bool,
     target: Option<SocketAddr>,
@@ -61,15 +61,15 @@
 }
 
 /// One link; dropped, it is gone.
-pub struct Middle {
+pub struct FaultProxy {
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     over: Arc<AtomicBool>,
 }
 
 /// Towards the one that is dialled, and towards the one that dials.
-pub const THERE: usize = 0;
-pub const BACK: usize = 1;
+pub const TO_ACCEPTOR: usize = 0;
+pub const TO_DIALER: usize = 1;
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
     state.lock().unwrap_or_else(PoisonError::into_inner)
@@ -77,13 +77,13 @@
 
 /// Who is at the ends, for the record: the site that dials and the one that is dialled.
 #[derive(Debug, Clone)]
-pub struct Ends {
+pub struct ProxyEnds {
     pub sites: [String; 2],
-    pub record: Record,
+    pub record: Recording,
 }
 
-impl Middle {
-    pub fn start(ends: Ends) -> io::Result<Self> {
+impl FaultProxy {
+    pub fn start(ends: ProxyEnds) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = Arc::new(Mutex::new(State::default()));
@@ -103,23 +103,23 @@
     }
 
     /// Where those that connect are passed on to.
-    pub fn lead_to(&self, target: SocketAddr) {
+    pub fn set_target(&self, target: SocketAddr) {
         lock(&self.state).target = Some(target);
     }
 
     /// Whoever was there has gone: its port may be another's by now.
-    pub fn lead_nowhere(&self) {
+    pub fn clear_target(&self) {
         lock(&self.state).target = None;
     }
 
-    pub fn weather(&self, direction: usize, weather: Weather) {
-        lock(&self.state).weather[direction] = weather;
+    pub fn conditions(&self, direction: usize, conditions: LinkConditions) {
+        lock(&self.state).conditions[direction] = conditions;
     }
 
     /// Nothing passes in some directions any more.
     pub fn silence(&self, directions: &[usize]) {
         let mut state = lock(&self.state);
-        directions.iter().for_each(|n| state.weather[*n].silent = true);
+        directions.iter().for_each(|n| state.conditions[*n].silent = true);
     }
 
     /// All connections are reset, and so are new ones.
@@ -132,7 +132,7 @@
     /// All passes as it should.
     pub fn mend(&self) {
         let mut state = lock(&self.state);
-        (state.cut, state.weather) = (false, [Weather::default(); 2]);
+        (state.cut, state.conditions) = (false, [LinkConditions::default(); 2]);
     }
 
     pub fn passed(&self) -> Passed {
@@ -145,7 +145,7 @@
     }
 }
 
-impl Drop for Middle {
+impl Drop for FaultProxy {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Release);
         reset(&mut lock(&self.state));
@@ -163,11 +163,11 @@
     n: u64,
     dialler: TcpStream,
     state: &Arc<Mutex<State>>,
-    ends: &Ends,
+    ends: &ProxyEnds,
     over: &Arc<AtomicBool>,
 ) -> io::Result<()> {
     // A silent link takes nobody on.
-    while lock(state).weather.iter().any(|weather| weather.silent) {
+    while lock(state).conditions.iter().any(|conditions| conditions.silent) {
         if over.load(Ordering::Acquire) {
             return Ok(());
         }
@@ -223,13 +223,13 @@
     let (mut bytes, mut ended) = (0, false);
     let mut free = Instant::now();
     while !over.load(Ordering::Acquire) {
-        let weather = lock(state).weather[direction];
-        if bytes < HELD && !ended && !weather.silent {
+        let conditions = lock(state).conditions[direction];
+        if bytes < HELD && !ended && !conditions.silent {
             match from.read(&mut block) {
                 Ok(0) => ended = true,
                 Ok(n) => {
                     bytes += n;
-                    held.push_back((Instant::now() + weather.delay, block[..n].to_vec()));
+                    held.push_back((Instant::now() + conditions.delay, block[..n].to_vec()));
                 }
                 Err(wrong) if matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => ended = true,
@@ -238,34 +238,35 @@
             thread::sleep(Duration::from_millis(1));
         }
         // What came in after the weather turned is held by the new one.
-        let weather = lock(state).weather[direction];
+        let conditions = lock(state).conditions[direction];
         let at = Instant::now();
-        while !weather.silent
+        while !conditions.silent
             && held.front().is_some_and(|(due, _)| *due <= at)
-            && (weather.rate <= 0.0 || free <= at)
+            && (conditions.rate <= 0.0 || free <= at)
         {
             let Some((_, mut chunk)) = held.pop_front() else { break };
             bytes -= chunk.len();
             let cut = {
                 let mut state = lock(state);
-                let left = state.weather[direction].cut_after;
+                let left = state.conditions[direction].cut_after;
                 if let Some(left) = left {
                     let over = chunk.len() >= left;
                     chunk.truncate(left);
-                    state.weather[direction].cut_after = if over { None } else { Some(left - chunk.len()) };
+                    state.conditions[direction].cut_after =
+                        if over { None } else { Some(left - chunk.len()) };
                     over
                 } else {
                     false
                 }
             };
             watch.saw(&chunk, state);
-            match lock(state).weather[direction].spoils.take() {
-                Some(Spoils::Lost) => chunk.clear(),
-                Some(Spoils::Repeated) => chunk.extend_from_within(..),
+            match lock(state).conditions[direction].corruption.take() {
+                Some(Corruption::Lost) => chunk.clear(),
+                Some(Corruption::Repeated) => chunk.extend_from_within(..),
                 None => {}
             }
-            if weather.rate > 0.0 {
-                free = free.max(at) + Duration::from_secs_f64(chunk.len() as f64 / weather.rate);
+            if conditions.rate > 0.0 {
+                free = free.max(at) + Duration::from_secs_f64(chunk.len() as f64 / conditions.rate);
             }
             if to.write_all(&chunk).is_err() {
                 ended = true;
@@ -277,7 +278,7 @@
             }
         }
         // An end is passed on too, once all before it has been; over a silent link it is not.
-        if ended && held.is_empty() && !weather.silent {
+        if ended && held.is_empty() && !conditions.silent {
             break;
         }
     }
@@ -292,7 +293,7 @@
 struct Watch {
     connection: u64,
     direction: usize,
-    ends: Ends,
+    ends: ProxyEnds,
     decoder: FrameDecoder,
     /// What passes are no frames: it is not read any more.
     lost: bool,
@@ -324,18 +325,18 @@
                     token.into_iter().for_each(|token| _ = tokens().insert((n, frame.stream), token));
                     let (to, passed) = (self.ends.sites[1 - n].clone(), open.passed_sites);
                     let id = id.unwrap_or_default();
-                    let at = self.ends.record.note(What::Crossed { to, id, token, passed });
+                    let at = self.ends.record.note(RecordedEvent::Crossed { to, id, token, passed });
                     let mut state = lock(state);
                     state.passed.opened[n] += 1;
                     state.passed.at.push(at);
                 }
                 Message::Reject { .. } => {
                     if let Some(token) = tokens().remove(&(1 - n, frame.stream)) {
-                        self.ends.record.note(What::Proven { token });
+                        self.ends.record.note(RecordedEvent::Proven { token });
                     }
                 }
                 Message::OutcomeReport(token, AttemptOutcome::NeverRan) => {
-                    self.ends.record.note(What::Proven { token: (token.epoch, token.number) });
+                    self.ends.record.note(RecordedEvent::Proven { token: (token.epoch, token.number) });
                 }
                 Message::Data(bytes) => {
                     let mut state = lock(state);
@@ -350,9 +351,9 @@
 
 /// Two sites with a gateway each, `north` and `south`, and the link in their middle; the north dials.
 pub struct TwoSites {
-    pub north: crate::fleet::Fleet,
-    pub south: crate::fleet::Fleet,
-    pub middle: Middle,
+    pub north: crate::process_cluster::ProcessCluster,
+    pub south: crate::process_cluster::ProcessCluster,
+    pub proxy: FaultProxy,
 }
 
 /// The routers' names.
@@ -364,27 +365,27 @@
     pub fn start(
         program: &std::path::Path,
         settings: &str,
-        makeup: impl Fn(crate::node::Kind) -> crate::node::Makeup,
+        server_config: impl Fn(crate::cache_server::ServerRole) -> crate::cache_server::CacheServerConfig,
     ) -> io::Result<Self> {
-        use crate::fleet::Fleet;
-        let mut north = Fleet::site(program, "north", 2, None, &makeup)?;
-        let mut south = Fleet::site(program, "south", 2, Some(&north), &makeup)?;
+        use crate::process_cluster::ProcessCluster;
+        let mut north = ProcessCluster::site(program, "north", 2, None, &server_config)?;
+        let mut south = ProcessCluster::site(program, "south", 2, Some(&north), &server_config)?;
         let sites = ["north".to_string(), "south".to_string()];
-        let middle = Middle::start(Ends { sites, record: north.record.clone() })?;
+        let proxy = FaultProxy::start(ProxyEnds { sites, record: north.record.clone() })?;
         let listens = format!("listen = \"127.0.0.1:0\"{settings}");
         south.start_router(SOUTH, Some(&operator("south", "north", &listens, "")), |_| {})?;
-        middle.lead_to(south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
-        let link = format!("link(\"south\", connect = \"{}\", connections = 2)", middle.address);
+        proxy.set_target(south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        let link = format!("link(\"south\", connect = \"{}\", connections = 2)", proxy.address);
         let settings = settings.trim_start_matches(", ");
         north.start_router(NORTH, Some(&operator("north", "south", settings, &link)), |_| {})?;
-        Ok(Self { north, south, middle })
+        Ok(Self { north, south, proxy })
     }
 
     /// The gateway of the south is killed and started again.
     pub fn restart_south(&mut self) -> io::Result<()> {
         self.south.kill_router(SOUTH);
         self.south.start_again(SOUTH)?;
-        self.middle.lead_to(self.south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        self.proxy.set_target(self.south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
         Ok(())
     }
 
@@ -398,7 +399,7 @@
         Ok((output.status.success(), String::from_utf8_lossy(&text).into_owned()))
     }
 
-    fn fleet(&self, router: &str) -> &crate::fleet::Fleet {
+    fn fleet(&self, router: &str) -> &crate::process_cluster::ProcessCluster {
         if router == NORTH {
             &self.north
         } else {
--- a/crates/standins/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Arc, Mutex, PoisonError};
 
-use crate::record::{now, Ms};
+use crate::recording::{now, Ms};
 
 /// What a fault does to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
