--- a/crates/standins/src/rig.rs
+++ b/crates/testbed/src/harness.rs
@@ -21,12 +21,12 @@
 use serde_json::{json, Value};
 
 use crate::aggregates::{quiet_from, AggregateBounds};
-use crate::checker::{judge, with_pauses, Breach, Rule, Rules};
-use crate::fleet::Fleet;
-use crate::load::{Ends, Load, Running};
-use crate::middle::{Ends as Sides, Middle, Spoils, Weather, BACK, THERE};
-use crate::node::Makeup;
-use crate::record::{now, Ms, Phase, ShownPlace, Way, What};
+use crate::cache_server::CacheServerConfig;
+use crate::checker::{judge, with_pauses, Breach, Rule, RuleBounds};
+use crate::fault_proxy::{Corruption, FaultProxy, LinkConditions, ProxyEnds, TO_ACCEPTOR, TO_DIALER};
+use crate::load::{Load, LoadResults, RunningLoad};
+use crate::process_cluster::ProcessCluster;
+use crate::recording::{now, LinkState, LocationSummary, Ms, Phase, RecordedEvent};
 
 /// How a rig is made.
 #[derive(Debug, Clone)]
@@ -38,7 +38,7 @@
     /// Inside of `hierarchy(...)`, `gateway(...)` and `fellows(...)`.
     pub hierarchy: String,
     pub gateway: String,
-    pub fellows: String,
+    pub cluster_settings: String,
     /// Where each router stands in the tree of the fleet; without any the fleet is flat.
     pub places: Vec<String>,
     /// Inside of `audit(...)` and `straggler(...)`; without them they are off.
@@ -63,7 +63,7 @@
                         least = 20, held = 3"
                 .to_string(),
             gateway: "retry_most = 0.2".to_string(),
-            fellows: "suspect = 0.5, frozen = 0.5, compare = 0.5, snapshot = 0.5".to_string(),
+            cluster_settings: "suspect = 0.5, frozen = 0.5, compare = 0.5, snapshot = 0.5".to_string(),
             places: Vec::new(),
             audit: Some("span = 0.5".to_string()),
             straggler: None,
@@ -79,7 +79,7 @@
     /// How late counts of places may be, by the settings of the fellows.
     pub fn aggregate_bounds(&self) -> AggregateBounds {
         let set = |name: &str| {
-            let mut pairs = self.fellows.split(',').filter_map(|pair| pair.split_once('='));
+            let mut pairs = self.cluster_settings.split(',').filter_map(|pair| pair.split_once('='));
             let (_, value) = pairs.find(|(known, _)| known.trim() == name)?;
             Some(value.trim().parse::<f64>().ok()? * 1_000.0)
         };
@@ -123,28 +123,28 @@
     }
 }
 
-pub struct Rig {
-    pub fleet: Fleet,
+pub struct Harness {
+    pub fleet: ProcessCluster,
     pub plan: Plan,
     /// The fleet's own: rigs beside each other must not meet by a port that was given away.
     site: String,
-    middles: BTreeMap<(usize, usize), Middle>,
+    proxies: BTreeMap<(usize, usize), FaultProxy>,
     /// In the middle of each router and its journal.
-    journals: BTreeMap<usize, Middle>,
-    loads: BTreeMap<usize, Running>,
+    journals: BTreeMap<usize, FaultProxy>,
+    loads: BTreeMap<usize, RunningLoad>,
     /// Loads that have ended, one after another.
-    pub ends: Vec<Ends>,
+    pub ends: Vec<LoadResults>,
     seeds: u64,
     /// What the one journal has told, and how far it has told it to each router.
-    events: Vec<Event>,
-    heard: Vec<usize>,
+    events: Vec<JournalEvent>,
+    bytes_received: Vec<usize>,
     /// The last to go: all processes have ended by then.
     _turn: Turn,
 }
 
 /// An event of the journal.
 #[derive(Debug, Clone)]
-enum Event {
+enum JournalEvent {
     Node(String, Phase),
     Purge(String, f64),
 }
@@ -168,7 +168,7 @@
          gateway(site = \"{site}\", listen = \"127.0.0.1:0\"{})\nfellows({}{place})\n",
         plan.hierarchy,
         comma(&plan.gateway),
-        plan.fellows
+        plan.cluster_settings
     );
     for (function, inside) in [("audit", &plan.audit), ("straggler", &plan.straggler)] {
         text += &inside.as_ref().map_or(String::new(), |inside| format!("{function}({inside})\n"));
@@ -179,7 +179,7 @@
     text
 }
 
-impl Rig {
+impl Harness {
     /// Starts all, and waits until all know of each other.
     pub fn start(program: impl Into<PathBuf>, plan: Plan) -> io::Result<Self> {
         Self::start_with(program, plan, |_, text| text)
@@ -194,52 +194,52 @@
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let turn = Turn::take(plan.at_once);
         let site = format!("shop-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
-        let mut fleet = Fleet::two_hubs(program, plan.caches, Makeup::new)?;
+        let mut fleet = ProcessCluster::two_hubs(program, plan.caches, CacheServerConfig::new)?;
         let caches: Vec<String> = (0..plan.caches).map(|n| format!("cache-{n}")).collect();
         let mut lists: Vec<(&str, &[&str])> = vec![("south", &["origin"]), ("centre", &["origin"])];
         lists.extend(caches.iter().map(|cache| (cache.as_str(), &["south", "origin"][..])));
         fleet.note_shape(1, &lists);
         let all = || (0..plan.routers).flat_map(|a| (0..a).map(move |b| (a, b))).collect();
         let links: Vec<(usize, usize)> = plan.links.clone().unwrap_or_else(all);
-        let mut middles = BTreeMap::new();
+        let mut proxies = BTreeMap::new();
         for link in links {
             let sites = [name(link.0), name(link.1)];
-            middles.insert(link, Middle::start(Sides { sites, record: fleet.record.clone() })?);
+            proxies.insert(link, FaultProxy::start(ProxyEnds { sites, record: fleet.record.clone() })?);
         }
         let mut rig = Self {
             fleet,
             plan,
             site,
-            middles,
+            proxies,
             journals: BTreeMap::new(),
             loads: BTreeMap::new(),
             ends: Vec::new(),
             seeds: 0,
             events: Vec::new(),
-            heard: Vec::new(),
+            bytes_received: Vec::new(),
             _turn: turn,
         };
-        rig.heard = vec![0; rig.plan.routers];
+        rig.bytes_received = vec![0; rig.plan.routers];
         for (n, program) in &rig.plan.programs {
             rig.fleet.set_program(&name(*n), Some(program.clone()));
         }
         for n in 0..rig.plan.routers {
-            let dials: Vec<_> = rig.dials(n).map(|(to, middle)| (to, middle.address)).collect();
+            let dials: Vec<_> = rig.dials(n).map(|(to, proxy)| (to, proxy.address)).collect();
             let text = change(n, operator(&rig.plan, n, &rig.site, &dials));
             let sites = [name(n), "journal".to_string()];
-            let middle = Middle::start(Sides { sites, record: rig.fleet.record.clone() })?;
+            let proxy = FaultProxy::start(ProxyEnds { sites, record: rig.fleet.record.clone() })?;
             let through = |config: &mut Value| {
                 if let Some(Ok(journal)) = config["journal"].as_str().map(str::parse) {
-                    middle.lead_to(journal);
+                    proxy.set_target(journal);
                 }
-                config["journal"] = json!(middle.address.to_string());
+                config["journal"] = json!(proxy.address.to_string());
             };
             rig.ran(n);
             rig.fleet.start_router(&name(n), Some(&text), through)?;
-            rig.journals.insert(n, middle);
+            rig.journals.insert(n, proxy);
             rig.lead(n)?;
         }
-        rig.links().into_iter().for_each(|(a, b)| rig.linked(a, b, [Way::Open; 2]));
+        rig.links().into_iter().for_each(|(a, b)| rig.linked(a, b, [LinkState::Open; 2]));
         for n in 0..rig.plan.routers {
             let others = rig.known(n, &(0..rig.plan.routers).collect::<Vec<_>>()) - 1;
             rig.until(n, "all know of each other", |shown| alive(shown) == others)?;
@@ -253,35 +253,35 @@
         of.iter().filter(|other| place(**other) == place(n)).count()
     }
 
-    fn dials(&self, n: usize) -> impl Iterator<Item = (usize, &Middle)> {
-        self.middles.iter().filter(move |((from, _), _)| *from == n).map(|((_, to), middle)| (*to, middle))
+    fn dials(&self, n: usize) -> impl Iterator<Item = (usize, &FaultProxy)> {
+        self.proxies.iter().filter(move |((from, _), _)| *from == n).map(|((_, to), proxy)| (*to, proxy))
     }
 
     /// Links to a router that has just started lead to where it listens now.
     fn lead(&self, n: usize) -> io::Result<()> {
         let address = self.fleet.links(&name(n)).ok_or(io::ErrorKind::NotFound)?;
-        let here = self.middles.iter().filter(|((_, to), _)| *to == n);
-        here.for_each(|(_, middle)| middle.lead_to(address));
+        let here = self.proxies.iter().filter(|((_, to), _)| *to == n);
+        here.for_each(|(_, proxy)| proxy.set_target(address));
         Ok(())
     }
 
-    fn lead_nowhere(&self, n: usize) {
-        let here = self.middles.iter().filter(|((_, to), _)| *to == n);
-        here.for_each(|(_, middle)| middle.lead_nowhere());
+    fn clear_target(&self, n: usize) {
+        let here = self.proxies.iter().filter(|((_, to), _)| *to == n);
+        here.for_each(|(_, proxy)| proxy.clear_target());
     }
 
     /// The link between two, and the direction in it that leads from the first to the second.
-    pub fn middle(&self, from: usize, to: usize) -> Option<(&Middle, usize)> {
-        let there = self.middles.get(&(from, to)).map(|middle| (middle, THERE));
-        there.or_else(|| self.middles.get(&(to, from)).map(|middle| (middle, BACK)))
+    pub fn proxy(&self, from: usize, to: usize) -> Option<(&FaultProxy, usize)> {
+        let there = self.proxies.get(&(from, to)).map(|proxy| (proxy, TO_ACCEPTOR));
+        there.or_else(|| self.proxies.get(&(to, from)).map(|proxy| (proxy, TO_DIALER)))
     }
 
     pub fn links(&self) -> Vec<(usize, usize)> {
-        self.middles.keys().copied().collect()
+        self.proxies.keys().copied().collect()
     }
 
     /// A second process under a router's name, with links of its own to the others.
-    pub fn start_twin(&mut self, of: usize) -> io::Result<String> {
+    pub fn start_duplicate(&mut self, of: usize) -> io::Result<String> {
         let key = format!("{}-twin", name(of));
         let others: Vec<usize> = (0..self.plan.routers).filter(|n| *n != of).collect();
         let addresses = others.iter().filter_map(|n| Some((*n, self.fleet.links(&name(*n))?)));
@@ -322,16 +322,16 @@
 
     pub fn kill(&mut self, n: usize) {
         self.fleet.kill_router(&name(n));
-        self.fleet.record.note(What::Ceased { router: name(n) });
-        self.lead_nowhere(n);
+        self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
+        self.clear_target(n);
         self.end_load(n);
     }
 
     /// Asks a router to end, and waits for it.
     pub fn stop(&mut self, n: usize) -> io::Result<()> {
         self.fleet.stop_router(&name(n))?;
-        self.fleet.record.note(What::Ceased { router: name(n) });
-        self.lead_nowhere(n);
+        self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
+        self.clear_target(n);
         self.end_load(n);
         Ok(())
     }
@@ -347,25 +347,25 @@
     /// For the record: a process that runs from now on, or one that has just come up.
     fn ran(&self, n: usize) {
         if let Some(place) = self.plan.places.get(n) {
-            self.fleet.record.note(What::Ran { router: name(n), place: place.clone() });
+            self.fleet.record.note(RecordedEvent::Ran { router: name(n), place: place.clone() });
         }
     }
 
     /// For the record: what becomes of what each of two says to the other.
-    fn linked(&self, a: usize, b: usize, ways: [Way; 2]) {
+    fn linked(&self, a: usize, b: usize, ways: [LinkState; 2]) {
         for ((from, to), way) in [(a, b), (b, a)].into_iter().zip(ways) {
-            self.fleet.record.note(What::Linked { from: name(from), to: name(to), way });
+            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), way });
         }
     }
 
     pub fn freeze(&self, n: usize) -> io::Result<()> {
-        self.fleet.record.note(What::Paused { router: name(n) });
+        self.fleet.record.note(RecordedEvent::Paused { router: name(n) });
         self.fleet.signal(&name(n), Signal::SIGSTOP)
     }
 
     pub fn wake(&self, n: usize) -> io::Result<()> {
         self.fleet.signal(&name(n), Signal::SIGCONT)?;
-        self.fleet.record.note(What::Woken { router: name(n) });
+        self.fleet.record.note(RecordedEvent::Woken { router: name(n) });
         Ok(())
     }
 
@@ -373,48 +373,52 @@
         self.fleet.process_id(&name(n)).is_some()
     }
 
-    fn weather(&self, from: usize, to: usize, weather: Weather) {
-        if let Some((middle, direction)) = self.middle(from, to) {
-            middle.weather(direction, weather);
-            let way = if weather.silent { Way::Closed } else { Way::Uneven };
-            self.fleet.record.note(What::Linked { from: name(from), to: name(to), way });
+    fn conditions(&self, from: usize, to: usize, conditions: LinkConditions) {
+        if let Some((proxy, direction)) = self.proxy(from, to) {
+            proxy.conditions(direction, conditions);
+            let way = if conditions.silent { LinkState::Closed } else { LinkState::Uneven };
+            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), way });
         }
     }
 
     /// Nothing passes from the one to the other any more; what comes back does.
     pub fn one_way(&self, from: usize, to: usize) {
-        self.weather(from, to, Weather { silent: true, ..Weather::default() });
+        self.conditions(from, to, LinkConditions { silent: true, ..LinkConditions::default() });
     }
 
     pub fn cut(&self, a: usize, b: usize) {
-        if let Some((middle, _)) = self.middle(a, b) {
-            middle.cut();
-            self.linked(a, b, [Way::Closed; 2]);
+        if let Some((proxy, _)) = self.proxy(a, b) {
+            proxy.cut();
+            self.linked(a, b, [LinkState::Closed; 2]);
         }
     }
 
     /// Bytes a second in each direction.
     pub fn slow(&self, a: usize, b: usize, rate: f64) {
-        let weather = Weather { rate, ..Weather::default() };
-        self.weather(a, b, weather);
-        self.weather(b, a, weather);
+        let conditions = LinkConditions { rate, ..LinkConditions::default() };
+        self.conditions(a, b, conditions);
+        self.conditions(b, a, conditions);
     }
 
     pub fn delay(&self, a: usize, b: usize, delay: Duration) {
-        let weather = Weather { delay, ..Weather::default() };
-        self.weather(a, b, weather);
-        self.weather(b, a, weather);
+        let conditions = LinkConditions { delay, ..LinkConditions::default() };
+        self.conditions(a, b, conditions);
+        self.conditions(b, a, conditions);
     }
 
     /// What is said next from the one to the other is lost, or comes twice, on a connection that stays up.
-    pub fn spoil(&self, from: usize, to: usize, spoils: Spoils) {
-        self.weather(from, to, Weather { spoils: Some(spoils), ..Weather::default() });
+    pub fn corrupt(&self, from: usize, to: usize, corruption: Corruption) {
+        self.conditions(
+            from,
+            to,
+            LinkConditions { corruption: Some(corruption), ..LinkConditions::default() },
+        );
     }
 
     pub fn mend(&self, a: usize, b: usize) {
-        if let Some((middle, _)) = self.middle(a, b) {
-            middle.mend();
-            self.linked(a, b, [Way::Open; 2]);
+        if let Some((proxy, _)) = self.proxy(a, b) {
+            proxy.mend();
+            self.linked(a, b, [LinkState::Open; 2]);
         }
     }
 
@@ -445,14 +449,14 @@
     /// The journal tells of a node. It is silent for all but these routers; who hears of it hears first of all that
     /// was silent before.
     pub fn tell(&mut self, node: &str, phase: Phase, routers: &[usize]) -> io::Result<()> {
-        self.events.push(Event::Node(node.to_string(), phase));
+        self.events.push(JournalEvent::Node(node.to_string(), phase));
         self.catch_up(routers)
     }
 
     /// The same with a purge; nodes drop their copies at once.
     pub fn purge(&mut self, object: &str, routers: &[usize]) -> io::Result<()> {
-        let stamp = crate::record::now().floor();
-        self.events.push(Event::Purge(object.to_string(), stamp));
+        let stamp = crate::recording::now().floor();
+        self.events.push(JournalEvent::Purge(object.to_string(), stamp));
         self.catch_up(routers)?;
         self.fleet.drop_copies(object, stamp);
         Ok(())
@@ -465,7 +469,7 @@
         let due = now() + within.as_secs_f64() * 1_000.0;
         for n in others {
             let (router, node, phase) = (name(*n), node.to_string(), Phase::Draining);
-            self.fleet.record.note_at(due, What::Listed { router, node, phase });
+            self.fleet.record.note_at(due, RecordedEvent::Listed { router, node, phase });
         }
         Ok(())
     }
@@ -479,12 +483,12 @@
         within: Duration,
     ) -> io::Result<()> {
         let stamp = now().floor();
-        self.events.push(Event::Purge(object.to_string(), stamp));
+        self.events.push(JournalEvent::Purge(object.to_string(), stamp));
         self.catch_up(&[by])?;
         let due = now() + within.as_secs_f64() * 1_000.0;
         for n in others {
             let (router, object) = (name(*n), Some(object.to_string()));
-            self.fleet.record.note_at(due, What::Purged { router, object, group: None, stamp });
+            self.fleet.record.note_at(due, RecordedEvent::Purged { router, object, group: None, stamp });
         }
         Ok(())
     }
@@ -496,31 +500,31 @@
             _ => self.fleet.asked(&name(n), &["fleet", "floor", "set", &version.to_string()])?,
         };
         let bound = bound.as_secs_f64() * 1_000.0;
-        self.fleet.record.note(What::Raised { version, bound });
+        self.fleet.record.note(RecordedEvent::Raised { version, bound });
         Ok(())
     }
 
     /// Bytes that have crossed the links between those below `left` and the others, both ways.
     pub fn bytes_across(&self, left: usize) -> u64 {
-        let across = self.middles.iter().filter(|((a, b), _)| (*a < left) != (*b < left));
-        across.map(|(_, middle)| middle.passed().bytes.iter().sum::<u64>()).sum()
+        let across = self.proxies.iter().filter(|((a, b), _)| (*a < left) != (*b < left));
+        across.map(|(_, proxy)| proxy.passed().bytes.iter().sum::<u64>()).sum()
     }
 
     /// The journals of these routers tell all that they were silent about.
     pub fn catch_up(&mut self, routers: &[usize]) -> io::Result<()> {
         let all = self.events.len();
-        routers.iter().try_for_each(|n| self.hear(*n, all))
+        routers.iter().try_for_each(|n| self.deliver_events(*n, all))
     }
 
     /// A router's journal tells it what it was silent about, up to so many events of all.
-    pub fn hear(&mut self, n: usize, upto: usize) -> io::Result<()> {
-        for event in &self.events[self.heard[n].min(upto)..upto] {
+    pub fn deliver_events(&mut self, n: usize, upto: usize) -> io::Result<()> {
+        for event in &self.events[self.bytes_received[n].min(upto)..upto] {
             match event {
-                Event::Node(node, phase) => self.fleet.tell_one(&name(n), node, *phase)?,
-                Event::Purge(object, stamp) => self.fleet.tell_purge(&name(n), object, *stamp),
+                JournalEvent::Node(node, phase) => self.fleet.tell_one(&name(n), node, *phase)?,
+                JournalEvent::Purge(object, stamp) => self.fleet.tell_purge(&name(n), object, *stamp),
             }
         }
-        self.heard[n] = self.heard[n].max(upto);
+        self.bytes_received[n] = self.bytes_received[n].max(upto);
         Ok(())
     }
 
@@ -549,11 +553,11 @@
 
     /// For the record: what a router shows of places.
     fn note_shown(&self, n: usize, since: Ms, shown: &Value) {
-        let places: Vec<ShownPlace> =
+        let places: Vec<LocationSummary> =
             shown["fellows"]["places"].as_array().into_iter().flatten().map(shown_place).collect();
         if !places.is_empty() {
-            let (router, whole) = (name(n), shown["whole"].as_u64());
-            self.fleet.record.note(What::Shown { router, since, whole, places });
+            let (router, fleet_size) = (name(n), shown["whole"].as_u64());
+            self.fleet.record.note(RecordedEvent::Shown { router, since, fleet_size, places });
         }
     }
 
@@ -604,10 +608,10 @@
 
     /// The journal of a router can't be reached, or can again.
     pub fn silence_journal(&self, n: usize, silent: bool) {
-        if let Some(middle) = self.journals.get(&n) {
+        if let Some(proxy) = self.journals.get(&n) {
             match silent {
-                true => middle.cut(),
-                false => middle.mend(),
+                true => proxy.cut(),
+                false => proxy.mend(),
             }
         }
     }
@@ -654,7 +658,7 @@
             }
         }
         for line in &lines {
-            let What::Asked { asked, .. } = &line.what else { continue };
+            let RecordedEvent::Asked { asked, .. } = &line.what else { continue };
             let Some(router) = asked.router.as_deref().filter(|_| asked.class == "booking") else { continue };
             // A second process of a name is not told apart here.
             let router = router.trim_end_matches("-twin");
@@ -684,9 +688,9 @@
         }
     }
 
-    fn rules(&self) -> Rules {
+    fn rules(&self) -> RuleBounds {
         let aggregates = self.plan.aggregate_bounds();
-        Rules { slack: 500.0, going_over: 7_000.0, aggregates, ..Rules::default() }
+        RuleBounds { slack: 500.0, going_over: 7_000.0, aggregates, ..RuleBounds::default() }
     }
 
     /// Waits until all that has changed is known everywhere by its bound, and has each router that runs show places: what
@@ -719,10 +723,10 @@
 }
 
 /// A place as a whole, as `fleet show` has it.
-fn shown_place(line: &Value) -> ShownPlace {
+fn shown_place(line: &Value) -> LocationSummary {
     let count = |field: &str| line[field].as_u64().unwrap_or(0);
     let stragglers = line["stragglers"].as_array().into_iter().flatten();
-    ShownPlace {
+    LocationSummary {
         place: line["place"].as_str().unwrap_or_default().to_string(),
         fresh: line["fresh"] == true,
         alive: count("alive"),
@@ -834,7 +838,7 @@
     pub settled_in: Duration,
 }
 
-impl Rig {
+impl Harness {
     fn step(&mut self, step: Step, drained: &mut Option<usize>) -> io::Result<()> {
         match step {
             Step::Kill(n) => self.kill(n),
@@ -848,8 +852,8 @@
             Step::OneWay(a, b) => self.one_way(a, b),
             Step::Slow(a, b) => self.slow(a, b, 2_000.0),
             Step::Delay(a, b) => self.delay(a, b, Duration::from_millis(150)),
-            Step::Lose(a, b) => self.spoil(a, b, Spoils::Lost),
-            Step::Repeat(a, b) => self.spoil(a, b, Spoils::Repeated),
+            Step::Lose(a, b) => self.corrupt(a, b, Corruption::Lost),
+            Step::Repeat(a, b) => self.corrupt(a, b, Corruption::Repeated),
             Step::Mend(a, b) => self.mend(a, b),
             // One that overtakes another may be refused: that is for the hierarchy to say.
             Step::Batch(n, cache) => _ = self.move_cache(n, cache),
@@ -894,7 +898,7 @@
         if let Some(cache) = drained {
             let cache = format!("cache-{cache}");
             let silent: Vec<usize> =
-                (0..self.plan.routers).filter(|n| self.heard[*n] < self.events.len()).collect();
+                (0..self.plan.routers).filter(|n| self.bytes_received[*n] < self.events.len()).collect();
             for n in silent {
                 let by_fellows = |shown: &Value| {
                     let barred = shown["barred"].as_array();
@@ -903,7 +907,7 @@
                 self.until(n, "the drain is heard from fellows", by_fellows).map_err(told)?;
                 // From now on it counts as told.
                 let (router, node, phase) = (name(n), cache.clone(), Phase::Draining);
-                self.fleet.record.note(What::Listed { router, node, phase });
+                self.fleet.record.note(RecordedEvent::Listed { router, node, phase });
             }
         }
         thread::sleep(Duration::from_millis(700));
--- a/crates/standins/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -15,7 +15,7 @@
 use rand_distr::{Distribution, Exp, Uniform, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-use crate::record::{now, Ms, Record, What};
+use crate::recording::{now, Ms, RecordedEvent, Recording};
 
 /// What clients ask for.
 #[derive(Debug, Clone)]
@@ -52,14 +52,14 @@
 
 /// How requests ended, by second since the start of the load.
 #[derive(Debug, Clone, Default)]
-pub struct Ends {
+pub struct LoadResults {
     pub asked: Vec<u32>,
     pub served: Vec<u32>,
     pub refused: Vec<u32>,
     pub failed: Vec<u32>,
 }
 
-impl Ends {
+impl LoadResults {
     fn count(list: &mut Vec<u32>, second: usize) {
         if list.len() <= second {
             list.resize(second + 1, 0);
@@ -75,20 +75,20 @@
 }
 
 /// Clients under way.
-pub struct Running {
+pub struct RunningLoad {
     threads: Vec<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
-    pub ends: Arc<Mutex<Ends>>,
+    pub ends: Arc<Mutex<LoadResults>>,
     pub since: Ms,
 }
 
-impl Running {
-    pub fn ends(&self) -> Ends {
+impl RunningLoad {
+    pub fn ends(&self) -> LoadResults {
         self.ends.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// No new requests; waits until those that are out are answered or past their time.
-    pub fn finish(self) -> Ends {
+    pub fn finish(self) -> LoadResults {
         self.stop.store(true, Ordering::Release);
         for thread in self.threads {
             let _ = thread.join();
@@ -99,9 +99,9 @@
 
 /// Names of requests: never the same twice in a fleet.
 #[derive(Debug, Clone, Default)]
-pub struct Numbers(Arc<AtomicU64>);
+pub struct RequestNumbers(Arc<AtomicU64>);
 
-impl Numbers {
+impl RequestNumbers {
     pub fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed) + 1
     }
@@ -112,11 +112,11 @@
     load: &Load,
     router: &str,
     address: SocketAddr,
-    record: &Record,
-    numbers: &Numbers,
-) -> io::Result<Running> {
+    record: &Recording,
+    numbers: &RequestNumbers,
+) -> io::Result<RunningLoad> {
     let (stop, ends, since) =
-        (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Ends::default())), now());
+        (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(LoadResults::default())), now());
     let mut threads = Vec::new();
     for n in 0..load.clients.max(1) {
         let one = One {
@@ -136,7 +136,7 @@
         threads.push(thread::spawn(move || reader.read(reading)));
         threads.push(thread::spawn(move || one.write(client, n as u64)));
     }
-    Ok(Running { threads, stop, ends, since })
+    Ok(RunningLoad { threads, stop, ends, since })
 }
 
 /// By stream: the request, until when its client waits, and the second in which it was asked.
@@ -146,10 +146,10 @@
 struct One {
     load: Load,
     router: String,
-    record: Record,
-    numbers: Numbers,
+    record: Recording,
+    numbers: RequestNumbers,
     stop: Arc<AtomicBool>,
-    ends: Arc<Mutex<Ends>>,
+    ends: Arc<Mutex<LoadResults>>,
     since: Ms,
     open: Arc<Mutex<Open>>,
     /// The router has gone: nothing that is asked of it is owed.
@@ -208,8 +208,8 @@
         let deadline = at + self.load.wait;
         let second = self.second(at);
         self.open.lock().unwrap_or_else(PoisonError::into_inner).insert(stream, (request, deadline, second));
-        Ends::count(&mut self.ends.lock().unwrap_or_else(PoisonError::into_inner).asked, second);
-        self.record.note(What::Requested {
+        LoadResults::count(&mut self.ends.lock().unwrap_or_else(PoisonError::into_inner).asked, second);
+        self.record.note(RecordedEvent::Requested {
             request,
             id: id.clone(),
             object: object.clone(),
@@ -220,7 +220,7 @@
         });
         let asked = client.ask(stream, &fields, b"");
         if self.gone.load(Ordering::Acquire) {
-            self.record.note(What::Released { request });
+            self.record.note(RecordedEvent::Released { request });
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         asked
@@ -237,14 +237,18 @@
                         self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&frame.stream);
                     // One that is not known is noted too: the checker must see it.
                     let (request, _, second) = known.unwrap_or((u64::MAX, 0.0, 0));
-                    self.record.note(What::Final { request, code: frame.code, dated: dated(&frame.body) });
+                    self.record.note(RecordedEvent::Final {
+                        request,
+                        code: frame.code,
+                        dated: dated(&frame.body),
+                    });
                     let mut ends = self.ends.lock().unwrap_or_else(PoisonError::into_inner);
                     let list = match frame.code {
                         1 => &mut ends.served,
                         2 => &mut ends.refused,
                         _ => &mut ends.failed,
                     };
-                    Ends::count(list, second);
+                    LoadResults::count(list, second);
                 }
                 Ok(_) => {}
                 Err(wrong) if matches!(wrong.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
@@ -258,7 +262,7 @@
                 Err(_) => {
                     self.gone.store(true, Ordering::Release);
                     for (request, ..) in self.open.lock().unwrap_or_else(PoisonError::into_inner).values() {
-                        self.record.note(What::Released { request: *request });
+                        self.record.note(RecordedEvent::Released { request: *request });
                     }
                     return;
                 }
--- a/crates/standins/src/fleet.rs
+++ b/crates/testbed/src/process_cluster.rs
@@ -17,9 +17,9 @@
 use nix::unistd::Pid;
 use serde_json::{json, Value};
 
-use crate::load::{self, Load, Numbers, Running};
-use crate::node::{Directory, Kind, Makeup, Node};
-use crate::record::{Phase, Record, What};
+use crate::cache_server::{CacheServer, CacheServerConfig, Directory, ServerRole};
+use crate::load::{self, Load, RequestNumbers, RunningLoad};
+use crate::recording::{Phase, RecordedEvent, Recording};
 
 /// Longer than anything that is waited for.
 const PATIENCE: Duration = Duration::from_secs(20);
@@ -50,16 +50,16 @@
 
 /// A node as the list of caches has it.
 struct Listed {
-    node: Node,
+    node: CacheServer,
     zone: String,
     capacity: f64,
     started: f64,
 }
 
 /// All of a fleet.
-pub struct Fleet {
-    pub record: Record,
-    pub numbers: Numbers,
+pub struct ProcessCluster {
+    pub record: Recording,
+    pub numbers: RequestNumbers,
     program: PathBuf,
     /// By router: a program that is not `program`, such as another build.
     programs: BTreeMap<String, PathBuf>,
@@ -94,14 +94,14 @@
     }
 }
 
-impl Drop for Fleet {
+impl Drop for ProcessCluster {
     fn drop(&mut self) {
         self.routers.clear();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Fleet {
+impl ProcessCluster {
     /// An empty fleet for routers that run `program`.
     pub fn new(program: impl Into<PathBuf>) -> io::Result<Self> {
         static COUNT: AtomicU32 = AtomicU32::new(0);
@@ -110,8 +110,8 @@
         let folder = std::env::temp_dir().join(format!("lh-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         Ok(Self {
-            record: Record::default(),
-            numbers: Numbers::default(),
+            record: Recording::default(),
+            numbers: RequestNumbers::default(),
             program: program.into(),
             programs: BTreeMap::new(),
             folder,
@@ -127,15 +127,15 @@
     pub fn two_hubs(
         program: impl Into<PathBuf>,
         caches: usize,
-        makeup: impl Fn(Kind) -> Makeup,
+        server_config: impl Fn(ServerRole) -> CacheServerConfig,
     ) -> io::Result<Self> {
         let mut fleet = Self::new(program)?;
-        fleet.add("origin", "hub", 20.0, makeup(Kind::Origin))?;
+        fleet.add("origin", "hub", 20.0, server_config(ServerRole::Origin))?;
         for hub in ["south", "centre"] {
-            fleet.add(hub, "hub", 30.0, makeup(Kind::Parent))?;
+            fleet.add(hub, "hub", 30.0, server_config(ServerRole::Parent))?;
         }
         for n in 0..caches {
-            fleet.add(&format!("cache-{n}"), "shop", 8.0, makeup(Kind::Cache))?;
+            fleet.add(&format!("cache-{n}"), "shop", 8.0, server_config(ServerRole::Cache))?;
         }
         Ok(fleet)
     }
@@ -146,7 +146,7 @@
         site: &str,
         caches: usize,
         beside: Option<&Self>,
-        makeup: impl Fn(Kind) -> Makeup,
+        server_config: impl Fn(ServerRole) -> CacheServerConfig,
     ) -> io::Result<Self> {
         let mut fleet = Self::new(program)?;
         if let Some(other) = beside {
@@ -156,25 +156,31 @@
         }
         let origin = format!("{site}-origin");
         let made = |kind| {
-            let makeup = makeup(kind);
-            let upstream = if kind == Kind::Origin { Vec::new() } else { vec![origin.clone()] };
-            Makeup { upstream, ..makeup }
+            let server_config = server_config(kind);
+            let upstream = if kind == ServerRole::Origin { Vec::new() } else { vec![origin.clone()] };
+            CacheServerConfig { upstream, ..server_config }
         };
-        fleet.add(&origin, "hub", 20.0, made(Kind::Origin))?;
-        fleet.add(&format!("{site}-parent"), "hub", 30.0, made(Kind::Parent))?;
+        fleet.add(&origin, "hub", 20.0, made(ServerRole::Origin))?;
+        fleet.add(&format!("{site}-parent"), "hub", 30.0, made(ServerRole::Parent))?;
         for n in 0..caches {
-            fleet.add(&format!("{site}-cache-{n}"), "shop", 8.0, made(Kind::Cache))?;
+            fleet.add(&format!("{site}-cache-{n}"), "shop", 8.0, made(ServerRole::Cache))?;
         }
         Ok(fleet)
     }
 
-    pub fn add(&mut self, name: &str, zone: &str, capacity: f64, makeup: Makeup) -> io::Result<()> {
-        let node = Node::start(name, makeup, &self.directory, &self.record, &self.attempts)?;
+    pub fn add(
+        &mut self,
+        name: &str,
+        zone: &str,
+        capacity: f64,
+        server_config: CacheServerConfig,
+    ) -> io::Result<()> {
+        let node = CacheServer::start(name, server_config, &self.directory, &self.record, &self.attempts)?;
         self.nodes.insert(name.to_string(), Listed { node, zone: zone.to_string(), capacity, started: 0.0 });
         Ok(())
     }
 
-    pub fn node(&self, name: &str) -> &Node {
+    pub fn node(&self, name: &str) -> &CacheServer {
         &self.nodes[name].node
     }
 
@@ -193,7 +199,7 @@
         let state = match phase {
             Phase::Ready => "Ready",
             Phase::Draining => "Terminating",
-            Phase::Gone => "Gone",
+            Phase::Removed => "Gone",
         };
         let address = listed.node.front(router)?;
         Ok(json!({"uid": name, "endpoint": address.to_string(), "az": listed.zone, "model": kind,
@@ -359,12 +365,12 @@
     ) -> io::Result<Value> {
         let end = Instant::now() + PATIENCE;
         loop {
-            let said = self.asked(router, words)?;
-            if fits(&said) {
-                return Ok(said);
+            let bytes_sent = self.asked(router, words)?;
+            if fits(&bytes_sent) {
+                return Ok(bytes_sent);
             }
             if Instant::now() > end {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what}: {said}")));
+                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what}: {bytes_sent}")));
             }
             thread::sleep(Duration::from_millis(20));
         }
@@ -387,7 +393,7 @@
     pub fn tell_one(&self, router: &str, node: &str, phase: Phase) -> io::Result<()> {
         let target = self.line(router, node, phase)?;
         let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
-        self.record.note(What::Listed { router: router.to_string(), node: node.to_string(), phase });
+        self.record.note(RecordedEvent::Listed { router: router.to_string(), node: node.to_string(), phase });
         self.routers[router].journal.publish(event);
         Ok(())
     }
@@ -397,7 +403,7 @@
         let state = if phase == Phase::Ready { "Ready" } else { "Terminating" };
         let target = json!({"uid": node, "endpoint": "127.0.0.1:1", "az": "elsewhere", "model": "box",
             "pod_group": 0, "state": state, "capacity_hint": 8, "boot_ms": 0});
-        self.record.note(What::Listed { router: bound.to_string(), node: node.to_string(), phase });
+        self.record.note(RecordedEvent::Listed { router: bound.to_string(), node: node.to_string(), phase });
         let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
         self.routers[router].journal.publish(event);
     }
@@ -410,25 +416,25 @@
     }
 
     /// A node dies, and another one that starts now gets its addresses; routers are told of both.
-    pub fn succeed(&mut self, old: &str, new: &str, makeup: Makeup) -> io::Result<()> {
+    pub fn succeed(&mut self, old: &str, new: &str, server_config: CacheServerConfig) -> io::Result<()> {
         let (zone, capacity) = (self.nodes[old].zone.clone(), self.nodes[old].capacity);
         self.node(old).kill();
-        self.add(new, &zone, capacity, makeup)?;
+        self.add(new, &zone, capacity, server_config)?;
         for router in self.routers() {
             let address = self.node(old).front(&router)?;
             self.node(new).front_at(&router, address)?;
         }
-        self.tell(old, Phase::Gone)?;
+        self.tell(old, Phase::Removed)?;
         self.tell(new, Phase::Ready)
     }
 
     /// Tells all routers of a purge; nodes drop their old copies after `drop_after`.
     pub fn purge(&self, object: &str, drop_after: Duration) {
-        let stamp = crate::record::now().floor();
+        let stamp = crate::recording::now().floor();
         for router in self.routers() {
             let event = json!({"expire": {"name": object, "stamp": stamp}});
             let object = Some(object.to_string());
-            self.record.note(What::Purged { router: router.clone(), object, group: None, stamp });
+            self.record.note(RecordedEvent::Purged { router: router.clone(), object, group: None, stamp });
             self.routers[&router].journal.publish(event);
         }
         thread::sleep(drop_after);
@@ -437,8 +443,12 @@
 
     /// Tells one router alone of a purge.
     pub fn tell_purge(&self, router: &str, object: &str, stamp: f64) {
-        let what =
-            What::Purged { router: router.to_string(), object: Some(object.to_string()), group: None, stamp };
+        let what = RecordedEvent::Purged {
+            router: router.to_string(),
+            object: Some(object.to_string()),
+            group: None,
+            stamp,
+        };
         self.record.note(what);
         self.routers[router].journal.publish(json!({"expire": {"name": object, "stamp": stamp}}));
     }
@@ -463,11 +473,11 @@
             .edges
             .iter()
             .flat_map(|(node, sources)| sources.iter().map(move |source| (node.clone(), source.clone())));
-        self.record.note(What::Shape { version, edges: pairs.collect() });
+        self.record.note(RecordedEvent::Shape { version, edges: pairs.collect() });
     }
 
     /// Starts clients of a router.
-    pub fn load(&self, router: &str, load: &Load) -> io::Result<Running> {
+    pub fn load(&self, router: &str, load: &Load) -> io::Result<RunningLoad> {
         let address = self.address(router).ok_or(io::ErrorKind::NotFound)?;
         load::start(load, router, address, &self.record, &self.numbers)
     }
@@ -491,7 +501,7 @@
     }
 }
 
-/// An operator file for [`Fleet::two_hubs`]: all caches fill by `parent`, and else from the origin.
+/// An operator file for [`ProcessCluster::two_hubs`]: all caches fill by `parent`, and else from the origin.
 pub fn operator_file(caches: usize, parent: &str, settings: &str) -> String {
     format!(
         r#"control(path = "SOCKET")
@@ -524,7 +534,7 @@
         node: node.to_string(),
         sources: sources(names),
     };
-    let effective_at = crate::record::now();
+    let effective_at = crate::recording::now();
     BatchSpec {
         author,
         number,
--- a/crates/standins/src/record.rs
+++ b/crates/testbed/src/recording.rs
@@ -18,7 +18,8 @@
 pub enum Phase {
     Ready,
     Draining,
-    Gone,
+    #[serde(rename = "Gone")]
+    Removed,
 }
 
 /// A request as it reached a node.
@@ -33,7 +34,8 @@
     /// Where a miss is to be filled from, and where that goes on.
     pub source: Option<String>,
     pub via: Vec<String>,
-    pub only_held: bool,
+    #[serde(rename = "only_held")]
+    pub cached_only: bool,
     /// The nodes that the fill has passed, and the version of the shape; from nodes and extended routers only.
     pub passed: Vec<String>,
     pub version: Option<u64>,
@@ -43,7 +45,7 @@
 
 /// What happened.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum What {
+pub enum RecordedEvent {
     /// A request came in whole at a node; the number is the attempt's own.
     Asked {
         attempt: u64,
@@ -52,7 +54,8 @@
     /// It ended there: with an answer, or given up. `ran` tells whether it took effect.
     Ended {
         attempt: u64,
-        word: String,
+        #[serde(rename = "word")]
+        status: String,
         res: String,
         ran: bool,
     },
@@ -96,7 +99,7 @@
     /// A node started, able to do so much.
     Started {
         node: String,
-        cold: Cold,
+        cold: WarmUpCapacity,
     },
     /// It fell over.
     Fell {
@@ -137,7 +140,7 @@
     Linked {
         from: String,
         to: String,
-        way: Way,
+        way: LinkState,
     },
     /// Nobody is to act on an older version from now on, wherever it was said first, nor stay below it for longer than
     /// that.
@@ -149,14 +152,15 @@
     Shown {
         router: String,
         since: Ms,
-        whole: Option<u64>,
-        places: Vec<ShownPlace>,
+        #[serde(rename = "whole")]
+        fleet_size: Option<u64>,
+        places: Vec<LocationSummary>,
     },
 }
 
 /// What becomes of what is said over a link in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Way {
+pub enum LinkState {
     Open,
     /// Nothing passes.
     Closed,
@@ -166,7 +170,7 @@
 
 /// A place as a whole, as a router shows it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ShownPlace {
+pub struct LocationSummary {
     pub place: String,
     /// Whether it is still heard of.
     pub fresh: bool,
@@ -181,7 +185,7 @@
 
 /// What a node bears after its start, in requests a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Cold {
+pub struct WarmUpCapacity {
     pub capacity: f64,
     /// The part of it with which it starts, and when it has all of it.
     pub from: f64,
@@ -191,44 +195,44 @@
     pub window: Ms,
 }
 
-impl Cold {
+impl WarmUpCapacity {
     /// What it can do so long after its start, a second.
-    pub fn able(&self, age: Ms) -> f64 {
+    pub fn capacity_at(&self, age: Ms) -> f64 {
         let warmed = if self.warm_in > 0.0 { (age / self.warm_in).clamp(0.0, 1.0) } else { 1.0 };
         self.capacity * (self.from + (1.0 - self.from) * warmed)
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct RecordEntry {
     pub at: Ms,
-    pub what: What,
+    pub what: RecordedEvent,
 }
 
 /// The record that all stand-ins of a fleet write.
 #[derive(Debug, Clone, Default)]
-pub struct Record(Arc<Mutex<Vec<Line>>>);
+pub struct Recording(Arc<Mutex<Vec<RecordEntry>>>);
 
-impl Record {
-    fn lines_mut(&self) -> MutexGuard<'_, Vec<Line>> {
+impl Recording {
+    fn lines_mut(&self) -> MutexGuard<'_, Vec<RecordEntry>> {
         // A thread that panicked has noted whole lines or none.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn note(&self, what: What) -> Ms {
+    pub fn note(&self, what: RecordedEvent) -> Ms {
         let mut lines = self.lines_mut();
         let at = now();
-        lines.push(Line { at, what });
+        lines.push(RecordEntry { at, what });
         at
     }
 
     /// Notes something at a time of a clock of its own.
-    pub fn note_at(&self, at: Ms, what: What) {
-        self.lines_mut().push(Line { at, what });
+    pub fn note_at(&self, at: Ms, what: RecordedEvent) {
+        self.lines_mut().push(RecordEntry { at, what });
     }
 
     /// A copy of all lines, by time.
-    pub fn lines(&self) -> Vec<Line> {
+    pub fn lines(&self) -> Vec<RecordEntry> {
         let mut lines = self.lines_mut().clone();
         lines.sort_by(|a, b| a.at.total_cmp(&b.at));
         lines
@@ -246,7 +250,7 @@
     pub fn by_second(&self, node: &str, from: Ms, seconds: usize) -> Vec<u32> {
         let mut counts = vec![0; seconds];
         for line in self.lines_mut().iter() {
-            if let What::Asked { asked, .. } = &line.what {
+            if let RecordedEvent::Asked { asked, .. } = &line.what {
                 let second = ((line.at - from) / 1000.0).floor();
                 if asked.at == node && second >= 0.0 && (second as usize) < seconds {
                     counts[second as usize] += 1;
--- a/crates/standins/src/scale/journal.rs
+++ b/crates/testbed/src/scale/journal.rs
@@ -23,8 +23,8 @@
 pub struct Meter {
     pub polls: u64,
     /// Bytes that it has said and heard.
-    pub said: u64,
-    pub heard: u64,
+    pub bytes_sent: u64,
+    pub bytes_received: u64,
     /// The number that its last poll named.
     pub reached: usize,
     /// How long each event took to be taken in, in milliseconds, from when it was told.
@@ -200,7 +200,7 @@
         }
         let (tail, wait) = asked?;
         let mut state = lock(shared);
-        heard(&mut state, n, tail, bytes);
+        bytes_received(&mut state, n, tail, bytes);
         let wait = Duration::from_millis(wait.min(5_000));
         let quiet = |state: &mut State| !state.dead && (state.shown <= tail || state.routers[n].silent);
         let waited = shared.1.wait_timeout_while(state, wait, quiet);
@@ -219,7 +219,7 @@
         let upto = state.shown.min(tail + PAGE).max(tail);
         let page = page(&state, tail, upto);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}", page.len());
-        state.routers[n].meter.heard += answer.len() as u64;
+        state.routers[n].meter.bytes_received += answer.len() as u64;
         drop(state);
         let mut output = stream;
         output.write_all(answer.as_bytes()).ok()?;
@@ -234,12 +234,12 @@
 }
 
 /// A router's poll names what it has taken in.
-fn heard(state: &mut State, n: usize, tail: usize, bytes: usize) {
+fn bytes_received(state: &mut State, n: usize, tail: usize, bytes: usize) {
     let at = Instant::now();
     let State { events, routers, .. } = state;
     let meter = &mut routers[n].meter;
     meter.polls += 1;
-    meter.said += bytes as u64;
+    meter.bytes_sent += bytes as u64;
     meter.first.get_or_insert(at);
     let new = events.get(meter.reached..tail.min(events.len())).unwrap_or_default();
     let delays = new.iter().map(|(_, told)| at.saturating_duration_since(*told).as_secs_f64() * 1_000.0);
--- a/crates/standins/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -35,15 +35,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_audit::record::{read_file, ChainLink, Record};
+use linnethook_audit::record::{read_file, ChainLink, Record as AuditRecord};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-use crate::middle::{Middle, Weather, BACK, THERE};
-use crate::record::Ms;
-use crate::rig::{alive, line};
+use crate::fault_proxy::{FaultProxy, LinkConditions, TO_ACCEPTOR, TO_DIALER};
+use crate::harness::{alive, line};
+use crate::recording::Ms;
 use journal::{Journal, Meter};
 pub use places::{by_place, join, place, PARTS, SITE};
 use places::{list, name, Places};
@@ -132,7 +132,7 @@
 /// A plan beyond the bounds, a router that does not start or ends by itself, or a run that takes too long.
 pub fn run(plan: &Plan) -> Result<Vec<Sample>, Failure> {
     check(plan)?;
-    let mut rig = Rig::start(plan)?;
+    let mut rig = Harness::start(plan)?;
     rig.join()?;
     let window = rig.play()?;
     rig.settle()?;
@@ -171,7 +171,7 @@
 }
 
 /// The fleet of a run.
-struct Rig<'a> {
+struct Harness<'a> {
     plan: &'a Plan,
     until: Instant,
     processes: Processes,
@@ -184,7 +184,7 @@
     disturbed: Vec<usize>,
     /// Seconds until those asked noticed a fault, and until they saw all again after its end.
     noticed: Vec<(usize, f64)>,
-    whole: Vec<(usize, f64)>,
+    fleet_size: Vec<(usize, f64)>,
     /// When they were asked last.
     asked: Option<Instant>,
     /// Seconds of the processor that the routers had taken by then.
@@ -215,7 +215,7 @@
 /// A version of the hierarchy, and when it was told or acted on, in Unix milliseconds.
 type Change = (u64, Ms);
 
-impl<'a> Rig<'a> {
+impl<'a> Harness<'a> {
     /// Starts all processes.
     fn start(plan: &'a Plan) -> Result<Self, Failure> {
         let begun = Instant::now();
@@ -233,7 +233,7 @@
             starts: Vec::new(),
             disturbed: Vec::new(),
             noticed: Vec::new(),
-            whole: Vec::new(),
+            fleet_size: Vec::new(),
             asked: None,
             spent: None,
         };
@@ -267,11 +267,11 @@
             // Who is asked: the first of each site.
             for first in (0..all).step_by(SITE) {
                 loop {
-                    let whole = self.command(first, &["fleet", "show"])?["whole"].as_u64();
-                    if whole == Some(all as u64) {
+                    let fleet_size = self.command(first, &["fleet", "show"])?["whole"].as_u64();
+                    if fleet_size == Some(all as u64) {
                         break;
                     }
-                    self.bounds(&format!("{} counts {whole:?} routers instead of {all}", name(first)))?;
+                    self.bounds(&format!("{} counts {fleet_size:?} routers instead of {all}", name(first)))?;
                     thread::sleep(Duration::from_millis(200));
                 }
             }
@@ -335,8 +335,8 @@
     /// Bytes that the middles around those routers that are watched have passed.
     fn passed(&self) -> BTreeMap<usize, u64> {
         let passed = |n: usize| {
-            let middles = self.places.middles.iter().filter(move |((from, to), _)| *from == n || *to == n);
-            middles.map(|(_, middle)| middle.passed().bytes.iter().sum::<u64>()).sum()
+            let proxies = self.places.proxies.iter().filter(move |((from, to), _)| *from == n || *to == n);
+            proxies.map(|(_, proxy)| proxy.passed().bytes.iter().sum::<u64>()).sum()
         };
         self.places.watched.iter().map(|n| (*n, passed(*n))).collect()
     }
@@ -359,7 +359,7 @@
             }
             if let Some(fault) = plan.fault {
                 if began.is_none() && passed >= plan.seconds * 0.25 {
-                    began = Some((Instant::now(), crate::record::now()));
+                    began = Some((Instant::now(), crate::recording::now()));
                     self.strike(fault)?;
                 }
                 if ended.is_none() && passed >= plan.seconds * 0.75 {
@@ -371,7 +371,7 @@
             if changes.len() < (passed * plan.changes_per_s) as usize {
                 let file = self.places.write_changes(changes.len())?;
                 let file = file.display().to_string();
-                let at = crate::record::now();
+                let at = crate::recording::now();
                 let batch = self.command(0, &["hierarchy", "apply", &file])?;
                 let version = batch["stamp"].as_u64().ok_or("a batch without a version")?;
                 changes.push((version, at));
@@ -404,13 +404,13 @@
     }
 
     /// The middles that a fault befalls.
-    fn befallen(&self, fault: Fault) -> impl Iterator<Item = &Middle> {
+    fn befallen(&self, fault: Fault) -> impl Iterator<Item = &FaultProxy> {
         let those = move |(from, to): (usize, usize)| match fault {
             Fault::ZoneCut | Fault::RegionsApart => self.places.crosses(from, to),
             Fault::SlowMember => from == 0 || to == 0,
             _ => false,
         };
-        self.places.middles.iter().filter(move |(ends, _)| those(**ends)).map(|(_, middle)| middle)
+        self.places.proxies.iter().filter(move |(ends, _)| those(**ends)).map(|(_, proxy)| proxy)
     }
 
     fn strike(&mut self, fault: Fault) -> Result<(), Failure> {
@@ -425,15 +425,17 @@
                 }
             }
             Fault::ZoneCut | Fault::RegionsApart => {
-                self.befallen(fault).for_each(Middle::cut);
+                self.befallen(fault).for_each(FaultProxy::cut);
                 if fault == Fault::RegionsApart {
                     self.journal.silence(&self.places.apart, true);
                 }
             }
             Fault::SlowMember => {
-                let weather = Weather { rate: SLOW, ..Weather::default() };
-                self.befallen(fault).for_each(|middle| {
-                    [THERE, BACK].into_iter().for_each(|direction| middle.weather(direction, weather));
+                let conditions = LinkConditions { rate: SLOW, ..LinkConditions::default() };
+                self.befallen(fault).for_each(|proxy| {
+                    [TO_ACCEPTOR, TO_DIALER]
+                        .into_iter()
+                        .for_each(|direction| proxy.conditions(direction, conditions));
                 });
             }
         }
@@ -445,7 +447,7 @@
             Fault::ControlKilled => self.journal.kill(false),
             Fault::Rack | Fault::ZoneStart => {}
             Fault::ZoneCut | Fault::RegionsApart | Fault::SlowMember => {
-                self.befallen(fault).for_each(Middle::mend);
+                self.befallen(fault).for_each(FaultProxy::mend);
                 self.journal.silence(&self.places.apart, false);
             }
         }
@@ -465,9 +467,9 @@
     fn notices(&self, fault: Fault, ended: bool) -> bool {
         match fault {
             Fault::Rack => self.noticed.is_empty(),
-            Fault::ZoneStart => self.whole.is_empty(),
+            Fault::ZoneStart => self.fleet_size.is_empty(),
             Fault::ZoneCut | Fault::RegionsApart => {
-                self.whole.is_empty() && !(ended && self.noticed.is_empty())
+                self.fleet_size.is_empty() && !(ended && self.noticed.is_empty())
             }
             Fault::ControlKilled | Fault::SlowMember => false,
         }
@@ -514,7 +516,7 @@
         };
         let back = seen.iter().all(|(.., alive)| *alive == others);
         if let Some(mended) = mended.filter(|_| back) {
-            self.whole = seen.iter().map(since(mended)).collect();
+            self.fleet_size = seen.iter().map(since(mended)).collect();
         }
         Ok(())
     }
@@ -528,8 +530,8 @@
         match output.status.success() {
             true => Ok(serde_json::from_slice(&output.stdout).unwrap_or(Value::Null)),
             false => {
-                let said = String::from_utf8_lossy(&output.stderr);
-                Err(format!("{}: {}: {said}", name(router), words.join(" ")).into())
+                let bytes_sent = String::from_utf8_lossy(&output.stderr);
+                Err(format!("{}: {}: {bytes_sent}", name(router), words.join(" ")).into())
             }
         }
     }
@@ -605,7 +607,7 @@
         // Those of others are copies.
         let records = links.iter().filter(|link| link.name == name(n)).filter_map(ChainLink::decode_record);
         let spans = records.filter_map(|record| match record {
-            Record::Span(span) => Some((span.versions.hierarchy.version, span.from.ms as f64)),
+            AuditRecord::Span(span) => Some((span.versions.hierarchy.version, span.from.ms as f64)),
             _ => None,
         });
         Ok(spans.collect())
@@ -646,13 +648,13 @@
         let delays = delays.flat_map(|(n, meter)| meter.delays.iter().map(move |delay| (n, *delay)));
         rows.add("journal delay", "ms", &delays.collect::<Vec<_>>());
         // Those that ran all the while have a delay for every event.
-        let whole = window.events.1 - window.events.0;
+        let fleet_size = window.events.1 - window.events.0;
         for form in [Form::Real, Form::Hollow] {
             let meters = steady.iter().filter(|n| self.places.forms[**n] == form).map(|n| &last.meters[*n]);
-            let meters: Vec<&Meter> = meters.filter(|meter| meter.delays.len() == whole).collect();
+            let meters: Vec<&Meter> = meters.filter(|meter| meter.delays.len() == fleet_size).collect();
             let of_all = |n| meters.iter().map(|meter: &&Meter| meter.delays[n]).fold(0.0, f64::max);
             if !meters.is_empty() {
-                rows.put(form, "journal delay, all", "ms", (0..whole).map(of_all).collect());
+                rows.put(form, "journal delay, all", "ms", (0..fleet_size).map(of_all).collect());
             }
         }
         let number = self.journal.number() as f64;
@@ -672,7 +674,7 @@
         let starts = if later.is_empty() { &self.starts[..] } else { later };
         rows.add("ready", "ms", &starts.iter().filter_map(ready).collect::<Vec<_>>());
         rows.add("noticed", "s", &self.noticed);
-        rows.add("whole", "s", &self.whole);
+        rows.add("whole", "s", &self.fleet_size);
         let through = |n: &usize| {
             let (before, after) = last.passed.get(n).filter(|(before, _)| *before > 0)?;
             let counted = of(&last, *n, &links);
@@ -682,11 +684,11 @@
         let watched = self.places.watched.iter().filter(|n| !cut && steady.contains(n));
         rows.add("links by middle", "ratio", &watched.filter_map(through).collect::<Vec<_>>());
         let told = |n: &usize| {
-            let Meter { said, heard, .. } = last.meters[*n];
-            (*n, of(&last, *n, &polls) / (said + heard) as f64)
+            let Meter { bytes_sent, bytes_received, .. } = last.meters[*n];
+            (*n, of(&last, *n, &polls) / (bytes_sent + bytes_received) as f64)
         };
-        let whole = self.plan.fault != Some(Fault::ControlKilled) && !cut;
-        let counted = steady.iter().filter(|_| whole).map(told);
+        let fleet_size = self.plan.fault != Some(Fault::ControlKilled) && !cut;
+        let counted = steady.iter().filter(|_| fleet_size).map(told);
         rows.add("journal by stand-in", "ratio", &counted.collect::<Vec<_>>());
         Ok(rows.rows)
     }
@@ -744,7 +746,7 @@
                     thread::sleep(Duration::from_millis(2));
                 }
                 let object = format!("{:016x}", objects.random::<u64>());
-                let event = json!({"expire": {"name": object, "stamp": crate::record::now().floor()}});
+                let event = json!({"expire": {"name": object, "stamp": crate::recording::now().floor()}});
                 journal.tell(event, begun + Duration::from_secs_f64(due));
             }
         };
--- a/crates/standins/src/scale/places.rs
+++ b/crates/testbed/src/scale/places.rs
@@ -14,8 +14,8 @@
 use serde_json::{json, Value};
 
 use super::{Failure, Fault, Form, Plan};
-use crate::middle::{Ends, Middle};
-use crate::record::Record;
+use crate::fault_proxy::{FaultProxy, ProxyEnds};
+use crate::recording::Recording;
 
 /// Ports below those that the system gives away: links, and each router's view of discovery.
 const LINKS: u16 = 7_400;
@@ -40,7 +40,7 @@
     pub processes: Vec<Vec<usize>>,
     /// Who dials whom, and the middles in between where there are any.
     pub dials: BTreeSet<(usize, usize)>,
-    pub middles: BTreeMap<(usize, usize), Middle>,
+    pub proxies: BTreeMap<(usize, usize), FaultProxy>,
     /// Routers whose links all lead through middles.
     pub watched: Vec<usize>,
     /// The smaller side of a cut, or those that a fault befalls at once.
@@ -96,17 +96,18 @@
             forms,
             processes,
             dials,
-            middles: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             watched,
             apart,
         };
-        let record = Record::default();
+        let record = Recording::default();
         for (from, to) in places.dials.clone() {
             let seen = [from, to].iter().any(|n| places.watched.contains(n));
             if seen || (cut && places.crosses(from, to)) {
-                let middle = Middle::start(Ends { sites: [name(from), name(to)], record: record.clone() })?;
-                middle.lead_to(places.address(to));
-                places.middles.insert((from, to), middle);
+                let proxy =
+                    FaultProxy::start(ProxyEnds { sites: [name(from), name(to)], record: record.clone() })?;
+                proxy.set_target(places.address(to));
+                places.proxies.insert((from, to), proxy);
             }
         }
         Ok(places)
@@ -142,7 +143,7 @@
 
     /// Writes the operator file of a router; it is the same for all but for where each listens and connects.
     pub fn write_operator(&self, n: usize) -> Result<(), Failure> {
-        let fellows = match self.placed {
+        let cluster_settings = match self.placed {
             true => format!("place = \"{}\"", place(n / SITE)),
             false => String::new(),
         };
@@ -153,13 +154,13 @@
              node(hub, role = \"parent\", site = hub, capacity = 30, sources = [\"origin\"])\n\
              for n in range({CACHES}):\n    \
              node(\"cache-%d\" % n, site = \"shop\", capacity = 8, sources = [(\"south\", 0), (\"origin\", 9)])\n\
-             gateway(site = \"{}\", listen = \"{}\")\nfellows({fellows})\naudit()\n",
+             gateway(site = \"{}\", listen = \"{}\")\nfellows({cluster_settings})\naudit()\n",
             self.socket(n).display(),
             self.site,
             self.address(n)
         );
         for (_, to) in self.dials.iter().filter(|(from, _)| *from == n) {
-            let to = self.middles.get(&(n, *to)).map_or(self.address(*to), |middle| middle.address);
+            let to = self.proxies.get(&(n, *to)).map_or(self.address(*to), |proxy| proxy.address);
             text += &format!("link(\"{}\", connect = \"{to}\", connections = 1)\n", self.site);
         }
         std::fs::write(self.config(n).with_extension("star"), text)?;
--- a/crates/standins/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -26,7 +26,7 @@
     Ended(Vec<String>),
 }
 
-struct Running {
+struct RunningLoad {
     child: Child,
     members: Vec<usize>,
     /// Its starts are numbered: what an earlier one says late does not count.
@@ -65,18 +65,18 @@
 /// All processes of a run, by their numbers.
 pub struct Processes {
     program: PathBuf,
-    running: BTreeMap<usize, Running>,
+    running: BTreeMap<usize, RunningLoad>,
     guard: Guard,
     starts: u64,
     sender: Sender<(u64, usize, Heard)>,
-    heard: Receiver<(u64, usize, Heard)>,
+    bytes_received: Receiver<(u64, usize, Heard)>,
 }
 
 impl Processes {
     pub fn new(program: &Path) -> io::Result<Self> {
-        let (sender, heard) = channel();
+        let (sender, bytes_received) = channel();
         let (program, running) = (program.to_path_buf(), BTreeMap::new());
-        Ok(Self { program, running, guard: Guard::start()?, starts: 0, sender, heard })
+        Ok(Self { program, running, guard: Guard::start()?, starts: 0, sender, bytes_received })
     }
 
     /// Starts a process with the files that its routers have; when it was started comes back.
@@ -96,7 +96,7 @@
         self.starts += 1;
         self.guard.say('+', child.id())?;
         let log = child.stderr.take();
-        self.running.insert(process, Running { child, members: members.clone(), start: self.starts });
+        self.running.insert(process, RunningLoad { child, members: members.clone(), start: self.starts });
         let (start, sender) = (self.starts, self.sender.clone());
         let log = log.ok_or("a process without a log")?;
         thread::Builder::new().stack_size(128 << 10).spawn(move || read(log, start, &members, &sender))?;
@@ -133,8 +133,8 @@
     fn next(&mut self, until: Instant, what: &str) -> Result<(usize, Heard), Failure> {
         loop {
             let wait = until.saturating_duration_since(Instant::now());
-            let (start, router, heard) = match self.heard.recv_timeout(wait) {
-                Ok(heard) => heard,
+            let (start, router, bytes_received) = match self.bytes_received.recv_timeout(wait) {
+                Ok(bytes_received) => bytes_received,
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
                     return Err(format!("no more time: {what}").into());
                 }
@@ -142,10 +142,10 @@
             if !self.running.values().any(|running| running.start == start) {
                 continue;
             }
-            if let Heard::Ended(lines) = heard {
+            if let Heard::Ended(lines) = bytes_received {
                 return Err(format!("the process of {} has ended: {lines:?}", name(router)).into());
             }
-            return Ok((router, heard));
+            return Ok((router, bytes_received));
         }
     }
 
@@ -227,13 +227,13 @@
             [router] => Some(*router),
             _ => members.iter().copied().find(|n| line.starts_with(&format!("linnethook: {}: ", name(*n)))),
         };
-        let heard = match line.split_once("counters ") {
+        let bytes_received = match line.split_once("counters ") {
             Some((_, counters)) => Some(Heard::Counters(numbers(counters))),
             None if line.contains(" listens on ") => Some(Heard::Listens),
             None => None,
         };
-        if let (Some(router), Some(heard)) = (router, heard) {
-            if to.send((start, router, heard)).is_err() {
+        if let (Some(router), Some(bytes_received)) = (router, bytes_received) {
+            if to.send((start, router, bytes_received)).is_err() {
                 return;
             }
         }
--- a/crates/standins/src/server.rs
+++ b/crates/testbed/src/server.rs
@@ -15,7 +15,7 @@
 
 /// One request, as it came in.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct CacheRequest {
     pub id: String,
     pub fields: HashMap<String, String>,
     pub body: Vec<u8>,
@@ -23,7 +23,7 @@
 
 /// What is done about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reaction {
+pub enum HandlerResponse {
     Answer(Answer),
     /// Nothing, for as long as the connection lasts.
     Nothing,
@@ -33,8 +33,8 @@
 }
 
 /// Whoever answers; it may take its time, it has a thread of its own.
-pub trait Answers: Send + Sync + 'static {
-    fn answer(&self, ask: &Ask) -> Reaction;
+pub trait RequestHandler: Send + Sync + 'static {
+    fn answer(&self, ask: &CacheRequest) -> HandlerResponse;
 }
 
 type Connections = Arc<Mutex<HashMap<u64, TcpStream>>>;
@@ -50,7 +50,7 @@
 
 impl Server {
     /// Listens, on a port that the system gives where none is said.
-    pub fn start(address: SocketAddr, answers: Arc<dyn Answers>) -> io::Result<Self> {
+    pub fn start(address: SocketAddr, answers: Arc<dyn RequestHandler>) -> io::Result<Self> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
         let (connections, down) = (Connections::default(), Arc::new(AtomicBool::new(false)));
@@ -123,7 +123,7 @@
     TcpListener::bind(address)
 }
 
-fn talk(stream: &TcpStream, answers: &dyn Answers) -> io::Result<()> {
+fn talk(stream: &TcpStream, answers: &dyn RequestHandler) -> io::Result<()> {
     let mut input = BufReader::new(stream);
     let mut output = stream;
     stream.set_nodelay(true)?;
@@ -134,12 +134,12 @@
         match command.as_str() {
             "ASK" => {
                 let fields = fields(&text().unwrap_or_default());
-                let ask = Ask { id, fields, body: parts.next().unwrap_or_default() };
+                let ask = CacheRequest { id, fields, body: parts.next().unwrap_or_default() };
                 match answers.answer(&ask) {
-                    Reaction::Answer(answer) => output.write_all(&encode(&ask.id, &answer))?,
-                    Reaction::Nothing => {}
-                    Reaction::Reset => return Ok(()),
-                    Reaction::Half(answer) => {
+                    HandlerResponse::Answer(answer) => output.write_all(&encode(&ask.id, &answer))?,
+                    HandlerResponse::Nothing => {}
+                    HandlerResponse::Reset => return Ok(()),
+                    HandlerResponse::Half(answer) => {
                         let bytes = encode(&ask.id, &answer);
                         output.write_all(&bytes[..bytes.len() / 2])?;
                         return Ok(());
@@ -173,7 +173,7 @@
     (&stream).write_all(&out)?;
     let mut parts = array(&mut BufReader::new(&stream))?.into_iter();
     let mut text = || parts.next().map(|part| String::from_utf8_lossy(&part).into_owned());
-    let (_, word) = (text(), text().unwrap_or_default());
+    let (_, status) = (text(), text().unwrap_or_default());
     let answered = fields(&text().unwrap_or_default());
-    Ok((word, answered, parts.next().unwrap_or_default()))
+    Ok((status, answered, parts.next().unwrap_or_default()))
 }
--- a/crates/standins/src/twosites.rs
+++ b/crates/testbed/src/two_sites.rs
@@ -20,11 +20,11 @@
 use rand_distr::{Distribution, Exp};
 use rand_pcg::Pcg64Mcg;
 
-use crate::record::{Asked, Line, Ms, Record, What};
+use crate::recording::{Asked, Ms, RecordEntry, RecordedEvent, Recording};
 
 /// What befalls the link or a site, from a time on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Blow {
+pub enum SiteFault {
     /// Connections are reset; new ones fail until it is mended.
     Cut,
     /// Nothing passes towards these sides any more, and nothing is said of it.
@@ -43,11 +43,11 @@
 }
 
 /// A script: blows by their times.
-pub type Script = Vec<(Ms, Blow)>;
+pub type Script = Vec<(Ms, SiteFault)>;
 
 /// What is played.
 #[derive(Debug, Clone)]
-pub struct Play {
+pub struct Scenario {
     pub seed: u64,
     pub length: Ms,
     /// Bookings and parts of videos a second, at each side.
@@ -67,7 +67,7 @@
     pub script: Script,
 }
 
-impl Default for Play {
+impl Default for Scenario {
     fn default() -> Self {
         Self {
             seed: 1,
@@ -102,7 +102,7 @@
 pub struct Outcome {
     pub bookings: Tally,
     pub reads: Tally,
-    pub lines: Vec<Line>,
+    pub lines: Vec<RecordEntry>,
     /// Runs of each booking that ran more than once.
     pub ran_twice: Vec<(u64, u32)>,
     /// Bytes that crossed, and those of bodies that crossed more than once or for nothing.
@@ -171,11 +171,11 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Event {
+enum SimulationEvent {
     Arrival(usize, bool),
     /// A run at a site ends: side, its start, ticket, and the attempt at the store.
     Done(usize, u64, Ticket, u64),
-    Blow(usize),
+    SiteFault(usize),
 }
 
 /// What fits between the ends of a connection.
@@ -183,8 +183,8 @@
 const NAMES: [&str; 2] = ["north", "south"];
 
 /// Two sites.
-pub struct World {
-    play: Play,
+pub struct Simulation {
+    play: Scenario,
     now: Ms,
     chance: Pcg64Mcg,
     sides: Vec<Side>,
@@ -193,9 +193,9 @@
     cut: bool,
     silent: [bool; 2],
     slow: f64,
-    events: BTreeMap<(u64, u64), Event>,
+    events: BTreeMap<(u64, u64), SimulationEvent>,
     count: u64,
-    record: Record,
+    record: Recording,
     runs: BTreeMap<u64, u32>,
     attempts: u64,
     next_id: u64,
@@ -212,8 +212,8 @@
     list[n] += 1;
 }
 
-impl World {
-    pub fn new(play: Play) -> Self {
+impl Simulation {
+    pub fn new(play: Scenario) -> Self {
         let chance = Pcg64Mcg::seed_from_u64(play.seed);
         let mut world = Self {
             now: 0.0,
@@ -226,7 +226,7 @@
             slow: 1.0,
             events: BTreeMap::new(),
             count: 0,
-            record: Record::default(),
+            record: Recording::default(),
             runs: BTreeMap::new(),
             attempts: 0,
             next_id: 0,
@@ -236,7 +236,7 @@
         };
         world.sides = (0..2).map(|n| world.side(n, 1)).collect();
         for n in 0..world.play.script.len() {
-            world.plan(world.play.script[n].0, Event::Blow(n));
+            world.plan(world.play.script[n].0, SimulationEvent::SiteFault(n));
         }
         for side in 0..2 {
             for booking in [false, true] {
@@ -263,7 +263,7 @@
         Side { gateway, epoch, last: 0, askers: BTreeMap::new(), store: true, caches: true }
     }
 
-    fn plan(&mut self, at: Ms, event: Event) {
+    fn plan(&mut self, at: Ms, event: SimulationEvent) {
         self.count += 1;
         self.events.insert(((at.max(0.0) * 1_000.0) as u64, self.count), event);
     }
@@ -273,7 +273,7 @@
         let Ok(gap) = Exp::new(rate / 1_000.0) else { return };
         let at = self.now + gap.sample(&mut self.chance);
         if rate > 0.0 && at < self.play.length {
-            self.plan(at, Event::Arrival(side, booking));
+            self.plan(at, SimulationEvent::Arrival(side, booking));
         }
     }
 
@@ -318,14 +318,14 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn happen(&mut self, event: SimulationEvent) {
         match event {
-            Event::Arrival(side, booking) => {
+            SimulationEvent::Arrival(side, booking) => {
                 self.next_arrival(side, booking);
                 self.arrive(side, booking);
             }
-            Event::Done(n, epoch, ticket, attempt) => self.done(n, epoch, ticket, attempt),
-            Event::Blow(n) => self.blow(self.play.script[n].1),
+            SimulationEvent::Done(n, epoch, ticket, attempt) => self.done(n, epoch, ticket, attempt),
+            SimulationEvent::SiteFault(n) => self.blow(self.play.script[n].1),
         }
     }
 
@@ -348,7 +348,7 @@
         };
         self.record.note_at(
             now,
-            What::Requested {
+            RecordedEvent::Requested {
                 request: id,
                 id: id.to_string(),
                 object: object.to_string(),
@@ -385,9 +385,10 @@
                 Action::Write(conn) => self.write(n, conn),
                 Action::ServeLocally(ticket) => self.serve(n, ticket),
                 Action::Answer(ticket, reply) => self.answer(n, ticket, reply),
-                Action::ServeRemote(came) => {
+                Action::ServeRemote(arrivals) => {
                     let text = |name: &str| {
-                        came.fields
+                        arrivals
+                            .fields
                             .iter()
                             .find(|(known, _)| known == name)
                             .map(|(_, v)| v.clone())
@@ -400,14 +401,14 @@
                         booking: text("c") == "booking",
                         size: number("m") as usize,
                         since: self.now,
-                        deadline: self.now + came.remaining,
-                        passed: came.passed_sites,
+                        deadline: self.now + arrivals.remaining,
+                        passed: arrivals.passed_sites,
                         own: false,
                         home: false,
                     };
                     let wanted = wanted(&asker, self.play.aim);
-                    self.sides[n].askers.insert(came.ticket, asker);
-                    self.sides[n].gateway.submit_request(self.now, came.ticket, wanted);
+                    self.sides[n].askers.insert(arrivals.ticket, asker);
+                    self.sides[n].gateway.submit_request(self.now, arrivals.ticket, wanted);
                 }
                 Action::CancelServe(ticket) => {
                     self.sides[n].askers.remove(&ticket);
@@ -430,16 +431,16 @@
         let Some(asker) = self.sides[n].askers.get_mut(&ticket) else { return };
         asker.home = true;
         let asker = asker.clone();
-        let able = if asker.booking { self.sides[n].store } else { self.sides[n].caches };
+        let capacity_at = if asker.booking { self.sides[n].store } else { self.sides[n].caches };
         self.attempts += 1;
         let attempt = self.attempts;
-        let took = match (able, asker.booking) {
+        let took = match (capacity_at, asker.booking) {
             (true, true) => self.chance.random_range(20.0..120.0),
             (true, false) => self.chance.random_range(5.0..60.0),
             // It could not be reached, which is soon known.
             (false, _) => 30.0,
         };
-        if able && asker.booking {
+        if capacity_at && asker.booking {
             let asked = Asked {
                 at: format!("store-{}", NAMES[n]),
                 id: asker.id.to_string(),
@@ -447,17 +448,20 @@
                 router: Some(NAMES[n].to_string()),
                 ..Asked::default()
             };
-            self.record.note_at(self.now, What::Asked { attempt, asked });
+            self.record.note_at(self.now, RecordedEvent::Asked { attempt, asked });
             *self.runs.entry(asker.id).or_default() += 1;
         }
         let epoch = self.sides[n].epoch;
-        self.plan(self.now + took, Event::Done(n, epoch, ticket, if able { attempt } else { 0 }));
+        self.plan(
+            self.now + took,
+            SimulationEvent::Done(n, epoch, ticket, if capacity_at { attempt } else { 0 }),
+        );
     }
 
     fn done(&mut self, n: usize, epoch: u64, ticket: Ticket, attempt: u64) {
         if attempt > 0 {
-            let (word, res) = ("data".to_string(), String::new());
-            self.record.note_at(self.now, What::Ended { attempt, word, res, ran: true });
+            let (status, res) = ("data".to_string(), String::new());
+            self.record.note_at(self.now, RecordedEvent::Ended { attempt, status, res, ran: true });
         }
         if self.sides[n].epoch != epoch {
             return;
@@ -512,7 +516,7 @@
             Reply::Rejected { .. } => 2,
             Reply::Failed => 3,
         };
-        self.record.note_at(self.now, What::Final { request: asker.id, code, dated: None });
+        self.record.note_at(self.now, RecordedEvent::Final { request: asker.id, code, dated: None });
         let tally = self.tally(asker.booking);
         *match code {
             1 => &mut tally.served,
@@ -663,7 +667,7 @@
                     let id = open.fields.iter().find(|(name, _)| name == "i").map(|(_, id)| id.clone());
                     let (token, passed) = (open.token.map(number), open.passed_sites);
                     token.into_iter().for_each(|token| _ = tokens.insert((1 - to, frame.stream), token));
-                    let what = What::Crossed {
+                    let what = RecordedEvent::Crossed {
                         to: NAMES[to].to_string(),
                         id: id.unwrap_or_default(),
                         token,
@@ -675,11 +679,11 @@
                 Message::OutcomeReport(token, AttemptOutcome::NeverRan) => {
                     // Told to the sender of the token, which is at the end that it goes to.
                     let token = (token.epoch * 10 + to as u64, token.number);
-                    self.record.note_at(self.now, What::Proven { token });
+                    self.record.note_at(self.now, RecordedEvent::Proven { token });
                 }
                 Message::Reject { .. } => {
                     if let Some(token) = tokens.remove(&(to, frame.stream)) {
-                        self.record.note_at(self.now, What::Proven { token });
+                        self.record.note_at(self.now, RecordedEvent::Proven { token });
                     }
                 }
                 Message::Data(bytes) => self.out.bodies += bytes.len() as u64,
@@ -688,9 +692,9 @@
         }
     }
 
-    fn blow(&mut self, blow: Blow) {
+    fn blow(&mut self, blow: SiteFault) {
         match blow {
-            Blow::Cut => {
+            SiteFault::Cut => {
                 self.cut = true;
                 let conns: Vec<ConnectionId> = self.wires.keys().copied().collect();
                 for conn in conns {
@@ -707,19 +711,19 @@
                     }
                 }
             }
-            Blow::Silent { to } => self.silent = to,
-            Blow::Slow(times) => self.slow = times,
-            Blow::Mend => (self.cut, self.silent, self.slow) = (false, [false; 2], 1.0),
-            Blow::Store(n, able) => self.sides[n].store = able,
-            Blow::Caches(n, able) => {
-                self.sides[n].caches = able;
+            SiteFault::Silent { to } => self.silent = to,
+            SiteFault::Slow(times) => self.slow = times,
+            SiteFault::Mend => (self.cut, self.silent, self.slow) = (false, [false; 2], 1.0),
+            SiteFault::Store(n, capacity_at) => self.sides[n].store = capacity_at,
+            SiteFault::Caches(n, capacity_at) => {
+                self.sides[n].caches = capacity_at;
                 let now = self.now;
-                self.sides[n].gateway.report_local_load(now, if able { 3 } else { 0 }, 0.2);
+                self.sides[n].gateway.report_local_load(now, if capacity_at { 3 } else { 0 }, 0.2);
                 self.carry_out(n);
             }
-            Blow::Restart(n) => {
+            SiteFault::Restart(n) => {
                 for asker in std::mem::take(&mut self.sides[n].askers).into_values().filter(|a| a.own) {
-                    self.record.note_at(self.now, What::Released { request: asker.id });
+                    self.record.note_at(self.now, RecordedEvent::Released { request: asker.id });
                     self.tally(asker.booking).released += 1;
                 }
                 let conns: Vec<ConnectionId> = self.wires.keys().copied().collect();
@@ -772,18 +776,18 @@
         let from = n as Ms * every + chance.random_range(0.0..every * 0.3);
         let lasts = chance.random_range(0.02..0.5) * every;
         let blow = match chance.random_range(0..6) {
-            0 | 1 => Blow::Cut,
-            2 => Blow::Silent { to: [true, true] },
-            3 => Blow::Silent { to: [true, false] },
-            4 => Blow::Silent { to: [false, true] },
-            _ => Blow::Slow(chance.random_range(2.0..30.0)),
+            0 | 1 => SiteFault::Cut,
+            2 => SiteFault::Silent { to: [true, true] },
+            3 => SiteFault::Silent { to: [true, false] },
+            4 => SiteFault::Silent { to: [false, true] },
+            _ => SiteFault::Slow(chance.random_range(2.0..30.0)),
         };
         script.push((from, blow));
-        script.push((from + lasts, Blow::Mend));
+        script.push((from + lasts, SiteFault::Mend));
         if chance.random_range(0..12) == 0 {
             script.push((
                 from + chance.random_range(0.0..lasts * 1.5),
-                Blow::Restart(chance.random_range(0..2)),
+                SiteFault::Restart(chance.random_range(0..2)),
             ));
         }
     }
@@ -791,11 +795,11 @@
     let (mut at, mut side) = (500.0, 0);
     while at < length {
         let lasts = chance.random_range(0.1..0.3) * length.min(20_000.0);
-        script.push((at, Blow::Store(side, false)));
-        script.push((at + lasts, Blow::Store(side, true)));
+        script.push((at, SiteFault::Store(side, false)));
+        script.push((at + lasts, SiteFault::Store(side, true)));
         let caches = chance.random_range(0.0..lasts);
-        script.push((at + caches * 0.5, Blow::Caches(side, false)));
-        script.push((at + caches, Blow::Caches(side, true)));
+        script.push((at + caches * 0.5, SiteFault::Caches(side, false)));
+        script.push((at + caches, SiteFault::Caches(side, true)));
         at += lasts + chance.random_range(0.0..1_000.0);
         side = 1 - side;
     }
--- a/crates/standins/tests/aggregates.rs
+++ b/crates/testbed/tests/aggregates.rs
@@ -1,8 +1,8 @@
 //! The rule of aggregates: a sound record passes, and one that is broken is caught, for each of its clauses.
 
-use linnethook_standins::aggregates::AggregateBounds;
-use linnethook_standins::checker::{judge, Rule, Rules};
-use linnethook_standins::record::{Asked, Line, Ms, ShownPlace, Way, What};
+use linnethook_testbed::aggregates::AggregateBounds;
+use linnethook_testbed::checker::{judge, Rule, RuleBounds};
+use linnethook_testbed::recording::{Asked, LinkState, LocationSummary, Ms, RecordEntry, RecordedEvent};
 
 /// Two sites of a zone of two routers, and one of another region.
 const ROUTERS: [(&str, &str); 5] =
@@ -11,94 +11,94 @@
 /// All are linked with all from the start, and nothing of that is news after `QUIET`.
 const QUIET: Ms = 10_000.0;
 
-fn rules() -> Rules {
+fn rules() -> RuleBounds {
     let (suspect, relied_on, by_level) = (500.0, 1_500.0, 400.0);
     let aggregates = AggregateBounds { suspect, relied_on, by_level, moves: 500.0, links: 1_000.0 };
-    Rules { slack: 100.0, aggregates, ..Rules::default() }
+    RuleBounds { slack: 100.0, aggregates, ..RuleBounds::default() }
 }
 
-fn line(at: Ms, what: What) -> Line {
-    Line { at, what }
+fn line(at: Ms, what: RecordedEvent) -> RecordEntry {
+    RecordEntry { at, what }
 }
 
-fn ran(at: Ms, n: usize) -> Line {
+fn ran(at: Ms, n: usize) -> RecordEntry {
     let (router, place) = ROUTERS[n];
-    line(at, What::Ran { router: router.to_string(), place: place.to_string() })
+    line(at, RecordedEvent::Ran { router: router.to_string(), place: place.to_string() })
 }
 
-fn ceased(at: Ms, n: usize) -> Line {
-    line(at, What::Ceased { router: ROUTERS[n].0.to_string() })
+fn ceased(at: Ms, n: usize) -> RecordEntry {
+    line(at, RecordedEvent::Ceased { router: ROUTERS[n].0.to_string() })
 }
 
-fn linked(at: Ms, a: usize, b: usize, way: Way) -> Line {
-    line(at, What::Linked { from: ROUTERS[a].0.to_string(), to: ROUTERS[b].0.to_string(), way })
+fn linked(at: Ms, a: usize, b: usize, way: LinkState) -> RecordEntry {
+    line(at, RecordedEvent::Linked { from: ROUTERS[a].0.to_string(), to: ROUTERS[b].0.to_string(), way })
 }
 
 /// Both directions between those of the south and the one of the north.
-fn across(at: Ms, way: Way) -> Vec<Line> {
+fn across(at: Ms, way: LinkState) -> Vec<RecordEntry> {
     (0..4).flat_map(|n| [linked(at, n, 4, way), linked(at, 4, n, way)]).collect()
 }
 
-fn place(place: &str, alive: u64) -> ShownPlace {
-    ShownPlace {
+fn place(place: &str, alive: u64) -> LocationSummary {
+    LocationSummary {
         place: place.to_string(),
         fresh: true,
         alive,
         counted: alive,
         oldest: Some(7),
-        ..ShownPlace::default()
+        ..LocationSummary::default()
     }
 }
 
-fn lost(name: &str, counted: u64) -> ShownPlace {
-    ShownPlace { fresh: false, counted, ..place(name, counted) }
+fn lost(name: &str, counted: u64) -> LocationSummary {
+    LocationSummary { fresh: false, counted, ..place(name, counted) }
 }
 
-fn shown(at: Ms, n: usize, whole: u64, places: Vec<ShownPlace>) -> Line {
-    let (router, whole) = (ROUTERS[n].0.to_string(), Some(whole));
-    line(at, What::Shown { router, since: at - 10.0, whole, places })
+fn shown(at: Ms, n: usize, fleet_size: u64, places: Vec<LocationSummary>) -> RecordEntry {
+    let (router, fleet_size) = (ROUTERS[n].0.to_string(), Some(fleet_size));
+    line(at, RecordedEvent::Shown { router, since: at - 10.0, fleet_size, places })
 }
 
 /// What a router of the south shows, and the one of the north.
-fn in_south(a: u64, b: u64) -> Vec<ShownPlace> {
+fn in_south(a: u64, b: u64) -> Vec<LocationSummary> {
     vec![place("s", a + b), place("n", 1), place("s/a", a), place("s/b", b)]
 }
 
-fn in_north(south: u64) -> Vec<ShownPlace> {
+fn in_north(south: u64) -> Vec<LocationSummary> {
     vec![place("s", south), place("n", 1), place("n/c", 1)]
 }
 
-fn acted(at: Ms, n: usize, version: u64) -> Line {
+fn acted(at: Ms, n: usize, version: u64) -> RecordEntry {
     let (router, source) = (Some(ROUTERS[n].0.to_string()), Some("p".to_string()));
     let asked = Asked { at: "a".to_string(), router, source, version: Some(version), ..Asked::default() };
-    line(at, What::Asked { attempt: 0, asked })
+    line(at, RecordedEvent::Asked { attempt: 0, asked })
 }
 
 /// All five run and are linked, and so it stays for long.
-fn all() -> Vec<Line> {
+fn all() -> Vec<RecordEntry> {
     let mut lines =
-        vec![line(0.0, What::Shape { version: 7, edges: vec![("a".to_string(), "p".to_string())] })];
+        vec![line(0.0, RecordedEvent::Shape { version: 7, edges: vec![("a".to_string(), "p".to_string())] })];
     lines.extend((0..5).map(|n| ran(0.0, n)));
     lines.extend(
-        (0..5).flat_map(|a| (0..5).filter(move |b| *b != a).map(move |b| linked(1.0, a, b, Way::Open))),
+        (0..5).flat_map(|a| (0..5).filter(move |b| *b != a).map(move |b| linked(1.0, a, b, LinkState::Open))),
     );
     lines
 }
 
-fn with(more: Vec<Line>) -> Vec<Line> {
+fn with(more: Vec<RecordEntry>) -> Vec<RecordEntry> {
     [all(), more].concat()
 }
 
-fn found(lines: &[Line]) -> Vec<(Rule, String)> {
+fn found(lines: &[RecordEntry]) -> Vec<(Rule, String)> {
     judge(lines, &rules()).into_iter().map(|breach| (breach.rule, breach.what)).collect()
 }
 
-fn sound(lines: &[Line]) {
+fn sound(lines: &[RecordEntry]) {
     assert_eq!(found(lines), [], "a sound record");
 }
 
 /// One breach of the rule, that says this.
-fn caught(lines: &[Line], says: &str) {
+fn caught(lines: &[RecordEntry], says: &str) {
     let found = found(lines);
     let [(Rule::Aggregates, what)] = found.as_slice() else { panic!("{says}: {found:?}") };
     assert!(what.contains(says), "{says}: {what}");
@@ -125,7 +125,7 @@
 
 #[test]
 fn a_router_that_is_counted_twice_is_caught_at_once() {
-    let twice = ShownPlace { counted: 5, ..place("s", 4) };
+    let twice = LocationSummary { counted: 5, ..place("s", 4) };
     let south = vec![twice, place("n", 1), place("s/a", 2), place("s/b", 2)];
     caught(&with(vec![shown(50.0, 0, 5, south)]), "counts 5 routers in s, and 4 have ever run there");
     caught(&with(vec![shown(50.0, 4, 6, Vec::new())]), "counts 6 routers in all, and 5 have ever run");
@@ -158,8 +158,8 @@
     sound(&lost_site(3_500.0));
     caught(&lost_site(4_000.0), "has 4 alive in s, where 2 run");
     // One that stands still is not alive, and is again when it goes on.
-    let paused = line(QUIET, What::Paused { router: "r1".to_string() });
-    let woken = line(QUIET + 5_000.0, What::Woken { router: "r1".to_string() });
+    let paused = line(QUIET, RecordedEvent::Paused { router: "r1".to_string() });
+    let woken = line(QUIET + 5_000.0, RecordedEvent::Woken { router: "r1".to_string() });
     caught(&with(vec![paused.clone(), shown(QUIET + 4_000.0, 4, 5, in_north(4))]), "where 3 run");
     let back = |alive| with(vec![paused.clone(), woken.clone(), shown(2.0 * QUIET, 4, 5, in_north(alive))]);
     sound(&back(4));
@@ -168,27 +168,28 @@
 
 #[test]
 fn a_place_out_of_reach_that_counts_as_there_is_caught_and_so_is_one_within_reach_that_does_not() {
-    let cut = |places| with([across(QUIET, Way::Closed), vec![shown(2.0 * QUIET, 4, 5, places)]].concat());
+    let cut =
+        |places| with([across(QUIET, LinkState::Closed), vec![shown(2.0 * QUIET, 4, 5, places)]].concat());
     sound(&cut(vec![lost("s", 4), place("n", 1), place("n/c", 1)]));
     caught(&cut(in_north(4)), "has 4 alive in s, where 0 run");
-    let back = [across(QUIET, Way::Closed), across(2.0 * QUIET, Way::Open)].concat();
+    let back = [across(QUIET, LinkState::Closed), across(2.0 * QUIET, LinkState::Open)].concat();
     let mended = |places| with([back.clone(), vec![shown(3.0 * QUIET, 4, 5, places)]].concat());
     sound(&mended(in_north(4)));
     caught(&mended(vec![lost("s", 4), place("n", 1), place("n/c", 1)]), "hears nothing of s");
     caught(&mended(vec![place("n", 1), place("n/c", 1)]), "shows nothing of s");
     // Over a link that is open in one direction, or not even, nothing can be said for sure.
-    for way in [Way::Closed, Way::Uneven] {
+    for way in [LinkState::Closed, LinkState::Uneven] {
         sound(&with(vec![linked(QUIET, 0, 4, way), shown(2.0 * QUIET, 4, 5, in_north(3))]));
     }
     // Nor of a site that hangs together through others only.
-    let apart = [linked(QUIET, 2, 3, Way::Closed), linked(QUIET, 3, 2, Way::Closed)].to_vec();
+    let apart = [linked(QUIET, 2, 3, LinkState::Closed), linked(QUIET, 3, 2, LinkState::Closed)].to_vec();
     sound(&with([apart, vec![shown(2.0 * QUIET, 4, 5, in_north(3))]].concat()));
 }
 
 #[test]
 fn a_version_that_a_router_acts_on_and_no_summary_tells_of_is_caught() {
     let oldest = |told, until| {
-        let south = ShownPlace { oldest: Some(told), ..place("s", 4) };
+        let south = LocationSummary { oldest: Some(told), ..place("s", 4) };
         let places = vec![south, place("n", 1), place("n/c", 1)];
         with(vec![acted(1_000.0, 2, 6), shown(QUIET, 4, 5, places), acted(QUIET + 10.0, 2, until)])
     };
@@ -202,11 +203,11 @@
 /// Behind the floor and within reach, behind it and cut off, and behind it as all are.
 #[test]
 fn a_straggler_that_is_not_named_is_caught() {
-    let raised = |at, version| line(at, What::Raised { version, bound: 1_000.0 });
+    let raised = |at, version| line(at, RecordedEvent::Raised { version, bound: 1_000.0 });
     let told = |behind, names: &[&str]| {
         let stragglers = names.iter().map(|name| name.to_string()).collect();
         let oldest = Some(6);
-        let south = ShownPlace { behind, stragglers, oldest, ..place("s", 4) };
+        let south = LocationSummary { behind, stragglers, oldest, ..place("s", 4) };
         vec![south, place("n", 1), place("n/c", 1)]
     };
     let start = [shown(QUIET, 0, 5, in_south(2, 2)), raised(QUIET + 100.0, 7)];
@@ -223,10 +224,10 @@
     sound(&record(late, told(9, &["r2"])));
     // Cut off it is still named by those of its site.
     let cut = (0..5).filter(|n| *n != 1).flat_map(|n| [(n, 1), (1, n)]);
-    let cut: Vec<Line> = cut.map(|(a, b)| linked(QUIET + 50.0, a, b, Way::Closed)).collect();
-    let cut_off = |places: Vec<ShownPlace>| {
+    let cut: Vec<RecordEntry> = cut.map(|(a, b)| linked(QUIET + 50.0, a, b, LinkState::Closed)).collect();
+    let cut_off = |places: Vec<LocationSummary>| {
         let places = places.into_iter().map(|line| match line.place.as_str() {
-            "s" => ShownPlace { alive: 3, counted: 4, ..line },
+            "s" => LocationSummary { alive: 3, counted: 4, ..line },
             _ => line,
         });
         let after =
@@ -242,7 +243,7 @@
     };
     let north = |behind, names: &[&str], there: u64| {
         let of_one =
-            |name| ShownPlace { behind: there, stragglers: vec!["r4".to_string()], ..place(name, 1) };
+            |name| LocationSummary { behind: there, stragglers: vec!["r4".to_string()], ..place(name, 1) };
         vec![told(behind, names).remove(0), of_one("n"), of_one("n/c")]
     };
     sound(&nobody(north(4, &["r0", "r1", "r2", "r3"], 1)));
--- a/crates/standins/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,30 +1,33 @@
 //! The checker catches a broken record: one for each rule, beside a record that keeps it.
 
-use linnethook_standins::checker::{judge, leavers, Breach, Rule, Rules};
-use linnethook_standins::record::{Asked, Cold, Line, Ms, Phase, What};
+use linnethook_testbed::checker::{disconnected_clients, judge, Breach, Rule, RuleBounds};
+use linnethook_testbed::recording::{Asked, Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
 
 const ROUTER: &str = "n0";
 
-fn line(at: Ms, what: What) -> Line {
-    Line { at, what }
+fn line(at: Ms, what: RecordedEvent) -> RecordEntry {
+    RecordEntry { at, what }
 }
 
-fn requested(at: Ms, request: u64, harmful: bool) -> Line {
+fn requested(at: Ms, request: u64, harmful: bool) -> RecordEntry {
     let (id, object) = (format!("id{request}"), "o".to_string());
     let router = ROUTER.to_string();
-    line(at, What::Requested { request, id, object, group: 3, deadline: at + 1_000.0, harmful, router })
+    line(
+        at,
+        RecordedEvent::Requested { request, id, object, group: 3, deadline: at + 1_000.0, harmful, router },
+    )
 }
 
-fn answered(at: Ms, request: u64, code: u8, dated: Option<Ms>) -> Line {
-    line(at, What::Final { request, code, dated })
+fn answered(at: Ms, request: u64, code: u8, dated: Option<Ms>) -> RecordEntry {
+    line(at, RecordedEvent::Final { request, code, dated })
 }
 
-fn asked(at: Ms, attempt: u64, node: &str, id: &str) -> Line {
+fn asked(at: Ms, attempt: u64, node: &str, id: &str) -> RecordEntry {
     let router = Some(ROUTER.to_string());
     let (id, object) = (id.to_string(), "o".to_string());
     line(
         at,
-        What::Asked {
+        RecordedEvent::Asked {
             attempt,
             asked: Asked { at: node.to_string(), id, object, router, ..Asked::default() },
         },
@@ -32,55 +35,56 @@
 }
 
 /// A fill that node asks of node, having passed some.
-fn fill(at: Ms, attempt: u64, node: &str, passed: &[&str], version: u64) -> Line {
+fn fill(at: Ms, attempt: u64, node: &str, passed: &[&str], version: u64) -> RecordEntry {
     let passed = passed.iter().map(|name| name.to_string()).collect();
     let object = "o".to_string();
     let asked = Asked { at: node.to_string(), object, passed, version: Some(version), ..Asked::default() };
-    line(at, What::Asked { attempt, asked })
+    line(at, RecordedEvent::Asked { attempt, asked })
 }
 
-fn ended(at: Ms, attempt: u64, res: &str, ran: bool) -> Line {
-    line(at, What::Ended { attempt, word: String::new(), res: res.to_string(), ran })
+fn ended(at: Ms, attempt: u64, res: &str, ran: bool) -> RecordEntry {
+    line(at, RecordedEvent::Ended { attempt, status: String::new(), res: res.to_string(), ran })
 }
 
-fn listed(at: Ms, node: &str, phase: Phase) -> Line {
-    line(at, What::Listed { router: ROUTER.to_string(), node: node.to_string(), phase })
+fn listed(at: Ms, node: &str, phase: Phase) -> RecordEntry {
+    line(at, RecordedEvent::Listed { router: ROUTER.to_string(), node: node.to_string(), phase })
 }
 
-fn shape(at: Ms, version: u64, edges: &[(&str, &str)]) -> Line {
+fn shape(at: Ms, version: u64, edges: &[(&str, &str)]) -> RecordEntry {
     let edges = edges.iter().map(|(from, to)| (from.to_string(), to.to_string())).collect();
-    line(at, What::Shape { version, edges })
+    line(at, RecordedEvent::Shape { version, edges })
 }
 
-fn crossed(to: &str, token: Option<(u64, u64)>, passed: &[&str]) -> Line {
+fn crossed(to: &str, token: Option<(u64, u64)>, passed: &[&str]) -> RecordEntry {
     let passed = passed.iter().map(|site| site.to_string()).collect();
-    line(0.0, What::Crossed { to: to.to_string(), id: "id1".to_string(), token, passed })
+    line(0.0, RecordedEvent::Crossed { to: to.to_string(), id: "id1".to_string(), token, passed })
 }
 
-fn purged(at: Ms) -> Line {
+fn purged(at: Ms) -> RecordEntry {
     let (object, router) = (Some("o".to_string()), ROUTER.to_string());
-    line(at, What::Purged { router, object, group: None, stamp: at })
+    line(at, RecordedEvent::Purged { router, object, group: None, stamp: at })
 }
 
 /// Requests a second that a node of ten bears when it has just started: 3 in half a second.
-fn cold(at: Ms) -> Line {
-    let cold = Cold { capacity: 10.0, from: 0.3, warm_in: 10_000.0, fall_multiple: 2.0, window: 500.0 };
-    line(at, What::Started { node: "p".to_string(), cold })
+fn cold(at: Ms) -> RecordEntry {
+    let cold =
+        WarmUpCapacity { capacity: 10.0, from: 0.3, warm_in: 10_000.0, fall_multiple: 2.0, window: 500.0 };
+    line(at, RecordedEvent::Started { node: "p".to_string(), cold })
 }
 
 #[test]
 fn each_rule_is_seen_kept_and_broken() {
-    let late = line(9_000.0, What::Released { request: 99 });
-    let source = |at: Ms, named: Asked| line(at, What::Asked { attempt: 1, asked: named });
+    let late = line(9_000.0, RecordedEvent::Released { request: 99 });
+    let source = |at: Ms, named: Asked| line(at, RecordedEvent::Asked { attempt: 1, asked: named });
     let router = Some(ROUTER.to_string());
     let by_source =
         Asked { at: "a".into(), source: Some("p".into()), router: router.clone(), ..Asked::default() };
     let by_way = Asked { at: "a".into(), via: vec!["p:h".into()], router, ..Asked::default() };
     let booking =
-        |more: Vec<Line>| [vec![requested(0.0, 1, true), asked(10.0, 1, "o", "id1")], more].concat();
+        |more: Vec<RecordEntry>| [vec![requested(0.0, 1, true), asked(10.0, 1, "o", "id1")], more].concat();
     let edges = [("a", "p"), ("p", "o")];
     // What is kept, what is broken, and how many breaches that makes.
-    let table: Vec<(Rule, Vec<Line>, Vec<Vec<Line>>)> = vec![
+    let table: Vec<(Rule, Vec<RecordEntry>, Vec<Vec<RecordEntry>>)> = vec![
         (
             Rule::OneAnswer,
             vec![requested(0.0, 1, false), answered(1_040.0, 1, 2, None), late.clone()],
@@ -91,7 +95,7 @@
                 vec![answered(20.0, 1, 1, None)],
                 vec![
                     requested(0.0, 1, false),
-                    line(10.0, What::Released { request: 1 }),
+                    line(10.0, RecordedEvent::Released { request: 1 }),
                     answered(20.0, 1, 1, None),
                 ],
             ],
@@ -130,11 +134,11 @@
             ],
             vec![
                 vec![listed(0.0, "p", Phase::Draining), source(310.0, by_source.clone())],
-                vec![listed(0.0, "p", Phase::Gone), source(310.0, by_way)],
-                vec![listed(0.0, "a", Phase::Gone), source(310.0, by_source.clone())],
+                vec![listed(0.0, "p", Phase::Removed), source(310.0, by_way)],
+                vec![listed(0.0, "a", Phase::Removed), source(310.0, by_source.clone())],
                 vec![
                     listed(0.0, "p", Phase::Draining),
-                    listed(200.0, "p", Phase::Gone),
+                    listed(200.0, "p", Phase::Removed),
                     source(310.0, by_source),
                 ],
             ],
@@ -144,7 +148,7 @@
             [vec![cold(0.0)], (0..3).map(|n| asked(f64::from(n), n as u64, "p", "x")).collect()].concat(),
             vec![
                 [vec![cold(0.0)], (0..4).map(|n| asked(f64::from(n), n as u64, "p", "x")).collect()].concat(),
-                vec![line(0.0, What::Fell { node: "p".to_string() })],
+                vec![line(0.0, RecordedEvent::Fell { node: "p".to_string() })],
             ],
         ),
         (
@@ -178,7 +182,7 @@
             Rule::NoOverlap,
             vec![
                 crossed("b", Some((1, 1)), &["a"]),
-                line(0.0, What::Proven { token: (1, 1) }),
+                line(0.0, RecordedEvent::Proven { token: (1, 1) }),
                 crossed("b", Some((1, 2)), &["a"]),
                 crossed("b", Some((1, 2)), &["a"]),
                 crossed("b", None, &["a"]),
@@ -191,7 +195,7 @@
             vec![vec![crossed("a", None, &["a", "b"])], vec![crossed("c", None, &["a", "a"])]],
         ),
     ];
-    let rules = Rules { going_over: 1_000.0, ..Rules::default() };
+    let rules = RuleBounds { going_over: 1_000.0, ..RuleBounds::default() };
     for (rule, kept, broken) in table {
         assert_eq!(judge(&kept, &rules), [], "{rule:?} is kept");
         for (n, record) in broken.iter().enumerate() {
@@ -204,7 +208,7 @@
 /// Only what is sent on by the router whose client left, later than it takes to hear of that, counts.
 #[test]
 fn a_request_that_is_sent_on_after_its_client_left_is_caught() {
-    let released = |at, request| line(at, What::Released { request });
+    let released = |at, request| line(at, RecordedEvent::Released { request });
     let kept = [
         requested(0.0, 1, false),
         asked(10.0, 1, "a", "id1"),
@@ -217,7 +221,7 @@
         released(60.0, 2),
         asked(900.0, 3, "b", "id2"),
     ];
-    let seen = leavers(&kept, &Rules::default());
+    let seen = disconnected_clients(&kept, &RuleBounds::default());
     assert_eq!((seen.cases, seen.sent_on.len(), seen.sent_on_late.len()), (1, 0, 0));
     // Late by the figure, and by the older one as well; a first attempt, and a further one.
     for (at, late) in [(251.0, 0), (449.0, 0), (460.0, 1)] {
@@ -225,7 +229,7 @@
         let further =
             [first[0].clone(), asked(10.0, 1, "a", "id1"), first[1].clone(), asked(at, 2, "b", "id1")];
         for broken in [&first[..], &further[..]] {
-            let seen = leavers(broken, &Rules::default());
+            let seen = disconnected_clients(broken, &RuleBounds::default());
             assert_eq!((seen.cases, seen.sent_on.len(), seen.sent_on_late.len()), (1, 1, late), "{at}");
             assert_eq!(seen.sent_on[0].rule, Rule::NoneLeft);
         }
--- a/crates/standins/tests/cold.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -1,28 +1,28 @@
 //! The account of cold starts: what is over N by chance, what is over the bound, and who it came from.
 
-use linnethook_standins::cold::{bound, sums};
-use linnethook_standins::record::{Asked, Cold, Line, Ms, Phase, What};
+use linnethook_testbed::cold_start::{bound, sums};
+use linnethook_testbed::recording::{Asked, Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
 
 /// It bears 20 x 0.25 x 3 x 3 s = 45 at first.
-const COLD: Cold =
-    Cold { capacity: 20.0, from: 0.25, warm_in: 15_000.0, fall_multiple: 3.0, window: 3_000.0 };
+const COLD: WarmUpCapacity =
+    WarmUpCapacity { capacity: 20.0, from: 0.25, warm_in: 15_000.0, fall_multiple: 3.0, window: 3_000.0 };
 
-fn started(at: Ms) -> Line {
-    Line { at, what: What::Started { node: "c".to_string(), cold: COLD } }
+fn started(at: Ms) -> RecordEntry {
+    RecordEntry { at, what: RecordedEvent::Started { node: "c".to_string(), cold: COLD } }
 }
 
-fn told(at: Ms, router: &str) -> Line {
+fn told(at: Ms, router: &str) -> RecordEntry {
     let (router, node) = (router.to_string(), "c".to_string());
-    Line { at, what: What::Listed { router, node, phase: Phase::Ready } }
+    RecordEntry { at, what: RecordedEvent::Listed { router, node, phase: Phase::Ready } }
 }
 
-fn asked(at: Ms, router: &str) -> Line {
+fn asked(at: Ms, router: &str) -> RecordEntry {
     let asked = Asked { at: "c".to_string(), router: Some(router.to_string()), ..Asked::default() };
-    Line { at, what: What::Asked { attempt: 1, asked } }
+    RecordEntry { at, what: RecordedEvent::Asked { attempt: 1, asked } }
 }
 
 /// So many requests at once after the start; every `n`th one is from a router that was told of it.
-fn record(count: u32, n: u32) -> Vec<Line> {
+fn record(count: u32, n: u32) -> Vec<RecordEntry> {
     let mut lines = vec![started(1_000.0), told(1_010.0, "told")];
     let from = |k: u32| if k.is_multiple_of(n) { "told" } else { "untold" };
     lines.extend((0..count).map(|k| asked(1_020.0, from(k))));
--- a/crates/standins/tests/twosites.rs
+++ b/crates/testbed/tests/two_sites.rs
@@ -1,11 +1,11 @@
 //! Two gateways in virtual time under seeded scripts of cuts, silences, restarts and lost stores: every rule is judged
 //! by what crossed the link and reached the stores.
 
-use linnethook_standins::checker::{judge, Breach, Rules};
-use linnethook_standins::twosites::{bad_day, Blow, Outcome, Play, World};
+use linnethook_testbed::checker::{judge, Breach, RuleBounds};
+use linnethook_testbed::two_sites::{bad_day, Outcome, Scenario, Simulation, SiteFault};
 
 fn breaches(out: &Outcome) -> Vec<Breach> {
-    judge(&out.lines, &Rules { slack: 5.0, ..Rules::default() })
+    judge(&out.lines, &RuleBounds { slack: 5.0, ..RuleBounds::default() })
 }
 
 #[test]
@@ -13,7 +13,7 @@
     let mut sum = [0u64; 4];
     for seed in 1..=12 {
         let script = bad_day(seed, 20_000.0, 20);
-        let out = World::new(Play { seed, length: 20_000.0, script, ..Play::default() }).run();
+        let out = Simulation::new(Scenario { seed, length: 20_000.0, script, ..Scenario::default() }).run();
         let found = breaches(&out);
         assert!(
             found.is_empty() && out.ran_twice.is_empty(),
@@ -34,9 +34,9 @@
 /// The same script twice gives the same record, to the byte.
 #[test]
 fn one_seed_is_one_run() {
-    let play = Play { length: 8_000.0, script: bad_day(3, 8_000.0, 8), ..Play::default() };
-    let one = World::new(play.clone()).run();
-    let other = World::new(play).run();
+    let play = Scenario { length: 8_000.0, script: bad_day(3, 8_000.0, 8), ..Scenario::default() };
+    let one = Simulation::new(play.clone()).run();
+    let other = Simulation::new(play).run();
     assert_eq!(one.lines, other.lines);
     assert!(one.lines.len() > 500);
 }
@@ -44,11 +44,11 @@
 /// A plain day without any blow: nothing crosses, and home serves all.
 #[test]
 fn home_serves_while_it_can() {
-    let out = World::new(Play { length: 5_000.0, ..Play::default() }).run();
+    let out = Simulation::new(Scenario { length: 5_000.0, ..Scenario::default() }).run();
     assert_eq!(out.opened.iter().map(Vec::len).sum::<usize>(), 0);
     assert_eq!((out.bookings.served, out.reads.served), (out.bookings.asked, out.reads.asked));
-    let script = vec![(100.0, Blow::Caches(0, false)), (100.0, Blow::Store(0, false))];
-    let out = World::new(Play { length: 25_000.0, script, ..Play::default() }).run();
+    let script = vec![(100.0, SiteFault::Caches(0, false)), (100.0, SiteFault::Store(0, false))];
+    let out = Simulation::new(Scenario { length: 25_000.0, script, ..Scenario::default() }).run();
     println!("{:?} {:?}", out.bookings, out.reads);
     assert!(out.reads.served * 10 > out.reads.asked * 8, "{:?}", out.reads);
     assert!(breaches(&out).is_empty());
@@ -57,9 +57,9 @@
 /// Answers that are longer than the other site takes: each is left by itself, the connection and all else on it go on.
 #[test]
 fn an_answer_that_is_too_long_ends_nothing_else() {
-    let script = vec![(1_000.0, Blow::Caches(0, false)), (1_000.0, Blow::Store(0, false))];
-    let play = Play { length: 15_000.0, sizes: (100_000, 400_000), script, ..Play::default() };
-    let outcome = World::new(play).run();
+    let script = vec![(1_000.0, SiteFault::Caches(0, false)), (1_000.0, SiteFault::Store(0, false))];
+    let play = Scenario { length: 15_000.0, sizes: (100_000, 400_000), script, ..Scenario::default() };
+    let outcome = Simulation::new(play).run();
     println!("{:?} {:?}, down at {:?}", outcome.reads, outcome.bookings, outcome.downs);
     assert!(outcome.downs.is_empty(), "the connection broke: {:?}", outcome.downs);
     assert!(outcome.reads.served > 100 && outcome.reads.refused > 20, "{:?}", outcome.reads);
