--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -170,7 +170,7 @@
 fn a_one_way_cut_takes_the_link_away_and_a_way_round_keeps_both_alive() {
     let mut rig = rig(3);
     rig.load_all().expect("load");
-    rig.one_way(1, 2);
+    rig.block_direction(1, 2);
     let links = |n: u64| move |shown: &serde_json::Value| shown["fellows"]["me"]["links"].as_u64() == Some(n);
     for n in [1, 2] {
         rig.until(n, "one link left", links(1)).expect("seen");
@@ -179,7 +179,7 @@
     for n in 0..3 {
         assert_eq!(alive(&rig.shown(n).expect("shown")), 2, "r{n} sees both");
     }
-    rig.one_way(0, 2);
+    rig.block_direction(0, 2);
     rig.until(0, "r2 is out of reach", |shown| stands(shown, 2, "Suspected")).expect("seen");
     rig.until(2, "and all others are for it", |shown| alive(shown) == 0).expect("seen");
     rig.mend_all();
--- a/crates/router/tests/places.rs
+++ b/crates/router/tests/places.rs
@@ -91,8 +91,8 @@
     rig.wake(0).expect("awake");
     rig.until(5, "r0 speaks again", |shown| north(shown, 0, 5)).expect("seen");
     // What it says to its site is lost: for the others of its site it is not there, whoever else hears it.
-    rig.one_way(0, 1);
-    rig.one_way(0, 2);
+    rig.block_direction(0, 1);
+    rig.block_direction(0, 2);
     rig.until(1, "r0 is out of reach", |shown| alive(shown) == 1).expect("seen");
     // Both speak, each for its part; the one that counts more goes on.
     rig.until(3, "r1 speaks for the site", |shown| told(shown, "south/z1/a", 1, 2)).expect("seen");
--- a/crates/testbed/src/aggregates.rs
+++ b/crates/testbed/src/aggregates.rs
@@ -117,7 +117,7 @@
         here.map(|(name, _)| *name).collect()
     }
 
-    fn way(&self, from: &str, to: &str) -> Option<LinkState> {
+    fn link_state(&self, from: &str, to: &str) -> Option<LinkState> {
         self.ways.get(&(from, to)).copied()
     }
 
@@ -141,7 +141,7 @@
         let mut reached = BTreeSet::from([from]);
         let mut open = vec![from];
         while let Some(at) = open.pop() {
-            let next = among.iter().filter(|to| self.way(at, to) == Some(LinkState::Open));
+            let next = among.iter().filter(|to| self.link_state(at, to) == Some(LinkState::Open));
             for to in next {
                 if reached.insert(to) {
                     open.push(to);
@@ -154,11 +154,9 @@
     fn reach(&self) -> Option<Vec<BTreeSet<&'a str>>> {
         let run: BTreeSet<&str> = self.up.iter().copied().filter(|name| self.runs(name)).collect();
         let both = |(from, to): &(&str, &str)| run.contains(from) && run.contains(to);
-        let even = self
-            .ways
-            .iter()
-            .filter(|(ends, _)| both(ends))
-            .all(|((from, to), way)| *way != LinkState::Uneven && self.way(to, from) == Some(*way));
+        let even = self.ways.iter().filter(|(ends, _)| both(ends)).all(|((from, to), state)| {
+            *state != LinkState::Uneven && self.link_state(to, from) == Some(*state)
+        });
         if !even {
             return None;
         }
@@ -204,7 +202,9 @@
             RecordedEvent::Woken { router } if self.paused.remove(router.as_str()) => {
                 self.changed(line.at, bounds.links + bounds.suspect + bounds.relied_on, rules);
             }
-            RecordedEvent::Linked { from, to, way } if self.ways.insert((from, to), *way) != Some(*way) => {
+            RecordedEvent::Linked { from, to, state }
+                if self.ways.insert((from, to), *state) != Some(*state) =>
+            {
                 self.changed(line.at, bounds.links + bounds.suspect + bounds.relied_on, rules);
             }
             RecordedEvent::Shape { version, .. } => self.newest = self.newest.max(*version),
@@ -235,11 +235,11 @@
         let RecordedEvent::Shown { router, since, fleet_size, places } = &line.what else { continue };
         let Some(own) = world.places.get(router.as_str()).copied() else { continue };
         let judge = Judge { rules, lives: &lives, world: &world, router, own, since: *since, at: line.at };
-        let mut wrong = judge.fleet_size(*fleet_size);
-        wrong.extend(places.iter().filter_map(|place| judge.place(place)));
-        wrong.extend(judge.missing(places));
+        let mut problems = judge.fleet_size(*fleet_size);
+        problems.extend(places.iter().filter_map(|place| judge.place(place)));
+        problems.extend(judge.missing(places));
         let breach = |what| Breach { at: line.at, rule: Rule::Aggregates, what: format!("{router} {what}") };
-        out.extend(wrong.into_iter().map(breach));
+        out.extend(problems.into_iter().map(breach));
         // A site whose count is the plain one has counted each that runs in it.
         for shown in places.iter().filter(|shown| shown.fresh) {
             let here = world.within(&shown.place);
@@ -367,8 +367,8 @@
         let AggregateBounds { suspect, by_level, moves, .. } = self.rules.aggregates;
         let long = suspect + self.world.levels() * (by_level + moves) + self.rules.slack;
         let here = self.world.within(place).into_iter().filter(|name| part.contains(name));
-        let acts = here.filter_map(|name| Some((self.acted_on(name, long)?, name.to_string())));
-        acts.min().map(|(version, name)| (name, version))
+        let acted = here.filter_map(|name| Some((self.acted_on(name, long)?, name.to_string())));
+        acted.min().map(|(version, name)| (name, version))
     }
 
     /// Whether a router acts on a version below the floor: by a fill after this answer, as versions only grow, or since
--- a/crates/testbed/src/bin/cold-start.rs
+++ b/crates/testbed/src/bin/cold-start.rs
@@ -102,9 +102,9 @@
 }
 
 fn main() -> Result<(), Failure> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let routers = words.first().map_or(Ok(20), |status| status.parse::<usize>())?.clamp(1, 30);
-    let program = router_program(words.get(1).map(Path::new))?;
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let routers = arguments.first().map_or(Ok(20), |status| status.parse::<usize>())?.clamp(1, 30);
+    let program = router_program(arguments.get(1).map(Path::new))?;
     if play(&program, routers)? {
         Ok(())
     } else {
--- a/crates/testbed/src/bin/cuts.rs
+++ b/crates/testbed/src/bin/cuts.rs
@@ -43,7 +43,7 @@
         let script = bad_day(seed, LENGTH, CUTS);
         cuts += script
             .iter()
-            .filter(|(_, blow)| matches!(blow, SiteFault::Cut | SiteFault::Silent { .. }))
+            .filter(|(_, fault)| matches!(fault, SiteFault::Cut | SiteFault::Silent { .. }))
             .count();
         let play = Scenario { seed, length: LENGTH, script, rules, carries: 5_000.0, ..Scenario::default() };
         let out: Outcome = Simulation::new(play).run();
@@ -90,20 +90,20 @@
         ("silent towards the asker", SiteFault::Silent { to: [true, false] }),
         ("silent towards the server", SiteFault::Silent { to: [false, true] }),
     ];
-    let (lost, back, gone) = (20_000.0, 23_000.0, 60_000.0);
-    for (name, blow) in kinds {
+    let (lost, back, ended) = (20_000.0, 23_000.0, 60_000.0);
+    for (name, fault) in kinds {
         let (mut known, mut again, mut peaks) = (Vec::new(), Vec::new(), Vec::new());
         for seed in 1..=seeds {
             let script = vec![
                 (100.0, SiteFault::Caches(0, false)),
                 (100.0, SiteFault::Store(0, false)),
-                (lost, blow),
+                (lost, fault),
                 (back, SiteFault::Mend),
             ];
             let (bookings, reads) = (20.0, 80.0);
             let play = Scenario {
                 seed,
-                length: gone,
+                length: ended,
                 script,
                 bookings,
                 reads,
--- a/crates/testbed/src/bin/drive.rs
+++ b/crates/testbed/src/bin/drive.rs
@@ -11,9 +11,9 @@
 use linnethook_testbed::process_cluster::{router_program, ProcessCluster};
 
 fn main() -> io::Result<()> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let program = router_program(words.first().map(Path::new))?;
-    let count = words.get(1).and_then(|count| count.parse().ok()).unwrap_or(5_000u32);
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let program = router_program(arguments.first().map(Path::new))?;
+    let count = arguments.get(1).and_then(|count| count.parse().ok()).unwrap_or(5_000u32);
     let mut fleet = ProcessCluster::two_hubs(program, 3, CacheServerConfig::new)?;
     let address = fleet.start_router("n0", None, |_| {})?;
     let mut client = Client::connect(address)?;
--- a/crates/testbed/src/bin/fleet-figures.rs
+++ b/crates/testbed/src/bin/fleet-figures.rs
@@ -98,9 +98,9 @@
         }
         thread::sleep(Duration::from_secs(8));
     }
-    let mut wrong = 0;
+    let mut error = 0;
     for n in 0..routers {
-        wrong += routers - 1 - alive(&rig.shown(n)?);
+        error += routers - 1 - alive(&rig.shown(n)?);
     }
     rig.mend_all();
     thread::sleep(Duration::from_secs(1));
@@ -112,7 +112,7 @@
     rig.end_loads();
     let breaches = rig.breaches(&[]).len();
     println!(
-        "| {routers} | {} | {} | {quiet:.0} | {wrong} | {breaches} |",
+        "| {routers} | {} | {} | {quiet:.0} | {error} | {breaches} |",
         quantiles(drains),
         quantiles(seen)
     );
@@ -153,10 +153,10 @@
 }
 
 fn main() -> Result<(), Failure> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let given = words.iter().find(|status| !status.starts_with("--"));
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let given = arguments.iter().find(|status| !status.starts_with("--"));
     let program = router_program(given.map(Path::new))?;
-    if words.iter().any(|status| status == "--cut") {
+    if arguments.iter().any(|status| status == "--cut") {
         return cut(&program);
     }
     println!("| routers | a drain known, of one journal: median 99% last | a killed one suspected | bytes a second while quiet | suspected while one is slow | breaches |");
--- a/crates/testbed/src/bin/hub-move.rs
+++ b/crates/testbed/src/bin/hub-move.rs
@@ -27,7 +27,7 @@
     settings: &'static str,
 }
 
-const WHOLE: Scale = Scale { before: 60, after: 120, rate: 600.0, objects: 20_000, settings: "" };
+const FULL_SCALE: Scale = Scale { before: 60, after: 120, rate: 600.0, objects: 20_000, settings: "" };
 const SHORT: Scale = Scale {
     before: 15,
     after: 20,
@@ -96,10 +96,11 @@
 }
 
 fn main() -> Result<(), Failure> {
-    let mut words: Vec<String> = std::env::args().skip(1).collect();
-    let short = words.iter().position(|status| status == "--short").map(|n| words.remove(n)).is_some();
-    let scale = if short { SHORT } else { WHOLE };
-    let program = router_program(words.first().map(Path::new))?;
+    let mut arguments: Vec<String> = std::env::args().skip(1).collect();
+    let short =
+        arguments.iter().position(|status| status == "--short").map(|n| arguments.remove(n)).is_some();
+    let scale = if short { SHORT } else { FULL_SCALE };
+    let program = router_program(arguments.first().map(Path::new))?;
     let variants =
         [("by stages", "staged = True, shielded = True"), ("plain flip", "staged = False, shielded = False")];
     println!("{scale:?}, begun at {:.0}", now());
--- a/crates/testbed/src/bin/link-speed.rs
+++ b/crates/testbed/src/bin/link-speed.rs
@@ -72,8 +72,8 @@
         match input.read(&mut block) {
             Ok(0) => return Ok(()),
             Ok(n) => gateway.receive(now(), 1, &block[..n]),
-            Err(wrong) if matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            Err(wrong) => return Err(wrong),
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
@@ -189,7 +189,7 @@
 }
 
 /// Bytes of memory that this process holds.
-fn held() -> f64 {
+fn cached() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
@@ -199,7 +199,7 @@
     use linnethook_gateway::codec::ForwardedRequest;
     use linnethook_gateway::session::{Session, SessionConfig};
     let mut sessions: Vec<Session> = (0..400).map(|_| Session::new(0.0, SessionConfig::default())).collect();
-    let before = held();
+    let before = cached();
     let mut into = BytesMut::new();
     for session in &mut sessions {
         for ticket in 0..250 {
@@ -218,7 +218,7 @@
         into.clear();
         session.take_output(1 << 20, &mut into);
     }
-    (held() - before) / (400.0 * 250.0)
+    (cached() - before) / (400.0 * 250.0)
 }
 
 fn main() -> io::Result<()> {
--- a/crates/testbed/src/bin/process-faults.rs
+++ b/crates/testbed/src/bin/process-faults.rs
@@ -24,11 +24,11 @@
 
 fn wanted() -> Result<Wanted, Failure> {
     let mut wanted = Wanted { seeds: 0..20, jobs: 4, steps: 14, program: None };
-    let mut words = std::env::args().skip(1);
+    let mut arguments = std::env::args().skip(1);
     let mut seen = false;
-    while let Some(status) = words.next() {
+    while let Some(status) = arguments.next() {
         let mut number =
-            || words.next().ok_or("a number is missing")?.parse::<usize>().map_err(Failure::from);
+            || arguments.next().ok_or("a number is missing")?.parse::<usize>().map_err(Failure::from);
         match status.as_str() {
             "--jobs" => wanted.jobs = number()?.max(1),
             "--steps" => wanted.steps = number()?,
@@ -53,7 +53,7 @@
     let plan = Plan { routers, at_once: 0, ..Plan::default() };
     let script = script(seed, routers, plan.caches, steps);
     let played = Harness::start(program, plan)
-        .map_err(|wrong| wrong.to_string())
+        .map_err(|error| error.to_string())
         .and_then(|mut rig| rig.play(&script));
     (script, played)
 }
--- a/crates/testbed/src/bin/starts.rs
+++ b/crates/testbed/src/bin/starts.rs
@@ -35,8 +35,8 @@
 
 fn play(program: &Path, extended: bool, killed: usize) -> Result<(), Failure> {
     let mut fleet = ProcessCluster::two_hubs(program, 3, server_config)?;
-    let extended_word = if extended { "True" } else { "False" };
-    let settings = format!("extended = {extended_word}, announce = 1, warm = 8, settle = 4");
+    let extended_status = if extended { "True" } else { "False" };
+    let settings = format!("extended = {extended_status}, announce = 1, warm = 8, settle = 4");
     let operator = operator_file(3, "south", &settings);
     for router in ROUTERS {
         fleet.start_router(router, Some(&operator), |_| {})?;
--- a/crates/testbed/src/bin/two-sites.rs
+++ b/crates/testbed/src/bin/two-sites.rs
@@ -32,8 +32,8 @@
 }
 
 fn main() -> Result<(), Failure> {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let program = router_program(words.first().map(Path::new))?;
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let program = router_program(arguments.first().map(Path::new))?;
     let mut sites = TwoSites::start(&program, "", CacheServerConfig::new)?;
     sites.until_up()?;
     let load = Load { rate: 150.0, bookings: 0.2, clients: 8, ..Load::default() };
--- a/crates/testbed/src/cache_server.rs
+++ b/crates/testbed/src/cache_server.rs
@@ -320,8 +320,8 @@
         if passed.as_ref().is_some_and(|passed| passed.version < self.lock().floor) {
             // What is held would do; a fill on a shape that is gone would not.
             let oldest = f64::INFINITY;
-            let held = self.held(&key, oldest);
-            return held.map_or_else(
+            let cached = self.cached_copy(&key, oldest);
+            return cached.map_or_else(
                 || Found::without("absent", "NO_FILL"),
                 |copy| Found {
                     status: "data",
@@ -345,7 +345,7 @@
         let oldest = text("accept").and_then(|age| age.parse::<Ms>().ok()).filter(|age| *age > 0.0);
         let oldest = oldest.or((fresh > 0.0).then_some(fresh)).unwrap_or(f64::INFINITY);
         thread::sleep(self.server_config.latency);
-        if let Some(copy) = self.held(&key, oldest) {
+        if let Some(copy) = self.cached_copy(&key, oldest) {
             let stale = fresh > 0.0 && now() - copy.dated > fresh;
             let res = if stale { "STALE" } else { "HIT" };
             return Found {
@@ -358,8 +358,8 @@
         }
         let cached_only = hints(ask).any(|hint| hint == "h");
         // A cache is told its source; a parent goes on by the way that it is told, or by its own idea.
-        let told = self.server_config.kind == ServerRole::Cache;
-        let hops: Vec<String> = match (told, text("parent"), text("via")) {
+        let source_is_given = self.server_config.kind == ServerRole::Cache;
+        let hops: Vec<String> = match (source_is_given, text("parent"), text("via")) {
             (true, None, _) => return Found::without("absent", "NO_FILL"),
             (true, Some(source), _) => {
                 vec![if cached_only { format!("{source}:h") } else { source.to_string() }]
@@ -369,7 +369,7 @@
             (false, ..) => self.lock().upstream.first().cloned().into_iter().collect(),
         };
         if !self.begin(&key) {
-            return match self.held(&key, oldest) {
+            return match self.cached_copy(&key, oldest) {
                 Some(copy) => Found {
                     status: "data",
                     res: "COLLAPSED".into(),
@@ -380,14 +380,14 @@
                 None => Found::without("full", "NO_FILL"),
             };
         }
-        let found = self.fill(ask, &key, &hops, passed.as_ref(), oldest, told);
+        let found = self.fill(ask, &key, &hops, passed.as_ref(), oldest, source_is_given);
         self.lock().filling.remove(&key);
         self.filled.notify_all();
         found
     }
 
     /// The copy, if it is young enough.
-    fn held(&self, key: &Key, oldest: Ms) -> Option<Copy> {
+    fn cached_copy(&self, key: &Key, oldest: Ms) -> Option<Copy> {
         let mut state = self.lock();
         state.uses += 1;
         let uses = state.uses;
@@ -434,11 +434,12 @@
         hops: &[String],
         passed: Option<&FillPath>,
         oldest: Ms,
-        told: bool,
+        source_is_given: bool,
     ) -> Found {
         let mut last = Found::without("absent", "NO_FILL");
         for (n, hop) in hops.iter().enumerate() {
-            let (name, held) = hop.strip_suffix(":h").map_or((hop.as_str(), false), |name| (name, true));
+            let (name, cached_copy) =
+                hop.strip_suffix(":h").map_or((hop.as_str(), false), |name| (name, true));
             let mut fields = vec![
                 format!("kind={}", asked.fields.get("kind").map_or("", String::as_str)),
                 format!("obj={}", key.0),
@@ -447,21 +448,23 @@
             if oldest.is_finite() {
                 fields.push(format!("accept={}", oldest.floor().max(1.0)));
             }
-            if held {
+            if cached_copy {
                 fields.push("hints=h".to_string());
             }
             match passed {
                 Some(passed) => fields.push(format!("passed={passed}")),
                 // By its own idea, where nobody told it a way.
-                None if !told => fields.push(format!("passed={}:{}", self.lock().version, self.name)),
+                None if !source_is_given => {
+                    fields.push(format!("passed={}:{}", self.lock().version, self.name))
+                }
                 None => {}
             }
             // The first source gets the way on that a cache was told; a parent hands on what is left of it.
-            let via = match told {
+            let via = match source_is_given {
                 true => asked.fields.get("via").cloned(),
                 false => Some(hops[n + 1..].join("+")).filter(|via| !via.is_empty()),
             };
-            let via = via.filter(|_| !held || told);
+            let via = via.filter(|_| !cached_copy || source_is_given);
             fields.extend(via.map(|via| format!("via={via}")));
             let Some(address) = self.directory.find(name) else {
                 last = Found::without("full", "UP_DOWN");
@@ -486,7 +489,7 @@
                 Ok(_) => last = Found::without("failed", "ORIGIN_ERR"),
                 Err(_) => last = Found::without("full", "UP_DOWN"),
             }
-            if !held {
+            if !cached_copy {
                 break;
             }
         }
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker.rs
@@ -104,8 +104,8 @@
 }
 
 /// How long a router may take to hear that a client has left, and how long it might by the older figure.
-const HEARD_OF: Ms = 100.0;
-const HEARD_OF_LATE: Ms = 300.0;
+const DISCONNECT_NOTICE: Ms = 100.0;
+const EARLIER_DISCONNECT_NOTICE: Ms = 300.0;
 
 /// What became of requests whose clients left. Not a pass of `judge`: it is a share that is asked for.
 pub fn disconnected_clients(lines: &[RecordEntry], rules: &RuleBounds) -> DisconnectedClients {
@@ -128,11 +128,12 @@
                 let Some(router) = asked.router.as_deref() else { continue };
                 let Some(since) = left.get(&(router, asked.id.as_str())) else { continue };
                 let late = line.at - since;
-                if late > HEARD_OF + rules.slack {
+                if late > DISCONNECT_NOTICE + rules.slack {
                     let what =
                         format!("{} sent to {} {late:.0} ms after its client left", asked.id, asked.at);
                     let breach = Breach { at: line.at, rule: Rule::NoneLeft, what };
-                    out.sent_on_late.extend((late > HEARD_OF_LATE + rules.slack).then(|| breach.clone()));
+                    out.sent_on_late
+                        .extend((late > EARLIER_DISCONNECT_NOTICE + rules.slack).then(|| breach.clone()));
                     out.sent_on.push(breach);
                 }
             }
@@ -382,11 +383,11 @@
 fn purges(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
     let mut asked = BTreeMap::<u64, (&str, u32, &str, Ms)>::new();
-    let mut told = Vec::<(&str, Option<&str>, Option<u32>, Ms, Ms)>::new();
+    let mut notices = Vec::<(&str, Option<&str>, Option<u32>, Ms, Ms)>::new();
     for line in lines {
         match &line.what {
             RecordedEvent::Purged { router, object, group, stamp } => {
-                told.push((router, object.as_deref(), *group, *stamp, line.at));
+                notices.push((router, object.as_deref(), *group, *stamp, line.at));
             }
             RecordedEvent::Requested { request, object, group, router, .. } => {
                 asked.insert(*request, (object, *group, router, line.at));
@@ -397,7 +398,7 @@
                     by == router && (o.is_some_and(|o| o == *object) || g.is_some_and(|g| g == *group))
                 };
                 // An attempt that was made within the grace may still bring the old copy.
-                for (_, _, _, stamp, at) in told.iter().filter(meant) {
+                for (_, _, _, stamp, at) in notices.iter().filter(meant) {
                     let bound = at + rules.purge_grace + rules.slack;
                     if *since > bound && dated < stamp {
                         let what =
--- a/crates/testbed/src/cold_start.rs
+++ b/crates/testbed/src/cold_start.rs
@@ -34,48 +34,49 @@
 struct Start {
     at: Ms,
     cold: WarmUpCapacity,
-    told: BTreeMap<String, Ms>,
+    notified: BTreeMap<String, Ms>,
     window: VecDeque<(Ms, bool)>,
     sum: ColdStartLoad,
 }
 
 /// The account of each start in the record. Routers that are not told of one within `deemed` count as told then.
 pub fn sums(lines: &[RecordEntry], deemed: Ms) -> Vec<ColdStartLoad> {
-    let mut under_way = BTreeMap::<&str, Start>::new();
+    let mut running_starts = BTreeMap::<&str, Start>::new();
     let mut out = Vec::new();
     for line in lines {
         match &line.what {
             RecordedEvent::Started { node, cold } => {
                 let sum = ColdStartLoad { node: node.clone(), ..ColdStartLoad::default() };
-                let (told, window) = (BTreeMap::new(), VecDeque::new());
-                let start = Start { at: line.at, cold: *cold, told, window, sum };
-                out.extend(under_way.insert(node, start).map(|start| start.sum));
+                let (notified, window) = (BTreeMap::new(), VecDeque::new());
+                let start = Start { at: line.at, cold: *cold, notified, window, sum };
+                out.extend(running_starts.insert(node, start).map(|start| start.sum));
             }
             RecordedEvent::Listed { router, node, phase: Phase::Ready } => {
-                if let Some(start) = under_way.get_mut(node.as_str()) {
-                    start.told.entry(router.clone()).or_insert(line.at);
+                if let Some(start) = running_starts.get_mut(node.as_str()) {
+                    start.notified.entry(router.clone()).or_insert(line.at);
                 }
             }
             RecordedEvent::Asked { asked, .. } => {
-                if let Some(start) = under_way.get_mut(asked.at.as_str()) {
-                    let told = asked.router.as_ref().is_none_or(|router| start.told.contains_key(router));
-                    start.count(line.at, told || line.at - start.at > deemed);
+                if let Some(start) = running_starts.get_mut(asked.at.as_str()) {
+                    let notified =
+                        asked.router.as_ref().is_none_or(|router| start.notified.contains_key(router));
+                    start.count(line.at, notified || line.at - start.at > deemed);
                 }
             }
             _ => {}
         }
     }
-    out.extend(under_way.into_values().map(|start| start.sum));
+    out.extend(running_starts.into_values().map(|start| start.sum));
     out
 }
 
 impl Start {
-    fn count(&mut self, at: Ms, told: bool) {
+    fn count(&mut self, at: Ms, notified: bool) {
         let age = at - self.at;
         if age > self.cold.warm_in || self.cold.fall_multiple <= 0.0 {
             return;
         }
-        self.window.push_back((at, told));
+        self.window.push_back((at, notified));
         while self.window.front().is_some_and(|(first, _)| at - first > self.cold.window) {
             self.window.pop_front();
         }
@@ -88,8 +89,8 @@
         sum.over_budget += u32::from(count > budget);
         if part > 1.0 {
             sum.over += 1;
-            let told = self.window.iter().filter(|(_, told)| *told).count() as f64;
-            sum.broken |= sum.over == 1 && told > count * 2.0 / 3.0;
+            let notified = self.window.iter().filter(|(_, notified)| *notified).count() as f64;
+            sum.broken |= sum.over == 1 && notified > count * 2.0 / 3.0;
         }
         if part > sum.worst {
             (sum.worst, sum.budget) = (part, budget);
--- a/crates/testbed/src/fault_proxy.rs
+++ b/crates/testbed/src/fault_proxy.rs
@@ -208,7 +208,7 @@
 }
 
 /// Bytes that are held between the ends at the most.
-const HELD: usize = 512 << 10;
+const MAX_BUFFERED_BYTES: usize = 512 << 10;
 
 fn pump(
     direction: usize,
@@ -219,19 +219,19 @@
     mut watch: Watch,
 ) {
     let mut block = vec![0; 64 << 10];
-    let mut held = VecDeque::<(Instant, Vec<u8>)>::new();
+    let mut buffered = VecDeque::<(Instant, Vec<u8>)>::new();
     let (mut bytes, mut ended) = (0, false);
     let mut free = Instant::now();
     while !over.load(Ordering::Acquire) {
         let conditions = lock(state).conditions[direction];
-        if bytes < HELD && !ended && !conditions.silent {
+        if bytes < MAX_BUFFERED_BYTES && !ended && !conditions.silent {
             match from.read(&mut block) {
                 Ok(0) => ended = true,
                 Ok(n) => {
                     bytes += n;
-                    held.push_back((Instant::now() + conditions.delay, block[..n].to_vec()));
+                    buffered.push_back((Instant::now() + conditions.delay, block[..n].to_vec()));
                 }
-                Err(wrong) if matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
                 Err(_) => ended = true,
             }
         } else {
@@ -241,10 +241,10 @@
         let conditions = lock(state).conditions[direction];
         let at = Instant::now();
         while !conditions.silent
-            && held.front().is_some_and(|(due, _)| *due <= at)
+            && buffered.front().is_some_and(|(due, _)| *due <= at)
             && (conditions.rate <= 0.0 || free <= at)
         {
-            let Some((_, mut chunk)) = held.pop_front() else { break };
+            let Some((_, mut chunk)) = buffered.pop_front() else { break };
             bytes -= chunk.len();
             let cut = {
                 let mut state = lock(state);
@@ -270,7 +270,7 @@
             }
             if to.write_all(&chunk).is_err() {
                 ended = true;
-                held.clear();
+                buffered.clear();
             }
             if cut {
                 reset(&mut lock(state));
@@ -278,7 +278,7 @@
             }
         }
         // An end is passed on too, once all before it has been; over a silent link it is not.
-        if ended && held.is_empty() && !conditions.silent {
+        if ended && buffered.is_empty() && !conditions.silent {
             break;
         }
     }
@@ -390,11 +390,11 @@
     }
 
     /// A command to the gateway of a side.
-    pub fn gateway(&self, router: &str, words: &[&str]) -> io::Result<(bool, String)> {
+    pub fn gateway(&self, router: &str, arguments: &[&str]) -> io::Result<(bool, String)> {
         let fleet = self.fleet(router);
         let socket = fleet.socket(router).display().to_string();
-        let words = [&["gateway"], words, &["--socket", &socket]].concat();
-        let output = fleet.command(&words)?;
+        let arguments = [&["gateway"], arguments, &["--socket", &socket]].concat();
+        let output = fleet.command(&arguments)?;
         let text = if output.status.success() { output.stdout } else { output.stderr };
         Ok((output.status.success(), String::from_utf8_lossy(&text).into_owned()))
     }
--- a/crates/testbed/src/harness.rs
+++ b/crates/testbed/src/harness.rs
@@ -352,9 +352,9 @@
     }
 
     /// For the record: what becomes of what each of two says to the other.
-    fn linked(&self, a: usize, b: usize, ways: [LinkState; 2]) {
-        for ((from, to), way) in [(a, b), (b, a)].into_iter().zip(ways) {
-            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), way });
+    fn linked(&self, a: usize, b: usize, states: [LinkState; 2]) {
+        for ((from, to), state) in [(a, b), (b, a)].into_iter().zip(states) {
+            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), state });
         }
     }
 
@@ -376,13 +376,13 @@
     fn conditions(&self, from: usize, to: usize, conditions: LinkConditions) {
         if let Some((proxy, direction)) = self.proxy(from, to) {
             proxy.conditions(direction, conditions);
-            let way = if conditions.silent { LinkState::Closed } else { LinkState::Uneven };
-            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), way });
+            let state = if conditions.silent { LinkState::Closed } else { LinkState::Uneven };
+            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), state });
         }
     }
 
     /// Nothing passes from the one to the other any more; what comes back does.
-    pub fn one_way(&self, from: usize, to: usize) {
+    pub fn block_direction(&self, from: usize, to: usize) {
         self.conditions(from, to, LinkConditions { silent: true, ..LinkConditions::default() });
     }
 
@@ -545,9 +545,9 @@
         };
         let seen = self.fleet.until(&name(n), &["fleet", "show"], &format!("r{n}: {what}"), noted);
         // What the record has to say of it.
-        seen.map_err(|wrong| match self.check(&[]) {
-            Ok(()) => wrong,
-            Err(broken) => io::Error::new(wrong.kind(), format!("{wrong}\n{broken}")),
+        seen.map_err(|error| match self.check(&[]) {
+            Ok(()) => error,
+            Err(broken) => io::Error::new(error.kind(), format!("{error}\n{broken}")),
         })
     }
 
@@ -637,12 +637,12 @@
     pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), String> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
-        let mut told = BTreeSet::<(String, String)>::new();
+        let mut recorded = BTreeSet::<(String, String)>::new();
         let mut open = Vec::new();
         let known_from = accounts.earliest_known();
         for (router, _, _, span) in accounts.spans() {
             for booking in &span.write_attempts {
-                told.insert((router.to_string(), booking.request_id.clone()));
+                recorded.insert((router.to_string(), booking.request_id.clone()));
                 // Turned back, cancelled or broken off it may never have got there.
                 let mut ends = accounts
                     .attempts_of_request(&booking.request_id)
@@ -673,7 +673,7 @@
             };
             // Killed before anybody that still runs heard of its start: nothing is known of it, and that is said.
             let before = known_from.get(router).is_none_or(|from| line.at <= from.ms as f64 + 50.0);
-            let known = before || told.contains(&(router.to_string(), asked.id.clone()));
+            let known = before || recorded.contains(&(router.to_string(), asked.id.clone()));
             if !known && !accounts.findings.iter().any(in_gap) {
                 return Err(format!(
                     "{router}'s booking {} at {:.0} is in no account and no gap",
@@ -758,7 +758,7 @@
     Freeze(usize),
     Wake(usize),
     Cut(usize, usize),
-    OneWay(usize, usize),
+    BlockDirection(usize, usize),
     Slow(usize, usize),
     Delay(usize, usize),
     Lose(usize, usize),
@@ -795,7 +795,7 @@
             1 if frozen[a] => Step::Wake(a),
             1 if !down[a] => Step::Freeze(a),
             2 => Step::Cut(a, b),
-            3 => Step::OneWay(a, b),
+            3 => Step::BlockDirection(a, b),
             4 => Step::Mend(a, b),
             5 => Step::Slow(a, b),
             6 => Step::Delay(a, b),
@@ -849,7 +849,7 @@
             Step::Freeze(n) => self.freeze(n)?,
             Step::Wake(n) => self.wake(n)?,
             Step::Cut(a, b) => self.cut(a, b),
-            Step::OneWay(a, b) => self.one_way(a, b),
+            Step::BlockDirection(a, b) => self.block_direction(a, b),
             Step::Slow(a, b) => self.slow(a, b, 2_000.0),
             Step::Delay(a, b) => self.delay(a, b, Duration::from_millis(150)),
             Step::Lose(a, b) => self.corrupt(a, b, Corruption::Lost),
@@ -859,8 +859,8 @@
             Step::Batch(n, cache) => _ = self.move_cache(n, cache),
             Step::Drain(cache, high) => {
                 let half = self.plan.routers / 2;
-                let told: Vec<usize> = (0..self.plan.routers).filter(|n| (*n >= half) == high).collect();
-                self.tell(&format!("cache-{cache}"), Phase::Draining, &told)?;
+                let notified: Vec<usize> = (0..self.plan.routers).filter(|n| (*n >= half) == high).collect();
+                self.tell(&format!("cache-{cache}"), Phase::Draining, &notified)?;
                 *drained = Some(cache);
             }
             Step::Back(cache) => {
@@ -875,36 +875,36 @@
     /// Plays a script under load, ends all its faults, and waits until all are of one mind. A cache that is drained
     /// then by some journals only must have been left alone by all.
     pub fn play(&mut self, script: &Script) -> Result<Played, String> {
-        let told = |wrong: io::Error| wrong.to_string();
-        self.load_all().map_err(told)?;
+        let io_text = |error: io::Error| error.to_string();
+        self.load_all().map_err(io_text)?;
         let mut drained = None;
         for (pause, step) in script {
             thread::sleep(Duration::from_millis(*pause));
-            self.step(*step, &mut drained).map_err(|wrong| format!("{step:?}: {wrong}"))?;
+            self.step(*step, &mut drained).map_err(|error| format!("{step:?}: {error}"))?;
         }
         self.mend_all();
         for n in 0..self.plan.routers {
             match self.is_up(n) {
-                true => self.wake(n).map_err(told)?,
+                true => self.wake(n).map_err(io_text)?,
                 false => {
-                    self.start_again(n).map_err(told)?;
-                    self.load(n).map_err(told)?;
+                    self.start_again(n).map_err(io_text)?;
+                    self.load(n).map_err(io_text)?;
                 }
             }
         }
         let begun = Instant::now();
-        self.settle().map_err(told)?;
+        self.settle().map_err(io_text)?;
         let settled_in = begun.elapsed();
         if let Some(cache) = drained {
             let cache = format!("cache-{cache}");
             let silent: Vec<usize> =
                 (0..self.plan.routers).filter(|n| self.bytes_received[*n] < self.events.len()).collect();
             for n in silent {
-                let by_fellows = |shown: &Value| {
+                let by_gossip = |shown: &Value| {
                     let barred = shown["barred"].as_array();
                     barred.is_some_and(|all| all.iter().any(|line| line[0] == cache.as_str()))
                 };
-                self.until(n, "the drain is heard from fellows", by_fellows).map_err(told)?;
+                self.until(n, "the drain is heard from fellows", by_gossip).map_err(io_text)?;
                 // From now on it counts as told.
                 let (router, node, phase) = (name(n), cache.clone(), Phase::Draining);
                 self.fleet.record.note(RecordedEvent::Listed { router, node, phase });
@@ -913,7 +913,7 @@
         thread::sleep(Duration::from_millis(700));
         let mut played = Played { settled_in, ..Played::default() };
         for n in 0..self.plan.routers {
-            let shown = self.shown(n).map_err(told)?;
+            let shown = self.shown(n).map_err(io_text)?;
             played.drains += shown["drains"].as_u64().unwrap_or(0);
             played.batches += shown["batches"].as_u64().unwrap_or(0);
         }
@@ -925,11 +925,11 @@
             played.refused += sum(&ends.refused);
             played.failed += sum(&ends.failed);
         }
-        let accounts = self.accounts().map_err(told)?;
+        let accounts = self.accounts().map_err(io_text)?;
         self.accounted(&accounts)?;
-        if let Some(wrong) = accounts.findings.iter().find(|finding| !matches!(finding, Finding::Gap { .. }))
+        if let Some(error) = accounts.findings.iter().find(|finding| !matches!(finding, Finding::Gap { .. }))
         {
-            return Err(format!("the accounts do not hold together: {wrong:?}"));
+            return Err(format!("the accounts do not hold together: {error:?}"));
         }
         // Halves that change the hierarchy apart from each other have versions that no record can tell apart.
         self.check(&[Rule::NoStrangeEdge])?;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -128,7 +128,7 @@
             ends: ends.clone(),
             since,
             open: Arc::default(),
-            gone: Arc::default(),
+            disconnected: Arc::default(),
         };
         let client = Client::connect(address)?;
         let reading = Client { stream: client.stream.try_clone()? };
@@ -153,7 +153,7 @@
     since: Ms,
     open: Arc<Mutex<Open>>,
     /// The router has gone: nothing that is asked of it is owed.
-    gone: Arc<AtomicBool>,
+    disconnected: Arc<AtomicBool>,
 }
 
 /// A client has at most that many requests open; beyond it the next one is not asked at all.
@@ -219,7 +219,7 @@
             router: self.router.clone(),
         });
         let asked = client.ask(stream, &fields, b"");
-        if self.gone.load(Ordering::Acquire) {
+        if self.disconnected.load(Ordering::Acquire) {
             self.record.note(RecordedEvent::Released { request });
             return Err(io::ErrorKind::BrokenPipe.into());
         }
@@ -251,7 +251,7 @@
                     LoadResults::count(list, second);
                 }
                 Ok(_) => {}
-                Err(wrong) if matches!(wrong.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
+                Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
                     idle += 1;
                     let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
                     let late = open.values().all(|(_, deadline, _)| now() > deadline + 500.0);
@@ -260,7 +260,7 @@
                     }
                 }
                 Err(_) => {
-                    self.gone.store(true, Ordering::Release);
+                    self.disconnected.store(true, Ordering::Release);
                     for (request, ..) in self.open.lock().unwrap_or_else(PoisonError::into_inner).values() {
                         self.record.note(RecordedEvent::Released { request: *request });
                     }
--- a/crates/testbed/src/process_cluster.rs
+++ b/crates/testbed/src/process_cluster.rs
@@ -155,15 +155,15 @@
             fleet.attempts = other.attempts.clone();
         }
         let origin = format!("{site}-origin");
-        let made = |kind| {
+        let server_config = |kind| {
             let server_config = server_config(kind);
             let upstream = if kind == ServerRole::Origin { Vec::new() } else { vec![origin.clone()] };
             CacheServerConfig { upstream, ..server_config }
         };
-        fleet.add(&origin, "hub", 20.0, made(ServerRole::Origin))?;
-        fleet.add(&format!("{site}-parent"), "hub", 30.0, made(ServerRole::Parent))?;
+        fleet.add(&origin, "hub", 20.0, server_config(ServerRole::Origin))?;
+        fleet.add(&format!("{site}-parent"), "hub", 30.0, server_config(ServerRole::Parent))?;
         for n in 0..caches {
-            fleet.add(&format!("{site}-cache-{n}"), "shop", 8.0, made(ServerRole::Cache))?;
+            fleet.add(&format!("{site}-cache-{n}"), "shop", 8.0, server_config(ServerRole::Cache))?;
         }
         Ok(fleet)
     }
@@ -341,14 +341,14 @@
     }
 
     /// Runs a command of the program.
-    pub fn command(&self, words: &[&str]) -> io::Result<Output> {
-        Command::new(&self.program).args(words).stdin(Stdio::null()).output()
+    pub fn command(&self, arguments: &[&str]) -> io::Result<Output> {
+        Command::new(&self.program).args(arguments).stdin(Stdio::null()).output()
     }
 
     /// What a command says of a router, as JSON.
-    pub fn asked(&self, router: &str, words: &[&str]) -> io::Result<Value> {
+    pub fn asked(&self, router: &str, arguments: &[&str]) -> io::Result<Value> {
         let socket = self.socket(router).display().to_string();
-        let output = self.command(&[words, &["--socket", &socket, "--format", "json"]].concat())?;
+        let output = self.command(&[arguments, &["--socket", &socket, "--format", "json"]].concat())?;
         match output.status.success() {
             true => Ok(serde_json::from_slice(&output.stdout)?),
             false => Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned())),
@@ -359,18 +359,18 @@
     pub fn until(
         &self,
         router: &str,
-        words: &[&str],
+        arguments: &[&str],
         what: &str,
         fits: impl Fn(&Value) -> bool,
     ) -> io::Result<Value> {
         let end = Instant::now() + PATIENCE;
         loop {
-            let bytes_sent = self.asked(router, words)?;
-            if fits(&bytes_sent) {
-                return Ok(bytes_sent);
+            let shown = self.asked(router, arguments)?;
+            if fits(&shown) {
+                return Ok(shown);
             }
             if Instant::now() > end {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what}: {bytes_sent}")));
+                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what}: {shown}")));
             }
             thread::sleep(Duration::from_millis(20));
         }
@@ -484,8 +484,8 @@
 }
 
 /// The address behind some words of a line: as text it ends the line; in a JSON object more follows.
-fn address_after(line: &str, words: &str) -> Option<SocketAddr> {
-    let rest = line.split(words).nth(1)?;
+fn address_after(line: &str, marker: &str) -> Option<SocketAddr> {
+    let rest = line.split(marker).nth(1)?;
     let end = rest.find(|c: char| !(c.is_ascii_digit() || c == '.' || c == ':')).unwrap_or(rest.len());
     rest[..end].parse().ok()
 }
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -140,7 +140,8 @@
     Linked {
         from: String,
         to: String,
-        way: LinkState,
+        #[serde(rename = "way")]
+        state: LinkState,
     },
     /// Nobody is to act on an older version from now on, wherever it was said first, nor stay below it for longer than
     /// that.
--- a/crates/testbed/src/scale/journal.rs
+++ b/crates/testbed/src/scale/journal.rs
@@ -242,7 +242,8 @@
     meter.bytes_sent += bytes as u64;
     meter.first.get_or_insert(at);
     let new = events.get(meter.reached..tail.min(events.len())).unwrap_or_default();
-    let delays = new.iter().map(|(_, told)| at.saturating_duration_since(*told).as_secs_f64() * 1_000.0);
+    let delays =
+        new.iter().map(|(_, published)| at.saturating_duration_since(*published).as_secs_f64() * 1_000.0);
     meter.delays.extend(delays);
     meter.reached = meter.reached.max(tail);
 }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -144,7 +144,7 @@
     let processes = plan.real + plan.hollow.div_ceil(plan.hollow_per_process.max(1));
     let rates = [plan.purges_per_s, plan.changes_per_s, plan.restarts_per_s];
     let needs_hollow = matches!(plan.fault, Some(Fault::Rack | Fault::ZoneStart | Fault::ZoneCut));
-    let wrong = [
+    let problems = [
         (!(2..=ROUTERS).contains(&routers), format!("expected 2 to {ROUTERS} routers, got {routers}")),
         (processes > PROCESSES, format!("expected up to {PROCESSES} processes, got {processes}")),
         (
@@ -164,7 +164,7 @@
         (plan.places && plan.fault.is_some(), "faults are played where all tell all".to_string()),
         (plan.restarts_per_s > 0.0 && plan.real < 2, "restarts need two real routers".to_string()),
     ];
-    match wrong.into_iter().find(|(is, _)| *is) {
+    match problems.into_iter().find(|(is, _)| *is) {
         Some((_, why)) => Err(why.into()),
         None => Ok(()),
     }
@@ -184,7 +184,7 @@
     disturbed: Vec<usize>,
     /// Seconds until those asked noticed a fault, and until they saw all again after its end.
     noticed: Vec<(usize, f64)>,
-    fleet_size: Vec<(usize, f64)>,
+    recovered: Vec<(usize, f64)>,
     /// When they were asked last.
     asked: Option<Instant>,
     /// Seconds of the processor that the routers had taken by then.
@@ -233,7 +233,7 @@
             starts: Vec::new(),
             disturbed: Vec::new(),
             noticed: Vec::new(),
-            fleet_size: Vec::new(),
+            recovered: Vec::new(),
             asked: None,
             spent: None,
         };
@@ -467,9 +467,9 @@
     fn notices(&self, fault: Fault, ended: bool) -> bool {
         match fault {
             Fault::Rack => self.noticed.is_empty(),
-            Fault::ZoneStart => self.fleet_size.is_empty(),
+            Fault::ZoneStart => self.recovered.is_empty(),
             Fault::ZoneCut | Fault::RegionsApart => {
-                self.fleet_size.is_empty() && !(ended && self.noticed.is_empty())
+                self.recovered.is_empty() && !(ended && self.noticed.is_empty())
             }
             Fault::ControlKilled | Fault::SlowMember => false,
         }
@@ -516,22 +516,22 @@
         };
         let back = seen.iter().all(|(.., alive)| *alive == others);
         if let Some(mended) = mended.filter(|_| back) {
-            self.fleet_size = seen.iter().map(since(mended)).collect();
+            self.recovered = seen.iter().map(since(mended)).collect();
         }
         Ok(())
     }
 
     /// What a command says to a router, as JSON.
-    fn command(&self, router: usize, words: &[&str]) -> Result<Value, Failure> {
+    fn command(&self, router: usize, arguments: &[&str]) -> Result<Value, Failure> {
         let socket = self.places.socket(router);
         let mut command = Command::new(&self.plan.program);
-        command.args(words).arg("--socket").arg(socket).args(["--format", "json"]).stdin(Stdio::null());
+        command.args(arguments).arg("--socket").arg(socket).args(["--format", "json"]).stdin(Stdio::null());
         let output = command.output()?;
         match output.status.success() {
             true => Ok(serde_json::from_slice(&output.stdout).unwrap_or(Value::Null)),
             false => {
-                let bytes_sent = String::from_utf8_lossy(&output.stderr);
-                Err(format!("{}: {}: {bytes_sent}", name(router), words.join(" ")).into())
+                let message = String::from_utf8_lossy(&output.stderr);
+                Err(format!("{}: {}: {message}", name(router), arguments.join(" ")).into())
             }
         }
     }
@@ -571,8 +571,8 @@
 
     /// How long each change took until each router acted on it, in milliseconds, by the accounts, and how many changes
     /// each has not acted on; those are waited for.
-    fn changes(&self, told: &[Change]) -> Result<[Vec<(usize, f64)>; 2], Failure> {
-        let Some((newest, _)) = told.last() else { return Ok([Vec::new(), Vec::new()]) };
+    fn changes(&self, published: &[Change]) -> Result<[Vec<(usize, f64)>; 2], Failure> {
+        let Some((newest, _)) = published.last() else { return Ok([Vec::new(), Vec::new()]) };
         let until = self.until.min(Instant::now() + PATIENCE);
         let mut acted = BTreeMap::new();
         let lacks = |acted: &[Change]| acted.iter().all(|(version, _)| version < newest);
@@ -591,10 +591,11 @@
         for (n, acted) in acted {
             // One that acts on a later version acts on the earlier ones, too.
             let first = |version: &u64| acted.iter().find(|(acted, _)| acted >= version).map(|(_, at)| *at);
-            let firsts = told.iter().filter_map(|(version, at)| Some((n, (first(version)? - at).max(0.0))));
+            let firsts =
+                published.iter().filter_map(|(version, at)| Some((n, (first(version)? - at).max(0.0))));
             let before = delays.len();
             delays.extend(firsts);
-            missing.push((n, (told.len() - (delays.len() - before)) as f64));
+            missing.push((n, (published.len() - (delays.len() - before)) as f64));
         }
         Ok([delays, missing])
     }
@@ -648,13 +649,13 @@
         let delays = delays.flat_map(|(n, meter)| meter.delays.iter().map(move |delay| (n, *delay)));
         rows.add("journal delay", "ms", &delays.collect::<Vec<_>>());
         // Those that ran all the while have a delay for every event.
-        let fleet_size = window.events.1 - window.events.0;
+        let event_count = window.events.1 - window.events.0;
         for form in [Form::Real, Form::Hollow] {
             let meters = steady.iter().filter(|n| self.places.forms[**n] == form).map(|n| &last.meters[*n]);
-            let meters: Vec<&Meter> = meters.filter(|meter| meter.delays.len() == fleet_size).collect();
+            let meters: Vec<&Meter> = meters.filter(|meter| meter.delays.len() == event_count).collect();
             let of_all = |n| meters.iter().map(|meter: &&Meter| meter.delays[n]).fold(0.0, f64::max);
             if !meters.is_empty() {
-                rows.put(form, "journal delay, all", "ms", (0..fleet_size).map(of_all).collect());
+                rows.put(form, "journal delay, all", "ms", (0..event_count).map(of_all).collect());
             }
         }
         let number = self.journal.number() as f64;
@@ -674,7 +675,7 @@
         let starts = if later.is_empty() { &self.starts[..] } else { later };
         rows.add("ready", "ms", &starts.iter().filter_map(ready).collect::<Vec<_>>());
         rows.add("noticed", "s", &self.noticed);
-        rows.add("whole", "s", &self.fleet_size);
+        rows.add("whole", "s", &self.recovered);
         let through = |n: &usize| {
             let (before, after) = last.passed.get(n).filter(|(before, _)| *before > 0)?;
             let counted = of(&last, *n, &links);
@@ -683,12 +684,12 @@
         let cut = matches!(self.plan.fault, Some(Fault::ZoneCut | Fault::RegionsApart | Fault::SlowMember));
         let watched = self.places.watched.iter().filter(|n| !cut && steady.contains(n));
         rows.add("links by middle", "ratio", &watched.filter_map(through).collect::<Vec<_>>());
-        let told = |n: &usize| {
+        let ratio = |n: &usize| {
             let Meter { bytes_sent, bytes_received, .. } = last.meters[*n];
             (*n, of(&last, *n, &polls) / (bytes_sent + bytes_received) as f64)
         };
-        let fleet_size = self.plan.fault != Some(Fault::ControlKilled) && !cut;
-        let counted = steady.iter().filter(|_| fleet_size).map(told);
+        let undisturbed = self.plan.fault != Some(Fault::ControlKilled) && !cut;
+        let counted = steady.iter().filter(|_| undisturbed).map(ratio);
         rows.add("journal by stand-in", "ratio", &counted.collect::<Vec<_>>());
         Ok(rows.rows)
     }
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -19,7 +19,7 @@
 pub type Counters = HashMap<String, u64>;
 
 /// What the log of a process had.
-enum Heard {
+enum ProcessMessage {
     Listens,
     Counters(Counters),
     /// The process has ended; the last lines of its log.
@@ -68,8 +68,8 @@
     running: BTreeMap<usize, RunningLoad>,
     guard: Guard,
     starts: u64,
-    sender: Sender<(u64, usize, Heard)>,
-    bytes_received: Receiver<(u64, usize, Heard)>,
+    sender: Sender<(u64, usize, ProcessMessage)>,
+    bytes_received: Receiver<(u64, usize, ProcessMessage)>,
 }
 
 impl Processes {
@@ -122,7 +122,7 @@
         let mut left = routers.to_vec();
         while !left.is_empty() {
             let what = format!("{} routers do not start", left.len());
-            if let (router, Heard::Listens) = self.next(until, &what)? {
+            if let (router, ProcessMessage::Listens) = self.next(until, &what)? {
                 left.retain(|n| *n != router);
             }
         }
@@ -130,7 +130,7 @@
     }
 
     /// What a process that still runs has said.
-    fn next(&mut self, until: Instant, what: &str) -> Result<(usize, Heard), Failure> {
+    fn next(&mut self, until: Instant, what: &str) -> Result<(usize, ProcessMessage), Failure> {
         loop {
             let wait = until.saturating_duration_since(Instant::now());
             let (start, router, bytes_received) = match self.bytes_received.recv_timeout(wait) {
@@ -142,7 +142,7 @@
             if !self.running.values().any(|running| running.start == start) {
                 continue;
             }
-            if let Heard::Ended(lines) = bytes_received {
+            if let ProcessMessage::Ended(lines) = bytes_received {
                 return Err(format!("the process of {} has ended: {lines:?}", name(router)).into());
             }
             return Ok((router, bytes_received));
@@ -158,7 +158,7 @@
         let mut all = BTreeMap::new();
         while all.len() < wanted {
             let what = format!("{} routers tell no counters", wanted - all.len());
-            if let (router, Heard::Counters(counters)) = self.next(until, &what)? {
+            if let (router, ProcessMessage::Counters(counters)) = self.next(until, &what)? {
                 all.insert(router, counters);
             }
         }
@@ -219,7 +219,7 @@
 }
 
 /// Reads a log to its end and passes on what counts.
-fn read(log: ChildStderr, start: u64, members: &[usize], to: &Sender<(u64, usize, Heard)>) {
+fn read(log: ChildStderr, start: u64, members: &[usize], to: &Sender<(u64, usize, ProcessMessage)>) {
     let mut last = Vec::new();
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         // Lines of a process with several routers have the name of each.
@@ -228,8 +228,8 @@
             _ => members.iter().copied().find(|n| line.starts_with(&format!("linnethook: {}: ", name(*n)))),
         };
         let bytes_received = match line.split_once("counters ") {
-            Some((_, counters)) => Some(Heard::Counters(numbers(counters))),
-            None if line.contains(" listens on ") => Some(Heard::Listens),
+            Some((_, counters)) => Some(ProcessMessage::Counters(numbers(counters))),
+            None if line.contains(" listens on ") => Some(ProcessMessage::Listens),
             None => None,
         };
         if let (Some(router), Some(bytes_received)) = (router, bytes_received) {
@@ -242,7 +242,7 @@
             last.remove(0);
         }
     }
-    let _ = to.send((start, members[0], Heard::Ended(last)));
+    let _ = to.send((start, members[0], ProcessMessage::Ended(last)));
 }
 
 /// `name=count` for each.
--- a/crates/testbed/src/server.rs
+++ b/crates/testbed/src/server.rs
@@ -45,7 +45,7 @@
     connections: Connections,
     down: Arc<AtomicBool>,
     /// Its address, once it was killed.
-    _kept: Arc<Mutex<Option<Socket>>>,
+    _reserved: Arc<Mutex<Option<Socket>>>,
 }
 
 impl Server {
@@ -55,8 +55,8 @@
         let address = listener.local_addr()?;
         let (connections, down) = (Connections::default(), Arc::new(AtomicBool::new(false)));
         let (all, over) = (connections.clone(), down.clone());
-        let kept = Arc::new(Mutex::new(None));
-        let keeps = kept.clone();
+        let reserved = Arc::new(Mutex::new(None));
+        let keeps = reserved.clone();
         thread::spawn(move || {
             let count = AtomicU64::new(0);
             for stream in listener.incoming() {
@@ -78,7 +78,7 @@
                 });
             }
         });
-        Ok(Self { address, connections, down, _kept: kept })
+        Ok(Self { address, connections, down, _reserved: reserved })
     }
 
     /// Nobody listens any more, and all connections end.
@@ -114,7 +114,7 @@
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     for _ in 0..200 {
         match TcpListener::bind(address) {
-            Err(wrong) if wrong.kind() == io::ErrorKind::AddrInUse => {
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
                 thread::sleep(Duration::from_millis(10))
             }
             bound => return bound,
--- a/crates/testbed/src/two_sites.rs
+++ b/crates/testbed/src/two_sites.rs
@@ -149,7 +149,7 @@
 #[derive(Debug, Default)]
 struct Pipe {
     /// Bytes under way: when they may arrive.
-    under_way: VecDeque<(Ms, Vec<u8>)>,
+    in_flight: VecDeque<(Ms, Vec<u8>)>,
     bytes: usize,
     /// When the last byte will have left.
     busy: Ms,
@@ -167,7 +167,7 @@
     tokens: BTreeMap<(usize, u32), (u64, u64)>,
     /// Whether each end still has it, and has been told that it is up.
     open: [bool; 2],
-    told: [bool; 2],
+    announced: [bool; 2],
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -325,7 +325,7 @@
                 self.arrive(side, booking);
             }
             SimulationEvent::Done(n, epoch, ticket, attempt) => self.done(n, epoch, ticket, attempt),
-            SimulationEvent::SiteFault(n) => self.blow(self.play.script[n].1),
+            SimulationEvent::SiteFault(n) => self.apply_fault(self.play.script[n].1),
         }
     }
 
@@ -539,7 +539,7 @@
             pipes: Default::default(),
             tokens: BTreeMap::new(),
             open: [true; 2],
-            told: [false; 2],
+            announced: [false; 2],
         };
         self.wires.insert(self.last_conn, wire);
     }
@@ -553,19 +553,19 @@
         let Some(wire) = self.wires.get_mut(&conn) else { return };
         wire.open[n] = false;
         wire.pipes[1 - n].ended = true;
-        wire.pipes[n].under_way.clear();
+        wire.pipes[n].in_flight.clear();
         // What is on its way may still arrive, or is lost with the connection.
         if !late {
-            wire.pipes[1 - n].under_way.clear();
+            wire.pipes[1 - n].in_flight.clear();
         }
-        if !wire.told[1 - n] {
+        if !wire.announced[1 - n] {
             wire.open[1 - n] = false;
         }
     }
 
     fn write(&mut self, n: usize, conn: ConnectionId) {
         let delay = self.delay();
-        let Some(wire) = self.wires.get_mut(&conn).filter(|wire| wire.open[n] && wire.told[n]) else {
+        let Some(wire) = self.wires.get_mut(&conn).filter(|wire| wire.open[n] && wire.announced[n]) else {
             return;
         };
         let pipe = &mut wire.pipes[1 - n];
@@ -580,8 +580,8 @@
             pipe.busy = pipe.busy.max(self.now) + bytes.len() as Ms / self.play.carries;
             let arrives = pipe.busy + delay;
             // In their order, whatever the jitter.
-            let arrives = pipe.under_way.back().map_or(arrives, |(at, _)| arrives.max(*at));
-            pipe.under_way.push_back((arrives, bytes.to_vec()));
+            let arrives = pipe.in_flight.back().map_or(arrives, |(at, _)| arrives.max(*at));
+            pipe.in_flight.push_back((arrives, bytes.to_vec()));
         }
     }
 
@@ -604,7 +604,7 @@
                     self.write(1 - to, conn);
                 }
                 let over = self.wires.get(&conn).is_some_and(|wire| {
-                    wire.pipes[to].ended && wire.pipes[to].under_way.is_empty() && wire.open[to]
+                    wire.pipes[to].ended && wire.pipes[to].in_flight.is_empty() && wire.open[to]
                 });
                 if over {
                     if let Some(wire) = self.wires.get_mut(&conn) {
@@ -622,7 +622,7 @@
 
     fn bring_up(&mut self, conn: ConnectionId) {
         let Some(wire) = self.wires.get_mut(&conn) else { return };
-        if wire.told[wire.dialer.0] || self.now < wire.up {
+        if wire.announced[wire.dialer.0] || self.now < wire.up {
             return;
         }
         let (n, dialer) = wire.dialer;
@@ -635,7 +635,7 @@
         if barred {
             return;
         }
-        wire.told = [true; 2];
+        wire.announced = [true; 2];
         self.sides[n].gateway.connection_opened(self.now, conn, Some(dialer));
         self.sides[1 - n].gateway.connection_opened(self.now, conn, None);
         self.carry_out(0);
@@ -644,11 +644,11 @@
 
     fn arrived(&mut self, conn: ConnectionId, to: usize) -> Option<Vec<u8>> {
         let pipe = &mut self.wires.get_mut(&conn)?.pipes[to];
-        let (at, _) = pipe.under_way.front()?;
+        let (at, _) = pipe.in_flight.front()?;
         if *at > self.now {
             return None;
         }
-        let (_, bytes) = pipe.under_way.pop_front()?;
+        let (_, bytes) = pipe.in_flight.pop_front()?;
         pipe.bytes -= bytes.len();
         Some(bytes)
     }
@@ -692,21 +692,21 @@
         }
     }
 
-    fn blow(&mut self, blow: SiteFault) {
-        match blow {
+    fn apply_fault(&mut self, apply_fault: SiteFault) {
+        match apply_fault {
             SiteFault::Cut => {
                 self.cut = true;
                 let conns: Vec<ConnectionId> = self.wires.keys().copied().collect();
                 for conn in conns {
                     let late = self.chance.random_range(0..2) == 0;
                     let Some(wire) = self.wires.get_mut(&conn) else { continue };
-                    if !wire.told[0] {
+                    if !wire.announced[0] {
                         continue;
                     }
                     for pipe in &mut wire.pipes {
                         pipe.ended = true;
                         if !late {
-                            pipe.under_way.clear();
+                            pipe.in_flight.clear();
                         }
                     }
                 }
@@ -728,7 +728,7 @@
                 }
                 let conns: Vec<ConnectionId> = self.wires.keys().copied().collect();
                 for conn in conns {
-                    if self.wires.get(&conn).is_some_and(|wire| !wire.told[0]) {
+                    if self.wires.get(&conn).is_some_and(|wire| !wire.announced[0]) {
                         self.wires.remove(&conn);
                     } else {
                         self.hang_up(n, conn);
@@ -775,14 +775,14 @@
     for n in 0..cuts {
         let from = n as Ms * every + chance.random_range(0.0..every * 0.3);
         let lasts = chance.random_range(0.02..0.5) * every;
-        let blow = match chance.random_range(0..6) {
+        let apply_fault = match chance.random_range(0..6) {
             0 | 1 => SiteFault::Cut,
             2 => SiteFault::Silent { to: [true, true] },
             3 => SiteFault::Silent { to: [true, false] },
             4 => SiteFault::Silent { to: [false, true] },
             _ => SiteFault::Slow(chance.random_range(2.0..30.0)),
         };
-        script.push((from, blow));
+        script.push((from, apply_fault));
         script.push((from + lasts, SiteFault::Mend));
         if chance.random_range(0..12) == 0 {
             script.push((
--- a/crates/testbed/tests/aggregates.rs
+++ b/crates/testbed/tests/aggregates.rs
@@ -30,13 +30,13 @@
     line(at, RecordedEvent::Ceased { router: ROUTERS[n].0.to_string() })
 }
 
-fn linked(at: Ms, a: usize, b: usize, way: LinkState) -> RecordEntry {
-    line(at, RecordedEvent::Linked { from: ROUTERS[a].0.to_string(), to: ROUTERS[b].0.to_string(), way })
+fn linked(at: Ms, a: usize, b: usize, state: LinkState) -> RecordEntry {
+    line(at, RecordedEvent::Linked { from: ROUTERS[a].0.to_string(), to: ROUTERS[b].0.to_string(), state })
 }
 
 /// Both directions between those of the south and the one of the north.
-fn across(at: Ms, way: LinkState) -> Vec<RecordEntry> {
-    (0..4).flat_map(|n| [linked(at, n, 4, way), linked(at, 4, n, way)]).collect()
+fn across(at: Ms, state: LinkState) -> Vec<RecordEntry> {
+    (0..4).flat_map(|n| [linked(at, n, 4, state), linked(at, 4, n, state)]).collect()
 }
 
 fn place(place: &str, alive: u64) -> LocationSummary {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_count_that_stays_wrong_is_caught_after_its_bound() {
+fn a_count_that_stays_false_is_caught_after_its_bound() {
     caught(&with(vec![shown(QUIET, 4, 5, in_north(3))]), "has 3 alive in s, where 4 run");
     // One of a site in which others are left: that is known by its site, and from there level by level.
     let dead = |at| with(vec![ceased(QUIET, 1), shown(QUIET + at, 4, 5, in_north(4))]);
@@ -178,8 +178,8 @@
     caught(&mended(vec![lost("s", 4), place("n", 1), place("n/c", 1)]), "hears nothing of s");
     caught(&mended(vec![place("n", 1), place("n/c", 1)]), "shows nothing of s");
     // Over a link that is open in one direction, or not even, nothing can be said for sure.
-    for way in [LinkState::Closed, LinkState::Uneven] {
-        sound(&with(vec![linked(QUIET, 0, 4, way), shown(2.0 * QUIET, 4, 5, in_north(3))]));
+    for state in [LinkState::Closed, LinkState::Uneven] {
+        sound(&with(vec![linked(QUIET, 0, 4, state), shown(2.0 * QUIET, 4, 5, in_north(3))]));
     }
     // Nor of a site that hangs together through others only.
     let apart = [linked(QUIET, 2, 3, LinkState::Closed), linked(QUIET, 3, 2, LinkState::Closed)].to_vec();
@@ -187,9 +187,9 @@
 }
 
 #[test]
-fn a_version_that_a_router_acts_on_and_no_summary_tells_of_is_caught() {
-    let oldest = |told, until| {
-        let south = LocationSummary { oldest: Some(told), ..place("s", 4) };
+fn an_active_version_that_no_summary_has_is_caught() {
+    let oldest = |notified, until| {
+        let south = LocationSummary { oldest: Some(notified), ..place("s", 4) };
         let places = vec![south, place("n", 1), place("n/c", 1)];
         with(vec![acted(1_000.0, 2, 6), shown(QUIET, 4, 5, places), acted(QUIET + 10.0, 2, until)])
     };
@@ -204,7 +204,7 @@
 #[test]
 fn a_straggler_that_is_not_named_is_caught() {
     let raised = |at, version| line(at, RecordedEvent::Raised { version, bound: 1_000.0 });
-    let told = |behind, names: &[&str]| {
+    let notified = |behind, names: &[&str]| {
         let stragglers = names.iter().map(|name| name.to_string()).collect();
         let oldest = Some(6);
         let south = LocationSummary { behind, stragglers, oldest, ..place("s", 4) };
@@ -216,12 +216,12 @@
         with([start.as_slice(), after.as_slice()].concat())
     };
     let late = QUIET + 3_000.0;
-    sound(&record(late, told(1, &["r1"])));
-    sound(&record(QUIET + 2_000.0, told(0, &[])));
-    caught(&record(late, told(0, &[])), "counts 0 stragglers in s; [\"r1\"] are below 7");
-    caught(&record(late, told(1, &["r2"])), "does not name r1 in s");
+    sound(&record(late, notified(1, &["r1"])));
+    sound(&record(QUIET + 2_000.0, notified(0, &[])));
+    caught(&record(late, notified(0, &[])), "counts 0 stragglers in s; [\"r1\"] are below 7");
+    caught(&record(late, notified(1, &["r2"])), "does not name r1 in s");
     // Beyond those that can be named it is enough that it counts.
-    sound(&record(late, told(9, &["r2"])));
+    sound(&record(late, notified(9, &["r2"])));
     // Cut off it is still named by those of its site.
     let cut = (0..5).filter(|n| *n != 1).flat_map(|n| [(n, 1), (1, n)]);
     let cut: Vec<RecordEntry> = cut.map(|(a, b)| linked(QUIET + 50.0, a, b, LinkState::Closed)).collect();
@@ -234,8 +234,8 @@
             [raised(QUIET + 100.0, 7), shown(2.0 * QUIET, 4, 5, places.collect()), acted(3.0 * QUIET, 1, 6)];
         with([&start[..1], &cut, &after].concat())
     };
-    sound(&cut_off(told(1, &["r1"])));
-    caught(&cut_off(told(0, &[])), "counts 0 stragglers in s; [\"r1\"] are below 7");
+    sound(&cut_off(notified(1, &["r1"])));
+    caught(&cut_off(notified(0, &[])), "counts 0 stragglers in s; [\"r1\"] are below 7");
     // No router acts on such a version: all are behind, also those that speak for their sites.
     let nobody = |places| {
         let all = [shown(QUIET, 4, 5, in_north(4)), raised(QUIET + 100.0, 99), shown(late, 4, 5, places)];
@@ -244,7 +244,7 @@
     let north = |behind, names: &[&str], there: u64| {
         let of_one =
             |name| LocationSummary { behind: there, stragglers: vec!["r4".to_string()], ..place(name, 1) };
-        vec![told(behind, names).remove(0), of_one("n"), of_one("n/c")]
+        vec![notified(behind, names).remove(0), of_one("n"), of_one("n/c")]
     };
     sound(&nobody(north(4, &["r0", "r1", "r2", "r3"], 1)));
     caught(&nobody(north(3, &["r1", "r2", "r3"], 1)), "counts 3 stragglers in s");
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn each_rule_is_seen_kept_and_broken() {
+fn each_rule_is_seen_fulfilled_and_broken() {
     let late = line(9_000.0, RecordedEvent::Released { request: 99 });
     let source = |at: Ms, named: Asked| line(at, RecordedEvent::Asked { attempt: 1, asked: named });
     let router = Some(ROUTER.to_string());
     let by_source =
         Asked { at: "a".into(), source: Some("p".into()), router: router.clone(), ..Asked::default() };
-    let by_way = Asked { at: "a".into(), via: vec!["p:h".into()], router, ..Asked::default() };
+    let by_path = Asked { at: "a".into(), via: vec!["p:h".into()], router, ..Asked::default() };
     let booking =
         |more: Vec<RecordEntry>| [vec![requested(0.0, 1, true), asked(10.0, 1, "o", "id1")], more].concat();
     let edges = [("a", "p"), ("p", "o")];
@@ -134,7 +134,7 @@
             ],
             vec![
                 vec![listed(0.0, "p", Phase::Draining), source(310.0, by_source.clone())],
-                vec![listed(0.0, "p", Phase::Removed), source(310.0, by_way)],
+                vec![listed(0.0, "p", Phase::Removed), source(310.0, by_path)],
                 vec![listed(0.0, "a", Phase::Removed), source(310.0, by_source.clone())],
                 vec![
                     listed(0.0, "p", Phase::Draining),
@@ -196,8 +196,8 @@
         ),
     ];
     let rules = RuleBounds { going_over: 1_000.0, ..RuleBounds::default() };
-    for (rule, kept, broken) in table {
-        assert_eq!(judge(&kept, &rules), [], "{rule:?} is kept");
+    for (rule, fulfilled, broken) in table {
+        assert_eq!(judge(&fulfilled, &rules), [], "{rule:?} is kept");
         for (n, record) in broken.iter().enumerate() {
             let found: Vec<Rule> = judge(record, &rules).iter().map(|breach: &Breach| breach.rule).collect();
             assert_eq!(found, [rule], "the broken record {n} of {rule:?}");
@@ -209,7 +209,7 @@
 #[test]
 fn a_request_that_is_sent_on_after_its_client_left_is_caught() {
     let released = |at, request| line(at, RecordedEvent::Released { request });
-    let kept = [
+    let fulfilled = [
         requested(0.0, 1, false),
         asked(10.0, 1, "a", "id1"),
         released(100.0, 1),
@@ -221,7 +221,7 @@
         released(60.0, 2),
         asked(900.0, 3, "b", "id2"),
     ];
-    let seen = disconnected_clients(&kept, &RuleBounds::default());
+    let seen = disconnected_clients(&fulfilled, &RuleBounds::default());
     assert_eq!((seen.cases, seen.sent_on.len(), seen.sent_on_late.len()), (1, 0, 0));
     // Late by the figure, and by the older one as well; a first attempt, and a further one.
     for (at, late) in [(251.0, 0), (449.0, 0), (460.0, 1)] {
--- a/crates/testbed/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -11,7 +11,7 @@
     RecordEntry { at, what: RecordedEvent::Started { node: "c".to_string(), cold: COLD } }
 }
 
-fn told(at: Ms, router: &str) -> RecordEntry {
+fn notified(at: Ms, router: &str) -> RecordEntry {
     let (router, node) = (router.to_string(), "c".to_string());
     RecordEntry { at, what: RecordedEvent::Listed { router, node, phase: Phase::Ready } }
 }
@@ -23,14 +23,14 @@
 
 /// So many requests at once after the start; every `n`th one is from a router that was told of it.
 fn record(count: u32, n: u32) -> Vec<RecordEntry> {
-    let mut lines = vec![started(1_000.0), told(1_010.0, "told")];
+    let mut lines = vec![started(1_000.0), notified(1_010.0, "told")];
     let from = |k: u32| if k.is_multiple_of(n) { "told" } else { "untold" };
     lines.extend((0..count).map(|k| asked(1_020.0, from(k))));
     lines
 }
 
 #[test]
-fn chance_is_borne_and_what_is_beyond_it_is_over() {
+fn chance_is_tolerated_and_more_than_that_is_over() {
     assert!((bound(45.0) - 60.4).abs() < 0.1);
     let by_chance = &sums(&record(60, 1), 7_000.0)[0];
     assert_eq!((by_chance.windows, by_chance.over_budget, by_chance.over), (60, 15, 0));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_came_from_routers_that_were_not_told_breaks_nothing() {
+fn requests_of_routers_that_were_not_notified_break_nothing() {
     let over = &sums(&record(70, 2), 7_000.0)[0];
     assert!(over.over > 0 && !over.broken);
     // Seven seconds later all count as told; by then it bears 2.4 times as much.
--- a/crates/testbed/tests/recording.rs
+++ b/crates/testbed/tests/recording.rs
@@ -35,7 +35,7 @@
     };
     let (router, node) = (text("r0"), text("cache-1"));
     let listed = |phase| RecordedEvent::Listed { router: router.clone(), node: node.clone(), phase };
-    let linked = |way| RecordedEvent::Linked { from: text("r0"), to: text("r1"), way };
+    let linked = |state| RecordedEvent::Linked { from: text("r0"), to: text("r1"), state };
     let events = vec![
         RecordedEvent::Asked { attempt: 1, asked },
         RecordedEvent::Ended { attempt: 1, status: text("data"), res: text("HIT"), ran: true },
