--- a/crates/testbed/src/aggregates.rs
+++ b/crates/testbed/src/aggregates.rs
@@ -5,29 +5,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::checker::{Breach, Rule, RuleBounds};
 use crate::recording::{LinkState, LocationSummary, Ms, RecordEntry, RecordedEvent};
-
-/// How late a fleet with places may be, by its settings. All in milliseconds.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct AggregateBounds {
-    /// How long a router that can't be reached counts in its site.
-    pub suspect: Ms,
-    /// How long a summary that nobody renews is relied on: three times `renew`.
-    pub relied_on: Ms,
-    /// What each level adds until news of a part is told of the whole.
-    pub by_level: Ms,
-    /// That a place went over to another hierarchy as a whole is told so often at the most, by level.
-    pub moves: Ms,
-    /// How long a link may take to come up again, or to be found silent.
-    pub links: Ms,
-}
-
-impl Default for AggregateBounds {
-    fn default() -> Self {
-        Self { suspect: 1_000.0, relied_on: 30_000.0, by_level: 1_400.0, moves: 5_000.0, links: 2_000.0 }
-    }
-}
+use crate::rules::{AggregateBounds, Breach, Rule, RuleBounds};
 
 /// Stragglers that a summary names.
 const NAMED: u64 = 8;
--- /dev/null
+++ b/crates/testbed/src/cache_server/fill.rs
@@ -0,0 +1,251 @@
+//! How a server finds an object: its copies, fills from a source, and requests that join a fill.
+
+use std::sync::PoisonError;
+use std::thread;
+
+use linnethook_hierarchy::loop_detection::{FillPath, PathRejection};
+
+use super::{Copy, Found, Inner, Key, ServerRole, State};
+use crate::recording::{now, Ms, RecordedEvent};
+use crate::server::{ask, CacheRequest};
+
+impl Inner {
+    /// Counts one that came in; false once it has fallen over.
+    pub(super) fn bears(&self) -> bool {
+        let cold = self.server_config.cold;
+        let mut state = self.lock();
+        if state.fallen {
+            return false;
+        }
+        if cold.fall_multiple > 0.0 {
+            let at = now();
+            state.arrivals.push_back(at);
+            while state.arrivals.front().is_some_and(|first| at - first > cold.window) {
+                state.arrivals.pop_front();
+            }
+            let capacity_at =
+                cold.capacity_at(at - state.started) * cold.fall_multiple * cold.window / 1000.0;
+            if state.arrivals.len() as f64 > capacity_at * 1.1 {
+                state.fallen = true;
+                drop(state);
+                self.record.note(RecordedEvent::Fell { node: self.name.clone() });
+                return false;
+            }
+        }
+        true
+    }
+
+    pub(super) fn find(&self, ask: &CacheRequest) -> Found {
+        let text = |name: &str| ask.fields.get(name).map(String::as_str);
+        let class = text("kind").unwrap_or_default();
+        let key = (text("obj").unwrap_or_default().to_string(), part(ask));
+        if self.server_config.kind == ServerRole::Origin {
+            thread::sleep(self.server_config.latency);
+            return self.give_out(ask, class, &key);
+        }
+        let passed = match text("passed").map(FillPath::parse) {
+            None => None,
+            Some(Ok(passed)) => Some(passed),
+            Some(Err(_)) => return Found::without("failed", "ORIGIN_ERR"),
+        };
+        if passed.as_ref().is_some_and(|passed| passed.version < self.lock().floor) {
+            // What is held would do; a fill on a shape that is gone would not.
+            let oldest = f64::INFINITY;
+            let cached = self.cached_copy(&key, oldest);
+            return cached.map_or_else(
+                || Found::without("absent", "NO_FILL"),
+                |copy| Found {
+                    status: "data",
+                    res: "HIT".into(),
+                    copy: Some(copy),
+                    more: String::new(),
+                    ran: true,
+                },
+            );
+        }
+        let passed = match passed.map(|passed| (passed.version, passed.append_node(&self.name))) {
+            None => None,
+            Some((_, Ok(passed))) => Some(passed),
+            Some((version, Err(PathRejection::Loop { from, to }))) => {
+                let more = format!(",round={version}:{from}>{to}");
+                return Found { more, ..Found::without("full", "LOOP") };
+            }
+            Some((_, Err(PathRejection::HopLimit))) => return Found::without("full", "LOOP"),
+        };
+        let fresh = self.server_config.fresh.get(class).copied().unwrap_or(0.0);
+        let oldest = text("accept").and_then(|age| age.parse::<Ms>().ok()).filter(|age| *age > 0.0);
+        let oldest = oldest.or((fresh > 0.0).then_some(fresh)).unwrap_or(f64::INFINITY);
+        thread::sleep(self.server_config.latency);
+        if let Some(copy) = self.cached_copy(&key, oldest) {
+            let stale = fresh > 0.0 && now() - copy.dated > fresh;
+            let res = if stale { "STALE" } else { "HIT" };
+            return Found {
+                status: "data",
+                res: res.to_string(),
+                copy: Some(copy),
+                more: String::new(),
+                ran: true,
+            };
+        }
+        let cached_only = hints(ask).any(|hint| hint == "h");
+        // A cache is told its source; a parent goes on by the way that it is told, or by its own idea.
+        let source_is_given = self.server_config.kind == ServerRole::Cache;
+        let hops: Vec<String> = match (source_is_given, text("parent"), text("via")) {
+            (true, None, _) => return Found::without("absent", "NO_FILL"),
+            (true, Some(source), _) => {
+                vec![if cached_only { format!("{source}:h") } else { source.to_string() }]
+            }
+            (false, _, _) if cached_only => return Found::without("absent", "UP_MISS"),
+            (false, _, Some(via)) if self.server_config.obeys => via.split('+').map(str::to_string).collect(),
+            (false, ..) => self.lock().upstream.first().cloned().into_iter().collect(),
+        };
+        if !self.begin(&key) {
+            return match self.cached_copy(&key, oldest) {
+                Some(copy) => Found {
+                    status: "data",
+                    res: "COLLAPSED".into(),
+                    copy: Some(copy),
+                    more: String::new(),
+                    ran: true,
+                },
+                None => Found::without("full", "NO_FILL"),
+            };
+        }
+        let found = self.fill(ask, &key, &hops, passed.as_ref(), oldest, source_is_given);
+        self.lock().filling.remove(&key);
+        self.filled.notify_all();
+        found
+    }
+
+    /// The copy, if it is young enough.
+    pub(super) fn cached_copy(&self, key: &Key, oldest: Ms) -> Option<Copy> {
+        let mut state = self.lock();
+        state.uses += 1;
+        let uses = state.uses;
+        let copy = state.copies.get_mut(key).filter(|copy| now() - copy.dated <= oldest)?;
+        copy.used = uses;
+        let copy = copy.clone();
+        state.order.push_back((key.clone(), uses));
+        Some(copy)
+    }
+
+    /// Whether this one is to fill; else another has, or has taken too long.
+    pub(super) fn begin(&self, key: &Key) -> bool {
+        let mut state = self.lock();
+        if state.filling.insert(key.clone()) {
+            return true;
+        }
+        let busy = |state: &mut State| state.filling.contains(key);
+        let waited = self.filled.wait_timeout_while(state, self.server_config.patience, busy);
+        drop(waited.unwrap_or_else(PoisonError::into_inner));
+        false
+    }
+
+    pub(super) fn keep(&self, key: &Key, copy: &Copy) {
+        let mut state = self.lock();
+        state.uses += 1;
+        let used = state.uses;
+        state.copies.insert(key.clone(), Copy { used, ..copy.clone() });
+        state.order.push_back((key.clone(), used));
+        while state.copies.len() > self.server_config.copies
+            || state.order.len() > self.server_config.copies * 4
+        {
+            let Some((key, used)) = state.order.pop_front() else { break };
+            // Used again since: a later place in the order stands for it.
+            if state.copies.get(&key).is_some_and(|copy| copy.used == used) {
+                state.copies.remove(&key);
+            }
+        }
+    }
+
+    pub(super) fn fill(
+        &self,
+        asked: &CacheRequest,
+        key: &Key,
+        hops: &[String],
+        passed: Option<&FillPath>,
+        oldest: Ms,
+        source_is_given: bool,
+    ) -> Found {
+        let mut last = Found::without("absent", "NO_FILL");
+        for (n, hop) in hops.iter().enumerate() {
+            let (name, cached_copy) =
+                hop.strip_suffix(":h").map_or((hop.as_str(), false), |name| (name, true));
+            let mut fields = vec![
+                format!("kind={}", asked.fields.get("kind").map_or("", String::as_str)),
+                format!("obj={}", key.0),
+                format!("seg={}", key.1),
+            ];
+            if oldest.is_finite() {
+                fields.push(format!("accept={}", oldest.floor().max(1.0)));
+            }
+            if cached_copy {
+                fields.push("hints=h".to_string());
+            }
+            match passed {
+                Some(passed) => fields.push(format!("passed={passed}")),
+                // By its own idea, where nobody told it a way.
+                None if !source_is_given => {
+                    fields.push(format!("passed={}:{}", self.lock().version, self.name))
+                }
+                None => {}
+            }
+            // The first source gets the way on that a cache was told; a parent hands on what is left of it.
+            let via = match source_is_given {
+                true => asked.fields.get("via").cloned(),
+                false => Some(hops[n + 1..].join("+")).filter(|via| !via.is_empty()),
+            };
+            let via = via.filter(|_| !cached_copy || source_is_given);
+            fields.extend(via.map(|via| format!("via={via}")));
+            let Some(address) = self.directory.find(name) else {
+                last = Found::without("full", "UP_DOWN");
+                continue;
+            };
+            match ask(address, &asked.id, &fields.join(","), b"", self.server_config.patience) {
+                Ok((status, fields, body)) if status == "data" => {
+                    let dated = fields.get("dated").and_then(|at| at.parse().ok()).unwrap_or(0.0);
+                    let copy = Copy { body, dated, used: 0 };
+                    self.keep(key, &copy);
+                    let origin = fields.get("res").is_some_and(|res| res == "MISS_ORIGIN");
+                    let res = if origin { "MISS_ORIGIN" } else { "MISS" };
+                    let res = res.to_string();
+                    return Found { status: "data", res, copy: Some(copy), more: String::new(), ran: true };
+                }
+                Ok((_, fields, _)) if fields.get("res").is_some_and(|res| res == "LOOP") => {
+                    let round = fields.get("round").map(|round| format!(",round={round}"));
+                    return Found { more: round.unwrap_or_default(), ..Found::without("full", "LOOP") };
+                }
+                Ok((status, ..)) if status == "absent" => last = Found::without("absent", "UP_MISS"),
+                Ok((status, ..)) if status == "full" => last = Found::without("full", "UP_BUSY"),
+                Ok(_) => last = Found::without("failed", "ORIGIN_ERR"),
+                Err(_) => last = Found::without("full", "UP_DOWN"),
+            }
+            if !cached_copy {
+                break;
+            }
+        }
+        last
+    }
+
+    /// The origin gives a copy out, or runs what is to be run there.
+    pub(super) fn give_out(&self, ask: &CacheRequest, class: &str, key: &Key) -> Found {
+        if self.server_config.writes.iter().any(|write| write == class) {
+            let mut state = self.lock();
+            *state.runs.entry(ask.id.clone()).or_default() += 1;
+        }
+        let dated = now();
+        // What a client can tell the copy by.
+        let mut body = format!("{} {} {dated} ", key.0, key.1).into_bytes();
+        body.resize(body.len().max(self.server_config.size), b'.');
+        let copy = Copy { body, dated, used: 0 };
+        Found { status: "data", res: "MISS_ORIGIN".into(), copy: Some(copy), more: String::new(), ran: true }
+    }
+}
+
+pub(super) fn part(ask: &CacheRequest) -> u32 {
+    ask.fields.get("seg").and_then(|part| part.parse().ok()).unwrap_or(0)
+}
+
+pub(super) fn hints(ask: &CacheRequest) -> impl Iterator<Item = &str> {
+    ask.fields.get("hints").map(String::as_str).unwrap_or_default().split('+')
+}
--- /dev/null
+++ b/crates/testbed/src/checker/links.rs
@@ -0,0 +1,41 @@
+//! Rules of links between sites.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use super::{Breach, Rule, RuleBounds};
+use crate::recording::{RecordEntry, RecordedEvent};
+
+pub(super) fn no_overlap(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
+    let mut out = Vec::new();
+    // The attempt of each request that may run, by its token.
+    let mut open = BTreeMap::<&str, (u64, u64)>::new();
+    let mut proven = BTreeSet::new();
+    for line in lines {
+        match &line.what {
+            RecordedEvent::Proven { token } => _ = proven.insert(*token),
+            RecordedEvent::Crossed { id, token: Some(token), .. } => {
+                let before = open.insert(id, *token).filter(|before| before != token);
+                if let Some(before) = before.filter(|before| !proven.contains(before)) {
+                    let what = format!("request {id} crossed again while {before:?} may run");
+                    out.push(Breach { at: line.at, rule: Rule::NoOverlap, what });
+                }
+            }
+            _ => {}
+        }
+    }
+    out
+}
+
+pub(super) fn no_return(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
+    let mut out = Vec::new();
+    for line in lines {
+        if let RecordedEvent::Crossed { to, id, passed, .. } = &line.what {
+            let mut met = BTreeSet::new();
+            if passed.contains(to) || !passed.iter().all(|site| met.insert(site)) {
+                let what = format!("request {id} crossed to {to}, having passed {passed:?}");
+                out.push(Breach { at: line.at, rule: Rule::NoReturn, what });
+            }
+        }
+    }
+    out
+}
--- a/crates/testbed/src/checker.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -3,76 +3,17 @@
 //!
 //! Reads what crossed the sockets and nothing else. Each rule is a pass of its own over the lines.
 
+mod hierarchy;
+mod links;
+
 use std::collections::{BTreeMap, BTreeSet};
-use std::fmt;
 
-use crate::aggregates::{aggregates, AggregateBounds};
+use crate::aggregates::aggregates;
 use crate::recording::{Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
+use hierarchy::{no_loop, no_old_version, no_strange_edge};
+use links::{no_overlap, no_return};
 
-/// The figures of the rules.
-#[derive(Debug, Clone, Copy)]
-pub struct RuleBounds {
-    pub drain_grace: Ms,
-    pub purge_grace: Ms,
-    /// What sockets and threads may add to any time.
-    pub slack: Ms,
-    /// For how long a child that goes over to other sources may still use the old ones.
-    pub going_over: Ms,
-    /// By how much a node's own count of what it bears may be passed by chance.
-    pub push_slack: f64,
-    /// How late counts of places may be.
-    pub aggregates: AggregateBounds,
-}
-
-impl Default for RuleBounds {
-    fn default() -> Self {
-        Self {
-            drain_grace: 250.0,
-            purge_grace: 1_000.0,
-            slack: 50.0,
-            going_over: 0.0,
-            push_slack: 1.1,
-            aggregates: AggregateBounds::default(),
-        }
-    }
-}
-
-/// A rule that was broken, by whom and when.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Breach {
-    pub at: Ms,
-    pub rule: Rule,
-    pub what: String,
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
-    OneAnswer,
-    NoSecondEffect,
-    Drains,
-    NoPush,
-    Purges,
-    /// No fill passes a node twice.
-    NoLoop,
-    /// No fill uses an edge that the shape has not got at its version.
-    NoStrangeEdge,
-    /// No harmful request has a second attempt across a link before the first is proven not to have run.
-    NoOverlap,
-    /// No request crosses back to a site that it has passed.
-    NoReturn,
-    /// No fill on a version below the floor, after its bound.
-    NoOldVersion,
-    /// No request is sent on for a client that has left (`leavers`).
-    NoneLeft,
-    /// What is shown of a place as a whole agrees with what ran in it.
-    Aggregates,
-}
-
-impl fmt::Display for Breach {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.0} {:?}: {}", self.at, self.rule, self.what)
-    }
-}
+pub use crate::rules::{Breach, Rule, RuleBounds};
 
 /// Judges a record. Requests that are open at its end and in time are no breach.
 pub fn judge(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
@@ -143,27 +84,6 @@
     out
 }
 
-fn no_old_version(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
-    let mut out = Vec::new();
-    let mut floors = BTreeMap::<&str, (u64, Ms)>::new();
-    for line in lines {
-        match &line.what {
-            RecordedEvent::Floored { router, version } => _ = floors.insert(router, (*version, line.at)),
-            RecordedEvent::Asked { asked, .. } if asked.source.is_some() && !asked.cached_only => {
-                let Some(router) = asked.router.as_deref() else { continue };
-                let Some((floor, since)) = floors.get(router) else { continue };
-                let version = asked.version.unwrap_or(*floor);
-                if version < *floor && line.at > since + rules.slack {
-                    let what = format!("{router} had {} fill on version {version}, below {floor}", asked.at);
-                    out.push(Breach { at: line.at, rule: Rule::NoOldVersion, what });
-                }
-            }
-            _ => {}
-        }
-    }
-    out
-}
-
 /// A record as it is to be judged where processes stood still: what a router was told meanwhile counts from when it
 /// went on, and what it owed by then is owed so much later.
 pub fn with_pauses(lines: &[RecordEntry], grace: Ms) -> Vec<RecordEntry> {
@@ -412,102 +332,3 @@
     }
     out
 }
-
-fn no_loop(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
-    let mut out = Vec::new();
-    let mut round = BTreeSet::new();
-    for line in lines {
-        match &line.what {
-            RecordedEvent::Asked { attempt, asked } => {
-                let mut met = BTreeSet::new();
-                let twice = asked.passed.iter().find(|node| !met.insert(node.as_str()));
-                if let Some(node) = twice {
-                    let what = format!("a fill of {} passed {node} twice", asked.object);
-                    out.push(Breach { at: line.at, rule: Rule::NoLoop, what });
-                } else if asked.passed.contains(&asked.at) {
-                    round.insert(*attempt);
-                }
-            }
-            // It came back, which only others could see; it must not have been let through.
-            RecordedEvent::Ended { attempt, res, .. } if round.remove(attempt) && res != "LOOP" => {
-                let what = format!("attempt {attempt} came back to its node, which took it: {res}");
-                out.push(Breach { at: line.at, rule: Rule::NoLoop, what });
-            }
-            _ => {}
-        }
-    }
-    out
-}
-
-fn no_strange_edge(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
-    let mut out = Vec::new();
-    // A record may begin with later shapes: versions count, not times.
-    let mut shapes = BTreeMap::<u64, BTreeSet<(&str, &str)>>::new();
-    // When an edge was last part of any shape that routers were told of.
-    let mut last = BTreeMap::<(&str, &str), Ms>::new();
-    let mut present = BTreeSet::new();
-    for line in lines {
-        if let RecordedEvent::Shape { version, edges } = &line.what {
-            let edges: BTreeSet<(&str, &str)> = edges.iter().map(|(a, b)| (a.as_str(), b.as_str())).collect();
-            present.difference(&edges).for_each(|edge| _ = last.insert(*edge, line.at));
-            present.clone_from(&edges);
-            shapes.insert(*version, edges);
-        }
-    }
-    present.iter().for_each(|edge| _ = last.insert(*edge, f64::INFINITY));
-    for line in lines {
-        let RecordedEvent::Asked { asked, .. } = &line.what else { continue };
-        let Some(version) = asked.version else { continue };
-        let Some((_, edges)) = shapes.range(..=version).next_back() else { continue };
-        let mut edge = |from: &str, to: &str| {
-            let going_over = last.get(&(from, to)).is_some_and(|last| line.at <= last + rules.going_over);
-            // Who gives what it holds fills nothing: it may be asked beside the shape.
-            if !edges.contains(&(from, to)) && !going_over && !asked.cached_only {
-                let what = format!("a fill of {} used {from} to {to} at version {version}", asked.object);
-                out.push(Breach { at: line.at, rule: Rule::NoStrangeEdge, what });
-            }
-        };
-        if let Some(last) = asked.passed.last().filter(|_| asked.router.is_none()) {
-            edge(last, &asked.at);
-        }
-        if let Some(source) = &asked.source {
-            edge(&asked.at, source);
-        }
-    }
-    out
-}
-
-fn no_overlap(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
-    let mut out = Vec::new();
-    // The attempt of each request that may run, by its token.
-    let mut open = BTreeMap::<&str, (u64, u64)>::new();
-    let mut proven = BTreeSet::new();
-    for line in lines {
-        match &line.what {
-            RecordedEvent::Proven { token } => _ = proven.insert(*token),
-            RecordedEvent::Crossed { id, token: Some(token), .. } => {
-                let before = open.insert(id, *token).filter(|before| before != token);
-                if let Some(before) = before.filter(|before| !proven.contains(before)) {
-                    let what = format!("request {id} crossed again while {before:?} may run");
-                    out.push(Breach { at: line.at, rule: Rule::NoOverlap, what });
-                }
-            }
-            _ => {}
-        }
-    }
-    out
-}
-
-fn no_return(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
-    let mut out = Vec::new();
-    for line in lines {
-        if let RecordedEvent::Crossed { to, id, passed, .. } = &line.what {
-            let mut met = BTreeSet::new();
-            if passed.contains(to) || !passed.iter().all(|site| met.insert(site)) {
-                let what = format!("request {id} crossed to {to}, having passed {passed:?}");
-                out.push(Breach { at: line.at, rule: Rule::NoReturn, what });
-            }
-        }
-    }
-    out
-}
--- /dev/null
+++ b/crates/testbed/src/fault_proxy/relay.rs
@@ -0,0 +1,205 @@
+//! Relays the bytes of one connection, and reads along by the published frames.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::io::{self, ErrorKind, Read, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+use std::thread;
+use std::time::{Duration, Instant};
+
+use linnethook_gateway::attempt_ledger::AttemptOutcome;
+use linnethook_gateway::codec::{FrameDecoder, Message};
+
+use super::{lock, reset, Corruption, ProxyEnds, State};
+use crate::recording::RecordedEvent;
+
+pub(super) fn join(
+    n: u64,
+    dialler: TcpStream,
+    state: &Arc<Mutex<State>>,
+    ends: &ProxyEnds,
+    over: &Arc<AtomicBool>,
+) -> io::Result<()> {
+    // A silent link takes nobody on.
+    while lock(state).conditions.iter().any(|conditions| conditions.silent) {
+        if over.load(Ordering::Acquire) {
+            return Ok(());
+        }
+        thread::sleep(Duration::from_millis(5));
+    }
+    let target = lock(state).target.ok_or(ErrorKind::NotConnected)?;
+    if lock(state).cut {
+        return Ok(());
+    }
+    let dialled = TcpStream::connect(target)?;
+    for stream in [&dialler, &dialled] {
+        stream.set_nodelay(true)?;
+        stream.set_read_timeout(Some(Duration::from_millis(2)))?;
+    }
+    {
+        let mut state = lock(state);
+        state.passed.connections += 1;
+        state.streams.insert(n, [dialler.try_clone()?, dialled.try_clone()?]);
+    }
+    let tokens = Arc::new(Mutex::new(BTreeMap::new()));
+    let both = [(dialler.try_clone()?, dialled.try_clone()?), (dialled, dialler)];
+    let threads = both.into_iter().enumerate().map(|(direction, (from, to))| {
+        let (state, over) = (state.clone(), over.clone());
+        let watch = Watch {
+            connection: n,
+            direction,
+            ends: ends.clone(),
+            decoder: FrameDecoder::default(),
+            lost: false,
+            tokens: tokens.clone(),
+        };
+        thread::spawn(move || pump(direction, &from, &to, &state, &over, watch))
+    });
+    let threads: Vec<_> = threads.collect();
+    threads.into_iter().for_each(|thread| _ = thread.join());
+    lock(state).streams.remove(&n);
+    Ok(())
+}
+
+/// Bytes that are held between the ends at the most.
+pub(super) const MAX_BUFFERED_BYTES: usize = 512 << 10;
+
+pub(super) fn pump(
+    direction: usize,
+    mut from: &TcpStream,
+    mut to: &TcpStream,
+    state: &Mutex<State>,
+    over: &AtomicBool,
+    mut watch: Watch,
+) {
+    let mut block = vec![0; 64 << 10];
+    let mut buffered = VecDeque::<(Instant, Vec<u8>)>::new();
+    let (mut bytes, mut ended) = (0, false);
+    let mut free = Instant::now();
+    while !over.load(Ordering::Acquire) {
+        let conditions = lock(state).conditions[direction];
+        if bytes < MAX_BUFFERED_BYTES && !ended && !conditions.silent {
+            match from.read(&mut block) {
+                Ok(0) => ended = true,
+                Ok(n) => {
+                    bytes += n;
+                    buffered.push_back((Instant::now() + conditions.delay, block[..n].to_vec()));
+                }
+                Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+                Err(_) => ended = true,
+            }
+        } else {
+            thread::sleep(Duration::from_millis(1));
+        }
+        // What came in after the weather turned is held by the new one.
+        let conditions = lock(state).conditions[direction];
+        let at = Instant::now();
+        while !conditions.silent
+            && buffered.front().is_some_and(|(due, _)| *due <= at)
+            && (conditions.rate <= 0.0 || free <= at)
+        {
+            let Some((_, mut chunk)) = buffered.pop_front() else { break };
+            bytes -= chunk.len();
+            let cut = {
+                let mut state = lock(state);
+                let left = state.conditions[direction].cut_after;
+                if let Some(left) = left {
+                    let over = chunk.len() >= left;
+                    chunk.truncate(left);
+                    state.conditions[direction].cut_after =
+                        if over { None } else { Some(left - chunk.len()) };
+                    over
+                } else {
+                    false
+                }
+            };
+            watch.saw(&chunk, state);
+            match lock(state).conditions[direction].corruption.take() {
+                Some(Corruption::Lost) => chunk.clear(),
+                Some(Corruption::Repeated) => chunk.extend_from_within(..),
+                None => {}
+            }
+            if conditions.rate > 0.0 {
+                free = free.max(at) + Duration::from_secs_f64(chunk.len() as f64 / conditions.rate);
+            }
+            if to.write_all(&chunk).is_err() {
+                ended = true;
+                buffered.clear();
+            }
+            if cut {
+                reset(&mut lock(state));
+                return;
+            }
+        }
+        // An end is passed on too, once all before it has been; over a silent link it is not.
+        if ended && buffered.is_empty() && !conditions.silent {
+            break;
+        }
+    }
+    let _ = to.shutdown(Shutdown::Both);
+    let _ = from.shutdown(Shutdown::Both);
+}
+
+/// By the side that opened it and its number: the token of a stream.
+pub(super) type Tokens = Arc<Mutex<BTreeMap<(usize, u32), (u64, u64)>>>;
+
+/// Reads along in one direction.
+pub(super) struct Watch {
+    connection: u64,
+    direction: usize,
+    ends: ProxyEnds,
+    decoder: FrameDecoder,
+    /// What passes are no frames: it is not read any more.
+    lost: bool,
+    tokens: Tokens,
+}
+
+impl Watch {
+    pub(super) fn saw(&mut self, bytes: &[u8], state: &Mutex<State>) {
+        let n = self.direction;
+        lock(state).passed.bytes[n] += bytes.len() as u64;
+        if self.lost {
+            return;
+        }
+        self.decoder.push_bytes(bytes);
+        loop {
+            let frame = match self.decoder.next_frame(4 << 20) {
+                Ok(Some(frame)) => frame,
+                Ok(None) => return,
+                Err(_) => {
+                    self.lost = true;
+                    return;
+                }
+            };
+            let tokens = || self.tokens.lock().unwrap_or_else(PoisonError::into_inner);
+            match frame.message {
+                Message::Request(open) => {
+                    let id = open.fields.iter().find(|(name, _)| name == "i").map(|(_, id)| id.clone());
+                    let token = open.token.map(|token| (token.epoch, token.number));
+                    token.into_iter().for_each(|token| _ = tokens().insert((n, frame.stream), token));
+                    let (to, passed) = (self.ends.sites[1 - n].clone(), open.passed_sites);
+                    let id = id.unwrap_or_default();
+                    let at = self.ends.record.note(RecordedEvent::Crossed { to, id, token, passed });
+                    let mut state = lock(state);
+                    state.passed.opened[n] += 1;
+                    state.passed.at.push(at);
+                }
+                Message::Reject { .. } => {
+                    if let Some(token) = tokens().remove(&(1 - n, frame.stream)) {
+                        self.ends.record.note(RecordedEvent::Proven { token });
+                    }
+                }
+                Message::OutcomeReport(token, AttemptOutcome::NeverRan) => {
+                    self.ends.record.note(RecordedEvent::Proven { token: (token.epoch, token.number) });
+                }
+                Message::Data(bytes) => {
+                    let mut state = lock(state);
+                    state.passed.bodies[n] += bytes.len() as u64;
+                    *state.passed.by_connection.entry(self.connection).or_default() += bytes.len() as u64;
+                }
+                _ => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/fault_proxy/two_sites.rs
@@ -0,0 +1,97 @@
+//! Two sites with a gateway each, and a proxy between them.
+
+use std::io::{self, ErrorKind};
+
+use super::{FaultProxy, ProxyEnds};
+
+/// Two sites with a gateway each, `north` and `south`, and the link in their middle; the north dials.
+pub struct TwoSites {
+    pub north: crate::process_cluster::ProcessCluster,
+    pub south: crate::process_cluster::ProcessCluster,
+    pub proxy: FaultProxy,
+}
+
+impl TwoSites {
+    /// Starts all; `settings` go into both gateways.
+    pub fn start(
+        program: &std::path::Path,
+        settings: &str,
+        server_config: impl Fn(crate::cache_server::ServerRole) -> crate::cache_server::CacheServerConfig,
+    ) -> io::Result<Self> {
+        use crate::process_cluster::ProcessCluster;
+        let mut north = ProcessCluster::site(program, "north", 2, None, &server_config)?;
+        let mut south = ProcessCluster::site(program, "south", 2, Some(&north), &server_config)?;
+        let sites = ["north".to_string(), "south".to_string()];
+        let proxy = FaultProxy::start(ProxyEnds { sites, record: north.record.clone() })?;
+        let listens = format!("listen = \"127.0.0.1:0\"{settings}");
+        south.start_router(SOUTH, Some(&operator("south", "north", &listens, "")), |_| {})?;
+        proxy.set_target(south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        let link = format!("link(\"south\", connect = \"{}\", connections = 2)", proxy.address);
+        let settings = settings.trim_start_matches(", ");
+        north.start_router(NORTH, Some(&operator("north", "south", settings, &link)), |_| {})?;
+        Ok(Self { north, south, proxy })
+    }
+
+    /// The gateway of the south is killed and started again.
+    pub fn restart_south(&mut self) -> io::Result<()> {
+        self.south.kill_router(SOUTH);
+        self.south.start_again(SOUTH)?;
+        self.proxy.set_target(self.south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        Ok(())
+    }
+
+    /// A command to the gateway of a side.
+    pub fn gateway(&self, router: &str, arguments: &[&str]) -> io::Result<(bool, String)> {
+        let fleet = self.fleet(router);
+        let socket = fleet.socket(router).display().to_string();
+        let arguments = [&["gateway"], arguments, &["--socket", &socket]].concat();
+        let output = fleet.command(&arguments)?;
+        let text = if output.status.success() { output.stdout } else { output.stderr };
+        Ok((output.status.success(), String::from_utf8_lossy(&text).into_owned()))
+    }
+
+    pub(super) fn fleet(&self, router: &str) -> &crate::process_cluster::ProcessCluster {
+        if router == NORTH {
+            &self.north
+        } else {
+            &self.south
+        }
+    }
+
+    /// How a gateway stands.
+    pub fn status(&self, router: &str) -> io::Result<serde_json::Value> {
+        self.fleet(router).asked(router, &["gateway", "status"])
+    }
+
+    /// Waits until a gateway shows what is wanted; the time is only a bound.
+    pub fn until(
+        &self,
+        router: &str,
+        what: &str,
+        fits: impl Fn(&serde_json::Value) -> bool,
+    ) -> io::Result<serde_json::Value> {
+        self.fleet(router).until(router, &["gateway", "status"], what, fits)
+    }
+
+    /// Waits until both sides use the link.
+    pub fn until_up(&self) -> io::Result<()> {
+        for router in [NORTH, SOUTH] {
+            self.until(router, "the link is up", |status| status["sites"][0]["reachable"] == true)?;
+        }
+        Ok(())
+    }
+}
+
+/// The routers' names.
+pub const NORTH: &str = "n0";
+
+pub const SOUTH: &str = "s0";
+
+/// The operator file of a gateway.
+pub(super) fn operator(site: &str, other: &str, settings: &str, link: &str) -> String {
+    let comma = if settings.is_empty() { "" } else { ", " };
+    format!(
+        "control(path = \"SOCKET\")\nlog(lines_per_second = 200)\n\
+         gateway(site = \"{site}\"{comma}{settings})\nsite(\"{other}\")\n{link}\n"
+    )
+}
--- /dev/null
+++ b/crates/testbed/src/harness/faults.rs
@@ -0,0 +1,136 @@
+//! Faults of processes and links, and their ends.
+
+use std::io;
+use std::time::Duration;
+
+use nix::sys::signal::Signal;
+
+use super::{alive, name, Harness};
+use crate::fault_proxy::{Corruption, LinkConditions};
+use crate::recording::{LinkState, RecordedEvent};
+
+impl Harness {
+    pub fn kill(&mut self, n: usize) {
+        self.fleet.kill_router(&name(n));
+        self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
+        self.clear_target(n);
+        self.end_load(n);
+    }
+
+    /// Asks a router to end, and waits for it.
+    pub fn stop(&mut self, n: usize) -> io::Result<()> {
+        self.fleet.stop_router(&name(n))?;
+        self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
+        self.clear_target(n);
+        self.end_load(n);
+        Ok(())
+    }
+
+    /// Starts a router's process again, with what its own journal has.
+    pub fn start_again(&mut self, n: usize) -> io::Result<()> {
+        self.ran(n);
+        self.fleet.start_again(&name(n))?;
+        self.ran(n);
+        self.lead(n)
+    }
+
+    /// For the record: a process that runs from now on, or one that has just come up.
+    pub(super) fn ran(&self, n: usize) {
+        if let Some(place) = self.plan.places.get(n) {
+            self.fleet.record.note(RecordedEvent::Ran { router: name(n), place: place.clone() });
+        }
+    }
+
+    /// For the record: what becomes of what each of two says to the other.
+    pub(super) fn linked(&self, a: usize, b: usize, states: [LinkState; 2]) {
+        for ((from, to), state) in [(a, b), (b, a)].into_iter().zip(states) {
+            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), state });
+        }
+    }
+
+    pub fn freeze(&self, n: usize) -> io::Result<()> {
+        self.fleet.record.note(RecordedEvent::Paused { router: name(n) });
+        self.fleet.signal(&name(n), Signal::SIGSTOP)
+    }
+
+    pub fn wake(&self, n: usize) -> io::Result<()> {
+        self.fleet.signal(&name(n), Signal::SIGCONT)?;
+        self.fleet.record.note(RecordedEvent::Woken { router: name(n) });
+        Ok(())
+    }
+
+    pub fn is_up(&self, n: usize) -> bool {
+        self.fleet.process_id(&name(n)).is_some()
+    }
+
+    pub(super) fn conditions(&self, from: usize, to: usize, conditions: LinkConditions) {
+        if let Some((proxy, direction)) = self.proxy(from, to) {
+            proxy.conditions(direction, conditions);
+            let state = if conditions.silent { LinkState::Closed } else { LinkState::Uneven };
+            self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), state });
+        }
+    }
+
+    /// Nothing passes from the one to the other any more; what comes back does.
+    pub fn block_direction(&self, from: usize, to: usize) {
+        self.conditions(from, to, LinkConditions { silent: true, ..LinkConditions::default() });
+    }
+
+    pub fn cut(&self, a: usize, b: usize) {
+        if let Some((proxy, _)) = self.proxy(a, b) {
+            proxy.cut();
+            self.linked(a, b, [LinkState::Closed; 2]);
+        }
+    }
+
+    /// Bytes a second in each direction.
+    pub fn slow(&self, a: usize, b: usize, rate: f64) {
+        let conditions = LinkConditions { rate, ..LinkConditions::default() };
+        self.conditions(a, b, conditions);
+        self.conditions(b, a, conditions);
+    }
+
+    pub fn delay(&self, a: usize, b: usize, delay: Duration) {
+        let conditions = LinkConditions { delay, ..LinkConditions::default() };
+        self.conditions(a, b, conditions);
+        self.conditions(b, a, conditions);
+    }
+
+    /// What is said next from the one to the other is lost, or comes twice, on a connection that stays up.
+    pub fn corrupt(&self, from: usize, to: usize, corruption: Corruption) {
+        self.conditions(
+            from,
+            to,
+            LinkConditions { corruption: Some(corruption), ..LinkConditions::default() },
+        );
+    }
+
+    pub fn mend(&self, a: usize, b: usize) {
+        if let Some((proxy, _)) = self.proxy(a, b) {
+            proxy.mend();
+            self.linked(a, b, [LinkState::Open; 2]);
+        }
+    }
+
+    pub fn mend_all(&self) {
+        self.links().into_iter().for_each(|(a, b)| self.mend(a, b));
+    }
+
+    /// Cuts a router off from all fellows.
+    pub fn cut_off(&self, n: usize) {
+        let of = self.links().into_iter().filter(|(a, b)| *a == n || *b == n);
+        of.for_each(|(a, b)| self.cut(a, b));
+    }
+
+    /// The same, and waits until it sees that.
+    pub fn isolate(&self, n: usize) -> io::Result<()> {
+        self.cut_off(n);
+        self.until(n, "it is alone", |shown| alive(shown) == 0).map(drop)
+    }
+
+    /// Cuts all links between those below `left` and the others.
+    pub fn split(&self, left: usize) {
+        let across = self.links().into_iter().filter(|(a, b)| (*a < left) != (*b < left));
+        across.for_each(|(a, b)| self.cut(a, b));
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/harness/plan.rs
@@ -0,0 +1,73 @@
+//! What a harness is made of.
+
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+
+use crate::rules::AggregateBounds;
+
+/// How a rig is made.
+#[derive(Debug, Clone)]
+pub struct Plan {
+    pub routers: usize,
+    /// Which router dials which; all that are lower numbered, if none are given.
+    pub links: Option<Vec<(usize, usize)>>,
+    pub caches: usize,
+    /// Inside of `hierarchy(...)`, `gateway(...)` and `fellows(...)`.
+    pub hierarchy: String,
+    pub gateway: String,
+    pub cluster_settings: String,
+    /// Where each router stands in the tree of the fleet; without any the fleet is flat.
+    pub places: Vec<String>,
+    /// Inside of `audit(...)` and `straggler(...)`; without them they are off.
+    pub audit: Option<String>,
+    pub straggler: Option<String>,
+    /// By router: a program other than the one of all, such as an earlier build.
+    pub programs: BTreeMap<usize, PathBuf>,
+    /// Requests a second at each router, and how many objects there are.
+    pub rate: f64,
+    pub objects: u64,
+    /// Rigs of this process that may run at a time; 0 is any number. A machine that is overloaded breaks times by itself.
+    pub at_once: usize,
+}
+
+impl Default for Plan {
+    fn default() -> Self {
+        Self {
+            routers: 3,
+            links: None,
+            caches: 3,
+            hierarchy: "extended = True, announce = 0.3, warm = 2, settle = 1, rest = 0.5, retire = 3, \
+                        least = 20, held = 3"
+                .to_string(),
+            gateway: "retry_most = 0.2".to_string(),
+            cluster_settings: "suspect = 0.5, frozen = 0.5, compare = 0.5, snapshot = 0.5".to_string(),
+            places: Vec::new(),
+            audit: Some("span = 0.5".to_string()),
+            straggler: None,
+            programs: BTreeMap::new(),
+            rate: 30.0,
+            objects: 400,
+            at_once: 3,
+        }
+    }
+}
+
+impl Plan {
+    /// How late counts of places may be, by the settings of the fellows.
+    pub fn aggregate_bounds(&self) -> AggregateBounds {
+        let set = |name: &str| {
+            let mut pairs = self.cluster_settings.split(',').filter_map(|pair| pair.split_once('='));
+            let (_, value) = pairs.find(|(known, _)| known.trim() == name)?;
+            Some(value.trim().parse::<f64>().ok()? * 1_000.0)
+        };
+        let bounds = AggregateBounds::default();
+        AggregateBounds {
+            suspect: set("suspect").unwrap_or(bounds.suspect),
+            relied_on: set("renew").map_or(bounds.relied_on, |renew| renew * 3.0),
+            // News is gathered for three times as long at the most, and leaves with the next bundle.
+            by_level: set("gather").map_or(bounds.by_level, |gather| gather * 3.0 + 200.0),
+            moves: set("moves").unwrap_or(bounds.moves),
+            ..bounds
+        }
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/harness/script.rs
@@ -0,0 +1,202 @@
+//! Scripts of overlapping faults from seeds, and how they are played.
+
+use std::io;
+use std::thread;
+use std::time::{Duration, Instant};
+
+use linnethook_audit::verification::Finding;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use serde_json::Value;
+
+use super::{name, Harness};
+use crate::checker::Rule;
+use crate::fault_proxy::Corruption;
+use crate::recording::{Phase, RecordedEvent};
+
+/// One fault, or its end, or something that is told meanwhile.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Step {
+    Kill(usize),
+    StartAgain(usize),
+    Freeze(usize),
+    Wake(usize),
+    Cut(usize, usize),
+    BlockDirection(usize, usize),
+    Slow(usize, usize),
+    Delay(usize, usize),
+    Lose(usize, usize),
+    Repeat(usize, usize),
+    Mend(usize, usize),
+    /// A router's operator has a cache fill by another parent.
+    Batch(usize, usize),
+    /// The journals of the lower or the higher half tell that a cache drains, or that it is back.
+    Drain(usize, bool),
+    Back(usize),
+}
+
+/// A script: pauses in milliseconds and what comes after each.
+pub type Script = Vec<(u64, Step)>;
+
+/// The script of a seed: some kinds of faults are left out by each, so that rare mixes come up.
+pub fn script(seed: u64, routers: usize, caches: usize, steps: usize) -> Script {
+    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let kinds: Vec<usize> = (0..11).filter(|_| chance.random::<f64>() < 0.6).collect();
+    let mut down = vec![false; routers];
+    let mut frozen = vec![false; routers];
+    let mut drained = None;
+    let mut script = Script::new();
+    for _ in 0..steps {
+        let pause = chance.random_range(30..400);
+        let (a, mut b) = (chance.random_range(0..routers), chance.random_range(0..routers));
+        if a == b {
+            b = (a + 1) % routers;
+        }
+        let kind = if kinds.is_empty() { 4 } else { kinds[chance.random_range(0..kinds.len())] };
+        let step = match kind {
+            0 if down[a] => Step::StartAgain(a),
+            0 if !frozen[a] && down.iter().filter(|down| **down).count() + 1 < routers => Step::Kill(a),
+            1 if frozen[a] => Step::Wake(a),
+            1 if !down[a] => Step::Freeze(a),
+            2 => Step::Cut(a, b),
+            3 => Step::BlockDirection(a, b),
+            4 => Step::Mend(a, b),
+            5 => Step::Slow(a, b),
+            6 => Step::Delay(a, b),
+            7 => Step::Lose(a, b),
+            8 => Step::Repeat(a, b),
+            9 if !down[a] && !frozen[a] => Step::Batch(a, chance.random_range(0..caches)),
+            10 => match drained.take() {
+                Some(cache) => Step::Back(cache),
+                None => {
+                    let cache = chance.random_range(0..caches);
+                    drained = Some(cache);
+                    Step::Drain(cache, chance.random())
+                }
+            },
+            _ => continue,
+        };
+        match step {
+            Step::Kill(n) => down[n] = true,
+            Step::StartAgain(n) => down[n] = false,
+            Step::Freeze(n) => frozen[n] = true,
+            Step::Wake(n) => frozen[n] = false,
+            _ => {}
+        }
+        script.push((pause, step));
+    }
+    script
+}
+
+/// What a script came to.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Played {
+    pub asked: u32,
+    pub served: u32,
+    pub refused: u32,
+    pub failed: u32,
+    /// Drains and batches that were heard from fellows first, at all routers.
+    pub drains: u64,
+    pub batches: u64,
+    /// From the end of the faults until all were of one mind.
+    pub settled_in: Duration,
+}
+
+impl Harness {
+    pub(super) fn step(&mut self, step: Step, drained: &mut Option<usize>) -> io::Result<()> {
+        match step {
+            Step::Kill(n) => self.kill(n),
+            Step::StartAgain(n) => {
+                self.start_again(n)?;
+                self.load(n)?;
+            }
+            Step::Freeze(n) => self.freeze(n)?,
+            Step::Wake(n) => self.wake(n)?,
+            Step::Cut(a, b) => self.cut(a, b),
+            Step::BlockDirection(a, b) => self.block_direction(a, b),
+            Step::Slow(a, b) => self.slow(a, b, 2_000.0),
+            Step::Delay(a, b) => self.delay(a, b, Duration::from_millis(150)),
+            Step::Lose(a, b) => self.corrupt(a, b, Corruption::Lost),
+            Step::Repeat(a, b) => self.corrupt(a, b, Corruption::Repeated),
+            Step::Mend(a, b) => self.mend(a, b),
+            // One that overtakes another may be refused: that is for the hierarchy to say.
+            Step::Batch(n, cache) => _ = self.move_cache(n, cache),
+            Step::Drain(cache, high) => {
+                let half = self.plan.routers / 2;
+                let notified: Vec<usize> = (0..self.plan.routers).filter(|n| (*n >= half) == high).collect();
+                self.tell(&format!("cache-{cache}"), Phase::Draining, &notified)?;
+                *drained = Some(cache);
+            }
+            Step::Back(cache) => {
+                let all: Vec<usize> = (0..self.plan.routers).collect();
+                self.tell(&format!("cache-{cache}"), Phase::Ready, &all)?;
+                *drained = None;
+            }
+        }
+        Ok(())
+    }
+
+    /// Plays a script under load, ends all its faults, and waits until all are of one mind. A cache that is drained
+    /// then by some journals only must have been left alone by all.
+    pub fn play(&mut self, script: &Script) -> Result<Played, String> {
+        let io_text = |error: io::Error| error.to_string();
+        self.load_all().map_err(io_text)?;
+        let mut drained = None;
+        for (pause, step) in script {
+            thread::sleep(Duration::from_millis(*pause));
+            self.step(*step, &mut drained).map_err(|error| format!("{step:?}: {error}"))?;
+        }
+        self.mend_all();
+        for n in 0..self.plan.routers {
+            match self.is_up(n) {
+                true => self.wake(n).map_err(io_text)?,
+                false => {
+                    self.start_again(n).map_err(io_text)?;
+                    self.load(n).map_err(io_text)?;
+                }
+            }
+        }
+        let begun = Instant::now();
+        self.settle().map_err(io_text)?;
+        let settled_in = begun.elapsed();
+        if let Some(cache) = drained {
+            let cache = format!("cache-{cache}");
+            let silent: Vec<usize> =
+                (0..self.plan.routers).filter(|n| self.bytes_received[*n] < self.events.len()).collect();
+            for n in silent {
+                let by_gossip = |shown: &Value| {
+                    let barred = shown["barred"].as_array();
+                    barred.is_some_and(|all| all.iter().any(|line| line[0] == cache.as_str()))
+                };
+                self.until(n, "the drain is heard from fellows", by_gossip).map_err(io_text)?;
+                // From now on it counts as told.
+                let (router, node, phase) = (name(n), cache.clone(), Phase::Draining);
+                self.fleet.record.note(RecordedEvent::Listed { router, node, phase });
+            }
+        }
+        thread::sleep(Duration::from_millis(700));
+        let mut played = Played { settled_in, ..Played::default() };
+        for n in 0..self.plan.routers {
+            let shown = self.shown(n).map_err(io_text)?;
+            played.drains += shown["drains"].as_u64().unwrap_or(0);
+            played.batches += shown["batches"].as_u64().unwrap_or(0);
+        }
+        self.end_loads();
+        for ends in &self.ends {
+            let sum = |list: &[u32]| list.iter().sum::<u32>();
+            played.asked += sum(&ends.asked);
+            played.served += sum(&ends.served);
+            played.refused += sum(&ends.refused);
+            played.failed += sum(&ends.failed);
+        }
+        let accounts = self.accounts().map_err(io_text)?;
+        self.accounted(&accounts)?;
+        if let Some(error) = accounts.findings.iter().find(|finding| !matches!(finding, Finding::Gap { .. }))
+        {
+            return Err(format!("the accounts do not hold together: {error:?}"));
+        }
+        // Halves that change the hierarchy apart from each other have versions that no record can tell apart.
+        self.check(&[Rule::NoStrangeEdge])?;
+        Ok(played)
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/harness/verification.rs
@@ -0,0 +1,121 @@
+//! The judgement of a run: its recording against the rules, and the audit logs against its recording.
+
+use std::collections::BTreeSet;
+use std::io;
+use std::thread;
+use std::time::Duration;
+
+use linnethook_audit::record::read_file;
+use linnethook_audit::verification::{Finding, VerifiedLogs};
+
+use super::{name, Harness};
+use crate::aggregates::quiet_from;
+use crate::checker::{judge, with_pauses, Breach, Rule, RuleBounds};
+use crate::recording::{now, RecordedEvent};
+
+impl Harness {
+    /// What all routers that run keep of their own and of others' accounts.
+    pub fn accounts(&self) -> io::Result<VerifiedLogs> {
+        let mut links = Vec::new();
+        for n in self.up() {
+            let file = self.fleet.write_file(&format!("accounts-{n}"), "")?;
+            let socket = self.fleet.socket(&name(n)).display().to_string();
+            let output =
+                self.fleet.command(&["audit", "export", &file.display().to_string(), "--socket", &socket])?;
+            if !output.status.success() {
+                return Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()));
+            }
+            links.extend(read_file(&std::fs::read(&file)?).ok_or(io::ErrorKind::InvalidData)?);
+        }
+        Ok(VerifiedLogs::new(links))
+    }
+
+    /// Whether the accounts and the record tell the same: each booking that reached a node is in some account or in a gap
+    /// that is named, and no account has one that no node saw, unless its end says that it may not have got there.
+    pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), String> {
+        let lines = self.fleet.record.lines();
+        let mut seen = BTreeSet::<(&str, &str)>::new();
+        let mut recorded = BTreeSet::<(String, String)>::new();
+        let mut open = Vec::new();
+        let known_from = accounts.earliest_known();
+        for (router, _, _, span) in accounts.spans() {
+            for booking in &span.write_attempts {
+                recorded.insert((router.to_string(), booking.request_id.clone()));
+                // Turned back, cancelled or broken off it may never have got there.
+                let mut ends = accounts
+                    .attempts_of_request(&booking.request_id)
+                    .into_iter()
+                    .filter(|trace| trace.name == router);
+                let arrived = ends.any(|trace| {
+                    let end = trace.outcome.filter(|end| end.attempt == booking.attempt);
+                    end.is_some_and(|end| matches!(end.outcome.as_str(), "answered" | "absent"))
+                });
+                if arrived {
+                    open.push((router.to_string(), booking.request_id.clone()));
+                }
+            }
+        }
+        for line in &lines {
+            let RecordedEvent::Asked { asked, .. } = &line.what else { continue };
+            let Some(router) = asked.router.as_deref().filter(|_| asked.class == "booking") else { continue };
+            // A second process of a name is not told apart here.
+            let router = router.trim_end_matches("-twin");
+            seen.insert((router, &asked.id));
+            let in_gap = |finding: &Finding| match finding {
+                Finding::Gap { name, from, to, .. } => {
+                    let from = from.map_or(0.0, |at| at.ms as f64);
+                    let to = to.map_or(f64::INFINITY, |at| at.ms as f64);
+                    name == router && (from - 50.0..=to + 50.0).contains(&line.at)
+                }
+                _ => false,
+            };
+            // Killed before anybody that still runs heard of its start: nothing is known of it, and that is said.
+            let before = known_from.get(router).is_none_or(|from| line.at <= from.ms as f64 + 50.0);
+            let known = before || recorded.contains(&(router.to_string(), asked.id.clone()));
+            if !known && !accounts.findings.iter().any(in_gap) {
+                return Err(format!(
+                    "{router}'s booking {} at {:.0} is in no account and no gap",
+                    asked.id, line.at
+                ));
+            }
+        }
+        let unseen = open.iter().find(|(router, id)| !seen.contains(&(router.as_str(), id.as_str())));
+        match unseen {
+            Some((router, id)) => Err(format!("{router}'s account has booking {id}, which no node saw")),
+            None => Ok(()),
+        }
+    }
+
+    pub(super) fn rules(&self) -> RuleBounds {
+        let aggregates = self.plan.aggregate_bounds();
+        RuleBounds { slack: 500.0, going_over: 7_000.0, aggregates, ..RuleBounds::default() }
+    }
+
+    /// Waits until all that has changed is known everywhere by its bound, and has each router that runs show places: what
+    /// they show then is judged as it is.
+    pub fn look(&self) -> io::Result<()> {
+        let due = quiet_from(&self.fleet.record.lines(), &self.rules());
+        thread::sleep(Duration::from_secs_f64((due - now()).max(0.0) / 1_000.0 + 0.01));
+        self.up().into_iter().try_for_each(|n| self.shown(n).map(drop))
+    }
+
+    /// The rules that were broken, but for those that are not asked for.
+    pub fn breaches(&self, but: &[Rule]) -> Vec<Breach> {
+        let rules = self.rules();
+        let lines = with_pauses(&self.fleet.record.lines(), 2_000.0);
+        let mut breaches = judge(&lines, &rules);
+        breaches.retain(|breach| !but.contains(&breach.rule));
+        breaches
+    }
+
+    /// No rule is broken.
+    pub fn check(&self, but: &[Rule]) -> Result<(), String> {
+        let breaches = self.breaches(but);
+        let first: String = breaches.iter().take(8).map(|breach| format!("{breach}\n")).collect();
+        let twice = self.fleet.node("origin").ran_twice();
+        match breaches.is_empty() && twice.is_empty() {
+            true => Ok(()),
+            false => Err(format!("{} breaches, {} ran twice\n{first}", breaches.len(), twice.len())),
+        }
+    }
+}
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! - [`recording`]: what crossed the sockets, with times, written by the stand-ins and not by the router;
 //! - [`checker`]: judges a record by the rules, without trusting the program;
+//! - [`rules`]: the rules, their bounds, and breaches of them;
 //! - [`aggregates`]: its rule of what routers show of places as a whole;
 //! - [`cold_start`]: what nodes that started cold were asked for by all routers together, from a record;
 //! - [`faults`]: what befalls a node, by time or by count;
@@ -27,6 +28,7 @@
 pub mod load;
 pub mod process_cluster;
 pub mod recording;
+pub mod rules;
 pub mod scale;
 pub mod server;
 pub mod two_sites;
--- /dev/null
+++ b/crates/testbed/src/process_cluster/configuration.rs
@@ -0,0 +1,83 @@
+//! Configurations, operator files and batches for the routers of a cluster.
+
+use std::io;
+use std::path::{Path, PathBuf};
+
+use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
+use serde_json::{json, Value};
+
+/// How long clients wait, in milliseconds, where nothing is to be late.
+pub const UNHURRIED: f64 = 30_000.0;
+
+/// Has a router want no answer sooner than a machine with other work can bring it. For tests whose claim is not on time:
+/// what comes late is refused for good reason, whosever doing it was, and a slow core makes anything late.
+pub fn unhurried(config: &mut Value) {
+    if let Some(grades) = config["settings"]["grades"].as_array_mut() {
+        for grade in grades {
+            grade["objective"] = json!(UNHURRIED / 2.0);
+            grade["deadline"] = json!(UNHURRIED);
+        }
+    }
+    config["settings"]["allowed"]["connect-timeout"] = json!(UNHURRIED / 2.0);
+}
+
+/// The same, where a cache is not taken to hang before seconds have passed: by the flow that links are told to have, in
+/// kB/s, a router reckons when an answer is overdue. The thinner it is, the less is asked of nodes that start cold.
+pub fn unhurried_by_flow(flow: u32) -> impl Fn(&mut Value) {
+    move |config| {
+        unhurried(config);
+        config["settings"]["family-info"]["flow-kb-per-s"] = json!(flow);
+    }
+}
+
+/// An operator file for [`ProcessCluster::two_hubs`]: all caches fill by `parent`, and else from the origin.
+pub fn operator_file(caches: usize, parent: &str, settings: &str) -> String {
+    format!(
+        r#"control(path = "SOCKET")
+hierarchy({settings})
+node("origin", role = "origin", site = "hub", capacity = 20)
+for hub in ["south", "centre"]:
+    node(hub, role = "parent", site = hub, capacity = 30, sources = ["origin"])
+for n in range({caches}):
+    node("cache-%d" % n, site = "shop", capacity = 8, sources = [("{parent}", 0), ("origin", 9)])
+"#
+    )
+}
+
+/// Sources with ranks 0 and, for the last one, 9.
+pub fn sources(names: &[&str]) -> Vec<SourceSpec> {
+    let last = names.len().saturating_sub(1);
+    let rank = |n: usize| if n == last && n > 0 { 9 } else { n as u16 };
+    names.iter().enumerate().map(|(n, name)| SourceSpec { name: name.to_string(), rank: rank(n) }).collect()
+}
+
+/// A batch that gives nodes other sources.
+pub fn reroute(
+    author: u16,
+    number: u64,
+    stamp: u64,
+    basis: &[(u16, u64)],
+    lists: &[(&str, &[&str])],
+) -> BatchSpec {
+    let change = |(node, names): &(&str, &[&str])| ChangeSpec::Rerank {
+        node: node.to_string(),
+        sources: sources(names),
+    };
+    let effective_at = crate::recording::now();
+    BatchSpec {
+        author,
+        number,
+        stamp,
+        basis: basis.to_vec(),
+        effective_at,
+        changes: lists.iter().map(change).collect(),
+    }
+}
+
+/// Where the router's program is, for the programs of this package: given, or beside the one that runs.
+pub fn router_program(given: Option<&Path>) -> io::Result<PathBuf> {
+    match given {
+        Some(path) => Ok(path.to_path_buf()),
+        None => Ok(std::env::current_exe()?.with_file_name("linnethook")),
+    }
+}
--- /dev/null
+++ b/crates/testbed/src/process_cluster/events.rs
@@ -0,0 +1,112 @@
+//! What the journals publish to routers.
+
+use std::io::{self};
+use std::thread;
+use std::time::Duration;
+
+use linnethook_hierarchy::change_spec::BatchSpec;
+use serde_json::json;
+
+use super::ProcessCluster;
+use crate::cache_server::CacheServerConfig;
+use crate::recording::{Phase, RecordedEvent};
+
+impl ProcessCluster {
+    pub(super) fn routers(&self) -> Vec<String> {
+        self.routers.keys().cloned().collect()
+    }
+
+    /// Tells all routers of a node.
+    pub fn tell(&self, node: &str, phase: Phase) -> io::Result<()> {
+        for router in self.routers() {
+            self.tell_one(&router, node, phase)?;
+        }
+        Ok(())
+    }
+
+    pub fn tell_one(&self, router: &str, node: &str, phase: Phase) -> io::Result<()> {
+        let target = self.line(router, node, phase)?;
+        let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
+        self.record.note(RecordedEvent::Listed { router: router.to_string(), node: node.to_string(), phase });
+        self.routers[router].journal.publish(event);
+        Ok(())
+    }
+
+    /// Tells a router of a node of another site, for whose router `bound` it is to hold from now on.
+    pub fn tell_foreign(&self, router: &str, node: &str, phase: Phase, bound: &str) {
+        let state = if phase == Phase::Ready { "Ready" } else { "Terminating" };
+        let target = json!({"uid": node, "endpoint": "127.0.0.1:1", "az": "elsewhere", "model": "box",
+            "pod_group": 0, "state": state, "capacity_hint": 8, "boot_ms": 0});
+        self.record.note(RecordedEvent::Listed { router: bound.to_string(), node: node.to_string(), phase });
+        let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
+        self.routers[router].journal.publish(event);
+    }
+
+    /// A node starts again, cold, and all routers are told.
+    pub fn restart(&mut self, node: &str) -> io::Result<()> {
+        let listed = self.nodes.get_mut(node).ok_or(io::ErrorKind::NotFound)?;
+        listed.started = listed.node.start_again()?;
+        self.tell(node, Phase::Ready)
+    }
+
+    /// A node dies, and another one that starts now gets its addresses; routers are told of both.
+    pub fn succeed(&mut self, old: &str, new: &str, server_config: CacheServerConfig) -> io::Result<()> {
+        let (zone, capacity) = (self.nodes[old].zone.clone(), self.nodes[old].capacity);
+        self.node(old).kill();
+        self.add(new, &zone, capacity, server_config)?;
+        for router in self.routers() {
+            let address = self.node(old).front(&router)?;
+            self.node(new).front_at(&router, address)?;
+        }
+        self.tell(old, Phase::Removed)?;
+        self.tell(new, Phase::Ready)
+    }
+
+    /// Tells all routers of a purge; nodes drop their old copies after `drop_after`.
+    pub fn purge(&self, object: &str, drop_after: Duration) {
+        let stamp = crate::recording::now().floor();
+        for router in self.routers() {
+            let event = json!({"expire": {"name": object, "stamp": stamp}});
+            let object = Some(object.to_string());
+            self.record.note(RecordedEvent::Purged { router: router.clone(), object, group: None, stamp });
+            self.routers[&router].journal.publish(event);
+        }
+        thread::sleep(drop_after);
+        self.nodes.values().for_each(|listed| listed.node.purge(object, stamp));
+    }
+
+    /// Tells one router alone of a purge.
+    pub fn tell_purge(&self, router: &str, object: &str, stamp: f64) {
+        let what = RecordedEvent::Purged {
+            router: router.to_string(),
+            object: Some(object.to_string()),
+            group: None,
+            stamp,
+        };
+        self.record.note(what);
+        self.routers[router].journal.publish(json!({"expire": {"name": object, "stamp": stamp}}));
+    }
+
+    /// All nodes drop what they hold of an object from before.
+    pub fn drop_copies(&self, object: &str, stamp: f64) {
+        self.nodes.values().for_each(|listed| listed.node.purge(object, stamp));
+    }
+
+    /// Puts a batch into a router's journal.
+    pub fn tell_batch(&self, router: &str, batch: &BatchSpec) -> io::Result<()> {
+        self.routers[router].journal.publish(json!({"shape": serde_json::to_value(batch)?}));
+        Ok(())
+    }
+
+    /// Notes which edges may be used from a version on, for the checker: those of before, and what changes.
+    pub fn note_shape(&mut self, version: u64, lists: &[(&str, &[&str])]) {
+        for (node, sources) in lists {
+            self.edges.insert(node.to_string(), sources.iter().map(|source| source.to_string()).collect());
+        }
+        let pairs = self
+            .edges
+            .iter()
+            .flat_map(|(node, sources)| sources.iter().map(move |source| (node.clone(), source.clone())));
+        self.record.note(RecordedEvent::Shape { version, edges: pairs.collect() });
+    }
+}
--- a/crates/testbed/src/process_cluster.rs
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -1,9 +1,12 @@
 //! Owns a small fleet: nodes, a journal service for each router, and the routers as processes.
 
+mod configuration;
+mod events;
+
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::mpsc::{channel, Receiver};
@@ -11,7 +14,6 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
 use linnethook_quickstart::Journal;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
@@ -19,35 +21,15 @@
 
 use crate::cache_server::{CacheServer, CacheServerConfig, Directory, ServerRole};
 use crate::load::{self, Load, RequestNumbers, RunningLoad};
-use crate::recording::{Phase, RecordedEvent, Recording};
+use crate::recording::{Phase, Recording};
+
+pub use configuration::{
+    operator_file, reroute, router_program, sources, unhurried, unhurried_by_flow, UNHURRIED,
+};
 
 /// Longer than anything that is waited for.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// How long clients wait, in milliseconds, where nothing is to be late.
-pub const UNHURRIED: f64 = 30_000.0;
-
-/// Has a router want no answer sooner than a machine with other work can bring it. For tests whose claim is not on time:
-/// what comes late is refused for good reason, whosever doing it was, and a slow core makes anything late.
-pub fn unhurried(config: &mut Value) {
-    if let Some(grades) = config["settings"]["grades"].as_array_mut() {
-        for grade in grades {
-            grade["objective"] = json!(UNHURRIED / 2.0);
-            grade["deadline"] = json!(UNHURRIED);
-        }
-    }
-    config["settings"]["allowed"]["connect-timeout"] = json!(UNHURRIED / 2.0);
-}
-
-/// The same, where a cache is not taken to hang before seconds have passed: by the flow that links are told to have, in
-/// kB/s, a router reckons when an answer is overdue. The thinner it is, the less is asked of nodes that start cold.
-pub fn unhurried_by_flow(flow: u32) -> impl Fn(&mut Value) {
-    move |config| {
-        unhurried(config);
-        config["settings"]["family-info"]["flow-kb-per-s"] = json!(flow);
-    }
-}
-
 /// A node as the list of caches has it.
 struct Listed {
     node: CacheServer,
@@ -217,7 +199,7 @@
         let lines: io::Result<Vec<Value>> = names.iter().map(|n| self.line(name, n, Phase::Ready)).collect();
         let known = vec![json!({"hosts": {"rev": 1, "all": true, "targets": lines?}})];
         let journal = Journal::start("127.0.0.1:0", known)?;
-        let mut config: Value = serde_json::from_str(include_str!("../../../examples/config.json"))?;
+        let mut config: Value = serde_json::from_str(include_str!("../../../../examples/config.json"))?;
         config["name"] = json!(name);
         config["listen"] = json!("127.0.0.1:0");
         config["journal"] = json!(journal.address.to_string());
@@ -378,104 +360,6 @@
 
     // ---- What routers are told.
 
-    fn routers(&self) -> Vec<String> {
-        self.routers.keys().cloned().collect()
-    }
-
-    /// Tells all routers of a node.
-    pub fn tell(&self, node: &str, phase: Phase) -> io::Result<()> {
-        for router in self.routers() {
-            self.tell_one(&router, node, phase)?;
-        }
-        Ok(())
-    }
-
-    pub fn tell_one(&self, router: &str, node: &str, phase: Phase) -> io::Result<()> {
-        let target = self.line(router, node, phase)?;
-        let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
-        self.record.note(RecordedEvent::Listed { router: router.to_string(), node: node.to_string(), phase });
-        self.routers[router].journal.publish(event);
-        Ok(())
-    }
-
-    /// Tells a router of a node of another site, for whose router `bound` it is to hold from now on.
-    pub fn tell_foreign(&self, router: &str, node: &str, phase: Phase, bound: &str) {
-        let state = if phase == Phase::Ready { "Ready" } else { "Terminating" };
-        let target = json!({"uid": node, "endpoint": "127.0.0.1:1", "az": "elsewhere", "model": "box",
-            "pod_group": 0, "state": state, "capacity_hint": 8, "boot_ms": 0});
-        self.record.note(RecordedEvent::Listed { router: bound.to_string(), node: node.to_string(), phase });
-        let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
-        self.routers[router].journal.publish(event);
-    }
-
-    /// A node starts again, cold, and all routers are told.
-    pub fn restart(&mut self, node: &str) -> io::Result<()> {
-        let listed = self.nodes.get_mut(node).ok_or(io::ErrorKind::NotFound)?;
-        listed.started = listed.node.start_again()?;
-        self.tell(node, Phase::Ready)
-    }
-
-    /// A node dies, and another one that starts now gets its addresses; routers are told of both.
-    pub fn succeed(&mut self, old: &str, new: &str, server_config: CacheServerConfig) -> io::Result<()> {
-        let (zone, capacity) = (self.nodes[old].zone.clone(), self.nodes[old].capacity);
-        self.node(old).kill();
-        self.add(new, &zone, capacity, server_config)?;
-        for router in self.routers() {
-            let address = self.node(old).front(&router)?;
-            self.node(new).front_at(&router, address)?;
-        }
-        self.tell(old, Phase::Removed)?;
-        self.tell(new, Phase::Ready)
-    }
-
-    /// Tells all routers of a purge; nodes drop their old copies after `drop_after`.
-    pub fn purge(&self, object: &str, drop_after: Duration) {
-        let stamp = crate::recording::now().floor();
-        for router in self.routers() {
-            let event = json!({"expire": {"name": object, "stamp": stamp}});
-            let object = Some(object.to_string());
-            self.record.note(RecordedEvent::Purged { router: router.clone(), object, group: None, stamp });
-            self.routers[&router].journal.publish(event);
-        }
-        thread::sleep(drop_after);
-        self.nodes.values().for_each(|listed| listed.node.purge(object, stamp));
-    }
-
-    /// Tells one router alone of a purge.
-    pub fn tell_purge(&self, router: &str, object: &str, stamp: f64) {
-        let what = RecordedEvent::Purged {
-            router: router.to_string(),
-            object: Some(object.to_string()),
-            group: None,
-            stamp,
-        };
-        self.record.note(what);
-        self.routers[router].journal.publish(json!({"expire": {"name": object, "stamp": stamp}}));
-    }
-
-    /// All nodes drop what they hold of an object from before.
-    pub fn drop_copies(&self, object: &str, stamp: f64) {
-        self.nodes.values().for_each(|listed| listed.node.purge(object, stamp));
-    }
-
-    /// Puts a batch into a router's journal.
-    pub fn tell_batch(&self, router: &str, batch: &BatchSpec) -> io::Result<()> {
-        self.routers[router].journal.publish(json!({"shape": serde_json::to_value(batch)?}));
-        Ok(())
-    }
-
-    /// Notes which edges may be used from a version on, for the checker: those of before, and what changes.
-    pub fn note_shape(&mut self, version: u64, lists: &[(&str, &[&str])]) {
-        for (node, sources) in lists {
-            self.edges.insert(node.to_string(), sources.iter().map(|source| source.to_string()).collect());
-        }
-        let pairs = self
-            .edges
-            .iter()
-            .flat_map(|(node, sources)| sources.iter().map(move |source| (node.clone(), source.clone())));
-        self.record.note(RecordedEvent::Shape { version, edges: pairs.collect() });
-    }
-
     /// Starts clients of a router.
     pub fn load(&self, router: &str, load: &Load) -> io::Result<RunningLoad> {
         let address = self.address(router).ok_or(io::ErrorKind::NotFound)?;
@@ -500,55 +384,3 @@
         }
     }
 }
-
-/// An operator file for [`ProcessCluster::two_hubs`]: all caches fill by `parent`, and else from the origin.
-pub fn operator_file(caches: usize, parent: &str, settings: &str) -> String {
-    format!(
-        r#"control(path = "SOCKET")
-hierarchy({settings})
-node("origin", role = "origin", site = "hub", capacity = 20)
-for hub in ["south", "centre"]:
-    node(hub, role = "parent", site = hub, capacity = 30, sources = ["origin"])
-for n in range({caches}):
-    node("cache-%d" % n, site = "shop", capacity = 8, sources = [("{parent}", 0), ("origin", 9)])
-"#
-    )
-}
-
-/// Sources with ranks 0 and, for the last one, 9.
-pub fn sources(names: &[&str]) -> Vec<SourceSpec> {
-    let last = names.len().saturating_sub(1);
-    let rank = |n: usize| if n == last && n > 0 { 9 } else { n as u16 };
-    names.iter().enumerate().map(|(n, name)| SourceSpec { name: name.to_string(), rank: rank(n) }).collect()
-}
-
-/// A batch that gives nodes other sources.
-pub fn reroute(
-    author: u16,
-    number: u64,
-    stamp: u64,
-    basis: &[(u16, u64)],
-    lists: &[(&str, &[&str])],
-) -> BatchSpec {
-    let change = |(node, names): &(&str, &[&str])| ChangeSpec::Rerank {
-        node: node.to_string(),
-        sources: sources(names),
-    };
-    let effective_at = crate::recording::now();
-    BatchSpec {
-        author,
-        number,
-        stamp,
-        basis: basis.to_vec(),
-        effective_at,
-        changes: lists.iter().map(change).collect(),
-    }
-}
-
-/// Where the router's program is, for the programs of this package: given, or beside the one that runs.
-pub fn router_program(given: Option<&Path>) -> io::Result<PathBuf> {
-    match given {
-        Some(path) => Ok(path.to_path_buf()),
-        None => Ok(std::env::current_exe()?.with_file_name("linnethook")),
-    }
-}
--- a/crates/testbed/tests/aggregates.rs
+++ b/crates/testbed/tests/aggregates.rs
@@ -1,8 +1,8 @@
 //! The rule of aggregates: a sound record passes, and one that is broken is caught, for each of its clauses.
 
-use linnethook_testbed::aggregates::AggregateBounds;
 use linnethook_testbed::checker::{judge, Rule, RuleBounds};
 use linnethook_testbed::recording::{Asked, LinkState, LocationSummary, Ms, RecordEntry, RecordedEvent};
+use linnethook_testbed::rules::AggregateBounds;
 
 /// Two sites of a zone of two routers, and one of another region.
 const ROUTERS: [(&str, &str); 5] =
