--- a/crates/testbed/src/cache_server/mod.rs
+++ b/crates/testbed/src/cache_server/mod.rs
@@ -18,16 +18,21 @@
 use crate::server::Server;
 use fill::{hints, part};
 
+/// What a server is in the hierarchy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerRole {
+    /// Keeps copies for routers and fills from the source that they name.
     Cache,
+    /// Keeps copies for caches and fills from its own source.
     Parent,
+    /// Has each object and runs what is not idempotent.
     Origin,
 }
 
 /// How a node works.
 #[derive(Debug, Clone)]
 pub struct CacheServerConfig {
+    /// Its place in the hierarchy.
     pub kind: ServerRole,
     /// Copies that it keeps; the one used longest ago goes first.
     pub copies: usize,
@@ -45,10 +50,12 @@
     pub patience: Duration,
     /// Bytes of an answer.
     pub size: usize,
+    /// What it can do after a start; it never falls over where the multiple is 0.
     pub cold: WarmUpCapacity,
 }
 
 impl CacheServerConfig {
+    /// The usual settings of a role: a latency of 10 ms at the origin and of 1 ms elsewhere, and no warm-up.
     pub fn new(kind: ServerRole) -> Self {
         let upstream = if kind == ServerRole::Origin { Vec::new() } else { vec!["origin".to_string()] };
         Self {
@@ -135,6 +142,10 @@
 const NODES: &str = "";
 
 impl CacheServer {
+    /// Starts a server and enters its address in the directory.
+    ///
+    /// # Errors
+    /// The address can not be listened at.
     pub fn start(
         name: &str,
         server_config: CacheServerConfig,
@@ -173,6 +184,9 @@
     }
 
     /// The address at which that router reaches it.
+    ///
+    /// # Errors
+    /// The address can not be listened at.
     pub fn front(&self, router: &str) -> io::Result<SocketAddr> {
         if let Some((address, _)) = self.servers().get(router) {
             return Ok(*address);
@@ -184,6 +198,9 @@
     }
 
     /// Listens for that router at an address that another node had.
+    ///
+    /// # Errors
+    /// The address can not be listened at.
     pub fn front_at(&self, router: &str, address: SocketAddr) -> io::Result<()> {
         let server = self.serve(address, router)?;
         self.servers().insert(router.to_string(), (address, server));
@@ -195,10 +212,12 @@
         Server::start(address, Arc::new(Front { inner: self.inner.clone(), router }))
     }
 
+    /// Its name in the endpoint list.
     pub fn name(&self) -> &str {
         &self.inner.name
     }
 
+    /// The faults of this server.
     pub fn script(&self) -> &Script {
         &self.inner.script
     }
@@ -212,6 +231,9 @@
     }
 
     /// It starts again at its addresses, cold and empty.
+    ///
+    /// # Errors
+    /// The address can not be listened at.
     pub fn start_again(&self) -> io::Result<Ms> {
         let started = now();
         {
@@ -247,6 +269,7 @@
         self.inner.lock().copies.len()
     }
 
+    /// Whether it fell over since its last start.
     pub fn has_fallen(&self) -> bool {
         self.inner.lock().fallen
     }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -38,7 +38,9 @@
 /// Requests whose clients left while they waited, and each time that one was sent on later than it may be.
 #[derive(Debug, Default)]
 pub struct DisconnectedClients {
+    /// Requests whose clients disconnected before an answer.
     pub cases: usize,
+    /// Attempts that were sent too late after that.
     pub sent_on: Vec<Breach>,
     /// Those among them that are late by the older figure as well.
     pub sent_on_late: Vec<Breach>,
--- a/crates/testbed/src/cold_restart.rs
+++ b/crates/testbed/src/cold_restart.rs
@@ -32,6 +32,7 @@
 
 /// A discovery service that is out of order until it comes back at the same address.
 pub struct Discovery {
+    /// Where routers look for discovery.
     pub address: SocketAddr,
     socket: Socket,
     over: Arc<AtomicBool>,
@@ -39,6 +40,10 @@
 }
 
 impl Discovery {
+    /// Takes an address and is out of order there.
+    ///
+    /// # Errors
+    /// A socket that fails.
     pub fn start(outage: Outage) -> io::Result<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -61,6 +66,9 @@
     }
 
     /// It is in order again, and knows these events.
+    ///
+    /// # Errors
+    /// A socket that fails.
     pub fn back(mut self, known: Vec<Value>) -> io::Result<Journal> {
         self.end();
         self.socket.listen(128)?;
@@ -102,11 +110,13 @@
 /// What routers start into.
 #[derive(Debug, Clone, Copy)]
 pub struct StartScenario {
+    /// How discovery is out of order.
     pub outage: Outage,
     /// Processes that start at once.
     pub processes: usize,
     /// Caches in the list that each finds in its configuration, and purges after it.
     pub listed: usize,
+    /// Purges that each finds in its configuration.
     pub purges: usize,
     /// No cache answers, and each router is asked for something before it is asked whether it is ready.
     pub hung: bool,
--- a/crates/testbed/src/cold_start.rs
+++ b/crates/testbed/src/cold_start.rs
@@ -11,16 +11,21 @@
 /// What one start of a node was asked for, over all windows that end as a request comes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ColdStartLoad {
+    /// The server that started.
     pub node: String,
+    /// Windows that were looked at: one ends at each request.
     pub windows: u32,
     /// Windows with more than N, and with more than N + 2 x root of N + 2.
     pub over_budget: u32,
+    /// Windows with more than [`bound`].
     pub over: u32,
     /// The first of the latter came for over two thirds from routers that had been told.
     pub broken: bool,
     /// The most that a window had, as a multiple of that bound and of N; N where it came nearest to the bound.
     pub worst: f64,
+    /// The most that a window had, as a multiple of N.
     pub worst_budget: f64,
+    /// N in the window that came nearest to the bound.
     pub budget: f64,
     /// When each request came, after the start.
     pub arrivals: Vec<Ms>,
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -23,6 +23,7 @@
 pub struct LinkConditions {
     /// Nothing passes, and nothing is said of it.
     pub silent: bool,
+    /// What each chunk waits for at the least.
     pub delay: Duration,
     /// Bytes a second; 0 is as many as come.
     pub rate: f64,
@@ -35,17 +36,22 @@
 /// What befalls the bytes of a connection that no wire would do to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Corruption {
+    /// The chunk is dropped.
     Lost,
+    /// The chunk is sent twice.
     Repeated,
 }
 
 /// What passed, in each direction: towards the server first.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Passed {
+    /// All bytes.
     pub bytes: [u64; 2],
     /// Bytes of bodies, and requests with and without a token.
     pub bodies: [u64; 2],
+    /// Requests.
     pub opened: [u64; 2],
+    /// Connections that came up, both directions together.
     pub connections: u64,
     /// Bytes of bodies by connection, both directions together.
     pub by_connection: BTreeMap<u64, u64>,
@@ -65,6 +71,7 @@
 
 /// One link; dropped, it is gone.
 pub struct FaultProxy {
+    /// Where dialers connect.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     over: Arc<AtomicBool>,
@@ -72,6 +79,7 @@
 
 /// Towards the one that is dialled, and towards the one that dials.
 pub const TO_ACCEPTOR: usize = 0;
+/// The direction towards the end that dials.
 pub const TO_DIALER: usize = 1;
 
 fn lock(state: &Mutex<State>) -> MutexGuard<'_, State> {
@@ -81,11 +89,17 @@
 /// Who is at the ends, for the record: the site that dials and the one that is dialled.
 #[derive(Debug, Clone)]
 pub struct ProxyEnds {
+    /// Names of the dialer and the acceptor.
     pub sites: [String; 2],
+    /// Where requests and proofs that pass are recorded.
     pub record: Recording,
 }
 
 impl FaultProxy {
+    /// Listens on a port that the system gives; nothing passes before a target is set.
+    ///
+    /// # Errors
+    /// A socket or a process that fails.
     pub fn start(ends: ProxyEnds) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
@@ -115,6 +129,7 @@
         lock(&self.state).target = None;
     }
 
+    /// Sets the conditions of a direction.
     pub fn conditions(&self, direction: usize, conditions: LinkConditions) {
         lock(&self.state).conditions[direction] = conditions;
     }
@@ -138,6 +153,7 @@
         (state.cut, state.conditions) = (false, [LinkConditions::default(); 2]);
     }
 
+    /// What has passed since the start.
     pub fn passed(&self) -> Passed {
         lock(&self.state).passed.clone()
     }
--- a/crates/testbed/src/fault_proxy/two_sites.rs
+++ b/crates/testbed/src/fault_proxy/two_sites.rs
@@ -6,13 +6,19 @@
 
 /// Two sites with a gateway each, `north` and `south`, and the link in their middle; the north dials.
 pub struct TwoSites {
+    /// The site that dials.
     pub north: crate::process_cluster::ProcessCluster,
+    /// The site that is dialed.
     pub south: crate::process_cluster::ProcessCluster,
+    /// The link between them.
     pub proxy: FaultProxy,
 }
 
 impl TwoSites {
     /// Starts all; `settings` go into both gateways.
+    ///
+    /// # Errors
+    /// A socket or a process that fails.
     pub fn start(
         program: &std::path::Path,
         settings: &str,
@@ -33,6 +39,9 @@
     }
 
     /// The gateway of the south is killed and started again.
+    ///
+    /// # Errors
+    /// A socket or a process that fails.
     pub fn restart_south(&mut self) -> io::Result<()> {
         self.south.kill_router(SOUTH);
         self.south.start_again(SOUTH)?;
@@ -41,6 +50,9 @@
     }
 
     /// A command to the gateway of a side.
+    ///
+    /// # Errors
+    /// A socket or a process that fails.
     pub fn gateway(&self, router: &str, arguments: &[&str]) -> io::Result<(bool, String)> {
         let fleet = self.fleet(router);
         let socket = fleet.socket(router).display().to_string();
@@ -59,11 +71,17 @@
     }
 
     /// How a gateway stands.
+    ///
+    /// # Errors
+    /// A socket or a process that fails.
     pub fn status(&self, router: &str) -> io::Result<serde_json::Value> {
         self.fleet(router).asked(router, &["gateway", "status"])
     }
 
     /// Waits until a gateway shows what is wanted; the time is only a bound.
+    ///
+    /// # Errors
+    /// A socket or a process that fails.
     pub fn until(
         &self,
         router: &str,
@@ -74,6 +92,9 @@
     }
 
     /// Waits until both sides use the link.
+    ///
+    /// # Errors
+    /// A socket or a process that fails.
     pub fn until_up(&self) -> io::Result<()> {
         for router in [NORTH, SOUTH] {
             self.until(router, "the link is up", |status| status["sites"][0]["reachable"] == true)?;
@@ -85,6 +106,7 @@
 /// The routers' names.
 pub const NORTH: &str = "n0";
 
+/// The router of the south.
 pub const SOUTH: &str = "s0";
 
 /// The operator file of a gateway.
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -27,7 +27,12 @@
     /// From one time to another, in Unix milliseconds.
     Between(Ms, Ms),
     /// For so many requests, after so many.
-    Count { after: u64, most: u64 },
+    Count {
+        /// Requests that pass before the fault is on.
+        after: u64,
+        /// Requests that it befalls.
+        most: u64,
+    },
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -42,11 +47,13 @@
 pub struct Script(Arc<Mutex<Vec<Scheduled>>>);
 
 impl Script {
+    /// Adds a fault; where several are on the one that was added first counts.
     pub fn add(&self, fault: Fault, when: When) {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         all.push(Scheduled { fault, when, seen: 0 });
     }
 
+    /// Ends all faults.
     pub fn clear(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
--- a/crates/testbed/src/harness/events.rs
+++ b/crates/testbed/src/harness/events.rs
@@ -13,12 +13,18 @@
 impl Harness {
     /// The journal tells of a node. It is silent for all but these routers; who hears of it hears first of all that
     /// was silent before.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn tell(&mut self, node: &str, phase: Phase, routers: &[usize]) -> io::Result<()> {
         self.events.push(JournalEvent::Node(node.to_string(), phase));
         self.catch_up(routers)
     }
 
     /// The same with a purge; nodes drop their copies at once.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn purge(&mut self, object: &str, routers: &[usize]) -> io::Result<()> {
         let stamp = crate::recording::now().floor();
         self.events.push(JournalEvent::Purge(object.to_string(), stamp));
@@ -29,6 +35,9 @@
 
     /// The journal tells one router that a cache drains, and others are to heed it within so long: from then on the
     /// record has it as if their own journals had told them.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn tell_for(&mut self, node: &str, by: usize, others: &[usize], within: Duration) -> io::Result<()> {
         self.tell(node, Phase::Draining, &[by])?;
         let due = now() + within.as_secs_f64() * 1_000.0;
@@ -40,6 +49,9 @@
     }
 
     /// The same with a purge; nodes keep their old copies.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn purge_for(
         &mut self,
         object: &str,
@@ -59,6 +71,9 @@
     }
 
     /// Nobody is to act on a version below this one, says a router; 0 takes that back.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn raise(&self, n: usize, version: u64, bound: Duration) -> io::Result<()> {
         match version {
             0 => self.fleet.asked(&name(n), &["fleet", "floor", "clear"])?,
@@ -76,12 +91,18 @@
     }
 
     /// The journals of these routers tell all that they were silent about.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn catch_up(&mut self, routers: &[usize]) -> io::Result<()> {
         let all = self.events.len();
         routers.iter().try_for_each(|n| self.deliver_events(*n, all))
     }
 
     /// A router's journal tells it what it was silent about, up to so many events of all.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn deliver_events(&mut self, n: usize, upto: usize) -> io::Result<()> {
         for event in &self.events[self.bytes_received[n].min(upto)..upto] {
             match event {
@@ -94,6 +115,9 @@
     }
 
     /// How a router sees the fleet.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn shown(&self, n: usize) -> io::Result<Value> {
         let since = now();
         let shown = self.fleet.asked(&name(n), &["fleet", "show"])?;
@@ -101,6 +125,10 @@
         Ok(shown)
     }
 
+    /// Waits until `fleet show` of a router is as wanted; each answer is recorded.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn until(&self, n: usize, what: &str, fits: impl Fn(&Value) -> bool) -> io::Result<Value> {
         let since = Cell::new(now());
         let noted = |shown: &Value| {
@@ -132,6 +160,9 @@
     }
 
     /// Waits until all that run see each other alive and act on the same hierarchy and the same journal's number.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn settle(&self) -> io::Result<()> {
         let up = self.up();
         for n in &up {
@@ -156,12 +187,18 @@
     }
 
     /// Has changes of the hierarchy take effect at a router, as an operator does.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn apply(&self, n: usize, changes: &str) -> io::Result<Value> {
         let file = self.fleet.write_file(&format!("changes-{n}.star"), changes)?;
         self.fleet.asked(&name(n), &["hierarchy", "apply", &file.display().to_string()])
     }
 
     /// A router's operator has a cache fill by the other parent.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn move_cache(&mut self, n: usize, cache: usize) -> io::Result<()> {
         let cache = format!("cache-{cache}");
         let batch =
--- a/crates/testbed/src/harness/faults.rs
+++ b/crates/testbed/src/harness/faults.rs
@@ -10,6 +10,7 @@
 use crate::recording::{LinkState, RecordedEvent};
 
 impl Harness {
+    /// Kills a router's process outright; its clients end with it.
     pub fn kill(&mut self, n: usize) {
         self.fleet.kill_router(&name(n));
         self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
@@ -18,6 +19,9 @@
     }
 
     /// Asks a router to end, and waits for it.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn stop(&mut self, n: usize) -> io::Result<()> {
         self.fleet.stop_router(&name(n))?;
         self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
@@ -27,6 +31,9 @@
     }
 
     /// Starts a router's process again, with what its own journal has.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn start_again(&mut self, n: usize) -> io::Result<()> {
         self.ran(n);
         self.fleet.start_again(&name(n))?;
@@ -48,17 +55,26 @@
         }
     }
 
+    /// Stops a router's process from running (SIGSTOP).
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn freeze(&self, n: usize) -> io::Result<()> {
         self.fleet.record.note(RecordedEvent::Paused { router: name(n) });
         self.fleet.signal(&name(n), Signal::SIGSTOP)
     }
 
+    /// Lets a frozen process go on (SIGCONT).
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn wake(&self, n: usize) -> io::Result<()> {
         self.fleet.signal(&name(n), Signal::SIGCONT)?;
         self.fleet.record.note(RecordedEvent::Woken { router: name(n) });
         Ok(())
     }
 
+    /// Whether a router has a process, frozen or not.
     pub fn is_up(&self, n: usize) -> bool {
         self.fleet.process_id(&name(n)).is_some()
     }
@@ -76,6 +92,7 @@
         self.conditions(from, to, LinkConditions { silent: true, ..LinkConditions::default() });
     }
 
+    /// Resets the connections of a link, and new ones too.
     pub fn cut(&self, a: usize, b: usize) {
         if let Some((proxy, _)) = self.proxy(a, b) {
             proxy.cut();
@@ -90,6 +107,7 @@
         self.conditions(b, a, conditions);
     }
 
+    /// Delays what passes a link, in each direction.
     pub fn delay(&self, a: usize, b: usize, delay: Duration) {
         let conditions = LinkConditions { delay, ..LinkConditions::default() };
         self.conditions(a, b, conditions);
@@ -105,6 +123,7 @@
         );
     }
 
+    /// Ends all faults of a link.
     pub fn mend(&self, a: usize, b: usize) {
         if let Some((proxy, _)) = self.proxy(a, b) {
             proxy.mend();
@@ -112,6 +131,7 @@
         }
     }
 
+    /// Ends the faults of all links.
     pub fn mend_all(&self) {
         self.links().into_iter().for_each(|(a, b)| self.mend(a, b));
     }
@@ -123,6 +143,9 @@
     }
 
     /// The same, and waits until it sees that.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn isolate(&self, n: usize) -> io::Result<()> {
         self.cut_off(n);
         self.until(n, "it is alone", |shown| alive(shown) == 0).map(drop)
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -31,8 +31,11 @@
 /// Where the caches stand.
 const ZONE: &str = "shop";
 
+/// A cluster of routers that know each other, with links, journals, load and faults under the control of a test.
 pub struct Harness {
+    /// The processes and servers.
     pub fleet: ProcessCluster,
+    /// What it was made by.
     pub plan: Plan,
     /// The fleet's own: rigs beside each other must not meet by a port that was given away.
     site: String,
@@ -57,6 +60,7 @@
     Purge(String, f64),
 }
 
+/// The name of the router with this number.
 pub fn name(n: usize) -> String {
     format!("r{n}")
 }
@@ -89,11 +93,17 @@
 
 impl Harness {
     /// Starts all, and waits until all know of each other.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn start(program: impl Into<PathBuf>, plan: Plan) -> io::Result<Self> {
         Self::start_with(program, plan, |_, text| text)
     }
 
     /// The same; `change` has the last word on each router's operator file.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn start_with(
         program: impl Into<PathBuf>,
         plan: Plan,
@@ -184,11 +194,15 @@
         there.or_else(|| self.proxies.get(&(to, from)).map(|proxy| (proxy, TO_DIALER)))
     }
 
+    /// Links by their two routers, the dialer first.
     pub fn links(&self) -> Vec<(usize, usize)> {
         self.proxies.keys().copied().collect()
     }
 
     /// A second process under a router's name, with links of its own to the others.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn start_duplicate(&mut self, of: usize) -> io::Result<String> {
         let key = format!("{}-twin", name(of));
         let others: Vec<usize> = (0..self.plan.routers).filter(|n| *n != of).collect();
@@ -201,6 +215,9 @@
     // ---- Load.
 
     /// Clients of a router, until it is killed or the load ends.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn load(&mut self, n: usize) -> io::Result<()> {
         self.seeds += 1;
         let Plan { rate, objects, .. } = self.plan;
@@ -210,6 +227,10 @@
         Ok(())
     }
 
+    /// Starts clients of all routers.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn load_all(&mut self) -> io::Result<()> {
         (0..self.plan.routers).try_for_each(|n| self.load(n))
     }
--- a/crates/testbed/src/harness/script.rs
+++ b/crates/testbed/src/harness/script.rs
@@ -17,21 +17,33 @@
 /// One fault, or its end, or something that is told meanwhile.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Step {
+    /// A router's process is killed.
     Kill(usize),
+    /// A router's process starts again, with load.
     StartAgain(usize),
+    /// A router's process stands still.
     Freeze(usize),
+    /// A frozen process goes on.
     Wake(usize),
+    /// A link is reset.
     Cut(usize, usize),
+    /// Nothing passes from the first router to the second.
     BlockDirection(usize, usize),
+    /// A link passes 2,000 bytes a second.
     Slow(usize, usize),
+    /// A link delays by 150 ms.
     Delay(usize, usize),
+    /// A chunk from the first router to the second is lost.
     Lose(usize, usize),
+    /// A chunk from the first router to the second comes twice.
     Repeat(usize, usize),
+    /// All faults of a link end.
     Mend(usize, usize),
     /// A router's operator has a cache fill by another parent.
     Batch(usize, usize),
     /// The journals of the lower or the higher half tell that a cache drains, or that it is back.
     Drain(usize, bool),
+    /// All journals publish that a cache is ready again.
     Back(usize),
 }
 
@@ -91,12 +103,17 @@
 /// What a script came to.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Played {
+    /// Requests of clients.
     pub asked: u32,
+    /// Requests that were served.
     pub served: u32,
+    /// Requests that were rejected.
     pub refused: u32,
+    /// Requests that failed.
     pub failed: u32,
     /// Drains and batches that were heard from fellows first, at all routers.
     pub drains: u64,
+    /// Batches that came by gossip first.
     pub batches: u64,
     /// From the end of the faults until all were of one mind.
     pub settled_in: Duration,
@@ -138,6 +155,9 @@
 
     /// Plays a script under load, ends all its faults, and waits until all are of one mind. A cache that is drained
     /// then by some journals only must have been left alone by all.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn play(&mut self, script: &Script) -> Result<Played, String> {
         let io_text = |error: io::Error| error.to_string();
         self.load_all().map_err(io_text)?;
--- a/crates/testbed/src/harness/verification.rs
+++ b/crates/testbed/src/harness/verification.rs
@@ -15,6 +15,9 @@
 
 impl Harness {
     /// What all routers that run keep of their own and of others' accounts.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn accounts(&self) -> io::Result<VerifiedLogs> {
         let mut links = Vec::new();
         for n in self.up() {
@@ -32,6 +35,9 @@
 
     /// Whether the accounts and the record tell the same: each booking that reached a node is in some account or in a gap
     /// that is named, and no account has one that no node saw, unless its end says that it may not have got there.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), String> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
@@ -93,6 +99,9 @@
 
     /// Waits until all that has changed is known everywhere by its bound, and has each router that runs show places: what
     /// they show then is judged as it is.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn look(&self) -> io::Result<()> {
         let due = quiet_from(&self.fleet.record.lines(), &self.rules());
         thread::sleep(Duration::from_secs_f64((due - now()).max(0.0) / 1_000.0 + 0.01));
@@ -109,6 +118,9 @@
     }
 
     /// No rule is broken.
+    ///
+    /// # Errors
+    /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn check(&self, but: &[Rule]) -> Result<(), String> {
         let breaches = self.breaches(but);
         let first: String = breaches.iter().take(8).map(|breach| format!("{breach}\n")).collect();
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -20,12 +20,15 @@
 /// What clients ask for.
 #[derive(Debug, Clone)]
 pub struct Load {
+    /// The same seed asks for the same objects at the same times.
     pub seed: u64,
     /// Requests a second, of all clients together.
     pub rate: f64,
+    /// Connections; the rate is divided among them.
     pub clients: usize,
     /// Objects, and how uneven their popularity is (Zipf's exponent).
     pub objects: u64,
+    /// Zipf's exponent.
     pub skew: f64,
     /// The part of requests that are bookings.
     pub bookings: f64,
@@ -53,9 +56,13 @@
 /// How requests ended, by second since the start of the load.
 #[derive(Debug, Clone, Default)]
 pub struct LoadResults {
+    /// Requests.
     pub asked: Vec<u32>,
+    /// Requests that were served.
     pub served: Vec<u32>,
+    /// Requests that were rejected.
     pub refused: Vec<u32>,
+    /// Requests that failed.
     pub failed: Vec<u32>,
 }
 
@@ -78,11 +85,14 @@
 pub struct RunningLoad {
     threads: Vec<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
+    /// How requests have ended by now.
     pub ends: Arc<Mutex<LoadResults>>,
+    /// When the load began.
     pub since: Ms,
 }
 
 impl RunningLoad {
+    /// A copy of how requests have ended by now.
     pub fn ends(&self) -> LoadResults {
         self.ends.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
@@ -102,12 +112,16 @@
 pub struct RequestNumbers(Arc<AtomicU64>);
 
 impl RequestNumbers {
+    /// A number that was not given out before.
     pub fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
 
 /// Starts clients of one router.
+///
+/// # Errors
+/// The router can not be reached.
 pub fn start(
     load: &Load,
     router: &str,
--- a/crates/testbed/src/process_cluster/configuration.rs
+++ b/crates/testbed/src/process_cluster/configuration.rs
@@ -75,6 +75,9 @@
 }
 
 /// Where the router's program is, for the programs of this package: given, or beside the one that runs.
+///
+/// # Errors
+/// A process, a socket or a file that fails, or a name that does not exist.
 pub fn router_program(given: Option<&Path>) -> io::Result<PathBuf> {
     match given {
         Some(path) => Ok(path.to_path_buf()),
--- a/crates/testbed/src/process_cluster/events.rs
+++ b/crates/testbed/src/process_cluster/events.rs
@@ -17,6 +17,9 @@
     }
 
     /// Tells all routers of a node.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn tell(&self, node: &str, phase: Phase) -> io::Result<()> {
         for router in self.routers() {
             self.tell_one(&router, node, phase)?;
@@ -24,6 +27,10 @@
         Ok(())
     }
 
+    /// Publishes a server's phase to one router.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn tell_one(&self, router: &str, node: &str, phase: Phase) -> io::Result<()> {
         let target = self.line(router, node, phase)?;
         let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
@@ -43,6 +50,9 @@
     }
 
     /// A node starts again, cold, and all routers are told.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn restart(&mut self, node: &str) -> io::Result<()> {
         let listed = self.nodes.get_mut(node).ok_or(io::ErrorKind::NotFound)?;
         listed.started = listed.node.start_again()?;
@@ -50,6 +60,9 @@
     }
 
     /// A node dies, and another one that starts now gets its addresses; routers are told of both.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn succeed(&mut self, old: &str, new: &str, server_config: CacheServerConfig) -> io::Result<()> {
         let (zone, capacity) = (self.nodes[old].zone.clone(), self.nodes[old].capacity);
         self.node(old).kill();
@@ -93,6 +106,9 @@
     }
 
     /// Puts a batch into a router's journal.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn tell_batch(&self, router: &str, batch: &BatchSpec) -> io::Result<()> {
         self.routers[router].journal.publish(json!({"shape": serde_json::to_value(batch)?}));
         Ok(())
--- a/crates/testbed/src/process_cluster/mod.rs
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -40,7 +40,9 @@
 
 /// All of a fleet.
 pub struct ProcessCluster {
+    /// What crossed the sockets.
     pub record: Recording,
+    /// Numbers of requests of all clients.
     pub numbers: RequestNumbers,
     program: PathBuf,
     /// By router: a program that is not `program`, such as another build.
@@ -85,6 +87,9 @@
 
 impl ProcessCluster {
     /// An empty fleet for routers that run `program`.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn new(program: impl Into<PathBuf>) -> io::Result<Self> {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let n = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -106,6 +111,9 @@
     }
 
     /// Two hubs with a parent each, caches of one location, and the origin: all fill by `south`.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn two_hubs(
         program: impl Into<PathBuf>,
         caches: usize,
@@ -123,6 +131,9 @@
     }
 
     /// A site of its own beside others: caches, a parent and an origin named after it, on the same record.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn site(
         program: impl Into<PathBuf>,
         site: &str,
@@ -150,6 +161,10 @@
         Ok(fleet)
     }
 
+    /// Starts a server that routers which start later find in their endpoint lists.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn add(
         &mut self,
         name: &str,
@@ -162,10 +177,12 @@
         Ok(())
     }
 
+    /// A server by its name, which has to exist.
     pub fn node(&self, name: &str) -> &CacheServer {
         &self.nodes[name].node
     }
 
+    /// Names of all servers.
     pub fn node_names(&self) -> Vec<String> {
         self.nodes.keys().cloned().collect()
     }
@@ -189,6 +206,9 @@
     }
 
     /// Starts a router with an operator file, if there is one; `patch` changes its configuration.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn start_router(
         &mut self,
         name: &str,
@@ -225,6 +245,9 @@
     }
 
     /// Starts a router's process, with the journal's events up to now.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn start_again(&mut self, name: &str) -> io::Result<SocketAddr> {
         let program = self.programs.get(name).unwrap_or(&self.program).clone();
         let router = self.routers.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
@@ -269,6 +292,9 @@
     }
 
     /// A router is asked to end, and is waited for.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn stop_router(&mut self, name: &str) -> io::Result<()> {
         let router = self.routers.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         if let Some(mut process) = router.process.take() {
@@ -280,12 +306,16 @@
     }
 
     /// Sends a signal to a router's process.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn signal(&self, router: &str, signal: Signal) -> io::Result<()> {
         let id = self.process_id(router).ok_or(io::ErrorKind::NotFound)?;
         kill(Pid::from_raw(i32::try_from(id).map_err(io::Error::other)?), signal)?;
         Ok(())
     }
 
+    /// Where clients reach a router.
     pub fn address(&self, router: &str) -> Option<SocketAddr> {
         self.routers.get(router)?.process.as_ref().map(|process| process.address)
     }
@@ -296,6 +326,9 @@
     }
 
     /// The next line of a router's log with that in it.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn logged(&self, router: &str, part: &str) -> io::Result<String> {
         let process = self.routers.get(router).and_then(|router| router.process.as_ref());
         wait(&process.ok_or(io::ErrorKind::NotFound)?.log, part)
@@ -317,17 +350,26 @@
     }
 
     /// A file of the fleet's folder.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn write_file(&self, name: &str, text: &str) -> io::Result<PathBuf> {
         let path = self.folder.join(name);
         std::fs::write(&path, text).map(|()| path)
     }
 
     /// Runs a command of the program.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn command(&self, arguments: &[&str]) -> io::Result<Output> {
         Command::new(&self.program).args(arguments).stdin(Stdio::null()).output()
     }
 
     /// What a command says of a router, as JSON.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn asked(&self, router: &str, arguments: &[&str]) -> io::Result<Value> {
         let socket = self.socket(router).display().to_string();
         let output = self.command(&[arguments, &["--socket", &socket, "--format", "json"]].concat())?;
@@ -338,6 +380,9 @@
     }
 
     /// Waits until a command says what is wanted; the time is only a bound.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn until(
         &self,
         router: &str,
@@ -361,6 +406,9 @@
     // ---- What routers are told.
 
     /// Starts clients of a router.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn load(&self, router: &str, load: &Load) -> io::Result<RunningLoad> {
         let address = self.address(router).ok_or(io::ErrorKind::NotFound)?;
         load::start(load, router, address, &self.record, &self.numbers)
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -7,7 +7,9 @@
 /// The figures of the rules.
 #[derive(Debug, Clone, Copy)]
 pub struct RuleBounds {
+    /// How long a router may go on using an endpoint that drains.
     pub drain_grace: Ms,
+    /// How long a router may go on serving what was purged.
     pub purge_grace: Ms,
     /// What sockets and threads may add to any time.
     pub slack: Ms,
@@ -35,17 +37,26 @@
 /// A rule that was broken, by whom and when.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Breach {
+    /// When it was broken.
     pub at: Ms,
+    /// The rule.
     pub rule: Rule,
+    /// What happened, for the report.
     pub what: String,
 }
 
+/// The rules. Their names are printed with breaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// Each request has one final answer, in time.
     OneAnswer,
+    /// No request that is not idempotent may run twice, or after it was rejected.
     NoSecondEffect,
+    /// An endpoint that drains gets nothing new after the grace.
     Drains,
+    /// A server that warms up is not asked for more than it can do.
     NoPush,
+    /// No copy from before a purge is served after the grace.
     Purges,
     /// No fill passes a node twice.
     NoLoop,
--- a/crates/testbed/src/scale/places.rs
+++ b/crates/testbed/src/scale/places.rs
@@ -24,6 +24,7 @@
 const BRIDGES: usize = 8;
 /// Routers of a site, sites of a zone and zones of a region, where routers have places; planned are 22, 4.8 and 4.
 pub const SITE: usize = 20;
+/// Racks and zones that a site is divided by.
 pub const PARTS: usize = 4;
 /// Caches of the list; no requests come, so nobody is asked.
 const CACHES: usize = 8;
--- a/crates/testbed/src/scale/plan.rs
+++ b/crates/testbed/src/scale/plan.rs
@@ -28,7 +28,9 @@
 /// Which kind of process a router runs in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Form {
+    /// A process with one router and clients.
     Real,
+    /// A process with many routers and no clients.
     Hollow,
 }
 
@@ -37,14 +39,21 @@
 pub struct Plan {
     /// Processes with one router, and routers that share processes, this many to each.
     pub real: usize,
+    /// Hollow routers.
     pub hollow: usize,
+    /// Hollow routers in a process.
     pub hollow_per_process: usize,
     /// How long is measured, in seconds.
     pub seconds: f64,
+    /// Purges a second.
     pub purges_per_s: f64,
+    /// Changes of the hierarchy a second.
     pub changes_per_s: f64,
+    /// Restarts of real routers a second.
     pub restarts_per_s: f64,
+    /// The fault in the middle half of the run.
     pub fault: Option<Fault>,
+    /// The seed of links, purges and restarts.
     pub seed: u64,
     /// The built router.
     pub program: PathBuf,
@@ -57,23 +66,32 @@
 /// A row: one measure over the routers of one form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
+    /// The form of the routers.
     pub form: Form,
     /// Routers in all, of both forms.
     pub routers: usize,
+    /// What is measured; the module lists the measures.
     pub measure: String,
+    /// Its unit.
     pub unit: String,
+    /// The median over routers.
     pub median: f64,
+    /// The 99th percentile.
     pub p99: f64,
+    /// The highest value.
     pub worst: f64,
 }
 
 /// Bounds of a run: processes, routers, how long all of it may take, and memory in bytes.
 pub const PROCESSES: usize = 200;
 
+/// Routers of a run at the most.
 pub const ROUTERS: usize = 2_000;
 
+/// How long a run may take.
 pub const LONGEST: Duration = Duration::from_secs(590);
 
+/// Memory of all routers at the most, in bytes.
 pub const MEMORY: f64 = 12e9;
 
 /// Of the machine's cores the routers may take this part, over so long.
--- a/crates/testbed/src/server.rs
+++ b/crates/testbed/src/server.rs
@@ -16,17 +16,22 @@
 /// One request, as it came in.
 #[derive(Debug, Clone)]
 pub struct CacheRequest {
+    /// The request's id.
     pub id: String,
+    /// The fields of its head.
     pub fields: HashMap<String, String>,
+    /// Its body.
     pub body: Vec<u8>,
 }
 
 /// What is done about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HandlerResponse {
+    /// The answer in full.
     Answer(Answer),
     /// Nothing, for as long as the connection lasts.
     Nothing,
+    /// The connection ends without an answer.
     Reset,
     /// A part of the answer, then the end.
     Half(Answer),
@@ -34,6 +39,7 @@
 
 /// Whoever answers; it may take its time, it has a thread of its own.
 pub trait RequestHandler: Send + Sync + 'static {
+    /// What is done about a request.
     fn answer(&self, ask: &CacheRequest) -> HandlerResponse;
 }
 
@@ -41,6 +47,7 @@
 
 /// A server at its address.
 pub struct Server {
+    /// Where it listens.
     pub address: SocketAddr,
     connections: Connections,
     down: Arc<AtomicBool>,
@@ -50,6 +57,9 @@
 
 impl Server {
     /// Listens, on a port that the system gives where none is said.
+    ///
+    /// # Errors
+    /// The socket fails or its answer is late.
     pub fn start(address: SocketAddr, answers: Arc<dyn RequestHandler>) -> io::Result<Self> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
@@ -154,6 +164,9 @@
 }
 
 /// Asks a node and waits for its answer: word, fields, body.
+///
+/// # Errors
+/// The socket fails or its answer is late.
 pub fn ask(
     address: SocketAddr,
     id: &str,
--- a/crates/testbed/src/two_sites/mod.rs
+++ b/crates/testbed/src/two_sites/mod.rs
@@ -113,6 +113,7 @@
 }
 
 impl Simulation {
+    /// Sets up both sites and plans the faults of the script.
     pub fn new(play: Scenario) -> Self {
         let chance = Pcg64Mcg::seed_from_u64(play.seed);
         let mut world = Self {
--- a/crates/testbed/src/two_sites/scenario.rs
+++ b/crates/testbed/src/two_sites/scenario.rs
@@ -13,10 +13,12 @@
     Cut,
     /// Nothing passes towards these sides any more, and nothing is said of it.
     Silent {
+        /// The sides that nothing passes towards.
         to: [bool; 2],
     },
     /// So many times the delay.
     Slow(f64),
+    /// All faults of the link end.
     Mend,
     /// The gateway of a side dies and starts again; its clients are gone with it.
     Restart(usize),
@@ -32,22 +34,29 @@
 /// What is played.
 #[derive(Debug, Clone)]
 pub struct Scenario {
+    /// The same seed is the same run.
     pub seed: u64,
+    /// How long clients ask.
     pub length: Ms,
     /// Bookings and parts of videos a second, at each side.
     pub bookings: f64,
+    /// Parts of videos a second.
     pub reads: f64,
     /// Bytes of a part, at the least and the most.
     pub sizes: (usize, usize),
     /// One way, and how much it varies.
     pub delay: Ms,
+    /// How much the delay varies.
     pub jitter: Ms,
     /// Bytes a millisecond, in each direction.
     pub carries: f64,
     /// How long a client waits, and within what it wants its answer.
     pub wait: Ms,
+    /// The latency objective of requests.
     pub aim: Ms,
+    /// The settings of both gateways.
     pub rules: GatewayConfig,
+    /// The faults.
     pub script: Script,
 }
 
@@ -73,9 +82,13 @@
 /// How requests ended.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tally {
+    /// Requests.
     pub asked: u64,
+    /// Requests that were served.
     pub served: u64,
+    /// Requests that were rejected.
     pub refused: u64,
+    /// Requests that failed.
     pub failed: u64,
     /// Their gateway died.
     pub released: u64,
@@ -84,22 +97,31 @@
 /// What came of a play.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
+    /// How bookings ended.
     pub bookings: Tally,
+    /// How parts of videos ended.
     pub reads: Tally,
+    /// What crossed the link and reached the stores.
     pub lines: Vec<RecordEntry>,
     /// Runs of each booking that ran more than once.
     pub ran_twice: Vec<(u64, u32)>,
     /// Bytes that crossed, and those of bodies that crossed more than once or for nothing.
     pub crossed: u64,
+    /// Bytes of bodies that crossed.
     pub bodies: u64,
+    /// Bytes of bodies that crossed more than once or for nothing.
     pub bodies_again: u64,
     /// Requests that crossed, by 100 ms, from each side; those served, by the 100 ms in which they were asked.
     pub opened: [Vec<u32>; 2],
+    /// Requests, by 100 ms.
     pub asked: Vec<u32>,
+    /// Requests that were served, by the 100 ms in which they were asked.
     pub served: Vec<u32>,
     /// When a gateway said that its last connection is down, and that one is up.
     pub downs: Vec<Ms>,
+    /// When a gateway said that a connection is up.
     pub ups: Vec<Ms>,
+    /// Log lines of both gateways.
     pub notes: u64,
     /// The most that was kept at a time: connections, requests across and from there, tokens remembered.
     pub most: [u64; 4],
