--- a/crates/testbed/src/aggregates.rs
+++ b/crates/testbed/src/aggregates.rs
@@ -1,4 +1,4 @@
-//! Owns the rule of aggregates: what routers show of places as a whole, held against what ran by the record.
+//! The rule of aggregates: what routers show of locations, compared with what ran by the recording.
 //!
 //! Reads which processes ran, which links were open and which versions were acted on, as the stand-ins saw it; what is
 //! shown is judged and never believed. Must call nothing a breach that a fleet within its documented bounds may show.
--- a/crates/testbed/src/bin/cold-start.rs
+++ b/crates/testbed/src/bin/cold-start.rs
@@ -26,7 +26,8 @@
 /// Requests a second of all routers.
 const RATE: f64 = 60.0;
 
-fn play(program: &Path, routers: usize) -> Result<bool, Failure> {
+/// Starts the servers, and routers of these names.
+fn start_fleet(program: &Path, names: &[String]) -> Result<ProcessCluster, Failure> {
     let mut fleet = ProcessCluster::new(program)?;
     fleet.add("origin", "hub", 20.0, CacheServerConfig::new(ServerRole::Origin))?;
     fleet.add("south", "hub", 30.0, CacheServerConfig::new(ServerRole::Parent))?;
@@ -39,16 +40,21 @@
             CacheServerConfig { cold, ..CacheServerConfig::new(ServerRole::Cache) },
         )?;
     }
-    let names: Vec<String> = (0..routers).map(|n| format!("n{n}")).collect();
     for (n, name) in names.iter().enumerate() {
         fleet.start_router(name, None, |config| {
             config["seed"] = json!(format!("{:x}", 0x8c1f_30d2 + n * 7919));
-            config["settings"]["balancers"] = json!(routers);
+            config["settings"]["balancers"] = json!(names.len());
             let family = &mut config["settings"]["family-info"];
-            family["seats-by-zone"] = json!([0, routers]);
+            family["seats-by-zone"] = json!([0, names.len()]);
             family["flow-kb-per-s"] = json!(50);
         })?;
     }
+    Ok(fleet)
+}
+
+fn play(program: &Path, routers: usize) -> Result<bool, Failure> {
+    let names: Vec<String> = (0..routers).map(|n| format!("n{n}")).collect();
+    let mut fleet = start_fleet(program, &names)?;
     // Every fifth one gets five times as many as each of the others.
     let shares: Vec<f64> = (0..routers).map(|n| if n.is_multiple_of(5) { 5.0 } else { 1.0 }).collect();
     let all: f64 = shares.iter().sum();
@@ -103,7 +109,7 @@
 
 fn main() -> Result<(), Failure> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
-    let routers = arguments.first().map_or(Ok(20), |status| status.parse::<usize>())?.clamp(1, 30);
+    let routers = arguments.first().map_or(Ok(20), |text| text.parse::<usize>())?.clamp(1, 30);
     let program = router_program(arguments.get(1).map(Path::new))?;
     if play(&program, routers)? {
         Ok(())
--- a/crates/testbed/src/bin/link-speed.rs
+++ b/crates/testbed/src/bin/link-speed.rs
@@ -118,25 +118,44 @@
     Ok(got as f64 / took)
 }
 
+/// Serves parts to whoever connects first, until the connection ends.
+fn serve_parts(listener: &TcpListener) -> io::Result<()> {
+    let (stream, _) = listener.accept()?;
+    let mut gateway = gateway("south", "north", false);
+    let body = Bytes::from(vec![7; PART]);
+    let act = |gateway: &mut Gateway, action| {
+        if let Action::ServeRemote(RemoteRequest { ticket, .. }) = action {
+            gateway.complete_remote_request(
+                now(),
+                ticket,
+                Reply::Served { fields: Vec::new(), body: body.clone(), version: None },
+            );
+        }
+        Ok(())
+    };
+    let _ = drive(&stream, &mut gateway, act, |_| false);
+    Ok(())
+}
+
+/// A request for one part.
+fn part_request(object: u64, at: f64) -> ForwardRequest {
+    ForwardRequest {
+        object,
+        write: false,
+        not_idempotent: false,
+        home_site: None,
+        priority: Priority::LaterPart,
+        latency_objective: 10_000.0,
+        deadline: at + 20_000.0,
+        passed_sites: Vec::new(),
+        fields: vec![("o".to_string(), object.to_string())],
+        body: Bytes::new(),
+    }
+}
+
 fn link(bytes: usize) -> io::Result<(f64, f64)> {
     let (proxy, listener) = proxy()?;
-    let server = thread::spawn(move || -> io::Result<()> {
-        let (stream, _) = listener.accept()?;
-        let mut gateway = gateway("south", "north", false);
-        let body = Bytes::from(vec![7; PART]);
-        let act = |gateway: &mut Gateway, action| {
-            if let Action::ServeRemote(RemoteRequest { ticket, .. }) = action {
-                gateway.complete_remote_request(
-                    now(),
-                    ticket,
-                    Reply::Served { fields: Vec::new(), body: body.clone(), version: None },
-                );
-            }
-            Ok(())
-        };
-        let _ = drive(&stream, &mut gateway, act, |_| false);
-        Ok(())
-    });
+    let server = thread::spawn(move || serve_parts(&listener));
     let stream = TcpStream::connect(proxy.address)?;
     let mut gateway = gateway("north", "south", false);
     gateway.report_local_load(now(), 0, 0.0);
@@ -159,19 +178,7 @@
         done = counted.get();
         while asked < parts && asked - done < OPEN {
             asked += 1;
-            let wanted = ForwardRequest {
-                object: asked,
-                write: false,
-                not_idempotent: false,
-                home_site: None,
-                priority: Priority::LaterPart,
-                latency_objective: 10_000.0,
-                deadline: at + 20_000.0,
-                passed_sites: Vec::new(),
-                fields: vec![("o".to_string(), asked.to_string())],
-                body: Bytes::new(),
-            };
-            gateway.submit_request(at, asked, wanted);
+            gateway.submit_request(at, asked, part_request(asked, at));
         }
         done >= parts
     };
@@ -189,7 +196,7 @@
 }
 
 /// Bytes of memory that this process holds.
-fn cached() -> f64 {
+fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
@@ -199,7 +206,7 @@
     use linnethook_gateway::codec::ForwardedRequest;
     use linnethook_gateway::session::{Session, SessionConfig};
     let mut sessions: Vec<Session> = (0..400).map(|_| Session::new(0.0, SessionConfig::default())).collect();
-    let before = cached();
+    let before = resident_bytes();
     let mut into = BytesMut::new();
     for session in &mut sessions {
         for ticket in 0..250 {
@@ -218,7 +225,7 @@
         into.clear();
         session.take_output(1 << 20, &mut into);
     }
-    (cached() - before) / (400.0 * 250.0)
+    (resident_bytes() - before) / (400.0 * 250.0)
 }
 
 fn main() -> io::Result<()> {
--- a/crates/testbed/src/bin/process-faults.rs
+++ b/crates/testbed/src/bin/process-faults.rs
@@ -10,7 +10,7 @@
 use std::sync::Mutex;
 use std::thread;
 
-use linnethook_testbed::harness::{script, Harness, Plan, Played, Script};
+use linnethook_testbed::harness::{script, Harness, HarnessError, Plan, Played, Script};
 use linnethook_testbed::process_cluster::router_program;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
@@ -42,19 +42,19 @@
                     }
                 };
             }
-            status => wanted.program = Some(PathBuf::from(status)),
+            path => wanted.program = Some(PathBuf::from(path)),
         }
     }
     Ok(wanted)
 }
 
-fn play(program: &PathBuf, seed: u64, steps: usize) -> (Script, Result<Played, String>) {
+fn play(program: &PathBuf, seed: u64, steps: usize) -> (Script, Result<Played, HarnessError>) {
     let routers = 3 + seed as usize % 5;
     let plan = Plan { routers, at_once: 0, ..Plan::default() };
     let script = script(seed, routers, plan.caches, steps);
     let played = Harness::start(program, plan)
-        .map_err(|error| error.to_string())
-        .and_then(|mut rig| rig.play(&script));
+        .map_err(HarnessError::from)
+        .and_then(|mut harness| harness.play(&script));
     (script, played)
 }
 
--- a/crates/testbed/src/bin/two-sites.rs
+++ b/crates/testbed/src/bin/two-sites.rs
@@ -31,6 +31,43 @@
     )
 }
 
+/// What befalls the sites in a second, and its name.
+fn step(sites: &mut TwoSites, second: usize) -> Result<&'static str, Failure> {
+    Ok(match second {
+        3 => {
+            sites.north.node("north-origin").kill();
+            for cache in ["north-cache-0", "north-cache-1"] {
+                sites.north.tell(cache, Phase::Removed)?;
+            }
+            "the north loses its store and its caches"
+        }
+        12 => {
+            sites.proxy.cut();
+            "the link is cut"
+        }
+        14 => {
+            sites.proxy.mend();
+            "the link is back"
+        }
+        18 => {
+            sites.proxy.silence(&[TO_ACCEPTOR, TO_DIALER]);
+            "the link goes silent"
+        }
+        20 => {
+            sites.proxy.mend();
+            "the link is back"
+        }
+        24 => {
+            sites.north.restart("north-origin")?;
+            for cache in ["north-cache-0", "north-cache-1"] {
+                sites.north.tell(cache, Phase::Ready)?;
+            }
+            "the north has its store and its caches again"
+        }
+        _ => "",
+    })
+}
+
 fn main() -> Result<(), Failure> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let program = router_program(arguments.first().map(Path::new))?;
@@ -41,39 +78,7 @@
     println!("second  asked  served  refused  failed  crossed  reached  may get  uncertain");
     let mut before = 0;
     for second in 0..32usize {
-        let what = match second {
-            3 => {
-                sites.north.node("north-origin").kill();
-                for cache in ["north-cache-0", "north-cache-1"] {
-                    sites.north.tell(cache, Phase::Removed)?;
-                }
-                "the north loses its store and its caches"
-            }
-            12 => {
-                sites.proxy.cut();
-                "the link is cut"
-            }
-            14 => {
-                sites.proxy.mend();
-                "the link is back"
-            }
-            18 => {
-                sites.proxy.silence(&[TO_ACCEPTOR, TO_DIALER]);
-                "the link goes silent"
-            }
-            20 => {
-                sites.proxy.mend();
-                "the link is back"
-            }
-            24 => {
-                sites.north.restart("north-origin")?;
-                for cache in ["north-cache-0", "north-cache-1"] {
-                    sites.north.tell(cache, Phase::Ready)?;
-                }
-                "the north has its store and its caches again"
-            }
-            _ => "",
-        };
+        let what = step(&mut sites, second)?;
         thread::sleep(Duration::from_millis(1_000));
         let crossed: u64 = sites.proxy.passed().opened.iter().sum();
         println!("{}", line(second, &running.ends(), crossed - before, &sites.status(NORTH)?, what));
--- a/crates/testbed/src/cache_server/fill.rs
+++ b/crates/testbed/src/cache_server/fill.rs
@@ -50,18 +50,9 @@
         };
         if passed.as_ref().is_some_and(|passed| passed.version < self.lock().floor) {
             // What is held would do; a fill on a shape that is gone would not.
-            let oldest = f64::INFINITY;
-            let cached = self.cached_copy(&key, oldest);
-            return cached.map_or_else(
-                || Found::without("absent", "NO_FILL"),
-                |copy| Found {
-                    status: "data",
-                    res: "HIT".into(),
-                    copy: Some(copy),
-                    more: String::new(),
-                    ran: true,
-                },
-            );
+            let cached = self.cached_copy(&key, f64::INFINITY);
+            return cached
+                .map_or_else(|| Found::without("absent", "NO_FILL"), |copy| Found::cached(copy, "HIT"));
         }
         let passed = match passed.map(|passed| (passed.version, passed.append_node(&self.name))) {
             None => None,
@@ -79,44 +70,44 @@
         if let Some(copy) = self.cached_copy(&key, oldest) {
             let stale = fresh > 0.0 && now() - copy.dated > fresh;
             let res = if stale { "STALE" } else { "HIT" };
-            return Found {
-                status: "data",
-                res: res.to_string(),
-                copy: Some(copy),
-                more: String::new(),
-                ran: true,
-            };
+            return Found::cached(copy, res);
         }
         let cached_only = hints(ask).any(|hint| hint == "h");
-        // A cache is told its source; a parent goes on by the way that it is told, or by its own idea.
-        let source_is_given = self.server_config.kind == ServerRole::Cache;
-        let hops: Vec<String> = match (source_is_given, text("parent"), text("via")) {
-            (true, None, _) => return Found::without("absent", "NO_FILL"),
-            (true, Some(source), _) => {
-                vec![if cached_only { format!("{source}:h") } else { source.to_string() }]
-            }
-            (false, _, _) if cached_only => return Found::without("absent", "UP_MISS"),
-            (false, _, Some(via)) if self.server_config.obeys => via.split('+').map(str::to_string).collect(),
-            (false, ..) => self.lock().upstream.first().cloned().into_iter().collect(),
+        let hops = match self.hops(ask, cached_only) {
+            Ok(hops) => hops,
+            Err(found) => return found,
         };
         if !self.begin(&key) {
             return match self.cached_copy(&key, oldest) {
-                Some(copy) => Found {
-                    status: "data",
-                    res: "COLLAPSED".into(),
-                    copy: Some(copy),
-                    more: String::new(),
-                    ran: true,
-                },
+                Some(copy) => Found::cached(copy, "COLLAPSED"),
                 None => Found::without("full", "NO_FILL"),
             };
         }
-        let found = self.fill(ask, &key, &hops, passed.as_ref(), oldest, source_is_given);
+        let found = self.fill(ask, &key, &hops, passed.as_ref(), oldest, self.source_is_given());
         self.lock().filling.remove(&key);
         self.filled.notify_all();
         found
     }
 
+    /// A cache is told its source; a parent goes on by the way that it is told, or by its own idea.
+    fn source_is_given(&self) -> bool {
+        self.server_config.kind == ServerRole::Cache
+    }
+
+    /// Where a miss goes on to, or what is answered without a fill.
+    fn hops(&self, ask: &CacheRequest, cached_only: bool) -> Result<Vec<String>, Found> {
+        let text = |name: &str| ask.fields.get(name).map(String::as_str);
+        Ok(match (self.source_is_given(), text("parent"), text("via")) {
+            (true, None, _) => return Err(Found::without("absent", "NO_FILL")),
+            (true, Some(source), _) => {
+                vec![if cached_only { format!("{source}:h") } else { source.to_string() }]
+            }
+            (false, _, _) if cached_only => return Err(Found::without("absent", "UP_MISS")),
+            (false, _, Some(via)) if self.server_config.obeys => via.split('+').map(str::to_string).collect(),
+            (false, ..) => self.lock().upstream.first().cloned().into_iter().collect(),
+        })
+    }
+
     /// The copy, if it is young enough.
     pub(super) fn cached_copy(&self, key: &Key, oldest: Ms) -> Option<Copy> {
         let mut state = self.lock();
--- a/crates/testbed/src/cache_server/mod.rs
+++ b/crates/testbed/src/cache_server/mod.rs
@@ -1,4 +1,4 @@
-//! Owns one node: a cache, a parent or the origin. It keeps copies, lets them age, fills from the source that is
+//! One server: a cache, a parent or the origin. It keeps copies, lets them age, fills from the source that is
 //! named, joins fills that are under way, passes the way of a fill on, warms, and falls over when it is pushed.
 //!
 //! Each router reaches it at an address of its own, so that a record tells who asked; nodes have one for themselves.
@@ -292,6 +292,11 @@
 }
 
 impl Found {
+    /// A copy, with how it was found.
+    fn cached(copy: Copy, res: &str) -> Self {
+        Self { status: "data", res: res.to_string(), copy: Some(copy), more: String::new(), ran: true }
+    }
+
     fn without(status: &'static str, res: &str) -> Self {
         Self { status, res: res.to_string(), copy: None, more: String::new(), ran: false }
     }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -1,4 +1,4 @@
-//! Owns the judgement of a record: the five rules, two of the hierarchy, two of links between sites, and, in a file of
+//! The judgement of a recording: the five rules, two of the hierarchy, two of links between sites, and, in a file of
 //! its own, that of aggregates.
 //!
 //! Reads what crossed the sockets and nothing else. Each rule is a pass of its own over the lines.
--- a/crates/testbed/src/cold_restart.rs
+++ b/crates/testbed/src/cold_restart.rs
@@ -1,4 +1,4 @@
-//! Owns a discovery service that is out of order, and routers as processes that start at once beside it: how long each
+//! A discovery service that is out of order, and routers as processes that start at once beside it: how long each
 //! takes from its start to saying that it is ready.
 //!
 //! The times are those of the machine that it runs on: a test waits for the answers and judges no time.
--- a/crates/testbed/src/cold_start.rs
+++ b/crates/testbed/src/cold_start.rs
@@ -1,4 +1,4 @@
-//! Owns the account of what nodes that started cold were asked for by all routers together, read from a record.
+//! What servers that started cold were asked for by all routers together, read from a recording.
 //!
 //! A node bears a budget of N requests within the rule's window: its multiple of what the node can do then. By chance
 //! all routers together may come to N + 2 x root of N + 2. Where a fall is put down to routers, it is to those that had
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -1,4 +1,4 @@
-//! Owns a link in the middle of two gateways: it passes bytes, and holds, delays, throttles or cuts them by script.
+//! A proxy on a link between two gateways: it passes bytes, and holds, delays, throttles or cuts them by script.
 //!
 //! It reads along by the published frames, and notes what concerns the rules; it never changes a byte.
 
--- a/crates/testbed/src/fault_proxy/relay.rs
+++ b/crates/testbed/src/fault_proxy/relay.rs
@@ -92,7 +92,7 @@
         } else {
             thread::sleep(Duration::from_millis(1));
         }
-        // What came in after the weather turned is held by the new one.
+        // What came in after the conditions changed is held by the new ones.
         let conditions = lock(state).conditions[direction];
         let at = Instant::now();
         while !conditions.silent
@@ -101,25 +101,9 @@
         {
             let Some((_, mut chunk)) = buffered.pop_front() else { break };
             bytes -= chunk.len();
-            let cut = {
-                let mut state = lock(state);
-                let left = state.conditions[direction].cut_after;
-                if let Some(left) = left {
-                    let over = chunk.len() >= left;
-                    chunk.truncate(left);
-                    state.conditions[direction].cut_after =
-                        if over { None } else { Some(left - chunk.len()) };
-                    over
-                } else {
-                    false
-                }
-            };
+            let cut = truncate_at_cut(&mut chunk, direction, state);
             watch.saw(&chunk, state);
-            match lock(state).conditions[direction].corruption.take() {
-                Some(Corruption::Lost) => chunk.clear(),
-                Some(Corruption::Repeated) => chunk.extend_from_within(..),
-                None => {}
-            }
+            corrupt(&mut chunk, direction, state);
             if conditions.rate > 0.0 {
                 free = free.max(at) + Duration::from_secs_f64(chunk.len() as f64 / conditions.rate);
             }
@@ -141,6 +125,25 @@
     let _ = from.shutdown(Shutdown::Both);
 }
 
+/// Shortens a chunk to what passes before the connections are reset; says whether they are to be reset after it.
+fn truncate_at_cut(chunk: &mut Vec<u8>, direction: usize, state: &Mutex<State>) -> bool {
+    let mut state = lock(state);
+    let Some(left) = state.conditions[direction].cut_after else { return false };
+    let over = chunk.len() >= left;
+    chunk.truncate(left);
+    state.conditions[direction].cut_after = if over { None } else { Some(left - chunk.len()) };
+    over
+}
+
+/// Drops or repeats a chunk, once for each time that this was asked for.
+fn corrupt(chunk: &mut Vec<u8>, direction: usize, state: &Mutex<State>) {
+    match lock(state).conditions[direction].corruption.take() {
+        Some(Corruption::Lost) => chunk.clear(),
+        Some(Corruption::Repeated) => chunk.extend_from_within(..),
+        None => {}
+    }
+}
+
 /// By the side that opened it and its number: the token of a stream.
 pub(super) type Tokens = Arc<Mutex<BTreeMap<(usize, u32), (u64, u64)>>>;
 
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,4 +1,4 @@
-//! Owns what befalls a node: faults by time or by count, in the order of a script.
+//! What befalls a server: faults by time or by count, in the order of a script.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
--- a/crates/testbed/src/harness/events.rs
+++ b/crates/testbed/src/harness/events.rs
@@ -104,13 +104,13 @@
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that runs out.
     pub fn deliver_events(&mut self, n: usize, upto: usize) -> io::Result<()> {
-        for event in &self.events[self.bytes_received[n].min(upto)..upto] {
+        for event in &self.events[self.events_delivered[n].min(upto)..upto] {
             match event {
                 JournalEvent::Node(node, phase) => self.fleet.tell_one(&name(n), node, *phase)?,
                 JournalEvent::Purge(object, stamp) => self.fleet.tell_purge(&name(n), object, *stamp),
             }
         }
-        self.bytes_received[n] = self.bytes_received[n].max(upto);
+        self.events_delivered[n] = self.events_delivered[n].max(upto);
         Ok(())
     }
 
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -1,9 +1,9 @@
-//! Owns a rig of processes: routers of the built program that are fellows, a link in the middle of each two that are
-//! joined, journals that may be silent, load, and faults between them by hand or by a script from a seed.
+//! A cluster of router processes under the control of a test: routers of the built program, a proxy on each link, journals that may be silent, load, and faults between them by hand or by a script from a seed.
 //!
 //! A seed is always the same script; when what happens within it is the system's. The record is what crossed the
 //! sockets, and is judged by the checker.
 
+mod error;
 mod events;
 mod faults;
 mod plan;
@@ -25,6 +25,7 @@
 use crate::recording::{LinkState, LocationSummary, Phase};
 use turn::Turn;
 
+pub use error::HarnessError;
 pub use plan::Plan;
 pub use script::{script, Played, Script, Step};
 
@@ -48,7 +49,7 @@
     seeds: u64,
     /// What the one journal has told, and how far it has told it to each router.
     events: Vec<JournalEvent>,
-    bytes_received: Vec<usize>,
+    events_delivered: Vec<usize>,
     /// The last to go: all processes have ended by then.
     _turn: Turn,
 }
@@ -124,7 +125,7 @@
             let sites = [name(link.0), name(link.1)];
             proxies.insert(link, FaultProxy::start(ProxyEnds { sites, record: fleet.record.clone() })?);
         }
-        let mut rig = Self {
+        let mut harness = Self {
             fleet,
             plan,
             site,
@@ -134,35 +135,35 @@
             ends: Vec::new(),
             seeds: 0,
             events: Vec::new(),
-            bytes_received: Vec::new(),
+            events_delivered: Vec::new(),
             _turn: turn,
         };
-        rig.bytes_received = vec![0; rig.plan.routers];
-        for (n, program) in &rig.plan.programs {
-            rig.fleet.set_program(&name(*n), Some(program.clone()));
+        harness.events_delivered = vec![0; harness.plan.routers];
+        for (n, program) in &harness.plan.programs {
+            harness.fleet.set_program(&name(*n), Some(program.clone()));
         }
-        for n in 0..rig.plan.routers {
-            let dials: Vec<_> = rig.dials(n).map(|(to, proxy)| (to, proxy.address)).collect();
-            let text = change(n, operator(&rig.plan, n, &rig.site, &dials));
+        for n in 0..harness.plan.routers {
+            let dials: Vec<_> = harness.dials(n).map(|(to, proxy)| (to, proxy.address)).collect();
+            let text = change(n, operator(&harness.plan, n, &harness.site, &dials));
             let sites = [name(n), "journal".to_string()];
-            let proxy = FaultProxy::start(ProxyEnds { sites, record: rig.fleet.record.clone() })?;
+            let proxy = FaultProxy::start(ProxyEnds { sites, record: harness.fleet.record.clone() })?;
             let through = |config: &mut Value| {
                 if let Some(Ok(journal)) = config["journal"].as_str().map(str::parse) {
                     proxy.set_target(journal);
                 }
                 config["journal"] = json!(proxy.address.to_string());
             };
-            rig.ran(n);
-            rig.fleet.start_router(&name(n), Some(&text), through)?;
-            rig.journals.insert(n, proxy);
-            rig.lead(n)?;
+            harness.ran(n);
+            harness.fleet.start_router(&name(n), Some(&text), through)?;
+            harness.journals.insert(n, proxy);
+            harness.lead(n)?;
         }
-        rig.links().into_iter().for_each(|(a, b)| rig.linked(a, b, [LinkState::Open; 2]));
-        for n in 0..rig.plan.routers {
-            let others = rig.known(n, &(0..rig.plan.routers).collect::<Vec<_>>()) - 1;
-            rig.until(n, "all know of each other", |shown| alive(shown) == others)?;
+        harness.links().into_iter().for_each(|(a, b)| harness.linked(a, b, [LinkState::Open; 2]));
+        for n in 0..harness.plan.routers {
+            let others = harness.known(n, &(0..harness.plan.routers).collect::<Vec<_>>()) - 1;
+            harness.until(n, "all know of each other", |shown| alive(shown) == others)?;
         }
-        Ok(rig)
+        Ok(harness)
     }
 
     /// Of these routers, how many a router knows one by one: all, or those of its site.
--- a/crates/testbed/src/harness/script.rs
+++ b/crates/testbed/src/harness/script.rs
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
 
-use super::{name, Harness};
+use super::{name, Harness, HarnessError};
 use crate::checker::Rule;
 use crate::fault_proxy::Corruption;
 use crate::recording::{Phase, RecordedEvent};
@@ -157,38 +157,37 @@
     /// then by some journals only must have been left alone by all.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
-    pub fn play(&mut self, script: &Script) -> Result<Played, String> {
-        let io_text = |error: io::Error| error.to_string();
-        self.load_all().map_err(io_text)?;
+    /// A process, a control socket or a file that fails, or a wait that runs out, or what the judgement of the run finds.
+    pub fn play(&mut self, script: &Script) -> Result<Played, HarnessError> {
+        self.load_all()?;
         let mut drained = None;
         for (pause, step) in script {
             thread::sleep(Duration::from_millis(*pause));
-            self.step(*step, &mut drained).map_err(|error| format!("{step:?}: {error}"))?;
+            self.step(*step, &mut drained).map_err(|source| HarnessError::Step { step: *step, source })?;
         }
         self.mend_all();
         for n in 0..self.plan.routers {
             match self.is_up(n) {
-                true => self.wake(n).map_err(io_text)?,
+                true => self.wake(n)?,
                 false => {
-                    self.start_again(n).map_err(io_text)?;
-                    self.load(n).map_err(io_text)?;
+                    self.start_again(n)?;
+                    self.load(n)?;
                 }
             }
         }
         let begun = Instant::now();
-        self.settle().map_err(io_text)?;
+        self.settle()?;
         let settled_in = begun.elapsed();
         if let Some(cache) = drained {
             let cache = format!("cache-{cache}");
             let silent: Vec<usize> =
-                (0..self.plan.routers).filter(|n| self.bytes_received[*n] < self.events.len()).collect();
+                (0..self.plan.routers).filter(|n| self.events_delivered[*n] < self.events.len()).collect();
             for n in silent {
                 let by_gossip = |shown: &Value| {
                     let barred = shown["barred"].as_array();
                     barred.is_some_and(|all| all.iter().any(|line| line[0] == cache.as_str()))
                 };
-                self.until(n, "the drain is heard from fellows", by_gossip).map_err(io_text)?;
+                self.until(n, "the drain is heard from fellows", by_gossip)?;
                 // From now on it counts as told.
                 let (router, node, phase) = (name(n), cache.clone(), Phase::Draining);
                 self.fleet.record.note(RecordedEvent::Listed { router, node, phase });
@@ -197,7 +196,7 @@
         thread::sleep(Duration::from_millis(700));
         let mut played = Played { settled_in, ..Played::default() };
         for n in 0..self.plan.routers {
-            let shown = self.shown(n).map_err(io_text)?;
+            let shown = self.shown(n)?;
             played.drains += shown["drains"].as_u64().unwrap_or(0);
             played.batches += shown["batches"].as_u64().unwrap_or(0);
         }
@@ -209,11 +208,11 @@
             played.refused += sum(&ends.refused);
             played.failed += sum(&ends.failed);
         }
-        let accounts = self.accounts().map_err(io_text)?;
+        let accounts = self.accounts()?;
         self.accounted(&accounts)?;
-        if let Some(error) = accounts.findings.iter().find(|finding| !matches!(finding, Finding::Gap { .. }))
-        {
-            return Err(format!("the accounts do not hold together: {error:?}"));
+        let mut findings = accounts.findings.iter();
+        if let Some(finding) = findings.find(|finding| !matches!(finding, Finding::Gap { .. })) {
+            return Err(HarnessError::AuditLogs(Box::new(finding.clone())));
         }
         // Halves that change the hierarchy apart from each other have versions that no record can tell apart.
         self.check(&[Rule::NoStrangeEdge])?;
--- a/crates/testbed/src/harness/verification.rs
+++ b/crates/testbed/src/harness/verification.rs
@@ -8,7 +8,7 @@
 use linnethook_audit::record::read_file;
 use linnethook_audit::verification::{Finding, VerifiedLogs};
 
-use super::{name, Harness};
+use super::{name, Harness, HarnessError};
 use crate::aggregates::quiet_from;
 use crate::checker::{judge, with_pauses, Breach, Rule, RuleBounds};
 use crate::recording::{now, RecordedEvent};
@@ -37,8 +37,8 @@
     /// that is named, and no account has one that no node saw, unless its end says that it may not have got there.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
-    pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), String> {
+    /// The first booking that the one has and the other lacks.
+    pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), HarnessError> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
         let mut recorded = BTreeSet::<(String, String)>::new();
@@ -79,15 +79,13 @@
             let before = known_from.get(router).is_none_or(|from| line.at <= from.ms as f64 + 50.0);
             let known = before || recorded.contains(&(router.to_string(), asked.id.clone()));
             if !known && !accounts.findings.iter().any(in_gap) {
-                return Err(format!(
-                    "{router}'s booking {} at {:.0} is in no account and no gap",
-                    asked.id, line.at
-                ));
+                let (router, id) = (router.to_string(), asked.id.clone());
+                return Err(HarnessError::NotAudited { router, id, at: line.at });
             }
         }
         let unseen = open.iter().find(|(router, id)| !seen.contains(&(router.as_str(), id.as_str())));
         match unseen {
-            Some((router, id)) => Err(format!("{router}'s account has booking {id}, which no node saw")),
+            Some((router, id)) => Err(HarnessError::NotReceived { router: router.clone(), id: id.clone() }),
             None => Ok(()),
         }
     }
@@ -120,14 +118,13 @@
     /// No rule is broken.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
-    pub fn check(&self, but: &[Rule]) -> Result<(), String> {
+    /// [`HarnessError::RulesBroken`] with all breaches.
+    pub fn check(&self, but: &[Rule]) -> Result<(), HarnessError> {
         let breaches = self.breaches(but);
-        let first: String = breaches.iter().take(8).map(|breach| format!("{breach}\n")).collect();
-        let twice = self.fleet.node("origin").ran_twice();
-        match breaches.is_empty() && twice.is_empty() {
+        let ran_twice = self.fleet.node("origin").ran_twice().len();
+        match breaches.is_empty() && ran_twice == 0 {
             true => Ok(()),
-            false => Err(format!("{} breaches, {} ran twice\n{first}", breaches.len(), twice.len())),
+            false => Err(HarnessError::RulesBroken { breaches, ran_twice }),
         }
     }
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,21 +1,31 @@
-//! Stand-ins for what a router talks to, the faults that befall them, and the checker of the rules.
+//! Everything that a router talks to, for tests and measurements on loopback: servers, discovery, links and clients with
+//! faults by script, and the checker that judges what crossed the sockets.
 //!
-//! - [`recording`]: what crossed the sockets, with times, written by the stand-ins and not by the router;
-//! - [`checker`]: judges a record by the rules, without trusting the program;
+//! - [`recording`]: what crossed the sockets, with times, written by the testbed and not by the router;
 //! - [`rules`]: the rules, their bounds, and breaches of them;
-//! - [`aggregates`]: its rule of what routers show of places as a whole;
-//! - [`cold_start`]: what nodes that started cold were asked for by all routers together, from a record;
-//! - [`faults`]: what befalls a node, by time or by count;
-//! - [`server`], [`cache_server`]: caches, parents and the origin on sockets: they keep, age, fill, join and fall over;
-//! - [`process_cluster`]: a whole small fleet with its journal services and routers as processes;
+//! - [`checker`]: judges a recording by the rules, without trusting the program;
+//! - [`aggregates`]: its rule of what routers show of locations;
+//! - [`cold_start`]: what servers that warm up were asked for by all routers together, from a recording;
+//! - [`faults`]: what befalls a server, by time or by count;
+//! - [`server`], [`cache_server`]: caches, parents and the origin on sockets, with copies, fills and overload;
+//! - [`process_cluster`]: servers with their journal services, and routers as processes;
 //! - [`load`]: clients that ask in an open loop;
-//! - [`fault_proxy`]: a link between two gateways on sockets, with its weather, and both sites around it;
+//! - [`fault_proxy`]: a proxy on a link that delays, throttles, drops or cuts, and two sites around one;
 //! - [`cold_restart`]: routers that start at once while discovery is out of order, and when each says that it is ready;
-//! - [`harness`]: routers that are fellows as processes, with links, faults and scripts between them;
+//! - [`harness`]: routers of one cluster as processes, with links, faults and scripts between them;
 //! - [`scale`]: many routers, real processes beside hollow ones, measured by router;
 //! - [`two_sites`]: two gateways and the link between them, in virtual time.
 //!
-//! They stand on loopback, on ports that the system gives, and are no yardstick for speed.
+//! All sockets are on ports that the system gives. Times are those of the machine: nothing here measures speed by itself.
+
+#![warn(
+    missing_docs,
+    clippy::missing_errors_doc,
+    clippy::too_many_arguments,
+    clippy::too_many_lines,
+    clippy::unwrap_used,
+    clippy::wildcard_imports
+)]
 
 pub mod aggregates;
 pub mod cache_server;
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! Owns the clients: requests at random times in an open loop, each noted before it is written.
+//! Clients of a router: requests at random times in an open loop, each noted before it is written.
 //!
 //! A client that waits for an answer holds none of the others back: the next request goes out at its time.
 
--- a/crates/testbed/src/process_cluster/configuration.rs
+++ b/crates/testbed/src/process_cluster/configuration.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// An operator file for [`ProcessCluster::two_hubs`]: all caches fill by `parent`, and else from the origin.
+/// An operator file for [`super::ProcessCluster::two_hubs`]: all caches fill by `parent`, and else from the origin.
 pub fn operator_file(caches: usize, parent: &str, settings: &str) -> String {
     format!(
         r#"control(path = "SOCKET")
--- a/crates/testbed/src/process_cluster/events.rs
+++ b/crates/testbed/src/process_cluster/events.rs
@@ -1,6 +1,6 @@
 //! What the journals publish to routers.
 
-use std::io::{self};
+use std::io;
 use std::thread;
 use std::time::Duration;
 
--- a/crates/testbed/src/process_cluster/mod.rs
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -1,5 +1,6 @@
-//! Owns a small fleet: nodes, a journal service for each router, and the routers as processes.
+//! A small cluster: servers, a journal service for each router, and the routers as processes.
 
+mod commands;
 mod configuration;
 mod events;
 
@@ -7,12 +8,12 @@
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Output, Stdio};
+use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 use std::thread;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 use linnethook_quickstart::Journal;
 use nix::sys::signal::{kill, Signal};
@@ -325,84 +326,6 @@
         self.routers.get(router)?.process.as_ref()?.links
     }
 
-    /// The next line of a router's log with that in it.
-    ///
-    /// # Errors
-    /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn logged(&self, router: &str, part: &str) -> io::Result<String> {
-        let process = self.routers.get(router).and_then(|router| router.process.as_ref());
-        wait(&process.ok_or(io::ErrorKind::NotFound)?.log, part)
-    }
-
-    /// The process of a router, to be signalled.
-    pub fn process_id(&self, router: &str) -> Option<u32> {
-        self.routers.get(router)?.process.as_ref().map(|process| process.child.id())
-    }
-
-    /// The control socket that an operator file names as `SOCKET`.
-    pub fn socket(&self, router: &str) -> PathBuf {
-        self.folder.join(format!("{router}.sock"))
-    }
-
-    /// The operator file of a router.
-    pub fn operator_file(&self, router: &str) -> PathBuf {
-        self.folder.join(format!("{router}.star"))
-    }
-
-    /// A file of the fleet's folder.
-    ///
-    /// # Errors
-    /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn write_file(&self, name: &str, text: &str) -> io::Result<PathBuf> {
-        let path = self.folder.join(name);
-        std::fs::write(&path, text).map(|()| path)
-    }
-
-    /// Runs a command of the program.
-    ///
-    /// # Errors
-    /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn command(&self, arguments: &[&str]) -> io::Result<Output> {
-        Command::new(&self.program).args(arguments).stdin(Stdio::null()).output()
-    }
-
-    /// What a command says of a router, as JSON.
-    ///
-    /// # Errors
-    /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn asked(&self, router: &str, arguments: &[&str]) -> io::Result<Value> {
-        let socket = self.socket(router).display().to_string();
-        let output = self.command(&[arguments, &["--socket", &socket, "--format", "json"]].concat())?;
-        match output.status.success() {
-            true => Ok(serde_json::from_slice(&output.stdout)?),
-            false => Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned())),
-        }
-    }
-
-    /// Waits until a command says what is wanted; the time is only a bound.
-    ///
-    /// # Errors
-    /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn until(
-        &self,
-        router: &str,
-        arguments: &[&str],
-        what: &str,
-        fits: impl Fn(&Value) -> bool,
-    ) -> io::Result<Value> {
-        let end = Instant::now() + PATIENCE;
-        loop {
-            let shown = self.asked(router, arguments)?;
-            if fits(&shown) {
-                return Ok(shown);
-            }
-            if Instant::now() > end {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what}: {shown}")));
-            }
-            thread::sleep(Duration::from_millis(20));
-        }
-    }
-
     // ---- What routers are told.
 
     /// Starts clients of a router.
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -1,4 +1,4 @@
-//! Owns the record: what crossed the sockets, each with its time, in the order in which it was noted.
+//! The recording: what crossed the sockets, each with its time, in the order in which it was noted.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -1,7 +1,7 @@
-//! Owns the sockets half of the scale run: real processes of the built router beside hollow ones, measured by router.
+//! The sockets half of the scale run: real processes of the built router beside hollow ones, measured by router.
 //!
 //! A hollow process is the built program with many routers in it, each on a thread and a loop of its own: the same
-//! control code with its real sockets, and no clients. Discovery is a stand-in ([`journal`]); what else is simulated:
+//! control code with its real sockets, and no clients. Discovery is simulated (`journal`); what else is simulated:
 //! a zone or region is cut by resetting the few links that lead across, a rack or zone ends by SIGKILL of one process,
 //! a slow member has links of [`SLOW`] bytes a second. All of a run has a bound, and ends when the run does.
 //!
--- a/crates/testbed/src/scale/rows.rs
+++ b/crates/testbed/src/scale/rows.rs
@@ -5,7 +5,19 @@
 use super::journal::Meter;
 use super::{count, Failure, Fault, Form, Harness, Look, Sample, Window};
 
-impl<'a> Harness<'a> {
+/// Counters of the program for bytes on links, out and in.
+const LINK_BYTES: [&str; 2] = ["link_bytes_out", "link_bytes_in"];
+/// Counters of the program for bytes on polls of discovery, out and in.
+const JOURNAL_BYTES: [&str; 2] = ["journal_bytes_out", "journal_bytes_in"];
+
+impl Look {
+    /// The sum of some counters of a router.
+    fn sum(&self, n: usize, names: &[&str]) -> f64 {
+        self.counters.get(&n).map_or(0.0, |all| names.iter().map(|name| count(all, name) as f64).sum())
+    }
+}
+
+impl Harness<'_> {
     /// The rows of a run.
     pub(super) fn rows(&mut self, window: &Window) -> Result<Vec<Sample>, Failure> {
         let last = self.look()?;
@@ -14,19 +26,14 @@
         let seconds = (after.at - before.at).as_secs_f64();
         let mut rows = Rows { forms: &self.places.forms, rows: Vec::new() };
         let steady: Vec<usize> = (0..rows.forms.len()).filter(|n| !self.disturbed.contains(n)).collect();
-        let of = |look: &Look, n: usize, names: &[&str]| -> f64 {
-            look.counters.get(&n).map_or(0.0, |all| names.iter().map(|name| count(all, name) as f64).sum())
-        };
         let rate = |names: &[&str]| -> Vec<(usize, f64)> {
-            steady.iter().map(|n| (*n, (of(after, *n, names) - of(before, *n, names)) / seconds)).collect()
+            steady.iter().map(|n| (*n, (after.sum(*n, names) - before.sum(*n, names)) / seconds)).collect()
         };
-        let links = ["link_bytes_out", "link_bytes_in"];
-        let polls = ["journal_bytes_out", "journal_bytes_in"];
-        rows.add("link said", "B/s", &rate(&links[..1]));
-        rows.add("link heard", "B/s", &rate(&links[1..]));
-        rows.add("journal said", "B/s", &rate(&polls[..1]));
-        rows.add("journal heard", "B/s", &rate(&polls[1..]));
-        rows.add("control", "B/s", &rate(&[links, polls].concat()));
+        rows.add("link said", "B/s", &rate(&LINK_BYTES[..1]));
+        rows.add("link heard", "B/s", &rate(&LINK_BYTES[1..]));
+        rows.add("journal said", "B/s", &rate(&JOURNAL_BYTES[..1]));
+        rows.add("journal heard", "B/s", &rate(&JOURNAL_BYTES[1..]));
+        rows.add("control", "B/s", &rate(&[LINK_BYTES, JOURNAL_BYTES].concat()));
         rows.add("facts said", "1/s", &rate(&["fellow_said"]));
         rows.add("facts heard", "1/s", &rate(&["fellow_heard"]));
         rows.add("fact bytes", "B/s", &rate(&["fellow_bytes"]));
@@ -37,6 +44,23 @@
         rows.add("processor", "% of a core", &spent.collect::<Vec<_>>());
         let memory = window.memory.iter().map(|(n, bytes)| (*n, bytes / 1e6));
         rows.add("memory", "MB", &memory.collect::<Vec<_>>());
+        self.add_journal_delays(&mut rows, &last, &steady, window);
+        let number = self.journal.number() as f64;
+        let running = self.processes.routers();
+        let behind = running.iter().map(|n| (*n, number - last.sum(*n, &["journal_number"])));
+        rows.add("behind", "events", &behind.collect::<Vec<_>>());
+        rows.add("statement age", "s", &window.ages);
+        rows.add("change delay", "ms", &changes);
+        rows.add("changes missing", "changes", &missing);
+        rows.add("joined", "s", &[(0, self.joined)]);
+        self.add_starts(&mut rows, &last);
+        rows.add("noticed", "s", &self.noticed);
+        rows.add("whole", "s", &self.recovered);
+        self.add_counted_outside(&mut rows, &last, &steady);
+        Ok(rows.rows)
+    }
+
+    fn add_journal_delays(&self, rows: &mut Rows, last: &Look, steady: &[usize], window: &Window) {
         let delays = last.meters.iter().enumerate();
         let delays = delays.flat_map(|(n, meter)| meter.delays.iter().map(move |delay| (n, *delay)));
         rows.add("journal delay", "ms", &delays.collect::<Vec<_>>());
@@ -50,14 +74,9 @@
                 rows.put(form, "journal delay, all", "ms", (0..event_count).map(of_all).collect());
             }
         }
-        let number = self.journal.number() as f64;
-        let running = self.processes.routers();
-        let behind = running.iter().map(|n| (*n, number - of(&last, *n, &["journal_number"])));
-        rows.add("behind", "events", &behind.collect::<Vec<_>>());
-        rows.add("statement age", "s", &window.ages);
-        rows.add("change delay", "ms", &changes);
-        rows.add("changes missing", "changes", &missing);
-        rows.add("joined", "s", &[(0, self.joined)]);
+    }
+
+    fn add_starts(&self, rows: &mut Rows, last: &Look) {
         let ready = |(n, begun): &(usize, Instant)| {
             let first = last.meters[*n].first.filter(|first| first >= begun)?;
             Some((*n, (first - *begun).as_secs_f64() * 1_000.0))
@@ -66,11 +85,13 @@
         let later = self.starts.get(self.places.forms.len()..).unwrap_or_default();
         let starts = if later.is_empty() { &self.starts[..] } else { later };
         rows.add("ready", "ms", &starts.iter().filter_map(ready).collect::<Vec<_>>());
-        rows.add("noticed", "s", &self.noticed);
-        rows.add("whole", "s", &self.recovered);
+    }
+
+    /// The program's bytes over those that were counted outside of it.
+    fn add_counted_outside(&self, rows: &mut Rows, last: &Look, steady: &[usize]) {
         let through = |n: &usize| {
             let (before, after) = last.passed.get(n).filter(|(before, _)| *before > 0)?;
-            let counted = of(&last, *n, &links);
+            let counted = last.sum(*n, &LINK_BYTES);
             Some((*n, counted / counted.clamp(*before as f64, *after as f64)))
         };
         let cut = matches!(self.plan.fault, Some(Fault::ZoneCut | Fault::RegionsApart | Fault::SlowMember));
@@ -78,12 +99,11 @@
         rows.add("links by middle", "ratio", &watched.filter_map(through).collect::<Vec<_>>());
         let ratio = |n: &usize| {
             let Meter { bytes_sent, bytes_received, .. } = last.meters[*n];
-            (*n, of(&last, *n, &polls) / (bytes_sent + bytes_received) as f64)
+            (*n, last.sum(*n, &JOURNAL_BYTES) / (bytes_sent + bytes_received) as f64)
         };
         let undisturbed = self.plan.fault != Some(Fault::ControlKilled) && !cut;
         let counted = steady.iter().filter(|_| undisturbed).map(ratio);
         rows.add("journal by stand-in", "ratio", &counted.collect::<Vec<_>>());
-        Ok(rows.rows)
     }
 }
 
--- a/crates/testbed/src/server.rs
+++ b/crates/testbed/src/server.rs
@@ -1,4 +1,4 @@
-//! Owns the sockets of a node: RESP arrays in, answers out, a thread for each connection.
+//! The sockets of a server: RESP arrays in, answers out, a thread for each connection.
 //!
 //! A server can be killed (connections reset, nobody listens) and started again at its address.
 
--- a/crates/testbed/src/two_sites/mod.rs
+++ b/crates/testbed/src/two_sites/mod.rs
@@ -1,4 +1,4 @@
-//! Owns two sites in virtual time: the shipped gateway core at each, stores that count each run, and a link between
+//! Two sites in virtual time: the shipped gateway core at each, stores that count each run, and a link between
 //! them that delays, throttles, goes silent in one or both directions, is cut, and lets late bytes through.
 //!
 //! One seed, one run, to the byte. What is simulated: sockets, caches, stores and clients; what is real: every
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -23,6 +23,7 @@
     "crates/router/src/upstream",
     "crates/settings",
     "crates/shadow-policy",
+    "crates/testbed",
     "examples/quickstart",
 ];
 
