--- a/crates/standins/src/bin/link-speed.rs
+++ b/crates/testbed/src/bin/link-speed.rs
@@ -12,8 +12,8 @@
 use linnethook_gateway::flow_control::Priority;
 use linnethook_gateway::forwarding::ForwardRequest;
 use linnethook_gateway::gateway::{Action, Gateway, GatewayConfig, GatewaySetup, RemoteRequest, Reply};
-use linnethook_standins::middle::{Ends, Middle, BACK};
-use linnethook_standins::record::{now, Record};
+use linnethook_testbed::fault_proxy::{FaultProxy, ProxyEnds, TO_DIALER};
+use linnethook_testbed::recording::{now, Recording};
 
 const PART: usize = 64 << 10;
 const OPEN: u64 = 32;
@@ -72,19 +72,19 @@
         match input.read(&mut block) {
             Ok(0) => return Ok(()),
             Ok(n) => gateway.receive(now(), 1, &block[..n]),
-            Err(wrong) if matches!(wrong.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
-            Err(wrong) => return Err(wrong),
+            Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
+            Err(error) => return Err(error),
         }
     }
     Ok(())
 }
 
-fn middle() -> io::Result<(Middle, TcpListener)> {
+fn proxy() -> io::Result<(FaultProxy, TcpListener)> {
     let sites = ["north".to_string(), "south".to_string()];
-    let middle = Middle::start(Ends { sites, record: Record::default() })?;
+    let proxy = FaultProxy::start(ProxyEnds { sites, record: Recording::default() })?;
     let listener = TcpListener::bind("127.0.0.1:0")?;
-    middle.lead_to(listener.local_addr()?);
-    Ok((middle, listener))
+    proxy.set_target(listener.local_addr()?);
+    Ok((proxy, listener))
 }
 
 /// Seconds and processor seconds of this process so far.
@@ -97,7 +97,7 @@
 }
 
 fn plain(bytes: usize) -> io::Result<f64> {
-    let (middle, listener) = middle()?;
+    let (proxy, listener) = proxy()?;
     let sender = thread::spawn(move || -> io::Result<()> {
         let (mut stream, _) = listener.accept()?;
         let block = vec![7; PART];
@@ -106,7 +106,7 @@
         }
         Ok(())
     });
-    let mut stream = TcpStream::connect(middle.address)?;
+    let mut stream = TcpStream::connect(proxy.address)?;
     let begun = Instant::now();
     let mut block = vec![0; PART];
     let mut got = 0;
@@ -118,26 +118,45 @@
     Ok(got as f64 / took)
 }
 
-fn link(bytes: usize) -> io::Result<(f64, f64)> {
-    let (middle, listener) = middle()?;
-    let server = thread::spawn(move || -> io::Result<()> {
-        let (stream, _) = listener.accept()?;
-        let mut gateway = gateway("south", "north", false);
-        let body = Bytes::from(vec![7; PART]);
-        let act = |gateway: &mut Gateway, action| {
-            if let Action::ServeRemote(RemoteRequest { ticket, .. }) = action {
-                gateway.complete_remote_request(
-                    now(),
-                    ticket,
-                    Reply::Served { fields: Vec::new(), body: body.clone(), version: None },
-                );
-            }
-            Ok(())
-        };
-        let _ = drive(&stream, &mut gateway, act, |_| false);
+/// Serves parts to whoever connects first, until the connection ends.
+fn serve_parts(listener: &TcpListener) -> io::Result<()> {
+    let (stream, _) = listener.accept()?;
+    let mut gateway = gateway("south", "north", false);
+    let body = Bytes::from(vec![7; PART]);
+    let act = |gateway: &mut Gateway, action| {
+        if let Action::ServeRemote(RemoteRequest { ticket, .. }) = action {
+            gateway.complete_remote_request(
+                now(),
+                ticket,
+                Reply::Served { fields: Vec::new(), body: body.clone(), version: None },
+            );
+        }
         Ok(())
-    });
-    let stream = TcpStream::connect(middle.address)?;
+    };
+    let _ = drive(&stream, &mut gateway, act, |_| false);
+    Ok(())
+}
+
+/// A request for one part.
+fn part_request(object: u64, at: f64) -> ForwardRequest {
+    ForwardRequest {
+        object,
+        write: false,
+        not_idempotent: false,
+        home_site: None,
+        priority: Priority::LaterPart,
+        latency_objective: 10_000.0,
+        deadline: at + 20_000.0,
+        passed_sites: Vec::new(),
+        fields: vec![("o".to_string(), object.to_string())],
+        body: Bytes::new(),
+    }
+}
+
+fn link(bytes: usize) -> io::Result<(f64, f64)> {
+    let (proxy, listener) = proxy()?;
+    let server = thread::spawn(move || serve_parts(&listener));
+    let stream = TcpStream::connect(proxy.address)?;
     let mut gateway = gateway("north", "south", false);
     gateway.report_local_load(now(), 0, 0.0);
     let parts = (bytes / PART) as u64;
@@ -159,19 +178,7 @@
         done = counted.get();
         while asked < parts && asked - done < OPEN {
             asked += 1;
-            let wanted = ForwardRequest {
-                object: asked,
-                write: false,
-                not_idempotent: false,
-                home_site: None,
-                priority: Priority::LaterPart,
-                latency_objective: 10_000.0,
-                deadline: at + 20_000.0,
-                passed_sites: Vec::new(),
-                fields: vec![("o".to_string(), asked.to_string())],
-                body: Bytes::new(),
-            };
-            gateway.submit_request(at, asked, wanted);
+            gateway.submit_request(at, asked, part_request(asked, at));
         }
         done >= parts
     };
@@ -181,15 +188,15 @@
     };
     drive(&stream, &mut gateway, act, over)?;
     let took = begun.map_or(0.0, |begun| begun.elapsed().as_secs_f64());
-    let passed = middle.passed();
-    let overhead = passed.bytes[BACK] as f64 / (parts as f64 * PART as f64) - 1.0;
-    drop((stream, middle));
+    let passed = proxy.passed();
+    let overhead = passed.bytes[TO_DIALER] as f64 / (parts as f64 * PART as f64) - 1.0;
+    drop((stream, proxy));
     let _ = server.join();
     Ok((parts as f64 * PART as f64 / took, overhead))
 }
 
 /// Bytes of memory that this process holds.
-fn held() -> f64 {
+fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
@@ -199,7 +206,7 @@
     use linnethook_gateway::codec::ForwardedRequest;
     use linnethook_gateway::session::{Session, SessionConfig};
     let mut sessions: Vec<Session> = (0..400).map(|_| Session::new(0.0, SessionConfig::default())).collect();
-    let before = held();
+    let before = resident_bytes();
     let mut into = BytesMut::new();
     for session in &mut sessions {
         for ticket in 0..250 {
@@ -218,7 +225,7 @@
         into.clear();
         session.take_output(1 << 20, &mut into);
     }
-    (held() - before) / (400.0 * 250.0)
+    (resident_bytes() - before) / (400.0 * 250.0)
 }
 
 fn main() -> io::Result<()> {
--- a/crates/standins/src/ready.rs
+++ b/crates/testbed/src/cold_restart.rs
@@ -1,4 +1,4 @@
-//! Owns a discovery service that is out of order, and routers as processes that start at once beside it: how long each
+//! A discovery service that is out of order, and routers as processes that start at once beside it: how long each
 //! takes from its start to saying that it is ready.
 //!
 //! The times are those of the machine that it runs on: a test waits for the answers and judges no time.
@@ -32,6 +32,7 @@
 
 /// A discovery service that is out of order until it comes back at the same address.
 pub struct Discovery {
+    /// Where routers look for discovery.
     pub address: SocketAddr,
     socket: Socket,
     over: Arc<AtomicBool>,
@@ -39,6 +40,10 @@
 }
 
 impl Discovery {
+    /// Takes an address and is out of order there.
+    ///
+    /// # Errors
+    /// A socket that fails.
     pub fn start(outage: Outage) -> io::Result<Self> {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -61,6 +66,9 @@
     }
 
     /// It is in order again, and knows these events.
+    ///
+    /// # Errors
+    /// A socket that fails.
     pub fn back(mut self, known: Vec<Value>) -> io::Result<Journal> {
         self.end();
         self.socket.listen(128)?;
@@ -101,12 +109,14 @@
 
 /// What routers start into.
 #[derive(Debug, Clone, Copy)]
-pub struct Case {
+pub struct StartScenario {
+    /// How discovery is out of order.
     pub outage: Outage,
     /// Processes that start at once.
     pub processes: usize,
     /// Caches in the list that each finds in its configuration, and purges after it.
     pub listed: usize,
+    /// Purges that each finds in its configuration.
     pub purges: usize,
     /// No cache answers, and each router is asked for something before it is asked whether it is ready.
     pub hung: bool,
@@ -114,7 +124,7 @@
     pub busy: usize,
 }
 
-impl Case {
+impl StartScenario {
     /// A small list, caches that answer, and nothing else to do.
     pub fn new(outage: Outage, processes: usize) -> Self {
         Self { outage, processes, listed: 4, purges: 0, hung: false, busy: 0 }
@@ -170,7 +180,7 @@
 }
 
 /// The events that a router finds in its configuration.
-fn known(case: &Case, address: SocketAddr) -> Value {
+fn known(case: &StartScenario, address: SocketAddr) -> Value {
     let target = |n: usize| {
         let (uid, zone, model) = match n {
             0 => ("origin".to_string(), "hub", "store"),
@@ -200,7 +210,7 @@
 }
 
 impl Scene {
-    fn set(case: &Case) -> io::Result<Self> {
+    fn set(case: &StartScenario) -> io::Result<Self> {
         let discovery = Discovery::start(case.outage)?;
         let hung = TcpListener::bind("127.0.0.1:0")?;
         let well = Cache::start("127.0.0.1:0", Arc::new(|_, _, _| Some(Answer::data("held"))))?;
@@ -222,7 +232,7 @@
 ///
 /// # Errors
 /// Where a stand-in or the configuration can't be set up.
-pub fn restart(program: &Path, case: &Case) -> io::Result<Vec<Option<Duration>>> {
+pub fn restart(program: &Path, case: &StartScenario) -> io::Result<Vec<Option<Duration>>> {
     let scene = Scene::set(case)?;
     let asks = if case.hung { 8 } else { 0 };
     start_all(program, &scene.config.0, case.processes, asks);
@@ -234,7 +244,7 @@
 ///
 /// # Errors
 /// Where a stand-in or the configuration can't be set up, the router does not start, or the system does not say.
-pub fn peak_memory(program: &Path, case: &Case) -> io::Result<u64> {
+pub fn peak_memory(program: &Path, case: &StartScenario) -> io::Result<u64> {
     let scene = Scene::set(case)?;
     let (process, _) = start(program, &scene.config.0, 0)?;
     let status = std::fs::read_to_string(format!("/proc/{}/status", process.0.id()))?;
--- a/crates/standins/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,4 +1,4 @@
-//! Owns the clients: requests at random times in an open loop, each noted before it is written.
+//! Clients of a router: requests at random times in an open loop, each noted before it is written.
 //!
 //! A client that waits for an answer holds none of the others back: the next request goes out at its time.
 
@@ -15,17 +15,20 @@
 use rand_distr::{Distribution, Exp, Uniform, Zipf};
 use rand_pcg::Pcg64Mcg;
 
-use crate::record::{now, Ms, Record, What};
+use crate::recording::{now, Ms, RecordedEvent, Recording};
 
 /// What clients ask for.
 #[derive(Debug, Clone)]
 pub struct Load {
+    /// The same seed asks for the same objects at the same times.
     pub seed: u64,
     /// Requests a second, of all clients together.
     pub rate: f64,
+    /// Connections; the rate is divided among them.
     pub clients: usize,
     /// Objects, and how uneven their popularity is (Zipf's exponent).
     pub objects: u64,
+    /// Zipf's exponent.
     pub skew: f64,
     /// The part of requests that are bookings.
     pub bookings: f64,
@@ -52,14 +55,18 @@
 
 /// How requests ended, by second since the start of the load.
 #[derive(Debug, Clone, Default)]
-pub struct Ends {
+pub struct LoadResults {
+    /// Requests.
     pub asked: Vec<u32>,
+    /// Requests that were served.
     pub served: Vec<u32>,
+    /// Requests that were rejected.
     pub refused: Vec<u32>,
+    /// Requests that failed.
     pub failed: Vec<u32>,
 }
 
-impl Ends {
+impl LoadResults {
     fn count(list: &mut Vec<u32>, second: usize) {
         if list.len() <= second {
             list.resize(second + 1, 0);
@@ -75,20 +82,23 @@
 }
 
 /// Clients under way.
-pub struct Running {
+pub struct RunningLoad {
     threads: Vec<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
-    pub ends: Arc<Mutex<Ends>>,
+    /// How requests have ended by now.
+    pub ends: Arc<Mutex<LoadResults>>,
+    /// When the load began.
     pub since: Ms,
 }
 
-impl Running {
-    pub fn ends(&self) -> Ends {
+impl RunningLoad {
+    /// A copy of how requests have ended by now.
+    pub fn ends(&self) -> LoadResults {
         self.ends.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// No new requests; waits until those that are out are answered or past their time.
-    pub fn finish(self) -> Ends {
+    pub fn finish(self) -> LoadResults {
         self.stop.store(true, Ordering::Release);
         for thread in self.threads {
             let _ = thread.join();
@@ -99,24 +109,28 @@
 
 /// Names of requests: never the same twice in a fleet.
 #[derive(Debug, Clone, Default)]
-pub struct Numbers(Arc<AtomicU64>);
+pub struct RequestNumbers(Arc<AtomicU64>);
 
-impl Numbers {
+impl RequestNumbers {
+    /// A number that was not given out before.
     pub fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed) + 1
     }
 }
 
 /// Starts clients of one router.
+///
+/// # Errors
+/// The router can not be reached.
 pub fn start(
     load: &Load,
     router: &str,
     address: SocketAddr,
-    record: &Record,
-    numbers: &Numbers,
-) -> io::Result<Running> {
+    record: &Recording,
+    numbers: &RequestNumbers,
+) -> io::Result<RunningLoad> {
     let (stop, ends, since) =
-        (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Ends::default())), now());
+        (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(LoadResults::default())), now());
     let mut threads = Vec::new();
     for n in 0..load.clients.max(1) {
         let one = One {
@@ -128,7 +142,7 @@
             ends: ends.clone(),
             since,
             open: Arc::default(),
-            gone: Arc::default(),
+            disconnected: Arc::default(),
         };
         let client = Client::connect(address)?;
         let reading = Client { stream: client.stream.try_clone()? };
@@ -136,7 +150,7 @@
         threads.push(thread::spawn(move || reader.read(reading)));
         threads.push(thread::spawn(move || one.write(client, n as u64)));
     }
-    Ok(Running { threads, stop, ends, since })
+    Ok(RunningLoad { threads, stop, ends, since })
 }
 
 /// By stream: the request, until when its client waits, and the second in which it was asked.
@@ -146,14 +160,14 @@
 struct One {
     load: Load,
     router: String,
-    record: Record,
-    numbers: Numbers,
+    record: Recording,
+    numbers: RequestNumbers,
     stop: Arc<AtomicBool>,
-    ends: Arc<Mutex<Ends>>,
+    ends: Arc<Mutex<LoadResults>>,
     since: Ms,
     open: Arc<Mutex<Open>>,
     /// The router has gone: nothing that is asked of it is owed.
-    gone: Arc<AtomicBool>,
+    disconnected: Arc<AtomicBool>,
 }
 
 /// A client has at most that many requests open; beyond it the next one is not asked at all.
@@ -208,8 +222,8 @@
         let deadline = at + self.load.wait;
         let second = self.second(at);
         self.open.lock().unwrap_or_else(PoisonError::into_inner).insert(stream, (request, deadline, second));
-        Ends::count(&mut self.ends.lock().unwrap_or_else(PoisonError::into_inner).asked, second);
-        self.record.note(What::Requested {
+        LoadResults::count(&mut self.ends.lock().unwrap_or_else(PoisonError::into_inner).asked, second);
+        self.record.note(RecordedEvent::Requested {
             request,
             id: id.clone(),
             object: object.clone(),
@@ -219,8 +233,8 @@
             router: self.router.clone(),
         });
         let asked = client.ask(stream, &fields, b"");
-        if self.gone.load(Ordering::Acquire) {
-            self.record.note(What::Released { request });
+        if self.disconnected.load(Ordering::Acquire) {
+            self.record.note(RecordedEvent::Released { request });
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         asked
@@ -237,17 +251,21 @@
                         self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&frame.stream);
                     // One that is not known is noted too: the checker must see it.
                     let (request, _, second) = known.unwrap_or((u64::MAX, 0.0, 0));
-                    self.record.note(What::Final { request, code: frame.code, dated: dated(&frame.body) });
+                    self.record.note(RecordedEvent::Final {
+                        request,
+                        code: frame.code,
+                        dated: dated(&frame.body),
+                    });
                     let mut ends = self.ends.lock().unwrap_or_else(PoisonError::into_inner);
                     let list = match frame.code {
                         1 => &mut ends.served,
                         2 => &mut ends.refused,
                         _ => &mut ends.failed,
                     };
-                    Ends::count(list, second);
+                    LoadResults::count(list, second);
                 }
                 Ok(_) => {}
-                Err(wrong) if matches!(wrong.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
+                Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {
                     idle += 1;
                     let open = self.open.lock().unwrap_or_else(PoisonError::into_inner);
                     let late = open.values().all(|(_, deadline, _)| now() > deadline + 500.0);
@@ -256,9 +274,9 @@
                     }
                 }
                 Err(_) => {
-                    self.gone.store(true, Ordering::Release);
+                    self.disconnected.store(true, Ordering::Release);
                     for (request, ..) in self.open.lock().unwrap_or_else(PoisonError::into_inner).values() {
-                        self.record.note(What::Released { request: *request });
+                        self.record.note(RecordedEvent::Released { request: *request });
                     }
                     return;
                 }
--- /dev/null
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -0,0 +1,357 @@
+//! A small cluster: servers, a journal service for each router, and the routers as processes.
+
+mod commands;
+mod configuration;
+mod events;
+
+use std::collections::BTreeMap;
+use std::io::{self, BufRead, BufReader};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU32, AtomicU64, Ordering};
+use std::sync::mpsc::{channel, Receiver};
+use std::sync::Arc;
+use std::thread;
+use std::time::Duration;
+
+use linnethook_quickstart::Journal;
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+use serde_json::{json, Value};
+
+use crate::cache_server::{CacheServer, CacheServerConfig, Directory, ServerRole};
+use crate::load::{self, Load, RequestNumbers, RunningLoad};
+use crate::recording::{Phase, Recording};
+
+pub use configuration::{
+    operator_file, reroute, router_program, sources, unhurried, unhurried_by_flow, UNHURRIED,
+};
+
+/// Longer than anything that is waited for.
+const PATIENCE: Duration = Duration::from_secs(20);
+
+/// A node as the list of caches has it.
+struct Listed {
+    node: CacheServer,
+    zone: String,
+    capacity: f64,
+    started: f64,
+}
+
+/// All of a fleet.
+pub struct ProcessCluster {
+    /// What crossed the sockets.
+    pub record: Recording,
+    /// Numbers of requests of all clients.
+    pub numbers: RequestNumbers,
+    program: PathBuf,
+    /// By router: a program that is not `program`, such as another build.
+    programs: BTreeMap<String, PathBuf>,
+    folder: PathBuf,
+    directory: Directory,
+    attempts: Arc<AtomicU64>,
+    nodes: BTreeMap<String, Listed>,
+    routers: BTreeMap<String, Router>,
+    /// The edges of each version of the shape.
+    edges: BTreeMap<String, Vec<String>>,
+}
+
+struct Router {
+    journal: Journal,
+    config: PathBuf,
+    operator: Option<PathBuf>,
+    process: Option<Process>,
+}
+
+struct Process {
+    child: Child,
+    address: SocketAddr,
+    /// Where gateways of other sites reach it.
+    links: Option<SocketAddr>,
+    log: Receiver<String>,
+}
+
+impl Drop for Process {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+impl Drop for ProcessCluster {
+    fn drop(&mut self) {
+        self.routers.clear();
+        let _ = std::fs::remove_dir_all(&self.folder);
+    }
+}
+
+impl ProcessCluster {
+    /// An empty fleet for routers that run `program`.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn new(program: impl Into<PathBuf>) -> io::Result<Self> {
+        static COUNT: AtomicU32 = AtomicU32::new(0);
+        let n = COUNT.fetch_add(1, Ordering::Relaxed);
+        // Short: a control socket's path must fit into its address.
+        let folder = std::env::temp_dir().join(format!("lh-{}-{n}", std::process::id()));
+        std::fs::create_dir_all(&folder)?;
+        Ok(Self {
+            record: Recording::default(),
+            numbers: RequestNumbers::default(),
+            program: program.into(),
+            programs: BTreeMap::new(),
+            folder,
+            directory: Directory::default(),
+            attempts: Arc::default(),
+            nodes: BTreeMap::new(),
+            routers: BTreeMap::new(),
+            edges: BTreeMap::new(),
+        })
+    }
+
+    /// Two hubs with a parent each, caches of one location, and the origin: all fill by `south`.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn two_hubs(
+        program: impl Into<PathBuf>,
+        caches: usize,
+        server_config: impl Fn(ServerRole) -> CacheServerConfig,
+    ) -> io::Result<Self> {
+        let mut fleet = Self::new(program)?;
+        fleet.add("origin", "hub", 20.0, server_config(ServerRole::Origin))?;
+        for hub in ["south", "centre"] {
+            fleet.add(hub, "hub", 30.0, server_config(ServerRole::Parent))?;
+        }
+        for n in 0..caches {
+            fleet.add(&format!("cache-{n}"), "shop", 8.0, server_config(ServerRole::Cache))?;
+        }
+        Ok(fleet)
+    }
+
+    /// A site of its own beside others: caches, a parent and an origin named after it, on the same record.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn site(
+        program: impl Into<PathBuf>,
+        site: &str,
+        caches: usize,
+        beside: Option<&Self>,
+        server_config: impl Fn(ServerRole) -> CacheServerConfig,
+    ) -> io::Result<Self> {
+        let mut fleet = Self::new(program)?;
+        if let Some(other) = beside {
+            fleet.record = other.record.clone();
+            fleet.numbers = other.numbers.clone();
+            fleet.attempts = other.attempts.clone();
+        }
+        let origin = format!("{site}-origin");
+        let server_config = |kind| {
+            let server_config = server_config(kind);
+            let upstream = if kind == ServerRole::Origin { Vec::new() } else { vec![origin.clone()] };
+            CacheServerConfig { upstream, ..server_config }
+        };
+        fleet.add(&origin, "hub", 20.0, server_config(ServerRole::Origin))?;
+        fleet.add(&format!("{site}-parent"), "hub", 30.0, server_config(ServerRole::Parent))?;
+        for n in 0..caches {
+            fleet.add(&format!("{site}-cache-{n}"), "shop", 8.0, server_config(ServerRole::Cache))?;
+        }
+        Ok(fleet)
+    }
+
+    /// Starts a server that routers which start later find in their endpoint lists.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn add(
+        &mut self,
+        name: &str,
+        zone: &str,
+        capacity: f64,
+        server_config: CacheServerConfig,
+    ) -> io::Result<()> {
+        let node = CacheServer::start(name, server_config, &self.directory, &self.record, &self.attempts)?;
+        self.nodes.insert(name.to_string(), Listed { node, zone: zone.to_string(), capacity, started: 0.0 });
+        Ok(())
+    }
+
+    /// A server by its name, which has to exist.
+    pub fn node(&self, name: &str) -> &CacheServer {
+        &self.nodes[name].node
+    }
+
+    /// Names of all servers.
+    pub fn node_names(&self) -> Vec<String> {
+        self.nodes.keys().cloned().collect()
+    }
+
+    /// The line of the list that tells a router of a node.
+    fn line(&self, router: &str, name: &str, phase: Phase) -> io::Result<Value> {
+        let listed = &self.nodes[name];
+        let kind = match (name, listed.zone.as_str()) {
+            (name, _) if name.ends_with("origin") => "store",
+            (_, "hub") => "hub-box",
+            _ => "box",
+        };
+        let state = match phase {
+            Phase::Ready => "Ready",
+            Phase::Draining => "Terminating",
+            Phase::Removed => "Gone",
+        };
+        let address = listed.node.front(router)?;
+        Ok(json!({"uid": name, "endpoint": address.to_string(), "az": listed.zone, "model": kind,
+            "pod_group": 0, "state": state, "capacity_hint": listed.capacity, "boot_ms": listed.started}))
+    }
+
+    /// Starts a router with an operator file, if there is one; `patch` changes its configuration.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn start_router(
+        &mut self,
+        name: &str,
+        operator: Option<&str>,
+        patch: impl Fn(&mut Value),
+    ) -> io::Result<SocketAddr> {
+        let names = self.node_names();
+        let lines: io::Result<Vec<Value>> = names.iter().map(|n| self.line(name, n, Phase::Ready)).collect();
+        let known = vec![json!({"hosts": {"rev": 1, "all": true, "targets": lines?}})];
+        let journal = Journal::start("127.0.0.1:0", known)?;
+        let mut config: Value = serde_json::from_str(include_str!("../../../../examples/config.json"))?;
+        config["name"] = json!(name);
+        config["listen"] = json!("127.0.0.1:0");
+        config["journal"] = json!(journal.address.to_string());
+        patch(&mut config);
+        let path = self.folder.join(format!("{name}.json"));
+        std::fs::write(&path, config.to_string())?;
+        let operator = operator.map(|text| (self.folder.join(format!("{name}.star")), text));
+        if let Some((path, text)) = &operator {
+            std::fs::write(path, text.replace("SOCKET", &self.socket(name).display().to_string()))?;
+        }
+        let operator = operator.map(|(path, _)| path);
+        let router = Router { journal, config: path, operator, process: None };
+        self.routers.insert(name.to_string(), router);
+        self.start_again(name)
+    }
+
+    /// Has a router run another program from its next start on; without one, the program of all.
+    pub fn set_program(&mut self, router: &str, program: Option<PathBuf>) {
+        match program {
+            Some(program) => self.programs.insert(router.to_string(), program),
+            None => self.programs.remove(router),
+        };
+    }
+
+    /// Starts a router's process, with the journal's events up to now.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn start_again(&mut self, name: &str) -> io::Result<SocketAddr> {
+        let program = self.programs.get(name).unwrap_or(&self.program).clone();
+        let router = self.routers.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
+        router.process = None;
+        let mut config: Value = serde_json::from_slice(&std::fs::read(&router.config)?)?;
+        config["known"] = router.journal.known();
+        std::fs::write(&router.config, config.to_string())?;
+        let mut command = Command::new(program);
+        command.env("LB_CONFIG", &router.config).stdin(Stdio::null()).stderr(Stdio::piped());
+        if let Some(operator) = &router.operator {
+            command.env("LB_OPERATOR", operator);
+        }
+        let mut child = command.spawn()?;
+        let stderr = child.stderr.take().ok_or(io::ErrorKind::BrokenPipe)?;
+        let (sender, log) = channel();
+        thread::spawn(move || {
+            for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+                if sender.send(line).is_err() {
+                    return;
+                }
+            }
+        });
+        let mut process = Process { child, address: ([127, 0, 0, 1], 0).into(), links: None, log };
+        let address = loop {
+            let line = wait(&process.log, "")?;
+            if let Some(links) = address_after(&line, "links come in at ") {
+                process.links = Some(links);
+            } else if let Some(address) = address_after(&line, " listens on ") {
+                break address;
+            }
+        };
+        process.address = address;
+        router.process = Some(process);
+        Ok(address)
+    }
+
+    /// A router is killed outright; what it held is owed no more.
+    pub fn kill_router(&mut self, name: &str) {
+        if let Some(router) = self.routers.get_mut(name) {
+            router.process = None;
+        }
+    }
+
+    /// A router is asked to end, and is waited for.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn stop_router(&mut self, name: &str) -> io::Result<()> {
+        let router = self.routers.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
+        if let Some(mut process) = router.process.take() {
+            let id = i32::try_from(process.child.id()).map_err(io::Error::other)?;
+            kill(Pid::from_raw(id), Signal::SIGTERM)?;
+            process.child.wait()?;
+        }
+        Ok(())
+    }
+
+    /// Sends a signal to a router's process.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn signal(&self, router: &str, signal: Signal) -> io::Result<()> {
+        let id = self.process_id(router).ok_or(io::ErrorKind::NotFound)?;
+        kill(Pid::from_raw(i32::try_from(id).map_err(io::Error::other)?), signal)?;
+        Ok(())
+    }
+
+    /// Where clients reach a router.
+    pub fn address(&self, router: &str) -> Option<SocketAddr> {
+        self.routers.get(router)?.process.as_ref().map(|process| process.address)
+    }
+
+    /// Where gateways of other sites reach a router.
+    pub fn links(&self, router: &str) -> Option<SocketAddr> {
+        self.routers.get(router)?.process.as_ref()?.links
+    }
+
+    // ---- What routers are told.
+
+    /// Starts clients of a router.
+    ///
+    /// # Errors
+    /// A process, a socket or a file that fails, or a name that does not exist.
+    pub fn load(&self, router: &str, load: &Load) -> io::Result<RunningLoad> {
+        let address = self.address(router).ok_or(io::ErrorKind::NotFound)?;
+        load::start(load, router, address, &self.record, &self.numbers)
+    }
+}
+
+/// The address behind some words of a line: as text it ends the line; in a JSON object more follows.
+fn address_after(line: &str, marker: &str) -> Option<SocketAddr> {
+    let rest = line.split(marker).nth(1)?;
+    let end = rest.find(|c: char| !(c.is_ascii_digit() || c == '.' || c == ':')).unwrap_or(rest.len());
+    rest[..end].parse().ok()
+}
+
+fn wait(log: &Receiver<String>, part: &str) -> io::Result<String> {
+    loop {
+        let line = log.recv_timeout(PATIENCE).map_err(|_| {
+            io::Error::new(io::ErrorKind::TimedOut, format!("nothing was logged with {part:?} in it"))
+        })?;
+        if line.contains(part) {
+            return Ok(line);
+        }
+    }
+}
--- a/crates/standins/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -19,14 +19,14 @@
 pub type Counters = HashMap<String, u64>;
 
 /// What the log of a process had.
-enum Heard {
+enum ProcessMessage {
     Listens,
     Counters(Counters),
     /// The process has ended; the last lines of its log.
     Ended(Vec<String>),
 }
 
-struct Running {
+struct RunningLoad {
     child: Child,
     members: Vec<usize>,
     /// Its starts are numbered: what an earlier one says late does not count.
@@ -65,18 +65,18 @@
 /// All processes of a run, by their numbers.
 pub struct Processes {
     program: PathBuf,
-    running: BTreeMap<usize, Running>,
+    running: BTreeMap<usize, RunningLoad>,
     guard: Guard,
     starts: u64,
-    sender: Sender<(u64, usize, Heard)>,
-    heard: Receiver<(u64, usize, Heard)>,
+    sender: Sender<(u64, usize, ProcessMessage)>,
+    bytes_received: Receiver<(u64, usize, ProcessMessage)>,
 }
 
 impl Processes {
     pub fn new(program: &Path) -> io::Result<Self> {
-        let (sender, heard) = channel();
+        let (sender, bytes_received) = channel();
         let (program, running) = (program.to_path_buf(), BTreeMap::new());
-        Ok(Self { program, running, guard: Guard::start()?, starts: 0, sender, heard })
+        Ok(Self { program, running, guard: Guard::start()?, starts: 0, sender, bytes_received })
     }
 
     /// Starts a process with the files that its routers have; when it was started comes back.
@@ -96,7 +96,7 @@
         self.starts += 1;
         self.guard.say('+', child.id())?;
         let log = child.stderr.take();
-        self.running.insert(process, Running { child, members: members.clone(), start: self.starts });
+        self.running.insert(process, RunningLoad { child, members: members.clone(), start: self.starts });
         let (start, sender) = (self.starts, self.sender.clone());
         let log = log.ok_or("a process without a log")?;
         thread::Builder::new().stack_size(128 << 10).spawn(move || read(log, start, &members, &sender))?;
@@ -122,7 +122,7 @@
         let mut left = routers.to_vec();
         while !left.is_empty() {
             let what = format!("{} routers do not start", left.len());
-            if let (router, Heard::Listens) = self.next(until, &what)? {
+            if let (router, ProcessMessage::Listens) = self.next(until, &what)? {
                 left.retain(|n| *n != router);
             }
         }
@@ -130,11 +130,11 @@
     }
 
     /// What a process that still runs has said.
-    fn next(&mut self, until: Instant, what: &str) -> Result<(usize, Heard), Failure> {
+    fn next(&mut self, until: Instant, what: &str) -> Result<(usize, ProcessMessage), Failure> {
         loop {
             let wait = until.saturating_duration_since(Instant::now());
-            let (start, router, heard) = match self.heard.recv_timeout(wait) {
-                Ok(heard) => heard,
+            let (start, router, bytes_received) = match self.bytes_received.recv_timeout(wait) {
+                Ok(bytes_received) => bytes_received,
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
                     return Err(format!("no more time: {what}").into());
                 }
@@ -142,10 +142,10 @@
             if !self.running.values().any(|running| running.start == start) {
                 continue;
             }
-            if let Heard::Ended(lines) = heard {
+            if let ProcessMessage::Ended(lines) = bytes_received {
                 return Err(format!("the process of {} has ended: {lines:?}", name(router)).into());
             }
-            return Ok((router, heard));
+            return Ok((router, bytes_received));
         }
     }
 
@@ -158,7 +158,7 @@
         let mut all = BTreeMap::new();
         while all.len() < wanted {
             let what = format!("{} routers tell no counters", wanted - all.len());
-            if let (router, Heard::Counters(counters)) = self.next(until, &what)? {
+            if let (router, ProcessMessage::Counters(counters)) = self.next(until, &what)? {
                 all.insert(router, counters);
             }
         }
@@ -219,7 +219,7 @@
 }
 
 /// Reads a log to its end and passes on what counts.
-fn read(log: ChildStderr, start: u64, members: &[usize], to: &Sender<(u64, usize, Heard)>) {
+fn read(log: ChildStderr, start: u64, members: &[usize], to: &Sender<(u64, usize, ProcessMessage)>) {
     let mut last = Vec::new();
     for line in BufReader::new(log).lines().map_while(Result::ok) {
         // Lines of a process with several routers have the name of each.
@@ -227,13 +227,13 @@
             [router] => Some(*router),
             _ => members.iter().copied().find(|n| line.starts_with(&format!("linnethook: {}: ", name(*n)))),
         };
-        let heard = match line.split_once("counters ") {
-            Some((_, counters)) => Some(Heard::Counters(numbers(counters))),
-            None if line.contains(" listens on ") => Some(Heard::Listens),
+        let bytes_received = match line.split_once("counters ") {
+            Some((_, counters)) => Some(ProcessMessage::Counters(numbers(counters))),
+            None if line.contains(" listens on ") => Some(ProcessMessage::Listens),
             None => None,
         };
-        if let (Some(router), Some(heard)) = (router, heard) {
-            if to.send((start, router, heard)).is_err() {
+        if let (Some(router), Some(bytes_received)) = (router, bytes_received) {
+            if to.send((start, router, bytes_received)).is_err() {
                 return;
             }
         }
@@ -242,7 +242,7 @@
             last.remove(0);
         }
     }
-    let _ = to.send((start, members[0], Heard::Ended(last)));
+    let _ = to.send((start, members[0], ProcessMessage::Ended(last)));
 }
 
 /// `name=count` for each.
--- a/crates/standins/src/server.rs
+++ b/crates/testbed/src/server.rs
@@ -1,4 +1,4 @@
-//! Owns the sockets of a node: RESP arrays in, answers out, a thread for each connection.
+//! The sockets of a server: RESP arrays in, answers out, a thread for each connection.
 //!
 //! A server can be killed (connections reset, nobody listens) and started again at its address.
 
@@ -15,48 +15,58 @@
 
 /// One request, as it came in.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct CacheRequest {
+    /// The request's id.
     pub id: String,
+    /// The fields of its head.
     pub fields: HashMap<String, String>,
+    /// Its body.
     pub body: Vec<u8>,
 }
 
 /// What is done about it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Reaction {
+pub enum HandlerResponse {
+    /// The answer in full.
     Answer(Answer),
     /// Nothing, for as long as the connection lasts.
     Nothing,
+    /// The connection ends without an answer.
     Reset,
     /// A part of the answer, then the end.
     Half(Answer),
 }
 
 /// Whoever answers; it may take its time, it has a thread of its own.
-pub trait Answers: Send + Sync + 'static {
-    fn answer(&self, ask: &Ask) -> Reaction;
+pub trait RequestHandler: Send + Sync + 'static {
+    /// What is done about a request.
+    fn answer(&self, ask: &CacheRequest) -> HandlerResponse;
 }
 
 type Connections = Arc<Mutex<HashMap<u64, TcpStream>>>;
 
 /// A server at its address.
 pub struct Server {
+    /// Where it listens.
     pub address: SocketAddr,
     connections: Connections,
     down: Arc<AtomicBool>,
     /// Its address, once it was killed.
-    _kept: Arc<Mutex<Option<Socket>>>,
+    _reserved: Arc<Mutex<Option<Socket>>>,
 }
 
 impl Server {
     /// Listens, on a port that the system gives where none is said.
-    pub fn start(address: SocketAddr, answers: Arc<dyn Answers>) -> io::Result<Self> {
+    ///
+    /// # Errors
+    /// The socket fails or its answer is late.
+    pub fn start(address: SocketAddr, answers: Arc<dyn RequestHandler>) -> io::Result<Self> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
         let (connections, down) = (Connections::default(), Arc::new(AtomicBool::new(false)));
         let (all, over) = (connections.clone(), down.clone());
-        let kept = Arc::new(Mutex::new(None));
-        let keeps = kept.clone();
+        let reserved = Arc::new(Mutex::new(None));
+        let keeps = reserved.clone();
         thread::spawn(move || {
             let count = AtomicU64::new(0);
             for stream in listener.incoming() {
@@ -78,7 +88,7 @@
                 });
             }
         });
-        Ok(Self { address, connections, down, _kept: kept })
+        Ok(Self { address, connections, down, _reserved: reserved })
     }
 
     /// Nobody listens any more, and all connections end.
@@ -114,7 +124,7 @@
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     for _ in 0..200 {
         match TcpListener::bind(address) {
-            Err(wrong) if wrong.kind() == io::ErrorKind::AddrInUse => {
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
                 thread::sleep(Duration::from_millis(10))
             }
             bound => return bound,
@@ -123,7 +133,7 @@
     TcpListener::bind(address)
 }
 
-fn talk(stream: &TcpStream, answers: &dyn Answers) -> io::Result<()> {
+fn talk(stream: &TcpStream, answers: &dyn RequestHandler) -> io::Result<()> {
     let mut input = BufReader::new(stream);
     let mut output = stream;
     stream.set_nodelay(true)?;
@@ -134,12 +144,12 @@
         match command.as_str() {
             "ASK" => {
                 let fields = fields(&text().unwrap_or_default());
-                let ask = Ask { id, fields, body: parts.next().unwrap_or_default() };
+                let ask = CacheRequest { id, fields, body: parts.next().unwrap_or_default() };
                 match answers.answer(&ask) {
-                    Reaction::Answer(answer) => output.write_all(&encode(&ask.id, &answer))?,
-                    Reaction::Nothing => {}
-                    Reaction::Reset => return Ok(()),
-                    Reaction::Half(answer) => {
+                    HandlerResponse::Answer(answer) => output.write_all(&encode(&ask.id, &answer))?,
+                    HandlerResponse::Nothing => {}
+                    HandlerResponse::Reset => return Ok(()),
+                    HandlerResponse::Half(answer) => {
                         let bytes = encode(&ask.id, &answer);
                         output.write_all(&bytes[..bytes.len() / 2])?;
                         return Ok(());
@@ -154,6 +164,9 @@
 }
 
 /// Asks a node and waits for its answer: word, fields, body.
+///
+/// # Errors
+/// The socket fails or its answer is late.
 pub fn ask(
     address: SocketAddr,
     id: &str,
@@ -173,7 +186,7 @@
     (&stream).write_all(&out)?;
     let mut parts = array(&mut BufReader::new(&stream))?.into_iter();
     let mut text = || parts.next().map(|part| String::from_utf8_lossy(&part).into_owned());
-    let (_, word) = (text(), text().unwrap_or_default());
+    let (_, status) = (text(), text().unwrap_or_default());
     let answered = fields(&text().unwrap_or_default());
-    Ok((word, answered, parts.next().unwrap_or_default()))
+    Ok((status, answered, parts.next().unwrap_or_default()))
 }
