--- a/crates/testbed/src/harness/faults.rs
+++ b/crates/testbed/src/harness/faults.rs
@@ -136,7 +136,7 @@
         self.links().into_iter().for_each(|(a, b)| self.mend(a, b));
     }
 
-    /// Cuts a router off from all fellows.
+    /// Cuts a router off from all other routers.
     pub fn cut_off(&self, n: usize) {
         let of = self.links().into_iter().filter(|(a, b)| *a == n || *b == n);
         of.for_each(|(a, b)| self.cut(a, b));
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -66,7 +66,7 @@
     format!("r{n}")
 }
 
-/// A router's operator file with fellows.
+/// A router's operator file with a cluster section.
 fn operator(plan: &Plan, n: usize, site: &str, links: &[(usize, std::net::SocketAddr)]) -> String {
     let comma = |text: &str| if text.is_empty() { String::new() } else { format!(", {text}") };
     let caches = plan.caches;
--- a/crates/testbed/src/harness/plan.rs
+++ b/crates/testbed/src/harness/plan.rs
@@ -59,7 +59,7 @@
 }
 
 impl Plan {
-    /// How late counts of places may be, by the settings of the fellows.
+    /// How late counts of places may be, by the settings of the cluster.
     pub fn aggregate_bounds(&self) -> AggregateBounds {
         let set = |name: &str| {
             let mut pairs = self.cluster_settings.split(',').filter_map(|pair| pair.split_once('='));
--- a/crates/testbed/src/harness/script.rs
+++ b/crates/testbed/src/harness/script.rs
@@ -111,7 +111,7 @@
     pub refused: u32,
     /// Requests that failed.
     pub failed: u32,
-    /// Drains and batches that were heard from fellows first, at all routers.
+    /// Drains and batches that came by gossip first, at all routers.
     pub drains: u64,
     /// Batches that came by gossip first.
     pub batches: u64,
--- a/crates/testbed/src/scale/journal.rs
+++ b/crates/testbed/src/scale/journal.rs
@@ -1,4 +1,4 @@
-//! Owns the stand-in of discovery: one log of events, told to every router by long polls on an address of its own.
+//! A simulated discovery service: one log of events, told to every router by long polls on an address of its own.
 //!
 //! What each router has taken in, and when, is seen from its polls alone: the next poll names the number it has
 //! reached. Simulated: one machine that gathers what is new for [`GATHER`], so that a page carries what fell into it.
--- a/crates/testbed/src/scale/places.rs
+++ b/crates/testbed/src/scale/places.rs
@@ -1,4 +1,4 @@
-//! Owns who is where: addresses, processes, who dials whom, and the files that routers start from.
+//! Who is where: addresses, processes, who dials whom, and the files that routers start from.
 //!
 //! Each router has an address on loopback that is its own for the whole run, so that it is found there again after a
 //! restart. Links that are looked at, or that a fault befalls, lead through a middle; all others lead straight there.
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,4 +1,4 @@
-//! Owns the processes of a run: they are started, signalled, asked for their counters, and ended by their ids, also
+//! The processes of a run: they are started, signalled, asked for their counters, and ended by their ids, also
 //! where the run itself is killed.
 
 use std::collections::{BTreeMap, HashMap};
