--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -152,7 +152,8 @@
 pub enum RejectReason {
     /// As many streams, requests or attempts are open as may be.
     AtCapacity,
-    /// Its token is fenced, or older than what is remembered.
+    /// Its token is fenced, or older than what is remembered. Only decoded: this version reports the token's outcome
+    /// instead.
     TokenFenced,
     /// The receiver may not know of all drains and purges that the sender knew of.
     StateTooOld,
--- a/crates/gateway/src/forwarding/mod.rs
+++ b/crates/gateway/src/forwarding/mod.rs
@@ -163,8 +163,8 @@
         }
     }
 
-    /// The own site has rejected a request, which so has never run, and is unable: whether it is forwarded instead.
-    /// If not, nothing was done and the rejection stands.
+    /// The own site, which the caller knows to be unable, has rejected a request, so that it never ran: whether it is
+    /// forwarded instead. If not, the rejection stands; a retry of the site's budget may have been used.
     pub fn forward_rejected_request(
         &mut self,
         links: &mut Links,
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -122,8 +122,8 @@
         self.forwarder.submit_request(&mut self.links, now, ticket, request);
     }
 
-    /// The own site has rejected a request, which so has never run, and is unable: whether it is forwarded instead.
-    /// If not, nothing was done and the rejection stands.
+    /// The own site, which the caller knows to be unable, has rejected a request, so that it never ran: whether it is
+    /// forwarded instead. If not, the rejection stands; a retry of the site's budget may have been used.
     pub fn forward_rejected_request(&mut self, now: Ms, ticket: Ticket, request: ForwardRequest) -> bool {
         self.forwarder.forward_rejected_request(&mut self.links, now, ticket, request)
     }
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -44,7 +44,7 @@
     pub retries_per_request: f64,
     /// How many of them may be saved.
     pub max_saved_retries: f64,
-    /// Sites that a request may pass.
+    /// Sites that a request may pass, the first and the last included: 2 is one crossing.
     pub max_hops: usize,
 }
 
--- a/crates/router/src/audit_log/mod.rs
+++ b/crates/router/src/audit_log/mod.rs
@@ -279,7 +279,7 @@
         messages
     }
 
-    /// All records that are stored here up to now: the own log, also of earlier starts, and the replicas.
+    /// Closes the current span, and returns all records that are stored here: the own log, also of earlier starts, and the replicas.
     pub fn all_records(&mut self, now: Ms, at: Timestamp) -> Vec<ChainLink> {
         self.log.close_span(now, at, |key| self.node_names.get(&key).cloned());
         self.log.records_from(1).chain(self.replicas.iter()).cloned().collect()
--- a/crates/router/src/cluster/audit.rs
+++ b/crates/router/src/cluster/audit.rs
@@ -66,7 +66,7 @@
         self.send_all(messages);
     }
 
-    /// Writes the last record of the audit log, and leaves.
+    /// Writes the last record of the audit log, and has the status sent once more: the router left at the start of its drain.
     pub fn end_audit_log(&mut self, now: Ms) {
         if let Some(audit_log) = &mut self.audit_log {
             let at = self.membership.clock.next_timestamp(now);
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Applies an operator file that was read again. An audit log, a straggler check or a location that it did not have at
-    /// the start counts from the next start.
+    /// Applies an operator file that was read again. An audit log or a straggler check that is added or removed, and any
+    /// other location, count from the next start; a removed one goes on until then.
     pub fn reload(&mut self, section: &ClusterSection, operator_digest: u64) {
         self.versions.operator_digest = operator_digest;
         self.membership.set_config(section.parameters);
--- a/crates/router/src/hierarchy_adapter/fills.rs
+++ b/crates/router/src/hierarchy_adapter/fills.rs
@@ -46,7 +46,8 @@
         /// The nodes that its fill passes.
         fill_path: Option<FillPath>,
     },
-    /// It is not sent: its fill was queued, and is not admitted any more.
+    /// It is not sent: it was cancelled, or its endpoint can no longer be used, while its fill was queued. A rejection
+    /// by the shield sends it for a cached copy alone.
     Reject {
         /// The attempt.
         order: AttemptOrder,
@@ -88,14 +89,17 @@
     queued_at: Ms,
 }
 
-/// The name of an attempt's fill at the shield, which knows one number for each fill.
+/// Packs an attempt into the shield's ticket, which is one number.
 pub(super) fn shield_ticket(attempt: AttemptKey) -> origin_shield::Ticket {
     attempt.ticket << ATTEMPT_NUMBER_BITS | u64::from(attempt.number)
 }
 
 /// The attempt of a fill at the shield.
 pub(super) fn attempt_of(ticket: origin_shield::Ticket) -> AttemptKey {
-    AttemptKey { ticket: ticket >> ATTEMPT_NUMBER_BITS, number: (ticket & 0xff) as u8 }
+    AttemptKey {
+        ticket: ticket >> ATTEMPT_NUMBER_BITS,
+        number: (ticket & ((1 << ATTEMPT_NUMBER_BITS) - 1)) as u8,
+    }
 }
 
 /// What the end of an attempt says of its fill.
--- a/crates/router/src/operator_parts.rs
+++ b/crates/router/src/operator_parts.rs
@@ -87,7 +87,8 @@
     }
 
     /// Applies what of the operator file may change at runtime: parameters of the cluster, and the nodes of the hierarchy.
-    /// Whether the nodes were applied, or rejected, is returned: then sources of fills may have changed.
+    /// Returns true where hierarchy and section both exist, even if the nodes were rejected: a pending rollout may have
+    /// changed the sources of fills.
     pub fn reload(&mut self, now: Ms, path: &Path, operator: &OperatorConfig) -> bool {
         let has_reloaded_cluster = self.reload_cluster(path, operator);
         let has_reloaded_hierarchy = self.reload_hierarchy(now, path, operator);
--- a/crates/router/src/operator_reload.rs
+++ b/crates/router/src/operator_reload.rs
@@ -120,7 +120,8 @@
         Ok(())
     }
 
-    /// Reads once, which does not block where the output is readable; at most `max_bytes` are stored.
+    /// Reads once, which does not block where the output is readable; reading ends once
+    /// `max_bytes` are stored, which one read may pass by `READ_BLOCK`.
     pub fn read_output(&mut self, output: &File, max_bytes: usize) -> EvaluationProgress {
         let Some(mut evaluation) = self.evaluation.take() else { return EvaluationProgress::Idle };
         if evaluation.read(output, max_bytes) {
@@ -133,7 +134,7 @@
 }
 
 impl Evaluation {
-    /// Reads once; false where the output has ended.
+    /// Reads once; false where the output has ended, is too long, or can't be read.
     fn read(&mut self, mut output: &File, max_bytes: usize) -> bool {
         let mut block = [0; READ_BLOCK];
         match output.read(&mut block) {
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Ends the child process, which has closed its output, and returns what it wrote.
+    /// Kills the child process, which may still run where its output was too long, and returns what it wrote.
     fn finish(mut self) -> Vec<u8> {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/router/src/run_phase.rs
+++ b/crates/router/src/run_phase.rs
@@ -72,7 +72,7 @@
         matches!(self.phase, Phase::Draining { .. })
     }
 
-    /// Whether new requests are rejected.
+    /// Whether the last answers are being written. `Proxy::begin_close`, called in the same step, has new requests rejected.
     pub fn is_closing(&self) -> bool {
         matches!(self.phase, Phase::Closing { .. })
     }
--- a/crates/testbed/src/harness/events.rs
+++ b/crates/testbed/src/harness/events.rs
@@ -159,7 +159,7 @@
         (0..self.plan.routers).filter(|n| self.is_up(*n)).collect()
     }
 
-    /// Waits until all that run see each other alive and act on the same hierarchy and the same journal's number.
+    /// Waits until all that run see each other alive, and then until their hierarchies have the same digest.
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that runs out.
--- a/crates/testbed/src/harness/faults.rs
+++ b/crates/testbed/src/harness/faults.rs
@@ -38,7 +38,7 @@
         self.ran(n);
         self.fleet.start_again(&name(n))?;
         self.ran(n);
-        self.lead(n)
+        self.point_links_at(n)
     }
 
     /// For the record: a process that runs from now on, or one that has just come up.
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -1,4 +1,12 @@
-//! A cluster of router processes under the control of a test: routers of the built program, a proxy on each link, journals that may be silent, load, and faults between them by hand or by a script from a seed.
+//! A cluster of router processes under the control of a test: routers of the built program, a proxy on each link, journals
+//! that may be silent, load, and faults between them by hand or by a script from a seed.
+//!
+//! - [`plan`]: what a harness is made of;
+//! - [`events`]: what the journals publish, and waits for what routers show;
+//! - [`faults`]: processes and links that fail;
+//! - [`script`]: schedules of faults from a seed;
+//! - [`verification`]: recordings and audit logs compared;
+//! - [`turn`]: how many harnesses run at a time.
 //!
 //! A seed is always the same script; when what happens within it is the system's. The record is what crossed the
 //! sockets, and is judged by the checker.
@@ -38,10 +46,10 @@
     pub fleet: ProcessCluster,
     /// What it was made by.
     pub plan: Plan,
-    /// The fleet's own: rigs beside each other must not meet by a port that was given away.
+    /// A site name of its own: where a port is reused, routers of two harnesses must not join one cluster.
     site: String,
     proxies: BTreeMap<(usize, usize), FaultProxy>,
-    /// In the middle of each router and its journal.
+    /// The proxy between each router and its journal, by router.
     journals: BTreeMap<usize, FaultProxy>,
     loads: BTreeMap<usize, RunningLoad>,
     /// Loads that have ended, one after another.
@@ -156,7 +164,7 @@
             harness.ran(n);
             harness.fleet.start_router(&name(n), Some(&text), through)?;
             harness.journals.insert(n, proxy);
-            harness.lead(n)?;
+            harness.point_links_at(n)?;
         }
         harness.links().into_iter().for_each(|(a, b)| harness.linked(a, b, [LinkState::Open; 2]));
         for n in 0..harness.plan.routers {
@@ -177,7 +185,7 @@
     }
 
     /// Links to a router that has just started lead to where it listens now.
-    fn lead(&self, n: usize) -> io::Result<()> {
+    fn point_links_at(&self, n: usize) -> io::Result<()> {
         let address = self.fleet.links(&name(n)).ok_or(io::ErrorKind::NotFound)?;
         let here = self.proxies.iter().filter(|((_, to), _)| *to == n);
         here.for_each(|(_, proxy)| proxy.set_target(address));
@@ -247,10 +255,6 @@
         let all: Vec<usize> = self.loads.keys().copied().collect();
         all.into_iter().for_each(|n| self.end_load(n));
     }
-
-    // ---- Faults.
-
-    // ---- What is told and what is seen.
 }
 
 /// A place as a whole, as `fleet show` has it.
@@ -278,7 +282,3 @@
 pub fn line<'a>(shown: &'a Value, name: &str) -> Option<&'a Value> {
     shown["fellows"]["others"].as_array()?.iter().find(|line| line["name"] == name)
 }
-
-// ---- Scripts.
-
-impl Harness {}
--- a/crates/testbed/src/harness/plan.rs
+++ b/crates/testbed/src/harness/plan.rs
@@ -5,34 +5,34 @@
 
 use crate::rules::AggregateBounds;
 
-/// How a rig is made.
+/// How a harness is made.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Routers, named r0 and on.
     pub routers: usize,
-    /// Which router dials which; all that are lower numbered, if none are given.
+    /// Pairs of routers, the dialer first; `None`: each dials all with lower numbers.
     pub links: Option<Vec<(usize, usize)>>,
     /// Caches, named cache-0 and on.
     pub caches: usize,
-    /// Inside of `hierarchy(...)`, `gateway(...)` and `fellows(...)`.
+    /// The parameters inside `hierarchy(...)`.
     pub hierarchy: String,
-    /// Inside of `gateway(...)`.
+    /// The parameters inside `gateway(...)`.
     pub gateway: String,
-    /// Inside of `fellows(...)`.
+    /// The parameters inside `fellows(...)`.
     pub cluster_settings: String,
     /// Where each router stands in the tree of the fleet; without any the fleet is flat.
     pub places: Vec<String>,
-    /// Inside of `audit(...)` and `straggler(...)`; without them they are off.
+    /// The parameters inside `audit(...)`; `None` writes no such section.
     pub audit: Option<String>,
-    /// Inside of `straggler(...)`; without it there is none.
+    /// The parameters inside `straggler(...)`; `None` writes no such section.
     pub straggler: Option<String>,
     /// By router: a program other than the one of all, such as an earlier build.
     pub programs: BTreeMap<usize, PathBuf>,
-    /// Requests a second at each router, and how many objects there are.
+    /// Requests a second at each router.
     pub rate: f64,
     /// Objects that clients ask for.
     pub objects: u64,
-    /// Rigs of this process that may run at a time; 0 is any number. A machine that is overloaded breaks times by itself.
+    /// Harnesses of this process that may run at a time; 0 is any number. A machine that is overloaded breaks times by itself.
     pub at_once: usize,
 }
 
--- a/crates/testbed/src/harness/script.rs
+++ b/crates/testbed/src/harness/script.rs
@@ -41,7 +41,7 @@
     Mend(usize, usize),
     /// A router's operator has a cache fill by another parent.
     Batch(usize, usize),
-    /// The journals of the lower or the higher half tell that a cache drains, or that it is back.
+    /// The journals of the lower half (`false`) or the higher half (`true`) of the routers publish that a cache drains.
     Drain(usize, bool),
     /// All journals publish that a cache is ready again.
     Back(usize),
@@ -111,7 +111,7 @@
     pub refused: u32,
     /// Requests that failed.
     pub failed: u32,
-    /// Drains and batches that came by gossip first, at all routers.
+    /// Drains that came by gossip first, summed over all routers.
     pub drains: u64,
     /// Batches that came by gossip first.
     pub batches: u64,
--- a/crates/testbed/src/harness/turn.rs
+++ b/crates/testbed/src/harness/turn.rs
@@ -2,10 +2,10 @@
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// Rigs that run, and who waits for a turn.
+/// The number of harnesses that run, and who waits for a turn.
 pub(super) static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// A rig's turn; it ends with the harness.
+/// A harness's turn; it ends with the harness.
 pub(super) struct Turn;
 
 impl Turn {
--- a/crates/testbed/src/harness/verification.rs
+++ b/crates/testbed/src/harness/verification.rs
@@ -48,7 +48,7 @@
         for SpanRecord { name: router, span, .. } in accounts.spans() {
             for booking in &span.write_attempts {
                 recorded.insert((router.to_string(), booking.request_id.clone()));
-                // Turned back, cancelled or broken off it may never have got there.
+                // Only an attempt with one of these outcomes is certain to have reached the server.
                 let mut ends = accounts
                     .attempts_of_request(&booking.request_id)
                     .into_iter()
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -5,8 +5,14 @@
 use std::path::{Path, PathBuf};
 
 /// Pages that describe the code as it is. Pages of results, incidents and experiments name files of their time.
-const PAGES: &[&str] =
-    &["DEVELOPERS.md", "README.md", "docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/oncall.md"];
+const PAGES: &[&str] = &[
+    "DEVELOPERS.md",
+    "README.md",
+    "docs/ARCHITECTURE.md",
+    "docs/GLOSSARY.md",
+    "docs/endings.md",
+    "docs/oncall.md",
+];
 
 /// Directories of the root that a path in a page may begin with.
 const ROOTS: &[&str] =
@@ -35,7 +41,8 @@
 }
 
 /// Pages whose names in backticks are all checked: file names and identifiers with an underscore.
-const PAGES_BY_MODULE: &[&str] = &["docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/oncall.md"];
+const PAGES_BY_MODULE: &[&str] =
+    &["docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/endings.md", "docs/oncall.md"];
 
 /// The Rust sources below a directory, as paths and texts.
 fn sources(directory: &Path, found: &mut Vec<(String, String)>) {
