--- a/crates/router/src/downstream/drain.rs
+++ b/crates/router/src/downstream/drain.rs
@@ -7,6 +7,7 @@
 
 use super::codec;
 use super::connection::{ClientConnection, ConnectionPhase};
+use super::protocol_error::ProtocolError;
 use super::{ClientEvent, ClientId, Downstreams};
 
 impl<W: EventHandler> Downstreams<W> {
@@ -56,7 +57,7 @@
     pub fn close_all(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         for id in self.sorted_ids() {
             if self.clients.get(&id).is_some_and(|client| client.partial_since.is_some()) {
-                self.break_off(now, id, "half a message at the end", events);
+                self.break_off(now, id, ProtocolError::PartialMessageAtShutdown, events);
             }
             if let Some(client) = self.clients.get(&id) {
                 // The shutdown fails where the client has ended the connection.
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -12,6 +12,7 @@
 
 use super::codec;
 use super::connection::ClientConnection;
+use super::protocol_error::ProtocolError;
 use super::{ClientEvent, ClientId, Downstreams};
 
 /// What follows an accept that failed.
@@ -130,7 +131,7 @@
             self.counts.displaced += 1;
             if client.partial_since.is_some() {
                 // Its descriptor is free only after it had the time to take the error.
-                self.break_off(now, id, "half a message while places are short", events);
+                self.break_off(now, id, ProtocolError::PartialMessageDisplaced, events);
                 return false;
             }
             self.remove(id, events);
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -5,6 +5,7 @@
 //! - [`connection`]: the state of one connection;
 //! - [`listener`]: accepting connections, and closing idle ones for new ones;
 //! - [`reader`]: reading requests and cancellations;
+//! - [`protocol_error`]: why a connection is broken off;
 //! - [`writer`]: answers, and the end of a connection;
 //! - [`timers`]: deadlines of connections;
 //! - [`drain`]: graceful shutdown.
@@ -15,6 +16,7 @@
 mod connection;
 mod drain;
 mod listener;
+mod protocol_error;
 mod reader;
 mod request;
 mod timers;
--- a/crates/router/src/downstream/reader.rs
+++ b/crates/router/src/downstream/reader.rs
@@ -7,6 +7,7 @@
 
 use super::codec::{self, ClientMessage, Fields};
 use super::connection::ConnectionPhase;
+use super::protocol_error::ProtocolError;
 use super::request::parse_request;
 use super::writer::withdraw_request;
 use super::{ClientEvent, ClientId, ClientStream, Downstreams};
@@ -118,7 +119,7 @@
             let partial = self.clients.iter().filter(|(_, client)| client.partial_since.is_some());
             let longest = partial.max_by_key(|(_, client)| (!client.proven, client.input.len()));
             let Some(id) = longest.map(|(id, _)| *id) else { return };
-            self.break_off(now, id, "half a message while buffers are short", events);
+            self.break_off(now, id, ProtocolError::PartialMessageWithoutBuffers, events);
         }
     }
 
@@ -143,14 +144,14 @@
                     client.partial_since = is_partial.then(|| client.partial_since.unwrap_or(now));
                     return;
                 }
-                Err(error) => return self.break_off(now, id, &error.to_string(), events),
+                Err(error) => return self.break_off(now, id, error.into(), events),
             };
             client.partial_since = None;
             client.last_used = now;
             match message {
                 ClientMessage::Request { stream, fields, body } => {
-                    if let Err(reason) = self.add_request(id, stream, &fields, body, events) {
-                        return self.break_off(now, id, reason, events);
+                    if let Err(error) = self.add_request(id, stream, &fields, body, events) {
+                        return self.break_off(now, id, error, events);
                     }
                 }
                 ClientMessage::Cancel { stream } => {
@@ -174,13 +175,13 @@
         fields: &Fields,
         body: BufferChain,
         events: &mut Vec<ClientEvent>,
-    ) -> Result<(), &'static str> {
+    ) -> Result<(), ProtocolError> {
         let Some(client) = self.clients.get_mut(&id) else { return Ok(()) };
         if !client.streams.insert(stream, self.limits.clients.max_streams_per_connection) {
-            return Err("a stream that is not new");
+            return Err(ProtocolError::StreamReused);
         }
         if client.open.len() >= self.limits.clients.max_streams_per_connection {
-            return Err("more requests than may be open");
+            return Err(ProtocolError::TooManyOpenRequests);
         }
         let client_stream = ClientStream { client: id, stream };
         self.last_ticket += 1;
--- a/crates/router/src/downstream/timers.rs
+++ b/crates/router/src/downstream/timers.rs
@@ -5,6 +5,7 @@
 use crate::policy_adapter::Ms;
 
 use super::connection::{ClientConnection, ConnectionPhase};
+use super::protocol_error::ProtocolError;
 use super::{ClientEvent, ClientId, Downstreams};
 
 /// What a sweep does with a connection.
@@ -12,7 +13,7 @@
     Keep,
     Remove,
     /// It is answered with an error first.
-    BreakOff(&'static str),
+    BreakOff(ProtocolError),
 }
 
 impl<W: EventHandler> Downstreams<W> {
@@ -34,15 +35,15 @@
             match self.sweep_action(now, id, client) {
                 SweepAction::Keep => {}
                 SweepAction::Remove => removed.push(id),
-                SweepAction::BreakOff(reason) => broken_off.push((id, reason)),
+                SweepAction::BreakOff(error) => broken_off.push((id, error)),
             }
         }
         for id in removed {
             self.remove(id, events);
         }
-        for (id, reason) in broken_off {
+        for (id, error) in broken_off {
             self.counts.silent += 1;
-            self.break_off(now, id, reason, events);
+            self.break_off(now, id, error, events);
         }
         self.refill_reserve(now, events);
         self.resume_accepting(now);
@@ -63,11 +64,11 @@
             return SweepAction::Keep;
         }
         if client.partial_since.is_some_and(|since| passed(since, limits.clients.message_timeout_ms)) {
-            return SweepAction::BreakOff("a message that does not end");
+            return SweepAction::BreakOff(ProtocolError::MessageTimeout);
         }
         let never_answered = !client.proven && client.open.is_empty();
         if never_answered && passed(client.accepted_at, limits.clients.first_request_timeout_ms) {
-            return SweepAction::BreakOff("nothing was asked");
+            return SweepAction::BreakOff(ProtocolError::NoRequest);
         }
         SweepAction::Keep
     }
--- a/crates/router/src/downstream/writer.rs
+++ b/crates/router/src/downstream/writer.rs
@@ -11,6 +11,7 @@
 
 use super::codec::{self, AnswerCode};
 use super::connection::ConnectionPhase;
+use super::protocol_error::ProtocolError;
 use super::{ClientEvent, ClientId, ClientStream, Downstreams};
 
 impl<W: EventHandler> Downstreams<W> {
@@ -42,7 +43,7 @@
         let answer = codec::encode_answer(&self.buffers, stream.stream, AnswerCode::Failed, &[], body);
         client.output.append(answer);
         if client.invalid_requests >= self.limits.clients.max_invalid_requests {
-            self.break_off(now, stream.client, "too many requests that can't be used", events);
+            self.break_off(now, stream.client, ProtocolError::TooManyInvalidRequests, events);
         }
     }
 
@@ -70,10 +71,16 @@
 
     /// Ends a connection after a protocol error: its open requests are answered as failed and reported as cancelled, and the
     /// client is sent the reason.
-    pub(super) fn break_off(&mut self, now: Ms, id: ClientId, reason: &str, events: &mut Vec<ClientEvent>) {
+    pub(super) fn break_off(
+        &mut self,
+        now: Ms,
+        id: ClientId,
+        error: ProtocolError,
+        events: &mut Vec<ClientEvent>,
+    ) {
         let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) else { return };
         self.counts.malformed += 1;
-        log_line!(client = id, %reason, "a client is broken off");
+        log_line!(client = id, reason = %error, "a client is broken off");
         client.phase = ConnectionPhase::Closing;
         client.partial_since = None;
         client.input = BufferChain::new(&self.buffers);
@@ -84,7 +91,7 @@
             let answer = codec::encode_answer(&self.buffers, stream, AnswerCode::Failed, &[], body);
             client.output.append(answer);
         }
-        let body = BufferChain::from_bytes(&self.buffers, reason.as_bytes());
+        let body = BufferChain::from_bytes(&self.buffers, error.to_string().as_bytes());
         client.output.append(codec::encode_answer(&self.buffers, 0, AnswerCode::Failed, &[], body));
         let open: HashSet<Ticket> = client.open.drain().map(|(_, ticket)| ticket).collect();
         cancel_requests(open, events);
--- /dev/null
+++ b/crates/router/tests/unit/protocol_error.rs
@@ -0,0 +1,21 @@
+//! Unit tests of `src/downstream/protocol_error.rs`, a part of its module.
+
+use super::*;
+
+#[test]
+fn the_texts_that_clients_are_sent_stay() {
+    let texts = [
+        (ProtocolError::Frame(FrameError::Length), "a frame of such a length"),
+        (ProtocolError::StreamReused, "a stream that is not new"),
+        (ProtocolError::TooManyOpenRequests, "more requests than may be open"),
+        (ProtocolError::TooManyInvalidRequests, "too many requests that can't be used"),
+        (ProtocolError::NoRequest, "nothing was asked"),
+        (ProtocolError::MessageTimeout, "a message that does not end"),
+        (ProtocolError::PartialMessageAtShutdown, "half a message at the end"),
+        (ProtocolError::PartialMessageDisplaced, "half a message while places are short"),
+        (ProtocolError::PartialMessageWithoutBuffers, "half a message while buffers are short"),
+    ];
+    for (error, text) in texts {
+        assert_eq!(error.to_string(), text);
+    }
+}
