--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -1,12 +1,12 @@
 //! A cluster of router processes under the control of a test: routers of the built program, a proxy on each link, journals
 //! that may be silent, load, and faults between them by hand or by a script from a seed.
 //!
-//! - [`plan`]: what a harness is made of;
-//! - [`events`]: what the journals publish, and waits for what routers show;
-//! - [`faults`]: processes and links that fail;
-//! - [`script`]: schedules of faults from a seed;
-//! - [`verification`]: recordings and audit logs compared;
-//! - [`turn`]: how many harnesses run at a time.
+//! - `plan`: what a harness is made of;
+//! - `events`: what the journals publish, and waits for what routers show;
+//! - `faults`: processes and links that fail;
+//! - `script`: schedules of faults from a seed;
+//! - `verification`: recordings and audit logs compared;
+//! - `turn`: how many harnesses run at a time.
 //!
 //! A seed is always the same script; when what happens within it is the system's. The record is what crossed the
 //! sockets, and is judged by the checker.
