--- a/crates/router/tests/unit/operator_digest.rs
+++ b/crates/router/tests/unit/operator_digest.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/operator_digest.rs`, a part of its module.
+//! Unit tests of `src/operator_digest/mod.rs`, a part of its module.
 
 use std::path::Path;
 
