--- a/crates/router/src/upstream/attempt.rs
+++ b/crates/router/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt, from its order to its outcome.
+//! The types of an attempt, from its order to its outcome.
 
 use crate::buffers::BufferChain;
 use crate::policy_adapter::{AttemptKey, AttemptReport, EndpointKey, FillSpec, Ms};
@@ -12,49 +12,50 @@
     pub class: String,
     pub object: String,
     pub part: String,
-    /// The group of the object.
+    /// The purge group of the object.
     pub group: u32,
-    /// The tag of the copy that the client has.
+    /// The tag of the client's own copy, if it has one.
     pub client_copy: Option<String>,
-    /// By which caches recognize a repeated request.
+    /// The key by which caches recognize a repeated request.
     pub idempotency_key: Option<String>,
     pub body: BufferChain,
 }
 
-/// An attempt as the policy ordered it.
+/// An attempt ordered by the policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptOrder {
     pub attempt: AttemptKey,
     pub endpoint: EndpointKey,
-    /// How long it may take, in milliseconds.
+    /// The timeout of the attempt, in milliseconds.
     pub timeout: Ms,
     pub fill: FillSpec,
 }
 
-/// Fields that go with a fill where nodes understand them.
+/// The path of a fill through the hierarchy, sent to nodes that support it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FillPath {
-    /// The nodes passed so far, with the version of the hierarchy.
+    /// The nodes that the fill has passed, with the version of the hierarchy.
     pub passed: String,
-    /// Where the source continues if it lacks the object; a name that ends with `:h` gives only what it has cached.
+    /// The nodes from which the source itself fills the object if it has no copy. A name that ends with `:h`
+    /// is asked for a cached copy only.
     pub via: Vec<String>,
 }
 
-/// What the reply to an attempt carried.
+/// The payload of a reply to an attempt.
 #[derive(Debug)]
 pub enum ResponsePayload {
     Empty,
-    /// The object, and which copy of it that is, where that is asked for and reported.
+    /// The object, with the version of the copy if versions are enabled and the reply names it.
     Body(BufferChain, Option<CopyVersion>),
     /// The client's own copy is valid.
     NotModified,
 }
 
-/// An attempt that has ended.
+/// A completed attempt.
 #[derive(Debug)]
 pub struct CompletedAttempt {
     pub report: AttemptReport,
     pub payload: ResponsePayload,
-    /// Where its fill came back to a node that it had passed.
+    /// The edge by which its fill returned to a node that it had already passed.
     pub fill_loop: Option<FillLoop>,
 }
--- a/crates/router/src/upstream/attempt_table.rs
+++ b/crates/router/src/upstream/attempt_table.rs
@@ -1,4 +1,4 @@
-//! The attempts in flight.
+//! The table of attempts in flight.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +7,16 @@
 use super::connection::ConnectionId;
 use super::deadlines::DeadlineQueue;
 
-/// An attempt that was handed to a connection.
+/// An attempt that is queued on, or was sent over, a connection.
 #[derive(Debug)]
 pub(super) struct InFlightAttempt {
     pub connection: ConnectionId,
     pub endpoint: EndpointKey,
-    /// The id of its request, under which it is answered.
+    /// The id of its request, which the reply repeats.
     pub request_id: String,
     pub sent_at: Ms,
     pub deadline: Ms,
-    /// The tag of the copy that the client has.
+    /// The tag of the client's own copy, if it has one.
     pub client_copy: Option<String>,
 }
 
@@ -46,18 +46,18 @@
         Some(in_flight)
     }
 
-    /// The attempts of a request, in the order sent.
+    /// The attempts of a request in the order in which they were sent.
     pub fn of_request(&self, ticket: Ticket) -> impl Iterator<Item = (AttemptKey, &InFlightAttempt)> {
         let range = AttemptKey { ticket, number: 0 }..=AttemptKey { ticket, number: u8::MAX };
         self.in_flight.range(range).map(|(attempt, in_flight)| (*attempt, in_flight))
     }
 
-    /// When [`Self::pop_overdue`] has something next.
+    /// The earliest deadline, in milliseconds.
     pub fn next_deadline(&self) -> Option<Ms> {
         self.deadlines.next()
     }
 
-    /// The next attempt whose deadline has passed; its deadline is forgotten.
+    /// The next attempt whose deadline has passed. The deadline is removed, the attempt stays in the table.
     pub fn pop_overdue(&mut self, now: Ms) -> Option<AttemptKey> {
         self.deadlines.pop_overdue(now)
     }
--- a/crates/router/src/upstream/cancellation.rs
+++ b/crates/router/src/upstream/cancellation.rs
@@ -1,4 +1,4 @@
-//! How attempts are ended without a reply: cancelled, withdrawn from a queue, or timed out.
+//! Ending attempts without a reply: cancelled, withdrawn from a queue, or timed out.
 
 use crate::event_handler::EventHandler;
 use crate::policy_adapter::{AttemptEnd, AttemptKey, EndpointKey, Ms, Ticket};
@@ -8,7 +8,7 @@
 use super::connection::{ConnectionId, QueuedMessage, RequestedObject};
 use super::Upstreams;
 
-/// A connection that accepts data again while attempts have been queued on it for a while.
+/// A writable connection whose next attempt has been queued for longer than the client check interval.
 #[derive(Debug)]
 pub struct StalledConnection {
     pub id: ConnectionId,
@@ -22,9 +22,9 @@
         self.abandon(now, attempt, AttemptEnd::Cancelled);
     }
 
-    /// Withdraws what is still queued of a purged object or group: its age limit is from before the purge.
+    /// Withdraws queued attempts for a purged object or group: their age limit predates the purge.
     ///
-    /// A connect may last longer than the grace of a purge.
+    /// A connect may take longer than the grace period of a purge.
     pub fn withdraw_purged(&mut self, now: Ms, object: Option<u64>, group: u32) {
         let is_purged = |requested: RequestedObject| match object {
             Some(object) => requested.object == object,
@@ -33,9 +33,10 @@
         self.withdraw(now, AttemptEnd::TimedOut, |_, queued| queued.object.is_some_and(is_purged));
     }
 
-    /// Withdraws what is still queued of a request that nobody waits for any more.
+    /// Withdraws the queued attempts of a request that its client has cancelled.
     ///
-    /// This is not a cancellation, which settings may forbid: nothing has reached a cache yet.
+    /// This is not a cancellation at an endpoint, which the settings may forbid: nothing was sent to a cache
+    /// yet.
     pub fn withdraw_request(&mut self, now: Ms, ticket: Ticket) {
         let is_queued = |attempt: AttemptKey, in_flight: &InFlightAttempt| {
             let connection = self.connections.get(&in_flight.connection);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Withdraws queued attempts of which not a byte was written.
+    /// Withdraws queued attempts of which no byte was written.
     pub(super) fn withdraw(
         &mut self,
         now: Ms,
@@ -67,7 +68,8 @@
         }
     }
 
-    /// The next stalled connection: the clients of its requests are checked before the queue is written.
+    /// The next stalled connection. The caller checks the clients of its requests before it has the queue
+    /// written.
     pub fn next_stalled(&mut self) -> Option<StalledConnection> {
         let id = self.stalled.pop_first()?;
         let queue = self.connections.get(&id).map(|connection| &connection.queue);
@@ -75,7 +77,7 @@
         Some(StalledConnection { id, tickets: attempts.map(|attempt| attempt.ticket).collect() })
     }
 
-    /// Ends an attempt that is in flight without a reply. Where it may be executed, it is cancelled at its endpoint.
+    /// Ends an attempt in flight without a reply, and cancels it at its endpoint if it may have been sent.
     pub(super) fn abandon(&mut self, now: Ms, attempt: AttemptKey, end: AttemptEnd) {
         let Some(in_flight) = self.attempts.remove(attempt) else { return };
         let was_fully_sent = self.cancel_at_endpoint(now, attempt, &in_flight);
@@ -88,8 +90,8 @@
         self.flush(now, in_flight.connection);
     }
 
-    /// Has an attempt not executed, if that is possible. Whether its last byte was written; `None` where its connection
-    /// is closed already.
+    /// Removes an attempt from its connection, or cancels it at the endpoint. Returns whether its last byte
+    /// was written; `None` if its connection is already closed.
     fn cancel_at_endpoint(
         &mut self,
         now: Ms,
@@ -102,18 +104,19 @@
         let exchange = connection.open.remove(&in_flight.request_id);
         let was_fully_sent = exchange.is_some_and(|exchange| exchange.fully_sent);
         if connection.remove_queued(attempt) {
-            // Not a byte of it was written: there is nothing to cancel.
+            // No byte of it was written: there is nothing to cancel.
         } else if connection.open.is_empty() {
             self.remove(in_flight.connection);
         } else if is_silent {
-            // A silent endpoint reads no cancellation: what shares the connection ends with it.
-            self.close(now, in_flight.connection, "silent");
+            // An endpoint from which nothing was received since the attempt was sent would not read a
+            // cancellation either: the connection is closed, with all that is open on it.
+            self.close(now, in_flight.connection, "endpoint is silent");
         } else {
             connection.draining = true;
             let bytes = codec::encode_cancellation(&self.buffers, &in_flight.request_id);
             connection.queue.push_front(QueuedMessage::control(None, now, bytes));
             self.flush(now, in_flight.connection);
-            self.close_if_cancellation_waits(now, in_flight.connection);
+            self.close_if_cancellation_unsent(now, in_flight.connection);
         }
         Some(was_fully_sent)
     }
--- a/crates/router/src/upstream/codec.rs
+++ b/crates/router/src/upstream/codec.rs
@@ -1,15 +1,16 @@
-//! The protocol of caches: RESP arrays of bulk strings, to messages and back.
+//! The wire protocol of caches: messages are RESP arrays of bulk strings.
 //!
-//! Commands and statuses are named here, fields in `request.rs` and `response.rs`, and nowhere else.
+//! The wire names of commands and statuses are defined here only, those of fields in `request.rs` and
+//! `response.rs`.
 
 use std::fmt;
 
 use crate::buffers::{BufferChain, BufferPool};
 
-/// Bytes of the longest line that announces an array or a string.
+/// The maximum length of a line with the length of an array or a string.
 const MAX_LENGTH_LINE: usize = 24;
 
-/// An answer of a cache, a parent or the origin.
+/// A reply of a cache, a parent or the origin.
 #[derive(Debug)]
 pub struct Reply {
     pub id: String,
@@ -18,19 +19,19 @@
     pub body: BufferChain,
 }
 
-/// The result that a reply states.
+/// The status of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyStatus {
     Data,
     /// The client's copy is valid.
-    Unchanged,
+    NotModified,
     /// The object is not cached there, and was not filled.
-    Absent,
-    /// Rejected for lack of capacity.
-    Full,
+    CacheMiss,
+    /// The cache has no capacity for the request.
+    Rejected,
     Failed,
-    /// The request was cancelled before it began.
-    Moot,
+    /// The request was cancelled before its execution began.
+    NotExecuted,
     Healthy,
     Unhealthy,
 }
@@ -39,11 +40,11 @@
     fn parse(text: &str) -> Option<Self> {
         Some(match text {
             "data" => Self::Data,
-            "unchanged" => Self::Unchanged,
-            "absent" => Self::Absent,
-            "full" => Self::Full,
+            "unchanged" => Self::NotModified,
+            "absent" => Self::CacheMiss,
+            "full" => Self::Rejected,
             "failed" => Self::Failed,
-            "moot" => Self::Moot,
+            "moot" => Self::NotExecuted,
             "well" => Self::Healthy,
             "ill" => Self::Unhealthy,
             _ => return None,
@@ -71,24 +72,24 @@
 impl fmt::Display for ReplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ArrayLength => "an array of such a length",
-            Self::StringLength => "a string of such a length",
-            Self::StringEnd => "a string without its end",
-            Self::NotText => "a word that is not text",
-            Self::NoId => "no id",
-            Self::NoStatus => "no word",
-            Self::UnknownStatus => "an unknown word",
-            Self::NoBody => "no body",
-            Self::NotAnArray => "an answer that is no array of strings",
-            Self::LineEnd => "a line without its end",
-            Self::LengthNotANumber => "a length that is no number",
+            Self::ArrayLength => "array length is not 2, 3 or 4",
+            Self::StringLength => "string is longer than the limit",
+            Self::StringEnd => "string is not terminated by CRLF",
+            Self::NotText => "id, status or fields are not UTF-8",
+            Self::NoId => "reply has no id",
+            Self::NoStatus => "reply has no status",
+            Self::UnknownStatus => "reply has an unknown status",
+            Self::NoBody => "reply has no body",
+            Self::NotAnArray => "reply is not an array of bulk strings",
+            Self::LineEnd => "length line is too long",
+            Self::LengthNotANumber => "length is not a number",
         })
     }
 }
 
 impl std::error::Error for ReplyError {}
 
-/// `name=value` pairs behind commas, or `-` for none.
+/// Fields of a message, written as `name=value` pairs separated by commas, or as `-` without any.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FieldList(Vec<(String, String)>);
 
@@ -121,23 +122,24 @@
     }
 }
 
-/// Decodes the replies of one connection, however their bytes are split.
+/// Incremental decoder for the replies of one connection.
 #[derive(Debug, Default)]
 pub struct ReplyDecoder {
-    /// Strings of the current array that are still to be read.
-    missing: usize,
-    /// The size of the current string.
+    /// The number of strings of the current array that are still missing.
+    missing_strings: usize,
+    /// The size of the current string, once its length line was read.
     size: Option<usize>,
     parts: Vec<BufferChain>,
 }
 
 impl ReplyDecoder {
-    /// Whether no reply has begun.
+    /// Whether no reply is partially read.
     pub fn is_idle(&self) -> bool {
-        self.missing == 0
+        self.missing_strings == 0
     }
 
-    /// Removes one reply from `input` once it is complete; no string may be longer than `max_string` bytes.
+    /// Decodes one reply and removes it from `input`; `None` while it is incomplete. Strings longer than
+    /// `max_string` bytes are errors.
     ///
     /// # Errors
     ///
@@ -148,12 +150,12 @@
         max_string: usize,
     ) -> Result<Option<Reply>, ReplyError> {
         loop {
-            if self.missing == 0 {
+            if self.missing_strings == 0 {
                 let Some(count) = take_length_line(input, b'*')? else { return Ok(None) };
                 if !(2..=4).contains(&count) {
                     return Err(ReplyError::ArrayLength);
                 }
-                self.missing = count;
+                self.missing_strings = count;
             }
             let size = match self.size {
                 Some(size) => size,
@@ -178,8 +180,8 @@
             input.consume(2);
             self.parts.push(part);
             self.size = None;
-            self.missing -= 1;
-            if self.missing == 0 {
+            self.missing_strings -= 1;
+            if self.missing_strings == 0 {
                 return parse_reply(std::mem::take(&mut self.parts)).map(Some);
             }
         }
@@ -200,7 +202,7 @@
     Ok(Reply { id, status, fields, body })
 }
 
-/// Removes the line that announces a length, once it is complete.
+/// Removes a length line that begins with `sign`; `None` while it is incomplete.
 fn take_length_line(input: &mut BufferChain, sign: u8) -> Result<Option<usize>, ReplyError> {
     let mut start = [0; MAX_LENGTH_LINE];
     let seen = input.peek(&mut start);
@@ -235,7 +237,7 @@
     command(pool, &["QUIT", id])
 }
 
-/// Encodes a health check, which is answered with a load report.
+/// Encodes a health check; its reply carries a load report.
 pub fn encode_health_check(pool: &BufferPool, id: &str) -> BufferChain {
     command(pool, &["INFO", id])
 }
--- a/crates/router/src/upstream/completion.rs
+++ b/crates/router/src/upstream/completion.rs
@@ -1,4 +1,4 @@
-//! How attempts complete, by a reply or without one.
+//! Completion of attempts, by a reply or without one.
 
 use crate::buffers::BufferChain;
 use crate::event_handler::EventHandler;
@@ -10,7 +10,7 @@
 use super::response::{self, CopyVersion};
 use super::Upstreams;
 
-/// What a reply comes to.
+/// The outcome of an attempt that was answered by a reply.
 struct AttemptOutcome {
     end: AttemptEnd,
     payload: ResponsePayload,
@@ -23,11 +23,11 @@
 }
 
 impl<W: EventHandler> Upstreams<W> {
-    /// Completes the attempt, or the health check, that a reply answers.
+    /// Completes the attempt or health check that a reply belongs to.
     pub(super) fn on_reply(&mut self, now: Ms, id: ConnectionId, reply: Reply) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.last_used = now;
-        // Without an exchange it crossed the request's cancellation.
+        // Without an exchange, the reply crossed the cancellation of its request.
         let Some(exchange) = connection.open.remove(&reply.id) else { return };
         match exchange.owner {
             ExchangeOwner::Attempt(attempt) => self.on_attempt_reply(now, id, attempt, reply),
@@ -44,7 +44,7 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let Some(in_flight) = self.attempts.remove(attempt) else { return };
         let Reply { id: request_id, status, fields, body } = reply;
-        if !matches!(status, ReplyStatus::Data | ReplyStatus::Unchanged) {
+        if !matches!(status, ReplyStatus::Data | ReplyStatus::NotModified) {
             connection.retired_ids.insert(request_id);
             connection.draining |=
                 connection.retired_ids.len() >= self.limits.upstreams.max_streams_per_connection;
@@ -78,20 +78,21 @@
                 let payload = ResponsePayload::Body(body, version);
                 AttemptOutcome { end: AttemptEnd::Answered, payload }
             }
-            // Valid only for the copy that this client has.
-            ReplyStatus::Unchanged if response::names_copy(fields, client_copy) => {
+            // The reply must name the copy that this client has.
+            ReplyStatus::NotModified if response::confirms_client_copy(fields, client_copy) => {
                 AttemptOutcome { end: AttemptEnd::Answered, payload: ResponsePayload::NotModified }
             }
-            ReplyStatus::Absent => AttemptOutcome::without_payload(AttemptEnd::CacheMiss),
-            ReplyStatus::Full => AttemptOutcome::without_payload(AttemptEnd::Rejected),
-            ReplyStatus::Moot => AttemptOutcome::without_payload(AttemptEnd::NotExecuted),
-            ReplyStatus::Unchanged | ReplyStatus::Failed | ReplyStatus::Healthy | ReplyStatus::Unhealthy => {
-                AttemptOutcome::without_payload(AttemptEnd::Failed)
-            }
+            ReplyStatus::CacheMiss => AttemptOutcome::without_payload(AttemptEnd::CacheMiss),
+            ReplyStatus::Rejected => AttemptOutcome::without_payload(AttemptEnd::Rejected),
+            ReplyStatus::NotExecuted => AttemptOutcome::without_payload(AttemptEnd::NotExecuted),
+            ReplyStatus::NotModified
+            | ReplyStatus::Failed
+            | ReplyStatus::Healthy
+            | ReplyStatus::Unhealthy => AttemptOutcome::without_payload(AttemptEnd::Failed),
         }
     }
 
-    /// Reports the end of an attempt that was not answered.
+    /// Completes an attempt without a reply.
     pub(super) fn complete(
         &mut self,
         now: Ms,
@@ -111,7 +112,7 @@
         });
     }
 
-    /// Queues the report of an attempt that was not answered.
+    /// Queues the report of an attempt without a reply.
     pub(super) fn push_completed(&mut self, report: AttemptReport) {
         let payload = ResponsePayload::Empty;
         self.completed.push_back(CompletedAttempt { report, payload, fill_loop: None });
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a cache, parent or the origin: its state, its queue of messages, and what is open on it.
+//! One connection to a cache, a parent or the origin: its state, its message queue, and its open exchanges.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::io;
@@ -12,32 +12,32 @@
 
 use super::codec::{Reply, ReplyDecoder, ReplyError};
 
-/// The number of a connection; numbers are not used again.
+/// The id of a connection; ids are never reused.
 pub type ConnectionId = u64;
 
-/// Whether the system has established a connection.
+/// The state of a connect.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum ConnectionState {
-    /// Abandoned at that time.
+    /// The connect is abandoned at the deadline.
     Connecting {
         deadline: Ms,
     },
     Up,
 }
 
-/// What purges name: an object and its group.
+/// The object that a queued attempt requests, and its purge group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct RequestedObject {
     pub object: u64,
     pub group: u32,
 }
 
-/// A message that waits to be written.
+/// A message that is queued for writing.
 #[derive(Debug)]
 pub(super) struct QueuedMessage {
-    /// The id under which it is answered; `None` for a cancellation.
+    /// The id that its reply will repeat; `None` for a cancellation, which has no reply.
     pub id: Option<String>,
-    /// The attempt that it is, and the source that the attempt fills from.
+    /// The attempt, if the message is one; `source` is the endpoint that it fills from.
     pub attempt: Option<AttemptKey>,
     pub source: Option<EndpointKey>,
     pub object: Option<RequestedObject>,
@@ -46,40 +46,40 @@
 }
 
 impl QueuedMessage {
-    /// A message that is not an attempt.
+    /// A cancellation or a health check.
     pub fn control(id: Option<String>, queued_at: Ms, bytes: BufferChain) -> Self {
         Self { id, attempt: None, source: None, object: None, queued_at, bytes }
     }
 }
 
-/// Who waits for the answer to a message.
+/// The operation that a reply completes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ExchangeOwner {
     Attempt(AttemptKey),
     HealthCheck,
 }
 
-/// A message that has not been answered yet.
+/// A message without a reply so far.
 #[derive(Debug)]
 pub(super) struct Exchange {
     pub owner: ExchangeOwner,
-    /// Its last byte was handed to the system: from here on it may be executed.
+    /// Its last byte was handed to the system, so the endpoint may execute it.
     pub fully_sent: bool,
 }
 
 impl Exchange {
-    /// A message that was queued.
+    /// The exchange of a message that was just queued.
     pub fn new(owner: ExchangeOwner) -> Self {
         Self { owner, fully_sent: false }
     }
 }
 
-/// How far a write came.
+/// The result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteProgress {
-    /// Nothing is queued, or the system takes no more for now.
+    /// Everything is written, or the socket is not writable for now.
     Done,
-    /// The next attempt has been queued since before the given time.
+    /// The next attempt was queued before the given time.
     Stalled,
 }
 
@@ -93,22 +93,22 @@
     input: BufferChain,
     decoder: ReplyDecoder,
     pub queue: VecDeque<QueuedMessage>,
-    /// The rest of the message that is being written, and the id of its exchange.
+    /// The unwritten rest of the current message; `writing_id` is the id of its exchange.
     output: BufferChain,
     writing_id: Option<String>,
-    /// Unanswered messages by id.
+    /// Messages without a reply, by id.
     pub open: HashMap<String, Exchange>,
-    /// Ids that were answered with an error here: a second answer may follow, and would be taken for that of a retry
-    /// under the same id.
+    /// Ids that were answered with an error on this connection: a second reply may follow, and would be
+    /// mistaken for that of a retry with the same id.
     pub retired_ids: HashSet<String>,
     pub last_used: Ms,
-    /// Takes no new messages and is closed once nothing is open: a cancelled message may still be answered here, or the
-    /// endpoint is gone or was restarted.
+    /// Accepts no new messages, and is closed once nothing is open: a cancelled message may still be answered
+    /// here, or the endpoint was removed or restarted.
     pub draining: bool,
 }
 
 impl Connection {
-    /// A connect in progress; it is abandoned at `deadline`.
+    /// Creates the state of a connect in progress that is abandoned at `deadline`.
     pub fn new(
         endpoint: EndpointKey,
         stream: Rc<TcpStream>,
@@ -139,12 +139,12 @@
         self.state == ConnectionState::Up
     }
 
-    /// Notes that the connect has succeeded.
+    /// Marks the connect as succeeded.
     pub fn set_up(&mut self) {
         self.state = ConnectionState::Up;
     }
 
-    /// What the system says of a connect in progress.
+    /// The error of a connect that has failed. `Ok` does not mean that it has succeeded.
     pub fn connect_result(&self) -> io::Result<()> {
         match self.stream.take_error() {
             Ok(None) => Ok(()),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Until when a connect may take; `None` once it is up.
+    /// The deadline of the connect; `None` once the connection is up.
     pub fn connect_deadline(&self) -> Option<Ms> {
         match self.state {
             ConnectionState::Connecting { deadline } => Some(deadline),
@@ -160,23 +160,23 @@
         }
     }
 
-    /// Whether it is up with nothing open on it.
+    /// Whether it is up and has no open exchanges.
     pub fn is_idle(&self) -> bool {
         self.open.is_empty() && self.is_up()
     }
 
-    /// Whether it is to be closed now.
+    /// Whether it is draining and has no open exchanges left.
     pub fn is_drained(&self) -> bool {
         self.draining && self.open.is_empty()
     }
 
-    /// Whether a message under that id may be sent here.
+    /// Whether a message with this id may be sent here.
     pub fn accepts(&self, id: &str, max_streams: usize) -> bool {
         let id_in_use = self.open.contains_key(id) || self.retired_ids.contains(id);
         self.open.len() < max_streams && !self.draining && !id_in_use
     }
 
-    /// Queues a message as the last one, with its exchange.
+    /// Appends a message to the queue, and opens its exchange.
     pub fn enqueue(&mut self, now: Ms, message: QueuedMessage, owner: ExchangeOwner) {
         self.last_used = now;
         if let Some(id) = &message.id {
@@ -185,29 +185,29 @@
         self.queue.push_back(message);
     }
 
-    /// Whether an attempt is queued and not a byte of it was written.
+    /// Whether an attempt is queued and no byte of it was written.
     pub fn has_queued(&self, attempt: AttemptKey) -> bool {
         self.queue.iter().any(|queued| queued.attempt == Some(attempt))
     }
 
-    /// Takes a queued attempt back; false where it is not queued.
+    /// Removes a queued attempt; returns false if it is not queued.
     pub fn remove_queued(&mut self, attempt: AttemptKey) -> bool {
         let position = self.queue.iter().position(|queued| queued.attempt == Some(attempt));
         position.and_then(|position| self.queue.remove(position)).is_some()
     }
 
-    /// Whether a cancellation is queued or written in part only.
+    /// Whether a cancellation is queued or only partially written.
     pub fn has_unsent_cancellation(&self) -> bool {
         let is_writing_one = !self.output.is_empty() && self.writing_id.is_none();
         is_writing_one || self.queue.iter().any(|queued| queued.id.is_none())
     }
 
-    /// Whether a reply has begun though nothing is open.
+    /// Whether a reply has begun although no exchange is open.
     pub fn has_unexpected_input(&self) -> bool {
         self.open.is_empty() && (!self.input.is_empty() || !self.decoder.is_idle())
     }
 
-    /// Reads once; 0 means that the other side has closed the connection.
+    /// Reads once; returns the number of bytes, 0 if the endpoint has closed the connection.
     ///
     /// # Errors
     ///
@@ -216,7 +216,7 @@
         self.input.read_from(&*self.stream)
     }
 
-    /// The next reply that was read in full.
+    /// The next complete reply; `None` until one is read.
     ///
     /// # Errors
     ///
@@ -225,7 +225,7 @@
         self.decoder.decode(&mut self.input, max_string)
     }
 
-    /// Writes as much as the system takes, but no attempt that was queued before `oldest`.
+    /// Writes queued messages until the socket would block, but no attempt that was queued before `oldest`.
     ///
     /// # Errors
     ///
@@ -251,7 +251,7 @@
         }
     }
 
-    /// Notes that the message being written has left in full.
+    /// Marks the exchange of the current message as fully sent.
     fn finish_message(&mut self) {
         let Some(id) = self.writing_id.take() else { return };
         if let Some(exchange) = self.open.get_mut(&id) {
--- a/crates/router/src/upstream/deadlines.rs
+++ b/crates/router/src/upstream/deadlines.rs
@@ -1,17 +1,17 @@
-//! Deadlines in their order.
+//! A queue of deadlines, ordered by time.
 
 use std::collections::BTreeSet;
 
 use crate::policy_adapter::{micros, Ms};
 
-/// A deadline in whole microseconds, which have an order.
+/// A deadline in integer microseconds, which unlike floats are totally ordered.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Deadline<K> {
     at_us: u64,
     key: K,
 }
 
-/// Deadlines with the keys of what is due then.
+/// Deadlines with their keys.
 #[derive(Debug)]
 pub(super) struct DeadlineQueue<K>(BTreeSet<Deadline<K>>);
 
@@ -27,17 +27,17 @@
         self.0.insert(Deadline { at_us: micros(at), key });
     }
 
-    /// Removes a deadline, which may have passed already.
+    /// Removes a deadline; does nothing if it is not in the queue.
     pub fn remove(&mut self, at: Ms, key: K) {
         self.0.remove(&Deadline { at_us: micros(at), key });
     }
 
-    /// The next deadline, in milliseconds.
+    /// The earliest deadline, in milliseconds.
     pub fn next(&self) -> Option<Ms> {
         self.0.first().map(|deadline| deadline.at_us as Ms / 1000.0)
     }
 
-    /// Removes the next deadline that has passed.
+    /// Removes the earliest deadline if it has passed, and returns its key.
     pub fn pop_overdue(&mut self, now: Ms) -> Option<K> {
         let is_overdue = self.0.first().is_some_and(|deadline| deadline.at_us <= micros(now));
         if !is_overdue {
--- a/crates/router/src/upstream/endpoints.rs
+++ b/crates/router/src/upstream/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints as the endpoint list has them, with their connections.
+//! The endpoints of the endpoint list, with their connections.
 
 use std::collections::HashSet;
 use std::fmt;
@@ -11,13 +11,13 @@
 use super::connection::ConnectionId;
 use super::Upstreams;
 
-/// A cache, parent or the origin, as the endpoint list has it.
+/// A cache, a parent or the origin in the endpoint list.
 #[derive(Debug)]
 pub(super) struct Endpoint {
     pub uid: String,
     pub address: SocketAddr,
     started_at: Ms,
-    /// When something was last received from it.
+    /// When data was last received from it, in Unix milliseconds.
     pub last_activity: Ms,
     pub connections: Vec<ConnectionId>,
 }
@@ -29,13 +29,13 @@
 }
 
 impl<W: EventHandler> Upstreams<W> {
-    /// The name and the address of an endpoint for the log; empty for one that is no longer listed.
+    /// The name and address of an endpoint for the log; empty if it is no longer in the endpoint list.
     pub(super) fn endpoint_label(&self, key: EndpointKey) -> String {
         self.endpoints.get(&key).map(Endpoint::to_string).unwrap_or_default()
     }
 
-    /// Applies an update of the endpoint list. An endpoint that was removed or restarted gets fresh connections: another
-    /// process may answer at its address now.
+    /// Applies an update of the endpoint list. The connections of an endpoint that was removed or restarted
+    /// are drained: another process may listen at its address now.
     pub fn update_endpoints(&mut self, now: Ms, entries: &[EndpointEntry], complete: bool) {
         let mut removed = Vec::new();
         if complete {
@@ -60,15 +60,15 @@
             let connections = endpoint.map(|endpoint| std::mem::take(&mut endpoint.connections));
             self.drain(connections.unwrap_or_default());
         }
-        // Endpoints are replaced all day: those that are removed must not accumulate.
+        // Endpoints are replaced continually: removed ones must not accumulate.
         for key in removed {
             let connections = self.endpoints.remove(&key).map(|endpoint| endpoint.connections);
             self.drain(connections.unwrap_or_default());
         }
     }
 
-    /// Withdraws what is queued for, or fills from, an endpoint that drains, is removed or was replaced: it was ordered by an
-    /// older list.
+    /// Withdraws queued attempts to, or with a fill from, an endpoint that is draining, removed or replaced:
+    /// they were ordered with an older list.
     fn withdraw_for_unusable(&mut self, now: Ms, entries: &[EndpointEntry], removed: &[EndpointKey]) {
         let mut unusable: HashSet<EndpointKey> = removed.iter().copied().collect();
         let is_unusable = |entry: &&EndpointEntry| !entry.is_ready() || self.is_replaced(entry);
@@ -78,7 +78,7 @@
         });
     }
 
-    /// Whether a line of the list names another process, or another address, than the known one.
+    /// Whether an entry of the list has another start time or address than the known endpoint.
     fn is_replaced(&self, entry: &EndpointEntry) -> bool {
         let known = self.endpoints.get(&EndpointKey::of(&entry.uid)).zip(entry.address);
         known.is_some_and(|(endpoint, address)| {
@@ -86,7 +86,7 @@
         })
     }
 
-    /// Stores an endpoint; true where it replaces another process or address.
+    /// Adds or updates an endpoint; returns true if its start time or address changed.
     fn update_endpoint(&mut self, key: EndpointKey, entry: &EndpointEntry, address: SocketAddr) -> bool {
         let started_at = entry.started_at();
         match self.endpoints.get_mut(&key) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Lets connections finish what is open on them, and then closes them.
+    /// Drains connections: each is closed once nothing is open on it.
     fn drain(&mut self, connections: Vec<ConnectionId>) {
         for id in connections {
             if let Some(connection) = self.connections.get_mut(&id) {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Notes that something was received on a connection.
+    /// Records that data was received on a connection.
     pub(super) fn note_activity(&mut self, now: Ms, id: ConnectionId) {
         let key = self.connections.get(&id).map(|connection| connection.endpoint);
         if let Some(endpoint) = key.and_then(|key| self.endpoints.get_mut(&key)) {
--- a/crates/router/src/upstream/health_check.rs
+++ b/crates/router/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: sent to an endpoint on order, answered or timed out.
+//! Health checks: sent when the policy orders them, answered or timed out.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
 pub struct HealthCheckResult {
     pub endpoint: EndpointKey,
     pub healthy: bool,
-    /// The load report, by the names of its values.
+    /// The values of the load report, with their names.
     pub gauges: Vec<(String, f64)>,
 }
 
@@ -26,11 +26,11 @@
     id: String,
 }
 
-/// Health checks that were sent, and results that were not taken yet.
+/// Health checks in flight, and results that were not processed yet.
 #[derive(Debug, Default)]
 pub(super) struct HealthChecks {
     sent_count: u64,
-    /// Those of checks that were answered stay until they pass.
+    /// The deadlines of answered checks stay in the queue until they pass.
     deadlines: DeadlineQueue<SentCheck>,
     results: VecDeque<HealthCheckResult>,
 }
@@ -46,24 +46,24 @@
         self.results.push_back(HealthCheckResult { endpoint, healthy, gauges });
     }
 
-    /// Reports a check that was not answered.
+    /// Reports a check as failed.
     pub fn fail(&mut self, endpoint: EndpointKey) {
         self.report(endpoint, false, Vec::new());
     }
 
-    /// When the next check may time out.
+    /// The earliest deadline of a check, in milliseconds.
     pub fn next_deadline(&self) -> Option<Ms> {
         self.deadlines.next()
     }
 }
 
 impl<W: EventHandler> Upstreams<W> {
-    /// The next result.
+    /// The next result that was not processed yet.
     pub fn next_health_check(&mut self) -> Option<HealthCheckResult> {
         self.health_checks.results.pop_front()
     }
 
-    /// Sends a health check; one that can't be sent has failed.
+    /// Sends a health check; it fails at once if there is no connection for it.
     pub fn send_health_check(&mut self, now: Ms, endpoint: EndpointKey) {
         let check = self.health_checks.next_id();
         let Some(id) = self.connection_for(now, endpoint, &check) else {
@@ -78,7 +78,7 @@
         self.flush(now, id);
     }
 
-    /// Fails checks that were not answered in time.
+    /// Fails checks whose deadline has passed, and drains their connections.
     pub(super) fn time_out_health_checks(&mut self, now: Ms) {
         while let Some(check) = self.health_checks.deadlines.pop_overdue(now) {
             let Some(connection) = self.connections.get_mut(&check.connection) else { continue };
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -1,18 +1,20 @@
-//! Connections to caches, parents and the origin, and the attempts in flight on them.
+//! Connections to caches, parents and the origin, with the attempts in flight on them.
 //!
-//! - [`codec`]: the protocol of caches, bytes to messages and back;
-//! - [`connection`]: one connection, with its queue and what is open on it;
-//! - [`endpoints`]: the endpoint list;
-//! - [`pool`]: which connection a message takes, and when connections are opened and closed;
+//! - [`codec`]: the wire protocol of caches: encoding and decoding;
+//! - [`connection`]: one connection, with its message queue and open exchanges;
+//! - [`endpoints`]: the endpoints of the endpoint list;
+//! - [`pool`]: choosing, opening and closing connections;
 //! - [`transfer`]: reading and writing;
-//! - [`attempt`], [`attempt_table`]: an attempt from its order to its outcome, and those in flight;
-//! - [`sending`], [`cancellation`], [`completion`]: how attempts are sent, ended without a reply, and completed;
+//! - [`attempt`], [`attempt_table`]: the types of an attempt, and the table of attempts in flight;
+//! - [`sending`], [`cancellation`], [`completion`]: sending attempts, ending them without a reply, and
+//!   completing them;
 //! - [`health_check`]: health checks and their results;
 //! - [`request`], [`response`]: the fields of requests and replies;
-//! - [`timers`], [`deadlines`]: deadlines of all of these.
+//! - [`timers`], [`deadlines`]: deadlines of attempts, health checks and connections.
 //!
-//! This module never chooses where a request goes, and never reports an attempt as not executed that may have been:
-//! only an attempt that was not written in full, or one that the other side reports so, counts as not executed.
+//! This module never chooses an endpoint. It never reports an attempt as not executed if the endpoint may
+//! have executed it: only an attempt that was not written completely, or that the endpoint itself reports as
+//! not executed, counts as such.
 
 mod attempt;
 mod attempt_table;
@@ -50,7 +52,8 @@
 pub use health_check::HealthCheckResult;
 pub use response::{CopyVersion, FillLoop};
 
-/// All connections to caches, parents and the origin. Outcomes are queued here until the router takes them.
+/// All connections to caches, parents and the origin. Outcomes are queued here until the proxy processes
+/// them.
 pub struct Upstreams<W: EventHandler> {
     limits: Limits,
     buffers: BufferPool,
@@ -62,17 +65,17 @@
     attempts: AttemptTable,
     health_checks: HealthChecks,
     completed: VecDeque<CompletedAttempt>,
-    /// Connections that accept data again while their next attempt has been queued for a while: its client is checked
-    /// before it is written.
+    /// Connections that are writable again, with a next attempt that was queued longer than the client check
+    /// interval: its client is checked before the attempt is written.
     stalled: BTreeSet<ConnectionId>,
-    /// Whether completed attempts name the version of the copy that was served.
+    /// Whether completed attempts carry the version of the copy that was served.
     pub reports_versions: bool,
     /// Connections opened since the start.
     pub connects: u64,
 }
 
 impl<W: EventHandler> Upstreams<W> {
-    /// No endpoints, and no connections.
+    /// Creates the component without endpoints and connections.
     pub fn new(
         limits: Limits,
         buffers: &BufferPool,
@@ -101,22 +104,22 @@
         self.completed.pop_front()
     }
 
-    /// Attempts in flight.
+    /// The number of attempts in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.len()
     }
 
-    /// Listed endpoints.
+    /// The number of endpoints in the endpoint list.
     pub fn endpoint_count(&self) -> usize {
         self.endpoints.len()
     }
 
-    /// Open connections and connects in progress.
+    /// The number of open connections and connects in progress.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Continues after the event loop has reported a connection as ready.
+    /// Reads and writes a connection that the event loop has reported as ready.
     pub fn on_ready(&mut self, now: Ms, id: ConnectionId, readiness: Readiness) {
         let readable = readiness.readable || readiness.error;
         let writable = readiness.writable || readiness.error;
--- a/crates/router/src/upstream/pool.rs
+++ b/crates/router/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Which connection a message takes, and when connections are opened and closed.
+//! The connection pool: choosing, opening and closing connections to endpoints.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,11 +17,11 @@
 use super::Upstreams;
 
 impl<W: EventHandler> Upstreams<W> {
-    /// A connection for a message under that id: an idle one, a new one, or, at the limit of connections, the one with
-    /// the fewest open messages.
+    /// A connection for a message with this id: an idle one, a new one, or, at the connection limit, the one
+    /// with the fewest open messages.
     ///
-    /// Each attempt gets a connection for itself where possible: a machine that has vanished reads no cancellation, and
-    /// what is open there stays open until its connection is closed.
+    /// Each attempt gets its own connection if possible: an unreachable machine does not read cancellations,
+    /// and its open attempts stay open until their connection is closed.
     pub(super) fn connection_for(&mut self, now: Ms, key: EndpointKey, id: &str) -> Option<ConnectionId> {
         let endpoint = self.endpoints.get(&key)?;
         let address = endpoint.address;
@@ -44,13 +44,14 @@
         match opened {
             Ok(opened) => Some(opened),
             Err(error) => {
-                log_line!(upstream = %self.endpoint_label(key), reason = %error, "connect to an upstream failed");
+                let upstream = self.endpoint_label(key);
+                log_line!(%upstream, reason = %error, "connect to an upstream failed");
                 least_loaded
             }
         }
     }
 
-    /// The connections to an endpoint that accept a message under that id.
+    /// The connections to an endpoint that accept a message with this id.
     fn usable_connections<'a>(
         &'a self,
         endpoint: &'a Endpoint,
@@ -61,7 +62,7 @@
         known.filter(move |(_, connection)| connection.accepts(id, max_streams))
     }
 
-    /// The most recently used idle connection, so that the others become old enough to be closed.
+    /// The most recently used idle connection, so that the other ones reach the idle timeout.
     fn latest_idle(&self, endpoint: &Endpoint, id: &str) -> Option<ConnectionId> {
         let idle = self.usable_connections(endpoint, id).filter(|(_, connection)| connection.is_idle());
         let latest = idle.max_by(|(_, a), (_, b)| a.last_used.total_cmp(&b.last_used));
@@ -75,9 +76,9 @@
         least_loaded.map(|(found, _)| found)
     }
 
-    /// Closes the connection that has been idle for longest; false where each has something open.
+    /// Closes the connection that has been idle longest; returns false if no connection is idle.
     ///
-    /// Without this an endpoint could not be reached because others were busy a while ago.
+    /// Without this, idle connections to other endpoints could keep an endpoint unreachable.
     fn close_longest_idle(&mut self) -> bool {
         let idle = self.connections.iter().filter(|(_, connection)| connection.is_idle());
         let oldest = idle.min_by(|(m, a), (n, b)| a.last_used.total_cmp(&b.last_used).then(m.cmp(n)));
@@ -92,11 +93,12 @@
         address: SocketAddr,
     ) -> io::Result<ConnectionId> {
         let stream = Rc::new(self.reserve.open(DescriptorPurpose::Cache, || sockets::connect(address))?);
-        // Bytes that the system holds can't be withdrawn any more.
+        // A small send buffer: bytes in the system's buffer can no longer be withdrawn.
         if let Err(error) =
             SockRef::from(&*stream).set_send_buffer_size(self.limits.upstreams.send_buffer_bytes)
         {
-            log_line!(upstream = %self.endpoint_label(key), reason = %error, "a connection keeps its send buffer");
+            let upstream = self.endpoint_label(key);
+            log_line!(%upstream, reason = %error, "setting the send buffer size of a connection failed");
         }
         self.connects += 1;
         self.last_id += 1;
@@ -112,8 +114,9 @@
         Ok(id)
     }
 
-    /// Closes idle connections to an endpoint that has been silent since `sent_at`: they may be as dead as the one on which
-    /// an attempt was abandoned, and new ones show whether it still accepts any.
+    /// Closes idle connections to an endpoint from which nothing was received since `sent_at`: they may be as
+    /// dead as the one on which an attempt was abandoned, and new connections show whether the endpoint still
+    /// accepts any.
     pub(super) fn close_idle_if_silent(&mut self, key: EndpointKey, sent_at: Ms) {
         let Some(endpoint) = self.endpoints.get(&key).filter(|endpoint| endpoint.last_activity < sent_at)
         else {
@@ -126,22 +129,22 @@
         }
     }
 
-    /// Closes a connection that does not take a cancellation at once: until it does, the cancelled message may be
-    /// executed while a retry is in flight.
-    pub(super) fn close_if_cancellation_waits(&mut self, now: Ms, id: ConnectionId) {
+    /// Closes a connection to which a cancellation could not be written at once: until it is, the cancelled
+    /// message may be executed while a retry is in flight.
+    pub(super) fn close_if_cancellation_unsent(&mut self, now: Ms, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::has_unsent_cancellation) {
-            self.close(now, id, "it takes no more");
+            self.close(now, id, "cancellation could not be written");
         }
     }
 
-    /// Closes a connection that takes no new messages once nothing is open on it.
+    /// Closes a draining connection that has no open messages.
     pub(super) fn close_if_drained(&mut self, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::is_drained) {
             self.remove(id);
         }
     }
 
-    /// Closes a connection; what is open on it is not ended here.
+    /// Removes and closes a connection. The caller ends its open exchanges.
     pub(super) fn remove(&mut self, id: ConnectionId) -> Option<Connection> {
         let connection = self.connections.remove(&id)?;
         self.handle.remove(connection.token);
@@ -151,14 +154,15 @@
         Some(connection)
     }
 
-    /// Closes a connection and ends all that is open on it. What was not written in full was not executed.
+    /// Closes a connection and ends its open exchanges. A message that was not written completely was not
+    /// executed.
     pub(super) fn close(&mut self, now: Ms, id: ConnectionId, reason: &str) {
         let Some(connection) = self.remove(id) else { return };
         let key = connection.endpoint;
         if !connection.open.is_empty() {
             let upstream = self.endpoint_label(key);
             let open = connection.open.len();
-            log_line!(%upstream, open, %reason, "a connection ended with messages open");
+            log_line!(%upstream, open, %reason, "connection to an upstream closed with open messages");
         }
         let mut open: Vec<Exchange> = connection.open.into_values().collect();
         open.sort_by_key(|exchange| match exchange.owner {
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Ends a message whose connection is closed.
+    /// Ends an exchange whose connection is closed.
     fn end_exchange(&mut self, now: Ms, key: EndpointKey, exchange: &Exchange) {
         let attempt = match exchange.owner {
             ExchangeOwner::HealthCheck => return self.health_checks.fail(key),
--- a/crates/router/src/upstream/request.rs
+++ b/crates/router/src/upstream/request.rs
@@ -1,11 +1,11 @@
-//! The fields of a request, by their names in the protocol.
+//! The fields of a request, with their names on the wire.
 
 use crate::policy_adapter::FillSpec;
 
 use super::attempt::{AttemptOrder, FillPath, RequestMessage};
 use super::codec::FieldList;
 
-/// The fields of an attempt; `source_name` is the source that it fills from, where the order names one.
+/// The fields of an attempt. `source_name` is the name of the endpoint that it fills from, if any.
 pub(super) fn request_fields(
     order: &AttemptOrder,
     message: &RequestMessage,
@@ -29,7 +29,8 @@
         fields.push("shelf", fill.retention);
     }
     if fill.max_age > 0.0 {
-        // Rounded down, for a copy must not be older; but 0 would mean any fresh one.
+        // Rounded down, since a copy must not be older than the limit; at least 1, since 0 would accept any
+        // fresh copy.
         fields.push("accept", fill.max_age.floor().max(1.0));
     }
     if let Some(key) = &message.idempotency_key {
--- a/crates/router/src/upstream/sending.rs
+++ b/crates/router/src/upstream/sending.rs
@@ -1,4 +1,4 @@
-//! How attempts are sent.
+//! Sending attempts.
 
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
@@ -12,7 +12,8 @@
 use super::Upstreams;
 
 impl<W: EventHandler> Upstreams<W> {
-    /// Sends an attempt.
+    /// Queues an attempt on a connection to its endpoint, and writes as much as possible. Without a
+    /// connection it completes as not sent.
     pub fn send(
         &mut self,
         now: Ms,
@@ -23,7 +24,8 @@
         let AttemptOrder { attempt, endpoint, timeout, ref fill } = *order;
         let Some(id) = self.connection_for(now, endpoint, &message.id) else {
             let upstream = self.endpoint_label(endpoint);
-            log_line!(%upstream, request = %message.id, attempt = attempt.number, "no connection for an attempt");
+            let (request, attempt_number) = (&message.id, attempt.number);
+            log_line!(%upstream, %request, attempt = attempt_number, "no connection available for an attempt");
             return self.complete(now, attempt, endpoint, now, AttemptEnd::NotSent);
         };
         let source_name =
@@ -53,13 +55,13 @@
         self.flush(now, id);
     }
 
-    /// Completes an attempt as cancelled that was never sent: nobody waits for it any more.
+    /// Completes an attempt that was never sent as cancelled.
     pub fn cancel_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey) {
         self.complete(now, attempt, endpoint, now, AttemptEnd::Cancelled);
     }
 
-    /// Completes an attempt as rejected whose fill was queued and not admitted: it was never sent, and that is no fault of
-    /// its endpoint.
+    /// Completes an attempt whose queued fill was not admitted as rejected. It was never sent, and does not
+    /// count as a fault of its endpoint.
     pub fn reject_unsent(&mut self, now: Ms, attempt: AttemptKey, endpoint: EndpointKey, queued_at: Ms) {
         let elapsed = now - queued_at;
         self.push_completed(AttemptReport {
--- a/crates/router/src/upstream/timers.rs
+++ b/crates/router/src/upstream/timers.rs
@@ -6,7 +6,7 @@
 use super::Upstreams;
 
 impl<W: EventHandler> Upstreams<W> {
-    /// When [`Self::on_timer`] is due.
+    /// The earliest deadline, in milliseconds, at which [`Self::on_timer`] has work.
     pub fn next_deadline(&self) -> Option<Ms> {
         let attempts = self.attempts.next_deadline();
         let health_checks = self.health_checks.next_deadline();
@@ -22,26 +22,27 @@
         attempts.into_iter().chain(health_checks).chain(connections).chain(queues).reduce(Ms::min)
     }
 
-    /// Ends what is overdue: attempts, health checks, connects, and connections that nobody uses.
+    /// Ends attempts, health checks and connects that timed out, withdraws attempts that were queued too
+    /// long, and closes idle connections.
     pub fn on_timer(&mut self, now: Ms) {
         while let Some(attempt) = self.attempts.pop_overdue(now) {
             self.abandon(now, attempt, AttemptEnd::TimedOut);
         }
         self.time_out_health_checks(now);
-        // What has been queued for so long would be sent on grounds that are out of date.
+        // The decisions behind messages that were queued for so long are outdated.
         let oldest = now - self.limits.upstreams.connect_timeout_ms;
         self.withdraw(now, AttemptEnd::TimedOut, |_, queued| queued.queued_at <= oldest);
         self.close_overdue_connections(now);
     }
 
     fn close_overdue_connections(&mut self, now: Ms) {
-        let mut late = Vec::new();
+        let mut overdue = Vec::new();
         let mut idle = Vec::new();
         for (&id, connection) in &mut self.connections {
             match connection.connect_deadline() {
-                Some(deadline) if now >= deadline => late.push(id),
+                Some(deadline) if now >= deadline => overdue.push(id),
                 None if now >= connection.last_used + self.limits.upstreams.idle_timeout_ms => {
-                    // One with open messages is checked again after the same time.
+                    // A connection with open messages is checked again after the same time.
                     connection.last_used = now;
                     if connection.open.is_empty() {
                         idle.push(id);
@@ -50,8 +51,8 @@
                 _ => {}
             }
         }
-        for id in late {
-            self.close(now, id, "not up in time");
+        for id in overdue {
+            self.close(now, id, "connect timed out");
         }
         for id in idle {
             self.remove(id);
--- a/crates/router/src/upstream/transfer.rs
+++ b/crates/router/src/upstream/transfer.rs
@@ -10,15 +10,15 @@
 use super::Upstreams;
 
 impl<W: EventHandler> Upstreams<W> {
-    /// Reads and handles all replies that have arrived.
+    /// Reads a connection until it would block, and handles the complete replies.
     pub(super) fn read(&mut self, now: Ms, id: ConnectionId) {
         loop {
             let Some(connection) = self.connections.get_mut(&id) else { return };
             match connection.read() {
-                Ok(0) => return self.close(now, id, "closed"),
+                Ok(0) => return self.close(now, id, "closed by the endpoint"),
                 Ok(_) => self.note_activity(now, id),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-                    return self.close_if_out_of_step(now, id);
+                    return self.close_if_unsolicited_input(now, id);
                 }
                 Err(error) if error.kind() == io::ErrorKind::Interrupted => continue,
                 Err(error) => return self.close(now, id, &error.to_string()),
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Writes what is queued, but for attempts whose clients have to be checked first.
+    /// Writes queued messages, except attempts whose clients have to be checked first.
     pub(super) fn flush(&mut self, now: Ms, id: ConnectionId) {
         self.write(now, id, now - self.limits.clients.check_interval_ms);
     }
 
-    /// Writes what is queued, however long it has been queued.
+    /// Writes queued messages, however long they have been queued.
     pub fn write_queued(&mut self, now: Ms, id: ConnectionId) {
         self.write(now, id, f64::NEG_INFINITY);
     }
 
-    /// Writes what the system takes, but no attempt that was queued before `oldest`.
+    /// Writes queued messages until the socket would block, but no attempt that was queued before `oldest`.
     fn write(&mut self, now: Ms, id: ConnectionId, oldest: Ms) {
         let Some(connection) = self.connections.get_mut(&id).filter(|connection| connection.is_up()) else {
             return;
@@ -56,14 +56,14 @@
         }
     }
 
-    /// Closes a connection on which a reply has begun though nothing is open: the reply to the next message would come
-    /// behind it, if at all.
-    fn close_if_out_of_step(&mut self, now: Ms, id: ConnectionId) {
+    /// Closes a connection on which a reply has begun although no exchange is open: the reply to the next
+    /// message would follow it, or never arrive.
+    fn close_if_unsolicited_input(&mut self, now: Ms, id: ConnectionId) {
         if self.connections.get(&id).is_some_and(Connection::has_unexpected_input) {
-            let upstream =
-                self.connections.get(&id).map(|connection| self.endpoint_label(connection.endpoint));
-            log_line!(upstream = %upstream.unwrap_or_default(), "an answer that nobody asked for ends its connection");
-            self.close(now, id, "an answer that nobody asked for");
+            let endpoint = self.connections.get(&id).map(|connection| connection.endpoint);
+            let upstream = endpoint.map(|endpoint| self.endpoint_label(endpoint)).unwrap_or_default();
+            log_line!(%upstream, "closing a connection with an unsolicited reply");
+            self.close(now, id, "unsolicited reply");
         }
     }
 }
--- a/crates/router/tests/unit/deadlines.rs
+++ b/crates/router/tests/unit/deadlines.rs
@@ -1,9 +1,9 @@
-//! Unit tests of `src/upstream/deadlines.rs`, a part of its module.
+//! Unit tests of `src/upstream/deadlines.rs`, included there as the module `tests`.
 
 use super::*;
 
 #[test]
-fn deadlines_pass_in_their_order() {
+fn deadlines_are_popped_in_order_of_time() {
     let mut deadlines = DeadlineQueue::default();
     deadlines.insert(20.0, "late");
     deadlines.insert(10.5, "early");
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_deadline_that_was_removed_does_not_pass() {
+fn a_removed_deadline_is_not_popped() {
     let mut deadlines = DeadlineQueue::default();
     deadlines.insert(10.0, 1);
     deadlines.insert(10.0, 2);
--- a/crates/router/tests/unit/upstream_codec.rs
+++ b/crates/router/tests/unit/upstream_codec.rs
@@ -1,9 +1,9 @@
-//! Unit tests of `src/upstream/codec.rs`, a part of its module.
+//! Unit tests of `src/upstream/codec.rs`, included there as the module `tests`.
 
 use super::*;
 
 #[test]
-fn an_answer_is_read_however_its_bytes_come() {
+fn a_reply_is_decoded_from_any_split_of_its_bytes() {
     let pool = BufferPool::new(5, 4, 100);
     let sent = b"*4\r\n$4\r\n9b1f\r\n$4\r\ndata\r\n$21\r\nres=HIT,digest=4be0c1\r\n$6\r\n\r\nbody\r\n";
     let (mut input, mut decoder) = (BufferChain::new(&pool), ReplyDecoder::default());
@@ -11,20 +11,20 @@
         assert!(decoder.decode(&mut input, 100).expect("well formed").is_none(), "after {n} bytes");
         input.push(&[*byte]);
     }
-    let reply = decoder.decode(&mut input, 100).expect("well formed").expect("whole");
+    let reply = decoder.decode(&mut input, 100).expect("well formed").expect("complete");
     assert_eq!((reply.id.as_str(), reply.status), ("9b1f", ReplyStatus::Data));
     assert_eq!((reply.fields.get("res"), reply.fields.get("first")), (Some("HIT"), None));
     assert_eq!(reply.body.to_vec(), b"\r\nbody");
     input.push(b"*4\r\n$1\r\na\r\n$6\r\nabsent\r\n$1\r\n-\r\n$0\r\n\r\n");
-    let reply = decoder.decode(&mut input, 100).expect("well formed").expect("whole");
+    let reply = decoder.decode(&mut input, 100).expect("well formed").expect("complete");
     assert_eq!(
         (reply.status, reply.fields, reply.body.len()),
-        (ReplyStatus::Absent, FieldList::default(), 0)
+        (ReplyStatus::CacheMiss, FieldList::default(), 0)
     );
 }
 
 #[test]
-fn what_is_malformed_is_an_error() {
+fn malformed_replies_are_errors() {
     let pool = BufferPool::new(64, 4, 100);
     for bytes in [
         &b"+OK\r\n"[..],
@@ -45,9 +45,9 @@
     }
 }
 
-/// Nothing that a cache can answer may end the router, or be kept after it was read.
+/// No reply of a cache may end the router, or leave buffers in use after it was decoded.
 #[test]
-fn random_bytes_are_answers_or_errors() {
+fn random_bytes_decode_to_replies_or_errors() {
     let pool = BufferPool::new(64, 4, 100);
     let mut seed = 7u64;
     let mut next = move || {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn requests_stand_as_the_protocol_says() {
+fn requests_are_encoded_according_to_the_protocol() {
     let pool = BufferPool::new(8, 4, 100);
     let mut fields = FieldList::default();
     fields.push("kind", "video");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn messages_to_caches_are_the_same_bytes() {
+fn messages_have_the_golden_bytes() {
     let pool = BufferPool::new(64, 4, 100);
     let mut fields = FieldList::default();
     fields.push("kind", "video");
