--- a/crates/router/src/control/messages.rs
+++ b/crates/router/src/control/messages.rs
@@ -1,7 +1,7 @@
-//! Requests and responses of the control socket, and the views that commands print.
+//! The requests and responses of the control socket, and the views that commands print.
 //!
-//! On the socket they are postcard, where the order of variants and of fields is the format. The serialized names are those
-//! of the commands' JSON and differ from the field names.
+//! On the socket they are encoded as postcard, where the order of variants and fields is part of the format.
+//! The serialized names appear in the commands' JSON and differ from the field names.
 
 use std::collections::BTreeMap;
 
@@ -13,63 +13,63 @@
 use linnethook_membership::view::{ClusterView, RouterView};
 use serde::{Deserialize, Serialize};
 
-/// What a command asks of a router.
+/// A request of a command to a router.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ControlRequest {
-    /// The state of the hierarchy.
+    /// Show the state of the hierarchy.
     ShowHierarchy,
-    /// All nodes of the hierarchy.
+    /// List all nodes of the hierarchy.
     ListNodes,
-    /// What these changes would do.
+    /// Show the effect of these changes without applying them.
     PlanChanges(Vec<ChangeSpec>),
-    /// These changes take effect as one batch.
+    /// Apply these changes as one batch.
     ApplyChanges(Vec<ChangeSpec>),
-    /// A batch that another router has made.
+    /// Apply a batch that another router has created.
     ReceiveBatch(BatchSpec),
-    /// A batch is taken back.
+    /// Roll a batch back.
     RollBack {
         /// The author of the batch.
         author: u16,
-        /// Its number among those of its author.
+        /// The number of the batch, unique for its author.
         number: u64,
     },
-    /// The state of the gateway.
+    /// Show the state of the gateway.
     GatewayStatus,
-    /// Where reads and writes go.
+    /// Show the sites that reads and writes are routed to.
     GatewayRoutes,
-    /// A site is drained, or used again.
+    /// Drain a site, or end its drain.
     DrainSite {
-        /// Its name.
+        /// The name of the site.
         site: String,
-        /// Whether it is to be drained.
+        /// Whether to drain the site; false ends the drain.
         drained: bool,
     },
-    /// The fleet as the router sees it.
+    /// Show the fleet as the router sees it.
     ShowFleet,
-    /// A query for the routers of another site is started.
+    /// Start a query for the routers of another site.
     StartQuery(QueryTarget),
-    /// The result of the query with this id.
+    /// Get the result of the query with this id.
     FetchQueryResult(u64),
-    /// The version of the hierarchy below which no router is to act; 0 clears it.
+    /// Set the version floor, the lowest version of the hierarchy that routers may act on; 0 clears it.
     SetFloor(u64),
-    /// All audit records that the router stores.
+    /// List all audit records that the router stores.
     ListAuditRecords,
 }
 
-/// What a router answers.
+/// The response of a router to a request.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum ControlResponse {
     /// The state of the hierarchy.
     Hierarchy(Box<HierarchyView>),
     /// All nodes of the hierarchy.
     Nodes(Vec<NodeSpec>),
-    /// What the changes would do.
+    /// The effect that the changes would have.
     Plan(Box<PlanSpec>),
-    /// The batch that the changes have become.
+    /// The batch that was created from the changes.
     Applied(BatchSpec),
     /// The state of the gateway.
     GatewayStatus(Box<GatewayStatusView>),
-    /// Where reads and writes go.
+    /// The sites that reads and writes are routed to.
     GatewayRoutes(Vec<RouteView>),
     /// The fleet as the router sees it.
     Fleet(Box<FleetView>),
@@ -79,42 +79,42 @@
     QueryResult(Option<SiteDetail>),
     /// All audit records that the router stores.
     AuditRecords(Vec<ChainLink>),
-    /// It was done; the text says what.
+    /// The request was executed. The text describes the result.
     Done(String),
-    /// It can't be done, and nothing was changed; the text says why.
+    /// The request was rejected, and nothing was changed. The text gives the reason.
     Refused(String),
 }
 
-/// The hierarchy as a router has it.
+/// The state of a router's hierarchy.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HierarchyView {
-    /// Its version.
+    /// The version of the hierarchy.
     pub version: u64,
-    /// The digest of its topology, in hexadecimal.
+    /// The digest of the topology, in hexadecimal.
     pub digest: String,
     /// The number of nodes.
     pub nodes: usize,
-    /// Edges that would close a cycle and are not used.
+    /// Edges that are suspended because they would close a cycle.
     #[serde(rename = "suspended")]
     pub suspended_edges: usize,
-    /// Edges that are excluded for a while after a loop.
+    /// Edges that are in backoff after a fill loop.
     #[serde(rename = "held_back")]
     pub backed_off_edges: usize,
-    /// Batches that wait for others.
+    /// Batches that are pending until earlier batches arrive.
     #[serde(rename = "waiting_batches")]
     pub pending_batches: usize,
-    /// Fills that wait for admission.
+    /// Fills that are queued for admission.
     #[serde(rename = "waiting_fills")]
     pub queued_fills: usize,
     /// Fills in flight.
     #[serde(rename = "out")]
     pub fills_in_flight: usize,
-    /// Children that migrate to a new source.
+    /// Migrations of children to a new source.
     #[serde(rename = "moves")]
     pub migrations: Vec<MigrationView>,
-    /// The budgets of fills, by target.
+    /// The fill budgets, by target.
     pub budgets: Vec<BudgetView>,
-    /// Counters since the start, by name.
+    /// The counters since the start, by name.
     #[serde(rename = "counts")]
     pub counters: BTreeMap<String, u64>,
 }
@@ -125,16 +125,16 @@
     /// The name of the new source.
     #[serde(rename = "to")]
     pub target: String,
-    /// The author of the batch that started it.
+    /// The author of the batch that started the migration.
     pub author: u16,
-    /// The batch's number among those of its author.
+    /// The number of that batch, unique for its author.
     pub number: u64,
-    /// The name of its stage.
+    /// The name of the current stage.
     pub stage: String,
     /// The fraction of the objects that have migrated, 0 to 1.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// How often it was started.
+    /// How often the migration was started.
     #[serde(rename = "tries")]
     pub attempts: u32,
     /// The failure ratio of fills from the new source.
@@ -150,19 +150,19 @@
 pub struct BudgetView {
     /// The name of the target.
     pub target: String,
-    /// Fills in a second, as measured.
+    /// The measured rate, in fills per second.
     pub per_second: f64,
-    /// Fills in a second that are allowed; `None` without a limit.
+    /// The maximum rate, in fills per second; `None` without a limit.
     pub limit: Option<f64>,
 }
 
 /// The fleet as a router sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FleetView {
-    /// The routers, and what they act on.
+    /// The routers, with the versions that they act on.
     #[serde(rename = "fellows")]
     pub cluster: ClusterView,
-    /// Caches whose drain is known from other routers alone so far.
+    /// Caches whose drain was reported by other routers, but not by the journal yet.
     #[serde(rename = "barred")]
     pub drained_by_gossip: Vec<DrainedCache>,
     /// Drains that other routers reported before the journal did.
@@ -174,31 +174,31 @@
     /// Batches that other routers reported before the journal did.
     #[serde(rename = "batches")]
     pub batches_from_gossip: u64,
-    /// Snapshots of the hierarchy that were adopted.
+    /// Snapshots of the hierarchy that were adopted from other routers.
     #[serde(rename = "adopted")]
     pub snapshots_adopted: u64,
-    /// Routers of the whole fleet, where routers have locations.
+    /// The number of routers in the fleet; `None` if routers have no locations.
     #[serde(rename = "whole")]
     pub fleet_size: Option<u64>,
     /// The version floor that operators have set.
     #[serde(rename = "set_by")]
     pub operator_floor: Option<OperatorFloorView>,
-    /// Whether this router is a straggler; `None` where stragglers are not excluded.
+    /// The straggler state of this router; `None` if stragglers are not excluded.
     #[serde(rename = "state")]
     pub straggler_state: Option<StragglerState>,
-    /// Actions that were not done because it is a straggler.
+    /// Actions that this router did not execute because it was a straggler.
     #[serde(rename = "shut_out")]
     pub rejected_as_straggler: u64,
-    /// How much the audit log stores; `None` where there is none.
+    /// The size of the stored audit logs; `None` without an audit log.
     #[serde(rename = "account")]
     pub audit_storage: Option<AuditStorageView>,
 }
 
-/// A cache that is drained. Serialized as an array.
+/// A drained cache. Serialized as an array.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u64)", into = "(String, u64)")]
 pub struct DrainedCache {
-    /// The cache's name.
+    /// The name of the cache.
     pub name: String,
     /// The position of the drain in the journal.
     pub journal_position: u64,
@@ -220,9 +220,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, String)", into = "(u64, String)")]
 pub struct OperatorFloorView {
-    /// The version of the hierarchy below which no router is to act.
+    /// The lowest version of the hierarchy that routers may act on.
     pub version: u64,
-    /// The router at which it was set.
+    /// The name of the router at which it was set.
     pub set_by: String,
 }
 
@@ -238,17 +238,17 @@
     }
 }
 
-/// How much the audit log stores. Serialized as an array.
+/// The size of the stored audit logs. Serialized as an array.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "[u64; 5]", into = "[u64; 5]")]
 pub struct AuditStorageView {
-    /// Records of this router's own log.
+    /// The number of records of this router's own log.
     pub records: u64,
-    /// Logs of other routers.
+    /// The number of replicated logs of other routers.
     pub replica_logs: u64,
-    /// Records of the logs of other routers.
+    /// The number of records in the replicated logs.
     pub replica_records: u64,
-    /// Bytes of the logs of other routers.
+    /// The size of the replicated logs in bytes.
     pub replica_bytes: u64,
     /// Records that could not be written to disk.
     pub unsaved_records: u64,
@@ -267,12 +267,12 @@
     }
 }
 
-/// The routers of another site, as the router that aggregates the site reports them.
+/// The routers of a site, as reported by the router that aggregates the site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SiteDetail {
     /// The location of the site.
     #[serde(rename = "place")]
     pub location: String,
-    /// Its routers.
+    /// The routers of the site.
     pub routers: Vec<RouterView>,
 }
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,7 +1,7 @@
 //! The control socket: one request and one response on each connection, for the commands of this program.
 //!
-//! - [`messages`]: what is asked and answered;
-//! - [`server`]: the socket, its connections and their time limits.
+//! - [`messages`]: the requests and responses;
+//! - [`server`]: the socket, its connections and their timeouts.
 
 mod messages;
 mod server;
--- a/crates/router/src/control/server.rs
+++ b/crates/router/src/control/server.rs
@@ -1,7 +1,7 @@
-//! The server of the control socket: its connections and their time limits.
+//! The server of the control socket: its connections and their timeouts.
 //!
-//! A message is postcard behind its length, four bytes in network order. A request is carried out once all of it has
-//! arrived, and each connection has one.
+//! A message is its length, four bytes in network order, followed by its postcard encoding. Each connection
+//! has one request, which is executed once it is complete.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -22,9 +22,9 @@
 
 use super::{ControlRequest, ControlResponse};
 
-/// Bytes of the length in front of a message.
+/// The size in bytes of the length that precedes a message.
 const LENGTH_BYTES: usize = 4;
-/// Permissions of the socket: whoever may write to it controls the router, which is its owner alone.
+/// The permissions of the socket. Whoever may write to it controls the router, so only its owner may.
 const SOCKET_MODE: u32 = 0o600;
 
 struct Connection {
@@ -32,7 +32,7 @@
     token: RegistrationToken,
     input: BufferChain,
     output: BufferChain,
-    /// Whether the response is in `output`; the connection ends once that is written.
+    /// Whether the response is in `output`; the connection is closed once it is written.
     is_answered: bool,
     deadline: Ms,
 }
@@ -45,18 +45,18 @@
     handle: LoopHandle<'static, W>,
     path: PathBuf,
     listener: RegistrationToken,
-    /// When the listener is enabled again after a connection could not be accepted.
+    /// When the listener is enabled again after a failed accept.
     accept_retry: Option<Ms>,
     connections: BTreeMap<u64, Connection>,
     last_id: u64,
 }
 
 impl<W: EventHandler> ControlServer<W> {
-    /// Listens at `path`. The socket that an earlier process left behind is replaced.
+    /// Listens at `path`. A stale socket of an earlier process is replaced.
     ///
     /// # Errors
     ///
-    /// A socket that another process listens on, and errors of the system.
+    /// Another process listens on the socket, and errors of the system.
     pub fn listen(
         limits: Limits,
         pool: &BufferPool,
@@ -84,8 +84,8 @@
         })
     }
 
-    /// Accepts the connections that wait; those above the limit are closed at once. Returns whether the listener may
-    /// stay enabled.
+    /// Accepts all waiting connections; those above the limit are closed at once. Returns whether the
+    /// listener may stay enabled.
     pub fn accept(&mut self, now: Ms, listener: &UnixListener) -> bool {
         loop {
             match self.reserve.open(DescriptorPurpose::Control, || listener.accept()) {
@@ -93,8 +93,8 @@
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
-                    // An enabled listener would fail again at once, without end.
-                    log_line!("control: {error}");
+                    // An enabled listener would fail again immediately, in a busy loop.
+                    log_line!("control: accepting a connection failed: {error}");
                     self.accept_retry = Some(now + self.limits.accept.retry_pause_ms);
                     return false;
                 }
@@ -128,7 +128,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// Reads on; returns the request once all of it has arrived. A request that can't be read is refused.
+    /// Reads a connection; returns its request once it is complete. A malformed request is rejected.
     pub fn read(&mut self, id: u64) -> Option<ControlRequest> {
         loop {
             let connection = self.connections.get_mut(&id).filter(|connection| !connection.is_answered)?;
@@ -151,7 +151,7 @@
             }
             let length = u32::from_be_bytes(head) as usize;
             if length > self.limits.control.max_message_bytes || self.pool.is_exhausted() {
-                self.refuse(id, "the question is too long, or buffers are short".to_string());
+                self.reject(id, format!("request of {length} bytes is too long, or buffers are exhausted"));
                 return None;
             }
             if connection.input.len() < LENGTH_BYTES + length {
@@ -166,17 +166,17 @@
     fn decode_request(&mut self, id: u64, bytes: &[u8]) -> Option<ControlRequest> {
         let request = postcard::from_bytes(bytes);
         if let Err(error) = &request {
-            log_line!("control: a request that can't be read: {error}");
-            self.refuse(id, format!("the question can't be read: {error}"));
+            log_line!("control: a request can't be decoded: {error}");
+            self.reject(id, format!("the request can't be decoded: {error}"));
         }
         request.ok()
     }
 
-    fn refuse(&mut self, id: u64, reason: String) {
+    fn reject(&mut self, id: u64, reason: String) {
         self.respond(id, &ControlResponse::Refused(reason));
     }
 
-    /// Gives the response to the connection's request.
+    /// Sends the response to the connection's request.
     pub fn respond(&mut self, id: u64, response: &ControlResponse) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let bytes = postcard::to_stdvec(response).unwrap_or_default();
@@ -186,7 +186,7 @@
         self.flush(id);
     }
 
-    /// Writes on, and ends the connection behind its response.
+    /// Writes pending output, and closes the connection after its response.
     pub fn flush(&mut self, id: u64) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         while !connection.output.is_empty() {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// When `on_timer` is due.
+    /// The time, in milliseconds, at which `on_timer` has work.
     pub fn next_deadline(&self) -> Option<Ms> {
         self.connections
             .values()
@@ -217,7 +217,7 @@
             .reduce(Ms::min)
     }
 
-    /// Ends the connections whose time is over, and accepts again after an error.
+    /// Closes the connections that timed out, and enables the listener again after a failed accept.
     pub fn on_timer(&mut self, now: Ms) {
         let expired = self.connections.iter().filter(|(_, connection)| now >= connection.deadline);
         let expired: Vec<u64> = expired.map(|(id, _)| *id).collect();
@@ -226,7 +226,7 @@
         }
         if self.accept_retry.take_if(|retry| now >= *retry).is_some() {
             let enabled = self.handle.enable(&self.listener);
-            let _ = enabled.inspect_err(|error| log_line!("control: {error}"));
+            let _ = enabled.inspect_err(|error| log_line!("control: enabling the listener failed: {error}"));
         }
     }
 }
@@ -234,7 +234,7 @@
 fn bind_socket(path: &Path) -> io::Result<UnixListener> {
     if path.exists() {
         if UnixStream::connect(path).is_ok() {
-            return Err(io::Error::new(ErrorKind::AddrInUse, "another process listens on it"));
+            return Err(io::Error::new(ErrorKind::AddrInUse, "another process listens on the socket"));
         }
         std::fs::remove_file(path)?;
     }
@@ -246,7 +246,7 @@
 
 impl<W: EventHandler> Drop for ControlServer<W> {
     fn drop(&mut self) {
-        // An error is ignored: the next process replaces the socket in any case.
+        // Errors are ignored: the next process replaces a stale socket anyway.
         let _ = std::fs::remove_file(&self.path);
     }
 }
--- a/crates/router/src/policy_adapter/actions.rs
+++ b/crates/router/src/policy_adapter/actions.rs
@@ -1,30 +1,30 @@
-//! From the policy to the router: what the router is to do, in its own terms.
+//! Commands from the policy to the router, in the router's terms.
 
 use linnethook::interface::{EndpointId, FillInstruction};
 
 use super::{AttemptKey, EndpointKey, Ms, Ticket};
 
-/// Where a miss is filled from, and how. Times are in milliseconds.
+/// Where and how an endpoint fills a miss. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FillSpec {
-    /// `None` for no fill.
+    /// The endpoint that it is filled from; `None` for no fill.
     pub source: Option<EndpointKey>,
-    /// 0 passes the answer through; 1 to 3 cache it with that priority of retention.
+    /// Retention priority of the cached copy, 1 to 3; 0 does not cache it.
     pub retention: u8,
-    /// The age limit of a copy; 0 = none beyond the freshness that its class has.
+    /// The age limit of a cached copy; 0 for no limit beyond the freshness lifetime of its class.
     pub max_age: Ms,
-    /// The age limit where no fill is possible.
+    /// The age limit if no fill is possible.
     pub max_stale_age: Ms,
-    /// Whether it may wait for a fill in progress.
+    /// Whether the request may wait for a fill in progress.
     pub coalesce: bool,
-    /// The source answers only from its cache.
+    /// Whether the source may answer only from its cache.
     pub only_if_cached: bool,
-    /// A stale copy is served, and revalidated in the background.
+    /// Whether a stale copy is served and revalidated in the background.
     pub revalidate: bool,
 }
 
 impl FillSpec {
-    /// A cached copy, or none.
+    /// No fill: the endpoint serves a cached copy or reports a miss.
     pub(super) const NO_FILL: Self = Self {
         source: None,
         retention: 0,
@@ -35,7 +35,7 @@
         revalidate: false,
     };
 
-    /// A fill at `endpoint`, which is no fill where that is its own source.
+    /// The fill of an attempt at `endpoint`. An endpoint that is its own source does not fill.
     pub(super) fn new(endpoint: EndpointId, fill: &FillInstruction) -> Self {
         Self {
             source: (fill.source != endpoint).then(|| fill.source.into()),
@@ -52,41 +52,42 @@
 /// The final answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FinalAnswer {
-    /// The payload of the attempt that was just reported.
+    /// Served with the payload of the attempt that was just reported.
     Served,
-    /// It was not executed and may be retried.
+    /// Rejected: not executed, and the client may retry.
     Rejected {
-        /// In milliseconds; 0 = none.
+        /// The Retry-After in milliseconds; 0 for none.
         retry_after: Ms,
     },
-    /// It failed, and may have been executed.
+    /// Failed, and possibly executed.
     Failed,
 }
 
-/// What the router is to do.
+/// A command that the router has to execute.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PolicyCommand {
     /// Send an attempt.
     Send {
         /// The attempt.
         attempt: AttemptKey,
-        /// Where it is sent.
+        /// The endpoint that it is sent to.
         endpoint: EndpointKey,
-        /// Time after which it ends as timed out, in milliseconds.
+        /// The timeout, in milliseconds.
         timeout: Ms,
-        /// What the endpoint does where it has no copy.
+        /// How the endpoint fills a miss.
         fill: FillSpec,
     },
-    /// Cancel an attempt, which is still reported as ended.
+    /// Cancel an attempt. Its end must still be reported.
     Cancel(AttemptKey),
-    /// Give a request its final answer.
+    /// Send the final answer of a request.
     Answer {
         /// The request.
         ticket: Ticket,
         /// The answer.
         answer: FinalAnswer,
     },
-    /// Call [`on_timer`](super::PolicyAdapter::on_timer) then; an earlier time that was set stays.
+    /// Call [`on_timer`](super::PolicyAdapter::on_timer) at this time; an earlier time that was set remains
+    /// in force.
     SetTimer(Ms),
     /// Check the health of an endpoint.
     HealthCheck(EndpointKey),
--- a/crates/router/src/policy_adapter/events.rs
+++ b/crates/router/src/policy_adapter/events.rs
@@ -1,4 +1,4 @@
-//! From the router to the policy: what the router reports, and how it reads in the policy's terms.
+//! Inputs from the router to the policy, and their conversion to the policy's events.
 
 use linnethook::interface::{
     AttemptOutcome, AttemptStatus, CacheStatus, Endpoint, EndpointPhase, EndpointUpdate, Event, FillSource,
@@ -8,33 +8,33 @@
 
 use super::{AttemptKey, EndpointKey, Ms, Ticket};
 
-/// A line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointInfo {
-    /// Its name, unique in the list.
+    /// The name of the endpoint, unique in the list.
     pub uid: String,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
-    /// The name of its role.
+    /// The name of the endpoint's role.
     pub kind: String,
-    /// The number of its cell within the zone.
+    /// The number of the endpoint's cell within the zone.
     pub cell: u16,
-    /// Its capacity, where the list carries it.
+    /// The capacity, if the list has it.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds.
+    /// When the endpoint last started, in Unix milliseconds.
     pub started: Ms,
-    /// Whether it takes new requests.
+    /// The state in the list.
     pub state: ListedState,
 }
 
 /// The state of an endpoint in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedState {
-    /// It takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// It takes no new requests.
+    /// Accepts no new requests.
     Draining,
-    /// It is no longer listed.
+    /// Removed from the list.
     Removed,
 }
 
@@ -51,28 +51,28 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// A complete answer was received.
+    /// A reply with the object, or one that confirms the client's copy, was received.
     Answered,
-    /// The endpoint answered with an error; it may have been executed.
+    /// The endpoint replied with an error; the attempt may have been executed.
     Failed,
-    /// The endpoint has rejected it for lack of capacity.
+    /// The endpoint rejected the attempt for lack of capacity.
     Rejected,
     /// The object is not cached there, and was not filled.
     CacheMiss,
-    /// It was cancelled at the endpoint before its execution began.
+    /// The endpoint cancelled the attempt before its execution began.
     NotExecuted,
-    /// Its time-out passed.
+    /// The timeout passed.
     TimedOut,
-    /// It was not sent in full.
+    /// The attempt was not sent completely.
     NotSent,
-    /// Its connection was closed after it was sent.
+    /// The connection was closed after the attempt was sent.
     ConnectionLost,
-    /// Cancelled on the policy's order, or for its client.
+    /// Cancelled by the policy, or because its client cancelled the request.
     Cancelled,
 }
 
 impl AttemptEnd {
-    /// The name in the audit log.
+    /// The name of this outcome in the audit log.
     pub fn name(self) -> &'static str {
         match self {
             Self::Answered => "answered",
@@ -95,7 +95,7 @@
             Self::CacheMiss => AttemptStatus::CacheMiss,
             Self::NotExecuted => AttemptStatus::NotExecuted,
             Self::TimedOut => AttemptStatus::TimedOut,
-            // To the policy it is the same whether no connection came up or nothing was written to one.
+            // The policy does not distinguish a failed connect from an attempt that was not written.
             Self::NotSent => AttemptStatus::ConnectFailed,
             Self::ConnectionLost => AttemptStatus::Reset,
             Self::Cancelled => AttemptStatus::Cancelled,
@@ -103,30 +103,30 @@
     }
 }
 
-/// How a cache came to its reply.
+/// How a cache produced its reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheResult {
-    /// From its cached copy.
+    /// Served from the cached copy.
     Hit,
-    /// Filled from a copy that its source had.
+    /// Filled from a copy that the source had cached.
     FilledByParent,
-    /// Filled by way of the origin.
+    /// Filled from the origin, directly or through the source.
     FilledByOrigin,
-    /// By a fill that was in progress.
+    /// Served by a fill that was already in progress.
     Coalesced,
-    /// From a copy past its freshness lifetime.
+    /// Served from a copy past its freshness lifetime.
     Stale,
     /// The source rejected the fill.
     SourceRejected,
-    /// The source was not reached, or did not answer in full.
+    /// The source was unreachable, or did not reply completely.
     SourceUnreachable,
     /// The source has no copy.
     SourceMiss,
-    /// It has no capacity for another fill.
+    /// No capacity for another fill.
     NoCapacity,
     /// The origin behind the source failed.
     OriginFailed,
-    /// The fill came back to a node that it had passed, and was not executed.
+    /// The fill returned to a node that it had already passed, and was not executed.
     FillLoop,
 }
 
@@ -142,7 +142,7 @@
             Self::SourceUnreachable => CacheStatus::SourceUnreachable,
             Self::SourceMiss => CacheStatus::SourceMiss,
             Self::OriginFailed => CacheStatus::OriginFailed,
-            // A loop is no fault of the endpoint, and was not executed.
+            // A fill loop is not a fault of the endpoint, and was not executed.
             Self::NoCapacity | Self::FillLoop => CacheStatus::NoCapacity,
         }
     }
@@ -153,53 +153,53 @@
 pub struct AttemptReport {
     /// The attempt.
     pub attempt: AttemptKey,
-    /// Where it was sent.
+    /// The endpoint that it was sent to.
     pub endpoint: EndpointKey,
     /// How it ended.
     pub end: AttemptEnd,
-    /// Time since it was sent.
+    /// The time since the attempt was sent.
     pub elapsed: Ms,
-    /// Time spent waiting for the source of a fill; 0 = not reported.
+    /// The time that the cache waited for the source of a fill; 0 if not reported.
     pub source_wait: Ms,
-    /// How the cache came to its reply, where it says so.
+    /// How the cache produced its reply, if reported.
     pub cache_result: Option<CacheResult>,
-    /// The load report, by the names that the settings give its values.
+    /// The values of the load report, with the names that the endpoint reports.
     pub gauges: Vec<(String, f64)>,
 }
 
-/// What the router reports to the policy, requests apart.
+/// The inputs that the router reports to the policy, except new requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PolicyInput {
     /// An attempt has ended.
     AttemptEnded(AttemptReport),
-    /// Nobody waits for the request any more.
+    /// The client has cancelled the request or disconnected.
     RequestCancelled(Ticket),
-    /// The endpoint list, or changes of it.
+    /// A snapshot of the endpoint list, or changes to it.
     Endpoints {
-        /// Whether endpoints that are not listed are gone.
+        /// Whether this is a snapshot: endpoints without an entry are removed.
         complete: bool,
-        /// The lines.
+        /// The entries.
         endpoints: Vec<EndpointInfo>,
     },
-    /// Copies of the object, or of the whole group, from before `stamp` are out of date.
+    /// A purge: copies of the object, or of all objects of the group, from before `stamp` are out of date.
     Purged {
-        /// The object; `None` for the whole group.
+        /// The object; `None` for all objects of the group.
         object: Option<u64>,
         /// The purge group.
         group: u32,
-        /// In Unix milliseconds.
+        /// When the purge was issued, in Unix milliseconds.
         stamp: Ms,
     },
     /// A health check has ended.
     HealthChecked {
         /// The endpoint.
         endpoint: EndpointKey,
-        /// Whether it answered that it is healthy.
+        /// Whether the endpoint replied that it is healthy.
         healthy: bool,
-        /// The load report that came with it, by the names that the settings give its values.
+        /// The values of the load report in the reply, with the names that the endpoint reports.
         gauges: Vec<(String, f64)>,
     },
-    /// The sources that a cache may be filled from have changed.
+    /// The sources from which a cache may be filled have changed.
     FillSources {
         /// The cache.
         endpoint: EndpointKey,
@@ -208,51 +208,51 @@
     },
 }
 
-/// The sources that a cache may be filled from, with their ranks, also in the course of a migration.
+/// The sources from which a cache may be filled, with their ranks. During a migration there are two lists.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FillSourceLists {
     /// The sources of objects that have migrated.
     pub current: Vec<(EndpointKey, u16)>,
-    /// The sources of the other objects.
+    /// The sources of objects that have not migrated yet.
     pub previous: Vec<(EndpointKey, u16)>,
-    /// The share of the objects that are filled from the current sources.
+    /// The share of the objects that are filled from the current sources, 0 to 1.
     pub migrated_ratio: f64,
-    /// Tells this migration's hash of objects from those of others.
+    /// The salt of the hash that selects the migrated objects, different for each migration.
     pub salt: u64,
 }
 
-/// The names of the settings, by which reports are read.
+/// The names defined by the settings, used to convert inputs.
 #[derive(Debug)]
 pub(super) struct ReportNames {
-    /// The names of classes, zones and roles, by their numbers.
+    /// The names of classes, zones and roles, in the order of their numbers.
     pub names: SettingNames,
-    /// The values of load reports.
+    /// The fields of load reports.
     pub load_fields: Vec<LoadReportField>,
-    /// What the settings call each of them.
+    /// The names of these fields in the settings.
     pub load_names: Vec<String>,
 }
 
-/// The number that stands for a name which the settings don't have.
+/// The number for a name that the settings don't define.
 pub(super) const UNKNOWN_NUMBER: u16 = u16::MAX;
 
-/// The number of a name in a list of the settings.
+/// The number of a name: its position in a list of the settings.
 fn number_of(names: &[String], name: &str) -> Option<u16> {
     let position = names.iter().position(|known| known == name)?;
     u16::try_from(position).ok()
 }
 
 impl ReportNames {
-    /// The number of a class; `None` where the settings don't have it.
+    /// The number of a class; `None` if the settings don't define it.
     pub fn class_number(&self, class: &str) -> Option<u16> {
         number_of(&self.names.classes, class)
     }
 
-    /// The number of a zone; `None` where the settings don't have it.
+    /// The number of a zone; `None` if the settings don't define it.
     pub fn zone_number(&self, zone: &str) -> Option<u16> {
         number_of(&self.names.zones, zone)
     }
 
-    /// The endpoint list, or changes of it.
+    /// A snapshot of the endpoint list, or changes to it.
     pub fn endpoint_event(&self, complete: bool, endpoints: &[EndpointInfo]) -> Event {
         let update = if complete { EndpointUpdate::Snapshot } else { EndpointUpdate::Incremental };
         Event::Endpoints { update, endpoints: endpoints.iter().map(|info| self.endpoint(info)).collect() }
@@ -270,7 +270,8 @@
         }
     }
 
-    /// The end of an attempt; `request_finished` is whether its request has its final answer.
+    /// The event for the end of an attempt. `request_finished` tells whether its request has its final
+    /// answer.
     pub fn attempt_event(&self, report: &AttemptReport, request_finished: bool) -> Event {
         Event::AttemptFinished(AttemptOutcome {
             attempt: report.attempt.id(),
@@ -284,7 +285,7 @@
         })
     }
 
-    /// The end of a health check.
+    /// The event for the end of a health check.
     pub fn health_check_event(
         &self,
         endpoint: EndpointKey,
@@ -307,17 +308,17 @@
     }
 }
 
-/// Whether a reported name stands for a name of the settings: some are reported by a short name.
+/// Whether a reported name matches a name of the settings. Some values are reported with a short name.
 fn is_gauge(reported: &str, name: &str) -> bool {
     reported == name || matches!((reported, name), ("inflight", "outstanding") | ("util", "utilization"))
 }
 
-/// A purge that was issued at `stamp`.
+/// The event for a purge that was issued at `stamp`.
 pub(super) fn purge_event(now: Ms, object: Option<u64>, group: u32, stamp: Ms) -> Event {
     Event::Purge { object: object.map(ObjectId), group, age: now - stamp }
 }
 
-/// The sources that a cache may be filled from.
+/// The event for the sources from which a cache may be filled.
 pub(super) fn fill_sources_event(endpoint: EndpointKey, lists: &FillSourceLists) -> Event {
     let source =
         |(endpoint, rank): &(EndpointKey, u16)| FillSource { endpoint: endpoint.id(), priority: *rank };
--- a/crates/router/src/policy_adapter/mod.rs
+++ b/crates/router/src/policy_adapter/mod.rs
@@ -1,10 +1,10 @@
-//! The policy and its timers, behind three calls: a request, a report, and the time. Each returns the commands that the
-//! router is to execute.
+//! The policy and its timers, behind three methods: for a new request, for any other input, and for timers.
+//! Each returns the commands that the router has to execute.
 //!
-//! - [`events`]: from the router to the policy;
-//! - [`actions`]: from the policy to the router.
+//! - [`events`]: inputs, from the router to the policy;
+//! - [`actions`]: commands, from the policy to the router.
 //!
-//! No other part of the router names the policy's events and actions. Nothing is decided here.
+//! Only this module uses the policy's event and action types. It makes no decisions itself.
 
 mod actions;
 mod events;
@@ -30,16 +30,16 @@
 /// Milliseconds, on the clock of the process.
 pub type Ms = f64;
 
-/// The router's id of an open request, unique in this router. The id that the client gave it is
-/// [`RequestMessage::id`](crate::upstream::RequestMessage::id), which others may have, too.
+/// The router's id of an open request, unique in this router, unlike the id that the client gave it, which is
+/// [`RequestMessage::id`](crate::upstream::RequestMessage::id).
 pub type Ticket = u64;
 
-/// One attempt at a request; the attempts count from 0 in the order sent.
+/// Identifies an attempt of a request. Attempts are numbered in the order in which they are sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptKey {
     /// The request.
     pub ticket: Ticket,
-    /// The number of the attempt, from 0 on.
+    /// The number of the attempt, starting at 0.
     pub number: u8,
 }
 
@@ -55,22 +55,22 @@
     }
 }
 
-/// A cache, a parent or the origin. The same uid makes the same key at every router.
+/// Identifies a cache, a parent or the origin. A uid has the same key at every router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EndpointKey(u64);
 
 impl EndpointKey {
-    /// The key of an endpoint by its name.
+    /// The key of the endpoint with this name.
     pub fn of(uid: &str) -> Self {
         Self(xxh3_64(uid.as_bytes()))
     }
 
-    /// The key as a number, as other routers and the audit log have it.
+    /// The key as a number, as exchanged with other routers and stored in the audit log.
     pub fn number(self) -> u64 {
         self.0
     }
 
-    /// The key that [`Self::number`] stands for.
+    /// The inverse of [`Self::number`].
     pub fn from_number(number: u64) -> Self {
         Self(number)
     }
@@ -86,39 +86,39 @@
     }
 }
 
-/// What a client requests.
+/// A client's request, in the terms of the policy.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RequestSpec {
     /// The name of its class.
     pub class: String,
-    /// The object, by its number.
+    /// The id of the object.
     pub object: u64,
-    /// The part of the object, from 0 on.
+    /// The number of the part of the object, starting at 0.
     pub part: u32,
     /// The purge group of the object.
     pub group: u32,
-    /// The size of the object; 0 = not stated.
+    /// The size of the object in units of 1,000 bytes; 0 if not stated.
     pub size_kb: f64,
-    /// The client has sent it before.
+    /// Whether the client has marked the request as a repetition.
     pub repeat: bool,
-    /// How long an answer may take from now on, in milliseconds.
+    /// The remaining time for an answer, in milliseconds.
     pub budget: Ms,
 }
 
-/// What a class says of its requests.
+/// The properties of a request that its class determines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestNeeds {
-    /// Within what time it is wanted, in milliseconds.
+    /// The latency objective, in milliseconds.
     pub latency_objective: Ms,
-    /// Whether it is executed at the origin.
+    /// Whether it is a write, which is executed at the origin.
     pub is_write: bool,
 }
 
-/// A request without its final answer.
+/// A request without a final answer so far.
 #[derive(Debug)]
 struct PendingRequest {
     deadline: Ms,
-    /// How many were sent.
+    /// The number of attempts sent.
     attempts: u8,
 }
 
@@ -132,14 +132,14 @@
     zone: u16,
     max_retry_after: Ms,
     pending: BTreeMap<Ticket, PendingRequest>,
-    /// By time, in microseconds.
+    /// Timers as pairs of their time in microseconds and their token.
     timers: BTreeSet<(u64, u32)>,
-    /// Counts where other settings would have decided otherwise.
+    /// The shadow policy, which counts the decisions that differ with other settings.
     shadow: Option<ShadowPolicy>,
 }
 
 impl PolicyAdapter {
-    /// A policy without endpoints.
+    /// Creates a policy without endpoints.
     pub fn new(settings: DecodedSettings, seed: u64) -> Self {
         let names = ReportNames {
             names: settings.names,
@@ -159,22 +159,23 @@
         }
     }
 
-    /// Counts from now on where these settings would have decided otherwise. It has no other effect.
+    /// Starts a shadow policy with these settings. It only counts differing decisions and has no other
+    /// effect.
     pub fn start_shadow(&mut self, settings: DecodedSettings, seed: u64) {
         self.shadow = Some(ShadowPolicy::new(settings.settings, seed));
     }
 
-    /// Where other settings would have decided otherwise; `None` without any.
+    /// How often the shadow policy's decisions differed; `None` without one.
     pub fn shadow_counts(&self) -> Option<ShadowCounts> {
         self.shadow.as_ref().map(ShadowPolicy::counts)
     }
 
-    /// Whether the settings have the class of a request.
+    /// Whether the settings define the class of a request.
     pub fn knows_class(&self, spec: &RequestSpec) -> bool {
         self.names.class_number(&spec.class).is_some()
     }
 
-    /// The class of a request; `None` where the settings don't have it.
+    /// The class of a request; `None` if the settings don't define it.
     fn class(&self, spec: &RequestSpec) -> Option<&RequestClass> {
         let number = self.names.class_number(&spec.class)?;
         self.classes.get(usize::from(number))
@@ -189,12 +190,12 @@
         RequestNeeds { latency_objective, is_write: class.is_write }
     }
 
-    /// Whether a second execution of a request would do harm; so it is for an unknown class.
+    /// Whether a request must not be executed twice. This is assumed for unknown classes.
     pub fn needs_repeat_protection(&self, spec: &RequestSpec) -> bool {
         self.class(spec).is_none_or(|class| class.idempotence != Idempotence::Idempotent)
     }
 
-    /// The longest Retry-After that a client may be given, in milliseconds.
+    /// The maximum Retry-After of a client's answer, in milliseconds.
     pub fn max_retry_after(&self) -> Ms {
         self.max_retry_after
     }
@@ -204,14 +205,14 @@
         self.names.zone_number(&endpoint.zone) == Some(self.zone)
     }
 
-    /// Requests without their final answer.
+    /// The number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.pending.len()
     }
 
-    /// Decides about a new request.
+    /// Reports a new request to the policy.
     pub fn on_request(&mut self, now: Ms, ticket: Ticket, spec: &RequestSpec) -> Vec<PolicyCommand> {
-        // The policy knows an unknown class by no number, and assumes nothing of it.
+        // An unknown class has a reserved number, for which the policy makes no assumptions.
         let class = self.names.class_number(&spec.class).unwrap_or(UNKNOWN_NUMBER);
         self.pending.insert(ticket, PendingRequest { deadline: now + spec.budget, attempts: 0 });
         let request = Request {
@@ -228,7 +229,7 @@
         self.dispatch(now, &Event::Request(request), None)
     }
 
-    /// Reports something to the policy.
+    /// Reports an input other than a new request to the policy.
     pub fn handle(&mut self, now: Ms, input: PolicyInput) -> Vec<PolicyCommand> {
         let event = match input {
             PolicyInput::AttemptEnded(report) => return self.on_attempt_ended(now, &report),
@@ -258,7 +259,7 @@
         commands
     }
 
-    /// Runs the timers that are due.
+    /// Runs the timers that are due; the commands end with the time of the next timer, if there is one.
     pub fn on_timer(&mut self, now: Ms) -> Vec<PolicyCommand> {
         let mut commands = Vec::new();
         while let Some(&(at, token)) = self.timers.first().filter(|(at, _)| *at <= micros(now)) {
@@ -269,7 +270,8 @@
         commands
     }
 
-    /// Hands an event to the policy. `due` is the timer that it stands for.
+    /// Passes an event to the policy and, if there is one, to the shadow policy. `due` is the timer of a
+    /// timer event.
     fn dispatch(&mut self, now: Ms, event: &Event, due: Option<DueTimer>) -> Vec<PolicyCommand> {
         let actions = self.policy.handle(now, event);
         if let Some(shadow) = &mut self.shadow {
@@ -282,7 +284,7 @@
         commands
     }
 
-    /// The command that an action stands for.
+    /// The command for an action of the policy; `None` if the router has nothing to do.
     fn command(&mut self, now: Ms, action: Action) -> Option<PolicyCommand> {
         match action {
             Action::Forward { request, endpoint, timeout } => {
@@ -301,13 +303,14 @@
                 Some(PolicyCommand::SetTimer(at))
             }
             Action::HealthCheck(endpoint) => Some(PolicyCommand::HealthCheck(endpoint.into())),
-            // Discovery reports all changes by itself.
+            // Discovery always reports all changes.
             Action::SubscribeEndpoints => None,
             Action::Log(line) => Some(PolicyCommand::Log(line)),
         }
     }
 
-    /// The command to send an attempt, which may take no longer than the request; `timeout` 0 = as long as that.
+    /// The command to send an attempt. Its timeout is limited to the remaining time of the request; `timeout`
+    /// 0 stands for all of that.
     fn send(
         &mut self,
         now: Ms,
@@ -324,13 +327,13 @@
         Some(PolicyCommand::Send { attempt, endpoint: endpoint.into(), timeout, fill })
     }
 
-    /// The one final answer; `None` where it has been given already.
+    /// The command for the final answer of a request; `None` if it was already answered.
     fn finish(&mut self, request: RequestId, answer: FinalAnswer) -> Option<PolicyCommand> {
         self.pending.remove(&request.0).map(|_| PolicyCommand::Answer { ticket: request.0, answer })
     }
 }
 
-/// Whole microseconds, which have an order.
+/// A time in integer microseconds, which unlike floats are totally ordered.
 pub fn micros(at: Ms) -> u64 {
     (at * 1000.0) as u64
 }
