--- a/crates/router/src/config/error.rs
+++ b/crates/router/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration.
+//! Why a configuration is invalid.
 
 use std::fmt;
 use std::io;
@@ -6,24 +6,24 @@
 
 use linnethook_settings::SettingsError;
 
-/// What is wrong with a configuration.
+/// Why a configuration is invalid.
 #[derive(Debug)]
 pub enum ConfigError {
     /// The file can't be read.
     Read(io::Error),
-    /// It is not JSON, or a field is missing or of another type.
+    /// The text is not JSON, or a field is missing or of the wrong type.
     Format(serde_json::Error),
-    /// A setting that can't be used.
+    /// A setting is invalid.
     Setting(SettingsError),
     /// The seed is not hexadecimal.
     Seed,
-    /// A setting that the operator file's `watch()` changes.
+    /// A setting changed by the `watch()` function of the operator file is invalid.
     ShadowSetting(SettingsError),
-    /// One of these in a file.
+    /// An error of a file.
     File {
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The error.
         source: Box<ConfigError>,
     },
 }
@@ -34,7 +34,7 @@
             Self::Read(error) => error.fmt(f),
             Self::Format(error) => error.fmt(f),
             Self::Setting(error) => write!(f, "settings.{error}"),
-            Self::Seed => f.write_str("a seed that is not hexadecimal"),
+            Self::Seed => f.write_str("seed is not a hexadecimal 64-bit number"),
             Self::ShadowSetting(error) => write!(f, "watch(): settings.{error}"),
             Self::File { path, source } => write!(f, "{}: {source}", path.display()),
         }
--- a/crates/router/src/config/limits.rs
+++ b/crates/router/src/config/limits.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time of the transport, in a group for each concern. They are computed once, at the start.
+//! All sizes, counts and times of the transport, grouped by concern. They are computed once at startup.
 
 use linnethook_settings::ConnectionSettings;
 use serde::Deserialize;
@@ -8,47 +8,47 @@
 const KIB: usize = 1024;
 const MIB: usize = 1024 * KIB;
 
-/// What the platform allows the process.
+/// The limits that the platform sets for the process.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename = "Platform")]
 pub(super) struct PlatformLimits {
-    /// Memory in MiB.
+    /// The memory in MiB.
     pub memory_mb: f64,
-    /// How many descriptors it promises.
+    /// The number of descriptors that the platform promises.
     #[serde(rename = "sockets")]
     pub descriptors: usize,
 }
 
-/// Every size, count and time of the transport.
+/// All sizes, counts and times of the transport.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Memory for what is read and written.
+    /// The memory for buffers.
     pub buffers: BufferLimits,
     /// Descriptors of the process.
     pub descriptors: DescriptorLimits,
-    /// How connections are accepted.
+    /// Accepting connections.
     pub accept: AcceptLimits,
     /// Connections of clients.
     pub clients: ClientLimits,
-    /// What requests may have in their fields, and how many may be open.
+    /// The valid range of request fields, and the number of open requests.
     pub requests: RequestLimits,
     /// Connections to caches, parents and the origin.
     pub upstreams: UpstreamLimits,
     /// Polls of the journal service.
     pub discovery: DiscoveryLimits,
-    /// The shutdown after SIGTERM.
+    /// The shutdown after a signal.
     pub shutdown: ShutdownLimits,
     /// The control socket.
     pub control: ControlLimits,
     /// Links with other sites.
     pub links: LinkLimits,
-    /// Log lines in a second, where the operator file has no other bound.
+    /// The maximum of log lines per second, unless the operator file sets another one.
     pub max_log_lines_per_second: u32,
 }
 
 impl Limits {
-    /// The limits of a process that may have `descriptors` of them, however many the platform promises.
-    /// `longest_wait_ms` is the longest that a client waits.
+    /// The limits of a process that may open at most `descriptors` descriptors, even if the platform promises
+    /// more. `longest_wait_ms` is the longest time that a client waits for an answer.
     pub(super) fn new(
         platform: PlatformLimits,
         descriptors: usize,
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The limits of a router that has links with other sites: their descriptors are taken in equal parts from clients
-    /// and from upstreams.
+    /// The limits of a router with links to other sites: the descriptors for links are taken in equal parts
+    /// from clients and upstreams.
     pub fn with_links(mut self) -> Self {
         let per_side = self.links.max_connections.div_ceil(2);
         for max_connections in [&mut self.clients.max_connections, &mut self.upstreams.max_connections] {
@@ -82,23 +82,23 @@
     }
 }
 
-/// The least memory that is assumed, in MiB.
+/// The minimum memory that is assumed, in MiB.
 const MIN_MEMORY_MB: f64 = 8.0;
 
-/// The share of the memory that buffers may take.
+/// The share of the memory that buffers may use.
 const BUFFER_MEMORY_RATIO: f64 = 0.5;
 
-/// The most buffer blocks that are kept for reuse.
+/// The maximum number of free buffer blocks that are retained for reuse.
 const MAX_FREE_BLOCKS: usize = 512;
 
-/// Memory for what is read and written.
+/// The memory for buffers.
 #[derive(Debug, Clone, Copy)]
 pub struct BufferLimits {
-    /// The size of a block.
+    /// The size of a buffer block.
     pub block_bytes: usize,
-    /// Free blocks that are kept for reuse.
+    /// The maximum number of free blocks that are retained for reuse.
     pub max_free_blocks: usize,
-    /// Blocks in use from which on clients are not read for a while.
+    /// The number of blocks in use at which reading from clients is paused.
     pub max_blocks_in_use: usize,
 }
 
@@ -111,21 +111,23 @@
     }
 }
 
-/// Descriptors on each side, clients and upstreams, that are left for everything else.
+/// Descriptors that each side, clients and upstreams, leaves for everything else.
 pub(super) const SPARE_DESCRIPTORS_PER_SIDE: usize = 16;
 
-/// What a process can't do without: its own descriptors, discovery, a client and a connection to a cache.
+/// The minimum that a process needs: its own descriptors, discovery, one client and one connection to a
+/// cache.
 pub(super) const MIN_DESCRIPTORS: usize = 12;
 
-/// The most descriptors in reserve.
+/// The maximum number of reserved descriptors.
 pub(super) const MAX_RESERVED_DESCRIPTORS: usize = 8;
 
 /// Descriptors of the process.
 #[derive(Debug, Clone, Copy)]
 pub struct DescriptorLimits {
-    /// How many there are, by the configuration and by the system.
+    /// The number of descriptors that both the configuration and the system allow.
     pub available: usize,
-    /// How many of them are reserved at the start, for what has to go on when all others are in use.
+    /// How many of them are reserved at startup, for connections that must succeed when all others are in
+    /// use.
     pub reserved: usize,
 }
 
@@ -135,20 +137,21 @@
         Self { available, reserved }
     }
 
-    /// How many are for clients, and as many for upstreams.
+    /// The number of descriptors for clients, which is also that for upstreams.
     fn per_side(self) -> usize {
         (self.available / 2).saturating_sub(SPARE_DESCRIPTORS_PER_SIDE).max(1)
     }
 }
 
-/// How connections are accepted.
+/// Accepting connections.
 #[derive(Debug, Clone, Copy)]
 pub struct AcceptLimits {
-    /// Connections that wait to be accepted.
+    /// The backlog of the listener: connections that wait to be accepted.
     pub backlog: i32,
-    /// Connections that are accepted in one turn, and idle ones that are closed in one turn for their descriptors.
+    /// The number of connections accepted per turn of the event loop, and of idle ones evicted per turn to
+    /// refill the descriptor reserve.
     pub max_per_turn: usize,
-    /// The pause after an accept that failed, on the control socket and on the listener of links.
+    /// The pause after a failed accept on the control socket or the listener of links.
     pub retry_pause_ms: Ms,
 }
 
@@ -161,37 +164,40 @@
 /// Connections of clients.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientLimits {
-    /// Connections at once.
+    /// The maximum number of connections.
     pub max_connections: usize,
-    /// Open requests on one connection, by the protocol.
+    /// The maximum number of open requests on one connection, set by the protocol.
     pub max_streams_per_connection: usize,
-    /// The longest frame, without its length.
+    /// The maximum size of a frame, without its length field.
     pub max_frame_bytes: usize,
-    /// Bytes that are read of one client before the others get their turn.
+    /// The maximum number of bytes read from one client before other clients get their turn.
     pub max_read_bytes_per_turn: usize,
-    /// Bytes that wait to be written to a client from which on it is not read.
+    /// The number of unwritten output bytes above which a client is not read.
     pub max_unwritten_bytes: usize,
-    /// Bytes that are read ahead of a client that is not read, to find cancellations.
+    /// The maximum number of bytes read ahead from a paused client to find cancellations.
     pub max_read_ahead_bytes: usize,
-    /// A client that was read within that time is not checked again for cancellations before something is sent for it.
+    /// A client that was read within this time is not checked again for cancellations before something is
+    /// sent for it.
     pub check_interval_ms: Ms,
-    /// How often all clients are checked for the timeouts.
+    /// The interval between checks of all clients for timeouts.
     pub sweep_interval_ms: Ms,
-    /// A client that takes none of its answers for so long is closed.
+    /// A client that reads none of its answers for this time is closed.
     pub write_stall_timeout_ms: Ms,
-    /// A client without requests and answers for so long is closed. Clients close idle connections earlier.
+    /// A client without requests and answers for this time is closed. Clients close idle connections earlier.
     pub idle_timeout_ms: Ms,
-    /// A new connection must have sent a request after that time; the protocol allows 3 s for closing it otherwise.
+    /// The time within which a new connection must send a request; the protocol allows 3 s for closing it
+    /// otherwise.
     pub first_request_timeout_ms: Ms,
-    /// A message that has begun must be complete after that time.
+    /// The time within which a partially received message must be complete.
     pub message_timeout_ms: Ms,
-    /// An idle connection keeps its descriptor for that time at least after it was accepted or answered.
-    pub displacement_grace_ms: Ms,
-    /// Requests that can't be used after which a client is closed.
+    /// An idle connection is not evicted for this time after it was accepted or answered.
+    pub eviction_grace_ms: Ms,
+    /// The number of invalid requests after which a client is closed.
     pub max_invalid_requests: u32,
-    /// How long the input of a client that is closed is still discarded, so that it receives its last answer.
+    /// How long the input of a closing client is still read and discarded, so that it receives its last
+    /// answer.
     pub linger_timeout_ms: Ms,
-    /// How much of its input is discarded.
+    /// The maximum number of input bytes that are discarded in this time.
     pub max_linger_bytes: usize,
 }
 
@@ -210,7 +216,7 @@
             idle_timeout_ms: 5_000.0,
             first_request_timeout_ms: 2_000.0,
             message_timeout_ms: 1_500.0,
-            displacement_grace_ms: 100.0,
+            eviction_grace_ms: 100.0,
             max_invalid_requests: 16,
             linger_timeout_ms: 500.0,
             max_linger_bytes: MIB,
@@ -218,22 +224,23 @@
     }
 }
 
-/// What a request may have in its fields, and how many may be open.
+/// The valid range of request fields, and the number of open requests.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestLimits {
-    /// Open requests of all clients.
+    /// The maximum number of open requests of all clients.
     pub max_open: usize,
-    /// The longest that a client may wait.
+    /// The longest time that a client may wait for an answer.
     pub max_wait_ms: Ms,
-    /// The part of a client's wait that the request and its answer spend on the network.
+    /// The part of a client's wait that is reserved for the transfer of the request and its answer over the
+    /// network.
     pub network_allowance_ms: Ms,
-    /// The largest object, in units of 1,000 bytes.
+    /// The maximum size of an object, in units of 1,000 bytes.
     pub max_size_kb: f64,
     /// The highest number of a part of an object.
     pub max_part: u32,
     /// The highest number of a group of objects.
     pub max_group: u32,
-    /// The longest body.
+    /// The maximum size of a request's body.
     pub max_body_bytes: usize,
 }
 
@@ -251,31 +258,32 @@
     }
 }
 
-/// One endpoint may take one part in so many of all descriptors.
+/// One endpoint may use at most this fraction, 1 divided by the value, of all descriptors.
 const ENDPOINT_DESCRIPTOR_DIVISOR: usize = 8;
 
-/// The part of the idle time after which connections are closed here, so that the cache does not close them first.
+/// The fraction of the caches' idle timeout after which the router closes connections, so that the cache does
+/// not close them first.
 const IDLE_TIMEOUT_RATIO: f64 = 0.8;
 
 /// Connections to caches, parents and the origin.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamLimits {
-    /// Connections to all endpoints.
+    /// The maximum number of connections to all endpoints.
     pub max_connections: usize,
-    /// Connections to one endpoint.
+    /// The maximum number of connections to one endpoint.
     pub max_connections_per_endpoint: usize,
-    /// Attempts on one connection.
+    /// The maximum number of open messages on one connection.
     pub max_streams_per_connection: usize,
-    /// The longest string of a reply.
+    /// The maximum size of a string in a reply.
     pub max_string_bytes: usize,
-    /// The system's send buffer of a connection.
+    /// The size of the system's send buffer of a connection.
     pub send_buffer_bytes: usize,
-    /// How long a connect may take, and how long a message may wait for its first byte to be written. Connects to other
-    /// sites have the same bound.
+    /// The timeout of a connect, and of a queued message until its first byte is written. Connects to other
+    /// sites have the same timeout.
     pub connect_timeout_ms: Ms,
-    /// How long the reply to a health check may take.
+    /// The timeout of a health check.
     pub health_check_timeout_ms: Ms,
-    /// A connection that was not used for so long is closed.
+    /// A connection that was not used for this time is closed.
     pub idle_timeout_ms: Ms,
 }
 
@@ -296,18 +304,19 @@
     }
 }
 
-/// Polls of the journal service. Two polls in a row may be lost before events that they would have brought are due.
+/// Polls of the journal service. The values allow two consecutive polls to fail before the events that they
+/// would have delivered are due.
 #[derive(Debug, Clone, Copy)]
 pub struct DiscoveryLimits {
-    /// How long the service may hold a poll back.
+    /// How long the service may delay the response to a poll.
     pub max_poll_wait_ms: Ms,
-    /// How much later the response may arrive.
+    /// How much later than that the response may arrive.
     pub response_grace_ms: Ms,
-    /// How long a connect may take.
+    /// The timeout of a connect.
     pub connect_timeout_ms: Ms,
-    /// The pause after a poll that failed.
+    /// The pause after a failed poll.
     pub retry_pause_ms: Ms,
-    /// The longest response.
+    /// The maximum size of a response.
     pub max_response_bytes: usize,
 }
 
@@ -323,23 +332,24 @@
     }
 }
 
-/// The longest wait of a client for which the platform delays the kill after SIGTERM.
+/// The platform delays the kill after SIGTERM by the longest wait of a client, but no more than this.
 const MAX_WAIT_BEFORE_KILL_MS: Ms = 3_000.0;
 
-/// A drain takes so much longer than the longest wait. The platform kills 700 ms after it.
+/// A drain may take this much longer than the longest wait. The platform kills the process 700 ms after that
+/// wait.
 const DRAIN_MARGIN_MS: Ms = 450.0;
 
-/// The most that [`ShutdownLimits::min_drain_ms`] may be. Requests arrive for up to 600 ms after SIGTERM.
+/// The upper limit of [`ShutdownLimits::min_drain_ms`]. Requests arrive for up to 600 ms after SIGTERM.
 const MAX_MIN_DRAIN_MS: Ms = 1_000.0;
 
-/// The shutdown after SIGTERM.
+/// The shutdown after a signal.
 #[derive(Debug, Clone, Copy)]
 pub struct ShutdownLimits {
-    /// A drain takes so long at least: requests may still arrive.
+    /// The minimum duration of a drain: requests may still arrive.
     pub min_drain_ms: Ms,
-    /// After that time open requests are answered as failed.
+    /// The maximum duration of a drain; open requests are then answered as failed.
     pub max_drain_ms: Ms,
-    /// How long the last answers may then take to be written.
+    /// How long writing the last answers may take after the drain.
     pub close_ms: Ms,
 }
 
@@ -353,11 +363,11 @@
 /// The control socket, and the evaluation of the operator file.
 #[derive(Debug, Clone, Copy)]
 pub struct ControlLimits {
-    /// Connections at once.
+    /// The maximum number of connections.
     pub max_connections: usize,
-    /// The longest request, and the most output of an evaluation of the operator file.
+    /// The maximum size of a request, and of the output of an evaluation of the operator file.
     pub max_message_bytes: usize,
-    /// How long a connection may take in all.
+    /// The timeout of a connection, from its accept to the end of its response.
     pub connection_timeout_ms: Ms,
 }
 
@@ -367,17 +377,17 @@
     }
 }
 
-/// Links may take one part in so many of all descriptors.
+/// Links may use at most this fraction, 1 divided by the value, of all descriptors.
 const LINK_DESCRIPTOR_DIVISOR: usize = 16;
 
 /// Links with other sites.
 #[derive(Debug, Clone, Copy)]
 pub struct LinkLimits {
-    /// Connections at once.
+    /// The maximum number of connections.
     pub max_connections: usize,
-    /// Bytes that are read or written at once.
+    /// The size of a single read or write.
     pub block_bytes: usize,
-    /// Bytes that are read of one connection before the others get their turn.
+    /// The maximum number of bytes read from one link before other links get their turn.
     pub max_read_bytes_per_turn: usize,
 }
 
--- a/crates/router/src/config/mod.rs
+++ b/crates/router/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! The configuration that `LB_CONFIG` names, and the limits of the transport that follow from it.
+//! The configuration file named by `LB_CONFIG`, and the transport limits derived from it.
 //!
-//! Nothing here decides about requests: the policy does that.
+//! The settings of routing decisions are decoded here, but interpreted only by the policy.
 
 mod error;
 mod limits;
@@ -18,65 +18,66 @@
 pub use limits::Limits;
 use limits::PlatformLimits;
 
-/// The file that `LB_CONFIG` names.
+/// The configuration file named by `LB_CONFIG`.
 #[derive(Debug, Deserialize)]
 #[serde(rename = "File")]
 pub struct ConfigFile {
-    /// The router's name.
+    /// The name of the router.
     pub name: String,
-    /// Where it accepts clients.
+    /// The address at which it accepts clients.
     #[serde(rename = "listen")]
     pub listen_address: SocketAddr,
-    /// In hexadecimal.
+    /// The seed of the policy, in hexadecimal.
     pub seed: String,
     #[serde(rename = "limits")]
     platform: PlatformLimits,
     /// The address of the journal service.
     #[serde(rename = "journal")]
     pub journal_address: SocketAddr,
-    /// The events of the journal that the router starts from.
+    /// The events of the journal that the router starts with.
     #[serde(rename = "known")]
     pub initial_events: EventPage,
     settings: serde_json::Value,
 }
 
 impl ConfigFile {
-    /// How many descriptors it promises.
+    /// The number of descriptors that the platform promises.
     pub fn promised_descriptors(&self) -> usize {
         self.platform.descriptors
     }
 }
 
-/// All that a router starts from.
+/// A decoded configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The file as it was read.
+    /// The fields of the file.
     pub file: ConfigFile,
-    /// The settings that the file has.
+    /// The settings in the file.
     pub settings: DecodedSettings,
     /// The seed of the policy.
     pub seed: u64,
-    /// The limits of the transport that follow from the file.
+    /// The transport limits derived from the file.
     pub limits: Limits,
 }
 
 impl Config {
-    /// Reads the configuration of a file.
+    /// Reads a configuration file.
     ///
     /// # Errors
     ///
-    /// A file that can't be read or used; the error names it.
+    /// The file can't be read or is invalid; the error names it.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read(path).map_err(ConfigError::Read);
         let config = text.and_then(|text| Self::decode(&text, descriptors::soft_limit()));
         config.map_err(|error| ConfigError::File { path: path.to_path_buf(), source: Box::new(error) })
     }
 
-    /// Decodes a configuration for a process that may have `descriptors` of them, however many it promises.
+    /// Decodes a configuration for a process that may open at most `descriptors` descriptors, even if the
+    /// configuration promises more.
     ///
     /// # Errors
     ///
-    /// A text that is no configuration, or a setting that can't be used.
+    /// The text is not a configuration, or a setting is invalid.
     pub fn decode(text: &[u8], descriptors: usize) -> Result<Self, ConfigError> {
         let file: ConfigFile = serde_json::from_slice(text).map_err(ConfigError::Format)?;
         let settings = serde_json::to_vec(&file.settings).map_err(ConfigError::Format)?;
@@ -88,9 +89,9 @@
         Ok(Self { file, settings, seed, limits })
     }
 
-    /// The digest by which routers compare their settings.
+    /// The digest of the settings, which routers compare with each other.
     pub fn settings_digest(&self) -> u64 {
-        // Objects are written in the order of their names.
+        // The serialization is deterministic: the fields of objects are written in the order of their names.
         xxhash_rust::xxh3::xxh3_64(self.file.settings.to_string().as_bytes())
     }
 
@@ -98,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// A changed setting that can't be used.
+    /// A changed setting is invalid.
     pub fn decode_changed_settings(
         &self,
         changes: &serde_json::Value,
--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -1,4 +1,5 @@
-//! Counters: what the router receives, sends and answers. They are for people only; no decision reads them.
+//! Counters of requests, attempts, answers and connections. They are only printed: no decision depends on
+//! them.
 
 use std::fmt;
 
@@ -8,7 +9,7 @@
 use crate::policy_adapter::{AttemptEnd, ShadowCounts};
 use crate::upstream::ResponsePayload;
 
-/// Declares a struct of numbers, each with the name that it is printed by.
+/// Declares a struct of numbers, each with its printed name.
 macro_rules! printed_counts {
     ($(#[$struct_about:meta])* $struct:ident { $($(#[$about:meta])* $name:ident: $type:ty = $printed:literal,)* }) => {
         $(#[$struct_about])*
@@ -18,7 +19,7 @@
         }
 
         impl fmt::Display for $struct {
-            /// ` name=count` for each, in their order.
+            /// Writes ` name=count` for each field, in the order of the declaration.
             fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
                 $(write!(f, concat!(" ", $printed, "={}"), self.$name)?;)*
                 Ok(())
@@ -28,64 +29,65 @@
 }
 
 printed_counts! {
-    /// Counts since the start.
+    /// Counters since the start.
     Counters {
-        /// Requests of clients.
+        /// Requests received from clients and other sites.
         requests: u64 = "taken_in",
-        /// Bytes of their bodies.
+        /// Bytes of the bodies of these requests.
         request_bytes: u64 = "taken_in_bytes",
-        /// Requests that their clients cancelled.
+        /// Requests cancelled by their clients.
         cancelled_requests: u64 = "given_up",
         /// Attempts sent to caches, parents and the origin.
         attempts: u64 = "sent",
-        /// Attempts that ended with the object.
+        /// Attempts answered with the object.
         ended_data: u64 = "ended_data",
-        /// Attempts that confirmed the client's copy.
+        /// Attempts answered with a confirmation of the client's copy.
         ended_not_modified: u64 = "ended_unchanged",
-        /// Attempts at caches that had no copy.
+        /// Attempts at caches without a copy.
         ended_cache_miss: u64 = "ended_absent",
         /// Attempts rejected for lack of capacity.
         ended_rejected: u64 = "ended_full",
-        /// Attempts that failed at the endpoint.
+        /// Attempts that the endpoint answered with an error.
         ended_failed: u64 = "ended_failed",
         /// Attempts cancelled at the endpoint before their execution began.
         ended_not_executed: u64 = "ended_moot",
         /// Attempts that timed out.
         ended_timed_out: u64 = "ended_timed_out",
-        /// Attempts that were not sent in full.
+        /// Attempts that were not sent completely.
         ended_not_sent: u64 = "ended_unreached",
-        /// Attempts whose connection was closed.
+        /// Attempts whose connection was closed after they were sent.
         ended_connection_lost: u64 = "ended_broken",
-        /// Attempts that were cancelled.
+        /// Attempts cancelled by the policy or for a client.
         ended_cancelled: u64 = "ended_cancelled",
         /// Requests that were served.
         served: u64 = "served",
-        /// Bytes of their answers.
+        /// Bytes of the bodies of served answers.
         served_bytes: u64 = "served_bytes",
         /// Requests that were rejected.
         rejected: u64 = "refused",
         /// Requests that failed.
         failed: u64 = "failed",
-        /// Requests that could not be used.
-        unusable: u64 = "unusable",
-        /// Requests that were cancelled in the batch of events that brought them.
+        /// Invalid requests.
+        invalid_requests: u64 = "unusable",
+        /// Requests that were cancelled before they were handled, in the same batch of events.
         withdrawn: u64 = "taken_back",
-        /// Connections of clients.
+                /// Accepted connections of clients.
         accepted_clients: u64 = "clients",
-        /// Of them, those broken off for a protocol error.
+        /// Connections of clients closed with a protocol error, time-outs and evictions included.
         malformed_clients: u64 = "malformed",
-        /// Of them, those broken off since nothing, or half a message, was received.
-        silent_clients: u64 = "silent",
-        /// Of them, idle ones closed in favour of others.
-        displaced_clients: u64 = "made_room",
-        /// Connections to caches.
+        /// Connections of clients closed because no request, or only a part of a message, was received in
+        /// time.
+        timed_out_clients: u64 = "silent",
+        /// Idle connections of clients closed in favour of others.
+        evicted_clients: u64 = "made_room",
+        /// Connects to caches, parents and the origin.
         upstream_connects: u64 = "connects",
-        /// Times that the configuration was read again.
+        /// Reloads of the configuration.
         reloads: u64 = "reloads",
         /// Events of the journal.
         watch_events: u64 = "journal_events",
-        /// Polls of the journal that were lost.
-        lost_polls: u64 = "journal_lost",
+        /// Failed polls of the journal service.
+        failed_polls: u64 = "journal_lost",
     }
 }
 
@@ -126,13 +128,13 @@
         }
     }
 
-    /// The same with what is counted where clients are connected.
+    /// Sets the counters that clients' connections maintain.
     pub fn with_connections(self, connections: ConnectionCounts) -> Self {
         Self {
             accepted_clients: connections.accepted,
             malformed_clients: connections.malformed,
-            silent_clients: connections.silent,
-            displaced_clients: connections.displaced,
+            timed_out_clients: connections.timed_out,
+            evicted_clients: connections.evicted,
             withdrawn: connections.withdrawn,
             ..self
         }
@@ -140,48 +142,49 @@
 }
 
 printed_counts! {
-    /// What the router has read of the journal.
+    /// The router's progress in the journal.
     DiscoveryCounts {
         /// The position in the journal.
         position: u64 = "journal_number",
-        /// Bytes that were received.
+        /// Bytes received from the journal service.
         bytes_in: u64 = "journal_bytes_in",
-        /// Bytes that were sent.
+        /// Bytes sent to the journal service.
         bytes_out: u64 = "journal_bytes_out",
     }
 }
 
 printed_counts! {
-    /// What the router holds at the time of the report.
+    /// The current numbers at the time of the report.
     Gauges {
         /// Connections of clients.
         clients: usize = "held_clients",
-        /// Endpoints.
+        /// Endpoints in the endpoint list.
         endpoints: usize = "held_caches",
         /// Connections to endpoints.
         upstream_connections: usize = "held_connections",
-        /// Requests without their final answer.
+        /// Requests without a final answer.
         open_requests: usize = "open",
         /// Attempts in flight.
         in_flight: usize = "out",
-        /// Blocks of buffers in use.
+        /// Buffer blocks in use.
         buffers: usize = "buffers",
     }
 }
 
-/// All counts of a router. It is printed as one line; what the operator file does not enable is left out.
+/// All counters of a router, printed as one line. Components that the operator file does not enable are left
+/// out.
 pub struct CounterReport<'a> {
-    /// Counts since the start.
+    /// Counters since the start.
     pub counters: Counters,
-    /// What was read of the journal.
+    /// The progress in the journal.
     pub discovery: DiscoveryCounts,
-    /// The state at the time of the report.
+    /// The current numbers at the time of the report.
     pub gauges: Gauges,
-    /// Counts of links with other sites.
+    /// The formatted counters of links to other sites.
     pub links: Option<String>,
-    /// Counts of the membership.
+    /// The cluster, which prints the counters of the membership.
     pub cluster: Option<&'a ClusterAdapter>,
-    /// Where the shadow policy would have decided otherwise.
+    /// How often the shadow policy's decisions differed.
     pub shadow: Option<ShadowCounts>,
 }
 
--- a/crates/router/src/discovery/client.rs
+++ b/crates/router/src/discovery/client.rs
@@ -1,6 +1,6 @@
-//! Long polls of the journal service, one after the other over HTTP/1.1.
+//! Long polls of the journal service over HTTP/1.1, one at a time.
 //!
-//! A poll that fails is repeated from the last position received, so that no event is lost.
+//! A failed poll is repeated from the position of the last event received, so that no event is lost.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -39,7 +39,7 @@
     output: BufferChain,
 }
 
-/// The client of the journal service.
+/// A client of the journal service.
 pub struct DiscoveryClient<W: EventHandler> {
     limits: Limits,
     buffers: BufferPool,
@@ -49,8 +49,8 @@
     position: u64,
     state: PollState,
     connection: Option<Connection>,
-    /// Polls that failed.
-    pub lost: u64,
+    /// The number of failed polls.
+    pub failed_polls: u64,
     pub bytes_in: u64,
     pub bytes_out: u64,
     last_response: Ms,
@@ -74,23 +74,25 @@
             position,
             state: PollState::Idle { next_poll: 0.0 },
             connection: None,
-            lost: 0,
+            failed_polls: 0,
             bytes_in: 0,
             bytes_out: 0,
             last_response: 0.0,
         }
     }
 
-    /// Polls another address from now on. A response that is incomplete is requested again.
+    /// Polls another address from now on. A partially received response is requested again.
     ///
-    /// The poll in flight is dropped: the old address may hold it back long after the new one has events.
+    /// The poll in flight is dropped: the old service may delay its response long after the new one has
+    /// events.
     pub fn set_address(&mut self, now: Ms, address: SocketAddr) {
         self.address = address;
         self.drop_connection();
         self.state = PollState::Idle { next_poll: now };
     }
 
-    /// Until when it is no failure that nothing is received: the service may hold a poll back for so long.
+    /// The time until which it is normal to receive nothing, in milliseconds: the service may delay the
+    /// response to a poll for so long.
     pub fn silence_allowed_until(&self) -> Ms {
         self.last_response + self.limits.discovery.max_poll_wait_ms + self.limits.discovery.response_grace_ms
     }
@@ -100,7 +102,7 @@
         self.position
     }
 
-    /// When [`Self::on_timer`] is due.
+    /// The time, in milliseconds, at which [`Self::on_timer`] has work.
     pub fn next_deadline(&self) -> Ms {
         match self.state {
             PollState::Idle { next_poll } => next_poll,
@@ -113,7 +115,7 @@
             PollState::Idle { next_poll } if now >= next_poll => self.poll(now),
             PollState::Polling { deadline } if now >= deadline => {
                 let up = self.connection.as_ref().is_some_and(|connection| connection.up);
-                self.fail_poll(now, if up { "no answer in time" } else { "not up in time" });
+                self.fail_poll(now, if up { "response timed out" } else { "connect timed out" });
             }
             _ => {}
         }
@@ -122,7 +124,7 @@
     fn poll(&mut self, now: Ms) {
         self.await_response(now);
         if self.connection.is_none() {
-            // A connect is not held back by the service, so its deadline is shorter.
+            // The service does not delay a connect as it does a response, so the deadline is shorter.
             self.state = PollState::Polling { deadline: now + self.limits.discovery.connect_timeout_ms };
             match self.connect() {
                 Ok(connection) => self.connection = Some(connection),
@@ -152,10 +154,10 @@
         Ok(Connection { stream, token, up: false, input, output })
     }
 
-    /// Ends the poll in flight; the next one starts from the same position after a pause.
+    /// Ends the poll in flight as failed; the next one starts from the same position after a pause.
     fn fail_poll(&mut self, now: Ms, reason: &str) {
-        self.lost += 1;
-        log_line!("journal: poll from {} lost: {reason}", self.position);
+        self.failed_polls += 1;
+        log_line!("journal: poll from position {} failed: {reason}", self.position);
         self.drop_connection();
         self.state = PollState::Idle { next_poll: now + self.limits.discovery.retry_pause_ms };
     }
@@ -178,7 +180,7 @@
         }
     }
 
-    /// Continues after the connection became ready, and returns the events received.
+    /// Reads and writes the connection after it became ready; returns the events received.
     pub fn on_ready(&mut self, now: Ms, readiness: Readiness) -> Vec<WatchEvent> {
         let writable = readiness.writable || readiness.error;
         if !self.finish_connect(now, writable) {
@@ -191,11 +193,11 @@
         let mut failure = None;
         while failure.is_none() {
             match connection.input.read_from(&*connection.stream) {
-                Ok(0) => failure = Some("closed".to_string()),
+                Ok(0) => failure = Some("closed by the service".to_string()),
                 Ok(n) => {
                     self.bytes_in += n as u64;
                     if connection.input.len() > self.limits.discovery.max_response_bytes {
-                        failure = Some("an answer of such a length".to_string());
+                        failure = Some("response is longer than the limit".to_string());
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => break,
@@ -209,7 +211,7 @@
             Ok(Some(page)) => {
                 self.state = PollState::Idle { next_poll: now };
                 self.last_response = now;
-                // Events that were received before do not count twice.
+                // Events that were already received are dropped.
                 events = page.events.into_iter().filter(|event| event.position > self.position).collect();
                 self.position = self.position.max(page.position);
             }
@@ -223,7 +225,7 @@
         events
     }
 
-    /// Notes that a connect has succeeded; false where it has failed.
+    /// Completes a connect in progress; returns false if it has failed.
     fn finish_connect(&mut self, now: Ms, writable: bool) -> bool {
         let connecting = self.connection.as_mut().filter(|connection| !connection.up && writable);
         let Some(connection) = connecting else { return true };
--- a/crates/router/src/discovery/event.rs
+++ b/crates/router/src/discovery/event.rs
@@ -1,6 +1,6 @@
-//! Events of the journal service, as they are written in its responses and in the configuration.
+//! Events of the journal service, in its responses and in the configuration.
 //!
-//! The names of the service's fields are mapped to the router's terms here.
+//! The field names of the service are mapped to the router's terms here.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -14,20 +14,21 @@
 use crate::log::log_line;
 use crate::policy_adapter::{EndpointInfo, ListedState, Ms, PolicyInput};
 
-/// Events up to a position of the journal.
+/// A page of events, up to a position of the journal.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EventPage {
     /// The position of the last event.
     #[serde(rename = "pos")]
     pub position: u64,
-    /// The events in their order, without those that can't be decoded.
+    /// The events in the order of the journal, without those that can't be decoded.
     #[serde(rename = "entries", deserialize_with = "readable_events")]
     pub events: Vec<WatchEvent>,
 }
 
-/// Skips single events that can't be read: failing the poll would block all later events.
+/// Skips single events that can't be decoded: failing the poll would block all later events.
 ///
-/// Events are decoded one by one, since a list of JSON values takes some twenty times the memory of its text.
+/// Events are decoded one by one, since a list of JSON values takes about twenty times the memory of its
+/// text.
 fn readable_events<'a, D: Deserializer<'a>>(from: D) -> Result<Vec<WatchEvent>, D::Error> {
     from.deserialize_seq(EventVisitor)
 }
@@ -46,15 +47,15 @@
         while let Some(event) = events.next_element::<&RawValue>()? {
             match decode_event(event) {
                 Ok(event) => decoded.push(event),
-                Err(error) => log_line!("journal: an event: {error}"),
+                Err(error) => log_line!("journal: skipping an event that can't be decoded: {error}"),
             }
         }
         Ok(decoded)
     }
 }
 
-/// Decodes an event. Of a name that occurs twice the last one counts, which only the decoding by way of a JSON value
-/// supports.
+/// Decodes an event. If a field occurs twice, its last value is used; only decoding through a JSON value
+/// supports this.
 fn decode_event(event: &RawValue) -> serde_json::Result<WatchEvent> {
     serde_json::from_str(event.get())
         .or_else(|_| serde_json::from_str::<Value>(event.get()).and_then(serde_json::from_value))
@@ -63,27 +64,27 @@
 /// A change of the endpoint list, a purge, or a change of the hierarchy.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WatchEvent {
-    /// Its position in the journal.
+    /// The position of the event in the journal.
     #[serde(rename = "pos")]
     pub position: u64,
-    /// A change of the endpoint list.
+    /// An update of the endpoint list.
     #[serde(default, rename = "hosts")]
     pub endpoints: Option<EndpointUpdate>,
     /// A purge.
     #[serde(default, rename = "expire")]
     pub purge: Option<PurgeEvent>,
-    /// A change of the hierarchy. Only an extended journal service publishes these.
+    /// A batch of hierarchy changes. Only an extended journal service publishes these.
     #[serde(default, rename = "shape")]
     pub hierarchy_batch: Option<BatchSpec>,
 }
 
-/// The endpoint list, or changes of it.
+/// A snapshot of the endpoint list, or changes to it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointUpdate {
-    /// Whether endpoints that are not listed were removed.
+    /// Whether this is a snapshot: endpoints without an entry are removed.
     #[serde(default, rename = "all")]
     pub is_complete: bool,
-    /// The endpoints that are listed, or that have changed.
+    /// The endpoints of the snapshot, or those that have changed.
     #[serde(default, rename = "targets")]
     pub entries: Vec<EndpointEntry>,
 }
@@ -91,9 +92,9 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, Deserialize)]
 pub struct EndpointEntry {
-    /// The name of the endpoint, the same at all routers.
+    /// The name of the endpoint, identical at all routers.
     pub uid: String,
-    /// Where it accepts connections, if the list says so.
+    /// The address at which it accepts connections, if the list has it.
     #[serde(default, rename = "endpoint")]
     pub address: Option<SocketAddr>,
     #[serde(default, rename = "az")]
@@ -119,13 +120,13 @@
     Removed,
 }
 
-/// Copies of an object, or of a group of objects, that were made before a time are out of date.
+/// A purge: cached copies of an object, or of a group of objects, from before a time are out of date.
 #[derive(Debug, Clone, Deserialize)]
 pub struct PurgeEvent {
-    /// In hexadecimal; `None` for all objects of the group.
+    /// The object in hexadecimal; `None` for all objects of the group.
     #[serde(default, rename = "name")]
     pub object: Option<String>,
-    /// The group of objects, where no object is named.
+    /// The group of objects, if no object is named.
     #[serde(default, rename = "set")]
     pub group: u32,
     /// In Unix milliseconds.
@@ -134,7 +135,7 @@
 }
 
 impl EndpointUpdate {
-    /// The update as it is reported to the policy.
+    /// The update as an input of the policy.
     pub fn policy_input(&self) -> PolicyInput {
         PolicyInput::Endpoints {
             complete: self.is_complete,
@@ -144,27 +145,27 @@
 }
 
 impl EndpointEntry {
-    /// Whether it takes new requests.
+    /// Whether the endpoint accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// Whether it is no longer in use.
+    /// Whether the endpoint was removed from the list.
     pub fn is_removed(&self) -> bool {
         self.state == EndpointState::Removed
     }
 
-    /// Marks it as draining, whatever the list has.
+    /// Marks the endpoint as draining, regardless of its state in the list.
     pub fn mark_draining(&mut self) {
         self.state = EndpointState::Draining;
     }
 
-    /// When it started, in Unix milliseconds.
+    /// When the endpoint started, in Unix milliseconds.
     pub fn started_at(&self) -> Ms {
         self.started_at
     }
 
-    /// The entry as it is reported to the policy.
+    /// The entry in the policy's terms.
     pub fn endpoint_info(&self) -> EndpointInfo {
         EndpointInfo {
             uid: self.uid.clone(),
@@ -183,7 +184,7 @@
 }
 
 impl PurgeEvent {
-    /// The purge as it is reported to the policy; `None` if the object's name is not hexadecimal.
+    /// The purge as an input of the policy; `None` if the object is not hexadecimal.
     pub fn policy_input(&self) -> Option<PolicyInput> {
         let object = match &self.object {
             Some(name) => Some(u64::from_str_radix(name, 16).ok()?),
--- a/crates/router/src/discovery/http.rs
+++ b/crates/router/src/discovery/http.rs
@@ -1,4 +1,4 @@
-//! HTTP responses of the journal service.
+//! Parsing of the journal service's HTTP responses.
 
 use std::fmt;
 
@@ -6,13 +6,13 @@
 
 use super::event::EventPage;
 
-/// Why a response can't be used.
+/// Why a response is invalid.
 #[derive(Debug)]
 pub enum ResponseError {
     Http(httparse::Error),
-    /// Another status than 200; 0 where there is none.
+    /// A status other than 200; 0 if there is none.
     Status(u16),
-    /// Neither chunked nor with a length.
+    /// Neither chunked nor with a content length.
     UnknownLength,
     ChunkSize,
     ChunkTooLarge,
@@ -24,11 +24,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Http(error) => error.fmt(f),
-            Self::Status(status) => write!(f, "status {status}"),
-            Self::UnknownLength => f.write_str("an answer of unknown length"),
-            Self::ChunkSize => f.write_str("a chunk of no size"),
-            Self::ChunkTooLarge => f.write_str("a chunk of such a size"),
-            Self::ChunkEnd => f.write_str("a chunk without its end"),
+            Self::Status(status) => write!(f, "unexpected status {status}, expected 200"),
+            Self::UnknownLength => f.write_str("response has neither a content length nor chunks"),
+            Self::ChunkSize => f.write_str("chunk has an invalid size"),
+            Self::ChunkTooLarge => f.write_str("chunk is too large"),
+            Self::ChunkEnd => f.write_str("chunk is not terminated by CRLF"),
             Self::Json(error) => error.fmt(f),
         }
     }
@@ -44,11 +44,11 @@
     }
 }
 
-/// Removes a response from `input` once it is complete, and returns its events.
+/// Decodes a response and removes it from `input`; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// A response that can't be read, or of another status than 200.
+/// A malformed response, or one with a status other than 200.
 pub fn decode_response(input: &mut BufferChain) -> Result<Option<EventPage>, ResponseError> {
     if input.is_empty() {
         return Ok(None);
@@ -86,7 +86,7 @@
     Ok(Some(page))
 }
 
-/// The body of a chunked response and the bytes that it took, once it is complete.
+/// The body of a chunked response and its encoded size in bytes; `None` while it is incomplete.
 fn decode_chunks(bytes: &[u8]) -> Result<Option<(Vec<u8>, usize)>, ResponseError> {
     let (mut body, mut offset) = (Vec::new(), 0);
     loop {
--- a/crates/router/src/discovery/mod.rs
+++ b/crates/router/src/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Discovery: the endpoint list, purges and changes of the hierarchy, as the journal service publishes them.
+//! Discovery: the endpoint list, purges and hierarchy changes that the journal service publishes.
 //!
 //! - [`client`]: long polls to the service;
-//! - [`http`]: its HTTP responses;
-//! - [`event`]: its events, in responses and in the configuration.
+//! - [`http`]: parsing its HTTP responses;
+//! - [`event`]: its events, as they are written in responses and in the configuration.
 
 pub mod client;
 pub mod event;
--- a/crates/router/src/downstream/codec.rs
+++ b/crates/router/src/downstream/codec.rs
@@ -1,10 +1,10 @@
-//! The frames of clients: bytes to messages and back. What is not well formed is an error.
+//! Encoding and decoding of the frames between clients and the router. Malformed frames are errors.
 
 use std::fmt;
 
 use crate::buffers::{BufferChain, BufferPool};
 
-/// The types of frames.
+/// The frame types on the wire.
 mod frame_type {
     pub const REQUEST: u8 = 65;
     pub const ANSWER: u8 = 66;
@@ -14,7 +14,7 @@
     pub const GO_AWAY: u8 = 90;
 }
 
-/// Bytes of the length field, and of the type and stream behind it.
+/// The size in bytes of the length field, and of the type and stream fields that follow it.
 const LENGTH: usize = 4;
 const HEAD: usize = 5;
 
@@ -34,7 +34,7 @@
     Failed = 3,
 }
 
-/// Names and values in the order of the frame.
+/// Named fields, in the order of the frame.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fields(Vec<(String, String)>);
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// How a frame breaks the protocol; the text is sent to the client.
+/// How a frame violates the protocol. The text is part of the protocol: it is sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FrameError {
     Length,
@@ -80,16 +80,17 @@
 
 impl std::error::Error for FrameError {}
 
-/// The start of a frame.
+/// The decoded head of a frame.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrameHead {
-    /// Bytes of the whole frame.
+    /// The size of the complete frame, in bytes.
     pub length: usize,
-    /// The stream that it cancels, if it does.
+    /// The stream that the frame cancels, if it is a cancellation.
     pub cancels: Option<u32>,
 }
 
-/// The head of the frame at `offset` in `input`; `None` where it is incomplete or its length is invalid.
+/// The head of the frame at `offset` in `input`; `None` if it is incomplete or its length is invalid.
+/// `max_frame` is as for [`decode`].
 pub fn peek_head(input: &BufferChain, offset: usize, max_frame: usize) -> Option<FrameHead> {
     let mut head = [0; LENGTH + HEAD];
     if input.peek_at(offset, &mut head) < head.len() {
@@ -104,11 +105,12 @@
     Some(FrameHead { length: LENGTH + length, cancels })
 }
 
-/// Removes one message from `input` once it is complete; `max_frame` is in bytes, without the length field.
+/// Decodes one message and removes it from `input`; `None` while it is incomplete. `max_frame` is the longest
+/// frame in bytes, without its length field.
 ///
 /// # Errors
 ///
-/// A frame that breaks the protocol.
+/// A frame that violates the protocol.
 pub fn decode(input: &mut BufferChain, max_frame: usize) -> Result<Option<ClientMessage>, FrameError> {
     let mut head = [0; LENGTH + HEAD];
     let seen = input.peek(&mut head);
@@ -170,7 +172,7 @@
     String::from_utf8(payload.split_to(size).to_vec()).map_err(|_| FrameError::FieldNotText)
 }
 
-/// Encodes the final answer of a stream; on stream 0, an error of the connection.
+/// Encodes the final answer of a stream, or on stream 0 an error of the connection.
 pub fn encode_answer(
     pool: &BufferPool,
     stream: u32,
--- a/crates/router/src/downstream/connection.rs
+++ b/crates/router/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! The connection of one client.
+//! The state of one client's connection.
 
 use std::collections::{BTreeSet, HashMap};
 use std::io;
@@ -15,27 +15,29 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ConnectionPhase {
     Open,
-    /// No more messages are read; the rest of the output is written first.
+    /// No more messages are read; the remaining output is being written.
     Closing,
-    /// All is written, and the writing side is shut down. What the client still sends is discarded, since a reset would
-    /// discard the last answers.
+    /// All output is written, and the write side is shut down. Further input is read and discarded: closing
+    /// with unread input would send a reset, by which the client could lose the last answers.
     Lingering {
         until: Ms,
-        /// Bytes that are still discarded.
+        /// The number of bytes that may still be discarded before the connection is closed.
         bytes: usize,
     },
 }
 
-/// The streams that were used on a connection, in bounded memory: far below the highest ones all count as used.
+/// The streams that were used on a connection, in bounded memory: all streams far below the highest ones
+/// count as used.
 #[derive(Debug, Default)]
 pub(super) struct UsedStreams {
-    /// All up to this one.
+    /// All streams up to this one are used.
     up_to: u32,
     above: BTreeSet<u32>,
 }
 
 impl UsedStreams {
-    /// Marks a stream as used; false where it was used before. At most `max_tracked` single streams are remembered.
+    /// Marks a stream as used; returns false if it was already used. At most `max_tracked` streams are
+    /// tracked individually.
     pub fn insert(&mut self, stream: u32, max_tracked: usize) -> bool {
         if stream <= self.up_to || !self.above.insert(stream) {
             return false;
@@ -56,28 +58,28 @@
     pub stream: Rc<TcpStream>,
     pub token: RegistrationToken,
     pub input: BufferChain,
-    /// Bytes of the input that were searched for cancellations while reading is paused.
+    /// The number of input bytes that were already scanned for cancellations while reading is paused.
     pub scanned: usize,
     pub output: BufferChain,
     /// Open requests by stream.
     pub open: HashMap<u32, Ticket>,
     pub streams: UsedStreams,
     pub accepted_at: Ms,
-    /// When a message was last received or something was sent.
+    /// When a message was last received or bytes were last sent.
     pub last_used: Ms,
-    /// When all that had arrived was last read.
+    /// When the connection was last read until it would block or the read-ahead limit was reached.
     pub last_read: Ms,
-    /// Since when a message has been incomplete.
+    /// Since when a message has been partially received.
     pub partial_since: Option<Ms>,
-    /// A request or readiness check of it was answered.
-    pub proven: bool,
-    /// Requests that could not be used.
+    /// Whether a request or readiness check of this client was answered.
+    pub has_been_answered: bool,
+    /// The number of invalid requests.
     pub invalid_requests: u32,
     pub phase: ConnectionPhase,
 }
 
 impl ClientConnection {
-    /// A connection that was just accepted.
+    /// Creates the state of a connection that was just accepted.
     pub fn new(stream: Rc<TcpStream>, token: RegistrationToken, buffers: &BufferPool, now: Ms) -> Self {
         Self {
             stream,
@@ -91,31 +93,31 @@
             last_used: now,
             last_read: now,
             partial_since: None,
-            proven: false,
+            has_been_answered: false,
             invalid_requests: 0,
             phase: ConnectionPhase::Open,
         }
     }
 
-    /// Whether its messages are read.
+    /// Whether its messages are still read.
     pub fn is_open(&self) -> bool {
         self.phase == ConnectionPhase::Open
     }
 
-    /// Whether nothing is lost for the client where its connection is closed.
+    /// Whether the connection can be closed without losing an answer.
     pub fn is_idle(&self) -> bool {
         !self.is_open() || (self.open.is_empty() && self.output.is_empty())
     }
 
-    /// Whether its connection has ended, though something that it sent before may still be to be read.
-    fn has_ended(&self) -> bool {
+    /// Whether the client has closed the connection, even if earlier input is still unread.
+    fn is_closed_by_client(&self) -> bool {
         let mut fds = [PollFd::new(&*self.stream, PollFlags::RDHUP)];
         let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
         let ends = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
         poll(&mut fds, Some(&no_wait)).is_ok() && fds[0].revents().intersects(ends)
     }
 
-    /// Reads ahead until the input holds `max_input` bytes. True where the connection has ended.
+    /// Reads until the input holds `max_input` bytes; returns true if the client has closed the connection.
     pub fn read_ahead(&mut self, max_input: usize) -> bool {
         while self.input.len() < max_input {
             match self.input.read_from(&*self.stream) {
@@ -126,6 +128,6 @@
                 Err(_) => return true,
             }
         }
-        self.has_ended()
+        self.is_closed_by_client()
     }
 }
--- a/crates/router/src/downstream/drain.rs
+++ b/crates/router/src/downstream/drain.rs
@@ -11,7 +11,7 @@
 use super::{ClientEvent, ClientId, Downstreams};
 
 impl<W: EventHandler> Downstreams<W> {
-    /// From here on every client, also one that is accepted later, is asked to send nothing new.
+    /// Sends every client, also those accepted later, a go-away: it should send no new requests.
     pub fn begin_drain(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         self.draining = true;
         let ids: Vec<ClientId> = self.clients.keys().copied().collect();
@@ -23,22 +23,24 @@
         }
     }
 
-    /// Whether every answer has been written, and no client waits to be accepted or read, or has sent a part of a message.
-    pub fn is_settled(&self) -> bool {
-        let is_settled =
+    /// Whether every answer is written, no client is waiting to be accepted or read, and no message is
+    /// partially received.
+    pub fn has_no_pending_work(&self) -> bool {
+        let has_no_pending_work =
             |client: &ClientConnection| client.output.is_empty() && client.partial_since.is_none();
-        !self.accept_pending && self.paused.is_empty() && self.clients.values().all(is_settled)
+        !self.accept_pending && self.paused.is_empty() && self.clients.values().all(has_no_pending_work)
     }
 
-    /// Reads all that has arrived, from every client.
+    /// Reads all received input, from every client.
     pub fn read_all(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         for id in self.sorted_ids() {
             self.read(now, id, events);
         }
     }
 
-    /// Closes the connections without open requests: the rest of the output is written, and what the client still sends is
-    /// discarded, since a reset would discard the last answers. A client that has sent a part of a message may finish it.
+    /// Starts to close the connections without open requests: the remaining output is written, and further
+    /// input is discarded, since a reset could lose the last answers. A client that has sent a part of a
+    /// message may finish it.
     pub fn close_finished(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         let is_finished = |client: &ClientConnection| {
             client.is_open() && client.open.is_empty() && client.partial_since.is_none()
@@ -53,14 +55,14 @@
         }
     }
 
-    /// Closes the remaining connections; a client with an incomplete message is sent an error.
+    /// Shuts down the remaining connections; a client with a partially received message is sent an error.
     pub fn close_all(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         for id in self.sorted_ids() {
             if self.clients.get(&id).is_some_and(|client| client.partial_since.is_some()) {
-                self.break_off(now, id, ProtocolError::PartialMessageAtShutdown, events);
+                self.close_with_error(now, id, ProtocolError::PartialMessageAtShutdown, events);
             }
             if let Some(client) = self.clients.get(&id) {
-                // The shutdown fails where the client has ended the connection.
+                // The shutdown fails if the client has closed the connection; that is not an error here.
                 let _ = client.stream.shutdown(Shutdown::Write);
             }
         }
--- a/crates/router/src/downstream/listener.rs
+++ b/crates/router/src/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting connections of clients, and closing idle ones where there are too many.
+//! Accepting connections of clients, and evicting idle ones when there are too many.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,21 +15,21 @@
 use super::protocol_error::ProtocolError;
 use super::{ClientEvent, ClientId, Downstreams};
 
-/// What follows an accept that failed.
+/// How to continue after a failed accept.
 enum AfterAcceptError {
     AcceptNext,
-    /// All that waited were accepted.
-    NoneWaits,
-    /// The listener is disabled until the next sweep.
+    /// No connection is waiting.
+    NoneWaiting,
+    /// Disable the listener until the next sweep.
     Pause,
 }
 
 impl<W: EventHandler> Downstreams<W> {
-    /// Listens at an address; the one that it got is returned, since port 0 stands for any.
+    /// Listens at an address; returns the bound address, which differs from it for port 0.
     ///
     /// # Errors
     ///
-    /// Errors of the system, among them an address in use.
+    /// Errors of the system, for example an address in use.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = sockets::listen(address, self.limits.accept.backlog)?;
         let address = listener.local_addr()?;
@@ -38,18 +38,18 @@
         Ok(address)
     }
 
-    /// Accepts a bounded number of connections; false where no more can be accepted for now.
+    /// Accepts a bounded number of connections; returns false if no more can be accepted for now.
     ///
-    /// Each is read at once, so that one with a request is not taken for an idle one.
+    /// Each is read at once, so that a connection with a request does not count as idle.
     pub fn accept(&mut self, now: Ms, listener: &TcpListener, events: &mut Vec<ClientEvent>) -> bool {
         self.accept_pending = true;
-        // The reserve of descriptors is refilled first.
+        // The descriptor reserve takes precedence over new clients.
         if !self.refill_reserve(now, events) && !self.clients.is_empty() {
             self.accept_paused = true;
             return false;
         }
         for _ in 0..self.limits.accept.max_per_turn {
-            if self.clients.len() >= self.max_clients && !self.displace_idle(now, events) {
+            if self.clients.len() >= self.max_clients && !self.evict_idle(now, events) {
                 self.accept_paused = true;
                 return false;
             }
@@ -57,7 +57,7 @@
                 Ok((stream, _)) => stream,
                 Err(error) => match self.on_accept_error(now, &error) {
                     AfterAcceptError::AcceptNext => continue,
-                    AfterAcceptError::NoneWaits => {
+                    AfterAcceptError::NoneWaiting => {
                         self.accept_pending = false;
                         return true;
                     }
@@ -69,7 +69,7 @@
             };
             match self.add_client(now, stream) {
                 Ok(id) => self.read(now, id, events),
-                Err(error) => log_line!(reason = %error, "a client could not be taken in"),
+                Err(error) => log_line!(reason = %error, "accepting a client failed"),
             }
         }
         true
@@ -77,22 +77,23 @@
 
     fn on_accept_error(&mut self, now: Ms, error: &io::Error) -> AfterAcceptError {
         match error.kind() {
-            io::ErrorKind::WouldBlock => return AfterAcceptError::NoneWaits,
-            // The client has closed the connection before it was accepted.
+            io::ErrorKind::WouldBlock => return AfterAcceptError::NoneWaiting,
+            // The client closed the connection before it was accepted.
             io::ErrorKind::ConnectionAborted => return AfterAcceptError::AcceptNext,
             io::ErrorKind::Interrupted => return AfterAcceptError::AcceptNext,
             _ => {}
         }
         if is_out_of_descriptors(error) && !self.clients.is_empty() {
-            // There are fewer descriptors than configured: from here on idle clients are closed for new ones.
-            if self.short_since.is_none() {
+            // Fewer descriptors are available than configured: from now on idle clients are evicted for new
+            // ones.
+            if self.descriptors_short_since.is_none() {
                 log_line!("accept: {error}");
             }
             self.max_clients = self.clients.len();
-            self.short_since = Some(now);
+            self.descriptors_short_since = Some(now);
             return AfterAcceptError::AcceptNext;
         }
-        // Without the pause the next accept would fail at once, and the loop would spin.
+        // Without the pause, the next accept would fail immediately and the event loop would spin.
         log_line!("accept: {error}");
         AfterAcceptError::Pause
     }
@@ -114,24 +115,24 @@
         Ok(id)
     }
 
-    /// Closes the least useful idle connection: one that is closing, one that never asked anything, or the one that has
-    /// been idle for longest. One with an incomplete message comes last, and is answered with an error. False where none
-    /// may be closed.
+    /// Closes an idle connection to free its descriptor: preferably one that is closing, then one without any
+    /// answered request, then the one that has been idle longest. A connection with a partially received
+    /// message is chosen last, and gets an error. Returns false if no connection was freed.
     ///
-    /// Connections that were just accepted or answered are spared, since their request may be on its way. What has arrived
-    /// from the chosen one is read first: a close would leave it without an answer.
-    fn displace_idle(&mut self, now: Ms, events: &mut Vec<ClientEvent>) -> bool {
+    /// Connections that were just accepted or answered are spared, since their next request may be in
+    /// transit. The chosen connection is read first, so that a request that has arrived is not lost.
+    fn evict_idle(&mut self, now: Ms, events: &mut Vec<ClientEvent>) -> bool {
         loop {
-            let Some(id) = self.least_useful_idle(now) else { return false };
+            let Some(id) = self.eviction_candidate(now) else { return false };
             self.read(now, id, events);
             let Some(client) = self.clients.get(&id) else { return true };
-            if !self.may_be_displaced(now, &id, client) {
+            if !self.may_be_evicted(now, &id, client) {
                 continue;
             }
-            self.counts.displaced += 1;
+            self.counts.evicted += 1;
             if client.partial_since.is_some() {
-                // Its descriptor is free only after it had the time to take the error.
-                self.break_off(now, id, ProtocolError::PartialMessageDisplaced, events);
+                // Its descriptor is freed only after the error was written and the linger time is over.
+                self.close_with_error(now, id, ProtocolError::PartialMessageEvicted, events);
                 return false;
             }
             self.remove(id, events);
@@ -139,21 +140,22 @@
         }
     }
 
-    fn least_useful_idle(&self, now: Ms) -> Option<ClientId> {
-        let usefulness =
-            |client: &ClientConnection| (client.partial_since.is_some(), client.is_open(), client.proven);
-        let candidates = self.clients.iter().filter(|(id, client)| self.may_be_displaced(now, id, client));
-        let least_useful = candidates.min_by(|(_, a), (_, b)| {
-            usefulness(a).cmp(&usefulness(b)).then(a.last_used.total_cmp(&b.last_used))
-        });
-        least_useful.map(|(id, _)| *id)
+    fn eviction_candidate(&self, now: Ms) -> Option<ClientId> {
+        let priority = |client: &ClientConnection| {
+            (client.partial_since.is_some(), client.is_open(), client.has_been_answered)
+        };
+        let candidates = self.clients.iter().filter(|(id, client)| self.may_be_evicted(now, id, client));
+        let candidate = candidates
+            .min_by(|(_, a), (_, b)| priority(a).cmp(&priority(b)).then(a.last_used.total_cmp(&b.last_used)));
+        candidate.map(|(id, _)| *id)
     }
 
-    /// Closes a bounded number of idle connections until the reserve of descriptors is complete; whether it is.
+    /// Evicts a bounded number of idle connections until the descriptor reserve is complete; returns whether
+    /// it is.
     pub(super) fn refill_reserve(&mut self, now: Ms, events: &mut Vec<ClientEvent>) -> bool {
         let mut closed = 0;
         while !self.reserve.refill() {
-            if closed == self.limits.accept.max_per_turn || !self.displace_idle(now, events) {
+            if closed == self.limits.accept.max_per_turn || !self.evict_idle(now, events) {
                 return false;
             }
             closed += 1;
@@ -161,9 +163,10 @@
         true
     }
 
-    /// Whether it has been idle for as long as a request of it may take to arrive.
-    fn may_be_displaced(&self, now: Ms, id: &ClientId, client: &ClientConnection) -> bool {
-        let spared_since = now - self.limits.clients.displacement_grace_ms;
+    /// Whether a connection has been idle for the eviction grace period, in which a request may be in
+    /// transit.
+    fn may_be_evicted(&self, now: Ms, id: &ClientId, client: &ClientConnection) -> bool {
+        let spared_since = now - self.limits.clients.eviction_grace_ms;
         let unread = client.is_open() && self.paused.contains(id);
         let partial_is_old = client.partial_since.is_none_or(|since| since <= spared_since);
         client.is_idle() && !unread && client.last_used <= spared_since && partial_is_old
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -1,16 +1,17 @@
-//! Connections of clients: requests in, answers out.
+//! Connections of clients: reading requests and writing answers.
 //!
-//! - [`codec`]: frames of the protocol, bytes to messages and back;
-//! - [`request`]: a request as it is read from its fields;
+//! - [`codec`]: the frames of the protocol: encoding and decoding;
+//! - [`request`]: parsing a request from its fields;
 //! - [`connection`]: the state of one connection;
-//! - [`listener`]: accepting connections, and closing idle ones for new ones;
+//! - [`listener`]: accepting connections, and evicting idle ones in favour of new ones;
 //! - [`reader`]: reading requests and cancellations;
-//! - [`protocol_error`]: why a connection is broken off;
-//! - [`writer`]: answers, and the end of a connection;
+//! - [`protocol_error`]: why a connection is closed with an error;
+//! - [`writer`]: writing answers, and closing connections;
 //! - [`timers`]: deadlines of connections;
 //! - [`drain`]: graceful shutdown.
 //!
-//! A request gets one final answer. Nothing here blocks on a client, and no client can displace the others.
+//! Each request gets exactly one final answer. Nothing here blocks on a client, and no single client can
+//! starve the others.
 
 pub mod codec;
 mod connection;
@@ -36,37 +37,37 @@
 
 pub use request::{parse_request, ClientRequest};
 
-/// The number of a connection; numbers are not used again.
+/// The id of a connection; ids are never reused.
 pub type ClientId = u64;
 
-/// A stream of a client's connection, which is owed an answer. A stream is used once on its connection, while the ids of
-/// requests may be used again.
+/// A stream of a client's connection, which identifies a request. A stream is used once per connection,
+/// whereas clients may reuse the ids of requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ClientStream {
     pub client: ClientId,
     pub stream: u32,
 }
 
-/// What was received from clients.
+/// An event received from a client.
 #[derive(Debug)]
 pub enum ClientEvent {
     Request(Ticket, Box<ClientRequest>),
     Cancelled(Ticket),
-    /// A request that can't be used.
+    /// An invalid request.
     Invalid(ClientStream),
 }
 
-/// Connections that were accepted or ended, for the counters.
+/// Counts of connections that were accepted or closed, for the counters.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConnectionCounts {
     pub accepted: u64,
-    /// Broken off for a protocol error.
+    /// Closed with a protocol error, time-outs and evictions included.
     pub malformed: u64,
-    /// Broken off since nothing, or half a message, was received.
-    pub silent: u64,
-    /// Closed in favour of others.
-    pub displaced: u64,
-    /// Requests that were cancelled in the batch of events that brought them.
+    /// Closed because no request, or only a part of a message, was received in time.
+    pub timed_out: u64,
+    /// Idle ones closed to free a connection or descriptor for others.
+    pub evicted: u64,
+    /// Requests that were cancelled before they were handled, in the same batch of events.
     pub withdrawn: u64,
 }
 
@@ -78,24 +79,26 @@
     handle: LoopHandle<'static, W>,
     clients: HashMap<ClientId, ClientConnection>,
     last_id: ClientId,
-    /// Clients whose reading is paused: they do not take their answers, or others have their turn.
+    /// Clients whose reading is paused: they have too much unwritten output, have used up their read budget,
+    /// or buffers are exhausted.
     paused: BTreeSet<ClientId>,
     last_ticket: Ticket,
     next_sweep: Ms,
     listener: Option<RegistrationToken>,
-    /// The listener is disabled until the next sweep.
+    /// Whether the listener is disabled until the next sweep.
     accept_paused: bool,
-    /// The most connections for now, and since when that is fewer than configured: descriptors ran out.
+    /// The current connection limit. `descriptors_short_since` is set while it is below the configured one
+    /// because descriptors ran out.
     max_clients: usize,
-    short_since: Option<Ms>,
-    /// Some may wait to be accepted.
+    descriptors_short_since: Option<Ms>,
+    /// Whether connections may be waiting to be accepted.
     accept_pending: bool,
     draining: bool,
     pub counts: ConnectionCounts,
 }
 
 impl<W: EventHandler> Downstreams<W> {
-    /// No connections, and no listener yet.
+    /// Creates the component without connections and listener.
     pub fn new(
         limits: Limits,
         buffers: &BufferPool,
@@ -115,19 +118,19 @@
             listener: None,
             accept_paused: false,
             max_clients: limits.clients.max_connections,
-            short_since: None,
+            descriptors_short_since: None,
             accept_pending: false,
             draining: false,
             counts: ConnectionCounts::default(),
         }
     }
 
-    /// Connections.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.clients.len()
     }
 
-    /// Whether that request is still open at its client.
+    /// Whether a request is still open on its client's connection.
     pub fn is_open(&self, stream: ClientStream, ticket: Ticket) -> bool {
         let client = self.clients.get(&stream.client);
         client.is_some_and(|client| client.open.get(&stream.stream) == Some(&ticket))
--- a/crates/router/src/downstream/protocol_error.rs
+++ b/crates/router/src/downstream/protocol_error.rs
@@ -1,29 +1,30 @@
-//! Why a client's connection is broken off.
+//! Why a client's connection is closed with an error.
 
 use std::fmt;
 
 use super::codec::FrameError;
 
-/// How a client breaks the protocol, or its limits. The text is logged and sent to the client.
+/// How a client violates the protocol or exceeds a limit. The text is logged, and is part of the protocol: it
+/// is sent to the client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProtocolError {
     /// A frame can't be decoded.
     Frame(FrameError),
-    /// A request has the stream of an earlier one.
+    /// A request reuses the stream of an earlier one.
     StreamReused,
     /// More requests are open on the connection than the protocol allows.
     TooManyOpenRequests,
-    /// Too many requests on the connection could not be used.
+    /// Too many requests on the connection were invalid.
     TooManyInvalidRequests,
     /// The client sent no request in time.
     NoRequest,
     /// The rest of a message was not received in time.
     MessageTimeout,
-    /// The message was incomplete when the router ended.
+    /// The message was incomplete when the router shut down.
     PartialMessageAtShutdown,
-    /// The message was incomplete when the connection's place was needed.
-    PartialMessageDisplaced,
-    /// The message was incomplete when buffers were short.
+    /// The message was incomplete when the connection was evicted for another one.
+    PartialMessageEvicted,
+    /// The message was incomplete when buffers were exhausted.
     PartialMessageWithoutBuffers,
 }
 
@@ -37,7 +38,7 @@
             Self::NoRequest => f.write_str("nothing was asked"),
             Self::MessageTimeout => f.write_str("a message that does not end"),
             Self::PartialMessageAtShutdown => f.write_str("half a message at the end"),
-            Self::PartialMessageDisplaced => f.write_str("half a message while places are short"),
+            Self::PartialMessageEvicted => f.write_str("half a message while places are short"),
             Self::PartialMessageWithoutBuffers => f.write_str("half a message while buffers are short"),
         }
     }
--- a/crates/router/src/downstream/reader.rs
+++ b/crates/router/src/downstream/reader.rs
@@ -1,4 +1,4 @@
-//! Reading from clients: requests, cancellations and readiness checks, with a turn for each client.
+//! Reading requests, cancellations and readiness checks, with a bounded read budget for each client and turn.
 
 use std::io;
 
@@ -14,11 +14,11 @@
 use crate::buffers::BufferChain;
 
 impl<W: EventHandler> Downstreams<W> {
-    /// Reads what a client has sent, and writes what can be answered at once. Open requests of a client that is lost are
-    /// reported as cancelled.
+    /// Reads what a client has sent, and writes pending output. Open requests of a client that has
+    /// disconnected are reported as cancelled.
     pub fn read(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         self.read_turn(now, id, events);
-        // The socket may be writable without a further event for it.
+        // The socket may be writable without another readiness event.
         self.flush(now, id, events);
     }
 
@@ -29,9 +29,10 @@
             if client.phase == ConnectionPhase::Closing {
                 return;
             }
-            let behind = client.is_open() && client.output.len() > self.limits.clients.max_unwritten_bytes;
-            if behind || budget == 0 || self.buffers.is_exhausted() {
-                // Its requests must not be forwarded for as long as its cancellations are not read.
+            let output_is_full =
+                client.is_open() && client.output.len() > self.limits.clients.max_unwritten_bytes;
+            if output_is_full || budget == 0 || self.buffers.is_exhausted() {
+                // Cancellations must still be found, so that cancelled requests are not forwarded.
                 self.paused.insert(id);
                 return self.scan_ahead(now, id, events);
             }
@@ -63,8 +64,8 @@
         }
     }
 
-    /// Checks whether a client that is not read for now has left or cancels something; what else it sends is buffered
-    /// within a bound. While buffers are exhausted, each client may still use one block for that.
+    /// Reads ahead from a paused client to detect a disconnect or cancellations; other input is buffered up
+    /// to a limit. While buffers are exhausted, each client may still use one block.
     fn scan_ahead(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         let exhausted = self.buffers.is_exhausted();
         let max_input = if exhausted {
@@ -87,8 +88,8 @@
         }
     }
 
-    /// Checks whether a client has left or cancels something, unless that was done a moment ago: before something is sent
-    /// for it, in a turn that may last for long.
+    /// Checks a client for a disconnect or cancellations, unless it was read within the check interval.
+    /// Called before something is sent for it, as a turn of the event loop may be long.
     pub fn check(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         let Some(client) = self.clients.get(&id) else { return };
         if now - client.last_read < self.limits.clients.check_interval_ms {
@@ -96,13 +97,13 @@
         }
         let before = client.input.len();
         self.scan_ahead(now, id, events);
-        // Other messages are handled in its next turn.
+        // Other messages are handled in the next turn of this client.
         if self.clients.get(&id).is_some_and(|client| client.input.len() > before) {
             self.paused.insert(id);
         }
     }
 
-    /// Reads on from clients whose reading was paused.
+    /// Resumes reading from paused clients.
     pub fn read_paused(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         self.relieve_buffers(now, events);
         if !self.buffers.is_exhausted() {
@@ -112,18 +113,18 @@
         }
     }
 
-    /// Breaks off the clients with the longest incomplete messages while buffers are exhausted, so that a few clients can't
-    /// keep all others from being read.
+    /// While buffers are exhausted, closes the clients with the longest partially received messages, those
+    /// without any answered request first. Otherwise a few clients could keep all others from being read.
     fn relieve_buffers(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         while self.buffers.is_exhausted() {
             let partial = self.clients.iter().filter(|(_, client)| client.partial_since.is_some());
-            let longest = partial.max_by_key(|(_, client)| (!client.proven, client.input.len()));
+            let longest = partial.max_by_key(|(_, client)| (!client.has_been_answered, client.input.len()));
             let Some(id) = longest.map(|(id, _)| *id) else { return };
-            self.break_off(now, id, ProtocolError::PartialMessageWithoutBuffers, events);
+            self.close_with_error(now, id, ProtocolError::PartialMessageWithoutBuffers, events);
         }
     }
 
-    /// Whether a client whose reading is paused could be read at once.
+    /// Whether a paused client can be read at once.
     pub fn has_readable_paused(&self) -> bool {
         let is_readable = |id| {
             let client = self.clients.get(id);
@@ -144,14 +145,14 @@
                     client.partial_since = is_partial.then(|| client.partial_since.unwrap_or(now));
                     return;
                 }
-                Err(error) => return self.break_off(now, id, error.into(), events),
+                Err(error) => return self.close_with_error(now, id, error.into(), events),
             };
             client.partial_since = None;
             client.last_used = now;
             match message {
                 ClientMessage::Request { stream, fields, body } => {
                     if let Err(error) = self.add_request(id, stream, &fields, body, events) {
-                        return self.break_off(now, id, error, events);
+                        return self.close_with_error(now, id, error, events);
                     }
                 }
                 ClientMessage::Cancel { stream } => {
@@ -159,7 +160,7 @@
                     self.counts.withdrawn += u64::from(withdraw_request(ticket, events));
                 }
                 ClientMessage::ReadinessCheck { stream } => {
-                    client.proven = true;
+                    client.has_been_answered = true;
                     let readiness = codec::encode_readiness(&self.buffers, stream, !self.draining);
                     client.output.append(readiness);
                 }
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Opens a request; the error is why its connection is to be broken off.
+    /// Opens a request; an error means that the connection has to be closed.
     fn add_request(
         &mut self,
         id: ClientId,
--- a/crates/router/src/downstream/request.rs
+++ b/crates/router/src/downstream/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, as it is read from the fields of its frame.
+//! Parsing a client's request from the fields of its frame.
 
 use crate::buffers::BufferChain;
 use crate::config::Limits;
@@ -8,7 +8,7 @@
 use super::codec::Fields;
 use super::ClientStream;
 
-/// The names of the fields on the wire.
+/// The field names on the wire.
 mod field {
     pub const CLASS: &str = "c";
     pub const ID: &str = "i";
@@ -22,7 +22,7 @@
     pub const GROUP: &str = "tag";
 }
 
-/// A request that was received.
+/// A valid request of a client.
 #[derive(Debug)]
 pub struct ClientRequest {
     pub stream: ClientStream,
@@ -30,9 +30,10 @@
     pub message: RequestMessage,
 }
 
-/// Reads a request; `None` where a field is missing or out of range.
+/// Parses a request; `None` if a field is missing or out of range.
 ///
-/// Caches answer requests that they can't use with an error, which would count against them.
+/// Invalid requests are not forwarded: a cache would answer them with an error, which would count against the
+/// cache.
 pub fn parse_request(
     stream: ClientStream,
     fields: &Fields,
@@ -46,10 +47,10 @@
     let client_copy = fields.get(field::CLIENT_COPY);
     let idempotency_key = fields.get(field::IDEMPOTENCY_KEY);
     let forwarded = [Some(class), client_copy, idempotency_key];
-    let is_usable = (1.0..=limits.requests.max_wait_ms).contains(&wait)
+    let is_valid = (1.0..=limits.requests.max_wait_ms).contains(&wait)
         && forwarded.iter().flatten().all(|text| is_list_item(text))
         && body.len() <= limits.requests.max_body_bytes;
-    if !is_usable {
+    if !is_valid {
         return None;
     }
     let part = parse_number(fields, field::PART, limits.requests.max_part)?;
@@ -76,7 +77,7 @@
     Some(ClientRequest { stream, spec, message })
 }
 
-/// A whole number up to `max`; 0 where the field is missing.
+/// An integer up to `max`; 0 if the field is missing.
 fn parse_number(fields: &Fields, name: &str, max: u32) -> Option<u32> {
     match fields.get(name) {
         Some(text) => parse_digits(text).filter(|number| *number <= max),
@@ -84,7 +85,7 @@
     }
 }
 
-/// The size of the object as the client states it; 0 where it does not.
+/// The size of the object as stated by the client; 0 if the field is missing.
 fn parse_size_kb(fields: &Fields, max: f64) -> Option<f64> {
     match fields.get(field::SIZE_KB) {
         Some(text) => parse_decimal(text).filter(|size| *size > 0.0 && *size <= max),
@@ -92,7 +93,7 @@
     }
 }
 
-/// Whether the client has sent the request before.
+/// Whether the client has marked the request as a repetition.
 fn parse_repeat(fields: &Fields) -> Option<bool> {
     match fields.get(field::REPEAT) {
         Some("1") => Some(true),
@@ -101,12 +102,12 @@
     }
 }
 
-/// Whether a text can be forwarded to caches as it is, in a list that knows no quotes.
+/// Whether a text can be forwarded to caches unchanged: their field lists have no quoting.
 fn is_list_item(text: &str) -> bool {
     !text.is_empty() && text.bytes().all(|byte| byte.is_ascii_graphic() && !b",=+".contains(&byte))
 }
 
-/// 16 hexadecimal digits, as ids and objects are.
+/// Whether a text has the form of ids and objects: 16 hexadecimal digits.
 fn is_hex_id(text: &str) -> bool {
     text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
@@ -115,7 +116,7 @@
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok())?
 }
 
-/// A plain number without a sign.
+/// A finite number of at least 0, in decimal or exponent notation.
 fn parse_decimal(text: &str) -> Option<f64> {
     let plain = text.bytes().all(|byte| byte.is_ascii_digit() || b".eE-+".contains(&byte));
     text.parse().ok().filter(|number: &f64| plain && number.is_finite() && *number >= 0.0)
--- a/crates/router/src/downstream/timers.rs
+++ b/crates/router/src/downstream/timers.rs
@@ -1,4 +1,4 @@
-//! Deadlines of clients' connections, checked in a periodic sweep.
+//! Timeouts of clients' connections, checked in a periodic sweep.
 
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
@@ -8,42 +8,42 @@
 use super::protocol_error::ProtocolError;
 use super::{ClientEvent, ClientId, Downstreams};
 
-/// What a sweep does with a connection.
+/// The action of a sweep on a connection.
 enum SweepAction {
     Keep,
     Remove,
-    /// It is answered with an error first.
-    BreakOff(ProtocolError),
+    /// The client is sent the error first.
+    CloseWithError(ProtocolError),
 }
 
 impl<W: EventHandler> Downstreams<W> {
-    /// When [`Self::on_timer`] is due.
+    /// When the next sweep is due, in milliseconds.
     pub fn next_deadline(&self) -> Ms {
         self.next_sweep
     }
 
-    /// Ends overdue connections: those with a message that stays incomplete, those that never sent a message, idle ones,
-    /// those that do not take their answers, and those whose time to linger is over.
+    /// Closes connections that exceeded a timeout: for the rest of a message, for the first request, for idle
+    /// connections, for unread answers, and for lingering.
     pub fn on_timer(&mut self, now: Ms, events: &mut Vec<ClientEvent>) {
         if now < self.next_sweep {
             return;
         }
         self.next_sweep = now + self.limits.clients.sweep_interval_ms;
         let mut removed = Vec::new();
-        let mut broken_off = Vec::new();
+        let mut failed = Vec::new();
         for (&id, client) in &self.clients {
             match self.sweep_action(now, id, client) {
                 SweepAction::Keep => {}
                 SweepAction::Remove => removed.push(id),
-                SweepAction::BreakOff(error) => broken_off.push((id, error)),
+                SweepAction::CloseWithError(error) => failed.push((id, error)),
             }
         }
         for id in removed {
             self.remove(id, events);
         }
-        for (id, error) in broken_off {
-            self.counts.silent += 1;
-            self.break_off(now, id, error, events);
+        for (id, error) in failed {
+            self.counts.timed_out += 1;
+            self.close_with_error(now, id, error, events);
         }
         self.refill_reserve(now, events);
         self.resume_accepting(now);
@@ -59,32 +59,33 @@
         if stalled || idle || ended {
             return SweepAction::Remove;
         }
-        // A client whose reading is paused is not late.
+        // A paused client is not at fault: its input is unread.
         if self.paused.contains(&id) || !client.is_open() {
             return SweepAction::Keep;
         }
         if client.partial_since.is_some_and(|since| passed(since, limits.clients.message_timeout_ms)) {
-            return SweepAction::BreakOff(ProtocolError::MessageTimeout);
+            return SweepAction::CloseWithError(ProtocolError::MessageTimeout);
         }
-        let never_answered = !client.proven && client.open.is_empty();
+        let never_answered = !client.has_been_answered && client.open.is_empty();
         if never_answered && passed(client.accepted_at, limits.clients.first_request_timeout_ms) {
-            return SweepAction::BreakOff(ProtocolError::NoRequest);
+            return SweepAction::CloseWithError(ProtocolError::NoRequest);
         }
         SweepAction::Keep
     }
 
     fn resume_accepting(&mut self, now: Ms) {
-        // More descriptors may be available again after that time.
-        if self.short_since.is_some_and(|since| now - since > self.limits.clients.idle_timeout_ms) {
+        // Descriptors may have become available again after that time.
+        if self.descriptors_short_since.is_some_and(|since| now - since > self.limits.clients.idle_timeout_ms)
+        {
             self.max_clients = self.limits.clients.max_connections;
-            self.short_since = None;
+            self.descriptors_short_since = None;
         }
         if !self.accept_paused {
             return;
         }
         self.accept_paused = false;
         if let Some(error) = self.listener.as_ref().and_then(|token| self.handle.enable(token).err()) {
-            log_line!(reason = %error, "the listener can't be enabled again");
+            log_line!(reason = %error, "enabling the listener again failed");
         }
     }
 }
--- a/crates/router/src/downstream/writer.rs
+++ b/crates/router/src/downstream/writer.rs
@@ -1,4 +1,4 @@
-//! Writing to clients: answers, and the end of a connection.
+//! Writing answers to clients, and closing their connections.
 
 use std::collections::HashSet;
 use std::io;
@@ -15,7 +15,7 @@
 use super::{ClientEvent, ClientId, ClientStream, Downstreams};
 
 impl<W: EventHandler> Downstreams<W> {
-    /// Gives the one final answer to a request, unless its client has cancelled it.
+    /// Queues the one final answer to a request, unless its client has cancelled it.
     pub fn answer(
         &mut self,
         stream: ClientStream,
@@ -25,14 +25,14 @@
     ) {
         let Some(client) = self.clients.get_mut(&stream.client) else { return };
         if client.open.remove(&stream.stream).is_some() {
-            client.proven = true;
+            client.has_been_answered = true;
             let answer = codec::encode_answer(&self.buffers, stream.stream, code, fields, body);
             client.output.append(answer);
         }
     }
 
-    /// Answers a request that can't be used; a client that goes on sending such requests is broken off, since it may send
-    /// them at full speed.
+    /// Answers an invalid request as failed. A client that sends too many of them is closed, since it may do
+    /// so at full speed.
     pub fn reject_invalid(&mut self, now: Ms, stream: ClientStream, events: &mut Vec<ClientEvent>) {
         let Some(client) = self.clients.get_mut(&stream.client) else { return };
         if client.open.remove(&stream.stream).is_none() {
@@ -43,11 +43,12 @@
         let answer = codec::encode_answer(&self.buffers, stream.stream, AnswerCode::Failed, &[], body);
         client.output.append(answer);
         if client.invalid_requests >= self.limits.clients.max_invalid_requests {
-            self.break_off(now, stream.client, ProtocolError::TooManyInvalidRequests, events);
+            self.close_with_error(now, stream.client, ProtocolError::TooManyInvalidRequests, events);
         }
     }
 
-    /// Writes as much as a client takes.
+    /// Writes queued output until the socket would block. A closing connection starts to linger once all is
+    /// written.
     pub fn flush(&mut self, now: Ms, id: ClientId, events: &mut Vec<ClientEvent>) {
         let Some(client) = self.clients.get_mut(&id) else { return };
         while !client.output.is_empty() {
@@ -59,7 +60,7 @@
             }
         }
         if client.phase == ConnectionPhase::Closing {
-            // The shutdown fails where the client has ended the connection.
+            // The shutdown fails if the client has closed the connection.
             if client.stream.shutdown(Shutdown::Write).is_err() {
                 return self.remove(id, events);
             }
@@ -69,9 +70,9 @@
         }
     }
 
-    /// Ends a connection after a protocol error: its open requests are answered as failed and reported as cancelled, and the
-    /// client is sent the reason.
-    pub(super) fn break_off(
+    /// Closes a connection after a protocol error: its open requests are answered as failed and reported as
+    /// cancelled, and the client is sent the reason.
+    pub(super) fn close_with_error(
         &mut self,
         now: Ms,
         id: ClientId,
@@ -80,7 +81,7 @@
     ) {
         let Some(client) = self.clients.get_mut(&id).filter(|client| client.is_open()) else { return };
         self.counts.malformed += 1;
-        log_line!(client = id, reason = %error, "a client is broken off");
+        log_line!(client = id, reason = %error, "closing a client's connection with an error");
         client.phase = ConnectionPhase::Closing;
         client.partial_since = None;
         client.input = BufferChain::new(&self.buffers);
@@ -98,7 +99,7 @@
         self.flush(now, id, events);
     }
 
-    /// Removes a connection; its open requests are reported as cancelled.
+    /// Closes and removes a connection; its open requests are reported as cancelled.
     pub(super) fn remove(&mut self, id: ClientId, events: &mut Vec<ClientEvent>) {
         let Some(client) = self.clients.remove(&id) else { return };
         self.paused.remove(&id);
@@ -107,7 +108,7 @@
     }
 }
 
-/// Cancels one request. True where it was withdrawn from `events`, so that it is never handled.
+/// Cancels one request; returns true if it was withdrawn from `events`, so that it is never handled.
 pub(super) fn withdraw_request(ticket: Ticket, events: &mut Vec<ClientEvent>) -> bool {
     let is_request = |event: &ClientEvent| matches!(event, ClientEvent::Request(own, _) if *own == ticket);
     let Some(position) = events.iter().rposition(is_request) else {
--- a/crates/router/src/proxy/attempts.rs
+++ b/crates/router/src/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts on their way to caches, parents and the origin, and their outcomes.
+//! Sending and cancelling attempts at caches, parents and the origin, and reporting their outcomes.
 
 use crate::event_handler::EventHandler;
 use crate::hierarchy_adapter::FillDecision;
@@ -8,18 +8,18 @@
 use super::Proxy;
 
 impl<W: EventHandler> Proxy<W> {
-    /// Sends an attempt, unless its fill has to wait or is not admitted.
+    /// Sends an attempt, unless its fill is queued or not admitted.
     pub(super) fn send(&mut self, now: Ms, order: AttemptOrder) {
         let Some(request) = self.requests.get(order.attempt.ticket) else {
-            // Its client left while commands were executed. Without an end the attempt would count as in flight at its
-            // endpoint for good.
+            // The client disconnected while commands were executed. An attempt that is never reported as
+            // ended would count as in flight at its endpoint forever.
             return self.upstreams.cancel_unsent(now, order.attempt, order.endpoint);
         };
         let decision = self.parts.admit(now, order, request.profile);
         self.execute_fill_decisions(decision);
     }
 
-    /// Cancels an attempt, whether it waits for its fill or is in flight.
+    /// Cancels an attempt, whether its fill is queued or it is in flight.
     pub(super) fn cancel(&mut self, now: Ms, attempt: AttemptKey) {
         let hierarchy = self.parts.hierarchy.as_mut();
         match hierarchy.and_then(|hierarchy| hierarchy.cancel_attempt(attempt)) {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Sends or rejects attempts as the hierarchy says.
+    /// Sends or rejects attempts according to the hierarchy's decisions.
     pub(super) fn execute_fill_decisions(&mut self, decisions: impl IntoIterator<Item = FillDecision>) {
         let now = self.clock.now();
         for decision in decisions {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends an attempt, unless its client no longer waits for it.
+    /// Sends an attempt, unless its client has cancelled the request or disconnected.
     fn send_upstream(&mut self, now: Ms, order: &AttemptOrder, fill_path: Option<&FillPath>) {
         self.check_client(order.attempt.ticket);
         let Some(request) = self.requests.get(order.attempt.ticket) else {
@@ -58,7 +58,8 @@
         self.upstreams.send(now, order, &request.message, fill_path);
     }
 
-    /// Reports outcomes to the policy until there are no more.
+    /// Reports outcomes of attempts and health checks to the policy until none is left. Connections that
+    /// stalled are written once the clients of their queued attempts were checked.
     pub fn process_outcomes(&mut self) {
         loop {
             let now = self.clock.now();
@@ -96,7 +97,7 @@
         self.execute(commands, completed.payload);
     }
 
-    /// Sends or rejects fills whose time has come.
+    /// Sends or rejects queued fills that are due.
     pub fn on_hierarchy_timer(&mut self, now: Ms) {
         if let Some(hierarchy) = self.parts.hierarchy.as_mut().filter(|hierarchy| hierarchy.is_due(now)) {
             let decisions = hierarchy.tick(now);
--- a/crates/router/src/proxy/clients.rs
+++ b/crates/router/src/proxy/clients.rs
@@ -18,16 +18,16 @@
 impl<W: EventHandler> Proxy<W> {
     // ---- Connections.
 
-    /// Listens for clients; the address that it got is returned.
+    /// Listens for clients; returns the bound address.
     ///
     /// # Errors
     ///
-    /// Errors of the system, among them an address in use.
+    /// Errors of the system, for example an address in use.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         self.downstreams.listen(address)
     }
 
-    /// Accepts clients; false where no more can be accepted for now.
+    /// Accepts clients; returns false if no more can be accepted for now.
     pub fn accept_clients(&mut self, listener: &TcpListener) -> bool {
         let now = self.clock.now();
         let mut accepts_more = false;
@@ -36,7 +36,7 @@
         accepts_more
     }
 
-    /// Continues after a client's connection became ready.
+    /// Reads and writes a client's connection that became ready.
     pub fn on_client_ready(&mut self, id: ClientId, readiness: Readiness) {
         let now = self.clock.now();
         self.run_downstreams(|downstreams, events| {
@@ -51,7 +51,7 @@
         self.process_outcomes();
     }
 
-    /// Does what is due at clients' connections.
+    /// Handles the deadlines of clients' connections, and reads clients whose reading was paused.
     pub fn on_client_timer(&mut self, now: Ms) {
         self.run_downstreams(|downstreams, events| {
             downstreams.on_timer(now, events);
@@ -60,14 +60,14 @@
         self.process_outcomes();
     }
 
-    /// Has the connections of clients do something, and handles what was received from them.
+    /// Runs a step on the clients' connections, and handles the events that it produced.
     fn run_downstreams(&mut self, step: impl FnOnce(&mut Downstreams<W>, &mut Vec<ClientEvent>)) {
         let mut events = Vec::new();
         step(&mut self.downstreams, &mut events);
         self.on_client_events(events);
     }
 
-    /// Handles what was received from clients.
+    /// Handles events received from clients.
     pub fn on_client_events(&mut self, events: Vec<ClientEvent>) {
         for event in events {
             match event {
@@ -84,11 +84,11 @@
     fn on_request(&mut self, ticket: Ticket, request: ClientRequest) {
         let now = self.clock.now();
         self.counters.record_request(request.message.body.len());
-        // Its connection may have been broken off for an earlier request.
+        // An earlier event of the same batch may have closed the connection.
         if !self.downstreams.is_open(request.stream, ticket) {
             return;
         }
-        if !self.is_usable(&request) {
+        if !self.is_valid(&request) {
             return self.reject_invalid(request.stream);
         }
         let ClientRequest { stream, spec, message } = request;
@@ -110,8 +110,8 @@
         self.execute(commands, ResponsePayload::Empty);
     }
 
-    /// Whether a request's class is known, and its id does not stand for another object.
-    pub(super) fn is_usable(&self, request: &ClientRequest) -> bool {
+    /// Whether a request's class is known, and its id is not in use for another object.
+    pub(super) fn is_valid(&self, request: &ClientRequest) -> bool {
         self.policy.knows_class(&request.spec) && !self.requests.id_conflicts(&request.message)
     }
 
@@ -132,24 +132,25 @@
         self.report_to_policy(now, PolicyInput::RequestCancelled(ticket));
     }
 
-    /// Checks whether a client has left or cancels something, before anything is sent for it: its cancellation may have
-    /// arrived in the course of this turn.
+    /// Checks for a disconnect or cancellations of a client before sending anything for it: they may have
+    /// arrived during this turn of the event loop.
     pub(super) fn check_client(&mut self, ticket: Ticket) {
         let Some(client) = self.requests.get(ticket).map(|request| request.stream.client) else { return };
         let now = self.clock.now();
         self.run_downstreams(|downstreams, events| downstreams.check(now, client, events));
     }
 
-    /// A straggler starts no requests that are not idempotent: the Retry-After of such a request, in milliseconds.
+    /// The Retry-After, in milliseconds, with which a straggler rejects a request that is not idempotent;
+    /// `None` if the request may start.
     pub(super) fn reject_as_straggler(&mut self, now: Ms, spec: &RequestSpec) -> Option<Ms> {
         let cluster = self.parts.cluster.as_mut().filter(|_| self.policy.needs_repeat_protection(spec))?;
         let retry_after = cluster.reject_as_straggler(now, spec.object)?;
         Some(retry_after.min(self.policy.max_retry_after()))
     }
 
-    /// Answers a request that can't be used; the policy never sees it.
+    /// Answers an invalid request as failed without reporting it to the policy.
     fn reject_invalid(&mut self, stream: ClientStream) {
-        self.counters.unusable += 1;
+        self.counters.invalid_requests += 1;
         let now = self.clock.now();
         self.run_downstreams(|downstreams, events| {
             downstreams.reject_invalid(now, stream, events);
@@ -157,7 +158,8 @@
         });
     }
 
-    /// Handles the answer of this site's policy to a request.
+    /// Handles the answer that this site's policy gives to a request; a rejected request may be forwarded to
+    /// another site.
     pub(super) fn on_decided(&mut self, ticket: Ticket, answer: FinalAnswer, payload: ResponsePayload) {
         if self.parts.forwards_requests() {
             self.record_local_answer(ticket, answer);
@@ -168,7 +170,7 @@
         self.finish(ticket, answer, payload);
     }
 
-    /// Gives the one final answer to a request.
+    /// Sends the one final answer of a request to its client, or to the site that forwarded it.
     pub(super) fn finish(&mut self, ticket: Ticket, answer: FinalAnswer, payload: ResponsePayload) {
         let retry_after = self.parts.take_retry_after(ticket);
         let Some(request) = self.requests.remove(ticket) else { return };
@@ -199,36 +201,38 @@
 
     // ---- Shutdown.
 
-    /// Asks all clients to send no new requests. What was received from them is returned.
+    /// Tells all clients to send no new requests; returns the events received from them.
     pub fn begin_client_drain(&mut self, now: Ms) -> Vec<ClientEvent> {
         let mut events = Vec::new();
         self.downstreams.begin_drain(now, &mut events);
         events
     }
 
-    /// Lets the last answers leave. New requests are rejected from here on.
+    /// Starts to close the clients' connections once their answers are written. New requests are rejected
+    /// from here on.
     pub fn begin_close(&mut self, now: Ms) {
         self.is_closing = true;
-        // What has arrived by now is owed an answer.
+        // Requests that have already arrived must still be answered.
         self.run_downstreams(|downstreams, events| downstreams.read_all(now, events));
         self.process_outcomes();
         self.close_finished_clients(now);
     }
 
-    /// Closes the connections of clients that have their last answers; whether none is left.
+    /// Closes the connections of clients without open requests; returns whether no client is left.
     pub fn close_finished_clients(&mut self, now: Ms) -> bool {
         self.run_downstreams(|downstreams, events| downstreams.close_finished(now, events));
         self.downstreams.len() == 0
     }
 
-    /// Ends the remaining connections of clients.
+    /// Closes the remaining connections of clients, and answers their open requests as failed.
     pub fn close_clients(&mut self) {
         let now = self.clock.now();
         self.run_downstreams(|downstreams, events| downstreams.close_all(now, events));
         self.fail_open_requests();
     }
 
-    /// Answers all open requests as failed: the platform kills the process before their outcomes are known.
+    /// Answers all open requests as failed: the platform would kill the process before their outcomes are
+    /// known.
     pub fn fail_open_requests(&mut self) {
         let open: Vec<Ticket> = self.requests.tickets().collect();
         for ticket in open {
--- a/crates/router/src/proxy/endpoints.rs
+++ b/crates/router/src/proxy/endpoints.rs
@@ -1,4 +1,4 @@
-//! Changes of the endpoint list, of fill sources and purges: from the journal, other sites and other routers.
+//! Updates of the endpoint list, fill sources and purges: from the journal, other sites and other routers.
 
 use crate::cluster::ClusterEffect;
 use crate::discovery::event::{EndpointEntry, EndpointUpdate, PurgeEvent, WatchEvent};
@@ -10,13 +10,13 @@
 use super::Proxy;
 
 impl<W: EventHandler> Proxy<W> {
-    /// Applies an event of the own journal.
+    /// Applies an event of this router's journal.
     pub fn on_watch_event(&mut self, now: Ms, event: WatchEvent) {
         self.counters.watch_events += 1;
         if let (Some(batch), Some(hierarchy)) = (&event.hierarchy_batch, &mut self.parts.hierarchy) {
             if let Err(reason) = hierarchy.apply_journal_batch(now, batch) {
                 let (author, number) = (batch.author, batch.number);
-                log_line!(author, number, %reason, "hierarchy: a batch of the journal was not applied");
+                log_line!(author, number, %reason, "hierarchy: applying a batch of the journal failed");
             }
             self.report_fill_sources();
         }
@@ -43,7 +43,8 @@
         self.report_to_policy(now, update.policy_input());
     }
 
-    /// Reports the endpoint list to the hierarchy, and rejects fills that wait for endpoints that are no longer usable.
+    /// Reports the endpoint list to the hierarchy, and rejects queued fills of endpoints that are no longer
+    /// usable.
     fn update_hierarchy_endpoints(&mut self, update: &EndpointUpdate) {
         let now = self.clock.now();
         let Some(hierarchy) = &mut self.parts.hierarchy else { return };
@@ -54,7 +55,7 @@
         self.report_fill_sources();
     }
 
-    /// Reports to the policy what caches may be filled from, where that has changed.
+    /// Reports changed fill sources to the policy.
     pub fn report_fill_sources(&mut self) {
         let now = self.clock.now();
         let Some(hierarchy) = &mut self.parts.hierarchy else { return };
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Announces an update to other sites, and marks endpoints as draining that these have announced as drained.
+    /// Announces an update to other sites, and marks endpoints as draining that other sites have announced as
+    /// drained.
     fn merge_remote_drains(&mut self, now: Ms, update: &mut EndpointUpdate) {
         if let Some(remote_sites) = &mut self.parts.remote_sites {
             let policy = &self.policy;
@@ -71,10 +73,10 @@
         }
     }
 
-    /// Applies a purge of the own journal.
+    /// Applies a purge of this router's journal.
     fn apply_journal_purge(&mut self, now: Ms, purge: &PurgeEvent, position: u64) {
         let Some(input) = purge.policy_input() else {
-            return log_line!(position, "journal: a purge that can't be read");
+            return log_line!(position, "journal: skipping a purge whose object is not hexadecimal");
         };
         if let PolicyInput::Purged { object, group, .. } = input {
             self.upstreams.withdraw_purged(now, object, group);
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Does what the membership asks for, until it asks for nothing more.
+    /// Executes the effects of the cluster membership until none is pending.
     pub fn run_cluster(&mut self) {
         if self.parts.cluster.is_none() {
             return;
@@ -112,7 +114,7 @@
         self.run_remote_sites();
     }
 
-    /// Applies a line of the endpoint list with what other routers report of it.
+    /// Applies an entry of the endpoint list that was changed by reports of other routers.
     pub fn apply_cluster_entry(&mut self, entry: EndpointEntry) {
         let mut update = EndpointUpdate { is_complete: false, entries: vec![entry] };
         self.merge_remote_drains(self.clock.now(), &mut update);
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -1,12 +1,13 @@
-//! Requests from their arrival to their answer: between clients, the policy, caches, other sites and other routers.
+//! The request path: passes requests, attempts and answers between clients, the policy, caches, other sites
+//! and other routers.
 //!
 //! - [`clients`]: requests and cancellations of clients, and their final answers;
-//! - [`attempts`]: attempts on their way to caches, and their outcomes;
-//! - [`remote_sites`]: requests that other sites decide about, and those that come from there;
-//! - [`endpoints`]: changes of the endpoint list, of fill sources and purges, from whichever source.
+//! - [`attempts`]: sending of attempts to caches, and their outcomes;
+//! - [`remote_sites`]: requests forwarded to other sites, and requests received from them;
+//! - [`endpoints`]: updates of the endpoint list, fill sources and purges, from every source.
 //!
-//! Nothing is decided here. Commands come from the policy, by way of [`PolicyAdapter`]; bytes are read and written by
-//! [`Downstreams`] and [`Upstreams`].
+//! This module makes no routing decisions. The policy issues commands through [`PolicyAdapter`];
+//! [`Downstreams`] and [`Upstreams`] read and write the bytes.
 
 mod attempts;
 mod clients;
@@ -29,23 +30,23 @@
 use crate::run_phase::OpenWork;
 use crate::upstream::{AttemptOrder, ResponsePayload, Upstreams};
 
-/// What a proxy works with.
+/// The resources that a proxy shares with the rest of the router.
 pub struct ProxySetup<'a, W: EventHandler> {
     /// The clock of the process.
     pub clock: Clock,
     /// The limits of the transport.
     pub limits: Limits,
-    /// Where buffers come from.
+    /// The pool that all connections take their buffers from.
     pub buffers: &'a BufferPool,
-    /// Descriptors for what has to go on.
+    /// Reserved descriptors for connections that must succeed when the process has run out of them.
     pub reserve: &'a DescriptorReserve,
     /// The event loop.
     pub handle: &'a LoopHandle<'static, W>,
 }
 
-/// The open requests of a router, with the parts that they pass through.
+/// The open requests of a router, with the components that handle them.
 pub struct Proxy<W: EventHandler> {
-    /// What the operator file enables.
+    /// The optional components that the operator file enables.
     pub parts: OperatorParts<W>,
     clock: Clock,
     limits: Limits,
@@ -56,7 +57,7 @@
     requests: OpenRequests,
     /// When the policy's next timer is due.
     policy_timer: Option<Ms>,
-    /// New requests are rejected: the router ends.
+    /// Set during shutdown: new requests are rejected.
     is_closing: bool,
     counters: Counters,
 }
@@ -84,13 +85,13 @@
 
     // ---- The policy.
 
-    /// Reports something without a payload to the policy, and executes its commands.
+    /// Reports an input without a payload to the policy, and executes the commands that it returns.
     pub fn report_to_policy(&mut self, now: Ms, input: PolicyInput) {
         let commands = self.policy.handle(now, input);
         self.execute(commands, ResponsePayload::Empty);
     }
 
-    /// Executes commands. `payload` is what the attempt that was just reported carried.
+    /// Executes commands. `payload` is the payload of the attempt that was just reported to the policy.
     pub(super) fn execute(&mut self, commands: Vec<PolicyCommand>, payload: ResponsePayload) {
         let now = self.clock.now();
         let mut payload = Some(payload);
@@ -110,7 +111,7 @@
         }
     }
 
-    /// Timers that are due are run together, so that the earliest one is enough.
+    /// Stores the earliest timer only: all timers that are due run together.
     fn set_policy_timer(&mut self, at: Ms) {
         self.policy_timer = Some(self.policy_timer.map_or(at, |due| due.min(at)));
     }
@@ -127,38 +128,38 @@
 
     // ---- Timers and readiness.
 
-    /// When something is due next, the parts of the operator file apart.
+    /// The next deadline in milliseconds, without those of the operator file's components.
     pub fn next_deadline(&self) -> Ms {
         let deadlines = [self.policy_timer, self.upstreams.next_deadline()];
         deadlines.into_iter().flatten().fold(self.downstreams.next_deadline(), Ms::min)
     }
 
-    /// Whether a client can be read without waiting for an event.
+    /// Whether a paused client can be read without waiting for a readiness event.
     pub fn has_readable_clients(&self) -> bool {
         self.downstreams.has_readable_paused()
     }
 
-    /// Does what is due at connections to endpoints.
+    /// Handles the deadlines of connections to endpoints.
     pub fn on_upstream_timer(&mut self, now: Ms) {
         self.upstreams.on_timer(now);
         self.process_outcomes();
     }
 
-    /// Continues after a connection to an endpoint became ready.
+    /// Reads and writes a connection to an endpoint that became ready.
     pub fn on_upstream_ready(&mut self, id: u64, readiness: Readiness) {
         self.upstreams.on_ready(self.clock.now(), id, readiness);
         self.process_outcomes();
     }
 
-    // ---- Counts.
+    // ---- Counters.
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counters(&self) -> Counters {
         let counters = self.counters.with_connections(self.downstreams.counts);
         Counters { upstream_connects: self.upstreams.connects, ..counters }
     }
 
-    /// What is open now.
+    /// The current numbers of connections, requests, attempts and buffers.
     pub fn gauges(&self) -> Gauges {
         Gauges {
             clients: self.downstreams.len(),
@@ -170,20 +171,20 @@
         }
     }
 
-    /// Where the shadow policy would have decided otherwise; `None` without one.
+    /// How often the shadow policy's decisions differed; `None` without one.
     pub fn shadow_counts(&self) -> Option<ShadowCounts> {
         self.policy.shadow_counts()
     }
 
     // ---- Shutdown.
 
-    /// What a drain waits for.
+    /// The open work that a drain waits for.
     pub fn open_work(&self) -> OpenWork {
-        // The gateway owes the answers to requests at other sites, and the policy does not count these.
-        let is_owed_by_gateway = self.parts.forwards_requests() && self.requests.len() > 0;
-        if self.policy.open_requests() > 0 || is_owed_by_gateway {
+        // Requests forwarded to other sites are answered by the gateway, and the policy does not count them.
+        let has_forwarded_requests = self.parts.forwards_requests() && self.requests.len() > 0;
+        if self.policy.open_requests() > 0 || has_forwarded_requests {
             OpenWork::Requests
-        } else if self.downstreams.is_settled() {
+        } else if self.downstreams.has_no_pending_work() {
             OpenWork::Nothing
         } else {
             OpenWork::Clients
--- a/crates/router/src/proxy/remote_sites.rs
+++ b/crates/router/src/proxy/remote_sites.rs
@@ -1,4 +1,4 @@
-//! Requests that other sites decide about, and those that come from there.
+//! Requests forwarded to other sites, and requests received from them.
 
 use std::net::TcpListener;
 
@@ -17,7 +17,7 @@
 use super::Proxy;
 
 impl<W: EventHandler> Proxy<W> {
-    /// Accepts links; false where no more can be accepted for now.
+    /// Accepts links; returns false if no more can be accepted for now.
     pub fn accept_links(&mut self, listener: &TcpListener) -> bool {
         let now = self.clock.now();
         let remote_sites = self.parts.remote_sites.as_mut();
@@ -26,7 +26,7 @@
         accepts_more
     }
 
-    /// Continues after a link became ready.
+    /// Reads and writes a link that became ready.
     pub fn on_link_ready(&mut self, id: u64, readiness: Readiness) {
         let now = self.clock.now();
         if let Some(remote_sites) = &mut self.parts.remote_sites {
@@ -36,7 +36,7 @@
         self.process_outcomes();
     }
 
-    /// Does what is due at links; false where there are none.
+    /// Handles the deadlines of links; returns false without a gateway.
     pub fn on_remote_sites_timer(&mut self) -> bool {
         let (now, open_ratio) = (self.clock.now(), self.requests.open_ratio());
         let Some(remote_sites) = &mut self.parts.remote_sites else { return false };
@@ -45,7 +45,7 @@
         true
     }
 
-    /// Answers a request of the control socket that concerns other sites.
+    /// Responds to a request of the control socket that concerns other sites.
     pub fn respond_for_remote_sites(&mut self, request: ControlRequest) -> ControlResponse {
         let now = self.clock.now();
         let outcome = remote_sites::respond(self.parts.remote_sites.as_mut(), now, request);
@@ -55,7 +55,7 @@
         outcome.response
     }
 
-    /// Ends the use of other sites; they are notified.
+    /// Stops the gateway and notifies the other sites.
     pub fn stop_remote_sites(&mut self) {
         if let Some(remote_sites) = &mut self.parts.remote_sites {
             remote_sites.stop();
@@ -63,13 +63,13 @@
         }
     }
 
-    /// Does what the gateway asks for, until it asks for nothing more.
+    /// Executes the gateway's effects until none is pending.
     pub fn run_remote_sites(&mut self) {
         loop {
             let Some(remote_sites) = &mut self.parts.remote_sites else { return };
             let Some(effect) = remote_sites.next_effect(&self.clock) else { return };
             match effect {
-                SiteEffect::Decide(ticket) => self.decide_here(ticket),
+                SiteEffect::Decide(ticket) => self.decide_locally(ticket),
                 SiteEffect::Answer(ticket, reply) => self.answer_from_site(ticket, reply),
                 SiteEffect::Serve(request) => self.on_remote_request(&request),
                 SiteEffect::Cancel(ticket) => self.on_remote_cancelled(ticket),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Lets the gateway choose the site that decides about a request.
+    /// Lets the gateway choose the site that handles a request.
     pub(super) fn choose_site(&mut self, ticket: Ticket) {
         let now = self.clock.now();
         let (Some(remote_sites), Some(open)) = (&mut self.parts.remote_sites, self.requests.get(ticket))
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Forwards a request that was rejected here, where the gateway has a site for it.
+    /// Forwards a request that this site rejected; returns false if the gateway has no other site for it.
     pub(super) fn forward_rejected(&mut self, ticket: Ticket) -> bool {
         let now = self.clock.now();
         let (Some(remote_sites), Some(open)) = (&mut self.parts.remote_sites, self.requests.get(ticket))
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Has this site's policy decide about a request.
-    fn decide_here(&mut self, ticket: Ticket) {
+    /// Passes a request to this site's policy.
+    fn decide_locally(&mut self, ticket: Ticket) {
         let now = self.clock.now();
         let open = self.requests.get(ticket);
         let Some(request) = open.and_then(|open| open.cross_site.as_ref()) else { return };
@@ -135,10 +135,10 @@
         self.execute(commands, ResponsePayload::Empty);
     }
 
-    /// Gives the final answer that the gateway has for a request.
+    /// Sends the final answer that the gateway has for a request.
     fn answer_from_site(&mut self, ticket: Ticket, reply: Reply) {
         if is_remote(ticket) {
-            // It was forwarded to a third site.
+            // The request came from another site and was forwarded to a third one.
             self.requests.remove(ticket);
             return self.reply_to_site(ticket, reply);
         }
@@ -148,15 +148,16 @@
         self.finish(ticket, answer, payload);
     }
 
-    /// A request from another site: this site decides about it, or another one that it has not passed.
+    /// Handles a request from another site: the gateway chooses this site or one that the request has not
+    /// passed.
     fn on_remote_request(&mut self, remote: &RemoteRequest) {
         let now = self.clock.now();
         let ticket = remote.ticket;
         let request = parse_remote_request(remote, &self.buffers, &self.limits);
-        let request = request.filter(|request| self.is_usable(request));
+        let request = request.filter(|request| self.is_valid(request));
         let is_overloaded = self.requests.is_full() || self.buffers.is_exhausted();
         let Some(request) = request.filter(|_| !is_overloaded) else {
-            self.counters.unusable += u64::from(!is_overloaded);
+            self.counters.invalid_requests += u64::from(!is_overloaded);
             return self.reject_remote(now, ticket, 0.0);
         };
         if let Some(retry_after) = self.reject_as_straggler(now, &request.spec) {
@@ -170,7 +171,8 @@
         self.choose_site(ticket);
     }
 
-    /// Rejects a request from another site that is not open here; `retry_after` 0 = none.
+    /// Rejects a request from another site that is not open here. `retry_after` is in milliseconds, 0 for
+    /// none.
     fn reject_remote(&mut self, now: Ms, ticket: Ticket, retry_after: Ms) {
         if let Some(remote_sites) = &mut self.parts.remote_sites {
             remote_sites.reject(now, ticket, retry_after);
@@ -188,13 +190,13 @@
         self.report_to_policy(now, PolicyInput::RequestCancelled(ticket));
     }
 
-    /// Another site has announced a drain, or its end.
+    /// Applies a drain, or the end of one, that another site has announced for an endpoint.
     fn on_remote_endpoint(&mut self, name: &str) {
         let now = self.clock.now();
         let remote_sites = self.parts.remote_sites.as_ref();
         if let Some(update) = remote_sites.and_then(|remote_sites| remote_sites.current_entry(name)) {
             let state = if update.entries[0].is_ready() { "back" } else { "drained" };
-            log_line!(upstream = name, state, "gateway: another site reports the state of an endpoint");
+            log_line!(upstream = name, state, "gateway: another site has announced the state of an endpoint");
             self.apply_endpoint_update(&update);
         }
         let open_ratio = self.requests.open_ratio();
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -1,9 +1,9 @@
-//! One router: its state, and the dispatch between its parts.
+//! One router: its state, and the dispatch between its components.
 //!
-//! - [`readiness`]: what it does once a socket is ready.
+//! - [`readiness`]: handling of ready sockets.
 //!
-//! The router decides nothing. It hands events of its sockets, of the journal and of the control socket to the parts that
-//! they concern, and leads them from the start to the end.
+//! The router makes no routing decisions. It passes events of its sockets, of the journal and of the control
+//! socket to the responsible components, and manages their startup and shutdown.
 
 mod readiness;
 
@@ -37,10 +37,10 @@
 /// The longest time between two runs of the timers.
 const MAX_TIMER_INTERVAL: Ms = 1_000.0;
 
-/// One router.
+/// A router.
 pub struct Router {
     clock: Clock,
-    /// The file that `LB_CONFIG` names, read again at each SIGHUP.
+    /// The path of the configuration file named by `LB_CONFIG`, which is read again at each SIGHUP.
     config_path: PathBuf,
     limits: Limits,
     reserve: DescriptorReserve,
@@ -55,11 +55,11 @@
 }
 
 impl Router {
-    /// Starts a router: it applies the endpoint list of its configuration, and then listens.
+    /// Starts a router: it applies the endpoint list of its configuration, and then starts to listen.
     ///
     /// # Errors
     ///
-    /// Settings of the operator file that can't be used, and errors of the system.
+    /// Invalid settings of the operator file, and errors of the system.
     pub fn new(
         config_path: &Path,
         config: Config,
@@ -75,7 +75,7 @@
             limits.buffers.max_free_blocks,
             limits.buffers.max_blocks_in_use,
         );
-        // Errors in the shadow policy's settings are reported before anything starts.
+        // Errors in the shadow policy's settings are reported before any component starts.
         let shadow = operator.as_ref().and_then(|operator| operator.shadow_policy.as_ref());
         let shadow = shadow.map(|section| ShadowSetup::new(&config, section)).transpose()?;
         let clock = Clock::new();
@@ -121,7 +121,7 @@
 
     // ---- The journal.
 
-    /// Applies watch events in their order.
+    /// Applies watch events in the order of the journal.
     fn on_watch_events(&mut self, events: Vec<WatchEvent>) {
         let now = self.clock.now();
         for event in events {
@@ -131,7 +131,7 @@
 
     // ---- The control socket.
 
-    /// Answers a request of the control socket.
+    /// Executes a request of the control socket and returns the response.
     fn respond(&mut self, request: ControlRequest) -> ControlResponse {
         match request {
             ControlRequest::GatewayStatus
@@ -158,7 +158,7 @@
 
     // ---- Timers.
 
-    /// Does all that is due.
+    /// Handles all deadlines that have passed.
     pub fn on_timer(&mut self) {
         let now = self.clock.now();
         self.proxy.on_upstream_timer(now);
@@ -194,7 +194,7 @@
         }
     }
 
-    /// The time until the next deadline.
+    /// The time until the next deadline; zero if a paused connection can be read at once.
     pub fn time_to_deadline(&self) -> Duration {
         let remote_sites = self.proxy.parts.remote_sites.as_ref();
         let has_readable_links = remote_sites.is_some_and(RemoteSites::has_readable_links);
@@ -210,7 +210,8 @@
 
     // ---- Signals.
 
-    /// Prints the counters, reads the configuration again, or begins the graceful shutdown.
+    /// Handles a signal: SIGUSR1 prints the counters, SIGHUP reads the configuration again, and all others
+    /// begin the graceful shutdown.
     pub fn on_signal(&mut self, signal: Signal) {
         match signal {
             Signal::SIGUSR1 => self.print_counters(),
@@ -219,8 +220,8 @@
         }
     }
 
-    /// Reads the configuration again. Only the journal's address can change at runtime; a file that can't be read changes
-    /// nothing.
+    /// Reads the configuration again. Only the address of the journal can change at runtime. A file that
+    /// can't be read changes nothing.
     fn reload(&mut self) {
         self.reloads += 1;
         match self.reserve.run_with_all(|| Config::read(&self.config_path)) {
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Applies what of the operator file may change at runtime.
+    /// Applies the settings of the operator file that may change at runtime.
     fn reload_operator_file(&mut self, operator: &OperatorConfig) {
         let now = self.clock.now();
         let Some(file) = &self.operator_file else { return };
@@ -244,15 +245,18 @@
         }
     }
 
-    /// Logs all counts.
+    /// Logs all counters.
     pub fn print_counters(&self) {
         let discovery = DiscoveryCounts {
             position: self.discovery.position(),
             bytes_in: self.discovery.bytes_in,
             bytes_out: self.discovery.bytes_out,
         };
-        let counters =
-            Counters { reloads: self.reloads, lost_polls: self.discovery.lost, ..self.proxy.counters() };
+        let counters = Counters {
+            reloads: self.reloads,
+            failed_polls: self.discovery.failed_polls,
+            ..self.proxy.counters()
+        };
         let report = CounterReport {
             counters,
             discovery,
@@ -266,12 +270,12 @@
 
     // ---- Shutdown.
 
-    /// Begins the graceful shutdown: open requests are finished, and clients are asked to send no new ones.
+    /// Begins the graceful shutdown: open requests are finished, and clients are told to send no new ones.
     fn begin_drain(&mut self) {
         if !self.run_phase.is_serving() {
             return;
         }
-        log_line!("stopping, {} requests open", self.proxy.gauges().open_requests);
+        log_line!("shutting down with {} open requests", self.proxy.gauges().open_requests);
         let now = self.clock.now();
         self.run_phase.begin_drain(now);
         let events = self.proxy.begin_client_drain(now);
@@ -284,12 +288,13 @@
         self.proxy.process_outcomes();
     }
 
-    /// Whether the drain is over: all is answered and no new requests are expected, or its time is up.
+    /// Whether the drain is over: everything is answered and no new requests are expected, or its maximum
+    /// duration has passed.
     pub fn is_drained(&self) -> bool {
         self.run_phase.is_draining() && self.run_phase.is_drained(self.clock.now(), self.proxy.open_work())
     }
 
-    /// Answers all that is open, and lets the last answers leave.
+    /// Answers all open requests, and begins to close clients' connections once their answers are written.
     pub fn begin_close(&mut self) {
         self.proxy.fail_open_requests();
         let now = self.clock.now();
@@ -297,7 +302,7 @@
         self.proxy.begin_close(now);
     }
 
-    /// Whether all clients have taken their last answers, or had the time to.
+    /// Whether all clients' connections are closed after their last answers, or the time for that has passed.
     pub fn is_closed(&mut self) -> bool {
         if !self.run_phase.is_closing() {
             return false;
@@ -307,17 +312,17 @@
         has_no_clients || self.run_phase.is_close_over(now)
     }
 
-    /// Ends the remaining connections of clients.
+    /// Closes the remaining connections of clients.
     pub fn close_clients(&mut self) {
         self.proxy.close_clients();
     }
 
-    /// Whether other routers are notified of the end.
+    /// Whether the router is a member of a cluster, whose other members are notified of the shutdown.
     pub fn has_cluster(&self) -> bool {
         self.proxy.parts.cluster.is_some()
     }
 
-    /// Ends the audit log, and sends its last record to the other routers.
+    /// Closes the audit log, and sends its last record to the other routers.
     pub fn end_audit_log(&mut self) {
         let now = self.clock.now();
         if let Some(cluster) = &mut self.proxy.parts.cluster {
--- a/crates/router/src/router/readiness.rs
+++ b/crates/router/src/router/readiness.rs
@@ -1,4 +1,4 @@
-//! What a router does once one of its sockets can be accepted, read or written.
+//! Handling of ready sockets: dispatch to the component that owns the socket.
 
 use std::fs::File;
 use std::net::TcpListener;
--- a/crates/router/src/start_error.rs
+++ b/crates/router/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a router does not start, or ends early.
+//! Why a router failed to start, or ended with an error.
 
 use std::fmt;
 use std::io;
@@ -15,33 +15,33 @@
 pub enum StartError {
     /// `LB_CONFIG` is not set.
     NoConfig,
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     Config(ConfigError),
     /// The operator file can't be evaluated.
     Operator(OperatorError),
     /// The process that evaluates the operator file can't be started.
     Evaluation(CommandError),
-    /// The hierarchy of the operator file can't be used.
+    /// The hierarchy of the operator file is invalid.
     Hierarchy(HierarchyError),
-    /// The control socket can't be listened at.
+    /// Listening on the control socket failed.
     ControlSocket {
         /// The path of the socket.
         path: String,
         /// The error of the system.
         source: io::Error,
     },
-    /// An error of the system, for instance an address in use.
+    /// A system error, for example an address in use.
     System(io::Error),
-    /// The event loop can't be used.
+    /// The event loop failed.
     EventLoop(calloop::Error),
-    /// One of several routers of this process.
+    /// The error of one of several routers in this process.
     Router(Box<RouterError>),
 }
 
 impl fmt::Display for StartError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoConfig => f.write_str("LB_CONFIG names no configuration"),
+            Self::NoConfig => f.write_str("LB_CONFIG is not set; it must name the configuration file"),
             Self::Config(error) => error.fmt(f),
             Self::Operator(error) => error.fmt(f),
             Self::Evaluation(error) => error.fmt(f),
--- a/crates/router/tests/endings.rs
+++ b/crates/router/tests/endings.rs
@@ -374,7 +374,7 @@
     wait(&fleet.journal.polls, |tail| *tail == 1);
     let door = Late::new();
     fleet.router.reload(door.address);
-    assert!(fleet.router.logged("poll from 1 lost").ends_with("not up in time"));
+    assert!(fleet.router.logged("poll from position 1 failed").ends_with("connect timed out"));
     // Two reloads shortly after each other: the last one counts.
     let known = fleet.journal.known()["entries"].as_array().cloned().unwrap_or_default();
     let moved = Journal::start("127.0.0.1:0", known).expect("the journal listens");
--- a/crates/router/tests/scale.rs
+++ b/crates/router/tests/scale.rs
@@ -96,7 +96,7 @@
     process.signal(Signal::SIGHUP);
     process.all_log(4, "reloaded: the journal is at");
     process.signal(Signal::SIGTERM);
-    process.all_log(4, "stopping");
+    process.all_log(4, "shutting down");
     assert_eq!(process.code(), Some(0));
 }
 
--- a/crates/router/tests/unit/counters.rs
+++ b/crates/router/tests/unit/counters.rs
@@ -1,8 +1,8 @@
-//! Unit tests of `src/counters.rs`, a part of its module.
+//! Unit tests of `src/counters.rs`, included there as the module `tests`.
 
 use super::*;
 
-/// The counts that are not 0, as they are printed.
+/// The printed counters that are not 0.
 fn printed(counters: &Counters) -> String {
     let text = counters.to_string();
     let counts: Vec<&str> = text.split_whitespace().filter(|count| !count.ends_with("=0")).collect();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_report_has_only_what_is_enabled() {
+fn a_report_omits_disabled_components() {
     let mut report = CounterReport {
         counters: Counters::default(),
         discovery: DiscoveryCounts { position: 3, bytes_in: 2, bytes_out: 1 },
--- a/crates/router/tests/unit/discovery.rs
+++ b/crates/router/tests/unit/discovery.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/discovery/http.rs` and `event.rs`, a part of the former.
+//! Unit tests of `src/discovery/http.rs` and `event.rs`, included in the former as the module `tests`.
 
 use super::*;
 use crate::buffers::BufferPool;
@@ -11,20 +11,20 @@
     {"pos":42,"hosts":{"targets":[{"uid":"s-2","endpoint":"nowhere","state":"Ready"}]}},
     {"pos":43,"expire":{"name":"7f3a9c21e0b4d655","stamp":1764576000123}}]}"#;
 
-fn read_by_bytes(bytes: &[u8]) -> EventPage {
+fn decode_byte_by_byte(bytes: &[u8]) -> EventPage {
     let pool = BufferPool::new(16, 4, 100);
     let mut input = BufferChain::new(&pool);
     for byte in bytes {
         assert!(decode_response(&mut input).expect("well formed").is_none());
         input.push(&[*byte]);
     }
-    let page = decode_response(&mut input).expect("well formed").expect("whole");
+    let page = decode_response(&mut input).expect("well formed").expect("complete");
     assert!(input.is_empty());
     page
 }
 
 #[test]
-fn an_answer_is_read_however_its_bytes_come() {
+fn a_response_is_decoded_from_any_split_of_its_bytes() {
     let plain = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{PAGE}", PAGE.len());
     let (head, tail) = PAGE.split_at(100);
     let chunked = format!(
@@ -32,7 +32,7 @@
         tail.len()
     );
     for bytes in [plain, chunked] {
-        let page = read_by_bytes(bytes.as_bytes());
+        let page = decode_byte_by_byte(bytes.as_bytes());
         assert_eq!(page.position, 43);
         let purge =
             page.events.last().and_then(|event| event.purge.as_ref()).and_then(PurgeEvent::policy_input);
@@ -41,16 +41,17 @@
     }
 }
 
-/// With the whole page refused for it, the router would ask for the same page for ever.
+/// If one invalid event failed the complete page, the router would poll the same page forever.
 #[test]
-fn an_event_that_cannot_be_read_does_not_hide_the_others() {
+fn an_invalid_event_does_not_hide_the_others() {
     let page: EventPage = serde_json::from_str(PAGE).expect("a page");
     assert_eq!(page.events.iter().map(|event| event.position).collect::<Vec<u64>>(), [41, 43]);
 }
 
-/// As any reader of JSON would have it that keeps the last of two: the event is not lost for it.
+/// Like most JSON parsers, the decoder uses the last of two fields with the same name instead of dropping the
+/// event.
 #[test]
-fn of_two_fields_of_one_name_the_last_one_counts() {
+fn the_last_of_two_fields_with_the_same_name_is_used() {
     let text = r#"{"pos":8,"entries":[{"pos":7,"expire":{"stamp":1,"stamp":5,"set":3}},{"pos":8}]}"#;
     let page: EventPage = serde_json::from_str(text).expect("a page");
     let purges: Vec<_> = page
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn what_is_no_page_is_an_error() {
+fn an_invalid_response_is_an_error() {
     let pool = BufferPool::new(16, 4, 100);
     for bytes in
         ["HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK\r\n\r\n", "nonsense\r\n\r\n"]
--- a/crates/router/tests/unit/downstream_codec.rs
+++ b/crates/router/tests/unit/downstream_codec.rs
@@ -1,8 +1,8 @@
-//! Unit tests of `src/downstream/codec.rs`, a part of its module.
+//! Unit tests of `src/downstream/codec.rs`, included there as the module `tests`.
 
 use super::*;
 
-const LONGEST: usize = 262_144;
+const MAX_FRAME: usize = 262_144;
 
 fn request(stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
@@ -21,15 +21,16 @@
 }
 
 #[test]
-fn a_request_is_read_however_its_bytes_come() {
+fn a_request_is_decoded_from_any_split_of_its_bytes() {
     let pool = BufferPool::new(7, 4, 100);
     let sent = request(9, &[("c", "video"), ("chunk", "3")], b"some bytes");
     let mut input = BufferChain::new(&pool);
     for (n, byte) in sent.iter().enumerate() {
-        assert!(decode(&mut input, LONGEST).expect("well formed").is_none(), "after {n} bytes");
+        assert!(decode(&mut input, MAX_FRAME).expect("well formed").is_none(), "after {n} bytes");
         input.push(&[*byte]);
     }
-    let Some(ClientMessage::Request { stream, fields, body }) = decode(&mut input, LONGEST).expect("whole")
+    let Some(ClientMessage::Request { stream, fields, body }) =
+        decode(&mut input, MAX_FRAME).expect("complete")
     else {
         panic!("no request")
     };
@@ -39,7 +40,7 @@
 }
 
 #[test]
-fn what_is_malformed_is_an_error() {
+fn malformed_frames_are_errors() {
     let pool = BufferPool::new(64, 4, 100);
     let cases: [&[u8]; 6] = [
         &[0, 0, 0, 4, 65],
@@ -50,13 +51,13 @@
         &[0, 0, 0, 10, 65, 0, 0, 0, 1, 1, 1, 0xff, 0, 0],
     ];
     for bytes in cases {
-        assert!(decode(&mut BufferChain::from_bytes(&pool, bytes), LONGEST).is_err(), "{bytes:?}");
+        assert!(decode(&mut BufferChain::from_bytes(&pool, bytes), MAX_FRAME).is_err(), "{bytes:?}");
     }
 }
 
-/// Nothing that a client can send may end the router, or be kept after it was read.
+/// No input of a client may end the router, or leave buffers in use after it was decoded.
 #[test]
-fn random_bytes_are_messages_or_errors() {
+fn random_bytes_decode_to_messages_or_errors() {
     let pool = BufferPool::new(64, 4, 100);
     let mut seed = 7u64;
     let mut next = move || {
@@ -65,20 +66,20 @@
     };
     for round in 0..2000 {
         let mut input = BufferChain::new(&pool);
-        // Every other one begins like a request of a fair length.
+        // Every other input begins like a request with a valid length.
         if round % 2 == 0 {
             input.push(&[0, 0, 0, 20 + next() % 60, frame_type::REQUEST, 0, 0, 0, 1, next() % 4]);
         }
         let bytes: Vec<u8> = (0..200).map(|_| next()).collect();
         input.push(&bytes);
-        while let Ok(Some(_)) = decode(&mut input, LONGEST) {}
+        while let Ok(Some(_)) = decode(&mut input, MAX_FRAME) {}
         drop(input);
         assert_eq!(pool.in_use(), 0);
     }
 }
 
 #[test]
-fn answers_stand_as_the_protocol_says() {
+fn answers_are_encoded_according_to_the_protocol() {
     let pool = BufferPool::new(64, 4, 100);
     let body = BufferChain::from_bytes(&pool, b"xy");
     let out = encode_answer(&pool, 5, AnswerCode::Rejected, &[("w", "50")], body).to_vec();
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn frames_to_clients_are_the_same_bytes() {
+fn frames_have_the_golden_bytes() {
     let pool = BufferPool::new(64, 4, 100);
     let body = |bytes: &[u8]| BufferChain::from_bytes(&pool, bytes);
     let frames = [
--- a/crates/router/tests/unit/protocol_error.rs
+++ b/crates/router/tests/unit/protocol_error.rs
@@ -1,9 +1,9 @@
-//! Unit tests of `src/downstream/protocol_error.rs`, a part of its module.
+//! Unit tests of `src/downstream/protocol_error.rs`, included there as the module `tests`.
 
 use super::*;
 
 #[test]
-fn the_texts_that_clients_are_sent_stay() {
+fn texts_sent_to_clients_are_unchanged() {
     let texts = [
         (ProtocolError::Frame(FrameError::Length), "a frame of such a length"),
         (ProtocolError::StreamReused, "a stream that is not new"),
@@ -12,7 +12,7 @@
         (ProtocolError::NoRequest, "nothing was asked"),
         (ProtocolError::MessageTimeout, "a message that does not end"),
         (ProtocolError::PartialMessageAtShutdown, "half a message at the end"),
-        (ProtocolError::PartialMessageDisplaced, "half a message while places are short"),
+        (ProtocolError::PartialMessageEvicted, "half a message while places are short"),
         (ProtocolError::PartialMessageWithoutBuffers, "half a message while buffers are short"),
     ];
     for (error, text) in texts {
