--- a/crates/router/src/cli/audit.rs
+++ b/crates/router/src/cli/audit.rs
@@ -21,7 +21,7 @@
 use crate::control::{ControlRequest, ControlResponse};
 
 /// A time below this is in seconds: in milliseconds it would be in the distant past.
-const MAX_SECONDS: f64 = 1e11;
+const MAX_UNIX_SECONDS: f64 = 1e11;
 const MS_PER_SECOND: Ms = 1_000.0;
 
 #[derive(Debug, Subcommand)]
@@ -155,7 +155,7 @@
 
 /// Converts a time, given in seconds or milliseconds, to Unix milliseconds.
 fn unix_ms(time: f64) -> Ms {
-    match time < MAX_SECONDS {
+    match time < MAX_UNIX_SECONDS {
         true => time * MS_PER_SECOND,
         false => time,
     }
--- a/crates/router/src/cli/gateway.rs
+++ b/crates/router/src/cli/gateway.rs
@@ -14,7 +14,7 @@
     Status,
     /// Show the sites that reads and writes are routed to
     Routes,
-    /// Drain a site: its own site for all others, another site for this gateway only
+    /// Drain a site: the gateway's own site for all others, any other site for this gateway only
     Drain { site: String },
     /// End the drain of a site
     Undrain { site: String },
--- a/crates/router/src/cli/mod.rs
+++ b/crates/router/src/cli/mod.rs
@@ -43,7 +43,7 @@
     pub run: RunArguments,
 }
 
-/// The arguments of a router.
+/// The arguments for running a router.
 #[derive(Debug, Clone, Default, clap::Args)]
 pub struct RunArguments {
     /// The operator file; without one only the platform's configuration applies
@@ -111,8 +111,8 @@
 /// The routers that a command calls, and its output format.
 #[derive(Debug, Clone, clap::Args)]
 pub struct ControlTarget {
-    /// The control socket of a router; several are allowed for `apply`, which sends all the same batch, and
-    /// for `audit`
+    /// The control socket of a router; several are allowed for `apply`, which sends the same batch to all,
+    /// and for `audit`
     #[arg(long, global = true, env = "LB_CONTROL", value_name = "PATH", value_delimiter = ',')]
     pub socket: Vec<PathBuf>,
     /// The output format
--- a/crates/router/src/config/limits.rs
+++ b/crates/router/src/config/limits.rs
@@ -258,7 +258,7 @@
     }
 }
 
-/// One endpoint may use at most this fraction, 1 divided by the value, of all descriptors.
+/// One endpoint may use at most the number of all descriptors divided by this.
 const ENDPOINT_DESCRIPTOR_DIVISOR: usize = 8;
 
 /// The fraction of the caches' idle timeout after which the router closes connections, so that the cache does
@@ -377,7 +377,7 @@
     }
 }
 
-/// Links may use at most this fraction, 1 divided by the value, of all descriptors.
+/// Links may use at most the number of all descriptors divided by this.
 const LINK_DESCRIPTOR_DIVISOR: usize = 16;
 
 /// Links with other sites.
--- a/crates/router/src/downstream/codec.rs
+++ b/crates/router/src/downstream/codec.rs
@@ -15,8 +15,8 @@
 }
 
 /// The size in bytes of the length field, and of the type and stream fields that follow it.
-const LENGTH: usize = 4;
-const HEAD: usize = 5;
+const LENGTH_BYTES: usize = 4;
+const HEAD_BYTES: usize = 5;
 
 /// A message of a client.
 #[derive(Debug)]
@@ -92,17 +92,17 @@
 /// The head of the frame at `offset` in `input`; `None` if it is incomplete or its length is invalid.
 /// `max_frame` is as for [`decode`].
 pub fn peek_head(input: &BufferChain, offset: usize, max_frame: usize) -> Option<FrameHead> {
-    let mut head = [0; LENGTH + HEAD];
+    let mut head = [0; LENGTH_BYTES + HEAD_BYTES];
     if input.peek_at(offset, &mut head) < head.len() {
         return None;
     }
     let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
     let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
-    if !(HEAD..=max_frame).contains(&length) {
+    if !(HEAD_BYTES..=max_frame).contains(&length) {
         return None;
     }
     let cancels = (head[4] == frame_type::CANCEL).then_some(stream);
-    Some(FrameHead { length: LENGTH + length, cancels })
+    Some(FrameHead { length: LENGTH_BYTES + length, cancels })
 }
 
 /// Decodes one message and removes it from `input`; `None` while it is incomplete. `max_frame` is the longest
@@ -112,21 +112,21 @@
 ///
 /// A frame that violates the protocol.
 pub fn decode(input: &mut BufferChain, max_frame: usize) -> Result<Option<ClientMessage>, FrameError> {
-    let mut head = [0; LENGTH + HEAD];
+    let mut head = [0; LENGTH_BYTES + HEAD_BYTES];
     let seen = input.peek(&mut head);
-    if seen < LENGTH {
+    if seen < LENGTH_BYTES {
         return Ok(None);
     }
     let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if length < HEAD || length > max_frame {
+    if length < HEAD_BYTES || length > max_frame {
         return Err(FrameError::Length);
     }
-    if input.len() < LENGTH + length {
+    if input.len() < LENGTH_BYTES + length {
         return Ok(None);
     }
     let stream = u32::from_be_bytes([head[5], head[6], head[7], head[8]]);
-    input.consume(LENGTH + HEAD);
-    let mut payload = input.split_to(length - HEAD);
+    input.consume(LENGTH_BYTES + HEAD_BYTES);
+    let mut payload = input.split_to(length - HEAD_BYTES);
     match head[4] {
         frame_type::REQUEST if stream == 0 => Err(FrameError::RequestOnStreamZero),
         frame_type::REQUEST => {
@@ -212,7 +212,7 @@
             payload.extend(value.as_bytes());
         }
     }
-    let length = (HEAD + payload.len() + body.len()) as u32;
+    let length = (HEAD_BYTES + payload.len() + body.len()) as u32;
     let mut out = BufferChain::new(pool);
     out.push(&length.to_be_bytes());
     out.push(&[kind]);
--- a/crates/router/src/policy_adapter/events.rs
+++ b/crates/router/src/policy_adapter/events.rs
@@ -108,9 +108,9 @@
 pub enum CacheResult {
     /// Served from the cached copy.
     Hit,
-    /// Filled from a copy that the source had cached.
+    /// Filled from a copy that the source had.
     FilledByParent,
-    /// Filled from the origin, directly or through the source.
+    /// Filled by way of the origin.
     FilledByOrigin,
     /// Served by a fill that was already in progress.
     Coalesced,
--- a/crates/router/src/policy_adapter/mod.rs
+++ b/crates/router/src/policy_adapter/mod.rs
@@ -105,9 +105,9 @@
     pub budget: Ms,
 }
 
-/// The properties of a request that its class determines.
+/// The properties of a request that depend on its class.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RequestNeeds {
+pub struct RequestProperties {
     /// The latency objective, in milliseconds.
     pub latency_objective: Ms,
     /// Whether it is a write, which is executed at the origin.
@@ -181,13 +181,13 @@
         self.classes.get(usize::from(number))
     }
 
-    /// The latency objective of a request, and whether it is a write.
-    pub fn needs(&self, spec: &RequestSpec) -> RequestNeeds {
+    /// The properties of a request, by its class and the size of the object.
+    pub fn request_properties(&self, spec: &RequestSpec) -> RequestProperties {
         let class = self.class(spec).cloned().unwrap_or_default();
         let transfer =
             if self.flow_kb_per_s > 0.0 { spec.size_kb / self.flow_kb_per_s * 1000.0 } else { 0.0 };
         let latency_objective = class.latency_objective + class.objective_stretch_ratio * transfer;
-        RequestNeeds { latency_objective, is_write: class.is_write }
+        RequestProperties { latency_objective, is_write: class.is_write }
     }
 
     /// Whether a request must not be executed twice. This is assumed for unknown classes.
--- a/crates/router/src/proxy/clients.rs
+++ b/crates/router/src/proxy/clients.rs
@@ -96,7 +96,7 @@
         let rejection = self.reject_as_straggler(now, &spec).or(is_overloaded.then_some(0.0));
         let open = OpenRequest::new(now, &self.policy, stream, &spec, message);
         if self.parts.forwards_requests() {
-            self.requests.insert(ticket, open.across_sites(now, &self.policy, spec, Vec::new()));
+            self.requests.insert(ticket, open.allow_forwarding(now, &self.policy, spec, Vec::new()));
             return match rejection {
                 Some(retry_after) => self.reject(ticket, retry_after),
                 None => self.choose_site(ticket),
@@ -160,7 +160,7 @@
 
     /// Handles the answer that this site's policy gives to a request; a rejected request may be forwarded to
     /// another site.
-    pub(super) fn on_decided(&mut self, ticket: Ticket, answer: FinalAnswer, payload: ResponsePayload) {
+    pub(super) fn on_policy_answer(&mut self, ticket: Ticket, answer: FinalAnswer, payload: ResponsePayload) {
         if self.parts.forwards_requests() {
             self.record_local_answer(ticket, answer);
             if matches!(answer, FinalAnswer::Rejected { .. }) && self.forward_rejected(ticket) {
@@ -187,7 +187,7 @@
         self.run_downstreams(|downstreams, events| downstreams.flush(now, request.stream.client, events));
     }
 
-    /// Rejects a request; `retry_after` 0 = none.
+    /// Rejects a request. `retry_after` is in milliseconds, 0 for none.
     fn reject(&mut self, ticket: Ticket, retry_after: Ms) {
         self.finish(ticket, FinalAnswer::Rejected { retry_after }, ResponsePayload::Empty);
     }
--- a/crates/router/src/proxy/mod.rs
+++ b/crates/router/src/proxy/mod.rs
@@ -55,7 +55,7 @@
     downstreams: Downstreams<W>,
     upstreams: Upstreams<W>,
     requests: OpenRequests,
-    /// When the policy's next timer is due.
+    /// The time of the policy's next timer, in milliseconds.
     policy_timer: Option<Ms>,
     /// Set during shutdown: new requests are rejected.
     is_closing: bool,
@@ -63,7 +63,7 @@
 }
 
 impl<W: EventHandler> Proxy<W> {
-    /// A proxy without clients and endpoints.
+    /// Creates a proxy without clients and endpoints.
     pub fn new(setup: &ProxySetup<'_, W>, policy: PolicyAdapter, parts: OperatorParts<W>) -> Self {
         let ProxySetup { clock, limits, buffers, reserve, handle } = *setup;
         let mut upstreams = Upstreams::new(limits, buffers, reserve, handle.clone());
@@ -102,7 +102,7 @@
                 }
                 PolicyCommand::Cancel(attempt) => self.cancel(now, attempt),
                 PolicyCommand::Answer { ticket, answer } => {
-                    self.on_decided(ticket, answer, payload.take().unwrap_or(ResponsePayload::Empty));
+                    self.on_policy_answer(ticket, answer, payload.take().unwrap_or(ResponsePayload::Empty));
                 }
                 PolicyCommand::SetTimer(at) => self.set_policy_timer(at),
                 PolicyCommand::HealthCheck(endpoint) => self.upstreams.send_health_check(now, endpoint),
--- a/crates/router/src/proxy/remote_sites.rs
+++ b/crates/router/src/proxy/remote_sites.rs
@@ -166,7 +166,7 @@
         self.counters.record_request(request.message.body.len());
         let ClientRequest { stream, spec, message } = request;
         let open = OpenRequest::new(now, &self.policy, stream, &spec, message);
-        let open = open.across_sites(now, &self.policy, spec, remote.passed_sites.clone());
+        let open = open.allow_forwarding(now, &self.policy, spec, remote.passed_sites.clone());
         self.requests.insert(ticket, open);
         self.choose_site(ticket);
     }
--- a/crates/router/src/requests.rs
+++ b/crates/router/src/requests.rs
@@ -4,7 +4,7 @@
 
 use crate::downstream::ClientStream;
 use crate::hierarchy_adapter::RequestProfile;
-use crate::policy_adapter::{Ms, PolicyAdapter, RequestNeeds, RequestSpec, Ticket};
+use crate::policy_adapter::{Ms, PolicyAdapter, RequestProperties, RequestSpec, Ticket};
 use crate::remote_sites::CrossSiteRequest;
 use crate::upstream::RequestMessage;
 
@@ -32,7 +32,7 @@
         spec: &RequestSpec,
         message: RequestMessage,
     ) -> Self {
-        let RequestNeeds { latency_objective, is_write } = policy.needs(spec);
+        let RequestProperties { latency_objective, is_write } = policy.request_properties(spec);
         let profile = RequestProfile {
             object: spec.object,
             part: spec.part,
@@ -44,8 +44,8 @@
         Self { stream, message, profile, cross_site: None }
     }
 
-    /// Allows the request to be forwarded to other sites, except those that it has `passed`.
-    pub fn across_sites(
+    /// Marks the request as one that may be forwarded to other sites, except those that it has `passed`.
+    pub fn allow_forwarding(
         mut self,
         now: Ms,
         policy: &PolicyAdapter,
--- a/crates/router/src/router.rs
+++ b/crates/router/src/router.rs
@@ -34,8 +34,8 @@
 use crate::shadow_policy::{ShadowReport, ShadowSetup};
 use crate::start_error::StartError;
 
-/// The longest time between two runs of the timers.
-const MAX_TIMER_INTERVAL: Ms = 1_000.0;
+/// The maximum time between two runs of the timers.
+const MAX_TIMER_INTERVAL_MS: Ms = 1_000.0;
 
 /// A router.
 pub struct Router {
@@ -205,7 +205,7 @@
         let optional = [self.run_phase.next_deadline(now), self.proxy.parts.next_deadline(now)];
         let required = self.discovery.next_deadline().min(self.proxy.next_deadline());
         let next = optional.into_iter().flatten().fold(required, Ms::min);
-        Duration::from_secs_f64((next - now).clamp(0.0, MAX_TIMER_INTERVAL) / 1000.0)
+        Duration::from_secs_f64((next - now).clamp(0.0, MAX_TIMER_INTERVAL_MS) / 1000.0)
     }
 
     // ---- Signals.
--- a/crates/router/src/upstream/codec.rs
+++ b/crates/router/src/upstream/codec.rs
@@ -7,8 +7,8 @@
 
 use crate::buffers::{BufferChain, BufferPool};
 
-/// The maximum length of a line with the length of an array or a string.
-const MAX_LENGTH_LINE: usize = 24;
+/// The maximum size of a line with the length of an array or a string.
+const MAX_LENGTH_LINE_BYTES: usize = 24;
 
 /// A reply of a cache, a parent or the origin.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
     NotModified,
     /// The object is not cached there, and was not filled.
     CacheMiss,
-    /// The cache has no capacity for the request.
+    /// Rejected for lack of capacity.
     Rejected,
     Failed,
     /// The request was cancelled before its execution began.
@@ -52,7 +52,7 @@
     }
 }
 
-/// How a reply breaks the protocol.
+/// How a reply violates the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyError {
     /// An array of neither 2 nor 3 nor 4 strings.
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// Bytes that break the protocol.
+    /// Bytes that violate the protocol.
     pub fn decode(
         &mut self,
         input: &mut BufferChain,
@@ -204,14 +204,14 @@
 
 /// Removes a length line that begins with `sign`; `None` while it is incomplete.
 fn take_length_line(input: &mut BufferChain, sign: u8) -> Result<Option<usize>, ReplyError> {
-    let mut start = [0; MAX_LENGTH_LINE];
+    let mut start = [0; MAX_LENGTH_LINE_BYTES];
     let seen = input.peek(&mut start);
     let start = &start[..seen];
     if start.first().is_some_and(|&first| first != sign) {
         return Err(ReplyError::NotAnArray);
     }
     let Some(end) = start.windows(2).position(|pair| pair == b"\r\n") else {
-        return if seen < MAX_LENGTH_LINE { Ok(None) } else { Err(ReplyError::LineEnd) };
+        return if seen < MAX_LENGTH_LINE_BYTES { Ok(None) } else { Err(ReplyError::LineEnd) };
     };
     let number = std::str::from_utf8(&start[1..end]).ok().and_then(|digits| digits.parse().ok());
     let number = number.ok_or(ReplyError::LengthNotANumber)?;
--- a/crates/router/src/upstream/connection.rs
+++ b/crates/router/src/upstream/connection.rs
@@ -140,7 +140,7 @@
     }
 
     /// Marks the connect as succeeded.
-    pub fn set_up(&mut self) {
+    pub fn mark_up(&mut self) {
         self.state = ConnectionState::Up;
     }
 
@@ -220,7 +220,7 @@
     ///
     /// # Errors
     ///
-    /// A reply that breaks the protocol.
+    /// A reply that violates the protocol.
     pub fn next_reply(&mut self, max_string: usize) -> Result<Option<Reply>, ReplyError> {
         self.decoder.decode(&mut self.input, max_string)
     }
--- a/crates/router/src/upstream/mod.rs
+++ b/crates/router/src/upstream/mod.rs
@@ -127,7 +127,7 @@
         if !connection.is_up() {
             match connection.connect_result() {
                 Ok(()) if writable => {
-                    connection.set_up();
+                    connection.mark_up();
                     self.note_activity(now, id);
                 }
                 Ok(()) => return,
--- a/crates/router/tests/unit/downstream_codec.rs
+++ b/crates/router/tests/unit/downstream_codec.rs
@@ -13,7 +13,7 @@
         payload.extend(value.as_bytes());
     }
     payload.extend(body);
-    let mut out = ((HEAD + payload.len()) as u32).to_be_bytes().to_vec();
+    let mut out = ((HEAD_BYTES + payload.len()) as u32).to_be_bytes().to_vec();
     out.push(frame_type::REQUEST);
     out.extend(stream.to_be_bytes());
     out.extend(payload);
