--- a/crates/router/src/config/error.rs
+++ b/crates/router/src/config/error.rs
@@ -11,7 +11,7 @@
 pub enum ConfigError {
     /// The file can't be read.
     Read(io::Error),
-    /// The text is not JSON, or a field is missing or of the wrong type.
+    /// The text is not JSON, or a field is missing or of another type.
     Format(serde_json::Error),
     /// A setting is invalid.
     Setting(SettingsError),
--- a/crates/router/tests/unit/config.rs
+++ b/crates/router/tests/unit/config.rs
@@ -132,7 +132,7 @@
 /// Replaces each value of a configuration, one at a time, by one of another type. The error must name the
 /// setting, unless the value is ignored.
 #[test]
-fn every_setting_is_accepted_and_a_wrong_type_is_reported_by_name() {
+fn every_setting_is_accepted_and_a_type_mismatch_is_reported_by_name() {
     let text = include_str!("../golden/config_every_setting.json");
     Config::decode(text.as_bytes(), 1_024).expect("every setting is accepted");
     let complete: serde_json::Value = serde_json::from_str(text).expect("JSON");
