--- a/crates/hierarchy/src/rate_budget.rs
+++ b/crates/hierarchy/src/rate_budget.rs
@@ -160,7 +160,7 @@
     pub fn report(&mut self, now: Ms, is_late: bool) {
         let rule = ConcurrencyLimitConfig {
             observation_weight: self.config.sample_weight,
-            memory: self.config.rate_window,
+            time_constant: self.config.rate_window,
             max_late_ratio: self.config.max_late_ratio,
             decrease_factor: self.config.decrease_factor,
             decrease_interval: self.config.decrease_interval,
--- a/src/bloom_filter.rs
+++ b/src/bloom_filter.rs
@@ -1,18 +1,18 @@
-//! A Bloom filter of two generations: recent items are found, older ones expire.
+//! A rotating Bloom filter: recent items are found, older ones expire.
 
 use fastbloom::BloomFilter;
 
 use crate::hash_ring::hash_pair;
 
-/// Separates the keys of parts from other hashes of an object.
+/// Makes the keys of parts independent of other hashes of an object.
 const SALT_PART: u64 = 0x7061_7274;
 
-/// The key of one part's copies from after the purge with that stamp; 0 for none.
+/// The key of the copies of one part after the purge with that stamp; a stamp of 0 means no purge.
 pub fn cached_copy_key(object: u64, part: u32, purge_stamp: u64) -> u64 {
     hash_pair(hash_pair(object, SALT_PART.wrapping_add(u64::from(part))), purge_stamp)
 }
 
-/// Two Bloom filters; [`rotate`](Self::rotate) clears the older one and makes it the current one.
+/// Two generations of a Bloom filter. [`rotate`](Self::rotate) drops the older one and starts a new one.
 #[derive(Debug, Clone)]
 pub struct RotatingBloomFilter {
     current: BloomFilter,
@@ -20,8 +20,8 @@
 }
 
 impl RotatingBloomFilter {
-    /// An empty filter with `bits` bits and `hashes` hash functions per generation. The seed makes it the
-    /// same on every machine.
+    /// An empty filter with `bits` bits and `hashes` hash functions per generation. With the same seed the
+    /// filter gives the same results on every machine.
     pub fn new(bits: usize, hashes: u32, seed: u64) -> Self {
         let empty = BloomFilter::with_num_bits(bits).seed(&u128::from(seed)).hashes(hashes);
         Self { current: empty.clone(), previous: empty }
--- a/src/endpoint_health.rs
+++ b/src/endpoint_health.rs
@@ -1,22 +1,22 @@
-//! The health of one endpoint: healthy, ejected, or recovering. Every parameter is passed in.
+//! The health of one endpoint: healthy, ejected or recovering. All parameters are passed in by the caller.
 
 use crate::estimators::Ewma;
 use crate::interface::Ms;
 
-/// When an endpoint is ejected, and how it recovers.
+/// Parameters of the ejection and recovery of an endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct EjectionConfig {
     /// Weight of an outcome in the failure ratio, from 0 to 1.
     pub outcome_weight: f64,
     /// Failure ratio above which the endpoint is ejected.
     pub max_failure_ratio: f64,
-    /// Length of the first ejection.
+    /// Duration of the first ejection.
     pub base_duration: Ms,
-    /// Factor by which the ejection after each failed recovery is longer.
+    /// Factor by which the ejection duration grows after each failed recovery.
     pub duration_growth: f64,
-    /// Length of the longest ejection.
+    /// Maximum duration of an ejection.
     pub max_duration: Ms,
-    /// Consecutive successes, one request at a time, that complete a recovery.
+    /// Number of consecutive successful trial requests that complete a recovery.
     pub recovery_successes: u32,
 }
 
@@ -26,19 +26,19 @@
     Ejected {
         until: Ms,
     },
-    /// One trial request at a time is sent.
+    /// Trial requests are sent one at a time.
     Recovering {
         successes: u32,
         trial_in_flight: bool,
     },
 }
 
-/// The state of one endpoint's ejection and recovery.
+/// Ejection and recovery state of one endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointHealth {
     state: HealthState,
     failure_ratio: Ewma,
-    /// Length of the last ejection.
+    /// Duration of the last ejection.
     ejection_duration: Ms,
 }
 
@@ -49,22 +49,22 @@
 }
 
 impl EndpointHealth {
-    /// Neither ejected nor recovering.
+    /// Whether the endpoint is neither ejected nor recovering.
     pub fn is_healthy(&self) -> bool {
         self.state == HealthState::Healthy
     }
 
-    /// Ejected, and not yet recovering.
+    /// Whether the endpoint is ejected and not yet recovering.
     pub fn is_ejected(&self) -> bool {
         matches!(self.state, HealthState::Ejected { .. })
     }
 
-    /// Receiving trial requests after an ejection.
+    /// Whether the endpoint is receiving trial requests after an ejection.
     pub fn is_recovering(&self) -> bool {
         matches!(self.state, HealthState::Recovering { .. })
     }
 
-    /// Whether a request may be sent now: not while ejected, and one at a time while recovering.
+    /// Whether a request may be sent: not while ejected, and only one at a time while recovering.
     pub fn accepts_request(&self) -> bool {
         matches!(self.state, HealthState::Healthy | HealthState::Recovering { trial_in_flight: false, .. })
     }
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Ejects the endpoint: for longer if it was recovering.
+    /// Ejects the endpoint, for longer than last time if it was recovering.
     pub fn eject(&mut self, now: Ms, config: &EjectionConfig) {
         let repeated = self.is_recovering();
         self.ejection_duration = if repeated {
@@ -87,21 +87,21 @@
         self.state = HealthState::Ejected { until: now + self.ejection_duration };
     }
 
-    /// Ejects the endpoint unless it is ejected already.
+    /// Ejects the endpoint if it is not ejected already.
     pub fn eject_unless_ejected(&mut self, now: Ms, config: &EjectionConfig) {
         if !self.is_ejected() {
             self.eject(now, config);
         }
     }
 
-    /// Starts the recovery once the ejection has lasted its time.
+    /// Starts the recovery if the ejection has expired.
     pub fn start_due_recovery(&mut self, now: Ms) {
         if matches!(self.state, HealthState::Ejected { until } if now >= until) {
             self.state = HealthState::Recovering { successes: 0, trial_in_flight: false };
         }
     }
 
-    /// Records one outcome; `None` if it says nothing about the endpoint.
+    /// Records one outcome; `None` if it is neither a success nor a failure of the endpoint.
     pub fn record_outcome(&mut self, now: Ms, success: Option<bool>, config: &EjectionConfig) {
         if let Some(success) = success {
             self.failure_ratio.update(f64::from(u8::from(!success)), config.outcome_weight);
--- a/src/hash_ring.rs
+++ b/src/hash_ring.rs
@@ -1,15 +1,15 @@
 //! A consistent-hash ring with several points per member.
 //!
-//! Every router that knows the same members builds the same ring.
+//! Routers with the same members build identical rings.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Hashes two numbers to one; the result is the same on every machine.
+/// Hash of two numbers; the result is the same on every machine.
 pub fn hash_pair(first: u64, second: u64) -> u64 {
     xxh3_64_with_seed(&first.to_le_bytes(), second)
 }
 
-/// Maps a hash to a number from 0 up to, but not including, 1.
+/// Maps a hash to a number from 0 up to but not including 1.
 pub fn unit_fraction(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
@@ -27,7 +27,8 @@
 }
 
 impl<M: Copy + Ord> HashRing<M> {
-    /// A ring of members with their number of points; `point_hash(member, n)` places point `n`.
+    /// A ring of the members with the given numbers of points. `point_hash(member, n)` is the position of a
+    /// member's point `n`.
     pub fn new(members: impl IntoIterator<Item = (M, u32)>, point_hash: impl Fn(M, u32) -> u64) -> Self {
         let mut points = Vec::new();
         for (member, count) in members {
@@ -37,7 +38,7 @@
         Self { points }
     }
 
-    /// All members, once each, in ring order from `hash` on; the first one owns it.
+    /// All members, once each, in ring order starting at `hash`. The first one is the owner of `hash`.
     pub fn successors(&self, hash: u64) -> Vec<M> {
         let start = self.points.partition_point(|&(at, _)| at < hash);
         let mut found = Vec::new();
--- a/src/interface/actions.rs
+++ b/src/interface/actions.rs
@@ -1,54 +1,54 @@
-//! What the decision module orders.
+//! The actions that the policy returns.
 
 use std::fmt;
 
 use super::{AttemptId, EndpointId, Ms, RequestId};
 
-/// What a cache does when it has no copy that qualifies.
+/// How a cache handles a request for which it has no usable copy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FillInstruction {
-    /// Where it fills from; the cache itself for no fill.
+    /// The endpoint to fill from; the cache itself if it must not fill.
     pub source: EndpointId,
-    /// 0 passes the answer through; 1 to 3 cache it with that priority of retention.
+    /// 0 to pass the response through without caching it; 1 to 3 to cache it with that retention priority.
     pub retention: u8,
-    /// Maximum age of a copy; 0 means as old as its class allows.
+    /// Maximum age of a usable copy; 0 means as old as its class allows.
     pub max_age: Ms,
-    /// Maximum age of a copy where the router itself suppresses the fill.
+    /// Maximum age of a usable copy if the router itself suppresses the fill.
     pub max_stale_age: Ms,
-    /// Wait for a fill of the same copy that is already under way.
+    /// Whether to wait for a fill of the same copy that is already in progress.
     pub coalesce: bool,
-    /// The source answers only from its cache.
+    /// Whether the source may respond only from its cache.
     pub only_if_cached: bool,
-    /// Serve a stale copy and revalidate it in the background.
+    /// Whether to serve a stale copy and revalidate it in the background.
     pub revalidate: bool,
 }
 
-/// The rule that ended a request without an answer.
+/// The reason for which a request was rejected or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RejectReason {
-    /// The client's time limit has passed, or is too close for any answer.
+    /// The client's time limit has passed, or is too close for an answer in time.
     DeadlineExceeded,
-    /// As many attempts as the settings allow have been sent.
+    /// The maximum number of attempts has been sent.
     AttemptsExhausted,
-    /// The time that is left is shorter than the transfer that a retry would need.
+    /// The remaining time is shorter than the transfer time of a retry.
     DeadlineTooClose,
-    /// No cache that may serve a cached copy has one, and a fill is not admitted.
+    /// The endpoint had no usable copy and did not fill one.
     NothingCached,
-    /// The attempt may have been executed, and a repetition is not idempotent.
+    /// An attempt may have been executed, and idempotence does not allow another one.
     RepeatNotAllowed,
-    /// The router's retry budget is spent.
+    /// The router's retry budget is exhausted.
     RetryBudgetExhausted,
-    /// No endpoint is ready, healthy and warm enough.
+    /// No endpoint is ready, healthy and sufficiently warmed up.
     NoUsableEndpoint,
-    /// The origin answers late or fails; this share of misses is shed.
+    /// The origin responds late or fails, and the miss is in the share that is shed.
     OriginOverloaded,
-    /// The location's fill link has no capacity for another fill of that size.
+    /// The location's fill link has no free capacity for a fill of that size.
     FillLinkOverloaded,
-    /// The cache that would serve the request is too busy to meet the latency objective.
-    EndpointTooCrowded,
-    /// A write found its only endpoint unusable and no time is left for a pause.
+    /// The cache that would serve the request has too much load to meet the latency objective.
+    EndpointOverloaded,
+    /// The only endpoint of a write is unusable, and the deadline leaves no time for a backoff.
     NoTimeForBackoff,
-    /// The endpoint dropped the request without executing it, since its time was over.
+    /// The endpoint dropped the request without executing it, as its time limit had passed.
     AttemptNotExecuted,
 }
 
@@ -64,21 +64,21 @@
             Self::NoUsableEndpoint => "no usable endpoint",
             Self::OriginOverloaded => "origin overloaded",
             Self::FillLinkOverloaded => "fill link overloaded",
-            Self::EndpointTooCrowded => "endpoint too crowded",
+            Self::EndpointOverloaded => "endpoint overloaded",
             Self::NoTimeForBackoff => "no time left for a backoff",
             Self::AttemptNotExecuted => "attempt not executed",
         })
     }
 }
 
-/// One order to the program that carries the decisions out.
+/// An instruction to the program that carries out the decisions.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Forward the request for a fresh cached copy; the endpoint fills nothing.
+    /// Forward the request without fill instructions: the endpoint does not fill a missing copy.
     Forward {
         /// The request.
         request: RequestId,
-        /// Where it is sent.
+        /// The endpoint that it is sent to.
         endpoint: EndpointId,
         /// Time after which the attempt ends as timed out.
         timeout: Ms,
@@ -87,41 +87,42 @@
     ForwardWithFill {
         /// The request.
         request: RequestId,
-        /// Where it is sent.
+        /// The endpoint that it is sent to.
         endpoint: EndpointId,
         /// Time after which the attempt ends as timed out.
         timeout: Ms,
-        /// What the endpoint does without a copy that qualifies.
+        /// How the endpoint fills a missing copy.
         fill: FillInstruction,
     },
-    /// Stop waiting for the attempt, which still ends with an event.
+    /// Cancel the attempt. Its end is still reported with
+    /// [`Event::AttemptFinished`](super::Event::AttemptFinished).
     CancelAttempt(AttemptId),
-    /// Final answer: the client may safely retry, after `retry_after` (0 means unspecified).
+    /// Final answer: the request was not served, and the client may safely retry.
     Reject {
         /// The request.
         request: RequestId,
-        /// Time after which the client should retry.
+        /// Time after which the client should retry; 0 means unspecified.
         retry_after: Ms,
-        /// The rule that ended the request.
+        /// Why the request was not served.
         reason: RejectReason,
     },
-    /// Final answer: the request may have been executed, so that a retry is not safe.
+    /// Final answer: the request failed but may have been executed, so that a retry is not safe.
     Fail {
         /// The request.
         request: RequestId,
-        /// The rule that ended the request.
+        /// Why the request was not served.
         reason: RejectReason,
     },
-    /// Send an [`Event::Timer`](super::Event::Timer); timers cannot be cancelled.
+    /// Deliver an [`Event::Timer`](super::Event::Timer) at the given time; timers cannot be cancelled.
     SetTimer {
-        /// When it is due.
+        /// Time at which the timer is due.
         at: Ms,
-        /// What the event carries.
+        /// Token that the event carries.
         token: u32,
     },
     /// Check the health of the endpoint.
     HealthCheck(EndpointId),
-    /// Have changes of the endpoint list sent from now on.
+    /// Subscribe to changes of the endpoint list.
     SubscribeEndpoints,
     /// Write a line to the log.
     Log(String),
--- a/src/interface/events.rs
+++ b/src/interface/events.rs
@@ -1,4 +1,4 @@
-//! What the decision module is notified of.
+//! The events that the policy handles.
 
 use super::Ms;
 
@@ -19,25 +19,25 @@
 pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// Number of the attempt, from 0 on.
+    /// Number of the attempt within the request, from 0.
     pub number: u8,
 }
 
-/// Whether an endpoint takes new requests.
+/// Whether an endpoint accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointPhase {
-    /// Takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// Finishes its requests and takes no new ones.
+    /// Completes its requests in flight and accepts no new ones.
     Draining,
-    /// No longer listed.
+    /// No longer in the endpoint list.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Endpoint {
-    /// Identifies it.
+    /// Identifier of the endpoint.
     pub id: EndpointId,
     /// Number of its cell within the zone.
     pub cell: u16,
@@ -45,43 +45,43 @@
     pub zone: u16,
     /// Number of the endpoint's role; see [`Settings::parent_role`](super::Settings::parent_role).
     pub role: u16,
-    /// Capacity, in simultaneous transfers, where the list carries it.
+    /// Capacity, in simultaneous transfers, if the list contains capacities.
     pub weight: f64,
-    /// When it last started; 0 means long ago.
+    /// Time of its last start; 0 means long ago.
     pub started_at: Ms,
-    /// Whether it takes new requests.
+    /// Whether it accepts new requests.
     pub phase: EndpointPhase,
 }
 
-/// How a received endpoint list relates to the one known so far.
+/// How a received endpoint list relates to the last known one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// Only the endpoints that changed.
+    /// Contains only the endpoints that changed.
     Incremental,
-    /// All endpoints; one that is missing has been removed.
+    /// Contains all endpoints; one that is missing has been removed.
     Snapshot,
-    /// The list could not be fetched; the known one stays in force.
+    /// The list could not be fetched; the last known one remains in use.
     Unavailable,
 }
 
 /// A client's request as the router received it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Request {
-    /// Identifies it.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// The object.
+    /// The requested object.
     pub object: ObjectId,
-    /// The part that is requested, from 0 on; an object in one part has only that one.
+    /// Number of the requested part, from 0; the only part of an object in one part is 0.
     pub part: u32,
     /// The purge group that the object belongs to.
     pub group: u32,
     /// Number of the request class.
     pub class: u16,
-    /// Size of the answer; 0 means unknown.
+    /// Size of the answer, in KB; 0 means unknown.
     pub size_kb: f64,
-    /// The client marked the request as a retry of its own.
+    /// Whether the client marked the request as a retry.
     pub client_retry: bool,
-    /// To be executed at the origin.
+    /// Whether the request has to be executed at the origin.
     pub is_write: bool,
     /// Time until the client gives up.
     pub time_limit: Ms,
@@ -90,9 +90,9 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptStatus {
-    /// An answer was received completely.
+    /// The response was received completely.
     Ok,
-    /// The endpoint answered with an error; it may have executed the request.
+    /// The endpoint responded with an error; it may have executed the request.
     Error,
     /// Rejected without being executed, or the fill source rejected it or was unreachable.
     Rejected,
@@ -100,13 +100,13 @@
     TimedOut,
     /// No connection could be established.
     ConnectFailed,
-    /// The connection broke after the request was sent.
+    /// The connection was closed or reset after the request had been sent.
     Reset,
-    /// Cancelled by this router or its client.
+    /// Cancelled by this router or by the client.
     Cancelled,
-    /// It was over before it began: the endpoint did not execute it.
+    /// The time limit had passed before the endpoint executed the request.
     NotExecuted,
-    /// The endpoint was asked for a cached copy only, and has none that qualifies.
+    /// Only a cached copy was requested, and the endpoint has no usable one.
     CacheMiss,
 }
 
@@ -116,68 +116,68 @@
         !matches!(self, Self::TimedOut | Self::Cancelled | Self::NotExecuted | Self::ConnectFailed)
     }
 
-    /// Whether the attempt is certain not to have been executed.
+    /// Whether it is certain that the attempt was not executed.
     pub fn never_executed(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotExecuted | Self::CacheMiss)
     }
 }
 
-/// How a cache produced an answer, or why its fill failed, where the endpoint reports it.
+/// How a cache produced a response, or why its fill failed, as far as the endpoint reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheStatus {
     /// Served from the cache.
     Hit,
-    /// Filled from a copy that the source had.
+    /// Filled from a copy that was cached at the source.
     FilledByParent,
-    /// Filled by way of the origin.
+    /// Filled with a copy fetched from the origin.
     FilledByOrigin,
-    /// Served by a fill that was already under way.
+    /// Served by a fill that was already in progress.
     Coalesced,
     /// Served from a copy past its freshness lifetime.
     Stale,
     /// The fill source rejected the fill.
     SourceRejected,
-    /// The fill source was not reached, broke off or timed out.
+    /// The fill source was unreachable, aborted the transfer or timed out.
     SourceUnreachable,
-    /// The fill source has no copy that qualifies.
+    /// The fill source has no usable copy.
     SourceMiss,
-    /// The cache has no capacity for another fill.
+    /// The cache has no free capacity for another fill.
     NoCapacity,
     /// The origin behind the parent failed.
     OriginFailed,
 }
 
-/// The load that an endpoint reports of itself; values that are not reported are `None`.
+/// The load reported by an endpoint; values that are not reported are `None`.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// Requests in flight.
     pub in_flight: Option<f64>,
     /// Utilization of the endpoint.
     pub utilization: Option<f64>,
-    /// Ratio of hits among its recent requests.
+    /// Ratio of hits among the recent requests.
     pub hit_ratio: Option<f64>,
-    /// Utilization of the location's fill link; from a parent, its number of fills in flight.
+    /// Utilization of the location's fill link. A parent reports its number of fills in flight instead.
     pub link_utilization: Option<f64>,
 }
 
-/// The end of one attempt.
+/// The outcome of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptOutcome {
     /// The attempt.
     pub attempt: AttemptId,
-    /// The endpoint.
+    /// The endpoint that the attempt was sent to.
     pub endpoint: EndpointId,
-    /// How it ended.
+    /// How the attempt ended.
     pub status: AttemptStatus,
-    /// The request has its final answer.
+    /// Whether the request has its final answer.
     pub request_finished: bool,
     /// Time since the attempt was sent.
     pub elapsed: Ms,
-    /// Time until the fill source's first byte or the fill's failure; 0 means unknown.
+    /// Time until the first byte from the fill source, or until the fill failed; 0 means unknown.
     pub source_wait: Ms,
-    /// How the answer was produced, where it is reported.
+    /// How the response was produced, if reported.
     pub cache_status: Option<CacheStatus>,
-    /// The load report that came with it.
+    /// The load report in the response.
     pub load_report: LoadReport,
 }
 
@@ -186,38 +186,39 @@
 pub struct FillSource {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The lowest is tried first; among equals the order follows the object's hash.
+    /// The source with the lowest priority number is tried first; the order among equal ones is given by the
+    /// object's hash.
     pub priority: u16,
 }
 
-/// The sources that a cache may be filled from, also while they are being migrated.
+/// The sources that a cache may be filled from, also during a migration from one list to another.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FillSources {
-    /// For the objects that have migrated: those whose hash with `salt` is below `migrated_ratio`.
+    /// Sources of the migrated objects, whose hash with `salt` is below `migrated_ratio`.
     pub current: Vec<FillSource>,
-    /// For the other objects.
+    /// Sources of the other objects.
     pub previous: Vec<FillSource>,
-    /// From 0 to 1.
+    /// Share of the objects that have been migrated, from 0 to 1.
     pub migrated_ratio: f64,
-    /// Separates the hash of this migration from others.
+    /// Makes the hash of this migration independent of others.
     pub salt: u64,
 }
 
-/// One notification.
+/// An event that the policy is notified of.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A list of endpoints was received.
     Endpoints {
-        /// How the list relates to the known one.
+        /// How the list relates to the last known one.
         update: EndpointUpdate,
-        /// The list.
+        /// The entries of the list.
         endpoints: Vec<Endpoint>,
     },
     /// A request was received.
     Request(Request),
-    /// The answer of a streamed request has begun: the attempt can no longer be replaced.
+    /// The answer of a streamed request has started, so that the attempt can no longer be replaced.
     ResponseStarted(AttemptId),
-    /// The client no longer waits for an answer.
+    /// The client no longer waits for the answer.
     ClientDisconnected(RequestId),
     /// An attempt has ended.
     AttemptFinished(AttemptOutcome),
@@ -225,27 +226,27 @@
     HealthCheck {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Whether it answered well.
+        /// Whether the check succeeded.
         healthy: bool,
-        /// The load report that came with it.
+        /// The load report in the response.
         load_report: LoadReport,
     },
-    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) is due; carries its token.
+    /// A timer set by [`Action::SetTimer`](super::Action::SetTimer) with this token is due.
     Timer(u32),
-    /// Copies of the object, or of the whole group, from before `age` ago are out of date.
+    /// A purge: older copies of the object, or of all objects of the group, are invalid.
     Purge {
-        /// The object; `None` for the whole group.
+        /// The object; `None` for all objects of the group.
         object: Option<ObjectId>,
         /// The purge group.
         group: u32,
-        /// How long ago the purge was made.
+        /// Time since the purge.
         age: Ms,
     },
-    /// The sources that the cache may be filled from; `None` for any listed parent and the origin.
+    /// The fill sources of a cache have changed.
     FillSources {
         /// The cache.
         cache: EndpointId,
-        /// Its sources.
+        /// Its sources; `None` for all parents in the endpoint list and the origin.
         sources: Option<FillSources>,
     },
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,11 +1,11 @@
-//! Everything that crosses the boundary of the decision module: settings and events in, actions out.
+//! The interface of the decision module: settings and events in, actions out.
 //!
-//! The module does no input or output and reads no clock. Every protocol that shares these decisions is
-//! translated into these types by an adapter.
+//! The module performs no I/O and reads no clock. Adapters translate between these types and each protocol
+//! that uses the module.
 //!
-//! - [`settings`]: what one router is configured with;
-//! - [`events`]: what it is notified of;
-//! - [`actions`]: what it orders, and why a request is rejected.
+//! - [`settings`]: the configuration of one router;
+//! - [`events`]: the events that the policy handles;
+//! - [`actions`]: the actions that it returns, and the reasons for rejections.
 
 pub mod actions;
 pub mod events;
@@ -20,5 +20,5 @@
     DeduplicationScope, Idempotence, OutcomeDetail, RequestClass, Settings, SiblingFill, SlowStart,
 };
 
-/// A point in time or a duration, in milliseconds, on one monotonic clock.
+/// A point in time on a monotonic clock, or a duration; in milliseconds.
 pub type Ms = f64;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that one router is configured with at its start.
+//! The configuration that a router receives when it starts.
 
 use super::{Endpoint, Ms};
 
@@ -7,12 +7,12 @@
 pub enum Idempotence {
     /// A repeated execution has no further effect.
     Idempotent,
-    /// The request carries an idempotency key: endpoints within `scope` drop a repeated execution for
-    /// `window` after the first one.
+    /// The request carries an idempotency key. Endpoints within `scope` do not execute a request with the
+    /// same key again within `window` after the first execution.
     WithKey {
         /// The endpoints that recognise the key.
         scope: DeduplicationScope,
-        /// How long after the first execution they do.
+        /// Time after the first execution during which they recognise it.
         window: Ms,
     },
     /// Each execution takes effect.
@@ -24,9 +24,9 @@
 pub enum DeduplicationScope {
     /// All endpoints.
     All,
-    /// Those of one zone.
+    /// The endpoints of one zone.
     Zone,
-    /// Those of one cell of a zone.
+    /// The endpoints of one cell of a zone.
     Cell,
 }
 
@@ -35,30 +35,30 @@
 pub struct RequestClass {
     /// Whether its requests may be executed more than once.
     pub idempotence: Idempotence,
-    /// Executed at the origin; the answer is never cached.
+    /// Whether the requests are executed at the origin; their answers are never cached.
     pub is_write: bool,
-    /// The answer is passed on while it is being received.
+    /// Whether answers are forwarded to the client while they are being received.
     pub is_streamed: bool,
-    /// The time within which an answer earns its full weight.
+    /// Time within which an answer has its full weight.
     pub latency_objective: Ms,
-    /// Added to the latency objective as a multiple of the request's own transfer time.
+    /// Multiple of the request's transfer time that is added to the latency objective.
     pub objective_stretch_ratio: f64,
-    /// The time after which an answer is worthless.
+    /// Time after which an answer has no weight.
     pub deadline: Ms,
-    /// Weight of an answer in time.
+    /// Weight of an answer within the latency objective.
     pub priority_weight: f64,
-    /// Share of the weight that an answer after the latency objective earns, from 0 to 1.
+    /// Share of the weight of an answer after the latency objective, from 0 to 1.
     pub late_weight_ratio: f64,
-    /// How long a copy is fresh; 0 means until it is purged.
+    /// Time for which a copy is fresh; 0 means until it is purged.
     pub freshness_lifetime: Ms,
-    /// How long after its freshness lifetime a copy may still be served.
+    /// Time after the freshness lifetime during which a stale copy may still be served.
     pub stale_grace: Ms,
-    /// Share of the weight that a stale answer earns, from 0 to 1.
+    /// Share of the weight of a stale answer, from 0 to 1.
     pub stale_weight_ratio: f64,
 }
 
 impl Default for RequestClass {
-    /// A class that the settings do not list: assumed not to be idempotent.
+    /// The class used for numbers that the settings do not define; assumed not to be idempotent.
     fn default() -> Self {
         Self {
             idempotence: Idempotence::NotIdempotent,
@@ -83,23 +83,23 @@
     }
 }
 
-/// How much an attempt's outcome reports about how the answer was produced.
+/// How much the outcome of an attempt reports about how the response was produced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum OutcomeDetail {
     /// Every [`CacheStatus`](super::CacheStatus), and the time spent waiting for the source.
     Full,
-    /// Only how a successful answer was produced.
+    /// Only how a successful response was produced.
     HitsOnly,
-    #[default]
     /// Nothing.
+    #[default]
     None,
 }
 
 /// Which caches may be the source of another cache's fill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SiblingFill {
-    #[default]
     /// None.
+    #[default]
     Disabled,
     /// Caches of the same location.
     SameLocation,
@@ -107,16 +107,16 @@
     AnyLocation,
 }
 
-/// How an endpoint may be loaded while it is warming up after its start.
+/// Limits on the load of an endpoint that is warming up after its start.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct SlowStart {
-    /// Share of its capacity that is available at its start, from 0 to 1.
+    /// Share of the capacity that is available at the start, from 0 to 1.
     pub initial_ratio: f64,
-    /// Time over which the capacity rises linearly to all of it.
+    /// Time over which the available capacity rises linearly to the full capacity.
     pub duration: Ms,
-    /// The endpoint fails when it is sent more than this multiple of its present capacity.
+    /// The endpoint fails if it is sent more than this multiple of the available capacity.
     pub overload_multiple: f64,
-    /// The time over which that load is counted.
+    /// Time over which that load is measured.
     pub overload_window: Ms,
 }
 
@@ -133,52 +133,52 @@
     pub classes: Vec<RequestClass>,
     /// Resolution of the clock that the router is given.
     pub clock_resolution: Ms,
-    /// The endpoint list carries no capacities: all its weights are equal.
+    /// Whether the endpoint list contains no capacities, so that all its weights are equal.
     pub weights_unknown: bool,
-    /// The endpoint list is sent only to routers that subscribe to it.
+    /// Whether the endpoint list is sent only to routers that subscribe to it.
     pub subscribe_to_endpoints: bool,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// An idempotent request may have several attempts in flight.
+    /// Whether an idempotent request may have several attempts in flight.
     pub parallel_attempts: bool,
-    /// Attempts in flight may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub may_cancel: bool,
-    /// Endpoints may be sent health checks.
+    /// Whether endpoints may be sent health checks.
     pub may_health_check: bool,
-    /// A rejection may carry a Retry-After.
+    /// Whether a rejection may carry a `Retry-After`.
     pub supports_retry_after: bool,
-    /// The longest Retry-After.
+    /// Longest `Retry-After`.
     pub max_retry_after: Ms,
-    /// Time after the start of a drain in which requests may still arrive.
+    /// Time after the start of a drain during which requests may still arrive.
     pub drain_grace: Ms,
-    /// Slow start of caches.
+    /// Slow-start limits of caches.
     pub cache_slow_start: SlowStart,
-    /// Slow start of parents.
+    /// Slow-start limits of parents.
     pub parent_slow_start: SlowStart,
-    /// The role number of parents; `None` where there are none.
+    /// Role number of parents; `None` if there are none.
     pub parent_role: Option<u16>,
-    /// The role number of the origin; `None` where there is none.
+    /// Role number of the origin; `None` if there is none.
     pub origin_role: Option<u16>,
-    /// Maximum rate of one transfer to a client, KB/s; 0 means unknown.
+    /// Maximum rate of one transfer to a client, in KB/s; 0 means unknown.
     pub flow_kb_per_s: f64,
-    /// Capacity of the location's fill link, KB/s; 0 means unknown.
+    /// Capacity of the location's fill link, in KB/s; 0 means unknown.
     pub fill_link_kb_per_s: f64,
     /// Which caches may be the source of a fill.
     pub sibling_fill: SiblingFill,
-    /// A request may wait for a fill that is already under way.
+    /// Whether a request may wait for a fill that is already in progress.
     pub coalesces_fills: bool,
-    /// A request may be forwarded directly to a parent or the origin.
+    /// Whether requests may be forwarded directly to a parent or the origin.
     pub may_bypass_caches: bool,
-    /// What outcomes report.
+    /// How much the outcomes of attempts report.
     pub outcome_detail: OutcomeDetail,
-    /// Time after a purge in which an older copy may still be served.
+    /// Time after a purge during which an older copy may still be served.
     pub purge_grace: Ms,
-    /// Time after a purge by which every older copy has been removed.
+    /// Time after a purge within which all older copies are removed.
     pub purge_completion: Ms,
 }
 
 impl Settings {
-    /// The class with that number, or the defaults if the settings do not list it.
+    /// The class with that number, or the default class if the settings do not define it.
     pub fn class(&self, class: u16) -> RequestClass {
         self.classes.get(usize::from(class)).cloned().unwrap_or_default()
     }
@@ -198,7 +198,7 @@
         endpoint.zone == self.zone && !self.is_parent(endpoint) && !self.is_origin(endpoint)
     }
 
-    /// How the endpoint may be loaded after its start; the origin has no such limit.
+    /// The slow-start limits of the endpoint; the origin has none.
     pub fn slow_start(&self, endpoint: &Endpoint) -> SlowStart {
         match (self.is_parent(endpoint), self.is_origin(endpoint)) {
             (true, _) => self.parent_slow_start,
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Number of routers that may send to the endpoint: those of its zone, or all for a shared one.
+    /// Number of routers that may send to the endpoint, at least 1: all routers for a parent or the origin,
+    /// otherwise those of its zone, or all if their number is not known.
     pub fn routers_sharing(&self, endpoint: &Endpoint) -> u32 {
         let in_zone = self.routers_by_zone.get(usize::from(endpoint.zone)).copied().unwrap_or(0);
         let shared = self.is_parent(endpoint) || self.is_origin(endpoint) || in_zone == 0;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,13 +1,14 @@
-//! linnethook decides which cache answers a request, and where a missing copy is filled from.
+//! The decision module of linnethook, a request router in front of caches of large objects.
 //!
-//! This package is the decision module. It does no input or output and reads no clock.
+//! It decides which cache serves a request and where a missing copy is filled from. It performs no I/O and
+//! reads no clock: decisions depend only on the settings, the seed and the events.
 //!
 //! - [`interface`]: settings and events in, actions out;
-//! - [`policy`]: every rule that places, admits, retries, rejects or ejects; its table says which file
-//!   holds which rule;
-//! - [`records`]: what a router remembers of endpoints, requests and attempts;
+//! - [`policy`]: the rules for placement, admission, retries, rejections and ejections, with a table of the
+//!   files that contain them;
+//! - [`records`]: the state that a router holds on endpoints, requests and attempts;
 //! - [`hash_ring`], [`bloom_filter`], [`estimators`], [`endpoint_health`], [`purge_log`]: data structures
-//!   without a tuned value; the policy passes every parameter in.
+//!   that receive all parameters from the policy.
 
 #![warn(missing_docs)]
 #![warn(clippy::missing_errors_doc, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,6 +1,6 @@
-//! Load shedding: how many misses the origin and the fill link take, and how crowded a cache may be.
+//! Load shedding: limits on misses at the origin, on fills over the fill link, and on the load of a cache.
 //!
-//! Each limit is adaptive: it shrinks while too many of its answers are late, and grows with those in time.
+//! Each limit is adaptive: it decreases while too many answers are late, and increases with each one in time.
 
 use super::load_estimate::LOAD_TIME_CONSTANT;
 use super::outlier_detection::MAX_SELF_FAILURE_RATIO;
@@ -11,11 +11,11 @@
 };
 use crate::records::{AttemptRecord, RequestRecord};
 
-/// The share of misses that may reach the origin. The memory is short, so that a thin stream of misses
-/// does not take longer to notice an overload than the origin takes to fail.
+/// Limit on the share of misses that are sent to the origin. The time constant is short, so that an
+/// overload is detected before the origin fails, even at a low rate of misses.
 const ORIGIN_LIMIT: ConcurrencyLimitConfig = ConcurrencyLimitConfig {
     observation_weight: 0.15,
-    memory: 1_500.0,
+    time_constant: 1_500.0,
     max_late_ratio: 0.2,
     decrease_factor: 0.8,
     decrease_interval: 100.0,
@@ -23,24 +23,26 @@
     min_limit: 0.05,
     max_limit: 1.0,
 };
-/// Growth of that share per maintenance run, so that it recovers while nothing is sent to the origin ...
+/// Relative increase of that share per maintenance run, which lets it recover while nothing is sent to the
+/// origin.
 const ORIGIN_RECOVERY_RATIO: f64 = 0.004;
-/// ... in proportion to the share itself, but to no less than this.
+/// The increase is relative to the current share, or to this value if the share is smaller.
 const ORIGIN_RECOVERY_MIN_SHARE: f64 = 0.2;
-/// Below this share of admitted misses, the origin counts as impaired.
+/// The origin is considered impaired while a smaller share of misses than this is admitted.
 const ORIGIN_HEALTHY_SHARE: f64 = 0.8;
 
-/// Weight of a fill from the origin in the ratio of those whose first byte was late.
+/// Weight of one fill in the means of the origin's time to first byte and of its late first bytes.
 const ORIGIN_WAIT_WEIGHT: f64 = 0.15;
-/// Above this ratio, late fills are attributed to the origin and not to the fill link.
+/// Ratio of late first bytes above which late fills are attributed to the origin, not to the fill link.
 const SLOW_ORIGIN_RATIO: f64 = 0.25;
 
-/// The fills in flight on the location's fill link, in transfers of the largest class. `max_limit` is a
-/// multiple of what the location's caches can send at once: below it the link cannot be the bottleneck.
-/// `increase` is divided by the limit, so that one window of timely fills adds one transfer.
+/// Limit on the fills in flight on the location's fill link, in transfers of the class with the largest
+/// answers. `max_limit` is a multiple of the number of transfers that the location's caches can send at
+/// once; below it the link cannot be the bottleneck. `increase` is divided by the limit, so that one window
+/// of fills in time adds one transfer.
 const FILL_LINK_LIMIT: ConcurrencyLimitConfig = ConcurrencyLimitConfig {
     observation_weight: 0.08,
-    memory: 5_000.0,
+    time_constant: 5_000.0,
     max_late_ratio: 0.25,
     decrease_factor: 0.85,
     decrease_interval: 200.0,
@@ -49,11 +51,11 @@
     max_limit: 2.0,
 };
 
-/// How crowded a cache may be, as a multiple of the load with which an answer just meets its latency
-/// objective. `max_limit` allows for a queue during a short pause.
-pub(super) const CROWDING_LIMIT: ConcurrencyLimitConfig = ConcurrencyLimitConfig {
+/// Limit on the load of a cache, as a multiple of the load at which an answer just meets its latency
+/// objective. `max_limit` allows for the queue that builds up during a short pause.
+pub(super) const LOAD_LIMIT: ConcurrencyLimitConfig = ConcurrencyLimitConfig {
     observation_weight: 0.1,
-    memory: 5_000.0,
+    time_constant: 5_000.0,
     max_late_ratio: 0.1,
     decrease_factor: 0.85,
     decrease_interval: 200.0,
@@ -62,19 +64,20 @@
     max_limit: 1.5,
 };
 
-/// Weight of a fill in its source's ratio of late fills.
+/// Weight of one fill in the late-fill ratio of its source.
 const LATE_FILL_WEIGHT: f64 = 0.1;
-/// The least time that an answer takes to reach the client.
-pub(super) const ANSWER_TRANSIT: Ms = 10.0;
-/// A cache with less than this share of its arc is slow by itself: its late fills say nothing of the link.
+/// Lower bound of the time that an answer takes to reach the client.
+pub(super) const MIN_DELIVERY_TIME: Ms = 10.0;
+/// A cache whose slowness leaves it a smaller share of its ring arc than this is itself the cause of its late
+/// fills; they are not evidence of an overloaded fill link.
 const OWN_SLOWNESS_SHARE: f64 = 0.85;
 
-/// What is known about the origin's ability to answer misses.
+/// The limit on misses at the origin, and the origin's observed time to first byte.
 #[derive(Debug)]
 pub(super) struct OriginAdmission {
     /// Share of misses that is admitted, from 0 to 1.
     share: ConcurrencyLimit,
-    /// Share of fills from the origin whose first byte came later than their latency objective.
+    /// Share of fills from the origin whose first byte arrived later than the latency objective.
     late_first_byte_ratio: Ewma,
 }
 
@@ -85,23 +88,22 @@
 }
 
 impl OriginAdmission {
-    /// Whether a request with that random draw, from 0 up to 1, may reach the origin.
+    /// Whether a request may be sent to the origin. `draw` is its random number, from 0 up to 1.
     pub(super) fn admits(&self, draw: f64) -> bool {
         draw < self.share.limit
     }
 
-    /// Whether nearly all misses are admitted. While they are not, stale copies are served and not
-    /// revalidated.
+    /// Whether nearly all misses are admitted. Otherwise stale copies are served without revalidation.
     pub(super) fn is_healthy(&self) -> bool {
         self.share.limit >= ORIGIN_HEALTHY_SHARE
     }
 
-    /// Whether the origin itself takes longer than clients would wait.
+    /// Whether the origin's first bytes are late often enough to be the cause of late fills.
     pub(super) fn is_slow(&self) -> bool {
         self.late_first_byte_ratio.value > SLOW_ORIGIN_RATIO
     }
 
-    /// Records an answer of the origin that was in time, or late or failed.
+    /// Records a response of the origin. `late` also covers failed ones.
     fn record(&mut self, now: Ms, late: bool) {
         self.share.record(now, late, ORIGIN_LIMIT.max_limit, &ORIGIN_LIMIT);
     }
@@ -110,7 +112,7 @@
         self.late_first_byte_ratio.update(f64::from(u8::from(late)), ORIGIN_WAIT_WEIGHT);
     }
 
-    /// Admits a little more, once per maintenance run.
+    /// Raises the admitted share by one step; called once per maintenance run.
     pub(super) fn recover(&mut self) {
         let share = self.share.limit;
         let increase = ORIGIN_RECOVERY_RATIO * share.max(ORIGIN_RECOVERY_MIN_SHARE);
@@ -118,60 +120,62 @@
     }
 }
 
-/// This router's fills on the location's fill link, and the limit for those of all its routers.
+/// This router's fills on the location's fill link, and the limit on the fills of all routers there.
 #[derive(Debug)]
 pub(super) struct FillLinkAdmission {
     limit: ConcurrencyLimit,
-    /// Transfer time of this router's fills in flight.
-    filling: Ms,
-    mean_filling: TimeWeightedMean,
+    /// Total transfer time of this router's fills in flight.
+    work_in_flight: Ms,
+    mean_work_in_flight: TimeWeightedMean,
 }
 
 impl Default for FillLinkAdmission {
     fn default() -> Self {
         Self {
             limit: ConcurrencyLimit::new(f64::INFINITY),
-            filling: 0.0,
-            mean_filling: TimeWeightedMean::default(),
+            work_in_flight: 0.0,
+            mean_work_in_flight: TimeWeightedMean::default(),
         }
     }
 }
 
 impl FillLinkAdmission {
-    /// Updates the mean up to `now`.
+    /// Updates the mean of the work in flight up to `now`.
     pub(super) fn advance(&mut self, now: Ms) {
-        self.mean_filling.advance(now, self.filling, LOAD_TIME_CONSTANT);
+        self.mean_work_in_flight.advance(now, self.work_in_flight, LOAD_TIME_CONSTANT);
     }
 
-    /// Counts a fill of that transfer time in flight.
+    /// Adds a fill of transfer time `work` to those in flight.
     pub(super) fn add(&mut self, now: Ms, work: Ms) {
         self.advance(now);
-        self.filling += work;
+        self.work_in_flight += work;
     }
 
-    /// Counts a fill of that transfer time as ended.
+    /// Removes a fill of transfer time `work` from those in flight.
     pub(super) fn remove(&mut self, now: Ms, work: Ms) {
         self.advance(now);
-        self.filling = (self.filling - work).max(0.0);
+        self.work_in_flight = (self.work_in_flight - work).max(0.0);
     }
 
-    /// Transfer time of all routers' fills in flight; each of the others is assumed to have this one's mean.
-    fn total_filling(&self, routers: u32) -> Ms {
-        self.filling + f64::from(routers.max(1) - 1) * self.mean_filling.mean
+    /// Estimated transfer time of the fills in flight of all routers. Every other router is assumed to have
+    /// the mean of this one.
+    fn total_work_in_flight(&self, routers: u32) -> Ms {
+        self.work_in_flight + f64::from(routers.max(1) - 1) * self.mean_work_in_flight.mean
     }
 
-    /// Whether a fill of that transfer time fits in; an idle link takes any. `transfer` is the transfer time
-    /// of the largest class, the unit of the limit.
+    /// Whether the limit admits a further fill of transfer time `work`; an idle link admits any fill.
+    /// `transfer` is the transfer time of the class with the largest answers, the unit of the limit.
     fn admits(&self, work: Ms, routers: u32, transfer: Ms) -> bool {
-        let filling = self.total_filling(routers);
-        filling <= 0.0 || filling + work <= self.limit.limit * transfer
+        let in_flight = self.total_work_in_flight(routers);
+        in_flight <= 0.0 || in_flight + work <= self.limit.limit * transfer
     }
 
-    /// Records a fill that was in time or late. `capacity` is what the location's caches can send at once.
+    /// Records whether a fill was late. `capacity` is the number of transfers that the location's caches can
+    /// send at once.
     fn record(&mut self, now: Ms, late: bool, routers: u32, transfer: Ms, capacity: f64) {
         let max_limit = FILL_LINK_LIMIT.max_limit * capacity.max(1.0);
         self.limit.limit = self.limit.limit.min(max_limit);
-        let in_use = self.total_filling(routers) / transfer;
+        let in_use = self.total_work_in_flight(routers) / transfer;
         let increase = FILL_LINK_LIMIT.increase / self.limit.limit.max(1.0);
         let config = ConcurrencyLimitConfig { max_limit, increase, ..FILL_LINK_LIMIT };
         self.limit.record(now, late, in_use, &config);
@@ -179,9 +183,8 @@
 }
 
 impl Policy {
-    /// Whether the location's fill link takes another fill of that transfer time. Large ones are held back
-    /// first. Without this limit, late fills would occupy the slots of their caches until even answers
-    /// from the cache are late.
+    /// Whether the location's fill link admits a further fill of transfer time `work`. Large fills are denied
+    /// first. Without this limit, late fills would occupy the slots of their caches until even hits are late.
     pub(super) fn fill_link_admits(&self, work: Ms) -> bool {
         self.fill_link.admits(work, self.routers_in_zone(), self.transfer_times.largest_mean())
     }
@@ -190,37 +193,38 @@
         self.settings.routers_by_zone.get(usize::from(self.settings.zone)).copied().unwrap_or(1)
     }
 
-    /// Admits the request at the chosen holder, or at the next one where capacities are only learnt.
+    /// Admits the request at the chosen holder. Where the endpoint list has no capacities, the next holder
+    /// that is not overloaded is used instead of an overloaded one.
     ///
     /// # Errors
     ///
-    /// [`RejectReason::EndpointTooCrowded`] if the answer would miss the latency objective.
+    /// [`RejectReason::EndpointOverloaded`] if the answer is expected to miss the latency objective.
     pub(super) fn admit_at_holder(
         &self,
         request: &RequestRecord,
         chosen: EndpointId,
         holders: &[EndpointId],
     ) -> Result<EndpointId, RejectReason> {
-        if !self.is_too_crowded(chosen, request) {
+        if !self.is_overloaded_for(chosen, request) {
             return Ok(chosen);
         }
         let mut others = holders.iter().copied().filter(|_| self.settings.weights_unknown);
-        others.find(|&id| !self.is_too_crowded(id, request)).ok_or(RejectReason::EndpointTooCrowded)
+        others.find(|&id| !self.is_overloaded_for(id, request)).ok_or(RejectReason::EndpointOverloaded)
     }
 
-    /// Whether the cache would send the answer later than the latency objective, by its crowding and the
-    /// request's transfer time. Requests with much work for their latency objective are shed first.
-    fn is_too_crowded(&self, id: EndpointId, request: &RequestRecord) -> bool {
+    /// Whether the answer is expected to miss its latency objective, by the load of the cache and the
+    /// request's transfer time. Requests with a long transfer relative to their objective are shed first.
+    fn is_overloaded_for(&self, id: EndpointId, request: &RequestRecord) -> bool {
         let class = self.settings.class(request.request.class);
         let latency_objective = class.objective_for(request.work);
-        let limit = self.endpoints[&id].crowding_limit.limit;
-        self.crowding(id) * request.work > limit * latency_objective
+        let limit = self.endpoints[&id].load_limit.limit;
+        self.total_load(id) * request.work > limit * latency_objective
     }
 
-    /// Learns from an attempt's end how much the origin and the fill link can take.
+    /// Updates the limits of the origin and of the fill link from the outcome of an attempt.
     ///
-    /// An attempt that its client abandoned before the latency objective says nothing: many of them would
-    /// shut out all fills.
+    /// An attempt that its client abandoned before the latency objective is ignored: if it counted as late,
+    /// many of them would block all fills.
     pub(super) fn record_origin_and_link(
         &mut self,
         attempt: &AttemptRecord,
@@ -239,7 +243,7 @@
         self.record_fill(attempt, outcome);
     }
 
-    /// A read that was sent to the origin past the caches.
+    /// Records a read that was sent directly to the origin, bypassing the caches.
     fn record_direct_origin_answer(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
         let is_read = !self.settings.class(attempt.class).is_write;
         let is_direct = Some(attempt.endpoint) == self.origin() && is_read;
@@ -249,9 +253,9 @@
         }
     }
 
-    /// A fill or revalidation by way of the fill link.
+    /// Records a fill or revalidation over the fill link.
     fn record_fill(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
-        let may_have_filled = attempt.fills_from_above || attempt.may_revalidate;
+        let may_have_filled = attempt.fills_from_upstream || attempt.may_revalidate;
         let is_lost = matches!(outcome.status, AttemptStatus::TimedOut | AttemptStatus::Cancelled);
         let is_conclusive = is_lost || outcome.status == AttemptStatus::Ok;
         if !may_have_filled || !is_conclusive || outcome.cache_status == Some(CacheStatus::Hit) {
@@ -271,7 +275,7 @@
         if let Some(source) = attempt.source.and_then(|id| self.endpoints.get_mut(&id)) {
             source.origin_wait.update_from_mean(source_wait, ORIGIN_WAIT_WEIGHT);
         }
-        // The objective of a small answer, without the time for its transfer.
+        // The objective of a small answer, without the allowance for its transfer time.
         let class_objective = self.settings.class(attempt.class).latency_objective;
         self.origin_admission.record_first_byte(source_wait > class_objective);
         self.origin_admission.record(self.now, late);
@@ -279,13 +283,13 @@
 
     /// Attributes a fill, in time or late, to the origin, its source, its cache or the fill link.
     ///
-    /// A source or cache that is slow by itself must not reduce the link's limit, which would shut out the
-    /// fills of all others.
+    /// A slow source or cache must not reduce the limit of the fill link, as this would block the fills of
+    /// all other sources and caches.
     pub(super) fn attribute_fill(&mut self, attempt: &AttemptRecord, late: bool) {
         if late && self.origin_admission.is_slow() {
             return self.origin_admission.record(self.now, true);
         }
-        let Some(source) = attempt.source.filter(|_| attempt.fills_from_above) else { return };
+        let Some(source) = attempt.source.filter(|_| attempt.fills_from_upstream) else { return };
         if let Some(record) = self.endpoints.get_mut(&source) {
             record.late_fill_ratio.update(f64::from(u8::from(late)), LATE_FILL_WEIGHT);
         }
@@ -299,13 +303,13 @@
         self.fill_link.record(self.now, late, routers, transfer, self.location_capacity);
     }
 
-    /// Whether a rejected fill was rejected by the origin, where outcomes do not report it.
+    /// Whether a fill was rejected by the origin, inferred where outcomes do not report it.
     ///
-    /// Past its rate the origin rejects what is sent to it directly, and what every parent fetches; a
-    /// parent that fails by itself has others beside it that do not.
+    /// Above its maximum rate, the origin rejects direct requests and the fetches of all parents alike. If
+    /// the other parents do not reject fills, the fault is in the parent itself.
     pub(super) fn is_origin_rejection(&self, attempt: &AttemptRecord, outcome: &AttemptOutcome) -> bool {
         let is_unreported = self.settings.outcome_detail != OutcomeDetail::Full;
-        let is_rejected_fill = outcome.status == AttemptStatus::Rejected && attempt.fills_from_above;
+        let is_rejected_fill = outcome.status == AttemptStatus::Rejected && attempt.fills_from_upstream;
         let Some(source) = attempt.source.filter(|_| is_unreported && is_rejected_fill) else { return false };
         if Some(source) == self.origin() {
             return true;
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,22 +1,24 @@
-//! Time-outs: how long an attempt may take, when it is overdue, and its cancellation.
+//! Attempt time-outs, detection of overdue attempts, and cancellation.
 
 use super::Policy;
 use crate::interface::{Action, AttemptId, Idempotence, Ms};
 use crate::records::{AttemptRecord, RequestRecord};
 
-/// Share of the time left that an attempt may take when there is time for another one.
+/// Share of the remaining time that an attempt may take if a retry may follow.
 const FIRST_ATTEMPT_RATIO: f64 = 0.6;
 
-/// An attempt is overdue this long after ...
+/// An attempt is overdue when it has taken longer than this plus [`OVERDUE_WORK_RATIO`] times its transfer
+/// time.
 const OVERDUE_AFTER: Ms = 300.0;
-/// ... this multiple of its transfer time.
+/// See [`OVERDUE_AFTER`].
 const OVERDUE_WORK_RATIO: f64 = 2.5;
 
 impl Policy {
     /// The time-out of the request's next attempt. `time_left` is the time until its deadline.
     ///
-    /// A request that may not be repeated, and the last attempt of any, may take all the time left. An
-    /// idempotent one gets at least its latency objective and transfer time, as a retry would need as much.
+    /// An attempt of a request that is not idempotent, and the last attempt of any request, may use all of
+    /// the remaining time. An attempt of an idempotent request gets at least its latency objective plus its
+    /// transfer time, as far as time is left, as a retry would need as much.
     pub(super) fn attempt_timeout(&self, request: &RequestRecord, time_left: Ms) -> Ms {
         let class = self.settings.class(request.request.class);
         let is_last = request.attempts_sent + 1 >= self.settings.max_attempts.max(1);
@@ -32,12 +34,12 @@
         }
     }
 
-    /// Whether the attempt should have ended long ago, by its transfer time.
+    /// Whether the attempt has taken far longer than its transfer time.
     pub(super) fn is_overdue(&self, attempt: &AttemptRecord) -> bool {
         self.now - attempt.sent_at > OVERDUE_AFTER + OVERDUE_WORK_RATIO * attempt.work
     }
 
-    /// Cancels an attempt in flight, once, where the settings allow it.
+    /// Cancels an attempt in flight if the settings allow it; has no effect if it is cancelled already.
     pub(super) fn cancel_attempt(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         if !attempt.cancelled && self.settings.may_cancel {
@@ -46,7 +48,7 @@
         }
     }
 
-    /// Whether an attempt may be cancelled so that its request is retried elsewhere.
+    /// Whether an attempt may be cancelled in order to retry its request at another endpoint.
     pub(super) fn may_cancel_for_retry(&self, id: AttemptId) -> bool {
         self.requests.get(&id.request).is_some_and(|request| {
             let idempotence = self.settings.class(request.request.class).idempotence;
@@ -54,13 +56,14 @@
         })
     }
 
-    /// Counts fills as late as soon as they have missed their latency objective, before they end. What
-    /// waits for a slow origin does not use the fill link meanwhile.
+    /// Counts fills as late as soon as they have missed their latency objective, before they end. While the
+    /// origin is slow, late fills are assumed to be waiting for it and no longer count as load of the fill
+    /// link.
     pub(super) fn count_late_fills(&mut self) {
         let (now, origin_is_slow) = (self.now, self.origin_admission.is_slow());
         let mut newly_late = Vec::new();
         for attempt in self.attempts.values_mut() {
-            let may_fill = attempt.fills_from_above || attempt.may_revalidate;
+            let may_fill = attempt.fills_from_upstream || attempt.may_revalidate;
             let is_late = now - attempt.sent_at > attempt.latency_objective;
             if !may_fill || attempt.counted_late || !is_late {
                 continue;
@@ -68,8 +71,8 @@
             attempt.counted_late = true;
             newly_late.push(*attempt);
             if origin_is_slow {
-                self.fill_link.remove(now, attempt.filling);
-                attempt.filling = 0.0;
+                self.fill_link.remove(now, attempt.fill_link_work);
+                attempt.fill_link_work = 0.0;
             }
         }
         for attempt in newly_late {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,6 +1,6 @@
-//! The endpoint list: which endpoints exist, their phases, and the hash ring of the ready caches.
+//! Updates of the endpoint list, and the hash ring of the ready caches.
 
-use super::admission::CROWDING_LIMIT;
+use super::admission::LOAD_LIMIT;
 use super::load_estimate::DEFAULT_CAPACITY;
 use super::Policy;
 use crate::bloom_filter::RotatingBloomFilter;
@@ -8,23 +8,23 @@
 use crate::interface::{Action, Endpoint, EndpointId, EndpointPhase, EndpointUpdate, FillSources};
 use crate::records::EndpointRecord;
 
-/// Bits of one generation of a cache's filter of cached copies. A cache is asked for some 2,000 copies
-/// per rotation; at 8 bits for each the false-positive rate is below 3%.
+/// Bits per generation of the filter of a cache's copies. Some 2,000 copies are requested from a cache per
+/// rotation; at 8 bits per copy, the false-positive rate is below 3%.
 const FILTER_BITS: usize = 1 << 14;
 const FILTER_HASHES: u32 = 4;
 
-/// Ring points of a cache of mean weight; the arcs of equal caches then differ by about a tenth.
+/// Ring points of a cache of mean weight. With this number the arcs of equal caches differ by about a tenth.
 const RING_POINTS: f64 = 96.0;
-/// Upper limit of a cache's points, as a multiple of [`RING_POINTS`].
+/// Upper limit on the ring points of a cache, as a multiple of [`RING_POINTS`].
 const MAX_RING_POINTS_RATIO: f64 = 4.0;
-/// Separates ring points from other hashes of an endpoint.
+/// Makes the hashes of ring points independent of other hashes of an endpoint.
 const SALT_POINT: u64 = 0x706f_696e;
 
 impl Policy {
     /// Applies an update of the endpoint list.
     ///
-    /// An endpoint that is missing from a snapshot is removed. When the list is unavailable, the known
-    /// one stays in force and the subscription is renewed.
+    /// An endpoint that is missing from a snapshot is removed. When the list is unavailable, the last known
+    /// list remains in use and the router subscribes again.
     pub(super) fn update_endpoints(&mut self, update: EndpointUpdate, endpoints: &[Endpoint]) {
         match update {
             EndpointUpdate::Unavailable if self.settings.subscribe_to_endpoints => {
@@ -34,14 +34,14 @@
             EndpointUpdate::Unavailable | EndpointUpdate::Incremental => {}
         }
         for endpoint in endpoints {
-            if self.may_be_used(endpoint) {
+            if self.is_relevant(endpoint) {
                 self.update_endpoint(*endpoint);
             }
         }
         self.rebuild_ring();
     }
 
-    /// Marks all endpoints as removed, until the snapshot lists them again.
+    /// Marks all endpoints as removed; those in the snapshot are updated afterwards.
     fn begin_snapshot(&mut self, endpoints: &[Endpoint]) {
         for record in self.endpoints.values_mut() {
             record.endpoint.phase = EndpointPhase::Removed;
@@ -51,20 +51,20 @@
         self.total_caches = endpoints.iter().filter(is_cache).count();
     }
 
-    /// A router uses the caches of its own location, the parents and the origin; caches of other
-    /// locations, which are most of a large fleet, are not recorded.
-    fn may_be_used(&self, endpoint: &Endpoint) -> bool {
+    /// Whether this router sends requests to the endpoint: caches of its own location, parents and the
+    /// origin. Caches of other locations, the majority in a large fleet, are not recorded.
+    fn is_relevant(&self, endpoint: &Endpoint) -> bool {
         let settings = &self.settings;
         settings.is_local_cache(endpoint) || settings.is_parent(endpoint) || settings.is_origin(endpoint)
     }
 
-    /// Records a new or changed endpoint. A restart empties a cache, so that everything learnt about it
-    /// is dropped, except its capacity and the attempts that are still in flight.
+    /// Records a new or changed endpoint. A restart empties a cache, so that the record is reset, except for
+    /// the learned capacity and the attempts in flight.
     fn update_endpoint(&mut self, endpoint: Endpoint) {
         let now = self.now;
         let new_record = |capacity| {
             let cached_copies = RotatingBloomFilter::new(FILTER_BITS, FILTER_HASHES, endpoint.id.0);
-            EndpointRecord::new(endpoint, now, capacity, cached_copies, CROWDING_LIMIT.max_limit)
+            EndpointRecord::new(endpoint, now, capacity, cached_copies, LOAD_LIMIT.max_limit)
         };
         let record = self.endpoints.entry(endpoint.id).or_insert_with(|| new_record(DEFAULT_CAPACITY));
         if endpoint.started_at > record.endpoint.started_at {
@@ -91,20 +91,20 @@
     }
 
     fn ready_caches(&self) -> Vec<Endpoint> {
-        let listed = self.endpoints.values().map(|record| record.endpoint);
+        let endpoints = self.endpoints.values().map(|record| record.endpoint);
         let is_ready = |endpoint: &Endpoint| {
             endpoint.phase == EndpointPhase::Ready && self.settings.is_local_cache(endpoint)
         };
-        listed.filter(is_ready).collect()
+        endpoints.filter(is_ready).collect()
     }
 
-    /// Forgets endpoints that were removed and have no attempt in flight.
+    /// Drops the records of removed endpoints without an attempt in flight.
     pub(super) fn forget_removed_endpoints(&mut self) {
         self.endpoints
             .retain(|_, record| record.endpoint.phase != EndpointPhase::Removed || record.in_flight > 0);
     }
 
-    /// Sets what the cache may be filled from; `None` removes the restriction.
+    /// Sets the sources that the cache may be filled from; `None` removes the restriction.
     pub(super) fn set_fill_sources(&mut self, cache: EndpointId, sources: Option<&FillSources>) {
         match sources {
             Some(sources) => self.fill_sources.insert(cache, sources.clone()),
@@ -112,12 +112,12 @@
         };
     }
 
-    /// The parents, whatever their phase.
+    /// The parents in any phase.
     pub(super) fn parents(&self) -> impl Iterator<Item = &EndpointRecord> {
         self.endpoints.values().filter(|record| self.settings.is_parent(&record.endpoint))
     }
 
-    /// The origin, while it is ready.
+    /// The origin, if it is ready.
     pub(super) fn origin(&self) -> Option<EndpointId> {
         let is_ready_origin = |record: &&EndpointRecord| {
             self.settings.is_origin(&record.endpoint) && record.endpoint.phase == EndpointPhase::Ready
--- a/src/policy/fill_source.rs
+++ b/src/policy/fill_source.rs
@@ -1,4 +1,4 @@
-//! Fill sources: which parent, or the origin, a missing copy is filled from.
+//! Choice of the fill source: the parent, or the origin, that a missing copy is filled from.
 
 use super::Policy;
 use crate::hash_ring::{hash_pair, unit_fraction};
@@ -7,26 +7,29 @@
 };
 use crate::records::{EndpointRecord, RequestRecord};
 
-/// Separates the hash that orders an object's parents from its other hashes.
+/// Makes the hash that ranks the parents of an object independent of its other hashes.
 const SALT_PARENT: u64 = 0x7061_7265;
 
-/// A parent is slow while more than this share of its fills is late ...
+/// A parent is slow while its late-fill ratio exceeds both this value and
+/// [`SLOW_PARENT_RELATIVE_RATIO`] times the ratio of the best other parent.
 const SLOW_PARENT_LATE_RATIO: f64 = 0.25;
-/// ... and more than this multiple of the best parent's share.
+/// See [`SLOW_PARENT_LATE_RATIO`].
 const SLOW_PARENT_RELATIVE_RATIO: f64 = 3.0;
-/// Share of requests that use a slow parent all the same, so that its recovery is noticed.
+/// Share of requests that still use a slow parent, so that its recovery is detected.
 const SLOW_PARENT_TRIAL_RATIO: f64 = 0.04;
 
-/// The rank of a parent for an object; the parent with the lowest one is the object's home.
+/// The rank of a parent for an object. The parent with the lowest rank is the object's home parent.
 pub fn parent_rank_hash(object: u64, parent: u64) -> u64 {
     hash_pair(object, parent ^ SALT_PARENT)
 }
 
 impl Policy {
-    /// The source that a copy is filled from, by `cache` or, if `None`, past the caches.
+    /// The source that `cache` fills a missing copy from, or the one to forward to directly if `cache` is
+    /// `None`.
     ///
-    /// Where the hierarchy defines the cache's sources, it is the usable one of the lowest priority number.
-    /// Else it is the object's first usable parent by [`parent_rank_hash`], or the origin without any.
+    /// Where the hierarchy defines the cache's sources, this is the usable one with the lowest priority
+    /// number. Otherwise it is the usable parent with the lowest [`parent_rank_hash`], or the origin if there
+    /// is none.
     pub(super) fn fill_source(
         &self,
         request: &RequestRecord,
@@ -37,7 +40,7 @@
         let rank = |id: &EndpointId| parent_rank_hash(object, id.0);
         let configured = match cache {
             Some(cache) => self.fill_sources.get(&cache),
-            // Past the caches: the sources of any cache of the location.
+            // Without a cache, the sources of any cache of the location apply.
             None => self.fill_sources.values().next(),
         };
         let Some(configured) = configured else {
@@ -45,26 +48,28 @@
             return parents.filter(is_acceptable).min_by_key(rank).or(self.origin());
         };
         let is_origin = |id: EndpointId| Some(id) == self.origin();
-        let listed = sources_for_object(configured, object).iter();
-        let usable = listed.filter(|source| is_origin(source.endpoint) || is_acceptable(&source.endpoint));
+        let candidates = sources_for_object(configured, object).iter();
+        let is_usable = |source: &&FillSource| is_origin(source.endpoint) || is_acceptable(&source.endpoint);
+        let usable = candidates.filter(is_usable);
         let first = usable.min_by_key(|source| (source.priority, rank(&source.endpoint)));
         first.map(|source| source.endpoint)
     }
 
-    /// Whether the request may be filled from that parent: usable, not slow, and not failed before.
+    /// Whether the request may be filled from that parent: it is usable, is not slow, and has not failed this
+    /// request before.
     fn is_acceptable_source(&self, request: &RequestRecord, id: EndpointId) -> bool {
         let is_trial = request.draw < SLOW_PARENT_TRIAL_RATIO;
         self.is_usable(id, request.work)
-            && self.takes_object(id, request.request.object)
+            && self.serves_object(id, request.request.object)
             && !request.avoid.contains(&id)
             && (is_trial || !self.is_slow_parent(id))
     }
 
-    /// Whether fills from a parent are late far more often than from the best of the others.
+    /// Whether fills from a parent are late far more often than those from the best other parent.
     ///
-    /// The link and the origin delay the fills of all parents alike, so that a parent beyond both limits
-    /// is slow by itself. Where outcomes do not report the time spent waiting for the origin, fills from
-    /// the origin itself are the comparison if there is no other parent.
+    /// The link and the origin delay the fills of all parents alike, so that a parent above both limits must
+    /// itself be slow. If there is no other parent and outcomes do not report the time spent waiting for the
+    /// origin, the parent is compared with fills from the origin itself.
     pub(super) fn is_slow_parent(&self, id: EndpointId) -> bool {
         let is_comparable = |other: &&EndpointRecord| {
             let is_ready = other.endpoint.phase == EndpointPhase::Ready;
@@ -80,7 +85,8 @@
         late_ratio > SLOW_PARENT_LATE_RATIO && late_ratio > best * SLOW_PARENT_RELATIVE_RATIO
     }
 
-    /// What a cache does without a copy that qualifies: fill it from `source`, the cache itself for none.
+    /// The instruction for a cache without a usable copy: fill it from `source`. If `source` is the cache
+    /// itself, it does not fill.
     pub(super) fn fill_instruction(
         &self,
         request: &Request,
@@ -101,7 +107,7 @@
     }
 }
 
-/// The list that applies to the object while its cache's sources are being migrated.
+/// The sources that apply to the object while the cache is migrated from one list of sources to another.
 fn sources_for_object(sources: &FillSources, object: u64) -> &[FillSource] {
     let has_migrated = unit_fraction(hash_pair(object, sources.salt)) < sources.migrated_ratio;
     if has_migrated {
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -1,46 +1,48 @@
-//! Freshness: how old a copy may be, and which copies a purge has made invalid.
+//! Freshness: age limits of copies, and their invalidation by purges.
 
 use super::Policy;
 use crate::bloom_filter::cached_copy_key;
 use crate::interface::{EndpointId, Ms, ObjectId, Request};
 use crate::records::RequestRecord;
 
-/// A purge is assumed to be this much more recent than reported, to allow for rounded times.
+/// A purge is assumed to be this much more recent than reported, to allow for rounding of its age.
 const PURGE_ROUNDING: Ms = 2.0;
-/// How long after the completion of a purge older copies are still excluded.
+/// Time after the completion of a purge during which older copies are still excluded.
 const PURGE_MARGIN: Ms = 500.0;
-/// The least age limit, as 0 would mean unlimited.
+/// Smallest age limit; 0 would mean unlimited.
 const MIN_AGE_LIMIT: Ms = 0.01;
 
-/// Time between two rotations of the filters of cached copies. A copy that was not seen for two rotations
-/// may well have been evicted.
+/// Time between two rotations of the filters of cached copies. A copy that has not been observed for two
+/// rotations may have been evicted.
 const FILTER_ROTATION: Ms = 10_000.0;
-/// Purges are remembered for as many rotations as a filter may show copies from before them.
+/// Number of rotations for which purges are retained: filters may contain copies from before a purge for as
+/// long.
 const ROTATIONS_IN_FILTER: f64 = 3.0;
 
 impl Policy {
-    /// Records a purge of an object or a group; it applies to every attempt from now on.
+    /// Records a purge of an object or a group; it applies to all later attempts.
     pub(super) fn record_purge(&mut self, object: Option<ObjectId>, group: u32, age: Ms) {
         self.purges.record(object, group, self.now - age + PURGE_ROUNDING);
     }
 
     /// The key of the requested copy in the filters of cached copies.
     ///
-    /// A filter cannot forget, so that the key changes with each purge.
+    /// Single entries cannot be removed from a filter, so that the key changes with each purge.
     pub(super) fn copy_key(&self, request: &Request) -> u64 {
         let purged_at = self.purges.last_purge(request.object, request.group);
         cached_copy_key(request.object.0, request.part, purged_at.map_or(0, f64::to_bits))
     }
 
-    /// Whether the endpoint has been seen to cache that copy.
+    /// Whether the endpoint is known, from earlier outcomes, to cache that copy.
     pub(super) fn is_known_copy(&self, id: EndpointId, copy_key: u64) -> bool {
         self.endpoints.get(&id).is_some_and(|record| record.cached_copies.contains(copy_key))
     }
 
-    /// The maximum age of a copy, fresh or also stale; 0 means unlimited.
+    /// The maximum age of a usable copy, including the grace period for stale copies if `may_be_stale`; 0
+    /// means unlimited.
     ///
-    /// A copy's age counts from when the origin sent it. Until a purge is complete, the age is limited to
-    /// the time since the purge, which excludes all older copies.
+    /// The age of a copy is counted from when the origin sent it. Until a purge is complete, the age is
+    /// limited to the time since the purge, which excludes all older copies.
     pub(super) fn max_age(&self, request: &Request, may_be_stale: bool) -> Ms {
         let class = self.settings.class(request.class);
         let class_limit = match (class.freshness_lifetime > 0.0, may_be_stale) {
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Whether a stale copy is accepted: at a retry, and while the origin is impaired.
+    /// Whether a stale copy is accepted: for a retry, and while the origin is impaired.
     pub(super) fn may_serve_stale(&self, request: &RequestRecord) -> bool {
         request.attempts_sent > 0 || !self.origin_admission.is_healthy()
     }
@@ -68,7 +70,7 @@
         self.next_filter_rotation = self.now + FILTER_ROTATION;
     }
 
-    /// Rotates the filters of cached copies when it is time, and forgets purges and removed endpoints.
+    /// Rotates the filters of cached copies if that is due, and drops removed endpoints and expired purges.
     pub(super) fn rotate_filters_if_due(&mut self) {
         if self.now < self.next_filter_rotation {
             return;
@@ -78,8 +80,8 @@
             record.cached_copies.rotate();
         }
         self.forget_removed_endpoints();
-        let in_filters = ROTATIONS_IN_FILTER * FILTER_ROTATION;
-        let oldest = self.now - self.settings.purge_completion.max(in_filters) - PURGE_MARGIN;
+        let filter_retention = ROTATIONS_IN_FILTER * FILTER_ROTATION;
+        let oldest = self.now - self.settings.purge_completion.max(filter_retention) - PURGE_MARGIN;
         self.purges.remove_before(oldest);
     }
 }
--- a/src/policy/maintenance.rs
+++ b/src/policy/maintenance.rs
@@ -1,11 +1,11 @@
-//! Maintenance: what is done periodically, in a fixed order.
+//! Periodic maintenance of estimates, ejections and limits.
 
 use super::Policy;
 use crate::interface::{Action, Ms};
 
 /// Time between two maintenance runs.
 const MAINTENANCE_INTERVAL: Ms = 50.0;
-/// The token of the maintenance timer; backoffs have others.
+/// Token of the maintenance timer; backoff timers have other tokens.
 pub(super) const MAINTENANCE_TIMER: u32 = 0;
 
 impl Policy {
@@ -15,8 +15,8 @@
         self.actions.push(Action::SetTimer { at, token: MAINTENANCE_TIMER });
     }
 
-    /// Updates the estimates, then ejects silent endpoints and counts late fills, then lets limits recover
-    /// and old records expire.
+    /// Updates the estimates, ejects silent endpoints, counts late fills, raises the origin's limit and drops
+    /// expired records, in this fixed order.
     pub(super) fn run_maintenance(&mut self) {
         self.schedule_maintenance();
         self.update_typical_slowness();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,25 +1,25 @@
-//! Every rule of linnethook: where a request is sent, and when it is rejected, retried or given up.
+//! The routing policy: where a request is sent, and when it is rejected, retried or failed.
 //!
-//! An object has one owner among the ready caches of the location, found by consistent hashing. The owner
-//! serves the object and caches it, and fills a missing copy from the object's home parent. The other
-//! rules limit, redirect or repeat that.
+//! Each object has one owner among the ready caches of the location, selected by consistent hashing. The
+//! owner serves and caches the object, and fills a missing copy from the object's home parent. The other
+//! rules limit this scheme, redirect requests or retry them.
 //!
 //! | File | Rules |
 //! | --- | --- |
-//! | `endpoints.rs` | the endpoint list and its updates |
+//! | `endpoints.rs` | updates of the endpoint list, hash ring |
 //! | `request_flow.rs` | the steps of a request, from its arrival to its final answer |
-//! | `placement.rs` | the cache that serves a request: owner, holders of objects in parts, sibling overflow |
-//! | `fill_source.rs` | the parent, or the origin, that a missing copy is filled from |
-//! | `admission.rs` | load shedding: origin, fill link, crowded caches |
+//! | `placement.rs` | choice of the cache: owner, holders of objects in parts, sibling overflow |
+//! | `fill_source.rs` | choice of the parent, or the origin, that a missing copy is filled from |
+//! | `admission.rs` | load shedding: limits on the origin, the fill link and the caches |
 //! | `freshness.rs` | age limits, purges, stale answers |
 //! | `retry.rs` | idempotence, retry limits and budget, backoff, the final answer |
 //! | `attempt_timeout.rs` | time-outs, overdue and cancelled attempts |
 //! | `outlier_detection.rs` | ejection and recovery of failing, slow and silent endpoints |
 //! | `slow_start.rs` | limits on endpoints that are warming up |
 //! | `load_estimate.rs` | estimates of transfer time, capacity and load |
-//! | `maintenance.rs` | what is done periodically, and in which order |
+//! | `maintenance.rs` | periodic updates |
 //!
-//! A rejected or failed request names its rule: see
+//! A rejected or failed request carries the rule that ended it as a
 //! [`RejectReason`](crate::interface::RejectReason).
 
 mod admission;
@@ -48,7 +48,7 @@
 
 pub use self::fill_source::parent_rank_hash;
 
-/// The decisions of one router.
+/// The routing policy of one router, with the state that its decisions depend on.
 #[derive(Debug)]
 pub struct Policy {
     settings: Settings,
@@ -56,7 +56,7 @@
     draws: u64,
     now: Ms,
     started: bool,
-    /// Orders of the event that is being handled.
+    /// Actions in response to the event that is being handled.
     actions: Vec<Action>,
 
     endpoints: BTreeMap<EndpointId, EndpointRecord>,
@@ -64,14 +64,14 @@
     ring: HashRing<EndpointId>,
     /// Number of caches in all locations.
     total_caches: usize,
-    /// The most transfers that the location's caches could send at once so far.
+    /// Highest total capacity of the location's ready caches so far, in simultaneous transfers.
     location_capacity: f64,
-    /// By cache, where the hierarchy defines what it may be filled from.
+    /// Fill sources by cache, where the hierarchy defines them.
     fill_sources: BTreeMap<EndpointId, FillSources>,
 
     requests: BTreeMap<RequestId, RequestRecord>,
     attempts: BTreeMap<AttemptId, AttemptRecord>,
-    /// Requests that wait for a backoff to end, by timer token.
+    /// Requests in backoff, by timer token.
     backoffs: BTreeMap<u32, RequestId>,
     last_timer_token: u32,
     retry_budget: RetryBudget,
@@ -81,14 +81,15 @@
     transfer_times: TransferTimes,
     origin_admission: OriginAdmission,
     fill_link: FillLinkAdmission,
-    /// Lower median of the location's caches' slowness, in multiples of the latency objective.
+    /// Lower median of the slowness of all endpoints for which it is known, in multiples of the latency
+    /// objective.
     typical_slowness: f64,
-    /// This router's mean attempts in flight at the location's caches, per unit of capacity.
+    /// Mean number of this router's attempts in flight at the location's caches, per unit of capacity.
     mean_cache_load: f64,
 }
 
 impl Policy {
-    /// A router that knows no endpoint yet. The seed determines its random draws.
+    /// A policy without any endpoint. The seed determines its random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Self {
             transfer_times: TransferTimes::new(settings.classes.len()),
@@ -117,7 +118,8 @@
         }
     }
 
-    /// Handles one event and returns the actions to carry out, in order. `now` never decreases.
+    /// Handles one event and returns the actions to carry out, in order. `now` must not decrease between
+    /// calls.
     pub fn handle(&mut self, now: Ms, event: &Event) -> Vec<Action> {
         self.now = now;
         self.start_once();
@@ -127,7 +129,7 @@
             Event::ResponseStarted(attempt) => self.mark_response_started(attempt.request),
             Event::ClientDisconnected(request) => self.close_request(*request),
             Event::AttemptFinished(outcome) => self.finish_attempt(outcome),
-            // Endpoints are judged by their traffic alone; no rule sends health checks.
+            // Health is determined from request outcomes alone; no rule sends health checks.
             Event::HealthCheck { .. } => {}
             Event::Timer(MAINTENANCE_TIMER) => self.run_maintenance(),
             Event::Timer(token) => self.end_backoff(*token),
@@ -149,7 +151,7 @@
         }
     }
 
-    /// A random number from 0 up to 1, reproducible from the seed.
+    /// The next random number, from 0 up to but not including 1; reproducible from the seed.
     fn draw(&mut self) -> f64 {
         self.draws += 1;
         unit_fraction(hash_pair(self.draws, self.seed))
--- a/src/policy/outlier_detection.rs
+++ b/src/policy/outlier_detection.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: which endpoints are ejected, and how they recover.
+//! Outlier detection: ejection and recovery of endpoints.
 //!
-//! Failures are attributed to the endpoint or to its fill source; a share of them above a limit ejects it.
-//! An endpoint that has gone silent is ejected at once. After an ejection, single trial requests decide
-//! whether it recovers. A slow cache is not ejected, but serves a smaller share of its objects.
+//! Failures are attributed to the endpoint or to its fill source, which is ejected if its failure ratio
+//! exceeds a limit. An endpoint that stops responding is ejected at once. After an ejection, trial requests,
+//! one at a time, decide whether the endpoint recovers. A slow cache is not ejected, but serves a smaller
+//! share of its objects.
 
 use std::collections::BTreeMap;
 
@@ -14,8 +15,9 @@
 };
 use crate::records::{AttemptRecord, EndpointRecord};
 
-/// When a failing endpoint is ejected: by three failures in a row after none, or by as many among about the
-/// last seven outcomes as pass the ratio. How it recovers: see [`EndpointHealth`](crate::endpoint_health).
+/// Ejection and recovery parameters, see [`EndpointHealth`](crate::endpoint_health). Three consecutive
+/// failures eject an endpoint that had none before, as do failures above the ratio among about the last
+/// seven outcomes.
 pub(super) const EJECTION: EjectionConfig = EjectionConfig {
     outcome_weight: 0.15,
     max_failure_ratio: 0.35,
@@ -25,27 +27,29 @@
     recovery_successes: 4,
 };
 
-/// A cache that fails a larger share of the requests for its cached copies fails by itself, and not because
-/// of its fill source. Of parents: a larger share of fills than a sound one fails.
+/// If a cache fails a larger share of the requests for its cached copies, the fault is in the cache and not
+/// in its fill source. For a parent, a larger share of failed fills than a healthy parent has.
 pub(super) const MAX_SELF_FAILURE_RATIO: f64 = 0.15;
 
-/// An endpoint is silent when it has responded to nothing for this long ...
+/// An endpoint is silent if it has not responded for at least this time and for [`SILENCE_INTERVALS`] times
+/// the mean interval between its responses, while [`SILENCE_OVERDUE_ATTEMPTS`] attempts are overdue.
 const SILENCE: Ms = 300.0;
-/// ... and for this multiple of the usual time between its responses ...
+/// See [`SILENCE`].
 const SILENCE_INTERVALS: f64 = 6.0;
-/// ... with this many attempts overdue, or a single one while it is recovering.
+/// See [`SILENCE`]; a single overdue attempt is enough while the endpoint is recovering.
 const SILENCE_OVERDUE_ATTEMPTS: usize = 2;
 
-/// A cache keeps all of its arc up to this multiple of the typical slowness, the lower median of the
-/// location's caches; a mean would follow the slow ones.
+/// A cache serves its full arc of the ring up to this multiple of the typical slowness, which is the lower
+/// median of the location's caches: a mean would rise with the slow caches.
 const MAX_RELATIVE_SLOWNESS: f64 = 1.7;
-/// The least share of its arc that a slow cache keeps.
+/// Minimum share of its arc that a slow cache serves.
 const MIN_ARC_SHARE: f64 = 0.2;
 
-/// What an outcome says about an endpoint: `Some(true)` success, `Some(false)` failure, `None` nothing.
+/// The result of an outcome for an endpoint: `Some(true)` for success, `Some(false)` for failure, `None` if
+/// the outcome is not attributed to it.
 type Verdict = Option<bool>;
 
-/// To whom an attempt's outcome is attributed.
+/// The verdicts of an attempt's outcome on its endpoint and on its fill source.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Attribution {
     endpoint: Verdict,
@@ -53,7 +57,7 @@
 }
 
 impl Attribution {
-    const NOBODY: Self = Self { endpoint: None, source: None };
+    const NONE: Self = Self { endpoint: None, source: None };
 
     const fn endpoint(success: bool) -> Self {
         Self { endpoint: Some(success), source: None }
@@ -65,21 +69,21 @@
 }
 
 impl Policy {
-    /// Counts failures for cached copies at the endpoint, and failures of fills at their source.
+    /// Records failed requests for cached copies at the endpoint, and rejected fills at their source.
     pub(super) fn record_failure_ratios(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
         let weight = EJECTION.outcome_weight;
         let status = outcome.status;
         if let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) {
             let is_conclusive =
                 matches!(status, AttemptStatus::Ok | AttemptStatus::Rejected | AttemptStatus::Error);
-            if !attempt.fills_from_above && is_conclusive {
+            if !attempt.fills_from_upstream && is_conclusive {
                 let failed = status != AttemptStatus::Ok;
                 endpoint.self_failure_ratio.update(f64::from(u8::from(failed)), weight);
             }
         }
         let used_source = matches!(status, AttemptStatus::Ok | AttemptStatus::Rejected)
             && outcome.cache_status != Some(CacheStatus::Hit);
-        let source = attempt.source.filter(|_| attempt.fills_from_above && used_source);
+        let source = attempt.source.filter(|_| attempt.fills_from_upstream && used_source);
         if let Some(source) = source.and_then(|id| self.endpoints.get_mut(&id)) {
             let rejected = status == AttemptStatus::Rejected;
             source.self_failure_ratio.update(f64::from(u8::from(rejected)), weight);
@@ -87,7 +91,7 @@
     }
 
     /// Records an outcome in the health of the endpoint and of the parent that it filled from. Returns the
-    /// one that the request should avoid from now on.
+    /// endpoint that later attempts of the request should avoid, if any.
     pub(super) fn record_health(
         &mut self,
         attempt: &AttemptRecord,
@@ -108,13 +112,13 @@
         match outcome.status {
             AttemptStatus::Ok | AttemptStatus::CacheMiss | AttemptStatus::NotExecuted => None,
             _ if attribution.source == Some(false) && parent.is_some() => parent,
-            AttemptStatus::Cancelled if attempt.fills_from_above && was_healthy => parent,
+            AttemptStatus::Cancelled if attempt.fills_from_upstream && was_healthy => parent,
             _ => Some(attempt.endpoint),
         }
     }
 
-    /// Decides whose success or failure an outcome is, by its status, by what is reported about the fill,
-    /// and else by whether the endpoint also fails requests that need no fill.
+    /// Attributes an outcome to the endpoint or its fill source, by the status and the reported cache status
+    /// or, if there is none, by whether the endpoint also fails requests that need no fill.
     fn attribute_outcome(
         &self,
         attempt: &AttemptRecord,
@@ -128,47 +132,48 @@
         let origin_impaired = !self.origin_admission.is_healthy();
         let waited_long = outcome.source_wait > attempt.latency_objective / 2.0;
         match outcome.cache_status {
-            // A parent whose slots are taken by what waits for a slow origin rejects, or keeps fills waiting
-            // until the cache gives up. Ejecting it for that would send all its fills to the origin.
-            Some(CacheStatus::SourceRejected) if origin_impaired => return Attribution::NOBODY,
+            // A parent whose slots are occupied by requests that wait for a slow origin rejects fills or
+            // delays them until the cache times out. Ejecting it would send all its fills to the origin.
+            Some(CacheStatus::SourceRejected) if origin_impaired => return Attribution::NONE,
             Some(CacheStatus::SourceUnreachable) if origin_impaired && waited_long => {
-                return Attribution::NOBODY
+                return Attribution::NONE
             }
             Some(CacheStatus::SourceRejected | CacheStatus::SourceUnreachable) => {
                 return Attribution::source(false)
             }
-            Some(CacheStatus::OriginFailed | CacheStatus::NoCapacity) => return Attribution::NOBODY,
-            _ if origin_rejected => return Attribution::NOBODY,
+            Some(CacheStatus::OriginFailed | CacheStatus::NoCapacity) => return Attribution::NONE,
+            _ if origin_rejected => return Attribution::NONE,
             _ => {}
         }
         self.attribute_failure(attempt, outcome.status)
     }
 
-    /// A failure of which nothing is reported about the fill.
+    /// Attributes a failure for which no cause is reported.
     fn attribute_failure(&self, attempt: &AttemptRecord, status: AttemptStatus) -> Attribution {
         let record = self.endpoints.get(&attempt.endpoint);
         let has_responded = record.is_some_and(|record| record.last_response_at > attempt.sent_at);
         let fails_by_itself =
             record.is_some_and(|record| record.self_failure_ratio.value > MAX_SELF_FAILURE_RATIO);
         let is_unreported = self.settings.outcome_detail != OutcomeDetail::Full;
-        let may_be_source = is_unreported && attempt.fills_from_above && !fails_by_itself;
+        let may_be_source = is_unreported && attempt.fills_from_upstream && !fails_by_itself;
         match status {
             AttemptStatus::Rejected | AttemptStatus::Error if may_be_source => Attribution::source(false),
-            // A rejection is due to load and not to health: ejecting the cache would move its load on.
-            AttemptStatus::Rejected => Attribution::NOBODY,
+            // A rejection is caused by load and not by a fault: ejecting the cache would move its load to
+            // other caches.
+            AttemptStatus::Rejected => Attribution::NONE,
             AttemptStatus::Error | AttemptStatus::ConnectFailed | AttemptStatus::Reset => {
                 Attribution::endpoint(false)
             }
-            AttemptStatus::TimedOut if attempt.fills_from_above => Attribution::NOBODY,
+            AttemptStatus::TimedOut if attempt.fills_from_upstream => Attribution::NONE,
             AttemptStatus::TimedOut => Attribution::endpoint(has_responded),
             AttemptStatus::Ok
             | AttemptStatus::CacheMiss
             | AttemptStatus::Cancelled
-            | AttemptStatus::NotExecuted => Attribution::NOBODY,
+            | AttemptStatus::NotExecuted => Attribution::NONE,
         }
     }
 
-    /// Remembers a refused connection of an unhealthy endpoint, and the copy that an endpoint now caches.
+    /// Records a failed connection to an unhealthy endpoint, and the copy that the endpoint caches by now.
     fn record_connection_and_copy(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         if outcome.status == AttemptStatus::ConnectFailed && !endpoint.health.is_healthy() {
@@ -188,15 +193,15 @@
         record.health.record_outcome(self.now, verdict, &EJECTION);
     }
 
-    /// Starts the recovery of every endpoint whose ejection has lasted its time.
+    /// Starts the recovery of every endpoint whose ejection has expired.
     pub(super) fn start_due_recoveries(&mut self) {
         for record in self.endpoints.values_mut() {
             record.health.start_due_recovery(self.now);
         }
     }
 
-    /// Ejects endpoints that have gone silent, and cancels what waits for them so that it is retried
-    /// elsewhere. Covers hung and vanished endpoints, long pauses and broken links alike.
+    /// Ejects endpoints that have stopped responding, and cancels the attempts that wait for them so that
+    /// they are retried elsewhere. Covers hung and lost endpoints, long pauses and broken links.
     pub(super) fn eject_silent_endpoints(&mut self) {
         let overdue = self.count_overdue_attempts();
         let mut silent = Vec::new();
@@ -212,8 +217,9 @@
 
     /// The number of overdue attempts by endpoint and by fill source.
     ///
-    /// A source counts only if the cache has responded since, or all that waits for a silent cache would
-    /// count against its parents, and not while the origin is slow.
+    /// An overdue attempt counts for its fill source only if the cache has responded since the attempt was
+    /// sent, as otherwise attempts at a silent cache would count against its parents, and only while the
+    /// origin is not slow.
     fn count_overdue_attempts(&self) -> BTreeMap<EndpointId, usize> {
         let mut counts: BTreeMap<EndpointId, usize> = BTreeMap::new();
         for attempt in self.attempts.values().filter(|attempt| self.is_overdue(attempt)) {
@@ -221,7 +227,7 @@
             let record = self.endpoints.get(&attempt.endpoint);
             let cache_responded = record.is_some_and(|record| record.last_response_at > attempt.sent_at);
             let waits_for_source =
-                attempt.fills_from_above && cache_responded && !self.origin_admission.is_slow();
+                attempt.fills_from_upstream && cache_responded && !self.origin_admission.is_slow();
             if let Some(source) = attempt.source.filter(|_| waits_for_source) {
                 *counts.entry(source).or_default() += 1;
             }
@@ -229,8 +235,9 @@
         counts
     }
 
-    /// Ejects the endpoint if it is silent; returns whether it is. The origin is never ejected, and fills
-    /// from a parent that is ejected already go on: to cancel them would ask the origin again.
+    /// Ejects the endpoint if it is silent. Returns whether attempts that wait for it are to be cancelled:
+    /// not for the origin, which is never ejected, nor for a parent that is ejected already, as retried
+    /// fills would be requested from the origin again.
     fn eject_if_silent(&mut self, id: EndpointId, overdue_attempts: usize) -> bool {
         let now = self.now;
         let Some(record) = self.endpoints.get_mut(&id) else { return false };
@@ -250,7 +257,7 @@
 
     fn cancel_attempts_waiting_for(&mut self, silent: &[EndpointId]) {
         let waits = |attempt: &AttemptRecord| {
-            let source = attempt.source.filter(|_| attempt.fills_from_above);
+            let source = attempt.source.filter(|_| attempt.fills_from_upstream);
             silent.contains(&attempt.endpoint) || source.is_some_and(|source| silent.contains(&source))
         };
         let is_stuck = |id: AttemptId, attempt: &AttemptRecord| {
@@ -263,8 +270,8 @@
         }
     }
 
-    /// The share of its arc that a cache serves, from 0 to 1: less, the slower it is than its peers. Covers
-    /// caches that degrade without failing, or whose capacity is less than listed.
+    /// The share of its arc that a cache serves, from 0 to 1: the slower the cache is than the others, the
+    /// smaller. Covers caches that are degraded without failing, or have less capacity than listed.
     pub(super) fn slowness_share(&self, record: &EndpointRecord) -> f64 {
         let share = if record.slowness.samples >= MIN_SAMPLES {
             self.typical_slowness * MAX_RELATIVE_SLOWNESS / record.slowness.value
@@ -275,7 +282,8 @@
     }
 }
 
-/// A successful fill is a success of its source too, where it is reported or nothing ever is.
+/// Attributes a successful outcome. It is also a success of the fill source if a fill was reported, or was
+/// expected where outcomes never report one.
 fn attribute_success(
     attempt: &AttemptRecord,
     outcome: &AttemptOutcome,
@@ -285,7 +293,7 @@
         outcome.cache_status,
         Some(CacheStatus::FilledByParent | CacheStatus::FilledByOrigin | CacheStatus::Coalesced)
     );
-    let is_likely_fill = detail == OutcomeDetail::None && attempt.fills_from_above;
+    let is_likely_fill = detail == OutcomeDetail::None && attempt.fills_from_upstream;
     let source = (is_reported_fill || is_likely_fill).then_some(true);
     Attribution { endpoint: Some(true), source }
 }
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -1,4 +1,4 @@
-//! The steps of a request: accepted, routed, sent, finished, and routed again or answered.
+//! The life cycle of a request: accepted, routed, sent, and then retried or answered.
 
 use super::load_estimate::LOAD_TIME_CONSTANT;
 use super::outlier_detection::EJECTION;
@@ -10,7 +10,7 @@
 };
 use crate::records::{AttemptRecord, RequestRecord, Route};
 
-/// Clock ticks before the deadline at which an answer can no longer be sent in time.
+/// Margin before the deadline, in clock ticks, within which an answer can no longer be sent in time.
 const DEADLINE_TICKS: f64 = 2.0;
 
 impl Policy {
@@ -24,14 +24,15 @@
         self.dispatch_request(request.id);
     }
 
-    /// The client is receiving the answer: no further attempt may replace this one.
+    /// Records that the client is receiving the answer, so that no further attempt may replace this one.
     pub(super) fn mark_response_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.response_started = true;
         }
     }
 
-    /// Forgets a request that has its final answer, and cancels its attempts in flight.
+    /// Drops a request that has its final answer or whose client disconnected, and cancels its attempts in
+    /// flight.
     pub(super) fn close_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.remove(&id) else { return };
         if request.attempts_in_flight == 0 {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Sends the next attempt, starts a backoff, or gives the request its final answer.
+    /// Sends the next attempt, starts a backoff, or ends the request with a rejection or failure.
     pub(super) fn dispatch_request(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if request.response_started || request.attempts_in_flight > 0 {
@@ -69,7 +70,8 @@
         }
     }
 
-    /// Writes are executed at the origin; either the class or the client marks them.
+    /// Whether the request is a write, as marked by its class or by the client. Writes are executed at the
+    /// origin.
     pub(super) fn is_write(&self, request: &Request) -> bool {
         self.settings.class(request.class).is_write || request.is_write
     }
@@ -115,8 +117,8 @@
         let source_record = source.and_then(|id| self.endpoints.get(&id));
         let fills_from_sibling =
             source_record.is_some_and(|record| self.settings.is_local_cache(&record.endpoint));
-        let source_is_above = source.is_some() && !fills_from_sibling;
-        let fills_from_above = source_is_above && !is_known;
+        let source_is_upstream = source.is_some() && !fills_from_sibling;
+        let fills_from_upstream = source_is_upstream && !is_known;
         let expires = self.settings.class(class).freshness_lifetime > 0.0;
         AttemptRecord {
             endpoint: route.endpoint,
@@ -127,16 +129,17 @@
             latency_objective,
             caches_fill: route.fill.is_some_and(|fill| fill.retention > 0),
             fills_from_sibling,
-            fills_from_above,
-            filling: if fills_from_above { work } else { 0.0 },
-            may_revalidate: source_is_above && is_known && expires,
+            fills_from_upstream,
+            fill_link_work: if fills_from_upstream { work } else { 0.0 },
+            may_revalidate: source_is_upstream && is_known && expires,
             copy_key,
             cancelled: false,
             counted_late: false,
         }
     }
 
-    /// Counts the attempt in flight at its endpoint, its source and the fill link.
+    /// Adds the attempt to those in flight at its endpoint and on the fill link. While the endpoint or source
+    /// is recovering, the attempt is its trial request.
     fn record_attempt_sent(&mut self, attempt: &AttemptRecord) {
         if let Some(source) = attempt.source.and_then(|id| self.endpoints.get_mut(&id)) {
             source.health.record_request();
@@ -146,10 +149,10 @@
             endpoint.advance(self.now, LOAD_TIME_CONSTANT);
             endpoint.in_flight += 1;
         }
-        self.fill_link.add(self.now, attempt.filling);
+        self.fill_link.add(self.now, attempt.fill_link_work);
     }
 
-    /// Learns from the end of an attempt, and continues its request.
+    /// Updates all estimates from the outcome of an attempt, and continues its request.
     pub(super) fn finish_attempt(&mut self, outcome: &AttemptOutcome) {
         let Some(attempt) = self.attempts.remove(&outcome.attempt) else { return };
         self.record_attempt_ended(&attempt, outcome);
@@ -162,7 +165,7 @@
     }
 
     fn record_attempt_ended(&mut self, attempt: &AttemptRecord, outcome: &AttemptOutcome) {
-        self.fill_link.remove(self.now, attempt.filling);
+        self.fill_link.remove(self.now, attempt.fill_link_work);
         let Some(endpoint) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         endpoint.advance(self.now, LOAD_TIME_CONSTANT);
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
@@ -190,7 +193,7 @@
         }
         match outcome.status {
             AttemptStatus::NotExecuted => return self.give_up(id, RejectReason::AttemptNotExecuted),
-            // Any other cache would fill from the same origin.
+            // Every other cache would fill from the same origin.
             AttemptStatus::Rejected if origin_rejected && !request.request.is_write => {
                 request.nothing_cached = true;
                 request.fill_denied = Some(RejectReason::OriginOverloaded);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,4 +1,4 @@
-//! Retries: which attempts may be repeated, how many, after which pause, and the final answer.
+//! Retries: idempotence, retry limits, retry budget and backoff, and the answer when no retry is possible.
 
 use super::Policy;
 use crate::interface::{
@@ -6,20 +6,21 @@
 };
 use crate::records::RequestRecord;
 
-/// Retries that each request adds to the budget. A fault that fails a larger share of the requests would
-/// only grow by retries.
+/// Retries that each request adds to the budget. If a fault affects a larger share of the requests, retrying
+/// all of them would only make it worse.
 const RETRIES_PER_REQUEST: f64 = 0.15;
-/// The most retries that the budget holds.
+/// Capacity of the retry budget.
 const MAX_RETRY_BUDGET: f64 = 20.0;
 
-/// Pause before the first retry of a write; grows by as much with each attempt.
+/// Step of the backoff of a write: the mean backoff is this, multiplied by one more than the number of
+/// attempts sent.
 const BACKOFF_STEP: Ms = 40.0;
-/// Retry-After of a rejection.
+/// `Retry-After` of a rejection.
 const RETRY_AFTER: Ms = 50.0;
-/// Clock ticks that an attempt may take to be counted as sent.
+/// Clock ticks that may pass between the decision to send an attempt and the time at which it counts as sent.
 const SENT_SLACK_TICKS: f64 = 2.0;
 
-/// The retries that this router may still send: a token bucket filled by new requests.
+/// The retries that this router may still send: a token bucket that new requests refill.
 #[derive(Debug)]
 pub(super) struct RetryBudget {
     retries: f64,
@@ -32,12 +33,12 @@
 }
 
 impl RetryBudget {
-    /// Adds the share of one request.
+    /// Adds the retries that one new request contributes.
     pub(super) fn deposit(&mut self) {
         self.retries = (self.retries + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
     }
 
-    /// Takes one retry out; `false` if the budget is spent.
+    /// Takes one retry from the budget; returns `false` if it is exhausted.
     pub(super) fn withdraw(&mut self) -> bool {
         if self.retries < 1.0 {
             return false;
@@ -47,17 +48,17 @@
     }
 }
 
-/// Whether a request without a usable route is tried again later.
+/// Whether a request without a usable route is retried after a backoff.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RetryDecision {
     After(Ms),
-    /// The backoff would end after the time limit.
+    /// The backoff would end after the request's deadline.
     NoTime,
     Never,
 }
 
 impl Policy {
-    /// The rule that forbids another attempt wherever it would go, if any.
+    /// The reason for which no further attempt may be sent to any endpoint, if there is one.
     pub(super) fn attempt_barred(&self, request: &RequestRecord, time_left: Ms) -> Option<RejectReason> {
         let is_retry = request.attempts_sent > 0;
         let first_endpoint = request.may_have_executed.map(|(_, endpoint)| endpoint);
@@ -82,10 +83,11 @@
     /// Whether idempotence allows another attempt at `endpoint`.
     ///
     /// An idempotent request may always be repeated. One with an idempotency key may be repeated within the
-    /// key's scope and window. Any other may be repeated only while no attempt can have been executed.
+    /// scope and window of the key. Any other request may be repeated only if no attempt can have been
+    /// executed.
     ///
-    /// No rule hedges: a request is dispatched only while it has no attempt in flight, so that
-    /// `parallel_attempts` has no effect at present.
+    /// Requests are not hedged: they are dispatched only while they have no attempt in flight, so that the
+    /// setting `parallel_attempts` has no effect at present.
     pub(super) fn may_repeat_at(&self, request: &RequestRecord, endpoint: EndpointId) -> bool {
         let idempotence = self.settings.class(request.request.class).idempotence;
         let is_idempotent = idempotence == Idempotence::Idempotent;
@@ -99,20 +101,21 @@
             Idempotence::NotIdempotent => false,
             Idempotence::WithKey { scope, window } => {
                 let slack = SENT_SLACK_TICKS * self.settings.clock_resolution;
-                self.share_keys(scope, first, endpoint) && self.now + slack < sent_at + window
+                self.recognise_same_keys(scope, first, endpoint) && self.now + slack < sent_at + window
             }
         }
     }
 
-    fn share_keys(&self, scope: DeduplicationScope, first: EndpointId, second: EndpointId) -> bool {
+    fn recognise_same_keys(&self, scope: DeduplicationScope, first: EndpointId, second: EndpointId) -> bool {
         let (Some(first), Some(second)) = (self.endpoints.get(&first), self.endpoints.get(&second)) else {
             return false;
         };
         is_in_scope(scope, &first.endpoint, &second.endpoint)
     }
 
-    /// Decides what follows when no route is usable: a write has no other endpoint to go to and is tried
-    /// again after a randomised, linearly growing backoff; a read is not, nor is any first attempt.
+    /// Decides whether a request without a usable route is retried later. A write that has been sent before
+    /// is retried after a randomised, linearly growing backoff, as no other endpoint can execute it. Reads,
+    /// and requests of which no attempt has been sent, are not retried.
     pub(super) fn decide_backoff(
         &mut self,
         is_write: bool,
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Sets a timer for the next attempt, for which every endpoint is allowed again.
+    /// Sets a timer for the next attempt, which may use all endpoints again.
     pub(super) fn start_backoff(&mut self, id: RequestId, pause: Ms) {
         self.last_timer_token = self.last_timer_token.wrapping_add(1).max(1);
         self.backoffs.insert(self.last_timer_token, id);
@@ -139,14 +142,15 @@
         }
     }
 
-    /// Sends the next attempt after a backoff; an unknown token is ignored.
+    /// Sends the next attempt after a backoff; unknown tokens are ignored.
     pub(super) fn end_backoff(&mut self, token: u32) {
         if let Some(id) = self.backoffs.remove(&token) {
             self.dispatch_request(id);
         }
     }
 
-    /// Gives the request its final answer: a rejection if the client may safely retry, else a failure.
+    /// Ends the request with its final answer: a rejection if the client may safely retry, otherwise a
+    /// failure.
     pub(super) fn give_up(&mut self, id: RequestId, reason: RejectReason) {
         let Some(request) = self.requests.get(&id) else { return };
         let final_answer = if self.client_may_retry(request) {
@@ -158,8 +162,8 @@
         self.close_request(id);
     }
 
-    /// A client's retry may be executed anywhere: safe for an idempotent request and for one whose key all
-    /// endpoints recognise, for any other only if no attempt can have been executed.
+    /// Whether a retry by the client is safe, whichever endpoint executes it: for idempotent requests, for
+    /// those whose key all endpoints recognise, and for others only if no attempt can have been executed.
     fn client_may_retry(&self, request: &RequestRecord) -> bool {
         match self.settings.class(request.request.class).idempotence {
             Idempotence::Idempotent | Idempotence::WithKey { scope: DeduplicationScope::All, .. } => true,
@@ -169,7 +173,7 @@
         }
     }
 
-    /// The Retry-After of a rejection; 0 where it is not supported.
+    /// The `Retry-After` of a rejection; 0 where it is not supported.
     fn retry_after(&self) -> Ms {
         if self.settings.supports_retry_after {
             RETRY_AFTER.min(self.settings.max_retry_after)
--- a/src/purge_log.rs
+++ b/src/purge_log.rs
@@ -1,4 +1,4 @@
-//! When each object, or the group it belongs to, was last purged.
+//! The times of the latest purges of objects and groups.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 }
 
 impl PurgeLog {
-    /// Records a purge of one object, or of the whole group; purges may arrive in any order.
+    /// Records a purge of one object, or of all objects of the group; purges may arrive in any order.
     pub fn record(&mut self, object: Option<ObjectId>, group: u32, at: Ms) {
         let last = match object {
             Some(object) => self.objects.entry(object).or_insert(at),
@@ -21,13 +21,13 @@
         *last = last.max(at);
     }
 
-    /// The time of the latest purge that concerns the object.
+    /// The time of the latest purge of the object or its group.
     pub fn last_purge(&self, object: ObjectId, group: u32) -> Option<Ms> {
         let found = [self.objects.get(&object), self.groups.get(&group)];
         found.into_iter().flatten().copied().reduce(Ms::max)
     }
 
-    /// Removes all purges from before `oldest`.
+    /// Removes all purges before `oldest`.
     pub fn remove_before(&mut self, oldest: Ms) {
         self.objects.retain(|_, at| *at >= oldest);
         self.groups.retain(|_, at| *at >= oldest);
--- a/tests/estimators.rs
+++ b/tests/estimators.rs
@@ -5,7 +5,7 @@
 
 const CONFIG: ConcurrencyLimitConfig = ConcurrencyLimitConfig {
     observation_weight: 0.5,
-    memory: 1e6,
+    time_constant: 1e6,
     max_late_ratio: 0.6,
     decrease_factor: 0.5,
     decrease_interval: 100.0,
@@ -31,7 +31,7 @@
 /// A thin stream must not take seconds longer than a thick one to show a fault.
 #[test]
 fn rare_results_weigh_more_in_a_limit() {
-    let config = ConcurrencyLimitConfig { observation_weight: 0.1, memory: 1000.0, ..CONFIG };
+    let config = ConcurrencyLimitConfig { observation_weight: 0.1, time_constant: 1000.0, ..CONFIG };
     let after = |every: Ms| {
         let mut limit = ConcurrencyLimit::new(8.0);
         (0..3).for_each(|n| limit.record(f64::from(n) * every, true, 9.0, &config));
--- a/tests/reject_reasons.rs
+++ b/tests/reject_reasons.rs
@@ -121,7 +121,7 @@
     let owned = world.owned(CACHES[0]);
     let admitted = owned.iter().filter(|&&object| world.ask(SAFE, object).is_some()).count();
     assert!(admitted > 0 && admitted < owned.len());
-    assert_eq!(reasons(&world).last(), Some(&RejectReason::EndpointTooCrowded));
+    assert_eq!(reasons(&world).last(), Some(&RejectReason::EndpointOverloaded));
 }
 
 #[test]
