--- a/tests/bloom_filter.rs
+++ b/tests/bloom_filter.rs
@@ -1,4 +1,4 @@
-//! Rotating Bloom filter.
+//! Tests of the rotating Bloom filter.
 
 use linnethook::bloom_filter::*;
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,25 +1,26 @@
-//! A small world for the module's tests: one location of three caches, two parents and an origin.
+//! Test harness of the decision module: one location with three caches, two parents and an origin.
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use linnethook::interface::*;
 use linnethook::Policy;
 
-pub const PARENT: u16 = 1;
-pub const ORIGIN: u16 = 2;
-pub const ZONE: u16 = 3;
-pub const HUB: u16 = 0;
+/// Role numbers; caches have role 0.
+pub const PARENT_ROLE: u16 = 1;
+pub const ORIGIN_ROLE: u16 = 2;
+pub const LOCAL_ZONE: u16 = 3;
+pub const UPSTREAM_ZONE: u16 = 0;
 pub const CACHES: [EndpointId; 3] = [EndpointId(11), EndpointId(12), EndpointId(13)];
 pub const PARENTS: [EndpointId; 2] = [EndpointId(21), EndpointId(22)];
-pub const THE_ORIGIN: EndpointId = EndpointId(31);
+pub const ORIGIN: EndpointId = EndpointId(31);
 
-/// Classes of the settings below.
-pub const SAFE: u16 = 0;
-pub const FRESH: u16 = 1;
-pub const KEYED: u16 = 2;
-pub const UNSAFE: u16 = 3;
+/// Numbers of the request classes in [`settings`].
+pub const IDEMPOTENT: u16 = 0;
+pub const EXPIRING: u16 = 1;
+pub const WITH_KEY: u16 = 2;
+pub const NOT_IDEMPOTENT: u16 = 3;
 
 pub fn settings() -> Settings {
-    let safe = RequestClass {
+    let idempotent = RequestClass {
         idempotence: Idempotence::Idempotent,
         latency_objective: 400.0,
         objective_stretch_ratio: 2.0,
@@ -27,13 +28,13 @@
         priority_weight: 2.0,
         ..RequestClass::default()
     };
-    let fresh = RequestClass {
+    let expiring = RequestClass {
         freshness_lifetime: 10_000.0,
         stale_grace: 20_000.0,
         stale_weight_ratio: 0.7,
-        ..safe.clone()
+        ..idempotent.clone()
     };
-    let keyed = Idempotence::WithKey { scope: DeduplicationScope::All, window: 3000.0 };
+    let with_key = Idempotence::WithKey { scope: DeduplicationScope::All, window: 3000.0 };
     let write = RequestClass {
         is_write: true,
         latency_objective: 800.0,
@@ -43,8 +44,8 @@
     Settings {
         routers: 4,
         routers_by_zone: vec![0, 0, 0, 2],
-        zone: ZONE,
-        classes: vec![safe, fresh, RequestClass { idempotence: keyed, ..write.clone() }, write],
+        zone: LOCAL_ZONE,
+        classes: vec![idempotent, expiring, RequestClass { idempotence: with_key, ..write.clone() }, write],
         clock_resolution: 2.0,
         max_attempts: 6,
         may_cancel: true,
@@ -62,8 +63,8 @@
             overload_multiple: 2.0,
             overload_window: 3000.0,
         },
-        parent_role: Some(PARENT),
-        origin_role: Some(ORIGIN),
+        parent_role: Some(PARENT_ROLE),
+        origin_role: Some(ORIGIN_ROLE),
         flow_kb_per_s: 1000.0,
         sibling_fill: SiblingFill::SameLocation,
         may_bypass_caches: true,
@@ -74,77 +75,79 @@
     }
 }
 
+/// The ready endpoint with that identifier, with a capacity of 10 transfers.
 pub fn endpoint(id: EndpointId) -> Endpoint {
-    let (kind, zone) = match id {
-        id if CACHES.contains(&id) => (0, ZONE),
-        id if PARENTS.contains(&id) => (PARENT, HUB),
-        _ => (ORIGIN, HUB),
+    let (role, zone) = match id {
+        id if CACHES.contains(&id) => (0, LOCAL_ZONE),
+        id if PARENTS.contains(&id) => (PARENT_ROLE, UPSTREAM_ZONE),
+        _ => (ORIGIN_ROLE, UPSTREAM_ZONE),
     };
-    Endpoint { id, cell: 0, zone, role: kind, weight: 10.0, started_at: 0.0, phase: EndpointPhase::Ready }
+    Endpoint { id, cell: 0, zone, role, weight: 10.0, started_at: 0.0, phase: EndpointPhase::Ready }
 }
 
-pub fn everyone() -> Vec<Endpoint> {
-    CACHES.into_iter().chain(PARENTS).chain([THE_ORIGIN]).map(endpoint).collect()
+pub fn all_endpoints() -> Vec<Endpoint> {
+    CACHES.into_iter().chain(PARENTS).chain([ORIGIN]).map(endpoint).collect()
 }
 
-/// An attempt as the module ordered it.
+/// An attempt that the policy has sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sent {
+pub struct SentAttempt {
     pub attempt: AttemptId,
-    pub cache: EndpointId,
+    pub endpoint: EndpointId,
     pub timeout: Ms,
     pub fill: Option<FillInstruction>,
 }
 
 /// The final answer to a request that may have been executed.
-pub fn failed(sent: Sent, reason: RejectReason) -> Action {
+pub fn failed(sent: SentAttempt, reason: RejectReason) -> Action {
     Action::Fail { request: sent.attempt.request, reason }
 }
 
-/// The module with a clock, its timers and a count of what it sent.
-pub struct World {
+/// The policy with a virtual clock and its timers; records the attempts and final answers.
+pub struct PolicyHarness {
     pub policy: Policy,
     pub now: Ms,
     timers: Vec<(Ms, u32)>,
-    pub sent: Vec<Sent>,
-    pub finals: Vec<Action>,
+    pub sent: Vec<SentAttempt>,
+    pub final_answers: Vec<Action>,
     pub cancelled: Vec<AttemptId>,
-    next: u64,
+    next_request_id: u64,
 }
 
-impl World {
+impl PolicyHarness {
     pub fn new(settings: Settings) -> Self {
-        Self::with(settings, everyone())
+        Self::with_endpoints(settings, all_endpoints())
     }
 
-    pub fn with(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
-        Self::seeded(settings, endpoints, 7)
+    pub fn with_endpoints(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
+        Self::with_seed(settings, endpoints, 7)
     }
 
-    pub fn seeded(settings: Settings, endpoints: Vec<Endpoint>, seed: u64) -> Self {
-        let mut world = Self {
+    pub fn with_seed(settings: Settings, endpoints: Vec<Endpoint>, seed: u64) -> Self {
+        let mut harness = Self {
             policy: Policy::new(settings, seed),
             now: 100_000.0,
             timers: Vec::new(),
             sent: Vec::new(),
-            finals: Vec::new(),
+            final_answers: Vec::new(),
             cancelled: Vec::new(),
-            next: 1,
+            next_request_id: 1,
         };
-        world.tell(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints });
-        world
+        harness.notify(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints });
+        harness
     }
 
-    pub fn tell(&mut self, event: Event) {
+    /// Passes an event to the policy and carries out its actions.
+    pub fn notify(&mut self, event: Event) {
         for action in self.policy.handle(self.now, &event) {
             match action {
-                Action::Forward { request, endpoint: cache, timeout } => {
-                    self.note(request, cache, timeout, None)
+                Action::Forward { request, endpoint, timeout } => {
+                    self.record_attempt(request, endpoint, timeout, None)
                 }
-                Action::ForwardWithFill { request, endpoint: cache, timeout, fill } => {
-                    self.note(request, cache, timeout, Some(fill));
+                Action::ForwardWithFill { request, endpoint, timeout, fill } => {
+                    self.record_attempt(request, endpoint, timeout, Some(fill));
                 }
-                Action::Reject { .. } | Action::Fail { .. } => self.finals.push(action),
+                Action::Reject { .. } | Action::Fail { .. } => self.final_answers.push(action),
                 Action::SetTimer { at, token } => self.timers.push((at, token)),
                 Action::CancelAttempt(attempt) => self.cancelled.push(attempt),
                 Action::HealthCheck(_) | Action::SubscribeEndpoints | Action::Log(_) => {}
@@ -152,97 +155,114 @@
         }
     }
 
-    fn note(&mut self, request: RequestId, cache: EndpointId, timeout: Ms, fill: Option<FillInstruction>) {
+    fn record_attempt(
+        &mut self,
+        request: RequestId,
+        endpoint: EndpointId,
+        timeout: Ms,
+        fill: Option<FillInstruction>,
+    ) {
         let number = self.sent.iter().filter(|sent| sent.attempt.request == request).count() as u8;
-        self.sent.push(Sent { attempt: AttemptId { request, number }, cache, timeout, fill });
+        self.sent.push(SentAttempt { attempt: AttemptId { request, number }, endpoint, timeout, fill });
     }
 
-    /// Advances the clock, and fires the timers that are due.
-    pub fn pass(&mut self, length: Ms) {
+    /// Advances the clock by `length` and fires the timers that become due.
+    pub fn advance(&mut self, length: Ms) {
         let end = self.now + length;
         loop {
             let due = self.timers.iter().enumerate().filter(|(_, timer)| timer.0 <= end);
             let Some((first, _)) = due.min_by(|a, b| a.1 .0.total_cmp(&b.1 .0)) else { break };
             let (at, token) = self.timers.swap_remove(first);
             self.now = self.now.max(at);
-            self.tell(Event::Timer(token));
+            self.notify(Event::Timer(token));
         }
         self.now = end;
     }
 
-    pub fn list(&mut self, member: Endpoint) {
-        self.tell(Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: vec![member] });
+    /// Sends an incremental update of the endpoint list with one endpoint.
+    pub fn update_endpoint(&mut self, endpoint: Endpoint) {
+        self.notify(Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: vec![endpoint] });
     }
 
-    pub fn request(&self, class: u16, object: u64) -> Request {
+    /// The next request of a class, without submitting it.
+    pub fn build_request(&self, class: u16, object: u64) -> Request {
         Request {
-            id: RequestId(self.next),
+            id: RequestId(self.next_request_id),
             object: ObjectId(object),
             part: 0,
             group: 5,
             class,
             size_kb: 100.0,
             client_retry: false,
-            is_write: class >= KEYED,
+            is_write: class >= WITH_KEY,
             time_limit: 3000.0,
         }
     }
 
-    /// Submits a request; returns the attempt that was sent for it, if any.
-    pub fn ask(&mut self, class: u16, object: u64) -> Option<Sent> {
-        let request = self.request(class, object);
+    /// Builds and submits a request; returns the attempt that was sent for it, if any.
+    pub fn request(&mut self, class: u16, object: u64) -> Option<SentAttempt> {
+        let request = self.build_request(class, object);
         self.submit(request)
     }
 
-    pub fn submit(&mut self, request: Request) -> Option<Sent> {
-        self.next += 1;
+    /// Submits a request; returns the attempt that was sent for it, if any.
+    pub fn submit(&mut self, request: Request) -> Option<SentAttempt> {
+        self.next_request_id += 1;
         let before = self.sent.len();
-        self.tell(Event::Request(request));
+        self.notify(Event::Request(request));
         self.sent.get(before).copied()
     }
 
-    /// Ends an attempt; returns the next attempt of the same request, if any.
-    pub fn end(&mut self, sent: Sent, status: AttemptStatus, note: Option<CacheStatus>) -> Option<Sent> {
-        self.end_after(sent, status, note, 0.0)
+    /// Finishes an attempt at once; returns the next attempt of the same request, if any.
+    pub fn finish(
+        &mut self,
+        sent: SentAttempt,
+        status: AttemptStatus,
+        cache_status: Option<CacheStatus>,
+    ) -> Option<SentAttempt> {
+        self.finish_after(sent, status, cache_status, 0.0)
     }
 
-    pub fn end_after(
+    /// Finishes an attempt with the given duration; returns the next attempt of the same request, if any.
+    pub fn finish_after(
         &mut self,
-        sent: Sent,
+        sent: SentAttempt,
         status: AttemptStatus,
-        note: Option<CacheStatus>,
-        took: Ms,
-    ) -> Option<Sent> {
+        cache_status: Option<CacheStatus>,
+        elapsed: Ms,
+    ) -> Option<SentAttempt> {
         let before = self.sent.len();
-        self.tell(Event::AttemptFinished(AttemptOutcome {
+        self.notify(Event::AttemptFinished(AttemptOutcome {
             attempt: sent.attempt,
-            endpoint: sent.cache,
+            endpoint: sent.endpoint,
             status,
             request_finished: status == AttemptStatus::Ok,
-            elapsed: took,
+            elapsed,
             source_wait: 0.0,
-            cache_status: note,
+            cache_status,
             load_report: LoadReport::default(),
         }));
         self.sent.get(before).copied()
     }
 
-    /// The objects below 400 that `owner` owns and is known to cache.
-    pub fn owned(&mut self, owner: EndpointId) -> Vec<u64> {
+    /// The objects below 400 that `owner` owns; requests each object once, so that its copy is known.
+    pub fn objects_owned_by(&mut self, owner: EndpointId) -> Vec<u64> {
         (0..400)
-            .filter(|&object| self.serve(SAFE, object, CacheStatus::FilledByParent).cache == owner)
+            .filter(|&object| self.serve(IDEMPOTENT, object, CacheStatus::FilledByParent).endpoint == owner)
             .collect()
     }
 
-    /// Submits requests, none of which ends, until one is not sent to `owner`.
-    pub fn crowd(&mut self, owner: EndpointId, objects: &[u64]) -> Option<Sent> {
-        objects.iter().find_map(|&object| self.ask(SAFE, object).filter(|sent| sent.cache != owner))
+    /// Submits requests without finishing them; returns the first one that is not sent to `owner`, if any.
+    pub fn submit_until_overflow(&mut self, owner: EndpointId, objects: &[u64]) -> Option<SentAttempt> {
+        objects
+            .iter()
+            .find_map(|&object| self.request(IDEMPOTENT, object).filter(|sent| sent.endpoint != owner))
     }
 
-    /// Submits a request and serves it at once.
-    pub fn serve(&mut self, class: u16, object: u64, note: CacheStatus) -> Sent {
-        let sent = self.ask(class, object).expect("an attempt");
-        self.end_after(sent, AttemptStatus::Ok, Some(note), 100.0);
+    /// Submits a request and finishes it successfully after 100 ms.
+    pub fn serve(&mut self, class: u16, object: u64, cache_status: CacheStatus) -> SentAttempt {
+        let sent = self.request(class, object).expect("an attempt");
+        self.finish_after(sent, AttemptStatus::Ok, Some(cache_status), 100.0);
         sent
     }
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,10 +1,12 @@
-//! Files, functions and tests that the pages name exist, so that a rename is followed by its pages.
+//! Files, functions and tests that the documentation names exist in the source, so that a rename without an
+//! update of the documentation is detected.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Pages that describe the code as it is. Pages of results, incidents and experiments name files of their time.
+/// Pages that describe the current code. Pages about results, incidents and experiments are not checked, as
+/// they may name files that no longer exist.
 const PAGES: &[&str] = &[
     "DEVELOPERS.md",
     "README.md",
@@ -14,11 +16,11 @@
     "docs/oncall.md",
 ];
 
-/// Directories of the root that a path in a page may begin with.
+/// Directories of the workspace root that the paths in a page begin with.
 const ROOTS: &[&str] =
     &["crates/", "docs/", "examples/", "experiments/", "scripts/", "src/", "tests/", ".ci/"];
 
-/// The texts between backticks that are paths from the root of the workspace.
+/// The texts in backticks that are paths relative to the workspace root.
 fn paths(page: &str) -> Vec<&str> {
     let quoted = page.split('`').skip(1).step_by(2);
     let is_path = |text: &&str| {
@@ -33,25 +35,25 @@
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut missing = Vec::new();
     for page in PAGES {
-        let text = fs::read_to_string(root.join(page)).expect("a page");
+        let text = fs::read_to_string(root.join(page)).expect("a readable page");
         let absent = paths(&text).into_iter().filter(|path| !root.join(PathBuf::from(path)).exists());
         missing.extend(absent.map(|path| format!("{page}: {path}")));
     }
-    assert!(missing.is_empty(), "no such files:\n{}", missing.join("\n"));
+    assert!(missing.is_empty(), "files that do not exist:\n{}", missing.join("\n"));
 }
 
-/// Pages whose names in backticks are all checked: file names and identifiers with an underscore.
+/// Pages in which all names in backticks are checked: file names, and identifiers with an underscore.
 const PAGES_BY_MODULE: &[&str] =
     &["docs/ARCHITECTURE.md", "docs/GLOSSARY.md", "docs/endings.md", "docs/oncall.md"];
 
-/// The Rust sources below a directory, as paths and texts.
+/// Adds the paths and contents of the Rust sources below a directory to `found`.
 fn sources(directory: &Path, found: &mut Vec<(String, String)>) {
-    for entry in fs::read_dir(directory).expect("a directory of the workspace") {
-        let path = entry.expect("an entry").path();
+    for entry in fs::read_dir(directory).expect("a readable directory") {
+        let path = entry.expect("a readable directory entry").path();
         if path.is_dir() {
             sources(&path, found);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
-            let text = fs::read_to_string(&path).expect("a source file");
+            let text = fs::read_to_string(&path).expect("a readable source file");
             found.push((path.display().to_string(), text));
         }
     }
@@ -68,7 +70,7 @@
     let identifiers: BTreeSet<&str> = all.iter().flat_map(|(_, text)| text.split(|c| !is_word(c))).collect();
     let mut missing = Vec::new();
     for page in PAGES_BY_MODULE {
-        let text = fs::read_to_string(root.join(page)).expect("a page");
+        let text = fs::read_to_string(root.join(page)).expect("a readable page");
         for name in text.split('`').skip(1).step_by(2) {
             let is_file = name.ends_with(".rs") && !name.contains(' ');
             let is_identifier = name.contains('_') && name.chars().all(is_word);
@@ -82,7 +84,7 @@
             }
         }
     }
-    assert!(missing.is_empty(), "not in the source:\n{}", missing.join("\n"));
+    assert!(missing.is_empty(), "names that are not in the source:\n{}", missing.join("\n"));
 }
 
 #[test]
--- a/tests/endpoint_health.rs
+++ b/tests/endpoint_health.rs
@@ -1,4 +1,4 @@
-//! Ejection and recovery of one endpoint.
+//! Tests of the ejection and recovery of one endpoint.
 
 use linnethook::endpoint_health::*;
 
@@ -15,7 +15,7 @@
 fn failures_eject_and_consecutive_trial_successes_recover() {
     let mut health = EndpointHealth::default();
     health.record_outcome(0.0, Some(false), &CONFIG);
-    assert!(health.is_healthy(), "one failure is borne");
+    assert!(health.is_healthy(), "a single failure does not eject");
     health.record_outcome(0.0, Some(false), &CONFIG);
     assert!(health.is_ejected() && !health.accepts_request());
     health.start_due_recovery(99.0);
@@ -37,10 +37,10 @@
     let mut health = EndpointHealth::default();
     health.eject(0.0, &CONFIG);
     let mut now = 0.0;
-    for span in [100.0, 200.0, 300.0, 300.0] {
-        health.start_due_recovery(now + span - 1.0);
+    for duration in [100.0, 200.0, 300.0, 300.0] {
+        health.start_due_recovery(now + duration - 1.0);
         assert!(health.is_ejected());
-        now += span;
+        now += duration;
         health.start_due_recovery(now);
         health.record_outcome(now, Some(false), &CONFIG);
     }
--- a/tests/estimators.rs
+++ b/tests/estimators.rs
@@ -1,4 +1,4 @@
-//! Estimators of observed quantities.
+//! Tests of the estimators.
 
 use linnethook::estimators::*;
 use linnethook::interface::Ms;
@@ -28,17 +28,17 @@
     assert_eq!(limit.limit, 10.0);
 }
 
-/// A thin stream must not take seconds longer than a thick one to show a fault.
+/// At a low request rate, a fault must not take seconds longer to be detected than at a high one.
 #[test]
 fn rare_results_weigh_more_in_a_limit() {
     let config = ConcurrencyLimitConfig { observation_weight: 0.1, time_constant: 1000.0, ..CONFIG };
-    let after = |every: Ms| {
+    let limit_after_late_results = |interval: Ms| {
         let mut limit = ConcurrencyLimit::new(8.0);
-        (0..3).for_each(|n| limit.record(f64::from(n) * every, true, 9.0, &config));
+        (0..3).for_each(|n| limit.record(f64::from(n) * interval, true, 9.0, &config));
         limit.limit
     };
-    assert_eq!(after(10.0), 8.0);
-    assert!(after(1500.0) < 8.0);
+    assert_eq!(limit_after_late_results(10.0), 8.0);
+    assert!(limit_after_late_results(1500.0) < 8.0);
 }
 
 #[test]
--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -1,167 +1,189 @@
-//! Behaviour under faults, and unusual but legal input.
+//! Behaviour under faults, and with unusual but valid input.
 
 mod common;
 
 use common::*;
 use linnethook::interface::*;
 
-/// A world that has served enough objects for all estimates and filters to be known.
-fn warmed() -> World {
-    let mut world = World::new(settings());
+/// A harness that has served enough objects for all estimates and known copies to be established.
+fn harness_with_known_copies() -> PolicyHarness {
+    let mut harness = PolicyHarness::new(settings());
     for object in 0..200 {
-        world.pass(20.0);
-        world.serve(SAFE, object, CacheStatus::Hit);
+        harness.advance(20.0);
+        harness.serve(IDEMPOTENT, object, CacheStatus::Hit);
     }
-    world
+    harness
 }
 
-fn owned_by(world: &mut World, cache: EndpointId) -> Vec<u64> {
-    (0..200).filter(|&n| world.serve(SAFE, n, CacheStatus::Hit).cache == cache).collect()
+fn objects_owned_by(harness: &mut PolicyHarness, cache: EndpointId) -> Vec<u64> {
+    (0..200).filter(|&n| harness.serve(IDEMPOTENT, n, CacheStatus::Hit).endpoint == cache).collect()
 }
 
-/// A cache that fails fast has the fewest requests in flight and would attract all of them.
+/// A cache that fails quickly has the fewest requests in flight, and would otherwise be chosen for all.
 #[test]
 fn a_failing_cache_is_ejected_and_recovers_by_trial_requests() {
-    let mut world = warmed();
-    let owned = owned_by(&mut world, CACHES[0]);
+    let mut harness = harness_with_known_copies();
+    let owned = objects_owned_by(&mut harness, CACHES[0]);
     for &object in &owned[..8] {
-        let mut sent = world.ask(SAFE, object).expect("an attempt");
-        if sent.cache == CACHES[0] {
-            sent = world.end(sent, AttemptStatus::Error, None).expect("a further attempt");
-            assert_ne!(sent.cache, CACHES[0]);
+        let mut sent = harness.request(IDEMPOTENT, object).expect("an attempt");
+        if sent.endpoint == CACHES[0] {
+            sent = harness.finish(sent, AttemptStatus::Error, None).expect("a further attempt");
+            assert_ne!(sent.endpoint, CACHES[0]);
         }
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
     }
-    assert_ne!(world.serve(SAFE, owned[9], CacheStatus::FilledByParent).cache, CACHES[0], "it is left alone");
-    world.pass(600.0);
-    let trial = world.ask(SAFE, owned[9]).expect("an attempt");
-    assert_eq!(trial.cache, CACHES[0], "one trial at a time");
-    assert_ne!(world.ask(SAFE, owned[10]).expect("an attempt").cache, CACHES[0]);
-    world.end_after(trial, AttemptStatus::Ok, Some(CacheStatus::Hit), 100.0);
+    assert_ne!(
+        harness.serve(IDEMPOTENT, owned[9], CacheStatus::FilledByParent).endpoint,
+        CACHES[0],
+        "an ejected cache receives no requests"
+    );
+    harness.advance(600.0);
+    let trial = harness.request(IDEMPOTENT, owned[9]).expect("an attempt");
+    assert_eq!(trial.endpoint, CACHES[0], "one trial at a time");
+    assert_ne!(harness.request(IDEMPOTENT, owned[10]).expect("an attempt").endpoint, CACHES[0]);
+    harness.finish_after(trial, AttemptStatus::Ok, Some(CacheStatus::Hit), 100.0);
     for &object in &owned[11..14] {
-        assert_eq!(world.serve(SAFE, object, CacheStatus::Hit).cache, CACHES[0]);
+        assert_eq!(harness.serve(IDEMPOTENT, object, CacheStatus::Hit).endpoint, CACHES[0]);
     }
-    let both = [owned[14], owned[15]].map(|object| world.ask(SAFE, object).map(|sent| sent.cache));
-    assert_eq!(both, [Some(CACHES[0]); 2], "it is trusted again");
+    let endpoints =
+        [owned[14], owned[15]].map(|object| harness.request(IDEMPOTENT, object).map(|sent| sent.endpoint));
+    assert_eq!(endpoints, [Some(CACHES[0]); 2], "the cache has recovered");
 }
 
-/// Where outcomes do not report the cause of an error, a failing parent must not eject all caches.
+/// Where outcomes do not report the cause of an error, a failing parent must not lead to the ejection of all
+/// caches.
 #[test]
 fn fill_errors_are_attributed_to_the_parent_where_caches_serve_their_copies() {
-    let mut world = World::new(Settings { outcome_detail: OutcomeDetail::None, ..settings() });
+    let mut harness = PolicyHarness::new(Settings { outcome_detail: OutcomeDetail::None, ..settings() });
     for object in 0..200 {
-        world.pass(20.0);
-        world.serve(SAFE, object, CacheStatus::Hit);
+        harness.advance(20.0);
+        harness.serve(IDEMPOTENT, object, CacheStatus::Hit);
     }
     for object in 1000..1100 {
-        world.pass(20.0);
-        let mut last = world.ask(SAFE, object);
+        harness.advance(20.0);
+        let mut last = harness.request(IDEMPOTENT, object);
         while let Some(sent) = last {
             let failing = sent.fill.is_some_and(|fill| fill.source == PARENTS[0]);
-            last = world.end_after(
+            last = harness.finish_after(
                 sent,
                 if failing { AttemptStatus::Error } else { AttemptStatus::Ok },
                 None,
                 100.0,
             );
         }
-        world.serve(SAFE, object % 200, CacheStatus::Hit);
+        harness.serve(IDEMPOTENT, object % 200, CacheStatus::Hit);
     }
-    assert!(world.finals.len() < 10, "{} requests given up", world.finals.len());
-    let parents =
-        (2000..2030).map(|n| world.serve(SAFE, n, CacheStatus::FilledByParent).fill.expect("a fill").source);
+    assert!(harness.final_answers.len() < 10, "{} requests rejected or failed", harness.final_answers.len());
+    let parents = (2000..2030)
+        .map(|n| harness.serve(IDEMPOTENT, n, CacheStatus::FilledByParent).fill.expect("a fill").source);
     assert!(parents.filter(|&source| source == PARENTS[0]).count() < 5);
 }
 
-/// A location whose caches are all removed or ejected still has its parents.
+/// If all caches of a location are ejected, its requests are sent to the parents.
 #[test]
 fn requests_bypass_the_caches_when_all_are_ejected() {
-    let bad = |direct| {
-        let mut world = World::new(Settings { may_bypass_caches: direct, ..settings() });
+    let endpoints_used = |may_bypass_caches| {
+        let mut harness = PolicyHarness::new(Settings { may_bypass_caches, ..settings() });
         for object in 0..60 {
-            world.pass(5.0);
-            let mut last = world.ask(SAFE, object);
+            harness.advance(5.0);
+            let mut last = harness.request(IDEMPOTENT, object);
             while let Some(sent) = last {
                 let status =
-                    if CACHES.contains(&sent.cache) { AttemptStatus::Reset } else { AttemptStatus::Ok };
-                last = world.end_after(sent, status, None, 100.0);
+                    if CACHES.contains(&sent.endpoint) { AttemptStatus::Reset } else { AttemptStatus::Ok };
+                last = harness.finish_after(sent, status, None, 100.0);
             }
         }
-        (60..70).filter_map(|object| world.ask(SAFE, object)).map(|sent| sent.cache).collect::<Vec<_>>()
+        (60..70)
+            .filter_map(|object| harness.request(IDEMPOTENT, object))
+            .map(|sent| sent.endpoint)
+            .collect::<Vec<_>>()
     };
-    assert!(bad(true).iter().filter(|cache| PARENTS.contains(cache)).count() > 5);
-    assert_eq!(bad(false).len(), 10, "where that is not allowed they are asked all the same");
+    assert!(endpoints_used(true).iter().filter(|cache| PARENTS.contains(cache)).count() > 5);
+    assert_eq!(endpoints_used(false).len(), 10, "the ejected caches are used if they may not be bypassed");
 }
 
-/// A restarted cache is reachable before its start is listed; all of its load would overload it.
+/// A restarted cache is reachable before its restart is in the endpoint list, and would be overloaded by its
+/// full load.
 #[test]
 fn a_cache_that_refused_connections_is_treated_as_warming_up() {
-    let mut world = warmed();
-    let owned = owned_by(&mut world, CACHES[0]);
+    let mut harness = harness_with_known_copies();
+    let owned = objects_owned_by(&mut harness, CACHES[0]);
     for &object in owned.iter().cycle().take(100) {
-        world.pass(40.0);
-        let sent = world.ask(SAFE, object).expect("an attempt");
-        match sent.cache == CACHES[0] {
-            true => world
-                .end(sent, AttemptStatus::ConnectFailed, None)
-                .map(|sent| world.end(sent, AttemptStatus::CacheMiss, None)),
-            false => Some(world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0)),
+        harness.advance(40.0);
+        let sent = harness.request(IDEMPOTENT, object).expect("an attempt");
+        match sent.endpoint == CACHES[0] {
+            true => harness
+                .finish(sent, AttemptStatus::ConnectFailed, None)
+                .map(|sent| harness.finish(sent, AttemptStatus::CacheMiss, None)),
+            false => {
+                Some(harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0))
+            }
         };
     }
-    let to_it = |world: &mut World, length: usize| {
+    let to_cache = |harness: &mut PolicyHarness, length: usize| {
         let mut count = 0;
         for &object in owned.iter().cycle().take(length) {
-            world.pass(20.0);
-            count += usize::from(world.serve(SAFE, object, CacheStatus::Hit).cache == CACHES[0]);
+            harness.advance(20.0);
+            count += usize::from(harness.serve(IDEMPOTENT, object, CacheStatus::Hit).endpoint == CACHES[0]);
         }
         count
     };
-    let (soon, later) = (to_it(&mut world, 150), to_it(&mut world, 1000));
+    let (soon, later) = (to_cache(&mut harness, 150), to_cache(&mut harness, 1000));
     assert!(soon > 0 && soon < 75 && later > 500, "{soon} of 150, then {later} of 1000");
 }
 
-/// A hung or vanished cache responds to nothing, and stays listed for seconds.
+/// A hung or lost cache does not respond, but stays in the endpoint list for seconds.
 #[test]
 fn attempts_at_a_silent_cache_are_cancelled_and_retried_elsewhere() {
-    let mut world = warmed();
-    let owned = owned_by(&mut world, CACHES[0]);
-    let stuck: Vec<Sent> = owned[..4].iter().filter_map(|&object| world.ask(SAFE, object)).collect();
-    world.pass(1500.0);
-    assert!(stuck.iter().all(|sent| world.cancelled.contains(&sent.attempt)), "{:?}", world.cancelled);
-    let again = world.end(stuck[0], AttemptStatus::Cancelled, None).expect("a further attempt");
-    assert_ne!(again.cache, CACHES[0]);
+    let mut harness = harness_with_known_copies();
+    let owned = objects_owned_by(&mut harness, CACHES[0]);
+    let unanswered: Vec<SentAttempt> =
+        owned[..4].iter().filter_map(|&object| harness.request(IDEMPOTENT, object)).collect();
+    harness.advance(1500.0);
+    assert!(
+        unanswered.iter().all(|sent| harness.cancelled.contains(&sent.attempt)),
+        "{:?}",
+        harness.cancelled
+    );
+    let retried = harness.finish(unanswered[0], AttemptStatus::Cancelled, None).expect("a further attempt");
+    assert_ne!(retried.endpoint, CACHES[0]);
 }
 
-/// A vanished cache also refuses connections, and is ejected for that before it counts as silent; attempts
-/// there would otherwise wait until their clients give up.
+/// A lost cache may also refuse connections, and is then ejected before it is considered silent. Its attempts
+/// in flight must be cancelled all the same, or they would wait until their clients give up.
 #[test]
 fn attempts_at_a_cache_that_refuses_connections_are_cancelled_too() {
-    let mut world = warmed();
-    let owned = owned_by(&mut world, CACHES[0]);
-    let mut stuck: Vec<Sent> = owned[..12].iter().filter_map(|&object| world.ask(SAFE, object)).collect();
-    stuck.retain(|sent| sent.cache == CACHES[0]);
-    world.pass(400.0);
-    for sent in stuck.split_off(4) {
-        world.end(sent, AttemptStatus::ConnectFailed, None);
+    let mut harness = harness_with_known_copies();
+    let owned = objects_owned_by(&mut harness, CACHES[0]);
+    let mut unanswered: Vec<SentAttempt> =
+        owned[..12].iter().filter_map(|&object| harness.request(IDEMPOTENT, object)).collect();
+    unanswered.retain(|sent| sent.endpoint == CACHES[0]);
+    harness.advance(400.0);
+    for sent in unanswered.split_off(4) {
+        harness.finish(sent, AttemptStatus::ConnectFailed, None);
     }
-    world.pass(250.0);
-    assert!(stuck.iter().all(|sent| world.cancelled.contains(&sent.attempt)), "{:?}", world.cancelled);
+    harness.advance(250.0);
+    assert!(
+        unanswered.iter().all(|sent| harness.cancelled.contains(&sent.attempt)),
+        "{:?}",
+        harness.cancelled
+    );
 }
 
-/// Fills by way of parents that waited long for the origin.
-fn slow_origin(world: &mut World) {
+/// Finishes fills through the parents that have waited long for the origin.
+fn slow_origin(harness: &mut PolicyHarness) {
     for object in 1000..1060 {
-        world.pass(30.0);
-        let Some(sent) = world.ask(SAFE, object) else { continue };
-        if sent.fill.is_some_and(|fill| fill.only_if_cached || fill.source == sent.cache) {
-            world.end(sent, AttemptStatus::CacheMiss, None);
+        harness.advance(30.0);
+        let Some(sent) = harness.request(IDEMPOTENT, object) else { continue };
+        if sent.fill.is_some_and(|fill| fill.only_if_cached || fill.source == sent.endpoint) {
+            harness.finish(sent, AttemptStatus::CacheMiss, None);
             continue;
         }
         assert!(sent.fill.is_some_and(|fill| PARENTS.contains(&fill.source)));
         let id = sent.attempt.request;
-        world.tell(Event::AttemptFinished(AttemptOutcome {
+        harness.notify(Event::AttemptFinished(AttemptOutcome {
             attempt: AttemptId { request: id, number: 0 },
-            endpoint: sent.cache,
+            endpoint: sent.endpoint,
             status: AttemptStatus::Ok,
             request_finished: true,
             elapsed: 1500.0,
@@ -172,110 +194,118 @@
     }
 }
 
-/// A lost location must not make its parents look silent, or all its load would reach the origin.
+/// If all caches of a location are lost, the parents must not be considered silent, or all load of the
+/// location would be sent to the origin.
 #[test]
 fn attempts_at_silent_caches_do_not_count_against_the_parents() {
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for object in 1000..1030 {
-        let _ = world.ask(SAFE, object);
-        world.pass(20.0);
+        let _ = harness.request(IDEMPOTENT, object);
+        harness.advance(20.0);
     }
-    let before = world.sent.len();
+    let before = harness.sent.len();
     for _ in 0..15 {
-        world.pass(100.0);
-        for attempt in std::mem::take(&mut world.cancelled) {
-            let sent = world.sent.iter().find(|sent| sent.attempt == attempt).copied().expect("an attempt");
-            world.end(sent, AttemptStatus::Cancelled, None);
+        harness.advance(100.0);
+        for attempt in std::mem::take(&mut harness.cancelled) {
+            let sent = harness.sent.iter().find(|sent| sent.attempt == attempt).copied().expect("an attempt");
+            harness.finish(sent, AttemptStatus::Cancelled, None);
         }
     }
-    let straight: Vec<EndpointId> = world.sent[before..].iter().map(|sent| sent.cache).collect();
-    assert!(straight.iter().any(|cache| PARENTS.contains(cache)), "{straight:?}");
-    assert!(!straight.contains(&THE_ORIGIN), "{straight:?}");
+    let direct: Vec<EndpointId> = harness.sent[before..].iter().map(|sent| sent.endpoint).collect();
+    assert!(direct.iter().any(|cache| PARENTS.contains(cache)), "{direct:?}");
+    assert!(!direct.contains(&ORIGIN), "{direct:?}");
 }
 
-/// Parents whose slots are taken by fills that wait for the origin reject more, and must not be ejected.
+/// Parents whose slots are occupied by fills that wait for the origin reject more fills, and must not be
+/// ejected for it.
 #[test]
 fn parents_that_reject_because_of_a_slow_origin_are_not_ejected() {
-    for note in [CacheStatus::SourceRejected, CacheStatus::SourceUnreachable] {
-        let mut world = warmed();
-        slow_origin(&mut world);
+    for cache_status in [CacheStatus::SourceRejected, CacheStatus::SourceUnreachable] {
+        let mut harness = harness_with_known_copies();
+        slow_origin(&mut harness);
         for object in 3000..3040 {
-            let Some(sent) = world.ask(SAFE, object) else { continue };
-            world.tell(Event::AttemptFinished(AttemptOutcome {
+            let Some(sent) = harness.request(IDEMPOTENT, object) else { continue };
+            harness.notify(Event::AttemptFinished(AttemptOutcome {
                 attempt: sent.attempt,
-                endpoint: sent.cache,
+                endpoint: sent.endpoint,
                 status: AttemptStatus::Rejected,
                 request_finished: false,
                 elapsed: 1900.0,
                 source_wait: 1800.0,
-                cache_status: Some(note),
+                cache_status: Some(cache_status),
                 load_report: LoadReport::default(),
             }));
         }
-        let sources = (4000..4040).filter_map(|object| world.ask(SAFE, object)).filter_map(|sent| sent.fill);
-        assert!(sources.filter(|fill| PARENTS.contains(&fill.source)).count() > 10, "{note:?}");
+        let sources = (4000..4040)
+            .filter_map(|object| harness.request(IDEMPOTENT, object))
+            .filter_map(|sent| sent.fill);
+        assert!(sources.filter(|fill| PARENTS.contains(&fill.source)).count() > 10, "{cache_status:?}");
     }
 }
 
-/// Without caches and parents, the origin must not be overloaded until it stops.
+/// Without caches and parents, direct reads must not overload the origin until it fails.
 #[test]
 fn direct_reads_of_the_origin_are_limited_to_what_it_answers() {
     let removed = CACHES
         .into_iter()
         .chain(PARENTS)
         .map(|id| Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) });
-    let mut world = World::with(settings(), removed.chain([endpoint(THE_ORIGIN)]).collect());
+    let mut harness = PolicyHarness::with_endpoints(settings(), removed.chain([endpoint(ORIGIN)]).collect());
     for object in 0..150 {
-        world.pass(150.0);
-        if let Some(sent) = world.ask(SAFE, object) {
-            assert_eq!(sent.cache, THE_ORIGIN);
-            world.end(sent, AttemptStatus::TimedOut, None);
+        harness.advance(150.0);
+        if let Some(sent) = harness.request(IDEMPOTENT, object) {
+            assert_eq!(sent.endpoint, ORIGIN);
+            harness.finish(sent, AttemptStatus::TimedOut, None);
         }
     }
-    let sent = (200..300).filter_map(|object| world.ask(SAFE, object)).count();
-    assert!(sent < 60, "{sent} of 100 go on to an origin that answers none");
+    let sent = (200..300).filter_map(|object| harness.request(IDEMPOTENT, object)).count();
+    assert!(sent < 60, "{sent} of 100 requests are sent to an origin that does not respond");
 }
 
-/// A slow origin must not eject the parents, or all routers would send to it directly until it stops.
+/// A slow origin must not lead to the ejection of the parents, or all routers would send requests directly to
+/// the origin until it fails.
 #[test]
 fn parents_that_wait_for_a_slow_origin_are_not_ejected() {
-    let mut world = warmed();
-    slow_origin(&mut world);
+    let mut harness = harness_with_known_copies();
+    slow_origin(&mut harness);
     let cached_only = (2000..2100)
-        .filter_map(|object| world.ask(SAFE, object))
+        .filter_map(|object| harness.request(IDEMPOTENT, object))
         .filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached && PARENTS.contains(&fill.source)));
-    assert!(cached_only.count() > 20, "most misses ask the parents only for cached copies");
+    assert!(cached_only.count() > 20, "most misses request only a cached copy of the parents");
 }
 
-/// A failed origin cannot recover if its share of misses grows faster than a thin stream's failures cut it.
+/// A failed origin cannot recover if the admitted share of misses grows faster than failures at a low request
+/// rate reduce it.
 #[test]
 fn a_small_share_of_admitted_misses_recovers_slowly() {
-    let mut world = warmed();
-    (0..4).for_each(|_| slow_origin(&mut world));
-    world.pass(4000.0);
-    let asked: Vec<Sent> = (5000..5200).filter_map(|object| world.ask(SAFE, object)).collect();
-    let cached_only = asked.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
+    let mut harness = harness_with_known_copies();
+    (0..4).for_each(|_| slow_origin(&mut harness));
+    harness.advance(4000.0);
+    let attempts: Vec<SentAttempt> =
+        (5000..5200).filter_map(|object| harness.request(IDEMPOTENT, object)).collect();
+    let cached_only =
+        attempts.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
     assert!(
-        cached_only * 100 > asked.len() * 78,
-        "{cached_only} of {} ask only for a cached copy",
-        asked.len()
+        cached_only * 100 > attempts.len() * 78,
+        "{cached_only} of {} request only a cached copy",
+        attempts.len()
     );
 }
 
-/// A known copy may be past its freshness lifetime; its revalidation must be admitted by the origin too.
+/// A known copy may be past its freshness lifetime, and its revalidation is load for the origin too.
 #[test]
 fn revalidations_count_against_a_slow_origin_too() {
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for object in 1000..1060 {
-        world.pass(30.0);
-        world.serve(FRESH, object, CacheStatus::FilledByParent);
+        harness.advance(30.0);
+        harness.serve(EXPIRING, object, CacheStatus::FilledByParent);
     }
     for object in 2000..2030 {
-        world.pass(30.0);
-        let Some(sent) = world.ask(SAFE, object) else { continue };
-        world.tell(Event::AttemptFinished(AttemptOutcome {
+        harness.advance(30.0);
+        let Some(sent) = harness.request(IDEMPOTENT, object) else { continue };
+        harness.notify(Event::AttemptFinished(AttemptOutcome {
             attempt: sent.attempt,
-            endpoint: sent.cache,
+            endpoint: sent.endpoint,
             status: AttemptStatus::Ok,
             request_finished: true,
             elapsed: 1500.0,
@@ -284,379 +314,418 @@
             load_report: LoadReport::default(),
         }));
     }
-    let asked: Vec<Sent> = (1000..1060).filter_map(|object| world.ask(FRESH, object)).collect();
-    let cached_only = asked.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
-    assert!(cached_only > asked.len() / 2, "{cached_only} of {} ask only for a cached copy", asked.len());
+    let attempts: Vec<SentAttempt> =
+        (1000..1060).filter_map(|object| harness.request(EXPIRING, object)).collect();
+    let cached_only =
+        attempts.iter().filter(|sent| sent.fill.is_some_and(|fill| fill.only_if_cached)).count();
+    assert!(
+        cached_only > attempts.len() / 2,
+        "{cached_only} of {} request only a cached copy",
+        attempts.len()
+    );
 }
 
-/// An attempt that a client abandons ends as cancelled, long before it is late: it is no late fill.
+/// An attempt of a client that disconnects ends as cancelled, long before the latency objective, and must not
+/// count as a late fill.
 #[test]
 fn disconnected_clients_do_not_reduce_the_fill_links_limit() {
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for wave in 0..40 {
-        let abandoned: Vec<Sent> = (0..3).filter_map(|n| world.ask(SAFE, 1000 + wave * 10 + n)).collect();
-        world.pass(60.0);
+        let abandoned: Vec<SentAttempt> =
+            (0..3).filter_map(|n| harness.request(IDEMPOTENT, 1000 + wave * 10 + n)).collect();
+        harness.advance(60.0);
         for sent in abandoned {
-            world.tell(Event::ClientDisconnected(sent.attempt.request));
-            world.end_after(sent, AttemptStatus::Cancelled, None, 60.0);
+            harness.notify(Event::ClientDisconnected(sent.attempt.request));
+            harness.finish_after(sent, AttemptStatus::Cancelled, None, 60.0);
         }
     }
-    let fills = |sent: &Sent| sent.fill.is_some_and(|fill| fill.source != sent.cache);
-    let tried: Vec<Sent> = (2000..2005).filter_map(|object| world.ask(SAFE, object)).collect();
-    assert!(tried.len() == 5 && tried.iter().all(fills), "{tried:?}");
+    let fills = |sent: &SentAttempt| sent.fill.is_some_and(|fill| fill.source != sent.endpoint);
+    let attempts: Vec<SentAttempt> =
+        (2000..2005).filter_map(|object| harness.request(IDEMPOTENT, object)).collect();
+    assert!(attempts.len() == 5 && attempts.iter().all(fills), "{attempts:?}");
 }
 
-/// Late fills occupy the slots of their caches until even hits are late.
+/// Unless they are shed, late fills occupy the slots of their caches until even hits are late.
 #[test]
 fn late_fills_are_shed_and_hits_are_not() {
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for wave in 0..10 {
-        let late: Vec<Sent> = (0..6).filter_map(|n| world.ask(SAFE, 1000 + wave * 10 + n)).collect();
-        world.pass(800.0);
+        let late: Vec<SentAttempt> =
+            (0..6).filter_map(|n| harness.request(IDEMPOTENT, 1000 + wave * 10 + n)).collect();
+        harness.advance(800.0);
         for sent in late {
             match sent.fill {
-                Some(fill) if fill.source != sent.cache => {
-                    world.end_after(sent, AttemptStatus::Ok, None, 800.0)
+                Some(fill) if fill.source != sent.endpoint => {
+                    harness.finish_after(sent, AttemptStatus::Ok, None, 800.0)
                 }
-                _ => world.end(sent, AttemptStatus::CacheMiss, None),
+                _ => harness.finish(sent, AttemptStatus::CacheMiss, None),
             };
         }
     }
-    let fills = |sent: &&Sent| sent.fill.is_some_and(|fill| fill.source != sent.cache);
-    let tried: Vec<Sent> = (2000..2030).filter_map(|object| world.ask(SAFE, object)).collect();
-    assert!(tried.iter().filter(fills).count() < 10, "few new fills");
-    assert!(!tried.iter().all(|sent| fills(&sent)), "the others ask for a cached copy");
-    let miss = tried.iter().find(|sent| !fills(sent)).copied().expect("one that only asks");
-    assert_eq!(world.end(miss, AttemptStatus::CacheMiss, None), None);
-    assert!(matches!(world.finals.last(), Some(Action::Reject { .. })), "refused at once");
+    let fills = |sent: &&SentAttempt| sent.fill.is_some_and(|fill| fill.source != sent.endpoint);
+    let attempts: Vec<SentAttempt> =
+        (2000..2030).filter_map(|object| harness.request(IDEMPOTENT, object)).collect();
+    assert!(attempts.iter().filter(fills).count() < 10, "most further fills are denied");
+    assert!(!attempts.iter().all(|sent| fills(&sent)), "the other attempts request a cached copy");
+    let miss = attempts.iter().find(|sent| !fills(sent)).copied().expect("an attempt without a fill");
+    assert_eq!(harness.finish(miss, AttemptStatus::CacheMiss, None), None);
+    assert!(
+        matches!(harness.final_answers.last(), Some(Action::Reject { .. })),
+        "a miss is rejected at once"
+    );
 }
 
-/// Its late fills would reduce the fill link's limit for those of the other parents.
+/// Late fills of a slow parent would reduce the fill link's limit for the fills of the other parents.
 #[test]
 fn a_slow_parent_is_avoided_except_for_trial_requests() {
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for object in 1000..1200 {
-        world.pass(40.0);
-        let Some(sent) = world.ask(SAFE, object) else { continue };
+        harness.advance(40.0);
+        let Some(sent) = harness.request(IDEMPOTENT, object) else { continue };
         let slow = sent.fill.is_some_and(|fill| fill.source == PARENTS[0]);
-        world.end_after(
+        harness.finish_after(
             sent,
             AttemptStatus::Ok,
             Some(CacheStatus::FilledByParent),
             if slow { 1500.0 } else { 100.0 },
         );
     }
-    let mut from = Vec::new();
+    let mut sources = Vec::new();
     for object in 2000..2060 {
-        let sent = world.ask(SAFE, object).expect("an attempt");
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
-        from.push(sent.fill.expect("a fill").source);
+        let sent = harness.request(IDEMPOTENT, object).expect("an attempt");
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
+        sources.push(sent.fill.expect("a fill").source);
     }
-    let slow = from.iter().filter(|&&source| source == PARENTS[0]).count();
-    assert!(slow < 10, "{slow} of {} fills from the slow parent", from.len());
-    let fills = from.iter().filter(|source| PARENTS.contains(source)).count();
-    assert!(fills > 50, "the link stays open for the other: {fills}");
+    let slow = sources.iter().filter(|&&source| source == PARENTS[0]).count();
+    assert!(slow < 10, "{slow} of {} fills from the slow parent", sources.len());
+    let fills = sources.iter().filter(|source| PARENTS.contains(source)).count();
+    assert!(fills > 50, "the fill link still admits fills from the other parent: {fills}");
 }
 
-/// An ejected parent shows no late fills: compared with it, the other one would be slow because of a few that
-/// a lost cache made late, and all misses would reach the origin until it stops.
+/// An ejected parent has no late fills. Compared with it, the other parent would be considered slow because
+/// of a few fills delayed by a lost cache, and all misses would be sent to the origin until it fails.
 #[test]
 fn a_parent_is_slow_only_relative_to_a_healthy_one() {
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for object in 1000..1200 {
-        world.pass(40.0);
-        let Some(sent) = world.ask(SAFE, object) else { continue };
+        harness.advance(40.0);
+        let Some(sent) = harness.request(IDEMPOTENT, object) else { continue };
         let Some(fill) = sent.fill else { continue };
         if fill.source == PARENTS[0] {
-            if let Some(again) = world.end(sent, AttemptStatus::Error, Some(CacheStatus::SourceUnreachable)) {
-                world.end_after(again, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
+            if let Some(retried) =
+                harness.finish(sent, AttemptStatus::Error, Some(CacheStatus::SourceUnreachable))
+            {
+                harness.finish_after(retried, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
             }
         } else {
-            let took = if object % 5 < 2 { 1500.0 } else { 100.0 };
-            world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), took);
+            let elapsed = if object % 5 < 2 { 1500.0 } else { 100.0 };
+            harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), elapsed);
         }
     }
-    let mut past = 0;
+    let mut direct_fills = 0;
     for object in 2000..2060 {
-        let Some(sent) = world.ask(SAFE, object) else { continue };
-        past += usize::from(sent.fill.is_some_and(|fill| fill.source == THE_ORIGIN));
+        let Some(sent) = harness.request(IDEMPOTENT, object) else { continue };
+        direct_fills += usize::from(sent.fill.is_some_and(|fill| fill.source == ORIGIN));
         let status = if sent.fill.is_some_and(|fill| fill.source == PARENTS[0]) {
             AttemptStatus::Error
         } else {
             AttemptStatus::Ok
         };
-        world.end_after(sent, status, None, 100.0);
+        harness.finish_after(sent, status, None, 100.0);
     }
-    assert_eq!(past, 0, "fills straight from the origin");
+    assert_eq!(direct_fills, 0, "fills directly from the origin");
 }
 
-/// If seven routers each assumed twice what they see for the others, all would find the cache crowded.
+/// If each of eight routers assumed its own two requests for the other seven too, all would consider the
+/// cache overloaded.
 #[test]
-fn two_requests_in_flight_do_not_make_a_cache_crowded_for_eight_routers() {
-    let mut world = World::new(Settings { routers_by_zone: vec![0, 0, 0, 8], ..settings() });
-    let part = |world: &mut World| {
-        let request = Request { part: 3, ..world.request(SAFE, 7) };
-        world.submit(request).expect("an attempt").cache
+fn two_requests_in_flight_do_not_overload_a_cache_for_eight_routers() {
+    let mut harness = PolicyHarness::new(Settings { routers_by_zone: vec![0, 0, 0, 8], ..settings() });
+    let part = |harness: &mut PolicyHarness| {
+        let request = Request { part: 3, ..harness.build_request(IDEMPOTENT, 7) };
+        harness.submit(request).expect("an attempt").endpoint
     };
-    let first = part(&mut world);
-    assert!((0..3).all(|_| part(&mut world) == first));
+    let first = part(&mut harness);
+    assert!((0..3).all(|_| part(&mut harness) == first));
 }
 
-/// A limit for each router's own fills alone would admit as many times more as there are routers.
+/// If each router limited only its own fills, the total would grow with the number of routers.
 #[test]
 fn the_fill_links_limit_counts_the_fills_of_other_routers() {
-    let fills = |here: u32| {
-        let mut world = World::new(Settings { routers_by_zone: vec![0, 0, 0, here], ..settings() });
+    let fills = |local_routers: u32| {
+        let mut harness =
+            PolicyHarness::new(Settings { routers_by_zone: vec![0, 0, 0, local_routers], ..settings() });
         (0..30).for_each(|object| {
-            world.serve(SAFE, object, CacheStatus::FilledByParent);
+            harness.serve(IDEMPOTENT, object, CacheStatus::FilledByParent);
         });
-        let asked = (1000..1055).filter_map(|object| {
-            world.pass(10.0);
-            world.ask(SAFE, object).and_then(|sent| sent.fill.filter(|fill| fill.source != sent.cache))
+        let attempts = (1000..1055).filter_map(|object| {
+            harness.advance(10.0);
+            harness
+                .request(IDEMPOTENT, object)
+                .and_then(|sent| sent.fill.filter(|fill| fill.source != sent.endpoint))
         });
-        asked.count()
+        attempts.count()
     };
     let (alone, eight) = (fills(1), fills(8));
-    assert!(alone > 50 && eight < 48, "{alone} fills under way alone, {eight} with seven others");
+    assert!(alone > 50 && eight < 48, "{alone} fills in flight with one router, {eight} with eight");
 }
 
-/// Degraded caches show no errors; their cached copies are served later and later.
+/// A degraded cache does not return errors, but serves its cached copies more and more slowly.
 #[test]
 fn a_slow_cache_serves_a_smaller_share_of_its_arc() {
-    let mut world = warmed();
-    let owned = owned_by(&mut world, CACHES[0]);
+    let mut harness = harness_with_known_copies();
+    let owned = objects_owned_by(&mut harness, CACHES[0]);
     for object in (0..200).cycle().take(600) {
-        world.pass(20.0);
-        let sent = world.ask(SAFE, object).expect("an attempt");
-        let took = if sent.cache == CACHES[0] { 550.0 } else { 200.0 };
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::Hit), took);
+        harness.advance(20.0);
+        let sent = harness.request(IDEMPOTENT, object).expect("an attempt");
+        let elapsed = if sent.endpoint == CACHES[0] { 550.0 } else { 200.0 };
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::Hit), elapsed);
     }
-    world.pass(100.0);
-    let mut to_it = 0;
+    harness.advance(100.0);
+    let mut to_cache = 0;
     for &object in &owned {
-        let sent = world.ask(SAFE, object).expect("an attempt");
-        to_it += usize::from(sent.cache == CACHES[0]);
-        world.end_after(
+        let sent = harness.request(IDEMPOTENT, object).expect("an attempt");
+        to_cache += usize::from(sent.endpoint == CACHES[0]);
+        harness.finish_after(
             sent,
             AttemptStatus::Ok,
             Some(CacheStatus::Hit),
-            if sent.cache == CACHES[0] { 550.0 } else { 200.0 },
+            if sent.endpoint == CACHES[0] { 550.0 } else { 200.0 },
         );
     }
-    assert!(to_it > 0 && to_it < owned.len() * 8 / 10, "{to_it} of {} stay with it", owned.len());
+    assert!(
+        to_cache > 0 && to_cache < owned.len() * 8 / 10,
+        "{to_cache} of {} stay with the cache",
+        owned.len()
+    );
 }
 
-/// When half of the caches degrade, a mean would follow them, and they would keep most of their arcs.
+/// If half of the caches degrade, they raise the mean slowness; compared with the mean, they would keep most
+/// of their arcs.
 #[test]
 fn when_half_of_the_caches_are_slow_they_lose_more_than_half_of_their_arcs() {
     let fourth = EndpointId(14);
-    let mut members = everyone();
-    members.push(Endpoint { id: fourth, ..endpoint(CACHES[0]) });
-    let mut world = World::with(settings(), members);
-    let slow = |sent: &Sent| sent.cache == CACHES[0] || sent.cache == fourth;
-    let serve = |world: &mut World, object: u64, ageing: bool| {
-        world.pass(20.0);
-        let sent = world.ask(SAFE, object).expect("an attempt");
-        let took = if ageing && slow(&sent) { 550.0 } else { 150.0 };
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::Hit), took);
+    let mut endpoints = all_endpoints();
+    endpoints.push(Endpoint { id: fourth, ..endpoint(CACHES[0]) });
+    let mut harness = PolicyHarness::with_endpoints(settings(), endpoints);
+    let slow = |sent: &SentAttempt| sent.endpoint == CACHES[0] || sent.endpoint == fourth;
+    let serve = |harness: &mut PolicyHarness, object: u64, degraded: bool| {
+        harness.advance(20.0);
+        let sent = harness.request(IDEMPOTENT, object).expect("an attempt");
+        let elapsed = if degraded && slow(&sent) { 550.0 } else { 150.0 };
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::Hit), elapsed);
         slow(&sent)
     };
-    let owned: Vec<u64> = (0..200).filter(|&object| serve(&mut world, object, false)).collect();
+    let owned: Vec<u64> = (0..200).filter(|&object| serve(&mut harness, object, false)).collect();
     (0..200).cycle().take(800).for_each(|object| {
-        serve(&mut world, object, true);
+        serve(&mut harness, object, true);
     });
-    let served = owned.iter().filter(|&&object| serve(&mut world, object, true)).count();
+    let served = owned.iter().filter(|&&object| serve(&mut harness, object, true)).count();
     assert!(served > 0 && served * 10 < owned.len() * 6, "{served} of {} stay with them", owned.len());
 }
 
-/// Degraded caches fill late what others fill in time: the link is not the bottleneck.
+/// If only the fills of a degraded cache are late, the fill link is not the bottleneck.
 #[test]
 fn late_fills_of_a_slow_cache_do_not_reduce_the_fill_links_limit() {
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for object in (0..200).cycle().take(400) {
-        world.pass(20.0);
-        let sent = world.ask(SAFE, object).expect("an attempt");
-        let took = if sent.cache == CACHES[0] { 550.0 } else { 200.0 };
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::Hit), took);
+        harness.advance(20.0);
+        let sent = harness.request(IDEMPOTENT, object).expect("an attempt");
+        let elapsed = if sent.endpoint == CACHES[0] { 550.0 } else { 200.0 };
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::Hit), elapsed);
     }
-    let fills = |sent: &Sent| sent.fill.is_some_and(|fill| fill.source != sent.cache);
+    let fills = |sent: &SentAttempt| sent.fill.is_some_and(|fill| fill.source != sent.endpoint);
     for object in 1000..1200 {
-        world.pass(40.0);
-        let Some(sent) = world.ask(SAFE, object) else { continue };
-        let took = if sent.cache == CACHES[0] { 1500.0 } else { 200.0 };
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), took);
+        harness.advance(40.0);
+        let Some(sent) = harness.request(IDEMPOTENT, object) else { continue };
+        let elapsed = if sent.endpoint == CACHES[0] { 1500.0 } else { 200.0 };
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), elapsed);
     }
-    let asked: Vec<Sent> = (2000..2030).filter_map(|object| world.ask(SAFE, object)).collect();
-    let filled = asked.iter().filter(|sent| fills(sent)).count();
-    assert!(filled > 20, "{filled} of {} are filled", asked.len());
+    let attempts: Vec<SentAttempt> =
+        (2000..2030).filter_map(|object| harness.request(IDEMPOTENT, object)).collect();
+    let filled = attempts.iter().filter(|sent| fills(sent)).count();
+    assert!(filled > 20, "{filled} of {} are filled", attempts.len());
 }
 
-/// A fault that fails all requests must not be multiplied by retries.
+/// Retries must not multiply the load of a fault that affects all requests.
 #[test]
 fn retries_are_bounded_by_the_budget() {
-    let mut world = warmed();
-    let before = world.sent.len();
+    let mut harness = harness_with_known_copies();
+    let before = harness.sent.len();
     for object in 0..300 {
-        let mut last = world.ask(SAFE, object % 100);
+        let mut last = harness.request(IDEMPOTENT, object % 100);
         while let Some(sent) = last {
-            last = world.end(sent, AttemptStatus::Rejected, None);
+            last = harness.finish(sent, AttemptStatus::Rejected, None);
         }
     }
-    let sent = world.sent.len() - before;
+    let sent = harness.sent.len() - before;
     assert!(sent < 300 + 20 + 60, "{sent} attempts for 300 requests");
-    assert_eq!(world.finals.len(), 300);
+    assert_eq!(harness.final_answers.len(), 300);
 }
 
 #[test]
 fn a_write_that_was_never_executed_is_retried_after_a_backoff() {
-    let mut world = warmed();
-    let sent = world.ask(UNSAFE, 4).expect("an attempt");
-    assert_eq!(world.end(sent, AttemptStatus::ConnectFailed, None), None, "it waits for a moment");
-    world.pass(200.0);
-    let again = world.sent.last().copied().expect("an attempt");
-    assert_eq!((again.cache, again.attempt.number), (THE_ORIGIN, 1));
-    world.end(again, AttemptStatus::TimedOut, None);
-    assert_eq!(world.finals, [failed(sent, RejectReason::RepeatNotAllowed)]);
+    let mut harness = harness_with_known_copies();
+    let sent = harness.request(NOT_IDEMPOTENT, 4).expect("an attempt");
+    assert_eq!(
+        harness.finish(sent, AttemptStatus::ConnectFailed, None),
+        None,
+        "the retry waits for a backoff"
+    );
+    harness.advance(200.0);
+    let retried = harness.sent.last().copied().expect("an attempt");
+    assert_eq!((retried.endpoint, retried.attempt.number), (ORIGIN, 1));
+    harness.finish(retried, AttemptStatus::TimedOut, None);
+    assert_eq!(harness.final_answers, [failed(sent, RejectReason::RepeatNotAllowed)]);
 }
 
 #[test]
 fn a_cache_that_restarted_between_two_snapshots_is_warming_up() {
-    let mut world = warmed();
-    let owned = owned_by(&mut world, CACHES[0]);
-    let back = Endpoint { started_at: world.now - 100.0, ..endpoint(CACHES[0]) };
-    let members = everyone().into_iter().map(|m| if m.id == back.id { back } else { m }).collect();
-    world.tell(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: members });
-    let to_it = owned
+    let mut harness = harness_with_known_copies();
+    let owned = objects_owned_by(&mut harness, CACHES[0]);
+    let restarted = Endpoint { started_at: harness.now - 100.0, ..endpoint(CACHES[0]) };
+    let endpoints =
+        all_endpoints().into_iter().map(|m| if m.id == restarted.id { restarted } else { m }).collect();
+    harness.notify(Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints });
+    let to_cache = owned
         .iter()
-        .filter(|&&object| world.serve(SAFE, object, CacheStatus::FilledByParent).cache == back.id)
+        .filter(|&&object| {
+            harness.serve(IDEMPOTENT, object, CacheStatus::FilledByParent).endpoint == restarted.id
+        })
         .count();
-    assert!(to_it < owned.len() / 2, "it is cold: {to_it} of {}", owned.len());
+    assert!(to_cache < owned.len() / 2, "it is warming up: {to_cache} of {}", owned.len());
 }
 
 #[test]
 fn every_request_is_answered_without_caches_parents_or_both() {
     let without = |ids: &[EndpointId]| {
-        let mut world = World::new(settings());
+        let mut harness = PolicyHarness::new(settings());
         for &id in ids {
-            world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) });
+            harness.update_endpoint(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) });
         }
-        world
+        harness
     };
-    let straight = without(&CACHES).ask(SAFE, 4).expect("an attempt");
-    assert!(PARENTS.contains(&straight.cache) && straight.fill.is_some_and(|f| f.source == THE_ORIGIN));
+    let direct = without(&CACHES).request(IDEMPOTENT, 4).expect("an attempt");
+    assert!(PARENTS.contains(&direct.endpoint) && direct.fill.is_some_and(|f| f.source == ORIGIN));
     let all_but_origin = [&CACHES[..], &PARENTS].concat();
-    let origin = without(&all_but_origin).ask(SAFE, 4).expect("an attempt");
-    assert_eq!(origin.cache, THE_ORIGIN);
-    let everything = [&all_but_origin[..], &[THE_ORIGIN]].concat();
-    for class in [SAFE, FRESH, KEYED, UNSAFE, 77] {
-        let mut world = without(&everything);
-        assert_eq!(world.ask(class, 4), None);
-        assert_eq!(world.finals.len(), 1, "class {class}");
+    let origin = without(&all_but_origin).request(IDEMPOTENT, 4).expect("an attempt");
+    assert_eq!(origin.endpoint, ORIGIN);
+    let everything = [&all_but_origin[..], &[ORIGIN]].concat();
+    for class in [IDEMPOTENT, EXPIRING, WITH_KEY, NOT_IDEMPOTENT, 77] {
+        let mut harness = without(&everything);
+        assert_eq!(harness.request(class, 4), None);
+        assert_eq!(harness.final_answers.len(), 1, "class {class}");
     }
-    let mut empty = World::with(settings(), Vec::new());
-    assert_eq!((empty.ask(SAFE, 4), empty.finals.len()), (None, 1));
+    let mut empty = PolicyHarness::with_endpoints(settings(), Vec::new());
+    assert_eq!((empty.request(IDEMPOTENT, 4), empty.final_answers.len()), (None, 1));
 }
 
-/// Caches are replaced in waves: the new ones have other ids, start warming up, and all copies are lost.
+/// Caches are replaced in waves: the new ones have new identifiers, are warming up and have no copies.
 #[test]
 fn a_large_change_of_the_endpoint_list_keeps_every_rule_and_answer() {
-    let new = |id: u64, since: Ms| Endpoint {
+    let new = |id: u64, started_at: Ms| Endpoint {
         id: EndpointId(id),
-        zone: ZONE,
+        zone: LOCAL_ZONE,
         role: 0,
-        started_at: since,
+        started_at,
         ..endpoint(CACHES[0])
     };
-    let mut world = warmed();
+    let mut harness = harness_with_known_copies();
     for wave in 0..3 {
-        let (leaving, id) = (CACHES[wave], 110 + wave as u64);
-        let start = world.now;
-        world.tell(Event::Endpoints {
+        let (draining, id) = (CACHES[wave], 110 + wave as u64);
+        let start = harness.now;
+        harness.notify(Event::Endpoints {
             update: EndpointUpdate::Incremental,
-            endpoints: vec![Endpoint { phase: EndpointPhase::Draining, ..endpoint(leaving) }, new(id, start)],
+            endpoints: vec![
+                Endpoint { phase: EndpointPhase::Draining, ..endpoint(draining) },
+                new(id, start),
+            ],
         });
-        world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(PARENTS[wave % 2]) });
-        let before = world.sent.len();
+        harness.update_endpoint(Endpoint { phase: EndpointPhase::Removed, ..endpoint(PARENTS[wave % 2]) });
+        let before = harness.sent.len();
         for object in 0..60 {
-            world.pass(30.0);
-            if let Some(sent) = world.ask(SAFE, object) {
-                world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
+            harness.advance(30.0);
+            if let Some(sent) = harness.request(IDEMPOTENT, object) {
+                harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
             }
         }
-        let named = |sent: &Sent| [Some(sent.cache), sent.fill.map(|fill| fill.source)];
-        let named: Vec<EndpointId> = world.sent[before..].iter().flat_map(named).flatten().collect();
-        assert!(!named.is_empty() && !named.contains(&leaving), "wave {wave}");
-        world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(leaving) });
-        world.list(Endpoint { started_at: world.now, ..endpoint(PARENTS[wave % 2]) });
+        let named = |sent: &SentAttempt| [Some(sent.endpoint), sent.fill.map(|fill| fill.source)];
+        let named: Vec<EndpointId> = harness.sent[before..].iter().flat_map(named).flatten().collect();
+        assert!(!named.is_empty() && !named.contains(&draining), "wave {wave}");
+        harness.update_endpoint(Endpoint { phase: EndpointPhase::Removed, ..endpoint(draining) });
+        harness.update_endpoint(Endpoint { started_at: harness.now, ..endpoint(PARENTS[wave % 2]) });
     }
-    // One is left, then none, then one is back under its old id.
+    // One cache remains, then none, then one returns with its old identifier.
     for id in [111, 112] {
-        world.list(Endpoint { phase: EndpointPhase::Removed, ..new(id, 0.0) });
+        harness.update_endpoint(Endpoint { phase: EndpointPhase::Removed, ..new(id, 0.0) });
     }
-    world.pass(20_000.0);
-    assert_eq!(world.ask(SAFE, 7).expect("an attempt").cache, EndpointId(110));
-    world.list(Endpoint { phase: EndpointPhase::Removed, ..new(110, 0.0) });
-    assert!(PARENTS.contains(&world.ask(SAFE, 8).expect("an attempt").cache));
-    let back = new(110, world.now);
-    world.list(back);
-    world.pass(20_000.0);
-    assert_eq!(world.ask(SAFE, 9).expect("an attempt").cache, EndpointId(110));
-}
-
-/// A location that has lost its caches, or regains them one by one, must not limit its fills by those that
-/// are left: the link has the capacity for all.
+    harness.advance(20_000.0);
+    assert_eq!(harness.request(IDEMPOTENT, 7).expect("an attempt").endpoint, EndpointId(110));
+    harness.update_endpoint(Endpoint { phase: EndpointPhase::Removed, ..new(110, 0.0) });
+    assert!(PARENTS.contains(&harness.request(IDEMPOTENT, 8).expect("an attempt").endpoint));
+    let returned = new(110, harness.now);
+    harness.update_endpoint(returned);
+    harness.advance(20_000.0);
+    assert_eq!(harness.request(IDEMPOTENT, 9).expect("an attempt").endpoint, EndpointId(110));
+}
+
+/// If a location loses its caches, or they return one by one, the limit of its fill link must not follow the
+/// capacity of the remaining caches, as the link still has capacity for all of them.
 #[test]
 fn the_fill_links_limit_does_not_shrink_with_lost_caches() {
-    let mut world = warmed();
-    CACHES.into_iter().for_each(|id| world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) }));
+    let mut harness = harness_with_known_copies();
+    CACHES
+        .into_iter()
+        .for_each(|id| harness.update_endpoint(Endpoint { phase: EndpointPhase::Removed, ..endpoint(id) }));
     for object in 1000..1010 {
-        world.pass(20.0);
-        world.serve(SAFE, object, CacheStatus::FilledByParent);
+        harness.advance(20.0);
+        harness.serve(IDEMPOTENT, object, CacheStatus::FilledByParent);
     }
-    let sent = (2000..2020).filter_map(|object| world.ask(SAFE, object)).count();
+    let sent = (2000..2020).filter_map(|object| harness.request(IDEMPOTENT, object)).count();
     assert!(sent > 15, "{sent} of 20 sent");
 }
 
 #[test]
 fn zero_and_missing_sizes_and_weights_are_accepted() {
     for weight in [0.0, 1.0] {
-        let members = everyone().into_iter().map(|m| Endpoint { weight, ..m }).collect();
-        let mut world = World::with(settings(), members);
+        let endpoints = all_endpoints().into_iter().map(|m| Endpoint { weight, ..m }).collect();
+        let mut harness = PolicyHarness::with_endpoints(settings(), endpoints);
         for object in 0..50 {
-            let request = Request { size_kb: 0.0, ..world.request(SAFE, object) };
-            let sent = world.submit(request).expect("an attempt");
+            let request = Request { size_kb: 0.0, ..harness.build_request(IDEMPOTENT, object) };
+            let sent = harness.submit(request).expect("an attempt");
             assert!(sent.timeout.is_finite() && sent.timeout > 0.0);
-            world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 80.0);
+            harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 80.0);
         }
     }
-    let mut none = World::new(Settings { flow_kb_per_s: 0.0, clock_resolution: 0.0, ..settings() });
-    assert!(none.ask(SAFE, 4).is_some());
+    let mut harness =
+        PolicyHarness::new(Settings { flow_kb_per_s: 0.0, clock_resolution: 0.0, ..settings() });
+    assert!(harness.request(IDEMPOTENT, 4).is_some());
 }
 
 #[test]
 fn a_restarted_router_needs_only_its_first_snapshot() {
-    let mut old = warmed();
-    let mut new = World::new(settings());
+    let mut old = harness_with_known_copies();
+    let mut new = PolicyHarness::new(settings());
     for object in 0..100 {
         assert_eq!(
-            old.serve(SAFE, object, CacheStatus::Hit).cache,
-            new.serve(SAFE, object, CacheStatus::Hit).cache
+            old.serve(IDEMPOTENT, object, CacheStatus::Hit).endpoint,
+            new.serve(IDEMPOTENT, object, CacheStatus::Hit).endpoint
         );
     }
 }
 
 #[test]
 fn identical_events_give_identical_actions() {
-    let play = || {
-        let mut world = World::new(settings());
+    let run = || {
+        let mut harness = PolicyHarness::new(settings());
         for object in 0..300 {
-            world.pass(7.0);
-            if let Some(sent) = world.ask(SAFE, object % 90) {
+            harness.advance(7.0);
+            if let Some(sent) = harness.request(IDEMPOTENT, object % 90) {
                 let status = if object % 5 == 0 { AttemptStatus::Error } else { AttemptStatus::Ok };
-                world.end_after(sent, status, Some(CacheStatus::FilledByParent), 60.0);
+                harness.finish_after(sent, status, Some(CacheStatus::FilledByParent), 60.0);
             }
         }
-        (world.sent, world.finals, world.cancelled)
+        (harness.sent, harness.final_answers, harness.cancelled)
     };
-    assert_eq!(play(), play());
+    assert_eq!(run(), run());
 }
--- a/tests/hash_ring.rs
+++ b/tests/hash_ring.rs
@@ -1,4 +1,4 @@
-//! Consistent-hash ring.
+//! Tests of the consistent-hash ring.
 
 use linnethook::hash_ring::*;
 
@@ -8,9 +8,9 @@
 
 #[test]
 fn every_member_is_a_successor_once() {
-    let mut met = ring(&[1, 2, 3]).successors(hash_pair(9, 9));
-    met.sort_unstable();
-    assert_eq!(met, [1, 2, 3]);
+    let mut successors = ring(&[1, 2, 3]).successors(hash_pair(9, 9));
+    successors.sort_unstable();
+    assert_eq!(successors, [1, 2, 3]);
     assert!(ring(&[]).successors(5).is_empty());
 }
 
@@ -19,8 +19,8 @@
     let (all, fewer) = (ring(&[1, 2, 3, 4]), ring(&[1, 2, 4]));
     for hash in (0..2000).map(|n| hash_pair(n, 0)) {
         let order = all.successors(hash);
-        let heir = if order[0] == 3 { order[1] } else { order[0] };
-        assert_eq!(fewer.successors(hash)[0], heir);
+        let expected_owner = if order[0] == 3 { order[1] } else { order[0] };
+        assert_eq!(fewer.successors(hash)[0], expected_owner);
     }
 }
 
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement and fill sources without faults.
+//! Placement and choice of fill sources, without faults.
 
 mod common;
 
@@ -9,28 +9,31 @@
 
 #[test]
 fn an_object_has_one_owner_which_caches_it_and_fills_from_a_parent() {
-    let mut world = World::new(settings());
+    let mut harness = PolicyHarness::new(settings());
     for object in 0..50 {
-        let first = world.serve(SAFE, object, CacheStatus::FilledByParent);
-        let again = world.serve(SAFE, object, CacheStatus::Hit);
-        assert_eq!(first.cache, again.cache);
+        let first = harness.serve(IDEMPOTENT, object, CacheStatus::FilledByParent);
+        let second = harness.serve(IDEMPOTENT, object, CacheStatus::Hit);
+        assert_eq!(first.endpoint, second.endpoint);
         let fill = first.fill.expect("a fill");
-        assert!(CACHES.contains(&first.cache) && PARENTS.contains(&fill.source));
+        assert!(CACHES.contains(&first.endpoint) && PARENTS.contains(&fill.source));
         assert!(fill.retention > 0 && !fill.only_if_cached);
     }
 }
 
 #[test]
 fn owners_and_parents_are_spread_and_all_routers_agree_on_them() {
-    let mut one = World::new(settings());
-    let mut two = World::with(Settings { routers: 3, ..settings() }, everyone().into_iter().rev().collect());
+    let mut one = PolicyHarness::new(settings());
+    let mut two = PolicyHarness::with_endpoints(
+        Settings { routers: 3, ..settings() },
+        all_endpoints().into_iter().rev().collect(),
+    );
     let mut owners = BTreeMap::new();
     let mut parents = BTreeMap::new();
     for object in 0..300 {
-        let a = one.serve(SAFE, object, CacheStatus::FilledByParent);
-        let b = two.serve(SAFE, object, CacheStatus::FilledByParent);
-        assert_eq!((a.cache, a.fill.map(|f| f.source)), (b.cache, b.fill.map(|f| f.source)));
-        *owners.entry(a.cache).or_insert(0) += 1;
+        let a = one.serve(IDEMPOTENT, object, CacheStatus::FilledByParent);
+        let b = two.serve(IDEMPOTENT, object, CacheStatus::FilledByParent);
+        assert_eq!((a.endpoint, a.fill.map(|f| f.source)), (b.endpoint, b.fill.map(|f| f.source)));
+        *owners.entry(a.endpoint).or_insert(0) += 1;
         *parents.entry(a.fill.expect("a fill").source).or_insert(0) += 1;
     }
     assert!(owners.len() == 3 && owners.values().all(|&n| n > 60), "{owners:?}");
@@ -39,151 +42,168 @@
 
 #[test]
 fn the_least_busy_sibling_serves_cached_copies_of_a_far_busier_owner() {
-    let mut world = World::new(settings());
-    let owned = world.owned(CACHES[0]);
-    let handed = world.crowd(CACHES[0], &owned).expect("a cache that is less busy");
-    let fill = handed.fill.expect("a fill");
+    let mut harness = PolicyHarness::new(settings());
+    let owned = harness.objects_owned_by(CACHES[0]);
+    let overflowed = harness.submit_until_overflow(CACHES[0], &owned).expect("a cache that is less busy");
+    let fill = overflowed.fill.expect("a fill");
     assert_eq!((fill.source, fill.retention, fill.only_if_cached), (CACHES[0], 0, true));
-    // A copy that is not known is requested from the owner all the same.
-    let unknown =
-        (1000..).find(|&n| World::new(settings()).serve(SAFE, n, CacheStatus::Hit).cache == CACHES[0]);
-    assert_eq!(world.ask(SAFE, unknown.expect("an object")).expect("an attempt").cache, CACHES[0]);
-    // If the owner has no copy after all, the request is retried at the owner, which caches it.
-    let retried = world
-        .end(handed, AttemptStatus::CacheMiss, Some(CacheStatus::SourceMiss))
+    // A copy that is not known at the owner is still requested from the owner.
+    let unknown = (1000..).find(|&n| {
+        PolicyHarness::new(settings()).serve(IDEMPOTENT, n, CacheStatus::Hit).endpoint == CACHES[0]
+    });
+    assert_eq!(
+        harness.request(IDEMPOTENT, unknown.expect("an object")).expect("an attempt").endpoint,
+        CACHES[0]
+    );
+    // If the owner turns out to have no copy, the request is retried at the owner, which fills and caches it.
+    let retried = harness
+        .finish(overflowed, AttemptStatus::CacheMiss, Some(CacheStatus::SourceMiss))
         .expect("a further attempt");
-    assert_eq!(retried.cache, CACHES[0]);
+    assert_eq!(retried.endpoint, CACHES[0]);
     assert!(retried.fill.is_some_and(|fill| PARENTS.contains(&fill.source) && fill.retention > 0));
 }
 
 #[test]
 fn fills_fall_back_to_the_next_parent_and_then_to_the_origin() {
-    let mut world = World::new(settings());
-    let first = world.ask(SAFE, 9).expect("an attempt");
+    let mut harness = PolicyHarness::new(settings());
+    let first = harness.request(IDEMPOTENT, 9).expect("an attempt");
     let home = first.fill.expect("a fill").source;
-    let second = world
-        .end(first, AttemptStatus::Rejected, Some(CacheStatus::SourceUnreachable))
+    let second = harness
+        .finish(first, AttemptStatus::Rejected, Some(CacheStatus::SourceUnreachable))
         .expect("a further attempt");
     let other = second.fill.expect("a fill").source;
-    assert!(second.cache == first.cache && other != home && PARENTS.contains(&other));
+    assert!(second.endpoint == first.endpoint && other != home && PARENTS.contains(&other));
     for parent in PARENTS {
-        world.list(Endpoint { phase: EndpointPhase::Removed, ..endpoint(parent) });
+        harness.update_endpoint(Endpoint { phase: EndpointPhase::Removed, ..endpoint(parent) });
     }
-    let last = world.ask(SAFE, 9).expect("an attempt");
-    assert_eq!(last.fill.expect("a fill").source, THE_ORIGIN);
+    let last = harness.request(IDEMPOTENT, 9).expect("an attempt");
+    assert_eq!(last.fill.expect("a fill").source, ORIGIN);
 }
 
-/// A client that reads part after part takes a good share of one cache's link for as long as it reads.
+/// Parts are spread over several holders, as a client that reads part after part uses a large share of one
+/// cache's link for as long as it reads.
 #[test]
 fn routers_with_different_observations_agree_on_the_holders_of_parts() {
-    let (mut one, mut two) = (World::new(settings()), World::new(settings()));
+    let (mut one, mut two) = (PolicyHarness::new(settings()), PolicyHarness::new(settings()));
     (0..50).for_each(|object| {
-        one.serve(SAFE, object, CacheStatus::FilledByParent);
+        one.serve(IDEMPOTENT, object, CacheStatus::FilledByParent);
     });
-    let place = |world: &mut World, part: u32| {
-        let request = Request { part, ..world.request(SAFE, 7) };
-        let sent = world.submit(request).expect("an attempt");
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
-        sent.cache
+    let holder_of = |harness: &mut PolicyHarness, part: u32| {
+        let request = Request { part, ..harness.build_request(IDEMPOTENT, 7) };
+        let sent = harness.submit(request).expect("an attempt");
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
+        sent.endpoint
     };
-    let first: Vec<EndpointId> = (1..40).map(|part| place(&mut one, part)).collect();
-    let second: Vec<EndpointId> = (1..40).map(|part| place(&mut two, part)).collect();
+    let first: Vec<EndpointId> = (1..40).map(|part| holder_of(&mut one, part)).collect();
+    let second: Vec<EndpointId> = (1..40).map(|part| holder_of(&mut two, part)).collect();
     assert_eq!(first, second);
     for cache in CACHES {
         let parts = first.iter().filter(|&&holder| holder == cache).count();
         assert!((6..22).contains(&parts), "{parts} of 39 parts at {cache:?}");
     }
-    let again: Vec<EndpointId> = (1..40).map(|part| place(&mut one, part)).collect();
-    assert_eq!(first, again, "each part stays where it was cached");
-    // Each router rounds the time of a purge by its own clock.
-    for (world, ago) in [(&mut one, 300.0), (&mut two, 301.0)] {
-        world.tell(Event::Purge { object: Some(ObjectId(7)), group: 0, age: ago });
+    let repeated: Vec<EndpointId> = (1..40).map(|part| holder_of(&mut one, part)).collect();
+    assert_eq!(first, repeated, "each part is requested from the cache that holds it");
+    // Each router rounds the time of a purge with its own clock.
+    for (harness, age) in [(&mut one, 300.0), (&mut two, 301.0)] {
+        harness.notify(Event::Purge { object: Some(ObjectId(7)), group: 0, age });
     }
-    for world in [&mut one, &mut two] {
-        let purged: Vec<EndpointId> = (1..40).map(|part| place(world, part)).collect();
-        assert_eq!(first, purged, "also after a purge that they received with another stamp");
+    for harness in [&mut one, &mut two] {
+        let purged: Vec<EndpointId> = (1..40).map(|part| holder_of(harness, part)).collect();
+        assert_eq!(first, purged, "holders do not depend on the time stamp of a purge");
     }
 }
 
-/// One router of many sees little of a cache. If it assumed as much for each of the others, chance would move
-/// parts to other caches, and each router's to another one.
+/// One of many routers has few requests in flight at a cache. If it assumed the same number for each of the
+/// others, random variation would move parts to other caches, and to different ones for each router.
 #[test]
 fn a_part_keeps_its_holder_when_one_of_many_routers_has_more_requests_there() {
-    let many =
+    let settings_for_eight_routers =
         Settings { routers_by_zone: vec![0, 0, 0, 8], sibling_fill: SiblingFill::Disabled, ..settings() };
-    let mut world = World::new(many);
-    let parts = |part: u32| Request { part, size_kb: 1000.0, ..world.request(SAFE, 7) };
+    let mut harness = PolicyHarness::new(settings_for_eight_routers);
+    let parts = |part: u32| Request { part, size_kb: 1000.0, ..harness.build_request(IDEMPOTENT, 7) };
     let requests: Vec<Request> = (1..40).map(parts).collect();
-    let mut dealt = Vec::new();
+    let mut placed = Vec::new();
     for request in requests {
-        let sent = world.submit(Request { id: world.request(SAFE, 7).id, ..request }).expect("an attempt");
-        world.end_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
-        dealt.extend((sent.cache == CACHES[0]).then_some(request));
+        let sent = harness
+            .submit(Request { id: harness.build_request(IDEMPOTENT, 7).id, ..request })
+            .expect("an attempt");
+        harness.finish_after(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent), 100.0);
+        placed.extend((sent.endpoint == CACHES[0]).then_some(request));
     }
-    let (last, some) = dealt[..6].split_last().expect("six parts");
+    let (last, some) = placed[..6].split_last().expect("six parts");
     for request in some {
-        let sent = world.submit(Request { id: world.request(SAFE, 7).id, ..*request }).expect("an attempt");
-        assert_eq!(sent.cache, CACHES[0]);
+        let sent = harness
+            .submit(Request { id: harness.build_request(IDEMPOTENT, 7).id, ..*request })
+            .expect("an attempt");
+        assert_eq!(sent.endpoint, CACHES[0]);
     }
-    world.pass(2_000.0);
-    let sent = world.submit(Request { id: world.request(SAFE, 7).id, ..*last }).expect("an attempt");
-    assert_eq!(sent.cache, CACHES[0]);
+    harness.advance(2_000.0);
+    let sent =
+        harness.submit(Request { id: harness.build_request(IDEMPOTENT, 7).id, ..*last }).expect("an attempt");
+    assert_eq!(sent.endpoint, CACHES[0]);
 }
 
-/// With many routers each has few requests in flight: the overflow must not wait for a fixed number of them.
+/// Each of many routers has few requests in flight, so that overflow must not require a fixed number of them.
 #[test]
 fn sibling_overflow_is_relative_to_a_routers_share_of_the_owner() {
-    let handed_after = |here: u32| {
-        let mut world = World::new(Settings { routers_by_zone: vec![0, 0, 0, here], ..settings() });
-        let owned = world.owned(CACHES[0]);
-        let before = world.sent.len();
-        world.crowd(CACHES[0], &owned).expect("a cache that is less busy");
-        world.sent.len() - before
+    let requests_until_overflow = |local_routers: u32| {
+        let mut harness =
+            PolicyHarness::new(Settings { routers_by_zone: vec![0, 0, 0, local_routers], ..settings() });
+        let owned = harness.objects_owned_by(CACHES[0]);
+        let before = harness.sent.len();
+        harness.submit_until_overflow(CACHES[0], &owned).expect("a cache that is less busy");
+        harness.sent.len() - before
     };
-    let (few, many) = (handed_after(1), handed_after(8));
-    assert!(many <= 4 && few >= 3 * many, "handed on at {few} with one router, at {many} with eight");
+    let (few, many) = (requests_until_overflow(1), requests_until_overflow(8));
+    assert!(
+        many <= 4 && few >= 3 * many,
+        "overflow after {few} requests with one router, after {many} with eight"
+    );
 }
 
 #[test]
-fn cached_copies_are_learnt_from_fills_where_hits_are_not_reported() {
-    let mut world = World::new(Settings { outcome_detail: OutcomeDetail::None, ..settings() });
-    let owned = world.owned(CACHES[1]);
-    let handed = world.crowd(CACHES[1], &owned).expect("a cache that is less busy");
-    assert_eq!(handed.fill.expect("a fill").source, CACHES[1]);
+fn cached_copies_are_learned_from_fills_where_hits_are_not_reported() {
+    let mut harness = PolicyHarness::new(Settings { outcome_detail: OutcomeDetail::None, ..settings() });
+    let owned = harness.objects_owned_by(CACHES[1]);
+    let overflowed = harness.submit_until_overflow(CACHES[1], &owned).expect("a cache that is less busy");
+    assert_eq!(overflowed.fill.expect("a fill").source, CACHES[1]);
 }
 
-/// While fill sources are migrated, an object's hash selects the list that applies; what is not listed is no
-/// source, and priorities come before hashes.
+/// During a migration of fill sources, an object's hash selects the list that applies. Endpoints that are not
+/// in the list are not used, and priorities take precedence over hashes.
 #[test]
 fn fills_follow_the_fill_sources_of_their_cache() {
-    let mut world = World::new(settings());
-    let feed = |source, rank| FillSource { endpoint: source, priority: rank };
-    let (now, before) = (vec![feed(PARENTS[1], 0), feed(THE_ORIGIN, 9)], vec![feed(PARENTS[0], 0)]);
-    for part in [0.0, 0.4, 1.0] {
-        let feeds = Some(FillSources {
-            current: now.clone(),
-            previous: before.clone(),
-            migrated_ratio: part,
+    let mut harness = PolicyHarness::new(settings());
+    let source = |endpoint, priority| FillSource { endpoint, priority };
+    let (current, previous) = (vec![source(PARENTS[1], 0), source(ORIGIN, 9)], vec![source(PARENTS[0], 0)]);
+    for migrated_ratio in [0.0, 0.4, 1.0] {
+        let sources = Some(FillSources {
+            current: current.clone(),
+            previous: previous.clone(),
+            migrated_ratio,
             salt: 3,
         });
-        CACHES.into_iter().for_each(|cache| world.tell(Event::FillSources { cache, sources: feeds.clone() }));
+        CACHES
+            .into_iter()
+            .for_each(|cache| harness.notify(Event::FillSources { cache, sources: sources.clone() }));
         let sources: Vec<EndpointId> = (0..400u64)
             .filter_map(|object| {
-                let sent = world.ask(SAFE, object)?;
-                world.end(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
+                let sent = harness.request(IDEMPOTENT, object)?;
+                harness.finish(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
                 sent.fill.map(|fill| fill.source)
             })
             .collect();
         let migrated = sources.iter().filter(|source| **source == PARENTS[1]).count() as f64;
-        assert!((migrated / 400.0 - part).abs() < 0.08, "{migrated} for {part}");
+        assert!((migrated / 400.0 - migrated_ratio).abs() < 0.08, "{migrated} of 400 for {migrated_ratio}");
         assert!(sources.iter().all(|source| PARENTS.contains(source)));
     }
-    // The first of the list drains: the next by priority follows, and not a parent that is no longer a source.
-    world.list(Endpoint { phase: EndpointPhase::Draining, ..endpoint(PARENTS[1]) });
-    let sent = world.ask(SAFE, 7).expect("an attempt");
-    assert_eq!(sent.fill.map(|fill| fill.source), Some(THE_ORIGIN));
-    world.end(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByOrigin));
-    CACHES.into_iter().for_each(|cache| world.tell(Event::FillSources { cache, sources: None }));
-    let sent = world.ask(SAFE, 500).expect("an attempt");
+    // While the first source drains, the next one by priority is used, and not a parent that is no longer a
+    // source.
+    harness.update_endpoint(Endpoint { phase: EndpointPhase::Draining, ..endpoint(PARENTS[1]) });
+    let sent = harness.request(IDEMPOTENT, 7).expect("an attempt");
+    assert_eq!(sent.fill.map(|fill| fill.source), Some(ORIGIN));
+    harness.finish(sent, AttemptStatus::Ok, Some(CacheStatus::FilledByOrigin));
+    CACHES.into_iter().for_each(|cache| harness.notify(Event::FillSources { cache, sources: None }));
+    let sent = harness.request(IDEMPOTENT, 500).expect("an attempt");
     assert_eq!(sent.fill.map(|fill| fill.source), Some(PARENTS[0]));
 }
--- a/tests/purge_log.rs
+++ b/tests/purge_log.rs
@@ -1,10 +1,10 @@
-//! Log of purges.
+//! Tests of the purge log.
 
 use linnethook::interface::ObjectId;
 use linnethook::purge_log::*;
 
 #[test]
-fn the_latest_purge_of_object_or_group_counts() {
+fn the_latest_purge_of_the_object_or_its_group_applies() {
     let mut purges = PurgeLog::default();
     purges.record(Some(ObjectId(7)), 0, 50.0);
     purges.record(Some(ObjectId(7)), 0, 40.0);
--- a/tests/recorded.rs
+++ b/tests/recorded.rs
@@ -1,22 +1,23 @@
-//! A recorded run: the same events give the same actions as when it was recorded, to the byte, where sizes
-//! are known.
+//! Recording test: a fixed sequence of events gives the same actions, byte for byte, as when it was recorded.
+//! The size of each answer is known.
 //!
-//! The script is generated from a seed; a digest of all actions is recorded every 500 events. Actions are
-//! hashed in an explicit encoding, field by field in the order of the simulator's wire, so that a renamed type or
-//! field does not change a digest. An intended change of the decisions records it anew and says so in the
-//! commit.
+//! The events are generated from a seed, and a digest of all actions so far is recorded every 500 events.
+//! Actions are hashed in an explicit encoding, field by field in the order of the simulator's wire format, so
+//! that renaming a type or field does not change a digest. A commit that changes decisions on purpose records
+//! new digests and says so.
 
 mod common;
 
+use std::collections::BTreeMap;
+
 use common::*;
 use linnethook::hash_ring::hash_pair;
 use linnethook::interface::*;
 use linnethook::Policy;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Recorded with the program of 48f72c9.
-/// Every request carries its size.
-const RECORDED: [u64; 8] = [
+/// Recorded at commit 48f72c9. Every request carries its size.
+const RECORDED_DIGESTS: [u64; 8] = [
     692538209553435401,
     1445170719152271159,
     4424595772532846766,
@@ -27,43 +28,46 @@
     6384437432843743290,
 ];
 
-/// Random numbers that are the same in every build.
-struct Chance(u64);
+/// A reproducible random number generator.
+struct RandomNumbers(u64);
 
-impl Chance {
-    fn below(&mut self, most: u64) -> u64 {
+impl RandomNumbers {
+    /// A random number below `bound`.
+    fn below(&mut self, bound: u64) -> u64 {
         self.0 += 1;
-        hash_pair(self.0, 0x7265_636f) % most
+        hash_pair(self.0, 0x7265_636f) % bound
     }
 }
 
 #[derive(Clone, Copy)]
-struct Out {
+struct AttemptInFlight {
     attempt: AttemptId,
-    cache: EndpointId,
-    sent: Ms,
+    endpoint: EndpointId,
+    sent_at: Ms,
 }
 
+/// A run of the policy with its timers and attempts in flight; hashes all actions.
 struct Run {
     policy: Policy,
     now: Ms,
     timers: Vec<(Ms, u32)>,
-    out: Vec<Out>,
-    sent: std::collections::BTreeMap<RequestId, u8>,
+    in_flight: Vec<AttemptInFlight>,
+    attempts_sent: BTreeMap<RequestId, u8>,
     hash: Xxh3,
 }
 
 impl Run {
-    fn tell(&mut self, event: &Event) {
+    /// Passes an event to the policy, hashes its actions and carries them out.
+    fn notify(&mut self, event: &Event) {
         for action in self.policy.handle(self.now, event) {
             self.hash.update(&encode(&action));
             match action {
-                Action::Forward { request, endpoint: cache, .. }
-                | Action::ForwardWithFill { request, endpoint: cache, .. } => {
-                    let number = self.sent.entry(request).or_default();
+                Action::Forward { request, endpoint, .. }
+                | Action::ForwardWithFill { request, endpoint, .. } => {
+                    let number = self.attempts_sent.entry(request).or_default();
                     let attempt = AttemptId { request, number: *number };
                     *number += 1;
-                    self.out.push(Out { attempt, cache, sent: self.now });
+                    self.in_flight.push(AttemptInFlight { attempt, endpoint, sent_at: self.now });
                 }
                 Action::SetTimer { at, token } => self.timers.push((at, token)),
                 _ => {}
@@ -71,24 +75,26 @@
         }
     }
 
-    fn pass(&mut self, length: Ms) {
+    /// Advances the clock by `length` and fires the timers that become due.
+    fn advance(&mut self, length: Ms) {
         let end = self.now + length;
         loop {
             let due = self.timers.iter().enumerate().filter(|(_, timer)| timer.0 <= end);
             let Some((first, _)) = due.min_by(|a, b| a.1 .0.total_cmp(&b.1 .0)) else { break };
             let (at, token) = self.timers.swap_remove(first);
             self.now = self.now.max(at);
-            self.tell(&Event::Timer(token));
+            self.notify(&Event::Timer(token));
         }
         self.now = end;
     }
 
-    fn end(&mut self, chance: &mut Chance) {
-        if self.out.is_empty() {
+    /// Finishes a random attempt in flight with a random outcome.
+    fn finish(&mut self, random: &mut RandomNumbers) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let n = chance.below(self.out.len() as u64) as usize;
-        let Out { attempt, cache, sent } = self.out.swap_remove(n);
+        let n = random.below(self.in_flight.len() as u64) as usize;
+        let AttemptInFlight { attempt, endpoint, sent_at } = self.in_flight.swap_remove(n);
         let statuses = [
             AttemptStatus::Ok,
             AttemptStatus::Ok,
@@ -103,46 +109,47 @@
             AttemptStatus::Reset,
             AttemptStatus::CacheMiss,
         ];
-        let status = statuses[chance.below(statuses.len() as u64) as usize];
-        let notes = [
+        let status = statuses[random.below(statuses.len() as u64) as usize];
+        let cache_statuses = [
             Some(CacheStatus::Hit),
             Some(CacheStatus::FilledByParent),
             Some(CacheStatus::FilledByOrigin),
             Some(CacheStatus::SourceRejected),
             None,
         ];
-        let took = self.now - sent;
-        let load =
-            LoadReport { link_utilization: Some(chance.below(100) as f64 / 100.0), ..LoadReport::default() };
-        self.tell(&Event::AttemptFinished(AttemptOutcome {
+        let elapsed = self.now - sent_at;
+        let load_report =
+            LoadReport { link_utilization: Some(random.below(100) as f64 / 100.0), ..LoadReport::default() };
+        self.notify(&Event::AttemptFinished(AttemptOutcome {
             attempt,
-            endpoint: cache,
+            endpoint,
             status,
             request_finished: status == AttemptStatus::Ok,
-            elapsed: took,
-            source_wait: took * 0.4,
-            cache_status: notes[chance.below(5) as usize],
-            load_report: load,
+            elapsed,
+            source_wait: elapsed * 0.4,
+            cache_status: cache_statuses[random.below(5) as usize],
+            load_report,
         }));
     }
 }
 
-/// A code for the kind of action, then its fields, numbers in little-endian order.
+/// Encodes an action: a code for its kind, then its fields, with numbers in little-endian order.
 ///
-/// `max_stale_age` is left out: it is younger than the recording, and the simulator's wire has no such field.
+/// `max_stale_age` is omitted: it was added after the recording, and the simulator's wire format has no such
+/// field.
 fn encode(action: &Action) -> Vec<u8> {
     let mut bytes = Vec::new();
     match action {
-        Action::Forward { request, endpoint: cache, timeout } => {
+        Action::Forward { request, endpoint, timeout } => {
             bytes.push(1);
             bytes.extend(request.0.to_le_bytes());
-            bytes.extend(cache.0.to_le_bytes());
+            bytes.extend(endpoint.0.to_le_bytes());
             bytes.extend(timeout.to_le_bytes());
         }
-        Action::ForwardWithFill { request, endpoint: cache, timeout, fill } => {
+        Action::ForwardWithFill { request, endpoint, timeout, fill } => {
             bytes.push(2);
             bytes.extend(request.0.to_le_bytes());
-            bytes.extend(cache.0.to_le_bytes());
+            bytes.extend(endpoint.0.to_le_bytes());
             bytes.extend(timeout.to_le_bytes());
             bytes.extend(fill.source.0.to_le_bytes());
             bytes.push(fill.retention);
@@ -168,9 +175,9 @@
             bytes.extend(at.to_le_bytes());
             bytes.extend(token.to_le_bytes());
         }
-        Action::HealthCheck(cache) => {
+        Action::HealthCheck(endpoint) => {
             bytes.push(7);
-            bytes.extend(cache.0.to_le_bytes());
+            bytes.extend(endpoint.0.to_le_bytes());
         }
         Action::SubscribeEndpoints => bytes.push(8),
         Action::Log(line) => {
@@ -183,79 +190,81 @@
 
 #[test]
 fn the_same_events_give_the_same_actions_as_before() {
-    let mut chance = Chance(1);
+    let mut random = RandomNumbers(1);
     let mut run = Run {
         policy: Policy::new(settings(), 7),
         now: 100_000.0,
         timers: Vec::new(),
-        out: Vec::new(),
-        sent: Default::default(),
+        in_flight: Vec::new(),
+        attempts_sent: Default::default(),
         hash: Xxh3::new(),
     };
-    run.tell(&Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: everyone() });
-    let mut seen = Vec::new();
+    run.notify(&Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: all_endpoints() });
+    let mut digests = Vec::new();
     for step in 1..=4_000u64 {
-        run.pass(chance.below(12) as f64);
-        match chance.below(100) {
+        run.advance(random.below(12) as f64);
+        match random.below(100) {
             0..=49 => {
-                let class = [SAFE, SAFE, SAFE, FRESH, FRESH, KEYED, UNSAFE][chance.below(7) as usize];
-                run.tell(&Event::Request(Request {
+                let class =
+                    [IDEMPOTENT, IDEMPOTENT, IDEMPOTENT, EXPIRING, EXPIRING, WITH_KEY, NOT_IDEMPOTENT]
+                        [random.below(7) as usize];
+                run.notify(&Event::Request(Request {
                     id: RequestId(step),
-                    object: ObjectId(chance.below(300) * chance.below(3)),
-                    part: chance.below(4) as u32,
-                    group: chance.below(9) as u32,
+                    object: ObjectId(random.below(300) * random.below(3)),
+                    part: random.below(4) as u32,
+                    group: random.below(9) as u32,
                     class,
-                    size_kb: 1.0 + chance.below(500) as f64,
-                    client_retry: chance.below(10) == 0,
-                    is_write: class >= KEYED,
-                    time_limit: 1_000.0 + chance.below(4_000) as f64,
+                    size_kb: 1.0 + random.below(500) as f64,
+                    client_retry: random.below(10) == 0,
+                    is_write: class >= WITH_KEY,
+                    time_limit: 1_000.0 + random.below(4_000) as f64,
                 }));
             }
-            50..=94 => run.end(&mut chance),
+            50..=94 => run.finish(&mut random),
             95 => {
                 let ids: Vec<EndpointId> = CACHES.into_iter().chain(PARENTS).collect();
-                let id = ids[chance.below(ids.len() as u64) as usize];
+                let id = ids[random.below(ids.len() as u64) as usize];
                 let phase = [
                     EndpointPhase::Ready,
                     EndpointPhase::Ready,
                     EndpointPhase::Draining,
                     EndpointPhase::Removed,
-                ][chance.below(4) as usize];
-                let since = if chance.below(3) == 0 { run.now } else { 0.0 };
-                let members = vec![Endpoint { phase, started_at: since, ..endpoint(id) }];
-                run.tell(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: members });
+                ][random.below(4) as usize];
+                let started_at = if random.below(3) == 0 { run.now } else { 0.0 };
+                let endpoints = vec![Endpoint { phase, started_at, ..endpoint(id) }];
+                run.notify(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints });
             }
             96 => {
-                let object = (chance.below(2) == 0).then(|| ObjectId(chance.below(300)));
-                run.tell(&Event::Purge {
+                let object = (random.below(2) == 0).then(|| ObjectId(random.below(300)));
+                run.notify(&Event::Purge {
                     object,
-                    group: chance.below(9) as u32,
-                    age: chance.below(400) as f64,
+                    group: random.below(9) as u32,
+                    age: random.below(400) as f64,
                 });
             }
             97 => {
-                let id = RequestId(chance.below(step));
-                run.tell(&Event::ClientDisconnected(id));
-                run.out.retain(|out| out.attempt.request != id);
+                let id = RequestId(random.below(step));
+                run.notify(&Event::ClientDisconnected(id));
+                run.in_flight.retain(|attempt| attempt.attempt.request != id);
             }
             98 => {
-                let cache = CACHES[chance.below(3) as usize];
-                run.tell(&Event::HealthCheck {
-                    endpoint: cache,
+                let endpoint = CACHES[random.below(3) as usize];
+                run.notify(&Event::HealthCheck {
+                    endpoint,
                     healthy: true,
                     load_report: LoadReport { link_utilization: Some(0.5), ..LoadReport::default() },
                 });
             }
             _ => {
-                if let Some(out) = run.out.first() {
-                    let attempt = out.attempt;
-                    run.tell(&Event::ResponseStarted(attempt));
+                if let Some(in_flight) = run.in_flight.first() {
+                    let attempt = in_flight.attempt;
+                    run.notify(&Event::ResponseStarted(attempt));
                 }
             }
         }
         if step % 500 == 0 {
-            seen.push(run.hash.digest());
+            digests.push(run.hash.digest());
         }
     }
-    assert_eq!(seen, RECORDED, "the first that differs tells in which 500 events");
+    assert_eq!(digests, RECORDED_DIGESTS, "the first digest that differs shows which 500 events changed");
 }
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -1,13 +1,13 @@
-//! Words of the earlier house style do not come back into the names of finished packages.
+//! Names in finished packages contain no words of the withdrawn naming style.
 //!
-//! Every identifier and file name of a finished package is split into words at `_` and at changes of case; strings and
-//! comments are left out, so that names on the wire and prose are free.
+//! Every identifier and file name of a finished package is split into words at `_` and at changes of case.
+//! Strings and comments are ignored, so that names on the wire and prose are not restricted.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Packages, and directories of packages, whose names are finished, from the root of the workspace.
+/// Packages, and directories of packages, that are checked; relative to the workspace root.
 const FINISHED_PACKAGES: &[&str] = &[
     "src",
     "crates/adapter",
@@ -63,7 +63,7 @@
     "wrong",
 ];
 
-/// An identifier that may stay in a file or below a directory.
+/// An identifier with a withdrawn word that is allowed in a file or below a directory.
 struct Exception {
     path: &'static str,
     identifier: &'static str,
@@ -73,10 +73,10 @@
 const EXCEPTIONS: &[Exception] = &[Exception {
     path: "crates/operator-config/src/functions/cluster.rs",
     identifier: "fellows",
-    reason: "the name of the Starlark function is the name in operators' files",
+    reason: "the Starlark function is called by this name in operator files",
 }];
 
-/// The words of an identifier or a file name, in lower case.
+/// Splits an identifier or file name into words, in lower case.
 fn words(name: &str) -> Vec<String> {
     let mut words = vec![String::new()];
     let mut previous_is_lower = false;
@@ -94,11 +94,12 @@
     words
 }
 
+/// The first withdrawn word in a name.
 fn withdrawn_word(name: &str) -> Option<String> {
     words(name).into_iter().find(|word| WITHDRAWN_WORDS.contains(&word.as_str()))
 }
 
-/// The identifiers of Rust source, without those in comments, strings and character literals.
+/// The identifiers in Rust source, except those in comments, strings and character literals.
 fn identifiers(source: &str) -> Vec<String> {
     let characters: Vec<char> = source.chars().collect();
     let mut identifiers = Vec::new();
@@ -121,7 +122,7 @@
                     }
                 }
             }
-            // A number with its suffix, so that the suffix is no identifier.
+            // A number with its suffix, so that the suffix is not taken for an identifier.
             [first, ..] if first.is_ascii_digit() => {
                 rest.iter().take_while(|c| c.is_alphanumeric() || **c == '_').count()
             }
@@ -159,7 +160,7 @@
     at + 1
 }
 
-/// A character literal with its quotes, or the quote of a lifetime alone.
+/// The length of a character literal with its quotes, or of the quote of a lifetime.
 fn quote_length(rest: &[char]) -> usize {
     match rest {
         ['\'', '\\', _, following @ ..] => 3 + following.iter().take_while(|c| **c != '\'').count() + 1,
@@ -168,7 +169,7 @@
     }
 }
 
-/// The length of a raw string behind its prefix; `None` if the prefix is no prefix of one.
+/// The length of a raw string after its prefix; `None` if this is not a raw string.
 fn raw_string_length(prefix: &str, rest: &[char]) -> Option<usize> {
     if !["r", "br", "cr"].contains(&prefix) {
         return None;
@@ -183,11 +184,11 @@
     Some(hashes + 1 + length + end.len())
 }
 
-/// All files below a directory, sorted, as paths from the root of the workspace.
+/// All files below a directory, sorted, as paths relative to the workspace root.
 fn files(root: &Path, directory: &Path) -> Vec<PathBuf> {
     let mut found = Vec::new();
-    for entry in fs::read_dir(root.join(directory)).expect("a directory of the workspace") {
-        let entry = entry.expect("an entry");
+    for entry in fs::read_dir(root.join(directory)).expect("a readable directory") {
+        let entry = entry.expect("a readable directory entry");
         let path = directory.join(entry.file_name());
         if entry.path().is_dir() {
             found.extend(files(root, &path));
@@ -208,12 +209,12 @@
         for file in files(root, Path::new(package)) {
             let path = file.to_str().expect("a path in UTF-8");
             if let Some(word) = withdrawn_word(path) {
-                findings.insert(format!("{path}: the path has {word:?}"));
+                findings.insert(format!("{path}: the path contains {word:?}"));
             }
             if file.extension().is_none_or(|extension| extension != "rs") {
                 continue;
             }
-            let source = fs::read_to_string(root.join(&file)).expect("a source file");
+            let source = fs::read_to_string(root.join(&file)).expect("a readable source file");
             for identifier in identifiers(&source) {
                 let Some(word) = withdrawn_word(&identifier) else { continue };
                 let exception = EXCEPTIONS.iter().position(|exception| {
@@ -221,7 +222,7 @@
                 });
                 match exception {
                     Some(index) => _ = used_exceptions.insert(index),
-                    None => _ = findings.insert(format!("{path}: {identifier} has {word:?}")),
+                    None => _ = findings.insert(format!("{path}: {identifier} contains {word:?}")),
                 }
             }
         }
@@ -229,7 +230,7 @@
     let findings: Vec<String> = findings.into_iter().collect();
     assert!(findings.is_empty(), "withdrawn words:\n{}", findings.join("\n"));
     for (index, Exception { path, identifier, reason }) in EXCEPTIONS.iter().enumerate() {
-        assert!(used_exceptions.contains(&index), "no longer needed: {identifier} in {path} ({reason})");
+        assert!(used_exceptions.contains(&index), "unused exception: {identifier} in {path} ({reason})");
     }
 }
 
