--- a/src/bloom_filter.rs
+++ b/src/bloom_filter.rs
@@ -1,4 +1,4 @@
-//! A rotating Bloom filter: recent items are found, older ones expire.
+//! A rotating Bloom filter with two generations: recent items are found, older ones expire.
 
 use fastbloom::BloomFilter;
 
