--- a/tests/faults.rs
+++ b/tests/faults.rs
@@ -495,7 +495,7 @@
     }
     assert!(
         to_cache > 0 && to_cache < owned.len() * 8 / 10,
-        "{to_cache} of {} stay with the cache",
+        "{to_cache} of {} are still served by the slow cache",
         owned.len()
     );
 }
@@ -521,7 +521,11 @@
         serve(&mut harness, object, true);
     });
     let served = owned.iter().filter(|&&object| serve(&mut harness, object, true)).count();
-    assert!(served > 0 && served * 10 < owned.len() * 6, "{served} of {} stay with them", owned.len());
+    assert!(
+        served > 0 && served * 10 < owned.len() * 6,
+        "{served} of {} are still served by the slow caches",
+        owned.len()
+    );
 }
 
 /// If only the fills of a degraded cache are late, the fill link is not the bottleneck.
--- a/tests/unknown_capacities.rs
+++ b/tests/unknown_capacities.rs
@@ -175,7 +175,7 @@
     let after = owned(&mut harness);
     assert!(
         after * 2 < before && after > 0,
-        "{after} of {before} stay with a cache with a fifth of the capacity"
+        "{after} of {before} still served by a cache with a fifth of the capacity"
     );
 }
 
