--- a/crates/membership/src/actions.rs
+++ b/crates/membership/src/actions.rs
@@ -1,4 +1,5 @@
-//! What the cluster asks its owner to do: messages to send, news to apply, events to log.
+//! Actions that a cluster requests from its owner: messages to send, received updates to apply, events to
+//! log.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +8,7 @@
 use crate::membership::MemberChange;
 use crate::view::RouterView;
 
-/// An entry or a message as it is sent.
+/// An entry or a message in the form in which it is sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EncodedEntry {
     /// The encoded key of an entry, or the tag of a message.
@@ -17,18 +18,18 @@
 }
 
 impl EncodedEntry {
-    /// An entry of that key, or a message with that tag.
+    /// An entry with this key, or a message with this tag.
     pub fn new(key: Vec<u8>, value: Vec<u8>) -> Self {
         Self { key, value }
     }
 
-    /// Bytes of the key and the value.
+    /// The number of bytes of the key and the value.
     pub fn byte_count(&self) -> usize {
         self.key.len() + self.value.len()
     }
 }
 
-/// Something for the owner of the cluster to do.
+/// An action for the owner of the cluster to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClusterAction {
     /// Send these entries to all peers, and to every peer that connects later.
@@ -57,7 +58,7 @@
     },
     /// A change batch of the hierarchy, as its author encoded it.
     BatchReceived(Vec<u8>),
-    /// A message of another part of the router, from one peer.
+    /// A message from a peer for another component of the router.
     Message {
         /// The peer.
         from: String,
@@ -68,14 +69,14 @@
     },
     /// The answer of a site to a query of this router.
     Answer {
-        /// The query.
+        /// The id of the query.
         id: u64,
         /// The site.
         location: Location,
         /// Its routers.
         routers: Vec<RouterView>,
     },
-    /// Something to log.
+    /// An event to log.
     Event(ClusterEvent),
 }
 
@@ -106,18 +107,18 @@
         /// The incarnation that holds the name.
         holder: u64,
     },
-    /// This process did not run for so many milliseconds.
+    /// This process did not run for this many milliseconds.
     Frozen(u64),
 }
 
-/// Whether this router takes part in the cluster.
+/// Whether this router participates in the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Participation {
-    /// It does.
+    /// It participates.
     #[serde(rename = "Takes")]
     Active,
-    /// It was rejected; the incarnation that holds the name.
+    /// It was rejected; carries the incarnation that holds the name.
     Refused(u64),
-    /// It yielded; the incarnation that holds the name.
+    /// It yielded; carries the incarnation that holds the name.
     Yielded(u64),
 }
--- a/crates/membership/src/aggregation/location.rs
+++ b/crates/membership/src/aggregation/location.rs
@@ -5,16 +5,16 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The most names a location has.
+/// The largest number of names in a location.
 pub const MAX_DEPTH: usize = 6;
 /// The longest name, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A location as its names, the outermost region first. No name at all is the whole fleet.
+/// A location as its names, the outermost region first. A location without names is the entire fleet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Location(Vec<String>);
 
-/// Why a text is not a location.
+/// Reasons why a text is not a location.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum LocationError {
     /// Too many names; the number found.
@@ -42,12 +42,12 @@
         }
     }
 
-    /// The number of names: 0 for the whole fleet.
+    /// The number of names: 0 for the entire fleet.
     pub fn depth(&self) -> usize {
         self.0.len()
     }
 
-    /// The enclosing location of that depth, or this one where it is not deeper.
+    /// The enclosing location of this depth, or the location itself if it is not deeper.
     pub fn ancestor(&self, depth: usize) -> Self {
         Self(self.0[..depth.min(self.0.len())].to_vec())
     }
@@ -68,7 +68,7 @@
         self.depth() == parent.depth() + 1 && parent.contains(self)
     }
 
-    /// Whether a received location obeys the rules of [`Location::parse`].
+    /// Whether a received location is one that [`Location::parse`] accepts.
     pub fn is_valid(&self) -> bool {
         let is_depth_valid = (1..=MAX_DEPTH).contains(&self.depth());
         is_depth_valid && Self::parse(&self.to_string()).as_ref() == Ok(self)
--- a/crates/membership/src/aggregation/mod.rs
+++ b/crates/membership/src/aggregation/mod.rs
@@ -1,5 +1,5 @@
-//! Fleets spread over topology locations: how far an entry travels, summaries of whole locations, and queries for the
-//! details behind a summary.
+//! Fleets that span several topology locations: the scope of entries, summaries of locations, and queries for
+//! the routers of a remote site.
 
 pub mod location;
 pub mod query;
--- a/crates/membership/src/aggregation/query.rs
+++ b/crates/membership/src/aggregation/query.rs
@@ -1,7 +1,7 @@
-//! Queries for the routers of another site, forwarded from link to link and answered along the same route.
+//! Queries for the routers of another site, flooded over the links and answered along the reverse route.
 //!
-//! A router forwards each query once, and only while the query has hops left. The routes it remembers are bounded in
-//! number and age.
+//! A router forwards each query once, and only while the query has hops left. The remembered routes are
+//! bounded in number and age.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::aggregation::location::Location;
 use crate::Ms;
 
-/// The site whose routers a query asks for.
+/// The site whose routers a query requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QueryTarget {
     /// The site that knows a router of this name.
@@ -19,28 +19,28 @@
     Site(Location),
 }
 
-/// A query as it travels.
+/// A query in the form in which it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Query {
-    /// Identifies the query on its route and its answer on the way back.
+    /// Identifies the query, and its answer on the reverse route.
     pub id: u64,
-    /// How many more links it may cross.
+    /// How many more links the query may cross.
     pub hops_left: u8,
-    /// The site it asks for.
+    /// The queried site.
     pub target: QueryTarget,
 }
 
 /// How many links a new query may cross.
 pub const MAX_HOPS: u8 = 64;
-/// How many queries are remembered at a time.
+/// The largest number of queries that are remembered at a time.
 const MAX_REMEMBERED: usize = 256;
 /// How long a query is remembered, in milliseconds.
 const RETENTION_MS: Ms = 30_000.0;
 
-/// Where a query came from.
+/// The reverse route of a query.
 #[derive(Debug, Clone)]
 struct Route {
-    /// The peer that sent it first; none for a query of this router.
+    /// The peer that sent the query first; `None` for a query of this router.
     previous_hop: Option<String>,
     received_at: Ms,
 }
@@ -52,7 +52,8 @@
 }
 
 impl QueryRoutes {
-    /// Remembers a query and where it came from. False where it is known already or too many are remembered.
+    /// Records a query and its previous hop. Returns false if the query is known already or too many are
+    /// remembered.
     pub fn register(&mut self, now: Ms, id: u64, from: Option<&str>) -> bool {
         self.routes.retain(|_, route| now - route.received_at < RETENTION_MS);
         let is_accepted = self.routes.len() < MAX_REMEMBERED && !self.routes.contains_key(&id);
@@ -63,8 +64,8 @@
         is_accepted
     }
 
-    /// Where the answer to a query goes: a peer, or `Some(None)` where this router asked itself. `None` for a query that
-    /// is not remembered.
+    /// The next hop of the answer to a query: a peer, or `Some(None)` for a query that this router started.
+    /// `None` for a query that is not remembered.
     pub fn return_link(&self, id: u64) -> Option<Option<&str>> {
         self.routes.get(&id).map(|route| route.previous_hop.as_deref())
     }
--- a/crates/membership/src/aggregation/scope.rs
+++ b/crates/membership/src/aggregation/scope.rs
@@ -1,7 +1,7 @@
-//! How far an entry travels: which linked peers it is for, and which entries wait for each of them.
+//! The scope of entries: which linked peers an entry is for, and which entries are pending for each of them.
 //!
-//! An entry has a depth: it is for all routers whose locations share that many of the outermost names with this
-//! router's. Nothing is sent over a link before the location at its other end is known.
+//! An entry has a depth: it is for all routers whose locations share that many of the outermost names with
+//! this router's. No scoped entry is sent over a link before the location at its other end is known.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,19 +13,19 @@
 use crate::versions::HierarchyVersion;
 use crate::Ms;
 
-/// The first message over a link, repeated when the sender moves to another version of the hierarchy.
+/// The first message over a link, sent again when the sender changes to another version of the hierarchy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LinkHandshake {
-    /// Where the sender is.
+    /// The location of the sender.
     pub location: Location,
     /// The hierarchy that the sender acts on.
     pub hierarchy: HierarchyVersion,
-    /// Whether the sender supports lazy links. Encoded behind the other fields, where older builds do not look.
+    /// Whether the sender supports lazy links. Encoded after the other fields, where older builds ignore it.
     #[serde(skip)]
     pub supports_lazy_links: bool,
 }
 
-/// Encodes `supports_lazy_links`; nothing is encoded where it is false.
+/// The byte that encodes `supports_lazy_links`; nothing is encoded if it is false.
 const LAZY_LINKS_FLAG: u8 = 1;
 
 impl LinkHandshake {
@@ -38,11 +38,11 @@
         bytes
     }
 
-    /// Reads a handshake.
+    /// Decodes a handshake.
     ///
     /// # Errors
     ///
-    /// Bytes that are not one.
+    /// The bytes are not a handshake.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         let (handshake, rest) = postcard::take_from_bytes::<Self>(bytes)?;
         let supports_lazy_links = rest.first() == Some(&LAZY_LINKS_FLAG);
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum PeerLocation {
     Unknown,
-    /// An older build or a router without a location: it is treated as one of this site.
+    /// An older build or a router without a location: it is treated as a router of this site.
     SameSite,
     Known(LinkHandshake),
 }
@@ -72,19 +72,19 @@
 pub struct ScopedLinks {
     location: Location,
     links: BTreeMap<String, ScopedLink>,
-    /// The link served first last time: the next one in order goes first the next time.
-    next_turn: String,
+    /// The link that was first in the last round: the next round begins with the link after it.
+    last_round_start: String,
 }
 
-/// Whether entries of that kind are sent link by link according to their depth. All others are broadcast.
+/// Whether entries of this kind are sent link by link according to their depth. All others are broadcast.
 pub fn is_scoped(key: &EntryKey) -> bool {
     matches!(key, EntryKey::Router(_) | EntryKey::VersionUpdate(_) | EntryKey::Summary(_))
 }
 
 impl ScopedLinks {
-    /// The links of a router at that location; none yet.
+    /// A router at this location, without links.
     pub fn new(location: Location) -> Self {
-        Self { location, links: BTreeMap::new(), next_turn: String::new() }
+        Self { location, links: BTreeMap::new(), last_round_start: String::new() }
     }
 
     /// The location of this router.
@@ -92,7 +92,7 @@
         &self.location
     }
 
-    /// Adds a link whose other end is unknown so far.
+    /// Adds a link. The location at its other end is unknown until a handshake or a status arrives.
     pub fn add_link(&mut self, name: &str) {
         let link = ScopedLink {
             location: PeerLocation::Unknown,
@@ -102,7 +102,7 @@
         self.links.insert(name.to_string(), link);
     }
 
-    /// Removes a link and everything that waits for it.
+    /// Removes a link and its pending entries.
     pub fn remove_link(&mut self, name: &str) {
         self.links.remove(name);
     }
@@ -112,14 +112,15 @@
         self.links.is_empty()
     }
 
-    /// Records a handshake. True where the location at the other end was unknown before.
+    /// Records a handshake. Returns true if the location at the other end was unknown before.
     pub fn record_handshake(&mut self, name: &str, handshake: LinkHandshake) -> bool {
         let Some(link) = self.links.get_mut(name) else { return false };
         let before = std::mem::replace(&mut link.location, PeerLocation::Known(handshake));
         before == PeerLocation::Unknown
     }
 
-    /// Treats a peer that sent a status without a handshake as one of this site. True where its location was unknown.
+    /// Treats a peer that sent a status without a handshake as a router of this site. Returns true if its
+    /// location was unknown before.
     pub fn mark_without_location(&mut self, name: &str) -> bool {
         let Some(link) = self.links.get_mut(name) else { return false };
         let was_unknown = link.location == PeerLocation::Unknown;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Whether a linked peer is of this site, or is treated as such.
+    /// Whether a linked peer belongs to this site or is treated as such.
     pub fn is_same_site(&self, name: &str) -> bool {
         match self.links.get(name).map(|link| &link.location) {
             Some(PeerLocation::SameSite) => true,
@@ -155,13 +156,13 @@
         })
     }
 
-    /// Linked peers that have told their location.
+    /// Linked peers that have reported their location.
     pub fn peers_with_location(&self) -> impl Iterator<Item = &String> {
         let has_location = |link: &ScopedLink| matches!(link.location, PeerLocation::Known(_));
         self.links.iter().filter(move |(_, link)| has_location(link)).map(|(name, _)| name)
     }
 
-    /// Linked peers that an entry of that depth is for, except the one it came from.
+    /// Linked peers that an entry of this depth is for, except the one that sent it.
     pub fn recipients(&self, depth: usize, except: Option<&str>) -> Vec<String> {
         let is_recipient = |name: &&String| {
             let is_in_scope = self.common_depth(name).is_some_and(|common| common >= depth);
@@ -178,34 +179,34 @@
         }
     }
 
-    /// Takes an entry out of a peer's queue: the peer has it already.
+    /// Removes an entry from a peer's queue, because the peer has it already.
     pub fn dequeue(&mut self, name: &str, urgency: u8, key: &[u8]) {
         if let Some(link) = self.links.get_mut(name).filter(|link| !link.pending.is_empty()) {
             link.pending.remove(&(urgency, key.to_vec()));
         }
     }
 
-    /// The key of the first entry that waits for a peer.
+    /// The key of the first pending entry for a peer.
     pub fn first_pending_key(&self, name: &str) -> Option<&[u8]> {
         self.links.get(name)?.pending.first().map(|(_, key)| key.as_slice())
     }
 
-    /// Removes the first entry that waits for a peer.
+    /// Removes the first pending entry for a peer.
     pub fn pop_pending(&mut self, name: &str) {
         if let Some(link) = self.links.get_mut(name) {
             link.pending.pop_first();
         }
     }
 
-    /// Peers with waiting entries whose links have been quiet for that long, in round-robin order.
-    pub fn links_ready_to_send(&mut self, now: Ms, quiet: Ms) -> Vec<String> {
-        let is_ready = |link: &ScopedLink| !link.pending.is_empty() && now >= link.last_sent + quiet;
+    /// Peers with pending entries whose links have been idle for at least `min_idle`, in round-robin order.
+    pub fn links_ready_to_send(&mut self, now: Ms, min_idle: Ms) -> Vec<String> {
+        let is_ready = |link: &ScopedLink| !link.pending.is_empty() && now >= link.last_sent + min_idle;
         let ready = self.links.iter().filter(|(_, link)| is_ready(link));
         let mut names: Vec<String> = ready.map(|(name, _)| name.clone()).collect();
-        let first = names.iter().position(|name| *name > self.next_turn).unwrap_or(0);
+        let first = names.iter().position(|name| *name > self.last_round_start).unwrap_or(0);
         names.rotate_left(first);
         if let Some(name) = names.first() {
-            self.next_turn.clone_from(name);
+            self.last_round_start.clone_from(name);
         }
         names
     }
@@ -217,13 +218,13 @@
         }
     }
 
-    /// The earliest time at which a link with waiting entries was last sent something.
+    /// The earliest of the last send times of the links with pending entries.
     pub fn oldest_send(&self) -> Option<Ms> {
-        let waiting = self.links.values().filter(|link| !link.pending.is_empty());
-        waiting.map(|link| link.last_sent).reduce(f64::min)
+        let with_pending = self.links.values().filter(|link| !link.pending.is_empty());
+        with_pending.map(|link| link.last_sent).reduce(f64::min)
     }
 
-    /// How many entries wait on all links together.
+    /// The number of pending entries of all links together.
     pub fn pending_count(&self) -> usize {
         self.links.values().map(|link| link.pending.len()).sum()
     }
--- a/crates/membership/src/aggregation/summary.rs
+++ b/crates/membership/src/aggregation/summary.rs
@@ -1,7 +1,8 @@
-//! Summaries of whole locations: how many routers they have, how far these have come, and which are stragglers.
+//! Summaries of locations: the number of their routers by state and version, the routers' progress, and the
+//! stragglers.
 //!
-//! Summaries of disjoint locations merge, in any order, into the summary of all of them. No router is counted twice
-//! and the totals lose none, while everything that is listed one by one is bounded.
+//! Summaries of disjoint locations merge, in any order, into the summary of all of them. The totals count
+//! each router exactly once, while the lists of groups and of stragglers are bounded.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -12,12 +13,12 @@
 use crate::membership::MemberState;
 use crate::versions::{ActiveVersions, HierarchyVersion};
 
-/// How many version groups a published summary lists.
+/// The largest number of version groups in a published summary.
 pub const MAX_GROUPS: usize = 4;
-/// How many stragglers a summary names.
+/// The largest number of stragglers that a summary names.
 pub const MAX_NAMED_STRAGGLERS: usize = 8;
 
-/// What all routers of a group act on alike.
+/// The versions that all routers of a group act on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct VersionGroup {
     /// A digest of the build, the settings and the operator file.
@@ -54,10 +55,10 @@
     pub max: u64,
 }
 
-/// How far routers have come. All of it changes by itself in normal operation.
+/// The progress of routers. All of it changes continually in normal operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
-    /// The routers' positions in the journal; `None` where no router counts.
+    /// The routers' positions in the journal; `None` if no router is alive.
     pub journal_position: Option<ValueRange>,
     /// Drains that all routers together have applied.
     pub drains_applied: u64,
@@ -68,7 +69,7 @@
 /// The routers of a location.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Summary {
-    /// Routers that are alive and not about to leave.
+    /// Routers that are alive and not shutting down.
     pub alive: u64,
     /// Routers that cannot be reached and may be dead.
     pub suspect: u64,
@@ -78,9 +79,9 @@
     pub leaving: u64,
     /// Routers of locations that no fresh summary covers.
     pub unreachable: u64,
-    /// How far the routers that are alive have come.
+    /// The progress of the routers that are alive.
     pub progress: Progress,
-    /// Routers that are alive, by what they act on.
+    /// Routers that are alive, by the versions they act on.
     pub groups: BTreeMap<VersionGroup, u64>,
     /// Routers of groups that are not listed.
     pub other_routers: u64,
@@ -154,7 +155,7 @@
         self.add_straggler_names(other.stragglers.iter().cloned());
     }
 
-    /// Adds a summary that is no longer fresh: only the number of its routers and its stragglers still count.
+    /// Adds a summary that is no longer fresh: only the number of its routers and its stragglers are used.
     pub fn merge_unreachable(&mut self, other: &Self) {
         self.unreachable = self.unreachable.saturating_add(other.routers());
         self.straggler_count = self.straggler_count.saturating_add(other.straggler_count);
@@ -173,7 +174,8 @@
         self.groups.keys().map(|group| group.hierarchy_version).min()
     }
 
-    /// The summary as it is published: with the largest groups and always the oldest one, the rest as a total.
+    /// The summary in the form in which it is published: it lists the oldest group and the largest ones, and
+    /// counts the routers of all others together.
     pub fn truncated(mut self) -> Self {
         if self.groups.len() <= MAX_GROUPS {
             return self;
@@ -194,7 +196,7 @@
         without_progress(self) != without_progress(other)
     }
 
-    /// Whether the only difference to the other summary is that all routers act on another hierarchy there.
+    /// Whether the summaries differ only in the hierarchy, and in each all routers act on the same one.
     pub fn is_hierarchy_transition(&self, other: &Self) -> bool {
         let (Some(before), Some(after)) = (self.only_group(), other.only_group()) else { return false };
         let without_groups = |summary: &Self| Self { groups: BTreeMap::new(), ..summary.clone() };
@@ -202,7 +204,7 @@
         before != after && before.build_digest == after.build_digest && !differs_otherwise
     }
 
-    /// The group of all routers, where there is only one.
+    /// The group of all routers, if there is only one group.
     fn only_group(&self) -> Option<VersionGroup> {
         let mut groups = self.groups.keys();
         let group = groups.next()?;
@@ -210,7 +212,7 @@
         is_only_one.then_some(*group)
     }
 
-    /// Whether a received summary obeys the bounds.
+    /// Whether a received summary is within the bounds.
     pub fn is_valid(&self) -> bool {
         let named = self.stragglers.len();
         let are_names_valid = named <= MAX_NAMED_STRAGGLERS && named as u64 <= self.straggler_count;
--- a/crates/membership/src/aggregation/topology.rs
+++ b/crates/membership/src/aggregation/topology.rs
@@ -1,5 +1,5 @@
-//! What a router with a topology location keeps beside the table: its links by location, summaries, broadcast trees,
-//! and the routes of queries.
+//! The state of a router with a topology location beside the entry table: its links by location, summaries,
+//! broadcast trees, and the routes of queries.
 
 use std::collections::BTreeSet;
 
@@ -21,7 +21,7 @@
 /// The state of a router with a location.
 #[derive(Debug, Clone)]
 pub struct Topology {
-    /// The links, and the entries that wait for each.
+    /// The links, and the pending entries of each.
     pub links: ScopedLinks,
     /// The summaries of locations.
     pub summaries: SummaryTree,
@@ -29,12 +29,12 @@
     pub plumtree: Plumtree,
     /// The routes of queries.
     pub queries: QueryRoutes,
-    /// The rate limit holds entries for single links back until the next flush.
+    /// The rate limit defers entries for single links until the next flush.
     pub is_deferred: bool,
     /// Routers whose statuses go to all locations.
     voters: BTreeSet<String>,
     last_status: Option<RouterStatus>,
-    /// The status is published again, even if it has not changed.
+    /// The status is to be published again, even if it has not changed.
     republish_status: bool,
     last_update: VersionUpdate,
     last_update_at: Ms,
@@ -69,7 +69,7 @@
         self.links.location()
     }
 
-    /// Sets the routers whose statuses go to all locations. True where they are others than before.
+    /// Sets the routers whose statuses go to all locations. Returns true if they changed.
     pub fn set_voters(&mut self, names: &[String]) -> bool {
         let voters: BTreeSet<String> = names.iter().cloned().collect();
         let has_changed = self.voters != voters;
@@ -100,7 +100,7 @@
         LinkHandshake { location: self.location().clone(), hierarchy, supports_lazy_links }
     }
 
-    /// The depth of the own status: 0 for a voter, else the site's.
+    /// The depth of this router's own status: 0 for a voter, else the depth of the site.
     pub fn own_status_depth(&self, router: &str) -> usize {
         if self.is_voter(router) {
             0
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The depth of another router's status; `None` where it is for another site.
+    /// The depth of another router's status; `None` if the status is for another site only.
     pub fn status_depth(&self, router: &str, is_same_site: bool) -> Option<usize> {
         match self.is_voter(router) {
             true => Some(0),
@@ -122,8 +122,8 @@
         self.republish_status = true;
     }
 
-    /// Records the status that is about to be published. False where the last one says the same beyond progress, as
-    /// when a link with another site came up or went down.
+    /// Records the status that is about to be published. Returns false if it differs from the last one in
+    /// progress at most, as after a link with another site came up or went down.
     pub fn record_status(&mut self, now: Ms, status: &RouterStatus) -> bool {
         let is_forced = std::mem::take(&mut self.republish_status);
         let is_known =
@@ -136,7 +136,7 @@
         true
     }
 
-    /// Records the version update that is about to be published. True where the hierarchy is another one.
+    /// Records the version update that is about to be published. Returns true if the hierarchy changed.
     pub fn record_update(&mut self, now: Ms, update: VersionUpdate) -> bool {
         let has_hierarchy_changed = self.last_update.hierarchy != update.hierarchy;
         self.last_update_at = now;
@@ -145,7 +145,8 @@
         has_hierarchy_changed
     }
 
-    /// When a version update is due: with the next flush where the hierarchy has changed, else at the progress interval.
+    /// When a version update is due: with the next flush if the hierarchy changed, else at the progress
+    /// interval.
     pub fn update_deadline(&self, versions: &ActiveVersions, config: &MembershipConfig) -> Ms {
         let update = VersionUpdate::from_versions(versions);
         if update == self.last_update {
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Queues a new entry for all links that it is for; over lazy links as a digest.
+    /// Queues a new entry for all links in its scope; over lazy links only its digest.
     pub fn propagate(
         &mut self,
         now: Ms,
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Queues all known entries that are sent link by link and are for a peer.
+    /// Queues all known entries that are sent link by link and have the peer in their scope.
     pub fn enqueue_known_entries(&mut self, peer: &str, table: &EntryTable) {
         let Some(common_depth) = self.links.common_depth(peer) else { return };
         for key in table.keys_within(common_depth) {
@@ -190,16 +191,16 @@
         }
     }
 
-    /// The peers that something is to be sent to over their links alone.
-    pub fn peers_to_send_to(&mut self, now: Ms, quiet: Ms) -> Vec<String> {
-        let mut peers = self.links.links_ready_to_send(now, quiet);
+    /// The peers whose links have entries or messages of their own to send now.
+    pub fn peers_to_send_to(&mut self, now: Ms, min_idle: Ms) -> Vec<String> {
+        let mut peers = self.links.links_ready_to_send(now, min_idle);
         let with_messages = self.plumtree.links_with_messages(now);
         let others: Vec<String> = with_messages.into_iter().filter(|peer| !peers.contains(peer)).collect();
         peers.extend(others);
         peers
     }
 
-    /// Takes the most urgent entries that wait for a peer, as far as the rate limit allows.
+    /// Takes the most urgent pending entries for a peer, as far as the rate limit allows.
     pub fn take_entries(
         &mut self,
         now: Ms,
--- a/crates/membership/src/aggregation/tree.rs
+++ b/crates/membership/src/aggregation/tree.rs
@@ -1,8 +1,9 @@
 //! Which locations this router aggregates, and when it publishes their summaries.
 //!
-//! The first router by name that is alive in a site aggregates the site. Whichever router aggregates the first child
-//! location with a fresh summary also aggregates the parent. A router stops aggregating a location for a while where
-//! another one does it better. A summary that is no longer fresh counts only as unreachable routers.
+//! The first router by name that is alive in a site aggregates the site. Whichever router aggregates the
+//! first child location with a fresh summary also aggregates the parent. A router yields a location for a
+//! while to a rival whose summary counts more alive routers. A summary that is no longer fresh counts only as
+//! unreachable routers.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -21,9 +22,11 @@
     /// A changed summary is published once nothing has changed for this long, and after
     /// [`MAX_GATHER_FACTOR`] times this long at the latest.
     pub gather_delay: Ms,
-    /// How often an unchanged summary is published again. It stays fresh for [`VALIDITY_FACTOR`] times this long.
+    /// How often an unchanged summary is published again. It stays fresh for [`VALIDITY_FACTOR`] times this
+    /// long.
     pub renew_interval: Ms,
-    /// A location's complete transition to another hierarchy is published at once, but no more often than this.
+    /// A location's complete transition to another hierarchy is published at once, but no more often than
+    /// this.
     pub transition_interval: Ms,
 }
 
@@ -31,7 +34,7 @@
 pub const MAX_GATHER_FACTOR: f64 = 3.0;
 /// A summary is fresh for this many times the renew interval.
 pub const VALIDITY_FACTOR: f64 = 3.0;
-/// The number of summaries that are kept.
+/// The largest number of stored summaries.
 const MAX_RECEIVED: usize = 4_096;
 
 impl Default for AggregationConfig {
@@ -50,13 +53,13 @@
 pub struct ReceivedSummary {
     /// The summary and its aggregator.
     pub report: SummaryReport,
-    /// Which of several reports is newer.
+    /// Orders the reports of the location.
     pub revision: Revision,
     /// When it was received, by the clock of this router.
     pub received_at: Ms,
 }
 
-/// What this router published of a location that it aggregates.
+/// The last summary that this router published of a location that it aggregates.
 #[derive(Debug, Clone)]
 struct PublishedSummary {
     summary: Summary,
@@ -64,10 +67,10 @@
     published_at: Ms,
     /// Since when there is a change to publish.
     pending_since: Option<Ms>,
-    /// The summary as it is now, and since when.
+    /// The current summary, and since when it is the current one.
     latest: Summary,
     latest_since: Ms,
-    /// When a transition to another hierarchy was published last.
+    /// When a transition to another hierarchy was last published.
     last_transition: Option<Ms>,
     /// Another router has published a newer one.
     superseded: bool,
@@ -79,7 +82,7 @@
     name: String,
     reports: u32,
     last_report: Ms,
-    /// Until then this router leaves the location to it.
+    /// Until then this router does not aggregate the location.
     yield_until: Ms,
 }
 
@@ -104,7 +107,7 @@
     /// By depth of the location.
     published: BTreeMap<usize, PublishedSummary>,
     rivals: BTreeMap<usize, RivalAggregator>,
-    /// Until then too little is known to publish anything.
+    /// Until then nothing is published, because too little is known.
     silent_until: Ms,
     deadline: Ms,
 }
@@ -129,7 +132,7 @@
         self.config = config;
     }
 
-    /// Publishes nothing until then: the process was frozen, and what it knows may be outdated.
+    /// Suspends publishing until then: the process was frozen, and its state may be outdated.
     pub fn stay_silent_until(&mut self, until: Ms) {
         self.silent_until = self.silent_until.max(until);
         self.published.clear();
@@ -141,7 +144,8 @@
         self.config.renew_interval * VALIDITY_FACTOR
     }
 
-    /// Whether a summary is fresh, by this router's clock and by the clock that orders events of several routers.
+    /// Whether a summary is fresh, by this router's clock and by the clock that orders events of several
+    /// routers.
     pub fn is_fresh(&self, now: Ms, clock: Timestamp, received: &ReceivedSummary) -> bool {
         let age_by_revision = clock.ms.saturating_sub(received.revision.epoch) as f64;
         now - received.received_at < self.validity() && age_by_revision < self.validity()
@@ -157,7 +161,7 @@
         location.contains(&self.location) && self.published.contains_key(&location.depth())
     }
 
-    /// Takes in a summary that is newer than the known one.
+    /// Stores a summary that is newer than the known one.
     pub fn receive(&mut self, now: Ms, location: Location, report: SummaryReport, revision: Revision) {
         self.deadline = now;
         if location.contains(&self.location) {
@@ -168,8 +172,10 @@
         }
     }
 
-    /// Another router published a summary of a location that this router aggregates. Each may not know of the other
-    /// yet, or not for long: then the one that counts more routers alive goes on, and of equal ones the first by name.
+    /// Records that another router published a summary of a location that this router aggregates, too. The
+    /// two may not know of each other yet, or only since recently. If the rival goes on publishing, the
+    /// router whose summary counts more alive routers remains the aggregator; of equal ones the first by
+    /// name.
     fn record_rival(&mut self, now: Ms, depth: usize, report: &SummaryReport, revision: Revision) {
         let published = self.published.get_mut(&depth);
         let Some(published) = published.filter(|published| revision > published.revision) else { return };
@@ -226,8 +232,8 @@
         first.is_some_and(|(location, _)| *location == own_child)
     }
 
-    /// The summaries to publish now, from the site outwards. `is_first_in_site` says that no router with an earlier
-    /// name is alive in the site.
+    /// The summaries to publish now, from the site outwards. `is_first_in_site` is true if no router with an
+    /// earlier name is alive in the site.
     pub fn due_reports(
         &mut self,
         now: Ms,
@@ -258,7 +264,8 @@
         reports
     }
 
-    /// The report of one location, if it is due; else the deadline is moved forward to when it will be.
+    /// The report of one location, if it is due; else lowers the deadline to the time at which it will be
+    /// due.
     fn due_report(
         &mut self,
         now: Ms,
@@ -290,7 +297,7 @@
         summary: Summary,
         last_transition: Option<Ms>,
     ) -> DueReport {
-        // Newer than everything that any router has published of the location.
+        // Newer than all known reports of the location, whichever router published them.
         let known = self.received.get(&location);
         let after_known = known.map_or(0, |received| received.revision.epoch.saturating_add(1));
         let revision = Revision::new(clock.ms.max(after_known), 0);
@@ -325,7 +332,8 @@
             self.latest_since = now;
         }
         let max_gather = config.gather_delay * MAX_GATHER_FACTOR;
-        // Changes in quick succession are published together, once no more have come for a while.
+        // Changes in quick succession are published together, once the gather delay has passed without
+        // another one.
         let gathered_at = self.latest_since + config.gather_delay;
         let change_at = if !self.superseded && self.summary.is_hierarchy_transition(summary) {
             self.pending_since = None;
@@ -338,7 +346,7 @@
             self.pending_since = None;
             f64::INFINITY
         };
-        // A renewal waits for a change that is being gathered, too.
+        // A renewal is delayed while changes are being gathered, too.
         let renew_at = self.published_at + config.renew_interval;
         let renew_at = renew_at.max(gathered_at.min(renew_at + max_gather));
         change_at.max(self.published_at + config.gather_delay).min(renew_at)
--- a/crates/membership/src/cluster.rs
+++ b/crates/membership/src/cluster.rs
@@ -1,14 +1,16 @@
-//! One router's part in the cluster: the facade that ties membership, gossip, aggregation and name conflicts together.
+//! One router's state in the cluster: the facade that combines membership, gossip, aggregation and name
+//! conflicts.
 //!
-//! Links, bytes and times come in by calls; what is to be done comes out as [`ClusterAction`]s, in order. Nothing beyond
-//! the rate limit is sent, and no entry older than the known one is forwarded.
+//! The owner reports links, received bytes and the time by calls, and carries out the resulting
+//! [`ClusterAction`]s in order. Nothing is sent beyond the rate limit, and no entry is forwarded that is
+//! older than the known one.
 //!
-//! - `receive`: entries and messages from peers;
-//! - `publish`: entries of this router;
-//! - `send`: what leaves, and when;
+//! - `receive`: entries and messages received from peers;
+//! - `publish`: entries published by this router;
+//! - `send`: what is sent to peers, and when;
 //! - `floor`: the version floor and stragglers;
 //! - `queries`: queries for the routers of other sites;
-//! - `expiry`: entries that are dropped;
+//! - `expiry`: removal of expired entries;
 //! - `report`: the view that commands print.
 
 mod expiry;
@@ -39,12 +41,12 @@
 use crate::view::ClusterCounters;
 use crate::Ms;
 
-/// How often a router that takes no part is ticked.
+/// The tick interval of a router that does not participate.
 const INACTIVE_TICK_MS: Ms = 1_000.0;
-/// A router is ticked at least this many times in the time by which a freeze is recognized.
+/// A router is ticked at least this many times within the freeze threshold.
 const TICKS_PER_FREEZE_THRESHOLD: f64 = 4.0;
 
-/// One router's part in the cluster.
+/// One router's state in the cluster.
 pub struct Cluster {
     config: MembershipConfig,
     name: String,
@@ -53,7 +55,7 @@
     leaving: bool,
     /// Orders the statuses and version updates of this incarnation.
     status_number: u64,
-    /// The status is to be published with the next flush.
+    /// The status changed and is to be published with the next flush.
     status_changed: bool,
     table: EntryTable,
     members: MemberList,
@@ -66,16 +68,16 @@
     last_tick: Ms,
     last_flush: Ms,
     actions: VecDeque<ClusterAction>,
-    /// Only for a router that has a location.
+    /// `None` for a router without a location.
     topology: Option<Box<Topology>>,
-    /// The time that orders everything that is published here.
+    /// The clock that orders everything that this router publishes.
     pub clock: HybridClock,
     /// Counters since the start.
     pub counters: ClusterCounters,
 }
 
 impl Cluster {
-    /// A router that starts under a name; the incarnation is the time of its start in microseconds.
+    /// A router that starts with this name; the incarnation is the time of its start in microseconds.
     pub fn new(
         now: Ms,
         config: MembershipConfig,
@@ -108,7 +110,8 @@
         }
     }
 
-    /// The same router at a topology location: its status goes to its own site only, and other sites get summaries.
+    /// The same router at a topology location: its status goes to its own site only, and other sites get
+    /// summaries.
     pub fn with_location(mut self, now: Ms, location: Option<Location>) -> Self {
         self.topology = location
             .map(|location| Box::new(Topology::new(now, &self.config, &self.name, location, &self.versions)));
@@ -137,19 +140,19 @@
         self.topology.as_ref().map(|topology| topology.location())
     }
 
-    /// Sets the voters of the version floor: their statuses go to all locations.
+    /// Sets the voters of the version floor. Their statuses are sent to all locations.
     pub fn set_voters(&mut self, names: &[String]) {
         if let Some(topology) = &mut self.topology {
             self.status_changed |= topology.set_voters(names);
         }
     }
 
-    /// The next thing to do.
+    /// The next action to carry out.
     pub fn next_action(&mut self) -> Option<ClusterAction> {
         self.actions.pop_front()
     }
 
-    /// Whether this router takes part.
+    /// Whether this router participates.
     pub fn participation(&self) -> Participation {
         self.participation
     }
@@ -164,7 +167,7 @@
         &self.table
     }
 
-    /// Sets what this router acts on.
+    /// Sets the versions that this router acts on.
     pub fn set_versions(&mut self, versions: &ActiveVersions) {
         if self.versions == *versions {
             return;
@@ -173,7 +176,7 @@
             && self.versions.settings_digest == versions.settings_digest
             && self.versions.operator_digest == versions.operator_digest;
         self.versions.clone_from(versions);
-        // With a location the rest goes out as a version update.
+        // A router with a location publishes all other changes as a version update.
         self.status_changed |= self.topology.is_none() || !is_same_build;
     }
 
@@ -201,17 +204,17 @@
         self.tick(now);
     }
 
-    /// Sends a message of another part of the router to one peer, as soon as the rate limit allows. False where too much
-    /// waits already.
+    /// Sends a message of another component of the router to one peer, as soon as the rate limit allows.
+    /// Returns false if the queue is full or this router does not participate.
     pub fn send_message(&mut self, peer: &str, kind: u8, bytes: Vec<u8>) -> bool {
-        let is_accepted = self.participation == Participation::Active && self.outbox.has_room_for(1);
+        let is_accepted = self.participation == Participation::Active && self.outbox.has_capacity_for(1);
         if is_accepted {
             self.outbox.queue_direct(peer, EncodedEntry::new(vec![kind.max(FIRST_MESSAGE_TAG)], bytes));
         }
         is_accepted
     }
 
-    /// Does everything that is due.
+    /// Carries out everything that is due.
     pub fn tick(&mut self, now: Ms) {
         self.detect_freeze(now);
         if self.participation != Participation::Active {
@@ -288,7 +291,7 @@
         }
     }
 
-    /// Takes no part any more: another incarnation holds the name.
+    /// Stops participating, because another incarnation holds the name.
     fn stop_participating(&mut self, participation: Participation, event: ClusterEvent) {
         self.participation = participation;
         self.outbox.clear();
--- a/crates/membership/src/cluster/expiry.rs
+++ b/crates/membership/src/cluster/expiry.rs
@@ -1,4 +1,5 @@
-//! Entries that are dropped: purges after their retention, old change batches, and summaries that nobody renews.
+//! Removal of expired entries: purges after their retention, old change batches, and summaries that are not
+//! renewed.
 
 use super::Cluster;
 use crate::actions::ClusterAction;
@@ -7,7 +8,7 @@
 use crate::Ms;
 
 impl Cluster {
-    /// Drops all entries that have expired.
+    /// Removes all entries that have expired.
     pub(super) fn expire(&mut self, now: Ms) {
         let retained_since = now - self.config.purge_retention;
         let is_purge = |key: &EntryKey| matches!(key, EntryKey::Object(_) | EntryKey::Group(_));
@@ -18,7 +19,7 @@
         self.expire_summaries(now, retained_since);
     }
 
-    /// Old entries of caches, except of those that are draining.
+    /// The keys of old cache entries, except of caches that are draining.
     fn expired_caches(&self, retained_since: Ms) -> Vec<Vec<u8>> {
         let is_cache = |key: &EntryKey| matches!(key, EntryKey::Cache(_));
         let mut keys = self.table.keys_older_than(retained_since, is_cache);
@@ -31,7 +32,7 @@
         keys
     }
 
-    /// The oldest change batches beyond the limit.
+    /// The keys of the oldest change batches beyond the limit.
     fn surplus_batches(&self) -> Vec<Vec<u8>> {
         let is_batch = |key: &[u8]| matches!(EntryKey::decode(key), Some(EntryKey::Batch(..)));
         let entries = self.table.iter().filter(|(key, _)| is_batch(key));
@@ -42,10 +43,11 @@
         batches.into_iter().take(surplus).map(|(_, key)| key).collect()
     }
 
-    /// Drops summaries that were not renewed for long. A router without a location only forwards them, together with
-    /// version updates, and drops both by age.
+    /// Removes summaries that have not been renewed in time. A router without a location only forwards
+    /// summaries and version updates, and removes both by age.
     fn expire_summaries(&mut self, now: Ms, retained_since: Ms) {
-        // By the time that all routers share, so that no router sends another one a summary that it has dropped.
+        // By the hybrid clock, on which all routers agree: otherwise a router would send others summaries
+        // that they have removed already.
         let clock = self.clock.next_timestamp(now).ms;
         let Some(topology) = &mut self.topology else {
             let is_forwarded =
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Removes an entry, and retracts it from peers that connect later.
+    /// Removes an entry, and no longer sends it to peers that connect later.
     pub(super) fn remove_entry(&mut self, key: &[u8]) {
         if let Some(topology) = &mut self.topology {
             topology.plumtree.forget(key);
--- a/crates/membership/src/cluster/floor.rs
+++ b/crates/membership/src/cluster/floor.rs
@@ -14,7 +14,7 @@
 const FLOOR_BODY_VERSION: u16 = 1;
 
 impl Cluster {
-    /// Sets the floor on behalf of an operator, or withdraws it with 0.
+    /// Sets the floor on behalf of an operator; 0 withdraws it.
     pub fn set_floor(&mut self, now: Ms, version: u64) {
         let at = self.clock.next_timestamp(now);
         let floor = VersionFloor { version, set_by: self.name.clone() };
@@ -27,8 +27,8 @@
         self.table.get(&EntryKey::Floor.encode())?.decode_body().ok()
     }
 
-    /// The version below which no router is to act: what a majority of the voters acts on, or what an operator has set,
-    /// whichever is higher.
+    /// The lowest version that routers may act on: the newest one that a majority of the voters acts on, or
+    /// the one that an operator has set, whichever is higher.
     pub fn floor(&self, voters: &[String]) -> u64 {
         let hierarchy_version = |name: &String| match *name == self.name {
             true => Some(self.versions.hierarchy.version),
@@ -38,7 +38,8 @@
         majority_version(&versions).max(self.operator_floor().map_or(0, |floor| floor.version))
     }
 
-    /// What another router acts on. A voter of another site is known by its entries alone.
+    /// The versions that another router acts on. A voter of another site is no member here: its versions are
+    /// read from its entries.
     fn versions_of(&self, name: &str) -> Option<ActiveVersions> {
         if let Some(member) = self.members.get(name) {
             return Some(member.status.versions.clone());
@@ -56,8 +57,8 @@
         Some(versions)
     }
 
-    /// Enforces a floor: routers that stay below it for longer than the grace period are stragglers, whose news does not
-    /// count.
+    /// Enforces a floor: routers that stay below it for longer than the grace period are stragglers, whose
+    /// entries are ignored.
     pub fn enforce_floor(&mut self, now: Ms, floor: u64, grace_period: Ms) {
         self.floor.set_floor(floor, grace_period);
         let behind = self.routers_below(floor);
@@ -74,7 +75,7 @@
         let members = self.members.iter();
         let behind = members.filter(|(_, member)| member.status.versions.hierarchy.version < floor);
         let mut names: BTreeSet<String> = behind.map(|(name, _)| name.clone()).collect();
-        // The aggregator of a site names itself too: no other router would.
+        // This router is included: if it aggregates the site, no other router reports it.
         if self.versions.hierarchy.version < floor {
             names.insert(self.name.clone());
         }
--- a/crates/membership/src/cluster/publish.rs
+++ b/crates/membership/src/cluster/publish.rs
@@ -1,4 +1,5 @@
-//! Entries of this router: its status, what its journal and its operators say, and summaries.
+//! Entries published by this router: its status, events of its journal, changes by its operators, and
+//! summaries.
 
 use super::Cluster;
 use crate::aggregation::scope::is_scoped;
@@ -15,12 +16,12 @@
 const BODY_VERSION: u16 = 1;
 
 impl Cluster {
-    /// Publishes an entry of this router. False where it is known already or a limit does not allow it.
+    /// Publishes an entry of this router. Returns false if it is known already or exceeds a limit.
     pub fn publish(&mut self, now: Ms, key: &EntryKey, entry: GossipEntry) -> bool {
         self.publish_within(now, key, entry, 0)
     }
 
-    /// Publishes an entry for routers that share that many names of their locations.
+    /// Publishes an entry for the routers whose locations share this many names with this router's.
     fn publish_within(&mut self, now: Ms, key: &EntryKey, entry: GossipEntry, depth: usize) -> bool {
         let key = key.encode();
         let revision = entry.revision;
@@ -33,32 +34,34 @@
         outcome == InsertOutcome::Inserted
     }
 
-    /// Publishes the state of a cache as the own journal has it.
+    /// Publishes the state of a cache according to this router's own journal.
     pub fn publish_cache(&mut self, now: Ms, name: &str, status: CacheStatus, journal_position: u64) {
         let entry = GossipEntry::new(Revision::new(journal_position, 0), BODY_VERSION, &status);
         self.publish(now, &EntryKey::Cache(name.to_string()), entry);
     }
 
-    /// Publishes a purge of the own journal.
+    /// Publishes a purge from this router's own journal.
     pub fn publish_purge(&mut self, now: Ms, key: &EntryKey, purge: Purge) {
         let revision = Revision::new(micros(purge.issued_at), purge.journal_position);
         self.publish(now, key, GossipEntry::new(revision, BODY_VERSION, &purge));
     }
 
-    /// Publishes a change batch of the hierarchy, as its author encoded it. False where it is known already.
+    /// Publishes a change batch of the hierarchy, as its author encoded it. Returns false if it is known
+    /// already or exceeds a limit.
     pub fn publish_batch(
         &mut self,
         now: Ms,
         author: u16,
         number: u64,
-        issued_at: u64,
+        lamport_timestamp: u64,
         body: Vec<u8>,
     ) -> bool {
-        let entry = GossipEntry { revision: Revision::new(issued_at, 0), body_version: BODY_VERSION, body };
+        let entry =
+            GossipEntry { revision: Revision::new(lamport_timestamp, 0), body_version: BODY_VERSION, body };
         self.publish(now, &EntryKey::Batch(author, number), entry)
     }
 
-    /// Queues a new entry for all peers that it is for.
+    /// Queues a new entry for all peers in its scope.
     pub(super) fn propagate(
         &mut self,
         now: Ms,
@@ -107,7 +110,7 @@
         Revision::new(self.incarnation, self.status_number)
     }
 
-    /// Publishes the fast-changing versions of a router with a location, if they are due.
+    /// Publishes the frequently changing versions of a router with a location, if they are due.
     pub(super) fn publish_version_update(&mut self, now: Ms) {
         let Some(topology) = &mut self.topology else { return };
         if now < topology.update_deadline(&self.versions, &self.config) {
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Publishes the summaries that are due of the locations that this router aggregates.
+    /// Publishes the summaries that are due, of the locations that this router aggregates.
     pub(super) fn publish_summaries(&mut self, now: Ms) {
         let is_due = |topology: &Topology| now >= topology.summaries.next_deadline();
         if !self.topology.as_deref().is_some_and(is_due) {
@@ -142,12 +145,13 @@
         }
     }
 
-    /// The summary of the own site, and whether this router is the first by name that aggregates it.
+    /// The summary of this router's site, and whether this router is the first by name and therefore
+    /// aggregates it.
     pub(super) fn site_summary(&self, now: Ms) -> (Summary, bool) {
         let mut summary = Summary::default();
         let is_straggler = self.is_straggler(now, &self.name);
         summary.add_router(&self.name, MemberState::Alive, self.leaving, &self.versions, is_straggler);
-        // Routers that stay go before those that are leaving.
+        // Routers that are not leaving precede those that are.
         let mut first = (self.leaving, &self.name);
         for (name, member) in self.members.iter() {
             let RouterStatus { versions, leaving, .. } = &member.status;
--- a/crates/membership/src/cluster/queries.rs
+++ b/crates/membership/src/cluster/queries.rs
@@ -11,8 +11,8 @@
 use crate::Ms;
 
 impl Cluster {
-    /// Asks for the routers of a site. The number under which the answer comes; `None` where this router has no location
-    /// or too many queries are remembered.
+    /// Queries the routers of a site. Returns the id that the answer carries; `None` if this router has no
+    /// location or too many queries are remembered.
     pub fn start_query(&mut self, now: Ms, target: QueryTarget) -> Option<u64> {
         let at = self.clock.next_timestamp(now);
         let id = xxh3_64(format!("{}/{}/{at}", self.name, self.incarnation).as_bytes());
@@ -23,7 +23,7 @@
         Some(id)
     }
 
-    /// Takes in a query from a peer; `None` where it cannot be read.
+    /// Handles a query from a peer; `None` if it cannot be decoded.
     pub(super) fn receive_query(&mut self, now: Ms, from: &str, value: &[u8]) -> Option<()> {
         let query: Query = postcard::from_bytes(value).ok()?;
         let topology = self.topology.as_mut();
@@ -33,14 +33,14 @@
         Some(())
     }
 
-    /// Takes in an answer from a peer; `None` where it cannot be read.
+    /// Handles an answer from a peer; `None` if it cannot be decoded.
     pub(super) fn receive_answer(&mut self, value: &[u8]) -> Option<()> {
         let (id, location, routers) = postcard::from_bytes::<(u64, Location, Vec<RouterView>)>(value).ok()?;
         self.route_answer(id, location, routers, value.to_vec());
         Some(())
     }
 
-    /// Answers a query, if this router aggregates the site that it is for; else forwards it.
+    /// Answers a query if this router aggregates the queried site; else forwards it.
     fn handle_query(&mut self, now: Ms, from: Option<&str>, query: &Query) {
         let Some(topology) = &self.topology else { return };
         let location = topology.location().clone();
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends an answer back along the route of its query.
+    /// Sends an answer along the reverse route of its query.
     fn route_answer(&mut self, id: u64, location: Location, routers: Vec<RouterView>, bytes: Vec<u8>) {
         let return_link = self.topology.as_ref().and_then(|topology| topology.queries.return_link(id));
         match return_link.map(|peer| peer.map(str::to_string)) {
--- a/crates/membership/src/cluster/receive.rs
+++ b/crates/membership/src/cluster/receive.rs
@@ -1,4 +1,4 @@
-//! Entries and messages from peers: what of them is new, what counts here, and what is forwarded.
+//! Entries and messages received from peers: which are new, which this router applies, and which it forwards.
 
 use super::Cluster;
 use crate::actions::{ClusterAction, ClusterEvent, EncodedEntry, Participation};
@@ -19,7 +19,7 @@
 use crate::Ms;
 
 impl Cluster {
-    /// Takes in an entry or a message from a peer: its key and its value.
+    /// Handles an entry or a message from a peer, given its key and its value.
     pub fn receive(&mut self, now: Ms, from: &str, key: &[u8], value: &[u8]) {
         if self.participation != Participation::Active {
             return;
@@ -56,7 +56,7 @@
             Some(EntryKey::NameConflict(name)) => self.handle_name_conflict(now, from, key, &name, entry),
             Some(EntryKey::VersionUpdate(name)) => self.handle_version_update(now, from, key, &name, entry),
             Some(EntryKey::Summary(location)) => self.handle_summary(now, from, key, location, entry),
-            // News from a straggler does not count until it has caught up and sends it again.
+            // Entries from a straggler are ignored until it has caught up and sends them again.
             Some(kind) if kind != EntryKey::Floor && self.is_straggler(now, from) => {
                 self.counters.straggler_entries_ignored += 1;
             }
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Inserts a received entry and forwards it, if it is new, to routers that share that many names.
+    /// Inserts a received entry and, if it is new, forwards it to peers whose locations share this many
+    /// names.
     fn accept_entry(&mut self, now: Ms, from: &str, key: &[u8], entry: GossipEntry, depth: usize) -> bool {
         let revision = entry.revision;
         let outcome = self.table.insert_within(now, key, entry, depth);
@@ -96,7 +97,8 @@
         outcome == InsertOutcome::Inserted
     }
 
-    /// Passes news of the journal or of the hierarchy on to the owner, who knows the own journal.
+    /// Passes an entry that stems from a journal or from the hierarchy on to the owner, which has this
+    /// router's own journal.
     fn apply_entry(&mut self, key: EntryKey, entry: &GossipEntry) {
         let action = match key {
             EntryKey::Cache(name) => entry.decode_body().ok().map(|status| ClusterAction::CacheChanged {
@@ -125,7 +127,7 @@
     fn handle_status(&mut self, now: Ms, from: &str, key: &[u8], name: &str, entry: GossipEntry) {
         let incarnation = entry.revision.epoch;
         if name == self.name {
-            // Nothing else that arrives of this router itself counts.
+            // Other received statuses of this router itself are ignored.
             if incarnation > self.incarnation && !self.names.is_rejected(name, incarnation) {
                 self.handle_later_incarnation(now, incarnation);
             }
@@ -163,7 +165,7 @@
         self.mark_site_changed(now);
     }
 
-    /// Whether a status is of this site. One without a location is, if its sender is.
+    /// Whether a status belongs to this site. One without a location does if its sender belongs to this site.
     fn is_same_site(&self, from: &str, location: Option<&Location>) -> bool {
         match (&self.topology, location) {
             (None, _) => true,
@@ -172,7 +174,8 @@
         }
     }
 
-    /// The depth of a router's status; `None` where it is for another site, or cannot be read between locations.
+    /// The depth of a router's status. With locations `None` if the status is for another site or cannot be
+    /// decoded.
     fn status_depth(&self, name: &str, is_same_site: bool, is_readable: bool) -> Option<usize> {
         match &self.topology {
             None => Some(0),
@@ -185,7 +188,8 @@
         let status_key = EntryKey::Router(name.to_string()).encode();
         let status = self.table.get(&status_key);
         let has_status = status.is_some_and(|status| status.revision.epoch == entry.revision.epoch);
-        // Between locations, a router without a status here is of another site, or its status is on its way.
+        // With locations, a router whose status is unknown here belongs to another site, or its status has
+        // not arrived.
         if name == self.name || !has_status && self.topology.is_some() {
             return;
         }
@@ -210,9 +214,9 @@
         }
     }
 
-    // Names.
+    // Name conflicts.
 
-    /// Deals with a later incarnation of this router's name.
+    /// Handles a later incarnation of this router's name.
     fn handle_later_incarnation(&mut self, now: Ms, incarnation: u64) {
         if self.leaving {
             return;
@@ -268,7 +272,7 @@
 
     // Locations.
 
-    /// Takes in the summary of a location. It is for all routers within the parent location.
+    /// Handles the summary of a location. It is for all routers within the parent location.
     fn handle_summary(&mut self, now: Ms, from: &str, key: &[u8], location: Location, entry: GossipEntry) {
         let Some(topology) = &self.topology else {
             self.accept_entry(now, from, key, entry, 0);
@@ -323,7 +327,7 @@
         }
     }
 
-    /// The location of a peer is known: queues the known entries that are for it.
+    /// Queues the known entries for a peer whose location has become known.
     fn enqueue_known_entries(&mut self, peer: &str) {
         self.status_changed = true;
         if let Some(topology) = &mut self.topology {
@@ -345,7 +349,7 @@
         }
     }
 
-    // Repair.
+    // Anti-entropy.
 
     fn receive_digests(&mut self, now: Ms, from: &str, value: &[u8]) {
         match postcard::from_bytes::<PartitionDigests>(value) {
@@ -356,12 +360,12 @@
 
     /// Sends a peer the entries that it lacks.
     fn handle_digests(&mut self, now: Ms, from: &str, theirs: PartitionDigests) {
-        // While its location is unknown, so are the entries that are for it.
+        // Before the peer's location is known, it is unknown which entries are for it.
         let Some(common_depth) = self.common_depth(from) else { return };
         let own = self.table.digests_within(common_depth);
         let Some(stable) = self.anti_entropy.compare(from, theirs, own) else { return };
         let missing = self.table.differing_within(&stable, common_depth);
-        if !self.outbox.has_room_for(missing.len()) {
+        if !self.outbox.has_capacity_for(missing.len()) {
             self.counters.entries_rejected += 1;
             return;
         }
--- a/crates/membership/src/cluster/report.rs
+++ b/crates/membership/src/cluster/report.rs
@@ -1,4 +1,4 @@
-//! The cluster as commands print it.
+//! The state of the cluster in the form that commands print.
 
 use super::Cluster;
 use crate::aggregation::location::Location;
@@ -9,7 +9,7 @@
 use crate::Ms;
 
 impl Cluster {
-    /// The cluster as this router sees it.
+    /// The state of the cluster as known to this router.
     pub fn view(&self, now: Ms) -> ClusterView {
         let topology = self.topology.as_ref();
         let pending_on_links = topology.map_or(0, |topology| topology.links.pending_count());
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The routers of the own site, this one first.
+    /// The routers of this router's site, this one first.
     pub(super) fn site_view(&self, now: Ms) -> Vec<RouterView> {
         let members = self.members.iter();
         let others = members.map(|(name, member)| self.member_view(now, name, member));
@@ -77,7 +77,7 @@
         views
     }
 
-    /// The summary of the whole fleet; `None` where this router has no location.
+    /// The summary of the entire fleet; `None` if this router has no location.
     pub fn fleet_summary(&self, now: Ms) -> Option<Summary> {
         let topology = self.topology.as_ref()?;
         Some(topology.summaries.summarize(now, self.clock.last(), &Location::default()))
--- a/crates/membership/src/cluster/send.rs
+++ b/crates/membership/src/cluster/send.rs
@@ -1,4 +1,5 @@
-//! What leaves this router, and when: entries for all peers at every flush, entries for single links also in between.
+//! What this router sends, and when: entries for all peers at every flush, entries for single links also in
+//! between.
 
 use std::collections::BTreeSet;
 
@@ -9,14 +10,15 @@
 use crate::Ms;
 
 impl Cluster {
-    /// Tells a peer where this router is.
+    /// Sends a peer the handshake with this router's location.
     pub(super) fn send_handshake(&mut self, peer: &str) {
         let Some(topology) = &self.topology else { return };
         let handshake = topology.handshake(self.versions.hierarchy);
         self.outbox.queue_direct(peer, EncodedEntry::new(vec![HANDSHAKE_TAG], handshake.encode()));
     }
 
-    /// Sends what waits, as far as the rate limit allows: entries for all peers first, by urgency.
+    /// Sends pending entries and messages, as far as the rate limit allows: entries for all peers first, by
+    /// urgency.
     pub(super) fn flush(&mut self, now: Ms) {
         self.flush_broadcast(now);
         self.flush_links(now);
@@ -35,7 +37,7 @@
         self.actions.push_back(ClusterAction::Broadcast(entries));
     }
 
-    /// Sends the entries and messages that go over single links.
+    /// Sends the pending entries and messages for single links.
     fn flush_links(&mut self, now: Ms) {
         let Some(topology) = &mut self.topology else { return };
         topology.plumtree.tick(now);
@@ -79,15 +81,15 @@
         }
     }
 
-    /// Whether something waits for a link that has been quiet, and the rate limit did not hold it back.
+    /// Whether entries are pending for an idle link, and the rate limit has not deferred them.
     pub(super) fn is_link_flush_due(&self, now: Ms) -> bool {
         let topology = self.topology.as_ref().filter(|topology| !topology.is_deferred);
         let oldest_send = topology.and_then(|topology| topology.links.oldest_send());
         oldest_send.is_some_and(|last_sent| now >= last_sent + self.config.flush_interval)
     }
 
-    /// Sends entries for single links before the next flush, if the rate limit has ample room: entries for all peers
-    /// must not be delayed by them.
+    /// Sends entries for single links before the next flush, if that leaves ample tokens of the rate limit:
+    /// entries for all peers must not be delayed by them.
     pub(super) fn flush_links_early(&mut self, now: Ms) {
         let links = self.link_count();
         if self.outbox.leaves_ample_tokens(now, &self.table, links, &mut self.rate_limiter) {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Sends each peer the digests of the entries that are for it.
+    /// Sends each peer the digests of the entries that have it in their scope.
     pub(super) fn send_digests(&mut self) {
         let peers: BTreeSet<String> = self.members.links().map(|(name, _)| name.clone()).collect();
         for peer in peers {
@@ -110,14 +112,14 @@
         }
     }
 
-    /// When something is to be sent; `None` where nothing waits.
+    /// When something is to be sent; `None` if nothing is pending.
     pub(super) fn flush_deadline(&self) -> Option<Ms> {
         let next_flush = self.last_flush + self.config.flush_interval;
-        let has_waiting = self.status_changed || !self.outbox.is_empty();
-        let flush_at = has_waiting.then_some(next_flush);
+        let has_pending = self.status_changed || !self.outbox.is_empty();
+        let flush_at = has_pending.then_some(next_flush);
         let link_flush_at = self.topology.as_ref().and_then(|topology| {
-            let quiet_at = topology.links.oldest_send()? + self.config.flush_interval;
-            Some(if topology.is_deferred { next_flush } else { next_flush.min(quiet_at) })
+            let idle_at = topology.links.oldest_send()? + self.config.flush_interval;
+            Some(if topology.is_deferred { next_flush } else { next_flush.min(idle_at) })
         });
         let publish_at = self.topology.as_ref().map(|topology| {
             let due = topology.summaries.next_deadline().min(topology.plumtree.next_deadline());
@@ -126,7 +128,7 @@
         flush_at.into_iter().chain(link_flush_at).chain(publish_at).reduce(f64::min)
     }
 
-    /// Puts the timestamp of this router before the entries.
+    /// Prepends a timestamp of this router to the entries.
     fn with_timestamp(&mut self, now: Ms, mut entries: Vec<EncodedEntry>) -> Vec<EncodedEntry> {
         let timestamp = postcard::to_stdvec(&self.clock.next_timestamp(now)).unwrap_or_default();
         entries.insert(0, EncodedEntry::new(vec![TIMESTAMP_TAG], timestamp));
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -16,24 +16,24 @@
     pub timeouts: MembershipTimeouts,
     /// When a snapshot is requested from a peer.
     pub snapshot_transfer: SnapshotTransferConfig,
-    /// How much is sent to all peers together.
+    /// How much may be sent to all peers together.
     pub rate_limit: RateLimitConfig,
-    /// How many entries are kept.
+    /// How many entries and bytes the table stores.
     pub table_limits: TableLimits,
-    /// How often entries are sent.
+    /// The interval in which entries are sent.
     pub flush_interval: Ms,
-    /// Bytes of the entries that are sent in one message.
+    /// The most bytes of entries that are sent together.
     pub bundle_bytes: usize,
-    /// How often peers compare their tables by digests.
+    /// The interval in which peers compare their tables by digests.
     pub comparison_interval: Ms,
-    /// How long purges, and caches that are ready again or removed, are kept.
+    /// How long entries of purges, and of caches that are ready again or removed, are retained.
     pub purge_retention: Ms,
-    /// How many change batches of the hierarchy are kept: the newest ones.
+    /// How many change batches of the hierarchy are retained, the newest ones.
     pub max_batches: usize,
-    /// A process that did not run for this long was frozen. At most the time after which a router is suspect, or a
-    /// frozen process could be replaced without noticing.
+    /// A process that did not run for this long counts as frozen. At most the suspect timeout: otherwise a
+    /// frozen process could be replaced without detecting that it was frozen.
     pub freeze_threshold: Ms,
-    /// How long after a freeze a process yields its name to a later incarnation.
+    /// How long after a freeze a process still yields its name to a later incarnation.
     pub yield_window: Ms,
     /// The version in which this router writes its status.
     pub status_version: u16,
--- a/crates/membership/src/decode_error.rs
+++ b/crates/membership/src/decode_error.rs
@@ -1,14 +1,14 @@
-//! Why bytes from another router can't be read.
+//! Errors of decoding bytes from another router.
 
 use thiserror::Error;
 
-/// Why bytes are not what they should be.
+/// Why bytes from another router cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// The bytes are incomplete or have another form.
-    #[error("the bytes are incomplete or have another form")]
+    /// The bytes are incomplete or not of the expected type.
+    #[error("the bytes are incomplete or malformed")]
     Malformed(#[from] postcard::Error),
     /// The body has a version that no build writes.
-    #[error("there is no version {0}")]
+    #[error("unknown version {0} of the body")]
     UnknownVersion(u16),
 }
--- a/crates/membership/src/gossip/anti_entropy.rs
+++ b/crates/membership/src/gossip/anti_entropy.rs
@@ -1,7 +1,7 @@
-//! The repair of gaps: peers compare digests of their tables, and each sends what the other lacks.
+//! Anti-entropy: peers compare digests of their tables, and each sends the entries that the other lacks.
 //!
-//! A partition counts as different only where neither table has changed between two comparisons. What is still on its
-//! way is no gap.
+//! A partition counts as different only if neither table has changed between two comparisons, because entries
+//! that are still in transit are not missing.
 
 use std::collections::BTreeMap;
 
@@ -23,12 +23,12 @@
 }
 
 impl AntiEntropy {
-    /// Compares tables at that time first.
+    /// Schedules the first comparison.
     pub fn new(first_comparison: Ms) -> Self {
         Self { last_comparisons: BTreeMap::new(), next_comparison: first_comparison }
     }
 
-    /// When digests are sent to all peers.
+    /// When digests are sent to all peers next.
     pub fn next_comparison(&self) -> Ms {
         self.next_comparison
     }
@@ -38,13 +38,14 @@
         self.next_comparison = next_comparison;
     }
 
-    /// Forgets the last comparison with a peer.
+    /// Removes the last comparison with a peer.
     pub fn forget_peer(&mut self, peer: &str) {
         self.last_comparisons.remove(peer);
     }
 
-    /// Compares the digests of a peer with those of the own table. The peer's digests, with the own ones in place of
-    /// partitions that have changed since the last comparison; `None` at the first one.
+    /// Compares the digests of a peer with this router's own. Returns the peer's digests, with the own ones
+    /// in place of those of partitions that have changed since the last comparison; `None` at the first
+    /// comparison.
     pub fn compare(
         &mut self,
         peer: &str,
--- a/crates/membership/src/gossip/entry.rs
+++ b/crates/membership/src/gossip/entry.rs
@@ -1,7 +1,8 @@
-//! The form of everything that routers gossip: a key, a revision that orders entries of one key, and a body.
+//! The format of gossip entries: a key, a revision that orders the entries of one key, and a body.
 //!
-//! A fleet runs two builds at a time during an upgrade. The revision is therefore kept outside the body, a newer body
-//! version starts with all fields of the older one, and an entry that this build cannot read is forwarded unchanged.
+//! A fleet runs two builds at a time during an upgrade. The revision is therefore not part of the body, a
+//! newer body version starts with all fields of the older one, and an entry that this build cannot decode is
+//! forwarded unchanged.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,14 +10,14 @@
 use crate::decode_error::DecodeError;
 use crate::Ms;
 
-/// What an entry is about. A newer entry replaces an older one of the same key.
+/// The subject of an entry. A newer entry replaces an older one of the same key.
 ///
 /// The order of the variants is part of the wire format.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum EntryKey {
     /// The status of a router, by its name.
     Router(String),
-    /// A name that two processes use.
+    /// A router name that two processes use.
     NameConflict(String),
     /// The state of a cache in the endpoint list, by the cache's name.
     Cache(String),
@@ -28,7 +29,7 @@
     Batch(u16, u64),
     /// The version floor that an operator has set.
     Floor,
-    /// An update of the fast-changing versions in a router's status, by its name.
+    /// An update of the frequently changing versions in a router's status, by its name.
     VersionUpdate(String),
     /// The summary of a location.
     Summary(Location),
@@ -41,7 +42,7 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a key; `None` for a kind that only a newer build knows.
+    /// Decodes a key; `None` for a kind that only a newer build knows.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         match postcard::take_from_bytes(bytes) {
             Ok((key, [])) => Some(key),
@@ -49,7 +50,8 @@
         }
     }
 
-    /// How soon an entry of that key is sent, 0 first. `None` is a kind that only a newer build knows.
+    /// The priority with which an entry of this key is sent, 0 first. `None` is a kind that only a newer
+    /// build knows.
     pub fn urgency(key: Option<&Self>) -> u8 {
         match key {
             Some(Self::NameConflict(_) | Self::Floor) => 0,
@@ -61,38 +63,39 @@
     }
 }
 
-/// How soon an entry with that encoded key is sent, 0 first.
+/// The priority with which an entry of this encoded key is sent, 0 first.
 pub fn urgency(key: &[u8]) -> u8 {
     EntryKey::urgency(EntryKey::decode(key).as_ref())
 }
 
-/// Which of several entries of a key is newer. Revisions are ordered by epoch and then by sequence.
+/// Orders the entries of a key, by epoch and then by sequence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 pub struct Revision {
-    /// By the key's kind: the incarnation for what a router states of itself and for the holder of a name; the
-    /// position in the journal for an endpoint; the time of issue in microseconds for a purge and in milliseconds for
-    /// a batch of changes; the hybrid clock's milliseconds for a version floor and for a summary.
+    /// By the key's kind: the incarnation for a router's status and its version updates; the rejected
+    /// incarnation for a name conflict; the position in the journal for a cache; the time of issue in
+    /// microseconds for a purge; the Lamport timestamp for a change batch; the hybrid clock's milliseconds
+    /// for a version floor and for a summary.
     pub epoch: u64,
     /// Orders entries of the same epoch.
     pub sequence: u64,
 }
 
 impl Revision {
-    /// The revision of that epoch and sequence.
+    /// The revision of this epoch and sequence.
     pub const fn new(epoch: u64, sequence: u64) -> Self {
         Self { epoch, sequence }
     }
 
-    /// The revision as bytes that digests are made of.
+    /// The revision as the bytes over which digests are computed.
     pub(crate) fn to_bytes(self) -> Vec<u8> {
         [self.epoch.to_le_bytes(), self.sequence.to_le_bytes()].concat()
     }
 }
 
-/// An entry as it travels.
+/// An entry in the form in which it is sent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipEntry {
-    /// Which of several entries of the key is newer.
+    /// Orders the entries of the key.
     pub revision: Revision,
     /// The version of the body's format.
     pub body_version: u16,
@@ -101,7 +104,7 @@
 }
 
 impl GossipEntry {
-    /// An entry with that body.
+    /// An entry with this body.
     pub fn new<T: Serialize>(revision: Revision, body_version: u16, body: &T) -> Self {
         Self { revision, body_version, body: postcard::to_stdvec(body).unwrap_or_default() }
     }
@@ -111,20 +114,20 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads an entry.
+    /// Decodes an entry.
     ///
     /// # Errors
     ///
-    /// Bytes that are not one.
+    /// The bytes are not an entry.
     pub fn decode(bytes: &[u8]) -> Result<Self, DecodeError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 
-    /// Reads the body, ignoring what a newer version has appended to it.
+    /// Decodes the body, ignoring the fields that a newer version has appended to it.
     ///
     /// # Errors
     ///
-    /// A body that does not begin with a `T`.
+    /// The body does not begin with a `T`.
     pub fn decode_body<'a, T: Deserialize<'a>>(&'a self) -> Result<T, DecodeError> {
         let (body, _) = postcard::take_from_bytes(&self.body)?;
         Ok(body)
@@ -134,9 +137,9 @@
 /// The state of a cache in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CacheStatus {
-    /// Whether it takes new work.
+    /// Whether the cache accepts new work.
     pub ready: bool,
-    /// Whether it was removed from the list.
+    /// Whether the cache was removed from the list.
     pub removed: bool,
     /// When the cache was started.
     pub started_at: Ms,
--- a/crates/membership/src/gossip/entry_table.rs
+++ b/crates/membership/src/gossip/entry_table.rs
@@ -1,7 +1,7 @@
 //! All known entries, the newest of each key, with digests by which two routers compare their tables.
 //!
-//! An entry of depth N is only for routers that share the outermost N names of this router's location. Digests are kept
-//! by depth, so that two routers compare only the entries that are for both.
+//! An entry of depth N is only for routers that share the outermost N names of this router's location.
+//! Digests are maintained by depth, so that two routers compare only the entries that are for both.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 use crate::gossip::entry::{EntryKey, GossipEntry};
 use crate::Ms;
 
-/// How much a table keeps.
+/// The limits of a table.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TableLimits {
     /// The number of entries.
@@ -30,14 +30,14 @@
     }
 }
 
-/// What an insertion did.
+/// The outcome of an insertion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InsertOutcome {
     /// The entry was new, or newer than the known one.
     Inserted,
     /// The entry is known, or a newer one is.
     Stale,
-    /// A limit of the table does not allow the entry.
+    /// The entry exceeds a limit of the table.
     Rejected,
 }
 
@@ -46,11 +46,12 @@
     entry: GossipEntry,
     bytes: usize,
     received_at: Ms,
-    /// How many names of their locations two routers must share for one to send it to the other; 0 for all routers.
+    /// How many names the locations of two routers must share for one to send the entry to the other; 0 for
+    /// all routers.
     depth: usize,
 }
 
-/// How many partitions of a table are compared separately.
+/// The number of partitions of a table that are compared separately.
 pub const PARTITIONS: usize = 16;
 
 /// A digest of each partition: the wrapping sum over its entries, which does not depend on their order.
@@ -88,7 +89,7 @@
         Self { limits, ..Self::default() }
     }
 
-    /// Applies other limits. Entries beyond them stay until they are replaced or removed.
+    /// Applies other limits. Stored entries beyond them remain until they are replaced or removed.
     pub fn set_limits(&mut self, limits: TableLimits) {
         self.limits = limits;
     }
@@ -123,7 +124,7 @@
         self.digests_within(MAX_DEPTH)
     }
 
-    /// The digests of the entries that are for a router which shares that many names.
+    /// The digests of the entries for a router whose location shares this many names.
     pub fn digests_within(&self, common_depth: usize) -> PartitionDigests {
         let mut total: PartitionDigests = [0; PARTITIONS];
         for digests in self.digests.iter().take(common_depth + 1) {
@@ -134,31 +135,31 @@
         total
     }
 
-    /// The depth of an entry: how many names must be shared for it to be sent; 0 where it is unknown.
+    /// The depth of an entry; 0 if the entry is unknown.
     pub fn depth(&self, key: &[u8]) -> usize {
         self.entries.get(key).map_or(0, |stored| stored.depth)
     }
 
-    /// The keys of entries that are for a router which shares that many names.
+    /// The keys of the entries for a router whose location shares this many names.
     pub fn keys_within(&self, common_depth: usize) -> impl Iterator<Item = &Vec<u8>> {
         self.entries.iter().filter(move |(_, stored)| stored.depth <= common_depth).map(|(key, _)| key)
     }
 
-    /// Inserts an entry that is for all routers.
+    /// Inserts an entry for all routers.
     pub fn insert(&mut self, now: Ms, key: &[u8], entry: GossipEntry) -> InsertOutcome {
         self.insert_within(now, key, entry, 0)
     }
 
-    /// Inserts an entry that is for routers which share that many names.
+    /// Inserts an entry for the routers whose locations share `depth` names.
     pub fn insert_within(&mut self, now: Ms, key: &[u8], entry: GossipEntry, depth: usize) -> InsertOutcome {
         let known = self.entries.get(key);
-        // Of two entries with one revision the one with the greater body counts, at every router.
+        // Of two entries with the same revision every router keeps the one with the greater body.
         let is_newer = |known: &GossipEntry| (entry.revision, &entry.body) > (known.revision, &known.body);
         if known.is_some_and(|known| !is_newer(&known.entry)) {
             return InsertOutcome::Stale;
         }
         let bytes = key.len() + entry.body.len();
-        if !self.has_room(key, bytes) {
+        if !self.is_within_limits(key, bytes) {
             return InsertOutcome::Rejected;
         }
         self.remove(key);
@@ -171,8 +172,8 @@
         InsertOutcome::Inserted
     }
 
-    /// Whether the limits allow an entry of that key and size, in place of the known one.
-    fn has_room(&self, key: &[u8], bytes: usize) -> bool {
+    /// Whether the limits allow an entry of this key and size, in place of the known one.
+    fn is_within_limits(&self, key: &[u8], bytes: usize) -> bool {
         let replaced_bytes = self.entries.get(key).map(|known| known.bytes);
         let is_new_key = replaced_bytes.is_none();
         let total_bytes = self.bytes - replaced_bytes.unwrap_or(0) + bytes;
@@ -183,7 +184,7 @@
         !is_table_full && !is_unknown_full && !is_too_large
     }
 
-    /// Removes an entry; false where there is none.
+    /// Removes an entry. Returns false if there is none.
     pub fn remove(&mut self, key: &[u8]) -> bool {
         let Some(removed) = self.entries.remove(key) else { return false };
         self.unknown -= usize::from(is_unknown_kind(key));
@@ -198,7 +199,8 @@
         self.entries.get(key).map(|stored| stored.received_at)
     }
 
-    /// The keys of expiring entries that were received before that time. Entries of unknown kinds always expire.
+    /// The keys of the entries that were received before this time and are of a kind that expires. Entries of
+    /// unknown kinds always expire.
     pub fn keys_older_than(&self, before: Ms, expires: impl Fn(&EntryKey) -> bool) -> Vec<Vec<u8>> {
         let is_old = |(key, stored): &(&Vec<u8>, &StoredEntry)| {
             stored.received_at < before && EntryKey::decode(key).is_none_or(|key| expires(&key))
@@ -211,7 +213,7 @@
         self.differing_within(other, MAX_DEPTH)
     }
 
-    /// The same for entries that are for a router which shares that many names.
+    /// The same, restricted to entries for a router whose location shares this many names.
     pub fn differing_within(
         &self,
         other: &PartitionDigests,
--- a/crates/membership/src/gossip/mod.rs
+++ b/crates/membership/src/gossip/mod.rs
@@ -1,5 +1,5 @@
-//! How entries spread between routers: their form, the table of known entries, broadcast trees, the repair of gaps, and
-//! the queues and the rate limit of what is sent.
+//! Gossip between routers: the format of entries, the table of known entries, broadcast trees, anti-entropy,
+//! and the send queues with their rate limit.
 
 pub mod anti_entropy;
 pub mod entry;
--- a/crates/membership/src/gossip/outbox.rs
+++ b/crates/membership/src/gossip/outbox.rs
@@ -1,5 +1,5 @@
-//! Entries and messages that wait to be sent: entries for all peers, by urgency, and those for one peer alone, in their
-//! order.
+//! Queues of entries and messages to send: entries for all peers by urgency, and entries and messages for a
+//! single peer in the order of queueing.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,9 +9,9 @@
 use crate::gossip::rate_limit::TokenBucket;
 use crate::Ms;
 
-/// The number of entries and messages that may wait for single peers.
+/// The largest number of queued entries and messages for single peers.
 const MAX_DIRECT: usize = 16_384;
-/// With this many entries for all peers waiting, their size is not looked at: they are too many.
+/// With this many queued entries for all peers their size is not computed: they never leave ample tokens.
 const MAX_MEASURED: usize = 256;
 /// The most bytes that encoding adds to the body of an entry.
 const MAX_ENTRY_OVERHEAD_BYTES: usize = 26;
@@ -21,13 +21,13 @@
 pub struct Bundle {
     /// The entries.
     pub entries: Vec<EncodedEntry>,
-    /// Bytes of their keys and values.
+    /// The number of bytes of their keys and values.
     pub bytes: usize,
 }
 
 impl Bundle {
-    /// Whether an entry of that size fits beside the others, and the rate limit allows to send it `copies` times. The
-    /// first entry of a bundle fits whatever its size.
+    /// Whether an entry of this size fits into the bundle, and the rate limit allows sending it `copies`
+    /// times. The first entry of a bundle fits whatever its size.
     pub fn admits(
         &self,
         now: Ms,
@@ -47,7 +47,7 @@
     }
 }
 
-/// What waits to be sent.
+/// The entries and messages that are queued for sending.
 #[derive(Debug, Clone, Default)]
 pub struct Outbox {
     /// Keys of entries for all peers, by urgency and then by key.
@@ -67,12 +67,12 @@
         self.direct.push_back((peer.to_string(), entry));
     }
 
-    /// Whether that many more entries and messages may wait for single peers.
-    pub fn has_room_for(&self, additional: usize) -> bool {
+    /// Whether this many more entries and messages may be queued for single peers.
+    pub fn has_capacity_for(&self, additional: usize) -> bool {
         self.direct.len() + additional <= MAX_DIRECT
     }
 
-    /// Removes everything that waits for one peer alone.
+    /// Removes everything that is queued for this peer alone.
     pub fn remove_peer(&mut self, peer: &str) {
         self.direct.retain(|(to, _)| to != peer);
     }
@@ -83,18 +83,18 @@
         self.direct.clear();
     }
 
-    /// Whether nothing waits.
+    /// Whether nothing is queued.
     pub fn is_empty(&self) -> bool {
         self.broadcast.is_empty() && self.direct.is_empty()
     }
 
-    /// The number of entries and messages that wait.
+    /// The number of queued entries and messages.
     pub fn len(&self) -> usize {
         self.broadcast.len() + self.direct.len()
     }
 
-    /// Whether half of the rate limit's burst would be left after all entries for all peers were sent over that many
-    /// links.
+    /// Whether half of the rate limit's burst would be left if all queued entries for all peers were sent
+    /// over this many links.
     pub fn leaves_ample_tokens(
         &self,
         now: Ms,
@@ -108,7 +108,8 @@
         self.broadcast.len() < MAX_MEASURED && rate_limiter.has_ample_tokens(now, bytes * links)
     }
 
-    /// Takes the most urgent entries for all peers, as far as the rate limit allows to send them over that many links.
+    /// Takes the most urgent entries for all peers, as far as the rate limit allows sending them over this
+    /// many links.
     pub fn take_broadcast(
         &mut self,
         now: Ms,
@@ -135,7 +136,8 @@
         bundle
     }
 
-    /// Takes what waits for single peers, the first first, as far as the rate limit allows. By peer.
+    /// Takes the entries and messages for single peers in the order of queueing, as far as the rate limit
+    /// allows. Returns them by peer.
     pub fn take_direct(
         &mut self,
         now: Ms,
@@ -143,7 +145,7 @@
         rate_limiter: &mut TokenBucket,
     ) -> BTreeMap<String, Bundle> {
         let mut by_peer = BTreeMap::<String, Bundle>::new();
-        // The limit of one bundle holds for all peers together.
+        // The size limit of a bundle applies to all peers together.
         let mut total = Bundle::default();
         while let Some((_, entry)) = self.direct.front() {
             let bytes = entry.byte_count();
--- a/crates/membership/src/gossip/plumtree.rs
+++ b/crates/membership/src/gossip/plumtree.rs
@@ -1,10 +1,11 @@
-//! Over which links a new entry is sent complete, and over which only its digest: one broadcast tree for each key
-//! (Plumtree, Leitão et al. 2007).
+//! Selects the links over which a new entry is sent in full, and those over which only its digest is sent:
+//! one broadcast tree for each key (Plumtree, Leitão et al. 2007).
 //!
-//! All links are eager at first. A link over which an entry arrives a second time is pruned for the entry's key at both
-//! ends: it is lazy for that key from then on, and carries only digests of new entries. An entry of which only digests
-//! arrive is requested (grafted), and the link it then arrives over is eager again. The link over which an entry arrived
-//! first is never pruned, nor is a link whose other end does not support lazy links.
+//! All links are eager at first. A link over which an entry arrives a second time is pruned for the entry's
+//! key at both ends: it is lazy for that key from then on, and carries only digests of new entries. An entry
+//! of which only digests arrive is requested (grafted), and the link it then arrives over is eager again. The
+//! link over which an entry arrived first is never pruned, nor is a link whose other end does not support
+//! lazy links.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,11 +17,12 @@
 /// The settings of the broadcast trees.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlumtreeConfig {
-    /// Whether links are pruned at all.
+    /// Whether links are pruned.
     pub lazy_links: bool,
     /// How often digests of new entries are sent over a lazy link that carries nothing else.
     pub announce_interval: Ms,
-    /// How long an announced entry is waited for before it is requested, and before it is requested from another peer.
+    /// How long to wait for an announced entry before requesting it, and for a requested one before
+    /// requesting it from another peer.
     pub graft_timeout: Ms,
 }
 
@@ -35,13 +37,13 @@
 
 /// The most digests of one message, and the most keys for which one link is lazy.
 const MAX_DIGESTS: usize = 4_096;
-/// The number of entries whose digests are remembered.
+/// The largest number of entries whose digests are remembered.
 const MAX_SEEN: usize = 8_192;
 /// How long the digest of an entry is remembered, in milliseconds.
 const SEEN_RETENTION_MS: Ms = 60_000.0;
-/// The number of announced entries that are missing.
+/// The largest number of announced entries that are missing.
 const MAX_MISSING: usize = 4_096;
-/// The number of peers that one missing entry may be requested from.
+/// The largest number of peers from which one missing entry is requested.
 const MAX_GRAFT_LINKS: usize = 8;
 
 #[derive(Debug, Clone, Default)]
@@ -49,7 +51,7 @@
     supports_lazy_links: bool,
     /// Digests of the keys for which the link is lazy.
     lazy_keys: BTreeSet<Digest>,
-    /// Digests of new entries that were not announced yet, by key.
+    /// Digests of new entries that have not been announced yet, by key.
     pending_ihave: BTreeMap<Vec<u8>, Digest>,
     pending_prune: BTreeSet<Digest>,
     pending_graft: BTreeSet<Digest>,
@@ -59,7 +61,7 @@
 #[derive(Debug, Clone)]
 struct SeenEntry {
     key: Vec<u8>,
-    /// The peer it arrived from first; none for an entry of this router.
+    /// The peer from which it arrived first; `None` for an entry of this router.
     received_from: Option<String>,
 }
 
@@ -67,45 +69,45 @@
 #[derive(Debug, Clone)]
 struct MissingEntry {
     retry_at: Ms,
-    /// The peers that announced it and were not asked yet.
+    /// The peers that announced it and from which it has not been requested yet.
     announced_by: VecDeque<String>,
 }
 
-/// What is to be sent over one link, as digests.
+/// The messages to send over one link, as digests.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct PlumtreeMessages {
-    /// Keys of which no more complete entries are wanted.
+    /// Keys for which this router wants digests of entries only.
     pub prune: Vec<Digest>,
     /// Entries that this router has.
     pub ihave: Vec<Digest>,
-    /// Entries that this router requests.
+    /// Entries that this router requests in full.
     pub graft: Vec<Digest>,
 }
 
-/// How much is remembered.
+/// The sizes of the state of the broadcast trees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlumtreeSizes {
     /// Entries whose digests are remembered.
     pub seen: usize,
     /// Announced entries that have not arrived.
     pub missing: usize,
-    /// The most keys for which one link is lazy.
+    /// The largest number of keys for which a single link is lazy.
     pub lazy: usize,
 }
 
-/// The broadcast trees as one router sees them.
+/// One router's state of the broadcast trees.
 #[derive(Debug, Clone)]
 pub struct Plumtree {
     config: PlumtreeConfig,
     links: BTreeMap<String, PeerLink>,
     seen: BTreeMap<Digest, SeenEntry>,
-    /// When each entry was seen first, the oldest first.
+    /// When each entry was first seen, the oldest first.
     seen_order: VecDeque<(Ms, Digest)>,
     missing: BTreeMap<Digest, MissingEntry>,
     last_announced: Ms,
 }
 
-/// Whether entries of that kind use lazy links: the kinds that are published again and again.
+/// Whether entries of this kind use lazy links: the kinds that are published repeatedly.
 pub fn uses_lazy_links(key: &EntryKey) -> bool {
     matches!(key, EntryKey::VersionUpdate(_) | EntryKey::Summary(_))
 }
@@ -118,12 +120,12 @@
     xxh3_64_with_seed(&revision.to_bytes(), xxh3_64(key)) as Digest
 }
 
-/// Digests as the body of a message.
+/// Encodes digests as the body of a message.
 pub fn encode_digests(digests: &[Digest]) -> Vec<u8> {
     digests.iter().flat_map(|digest| digest.to_le_bytes()).collect()
 }
 
-/// Reads the body of a message; `None` where it has too many digests or ends within one.
+/// Decodes the body of a message; `None` if it has too many digests or ends within one.
 pub fn decode_digests(bytes: &[u8]) -> Option<Vec<Digest>> {
     let size = size_of::<Digest>();
     let is_valid = bytes.len().is_multiple_of(size) && bytes.len() <= MAX_DIGESTS * size;
@@ -155,7 +157,7 @@
 }
 
 impl Plumtree {
-    /// No link, and nothing seen.
+    /// The state of a router without links that has seen no entry.
     pub fn new(config: PlumtreeConfig) -> Self {
         Self {
             config,
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Applies other times. Whether links are pruned stays as the peers were told in the handshake.
+    /// Applies other settings except `lazy_links`, which the handshake has announced to the peers already.
     pub fn set_config(&mut self, config: PlumtreeConfig) {
         self.config = PlumtreeConfig { lazy_links: self.config.lazy_links, ..config };
     }
@@ -194,7 +196,7 @@
         }
     }
 
-    /// The link with a peer, where both ends support lazy links.
+    /// The link with a peer, if both ends support lazy links.
     fn lazy_capable_link(&mut self, name: &str) -> Option<&mut PeerLink> {
         self.links.get_mut(name).filter(|link| link.supports_lazy_links)
     }
@@ -208,7 +210,7 @@
         self.is_lazy_digest(name, key_digest(key))
     }
 
-    /// How much is remembered.
+    /// The sizes of the state.
     pub fn sizes(&self) -> PlumtreeSizes {
         PlumtreeSizes {
             seen: self.seen.len(),
@@ -217,7 +219,8 @@
         }
     }
 
-    /// Records an entry that is new, from a peer or from this router. The link it arrived over is eager for its key.
+    /// Records a new entry of a peer or of this router. The link over which it arrived becomes eager for its
+    /// key.
     pub fn record_new(&mut self, now: Ms, key: &[u8], revision: Revision, from: Option<&str>) {
         let digest = entry_digest(key, revision);
         self.missing.remove(&digest);
@@ -241,8 +244,8 @@
         }
     }
 
-    /// Records an entry that was known. The link is pruned for its key, if the entry arrived first over another link
-    /// that is still there and eager.
+    /// Records a received entry that was known already. The link is pruned for its key, if the entry first
+    /// arrived over another link that still exists and is eager.
     pub fn record_duplicate(&mut self, from: &str, key: &[u8], revision: Revision) {
         let Some(seen) = self.seen.get(&entry_digest(key, revision)) else { return };
         let key_digest = key_digest(key);
@@ -278,15 +281,16 @@
         }
     }
 
-    /// Handles a peer's request for digests only of these keys.
+    /// Handles a peer's request to send only digests for these keys.
     pub fn handle_prune(&mut self, from: &str, keys: &[Digest]) {
         if let Some(link) = self.lazy_capable_link(from) {
-            let room = MAX_DIGESTS.saturating_sub(link.lazy_keys.len());
-            link.lazy_keys.extend(keys.iter().take(room));
+            let free_capacity = MAX_DIGESTS.saturating_sub(link.lazy_keys.len());
+            link.lazy_keys.extend(keys.iter().take(free_capacity));
         }
     }
 
-    /// Handles a peer's announcement of these entries: those that do not arrive soon are requested.
+    /// Handles a peer's announcement of these entries. Those that do not arrive within the graft timeout are
+    /// requested.
     pub fn handle_ihave(&mut self, now: Ms, from: &str, entries: &[Digest]) {
         let Some(link) = self.links.get_mut(from).filter(|link| link.supports_lazy_links) else { return };
         for digest in entries {
@@ -307,8 +311,8 @@
         }
     }
 
-    /// Handles a peer's request for these entries: the link is eager for their keys again. The keys of the entries to
-    /// send.
+    /// Handles a peer's request for these entries: the link becomes eager for their keys again. Returns the
+    /// keys of the entries to send.
     pub fn handle_graft(&mut self, from: &str, entries: &[Digest]) -> Vec<Vec<u8>> {
         let Some(link) = self.links.get_mut(from).filter(|link| link.supports_lazy_links) else {
             return Vec::new();
@@ -322,7 +326,8 @@
         keys
     }
 
-    /// Requests the announced entries that have not arrived in time, from one announcing peer after another.
+    /// Requests the announced entries that have not arrived in time, from one of the announcing peers after
+    /// another.
     pub fn tick(&mut self, now: Ms) {
         let links = &mut self.links;
         let graft_timeout = self.config.graft_timeout;
@@ -372,7 +377,7 @@
         }
     }
 
-    /// Records that all links have had their turn.
+    /// Records that the pending messages of all links have been processed.
     pub fn finish_round(&mut self, now: Ms) {
         if self.announcement_is_due(now) {
             self.last_announced = now;
--- a/crates/membership/src/gossip/rate_limit.rs
+++ b/crates/membership/src/gossip/rate_limit.rs
@@ -2,7 +2,7 @@
 
 use crate::Ms;
 
-/// How much may be sent.
+/// The settings of the rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimitConfig {
     /// The rate at which the bucket fills.
@@ -52,14 +52,15 @@
         self.refilled_at = now;
     }
 
-    /// Whether half of a full bucket would be left after that many bytes.
+    /// Whether half of a full bucket would be left after sending this many bytes.
     pub fn has_ample_tokens(&mut self, now: Ms, bytes: usize) -> bool {
         self.refill(now);
         self.tokens - bytes as f64 >= self.config.burst_bytes() / 2.0
     }
 
-    /// Takes tokens for that many bytes; false, and nothing is taken, where there are too few. A message that is larger
-    /// than the bucket passes when the bucket is full and leaves it in debt.
+    /// Takes tokens for this many bytes. Returns false, and takes nothing, if there are too few. A message
+    /// that is larger than the bucket is allowed while the bucket is full, and leaves a negative number of
+    /// tokens.
     pub fn try_consume(&mut self, now: Ms, bytes: usize) -> bool {
         self.refill(now);
         let required = (bytes as f64).min(self.config.burst_bytes());
--- a/crates/membership/src/gossip/wire.rs
+++ b/crates/membership/src/gossip/wire.rs
@@ -1,9 +1,10 @@
 //! The keys of messages that are not entries.
 //!
-//! The key of an entry is an [`EntryKey`](crate::gossip::entry::EntryKey). An empty key stands for the digests of the
-//! sender's table, and a key of one of these single bytes for a message of that kind.
+//! The key of an entry is an [`EntryKey`](crate::gossip::entry::EntryKey). An empty key marks the digests of
+//! the sender's table, and a key that is one of these single bytes marks a message of that kind.
 
-/// The first tag of a message. Tags from here up to [`HANDSHAKE_TAG`] belong to other parts of the router.
+/// The first tag of a message. Tags from here up to [`HANDSHAKE_TAG`] belong to other components of the
+/// router.
 pub const FIRST_MESSAGE_TAG: u8 = 0xf0;
 /// A [`LinkHandshake`](crate::aggregation::scope::LinkHandshake).
 pub const HANDSHAKE_TAG: u8 = 0xf8;
@@ -11,16 +12,16 @@
 pub const QUERY_TAG: u8 = 0xf9;
 /// The answer to a query.
 pub const ANSWER_TAG: u8 = 0xfa;
-/// Keys of which no more complete entries are wanted.
+/// Digests of keys for which the sender wants digests of entries only.
 pub const PRUNE_TAG: u8 = 0xfb;
 /// Digests of entries that the sender has.
 pub const IHAVE_TAG: u8 = 0xfc;
-/// Digests of entries that the sender requests.
+/// Digests of entries that the sender requests in full.
 pub const GRAFT_TAG: u8 = 0xfd;
 /// The timestamp of the sender.
 pub const TIMESTAMP_TAG: u8 = 0xff;
 
-/// Whether a message of that tag is between routers that have locations.
+/// Whether messages with this tag are exchanged only between routers that have locations.
 pub fn is_topology_tag(tag: u8) -> bool {
     matches!(tag, HANDSHAKE_TAG..=GRAFT_TAG)
 }
--- a/crates/membership/src/hybrid_clock.rs
+++ b/crates/membership/src/hybrid_clock.rs
@@ -1,7 +1,7 @@
-//! A hybrid logical clock (Kulkarni et al. 2014): the time that orders events of several routers.
+//! A hybrid logical clock (Kulkarni et al. 2014) that orders events of several routers.
 //!
-//! It follows the system clock where that is ahead, and counts on from the newest timestamp received where the system
-//! clock is behind. It never goes back.
+//! It follows the system clock while that is ahead of all timestamps, and counts on from the newest received
+//! timestamp while the system clock is behind it. Its timestamps never decrease.
 
 use std::fmt;
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,8 +1,8 @@
-//! Which routers are alive: those that can be reached over links that both of their ends report.
+//! Determines which routers are alive: those that can be reached over links that both of their ends report.
 //!
-//! Heartbeats watch the links themselves; routers gossip only that a link came up or went down, so nothing is sent while
-//! nothing changes. A report counts only while its sender can be reached, and an earlier incarnation never replaces a
-//! later one.
+//! The links themselves are monitored by heartbeats. Routers gossip only that a link came up or went down, so
+//! nothing is sent while nothing changes. A report is used only while its sender can be reached, and an
+//! earlier incarnation never replaces a later one.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -36,10 +36,10 @@
     /// It cannot be reached: partitioned, frozen or dead.
     #[serde(rename = "Suspected")]
     Suspect,
-    /// It could not be reached for long.
+    /// It could not be reached for longer than [`MembershipTimeouts::dead_after`].
     #[serde(rename = "Gone")]
     Dead,
-    /// It announced a graceful shutdown and cannot be reached any more.
+    /// It announced a graceful shutdown and can no longer be reached.
     Left,
 }
 
@@ -60,15 +60,15 @@
 pub enum MemberChange {
     /// Its first status arrived.
     Joined,
-    /// It runs in another incarnation than this one now.
+    /// It restarted; carries its previous incarnation.
     Restarted(u64),
-    /// Its state is another one now.
+    /// It entered this state.
     StateChanged(MemberState),
-    /// It was unreachable for so long that it is forgotten.
+    /// It was removed after [`MembershipTimeouts::forget_after`].
     Forgotten,
 }
 
-/// A router's change of membership.
+/// A change of a router's membership, with the router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberEvent {
     /// The router.
@@ -84,7 +84,7 @@
 pub struct Member {
     /// The time of its start, in microseconds.
     pub incarnation: u64,
-    /// What it last reported.
+    /// The status that it last reported.
     pub status: RouterStatus,
     /// Its state.
     pub state: MemberState,
@@ -136,14 +136,14 @@
     /// Peers and their incarnations.
     links: BTreeSet<(String, u64)>,
     members: BTreeMap<String, Member>,
-    /// A link or a status changed: other routers may be reachable now.
+    /// A link or a status changed, and with it possibly which routers can be reached.
     reachability_changed: bool,
     /// When a state changes by time alone.
     deadline: Ms,
 }
 
 impl MemberList {
-    /// The list of a router by that name, without members.
+    /// The list of the router with this name, without members.
     pub fn new(timeouts: MembershipTimeouts, name: &str) -> Self {
         Self {
             timeouts,
@@ -183,7 +183,7 @@
         self.reachability_changed |= has_changed;
     }
 
-    /// Takes in the status of a router, the newest one known. A change of its incarnation is returned.
+    /// Applies the newest known status of a router. Returns whether the router joined or restarted.
     pub fn update_status(
         &mut self,
         now: Ms,
@@ -209,7 +209,7 @@
         None
     }
 
-    /// Applies an update to the status of a router in that incarnation.
+    /// Applies an update to the status of a router, if it is known in this incarnation.
     pub fn apply_version_update(&mut self, name: &str, incarnation: u64, update: &VersionUpdate) {
         let member = self.members.get_mut(name);
         if let Some(member) = member.filter(|member| member.incarnation == incarnation) {
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Removes a router, if it is known in that incarnation.
+    /// Removes a router, if it is known in this incarnation.
     pub fn remove_incarnation(&mut self, name: &str, incarnation: u64) {
         if self.members.get(name).is_some_and(|member| member.incarnation == incarnation) {
             self.members.remove(name);
@@ -225,8 +225,8 @@
         }
     }
 
-    /// The routers that can be reached: over a link of this router, or over one that both ends report from another
-    /// router that can be reached.
+    /// The routers that can be reached: over a link of this router, or from another router that can be
+    /// reached, over a link that both ends report.
     fn reachable(&self) -> BTreeSet<&str> {
         let is_current = |name: &String, incarnation: u64| {
             self.members.get(name).is_some_and(|m| m.incarnation == incarnation)
@@ -290,7 +290,7 @@
         events
     }
 
-    /// When [`MemberList::tick`] has something to do; infinite where no state changes by time alone.
+    /// When [`MemberList::tick`] is due; infinite if no state changes by time alone.
     pub fn next_deadline(&self, now: Ms) -> Ms {
         match self.reachability_changed {
             true => now,
--- a/crates/membership/src/snapshot_transfer.rs
+++ b/crates/membership/src/snapshot_transfer.rs
@@ -1,7 +1,7 @@
-//! How a router that gossip alone cannot bring up to date gets a complete snapshot from a peer.
+//! The transfer of a complete snapshot from a peer, for a router that gossip alone cannot bring up to date.
 //!
-//! Only the chunks of one answer make a snapshot. The size is bounded, and a peer that stops sending is replaced by
-//! another one.
+//! A snapshot is assembled only from chunks of the same request. Its size is bounded, and if a peer stops
+//! sending, the snapshot is requested from another one.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,9 +10,10 @@
 /// When a snapshot is requested, and its limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SnapshotTransferConfig {
-    /// How long a router is behind a peer before it requests a snapshot: gossip would have arrived by then.
+    /// How long a router is behind a peer before it requests a snapshot: entries would have arrived by gossip
+    /// by then.
     pub start_after: Ms,
-    /// How long a peer may send nothing before another one is asked.
+    /// How long a peer may send nothing before the snapshot is requested from another one.
     pub peer_timeout: Ms,
     /// The largest snapshot, in bytes.
     pub max_bytes: usize,
@@ -29,17 +30,17 @@
 /// A part of a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The request that it answers.
+    /// The id of the request.
     pub request_id: u64,
-    /// Its position among the chunks, from 0.
+    /// The chunk's position among the chunks, from 0.
     pub index: u32,
     /// The number of chunks.
     pub total: u32,
-    /// Its part of the snapshot.
+    /// The chunk's bytes of the snapshot.
     pub bytes: Vec<u8>,
 }
 
-/// Splits a snapshot into chunks; none where it is empty or larger than the limit.
+/// Splits a snapshot into chunks. Returns none if the snapshot is empty or larger than the limit.
 pub fn split_snapshot(
     request_id: u64,
     snapshot: &[u8],
@@ -58,9 +59,9 @@
 /// A request for a snapshot to send now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SnapshotRequest {
-    /// The peer to ask.
+    /// The peer to which the request is sent.
     pub peer: String,
-    /// The number that the chunks of the answer carry.
+    /// The id that the chunks carry.
     pub request_id: u64,
 }
 
@@ -80,7 +81,7 @@
     active: Option<ActiveTransfer>,
     /// Since when some peer has been ahead.
     behind_since: Option<Ms>,
-    /// The peer that was asked last: the next one by name is asked next.
+    /// The peer of the last request: the next request goes to the next peer by name.
     last_peer: Option<String>,
     request_count: u64,
 }
@@ -122,14 +123,14 @@
         Some(SnapshotRequest { peer, request_id })
     }
 
-    /// The peer after the one that was asked last, in the order of their names, starting over after the last one.
+    /// The peer after the one of the last request, by name, starting over after the last name.
     fn next_peer<'a>(&self, peers: &[&'a str]) -> Option<&'a str> {
         let is_after_last = |name: &&&str| self.last_peer.as_deref().is_none_or(|last| **name > last);
         let following = peers.iter().filter(is_after_last).min();
         following.or(peers.iter().min()).copied()
     }
 
-    /// Takes in a chunk. The complete snapshot, once all chunks have arrived in order.
+    /// Accepts a chunk. Returns the complete snapshot once all chunks have arrived in order.
     pub fn receive_chunk(&mut self, now: Ms, from: &str, chunk: &SnapshotChunk) -> Option<Vec<u8>> {
         let active = self.active.as_mut()?;
         let is_answer = active.request_id == chunk.request_id && active.peer == from;
--- a/crates/membership/src/straggler.rs
+++ b/crates/membership/src/straggler.rs
@@ -1,8 +1,9 @@
-//! Routers that act on a hierarchy below the version floor, or know too little to vouch for what they do.
+//! Stragglers: routers that act on a hierarchy below the version floor, or that are isolated without an
+//! up-to-date journal.
 //!
-//! [`StragglerDetector`] decides whether this router is one: it first gets time to catch up, then excludes itself, and
-//! comes back over a recovery ramp. A network partition alone never excludes a router whose journal is up to date.
-//! [`FloorMonitor`] tells which other routers are stragglers, whose news does not count.
+//! [`StragglerDetector`] decides whether this router is one: it first has a grace period to catch up, then
+//! excludes itself, and recovers over a ramp. A network partition alone never excludes a router whose journal
+//! is up to date. [`FloorMonitor`] determines which other routers are stragglers, whose entries are ignored.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +11,15 @@
 
 use crate::Ms;
 
-/// When a router excludes itself, and how it comes back.
+/// When a router excludes itself, and how it recovers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StragglerConfig {
     /// How long a router may act below the version floor before it is excluded.
     pub grace_period: Ms,
-    /// How long a router may be without a reachable peer and without its journal before it is excluded.
+    /// How long a router may be without a reachable peer and without an up-to-date journal before it is
+    /// excluded.
     pub isolation_timeout: Ms,
-    /// How long a router takes to come back.
+    /// The time over which a router recovers.
     pub recovery_ramp: Ms,
     /// The Retry-After of requests that an excluded router rejects.
     pub retry_after: Ms,
@@ -39,7 +41,7 @@
 pub enum ExclusionReason {
     /// It acts on a hierarchy below the version floor.
     Behind,
-    /// It reaches no peer, and its journal is silent too.
+    /// It can reach no peer, and its journal is not up to date.
     #[serde(rename = "Blind")]
     Isolated,
 }
@@ -57,28 +59,28 @@
 /// The state of this router.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum StragglerState {
-    /// It acts on the floor or above.
+    /// It acts on the version floor or above.
     #[serde(rename = "Well")]
     UpToDate,
-    /// It has acted below the floor since that time, and still has time to catch up.
+    /// It has acted below the floor since this time, within the grace period.
     #[serde(rename = "Late")]
     Lagging(Ms),
     /// It is excluded.
     #[serde(rename = "Out")]
     Excluded(ExclusionReason),
-    /// It has been coming back since that time.
+    /// It has been recovering since this time.
     #[serde(rename = "Returning")]
     Recovering(Ms),
 }
 
-/// What is known of this router at a time.
+/// The state of this router that decides whether it is a straggler.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StragglerObservation {
     /// The version of the hierarchy that it acts on.
     pub own_version: u64,
-    /// The version below which no router is to act.
+    /// The lowest version that routers may act on.
     pub floor: u64,
-    /// Since when no peer can be reached; `None` while one can.
+    /// Since when no peer can be reached; `None` while one can be.
     pub isolated_since: Option<Ms>,
     /// Until when the journal is considered up to date.
     pub journal_valid_until: Ms,
@@ -112,7 +114,7 @@
         self.state
     }
 
-    /// Takes in an observation. The state that is entered, if it is another one.
+    /// Updates the state by an observation. Returns the new state if it changed.
     pub fn observe(&mut self, now: Ms, observation: &StragglerObservation) -> Option<StragglerState> {
         let before = self.state;
         self.state = self.next_state(now, observation);
@@ -121,8 +123,8 @@
 
     fn next_state(&self, now: Ms, observation: &StragglerObservation) -> StragglerState {
         let StragglerConfig { grace_period, isolation_timeout, recovery_ramp, .. } = self.config;
-        let without_news = |since: Ms| now - since.max(observation.journal_valid_until);
-        let is_isolated = observation.isolated_since.map_or(0.0, without_news) >= isolation_timeout;
+        let isolated_for = |since: Ms| now - since.max(observation.journal_valid_until);
+        let is_isolated = observation.isolated_since.map_or(0.0, isolated_for) >= isolation_timeout;
         if is_isolated {
             return StragglerState::Excluded(ExclusionReason::Isolated);
         }
@@ -154,7 +156,8 @@
     }
 }
 
-/// The newest version that a majority of the voters acts on. A voter that was never heard of acts on none.
+/// The newest version that a majority of the voters acts on. A voter whose version is unknown counts with
+/// version 0.
 pub fn majority_version(versions: &[Option<u64>]) -> u64 {
     let mut known: Vec<u64> = versions.iter().map(|version| version.unwrap_or(0)).collect();
     known.sort_unstable_by(|a, b| b.cmp(a));
@@ -176,12 +179,13 @@
 }
 
 impl FloorMonitor {
-    /// The version below which no router is to act.
+    /// The lowest version that routers may act on.
     pub fn floor(&self) -> u64 {
         self.floor
     }
 
-    /// Sets the floor, and how long a router may act below it before it is a straggler. Another floor starts anew.
+    /// Sets the floor, and how long a router may act below it before it is a straggler. If the floor changes,
+    /// the grace period of all routers starts again.
     pub fn set_floor(&mut self, floor: u64, grace_period: Ms) {
         self.grace_period = grace_period;
         if self.floor != floor {
@@ -190,7 +194,7 @@
         }
     }
 
-    /// Whether any router was below the floor when last updated.
+    /// Whether any router was below the floor at the last update.
     pub fn is_any_behind(&self) -> bool {
         !self.behind_since.is_empty()
     }
--- a/crates/membership/src/versions.rs
+++ b/crates/membership/src/versions.rs
@@ -1,4 +1,4 @@
-//! The versions a router acts on, and the status in which it reports them to other routers.
+//! The versions that a router acts on, and the status by which it reports them to other routers.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,13 +11,13 @@
 /// The version of [`RouterStatus`] that a router with a location writes.
 pub const LOCATED_STATUS_VERSION: u16 = 3;
 
-/// A version of the hierarchy. Two hierarchies of one version differ in their digests.
+/// A version of the hierarchy. Different hierarchies with the same version differ in their digests.
 ///
 /// Serialized as a pair.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct HierarchyVersion {
-    /// The version; 0 where there is no hierarchy.
+    /// The version; 0 if there is no hierarchy.
     pub version: u64,
     /// A digest of the hierarchy's content.
     pub digest: u64,
@@ -35,7 +35,7 @@
     }
 }
 
-/// What a router acts on; digests stand for what is long.
+/// The versions that a router acts on. Settings, operator file and hierarchy are represented by digests.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ActiveVersions {
     /// The version of the program.
@@ -60,20 +60,20 @@
     pub purges_applied: u64,
 }
 
-/// What a router reports of itself.
+/// The status that a router reports of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RouterStatus {
-    /// What it acts on.
+    /// The versions that it acts on.
     pub versions: ActiveVersions,
     /// The peers it has links with, and their incarnations.
     pub links: Vec<(String, u64)>,
-    /// Whether it shuts down gracefully.
+    /// Whether it is shutting down gracefully.
     pub leaving: bool,
-    /// Where it is. Since status version 3.
+    /// Its location. Since status version 3.
     pub location: Option<Location>,
 }
 
-/// The parts of [`ActiveVersions`] that change all the time, reported without the rest.
+/// The frequently changing parts of [`ActiveVersions`], reported without the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct VersionUpdate {
     /// The hierarchy.
@@ -87,7 +87,7 @@
 }
 
 impl VersionUpdate {
-    /// The fast-changing parts of these versions.
+    /// The frequently changing parts of these versions.
     pub fn from_versions(versions: &ActiveVersions) -> Self {
         Self {
             hierarchy: versions.hierarchy,
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Replaces the fast-changing parts of these versions.
+    /// Replaces the frequently changing parts of these versions.
     pub fn apply_to(&self, versions: &mut ActiveVersions) {
         versions.hierarchy = self.hierarchy;
         versions.journal_position = self.journal_position;
@@ -132,8 +132,8 @@
 }
 
 impl RouterStatus {
-    /// The status as an entry of that version, which is at most [`NEWEST_STATUS_VERSION`]. With a location it is
-    /// written as [`LOCATED_STATUS_VERSION`] instead of the newest version.
+    /// The status as an entry of this version, which is at most [`NEWEST_STATUS_VERSION`]. A status with a
+    /// location is written as [`LOCATED_STATUS_VERSION`] instead of the newest version.
     pub fn encode(&self, revision: Revision, version: u16) -> GossipEntry {
         if version <= 1 {
             return GossipEntry::new(revision, 1, &self.to_v1());
@@ -147,11 +147,11 @@
         }
     }
 
-    /// Reads a status of any version, as far as this build knows its fields.
+    /// Decodes a status of any version, as far as this build knows its fields.
     ///
     /// # Errors
     ///
-    /// A body that is incomplete, and version 0.
+    /// The body is incomplete, or its version is 0.
     pub fn decode(entry: &GossipEntry) -> Result<Self, DecodeError> {
         match entry.body_version {
             0 => Err(DecodeError::UnknownVersion(0)),
@@ -197,10 +197,10 @@
     }
 }
 
-/// The version of the hierarchy below which no router is to act, as an operator has set it.
+/// The lowest version of the hierarchy that routers may act on, as set by an operator.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionFloor {
-    /// The version; 0 where the operator has withdrawn it.
+    /// The version; 0 if the operator has withdrawn the floor.
     pub version: u64,
     /// The router at which it was set.
     pub set_by: String,
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,6 +1,6 @@
-//! The cluster as one router sees it, in the form that commands print.
+//! The state of the cluster as known to one router, in the form that commands print.
 //!
-//! The serialized names are part of the output format of the commands and differ from the field names.
+//! The serialized names are the output format of the commands; some differ from the field names.
 
 use serde::{Deserialize, Serialize};
 
@@ -17,7 +17,7 @@
     /// Messages sent.
     #[serde(rename = "said")]
     pub messages_sent: u64,
-    /// Bytes of their entries, to all peers together.
+    /// Bytes of their entries, summed over all peers.
     #[serde(rename = "said_bytes")]
     pub bytes_sent: u64,
     /// Entries and messages received.
@@ -29,10 +29,10 @@
     /// Received entries that were known, or older than the known one.
     #[serde(rename = "old")]
     pub entries_stale: u64,
-    /// Entries that a limit did not allow.
+    /// Entries that exceeded a limit.
     #[serde(rename = "full")]
     pub entries_rejected: u64,
-    /// Received entries and messages that could not be read.
+    /// Received entries and messages that could not be decoded.
     pub unreadable: u64,
     /// Entries sent because a peer's digests showed that it lacks them.
     #[serde(rename = "repaired")]
@@ -40,10 +40,10 @@
     /// Later incarnations of this router's name that were rejected.
     #[serde(rename = "twins")]
     pub name_conflicts: u64,
-    /// How often this process was frozen.
+    /// How many times this process was frozen.
     #[serde(rename = "frozen")]
     pub freezes: u64,
-    /// Received entries that did not count because a straggler sent them.
+    /// Received entries that were ignored because a straggler sent them.
     #[serde(rename = "shut_out")]
     pub straggler_entries_ignored: u64,
     /// Received entries that are for other locations only.
@@ -67,12 +67,12 @@
     /// How long it has been in the state.
     #[serde(rename = "since")]
     pub state_age: Ms,
-    /// What it acts on.
+    /// The versions that it acts on.
     #[serde(rename = "acts")]
     pub versions: ActiveVersions,
     /// The number of its links.
     pub links: usize,
-    /// Whether it has been below the version floor for too long: its news does not count.
+    /// Whether it has been below the version floor for longer than the grace period: its entries are ignored.
     pub straggler: bool,
 }
 
@@ -115,7 +115,7 @@
     /// The oldest version of the hierarchy.
     #[serde(rename = "oldest")]
     pub oldest_hierarchy: Option<u64>,
-    /// Routers by what they act on.
+    /// Routers by the versions they act on.
     pub groups: Vec<(VersionGroup, u64)>,
     /// Routers of groups that are not listed.
     #[serde(rename = "others")]
@@ -159,24 +159,24 @@
     }
 }
 
-/// The cluster.
+/// The state of the cluster as known to one router.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClusterView {
     /// This router.
     pub me: RouterView,
-    /// Whether it takes part.
+    /// Whether it participates.
     #[serde(rename = "part")]
     pub participation: Participation,
-    /// All other routers of the site, or of the fleet where there are no locations.
+    /// All other routers of the site, or of the fleet if this router has no location.
     pub others: Vec<RouterView>,
     /// The number of known entries.
     #[serde(rename = "facts")]
     pub entries: usize,
     /// Bytes of the known entries.
     pub bytes: usize,
-    /// Entries and messages that wait to be sent.
+    /// Entries and messages that are queued for sending.
     pub pending: usize,
-    /// The version of the hierarchy below which no router is to act.
+    /// The lowest version of the hierarchy that routers may act on.
     pub floor: u64,
     /// Counters since the start.
     #[serde(rename = "counts")]
