--- a/crates/membership/tests/entry_table.rs
+++ b/crates/membership/tests/entry_table.rs
@@ -1,34 +1,36 @@
-//! The table of entries: the newest of each key in any order, gaps by digests, and limits.
+//! The table of entries: it stores the newest entry of each key in any order of insertion, finds missing
+//! entries by digests, and enforces its limits.
 
 use linnethook_membership::gossip::entry::Revision;
 use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
 use linnethook_membership::gossip::entry_table::{EntryTable, InsertOutcome, TableLimits, PARTITIONS};
 use proptest::prelude::*;
 
-fn entry(order: u64, body: u8) -> GossipEntry {
-    GossipEntry { revision: Revision::new(order, 0), body_version: 1, body: vec![body] }
+fn entry(epoch: u64, body: u8) -> GossipEntry {
+    GossipEntry { revision: Revision::new(epoch, 0), body_version: 1, body: vec![body] }
 }
 
 proptest! {
     /// Entries received in any order and any number of times give the same table and the same digests.
     #[test]
     fn tables_with_same_entries_are_equal_in_any_order(
-        facts in proptest::collection::vec((0u32..20, 0u64..6, 0u8..4), 0..120),
-        turns in proptest::collection::vec(any::<prop::sample::Index>(), 0..40),
+        entries in proptest::collection::vec((0u32..20, 0u64..6, 0u8..4), 0..120),
+        moves in proptest::collection::vec(any::<prop::sample::Index>(), 0..40),
     ) {
-        let (mut one, mut other) = (EntryTable::new(TableLimits::default()), EntryTable::new(TableLimits::default()));
-        let mut shuffled = facts.clone();
-        for turn in turns {
+        let mut one = EntryTable::new(TableLimits::default());
+        let mut other = EntryTable::new(TableLimits::default());
+        let mut shuffled = entries.clone();
+        for index in moves {
             if !shuffled.is_empty() {
-                let at = turn.index(shuffled.len());
-                let fact = shuffled.remove(at);
-                shuffled.insert(0, fact);
-                shuffled.push(fact);
+                let at = index.index(shuffled.len());
+                let moved = shuffled.remove(at);
+                shuffled.insert(0, moved);
+                shuffled.push(moved);
             }
         }
-        for (table, facts) in [(&mut one, &facts), (&mut other, &shuffled)] {
-            for (key, order, body) in facts {
-                table.insert(0.0, &EntryKey::Group(*key).encode(), entry(*order, *body));
+        for (table, entries) in [(&mut one, &entries), (&mut other, &shuffled)] {
+            for (key, epoch, body) in entries {
+                table.insert(0.0, &EntryKey::Group(*key).encode(), entry(*epoch, *body));
             }
         }
         prop_assert_eq!(one.digests(), other.digests());
@@ -42,7 +44,7 @@
 }
 
 #[test]
-fn stale_entry_is_ignored_and_gap_is_found_by_partition() {
+fn stale_entry_is_ignored_and_missing_entry_is_found_by_partition() {
     let mut table = EntryTable::new(TableLimits::default());
     let key = EntryKey::Router("n1".to_string()).encode();
     assert_eq!(table.insert(0.0, &key, entry(5, 1)), InsertOutcome::Inserted);
@@ -52,18 +54,22 @@
     let other = table.clone();
     let new = EntryKey::Router("n2".to_string()).encode();
     table.insert(0.0, &new, entry(1, 1));
-    let gap = table.differing(&other.digests());
-    assert!(gap.iter().any(|(key, _)| *key == new) && gap.len() <= 2);
+    let differing = table.differing(&other.digests());
+    assert!(differing.iter().any(|(key, _)| *key == new) && differing.len() <= 2);
 }
 
 #[test]
 fn table_limits_are_enforced() {
-    let retained = TableLimits { entries: 3, entry_bytes: 10, total_bytes: 20, unknown_entries: 1 };
-    let mut table = EntryTable::new(retained);
-    let long = GossipEntry { body: vec![0; 11], ..entry(1, 0) };
-    assert_eq!(table.insert(0.0, &EntryKey::Group(1).encode(), long), InsertOutcome::Rejected);
+    let limits = TableLimits { entries: 3, entry_bytes: 10, total_bytes: 20, unknown_entries: 1 };
+    let mut table = EntryTable::new(limits);
+    let large = GossipEntry { body: vec![0; 11], ..entry(1, 0) };
+    assert_eq!(table.insert(0.0, &EntryKey::Group(1).encode(), large), InsertOutcome::Rejected);
     assert_eq!(table.insert(0.0, &[99, 1], entry(1, 0)), InsertOutcome::Inserted);
-    assert_eq!(table.insert(0.0, &[99, 2], entry(1, 0)), InsertOutcome::Rejected, "of unknown kinds");
+    assert_eq!(
+        table.insert(0.0, &[99, 2], entry(1, 0)),
+        InsertOutcome::Rejected,
+        "the limit of unknown kinds"
+    );
     for group in 1..=2 {
         assert_eq!(table.insert(0.0, &EntryKey::Group(group).encode(), entry(1, 0)), InsertOutcome::Inserted);
     }
@@ -71,6 +77,6 @@
     assert_eq!(
         table.insert(0.0, &EntryKey::Group(2).encode(), entry(2, 0)),
         InsertOutcome::Inserted,
-        "of what is known"
+        "a newer entry of a stored key"
     );
 }
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -1,8 +1,9 @@
-//! A fleet of routers in virtual time: the cluster of each, and links that deliver what it sends in order, lose (and so
-//! delay) some of it, are cut, and are detected as silent after a while.
+//! A fleet of routers in virtual time: one cluster per router, and links that deliver messages in order,
+//! delay those that are lost by a retransmission, can be cut, and are closed once they have been silent for
+//! the dead-link timeout.
 //!
-//! Simulated are the links, their heartbeats, and the complete state that is sent to whoever connects. One seed gives one
-//! run.
+//! Simulated are the links, their heartbeats, and the published entries that a router sends to each newly
+//! connected peer. Runs with the same seed are identical.
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,23 +17,36 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+/// How long a router takes to connect to a peer.
+const CONNECT_DELAY_MS: Ms = 50.0;
+/// How long the peers of a crashed router take to detect that its connections are closed.
+const CLOSE_DELAY_MS: Ms = 1.0;
+/// Bytes that a link adds to each message.
+const MESSAGE_OVERHEAD_BYTES: u64 = 20;
+/// Bytes that a link adds to each entry of a message.
+const ENTRY_OVERHEAD_BYTES: usize = 4;
+/// Times of events are ordered in microseconds.
+const MICROS_PER_MS: f64 = 1_000.0;
+
+/// A router of the fleet.
 pub struct Node {
-    pub core: Option<Cluster>,
+    /// `None` while the process does not run.
+    pub cluster: Option<Cluster>,
     pub name: String,
-    pub start: u64,
-    pub frozen: bool,
-    entries: BTreeMap<Vec<u8>, Vec<u8>>,
-    pub notes: Vec<(Ms, ClusterEvent)>,
-    pub done: Vec<(Ms, ClusterAction)>,
-    /// Bytes that left it, by the wire, and that came.
-    pub bytes: u64,
+    pub incarnation: u64,
+    pub is_frozen: bool,
+    /// The entries that are sent to each newly connected peer.
+    published_entries: BTreeMap<Vec<u8>, Vec<u8>>,
+    pub events: Vec<(Ms, ClusterEvent)>,
+    /// Actions other than sending messages and logging events.
+    pub actions: Vec<(Ms, ClusterAction)>,
+    pub bytes_sent: u64,
     pub bytes_received: u64,
-    /// Where it stands in the tree; nowhere in a fleet without places.
-    pub place: Option<Location>,
-    /// Where it has other rules than all.
-    rules: Option<MembershipConfig>,
-    due: Ms,
-    waiting: Vec<(usize, Vec<EncodedEntry>)>,
+    /// `None` for a router without a location.
+    pub location: Option<Location>,
+    /// The settings of this router, if they differ from those of the fleet.
+    config: Option<MembershipConfig>,
+    deadline: Ms,
 }
 
 #[derive(Debug, Clone)]
@@ -40,253 +54,281 @@
     Deliver {
         from: usize,
         to: usize,
-        starts: (u64, u64),
+        /// The incarnations of the sender and the receiver when the message was sent.
+        incarnations: (u64, u64),
         entries: Vec<EncodedEntry>,
     },
-    Up(usize, usize),
-    /// One end finds that nothing comes any more.
-    Down {
-        at: usize,
-        other: usize,
-        start: u64,
+    LinkUp(usize, usize),
+    /// A router detects that its link with a peer is down.
+    LinkDown {
+        router: usize,
+        peer: usize,
+        peer_incarnation: u64,
     },
 }
 
+/// The properties of all links.
 #[derive(Debug, Clone, Copy)]
-pub struct Wire {
+pub struct LinkConfig {
     pub delay: Ms,
-    /// The share of what is said that is lost once and sent again so much later.
+    /// The probability that a message, or its retransmission, is lost.
     pub loss: f64,
-    pub again: Ms,
-    /// How long until a silent link is found to be one.
-    pub silent: Ms,
+    /// How much later a lost message is retransmitted.
+    pub retransmit_delay: Ms,
+    /// How long a link is silent before it counts as down.
+    pub dead_link_timeout: Ms,
 }
 
-impl Default for Wire {
+impl Default for LinkConfig {
     fn default() -> Self {
-        Self { delay: 2.0, loss: 0.0, again: 200.0, silent: 500.0 }
+        Self { delay: 2.0, loss: 0.0, retransmit_delay: 200.0, dead_link_timeout: 500.0 }
     }
 }
 
-/// A delivered entry or message, as the tests compare it.
+/// The key and the value of a delivered entry or message.
 pub type KeyAndValue = (Vec<u8>, Vec<u8>);
 
-pub struct Net {
+/// A delivered entry or message: the time, the sender, the receiver, the key and the value.
+pub type Delivery = (Ms, usize, usize, KeyAndValue);
+
+/// A fleet and its links.
+pub struct Network {
     pub now: Ms,
     pub nodes: Vec<Node>,
-    pub wire: Wire,
-    rules: MembershipConfig,
-    chance: Pcg64Mcg,
+    pub link_config: LinkConfig,
+    config: MembershipConfig,
+    rng: Pcg64Mcg,
     links: BTreeSet<(usize, usize)>,
-    /// The same by each of their ends.
-    ends: Vec<Vec<usize>>,
-    /// When something is due at each that is awake.
-    dues: BTreeSet<(u64, usize)>,
-    /// Links as they are up, with the starts at both ends.
-    up: BTreeMap<(usize, usize), (u64, u64)>,
-    cut: BTreeSet<(usize, usize)>,
-    slow: BTreeMap<usize, Ms>,
-    /// What is told to these is lost, and no link ends for it.
-    deaf: BTreeSet<usize>,
-    last: BTreeMap<(usize, usize), Ms>,
-    /// What crossed links, where that is wanted: when, from, to, key and entry.
-    pub record: Option<Vec<(Ms, usize, usize, KeyAndValue)>>,
+    /// The peers with which each router has links.
+    neighbors: Vec<Vec<usize>>,
+    /// The deadlines of all running routers, as bits of the time.
+    deadlines: BTreeSet<(u64, usize)>,
+    /// The links that are up, with the incarnations at both ends.
+    links_up: BTreeMap<(usize, usize), (u64, u64)>,
+    cut_links: BTreeSet<(usize, usize)>,
+    /// The additional delay of all links of a router.
+    extra_delays: BTreeMap<usize, Ms>,
+    /// Routers to which all messages are lost while their links stay up.
+    not_receiving: BTreeSet<usize>,
+    /// When the last message over each link, by direction, is delivered.
+    last_deliveries: BTreeMap<(usize, usize), Ms>,
+    /// All deliveries, if they are recorded.
+    pub record: Option<Vec<Delivery>>,
+    /// By time in microseconds and then in the order of scheduling.
     events: BTreeMap<(u64, u64), Event>,
-    count: u64,
+    event_count: u64,
 }
 
-fn pair(a: usize, b: usize) -> (usize, usize) {
+/// The key of a link: the smaller number first.
+fn link(a: usize, b: usize) -> (usize, usize) {
     (a.min(b), a.max(b))
 }
 
-impl Net {
-    /// So many routers, each with links to `dials` others: the next one, so that all hang together, and some by chance.
-    pub fn new(seed: u64, routers: usize, dials: usize, rules: MembershipConfig, wire: Wire) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
+/// The bytes of a message as counted on a link.
+fn message_bytes(entries: &[EncodedEntry]) -> u64 {
+    let bytes: usize = entries.iter().map(|entry| entry.byte_count() + ENTRY_OVERHEAD_BYTES).sum();
+    bytes as u64 + MESSAGE_OVERHEAD_BYTES
+}
+
+impl Network {
+    /// A fleet without locations. Each router has links with the next one, which connects the fleet, and with
+    /// randomly chosen others, so that it opens `links_per_router` links in total.
+    pub fn new(
+        seed: u64,
+        routers: usize,
+        links_per_router: usize,
+        config: MembershipConfig,
+        link_config: LinkConfig,
+    ) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut links = BTreeSet::new();
         for n in 0..routers {
-            links.insert(pair(n, (n + 1) % routers));
-            for _ in 1..dials {
-                let other = chance.random_range(0..routers);
+            links.insert(link(n, (n + 1) % routers));
+            for _ in 1..links_per_router {
+                let other = rng.random_range(0..routers);
                 if other != n {
-                    links.insert(pair(n, other));
+                    links.insert(link(n, other));
                 }
             }
         }
         links.retain(|(a, b)| a != b);
-        Self::with(chance, vec![None; routers], links, rules, wire)
+        Self::with(rng, vec![None; routers], links, config, link_config)
     }
 
-    /// So many routers in a tree of places, all of whose parts hang together by links of their own.
-    pub fn tree(seed: u64, shape: &Shape, rules: MembershipConfig, wire: Wire) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(seed);
-        let places = shape.places();
-        let links = shape.links(&mut chance);
-        Self::with(chance, places, links, rules, wire)
+    /// A fleet in a tree of locations, each of which is connected by links of its own.
+    pub fn tree(seed: u64, shape: &TreeShape, config: MembershipConfig, link_config: LinkConfig) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(seed);
+        let locations = shape.locations();
+        let links = shape.links(&mut rng);
+        Self::with(rng, locations, links, config, link_config)
     }
 
-    /// Routers at these places with these links.
+    /// Routers at these locations with these links.
     pub fn with(
-        chance: Pcg64Mcg,
-        places: Vec<Option<Location>>,
+        rng: Pcg64Mcg,
+        locations: Vec<Option<Location>>,
         links: BTreeSet<(usize, usize)>,
-        rules: MembershipConfig,
-        wire: Wire,
+        config: MembershipConfig,
+        link_config: LinkConfig,
     ) -> Self {
-        let routers = places.len();
-        let mut ends = vec![Vec::new(); routers];
+        let routers = locations.len();
+        let mut neighbors = vec![Vec::new(); routers];
         for (a, b) in &links {
-            ends[*a].push(*b);
-            ends[*b].push(*a);
+            neighbors[*a].push(*b);
+            neighbors[*b].push(*a);
         }
-        ends.iter_mut().for_each(|others| others.sort_unstable());
+        neighbors.iter_mut().for_each(|peers| peers.sort_unstable());
         let mut net = Self {
             now: 0.0,
             nodes: Vec::new(),
-            wire,
-            rules,
-            chance,
+            link_config,
+            config,
+            rng,
             links,
-            ends,
-            dues: BTreeSet::new(),
-            up: BTreeMap::new(),
-            cut: BTreeSet::new(),
-            slow: BTreeMap::new(),
-            deaf: BTreeSet::new(),
-            last: BTreeMap::new(),
+            neighbors,
+            deadlines: BTreeSet::new(),
+            links_up: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            extra_delays: BTreeMap::new(),
+            not_receiving: BTreeSet::new(),
+            last_deliveries: BTreeMap::new(),
             record: None,
             events: BTreeMap::new(),
-            count: 0,
+            event_count: 0,
         };
-        for (n, place) in places.into_iter().enumerate() {
+        for (n, location) in locations.into_iter().enumerate() {
             net.nodes.push(Node {
-                core: None,
+                cluster: None,
                 name: format!("r{n}"),
-                start: 0,
-                frozen: false,
-                entries: BTreeMap::new(),
-                notes: Vec::new(),
-                done: Vec::new(),
-                bytes: 0,
+                incarnation: 0,
+                is_frozen: false,
+                published_entries: BTreeMap::new(),
+                events: Vec::new(),
+                actions: Vec::new(),
+                bytes_sent: 0,
                 bytes_received: 0,
-                place,
-                rules: None,
-                due: 0.0,
-                waiting: Vec::new(),
+                location,
+                config: None,
+                deadline: 0.0,
             });
         }
         (0..routers).for_each(|n| net.start(n));
         net
     }
 
-    fn plan(&mut self, at: Ms, event: Event) {
-        self.count += 1;
-        self.events.insert(((at * 1_000.0) as u64, self.count), event);
+    fn schedule(&mut self, at: Ms, event: Event) {
+        self.event_count += 1;
+        self.events.insert(((at * MICROS_PER_MS) as u64, self.event_count), event);
     }
 
-    pub fn linked(&self, n: usize) -> Vec<usize> {
-        self.ends[n].clone()
+    /// The peers with which a router has links, whether these are up or not.
+    pub fn neighbors(&self, n: usize) -> Vec<usize> {
+        self.neighbors[n].clone()
     }
 
-    fn due(&mut self, n: usize, due: Ms) {
-        let before = std::mem::replace(&mut self.nodes[n].due, due);
-        // Times are not below 0: their bits are ordered as they are.
-        self.dues.remove(&(before.to_bits(), n));
-        if self.runs(n) {
-            self.dues.insert((due.to_bits(), n));
+    fn set_deadline(&mut self, n: usize, deadline: Ms) {
+        let before = std::mem::replace(&mut self.nodes[n].deadline, deadline);
+        // Times are not negative: the order of their bits is the order of the times.
+        self.deadlines.remove(&(before.to_bits(), n));
+        if self.is_running(n) {
+            self.deadlines.insert((deadline.to_bits(), n));
         }
     }
 
-    /// A router starts, later than all before under its name.
+    /// Starts a router, in a later incarnation than all earlier ones of the node.
     pub fn start(&mut self, n: usize) {
         let now = self.now;
         let node = &mut self.nodes[n];
-        let rules = node.rules.unwrap_or(self.rules);
-        node.start += (now * 1_000.0) as u64 + 1;
-        let core = Cluster::new(now, rules, &node.name, node.start, ActiveVersions::default());
-        node.core = Some(core.with_location(now, node.place.clone()));
-        node.entries.clear();
-        node.frozen = false;
-        self.due(n, now);
-        for other in self.linked(n) {
-            self.plan(now + 50.0, Event::Up(n, other));
+        let config = node.config.unwrap_or(self.config);
+        node.incarnation += (now * MICROS_PER_MS) as u64 + 1;
+        let cluster = Cluster::new(now, config, &node.name, node.incarnation, ActiveVersions::default());
+        node.cluster = Some(cluster.with_location(now, node.location.clone()));
+        node.published_entries.clear();
+        node.is_frozen = false;
+        self.set_deadline(n, now);
+        for peer in self.neighbors(n) {
+            self.schedule(now + CONNECT_DELAY_MS, Event::LinkUp(n, peer));
         }
     }
 
-    /// A router starts by other rules than all, and keeps to them.
-    pub fn start_by(&mut self, n: usize, rules: MembershipConfig) {
-        self.nodes[n].rules = Some(rules);
+    /// Starts a router with settings of its own, which also apply to its later starts.
+    pub fn start_with_config(&mut self, n: usize, config: MembershipConfig) {
+        self.nodes[n].config = Some(config);
         self.start(n);
     }
 
     pub fn crash(&mut self, n: usize) {
-        self.nodes[n].core = None;
-        self.nodes[n].waiting.clear();
-        self.due(n, f64::INFINITY);
-        self.silence(n, 1.0);
+        self.nodes[n].cluster = None;
+        self.set_deadline(n, f64::INFINITY);
+        self.close_links(n, CLOSE_DELAY_MS);
     }
 
     pub fn freeze(&mut self, n: usize) {
-        self.nodes[n].frozen = true;
-        self.due(n, f64::INFINITY);
-        self.silence(n, self.wire.silent);
-    }
-
-    pub fn wake(&mut self, n: usize) {
-        self.nodes[n].frozen = false;
-        self.due(n, self.now);
-        for other in self.linked(n) {
-            // Its connections were given up meanwhile.
-            if !self.up.contains_key(&pair(n, other)) {
-                let start = self.nodes[other].start;
-                self.plan(self.now, Event::Down { at: n, other, start });
-                self.plan(self.now + 50.0, Event::Up(n, other));
+        self.nodes[n].is_frozen = true;
+        self.set_deadline(n, f64::INFINITY);
+        self.close_links(n, self.link_config.dead_link_timeout);
+    }
+
+    /// Resumes a frozen router.
+    pub fn resume(&mut self, n: usize) {
+        self.nodes[n].is_frozen = false;
+        self.set_deadline(n, self.now);
+        for peer in self.neighbors(n) {
+            // Its peers have closed the connections meanwhile.
+            if !self.links_up.contains_key(&link(n, peer)) {
+                let peer_incarnation = self.nodes[peer].incarnation;
+                self.schedule(self.now, Event::LinkDown { router: n, peer, peer_incarnation });
+                self.schedule(self.now + CONNECT_DELAY_MS, Event::LinkUp(n, peer));
             }
         }
     }
 
-    fn silence(&mut self, n: usize, after: Ms) {
-        for other in self.linked(n) {
-            self.lose(n, other, after);
+    fn close_links(&mut self, n: usize, detected_after: Ms) {
+        for peer in self.neighbors(n) {
+            self.close_link(n, peer, detected_after);
         }
     }
 
-    fn lose(&mut self, a: usize, b: usize, after: Ms) {
-        if let Some((start_a, start_b)) = self.up.remove(&pair(a, b)) {
-            let (low, high) = pair(a, b);
-            self.plan(self.now + after, Event::Down { at: low, other: high, start: start_b });
-            self.plan(self.now + after, Event::Down { at: high, other: low, start: start_a });
+    fn close_link(&mut self, a: usize, b: usize, detected_after: Ms) {
+        let (low, high) = link(a, b);
+        if let Some((incarnation_low, incarnation_high)) = self.links_up.remove(&(low, high)) {
+            let at = self.now + detected_after;
+            self.schedule(
+                at,
+                Event::LinkDown { router: low, peer: high, peer_incarnation: incarnation_high },
+            );
+            self.schedule(at, Event::LinkDown { router: high, peer: low, peer_incarnation: incarnation_low });
         }
     }
 
-    /// The link between two is cut, in one direction or both: either way the session ends.
-    pub fn cut(&mut self, a: usize, b: usize) {
-        self.cut.insert(pair(a, b));
-        self.lose(a, b, self.wire.silent);
+    /// Cuts the link between two routers. A cut in one direction only has the same effect: the session ends.
+    pub fn cut_link(&mut self, a: usize, b: usize) {
+        self.cut_links.insert(link(a, b));
+        self.close_link(a, b, self.link_config.dead_link_timeout);
     }
 
-    pub fn mend(&mut self, a: usize, b: usize) {
-        if self.cut.remove(&pair(a, b)) {
-            self.plan(self.now + 50.0, Event::Up(a, b));
+    pub fn restore_link(&mut self, a: usize, b: usize) {
+        if self.cut_links.remove(&link(a, b)) {
+            self.schedule(self.now + CONNECT_DELAY_MS, Event::LinkUp(a, b));
         }
     }
 
-    pub fn mend_all(&mut self) {
-        let cut: Vec<(usize, usize)> = self.cut.iter().copied().collect();
-        cut.into_iter().for_each(|(a, b)| self.mend(a, b));
+    pub fn restore_all_links(&mut self) {
+        let cut_links: Vec<(usize, usize)> = self.cut_links.iter().copied().collect();
+        cut_links.into_iter().for_each(|(a, b)| self.restore_link(a, b));
     }
 
-    /// All links of one that takes part are slower by that.
-    pub fn slow(&mut self, n: usize, by: Ms) {
-        self.slow.insert(n, by);
+    /// Delays all messages from and to a router by this much more.
+    pub fn set_extra_delay(&mut self, n: usize, delay: Ms) {
+        self.extra_delays.insert(n, delay);
     }
 
-    /// All that is told to one is lost, or nothing any more.
-    pub fn deaf(&mut self, n: usize, deaf: bool) {
-        if deaf {
-            self.deaf.insert(n);
+    /// Sets whether a router receives messages. If not, they are lost while its links stay up.
+    pub fn set_receiving(&mut self, n: usize, is_receiving: bool) {
+        if is_receiving {
+            self.not_receiving.remove(&n);
         } else {
-            self.deaf.remove(&n);
+            self.not_receiving.insert(n);
         }
     }
 
@@ -294,210 +336,220 @@
         self.links.iter().copied().collect()
     }
 
-    pub fn core(&mut self, n: usize) -> &mut Cluster {
-        self.due(n, self.now);
-        self.nodes[n].core.as_mut().expect("it runs")
+    /// The cluster of a running router. The router is ticked afterwards.
+    pub fn cluster(&mut self, n: usize) -> &mut Cluster {
+        self.set_deadline(n, self.now);
+        self.nodes[n].cluster.as_mut().expect("the router runs")
     }
 
     fn send(&mut self, from: usize, to: usize, entries: Vec<EncodedEntry>) {
-        let Some((low, high)) = self.up.get(&pair(from, to)).copied() else { return };
-        let starts = if from < to { (low, high) } else { (high, low) };
-        let bytes: usize = entries.iter().map(|entry| entry.byte_count() + 4).sum();
-        self.nodes[from].bytes += bytes as u64 + 20;
-        let slow = self.slow.get(&from).copied().unwrap_or(0.0) + self.slow.get(&to).copied().unwrap_or(0.0);
-        let mut at = self.now + self.wire.delay + slow;
-        while self.chance.random::<f64>() < self.wire.loss {
-            at += self.wire.again;
+        let Some((low, high)) = self.links_up.get(&link(from, to)).copied() else { return };
+        let incarnations = if from < to { (low, high) } else { (high, low) };
+        self.nodes[from].bytes_sent += message_bytes(&entries);
+        let extra_delay = |n: usize| self.extra_delays.get(&n).copied().unwrap_or(0.0);
+        let mut at = self.now + self.link_config.delay + (extra_delay(from) + extra_delay(to));
+        while self.rng.random::<f64>() < self.link_config.loss {
+            at += self.link_config.retransmit_delay;
         }
-        // In order, as on one connection.
-        let last = self.last.entry((from, to)).or_default();
-        at = at.max(*last);
-        *last = at;
-        self.plan(at, Event::Deliver { from, to, starts, entries });
+        // A connection delivers messages in order.
+        let last_delivery = self.last_deliveries.entry((from, to)).or_default();
+        at = at.max(*last_delivery);
+        *last_delivery = at;
+        self.schedule(at, Event::Deliver { from, to, incarnations, entries });
     }
 
-    fn carry_out(&mut self, n: usize) {
+    fn carry_out_actions(&mut self, n: usize) {
         let now = self.now;
-        while let Some(action) = self.nodes[n].core.as_mut().and_then(Cluster::next_action) {
+        while let Some(action) = self.nodes[n].cluster.as_mut().and_then(Cluster::next_action) {
             match action {
                 ClusterAction::Broadcast(entries) => {
-                    self.nodes[n]
-                        .entries
-                        .extend(entries.iter().cloned().map(|entry| (entry.key, entry.value)));
-                    for other in self.linked(n) {
-                        self.send(n, other, entries.clone());
+                    let published = entries.iter().cloned().map(|entry| (entry.key, entry.value));
+                    self.nodes[n].published_entries.extend(published);
+                    for peer in self.neighbors(n) {
+                        self.send(n, peer, entries.clone());
                     }
                 }
-                ClusterAction::Retract(key) => _ = self.nodes[n].entries.remove(&key),
+                ClusterAction::Retract(key) => _ = self.nodes[n].published_entries.remove(&key),
                 ClusterAction::SendTo(name, entries) => {
-                    // Of two processes under one name the one that there is a link with.
-                    let named = |to: &&usize| self.nodes[**to].name == name;
-                    let up = |to: &&usize| self.up.contains_key(&pair(n, **to));
-                    if let Some(to) = self.ends[n].iter().filter(named).find(up).copied() {
+                    // Of two processes with one name the one with which there is a link.
+                    let has_name = |to: &&usize| self.nodes[**to].name == name;
+                    let is_linked = |to: &&usize| self.links_up.contains_key(&link(n, **to));
+                    if let Some(to) = self.neighbors[n].iter().filter(has_name).find(is_linked).copied() {
                         self.send(n, to, entries);
                     }
                 }
-                ClusterAction::CloseLinks => self.silence(n, 1.0),
-                ClusterAction::Event(note) => self.nodes[n].notes.push((now, note)),
-                other => self.nodes[n].done.push((now, other)),
+                ClusterAction::CloseLinks => self.close_links(n, CLOSE_DELAY_MS),
+                ClusterAction::Event(event) => self.nodes[n].events.push((now, event)),
+                other => self.nodes[n].actions.push((now, other)),
             }
         }
-        let next = self.nodes[n].core.as_ref().map_or(f64::INFINITY, |core| core.next_deadline(now));
-        self.due(n, next.max(now + 0.001));
+        let deadline =
+            self.nodes[n].cluster.as_ref().map_or(f64::INFINITY, |cluster| cluster.next_deadline(now));
+        self.set_deadline(n, deadline.max(now + 1.0 / MICROS_PER_MS));
     }
 
-    fn happen(&mut self, event: Event) {
-        let now = self.now;
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Up(a, b) => {
-                let runs = |n: usize| self.nodes[n].core.is_some() && !self.nodes[n].frozen;
-                if !runs(a) || !runs(b) || self.cut.contains(&pair(a, b)) || self.up.contains_key(&pair(a, b))
-                {
-                    return;
-                }
-                let (low, high) = pair(a, b);
-                self.up.insert((low, high), (self.nodes[low].start, self.nodes[high].start));
-                for (at, other) in [(a, b), (b, a)] {
-                    let (name, start) = (self.nodes[other].name.clone(), self.nodes[other].start);
-                    self.core(at).set_link(&name, start, true);
-                    let entries = self.nodes[at].entries.clone().into_iter();
-                    let all = entries.map(|(key, value)| EncodedEntry::new(key, value)).collect();
-                    self.send(at, other, all);
-                }
-            }
-            Event::Down { at, other, start } => {
-                let name = self.nodes[other].name.clone();
-                if self.nodes[at].core.is_some() && !self.nodes[at].frozen {
-                    self.core(at).set_link(&name, start, false);
+            Event::LinkUp(a, b) => self.handle_link_up(a, b),
+            Event::LinkDown { router, peer, peer_incarnation } => {
+                let name = self.nodes[peer].name.clone();
+                if self.is_running(router) {
+                    self.cluster(router).set_link(&name, peer_incarnation, false);
                 }
             }
-            Event::Deliver { from, to, starts, entries } => {
-                let same = (self.nodes[from].start, self.nodes[to].start) == starts;
-                let up = self.up.contains_key(&pair(from, to)) && !self.deaf.contains(&to);
-                if !same || !up || self.nodes[to].core.is_none() || self.nodes[to].frozen {
-                    return;
-                }
-                let name = self.nodes[from].name.clone();
-                let bytes: usize = entries.iter().map(|entry| entry.byte_count() + 4).sum();
-                self.nodes[to].bytes_received += bytes as u64 + 20;
-                if let Some(record) = &mut self.record {
-                    let copies = entries.iter().cloned().map(|entry| (entry.key, entry.value));
-                    record.extend(copies.map(|copy| (now, from, to, copy)));
-                }
-                for EncodedEntry { key, value } in entries {
-                    self.core(to).receive(now, &name, &key, &value);
+            Event::Deliver { from, to, incarnations, entries } => {
+                let is_same = (self.nodes[from].incarnation, self.nodes[to].incarnation) == incarnations;
+                let is_up = self.links_up.contains_key(&link(from, to)) && !self.not_receiving.contains(&to);
+                if is_same && is_up && self.is_running(to) {
+                    self.deliver(from, to, entries);
                 }
             }
         }
     }
 
-    /// Lets time pass up to then.
-    pub fn run(&mut self, until: Ms) {
+    fn handle_link_up(&mut self, a: usize, b: usize) {
+        let key = link(a, b);
+        let is_unavailable = self.cut_links.contains(&key) || self.links_up.contains_key(&key);
+        if !self.is_running(a) || !self.is_running(b) || is_unavailable {
+            return;
+        }
+        let (low, high) = key;
+        self.links_up.insert(key, (self.nodes[low].incarnation, self.nodes[high].incarnation));
+        for (router, peer) in [(a, b), (b, a)] {
+            let (name, incarnation) = (self.nodes[peer].name.clone(), self.nodes[peer].incarnation);
+            self.cluster(router).set_link(&name, incarnation, true);
+            let entries = self.nodes[router].published_entries.clone().into_iter();
+            let entries = entries.map(|(key, value)| EncodedEntry::new(key, value)).collect();
+            self.send(router, peer, entries);
+        }
+    }
+
+    fn deliver(&mut self, from: usize, to: usize, entries: Vec<EncodedEntry>) {
+        let now = self.now;
+        let name = self.nodes[from].name.clone();
+        self.nodes[to].bytes_received += message_bytes(&entries);
+        if let Some(record) = &mut self.record {
+            let copies = entries.iter().cloned().map(|entry| (entry.key, entry.value));
+            record.extend(copies.map(|copy| (now, from, to, copy)));
+        }
+        for EncodedEntry { key, value } in entries {
+            self.cluster(to).receive(now, &name, &key, &value);
+        }
+    }
+
+    /// Advances the time to `end`.
+    pub fn run_until(&mut self, end: Ms) {
         loop {
-            let event =
-                self.events.first_key_value().map_or(f64::INFINITY, |((at, _), _)| *at as Ms / 1_000.0);
-            let tick = self.dues.first().map(|(due, n)| (*n, f64::from_bits(*due)));
-            let due = tick.map_or(f64::INFINITY, |(_, due)| due);
-            if event.min(due) > until {
-                self.now = until;
+            let event_at =
+                self.events.first_key_value().map_or(f64::INFINITY, |((at, _), _)| *at as Ms / MICROS_PER_MS);
+            let tick = self.deadlines.first().map(|(deadline, n)| (*n, f64::from_bits(*deadline)));
+            let tick_at = tick.map_or(f64::INFINITY, |(_, deadline)| deadline);
+            if event_at.min(tick_at) > end {
+                self.now = end;
                 return;
             }
-            self.now = self.now.max(event.min(due));
-            if event <= due {
+            self.now = self.now.max(event_at.min(tick_at));
+            if event_at <= tick_at {
                 if let Some((_, event)) = self.events.pop_first() {
-                    self.happen(event);
+                    self.handle_event(event);
                 }
             } else if let Some((n, _)) = tick {
                 let now = self.now;
-                self.core(n).tick(now);
-                self.carry_out(n);
+                self.cluster(n).tick(now);
+                self.carry_out_actions(n);
             }
         }
     }
 
-    /// Lets time pass until that holds, looked at often; when it did.
-    pub fn until(&mut self, most: Ms, holds: impl Fn(&Self) -> bool) -> Option<Ms> {
-        let end = self.now + most;
+    /// Advances the time until a condition holds, which is checked every 10 ms, for at most `timeout`.
+    /// Returns the time at which it held; `None` if it did not.
+    pub fn wait_for(&mut self, timeout: Ms, condition: impl Fn(&Self) -> bool) -> Option<Ms> {
+        let end = self.now + timeout;
         while self.now < end {
-            if holds(self) {
+            if condition(self) {
                 return Some(self.now);
             }
-            self.run(self.now + 10.0);
+            self.run_until(self.now + 10.0);
         }
         None
     }
 
-    /// Whether that one runs and takes part.
-    pub fn runs(&self, n: usize) -> bool {
-        self.nodes[n].core.is_some() && !self.nodes[n].frozen
+    /// Whether a router runs and is not frozen.
+    pub fn is_running(&self, n: usize) -> bool {
+        self.nodes[n].cluster.is_some() && !self.nodes[n].is_frozen
     }
 }
 
-/// A tree of places: how many parts each has, the outermost first, and how many routers a site.
-pub struct Shape {
-    pub parts: Vec<usize>,
+/// The shape of a tree of locations.
+pub struct TreeShape {
+    /// The number of child locations at each level, the outermost first.
+    pub children: Vec<usize>,
+    /// The number of routers of each site.
     pub routers: usize,
 }
 
-impl Shape {
-    pub fn new(parts: &[usize], routers: usize) -> Self {
-        Self { parts: parts.to_vec(), routers }
+impl TreeShape {
+    pub fn new(children: &[usize], routers: usize) -> Self {
+        Self { children: children.to_vec(), routers }
     }
 
+    /// The number of sites.
     pub fn sites(&self) -> usize {
-        self.parts.iter().product()
+        self.children.iter().product()
     }
 
+    /// The number of routers of all sites.
     pub fn all(&self) -> usize {
         self.sites() * self.routers
     }
 
-    /// The place of a site by its number.
-    pub fn place(&self, mut site: usize) -> Location {
+    /// The location of a site.
+    pub fn location(&self, mut site: usize) -> Location {
         let mut names = Vec::new();
-        for parts in self.parts.iter().rev() {
-            names.push(format!("p{:02}", site % parts));
-            site /= parts;
+        for children in self.children.iter().rev() {
+            names.push(format!("p{:02}", site % children));
+            site /= children;
         }
         names.reverse();
-        Location::parse(&names.join("/")).expect("a place")
+        Location::parse(&names.join("/")).expect("a location")
     }
 
-    fn places(&self) -> Vec<Option<Location>> {
-        (0..self.all()).map(|n| Some(self.place(n / self.routers))).collect()
+    fn locations(&self) -> Vec<Option<Location>> {
+        (0..self.all()).map(|n| Some(self.location(n / self.routers))).collect()
     }
 
-    /// In a site each dials the next one, and every second one the one opposite. Some of a site's routers dial other
-    /// sites: for each level around it the next part of that level, round, and any site within it by chance.
-    fn links(&self, chance: &mut Pcg64Mcg) -> BTreeSet<(usize, usize)> {
+    /// Within a site each router has a link with the next one, and every second router one with the opposite
+    /// one. At each level some routers of a site have links with other sites: with one of the next location
+    /// of the level, cyclically, and with one of a random site within the enclosing location.
+    fn links(&self, rng: &mut Pcg64Mcg) -> BTreeSet<(usize, usize)> {
         let (size, sites) = (self.routers, self.sites());
         let mut links = BTreeSet::new();
         for site in 0..sites {
             for n in 0..size {
-                links.insert(pair(site * size + n, site * size + (n + 1) % size));
+                links.insert(link(site * size + n, site * size + (n + 1) % size));
                 if n % 2 == 0 {
-                    links.insert(pair(site * size + n, site * size + (n + size / 2) % size));
+                    links.insert(link(site * size + n, site * size + (n + size / 2) % size));
                 }
             }
-            // Those that dial others, and those that are dialled, are spread over the site.
-            let mut doors = 0;
-            let mut door = |site: usize, next: usize| {
-                doors += 1;
-                pair(site * size + doors % size, next * size + (doors + size / 2) % size)
+            // The ends of links between sites are spread over the routers of both sites.
+            let mut link_count = 0;
+            let mut remote_link = |site: usize, other: usize| {
+                link_count += 1;
+                link(site * size + link_count % size, other * size + (link_count + size / 2) % size)
             };
-            // Sites of a part stand side by side: the next one within the part, round.
-            let mut within = 1;
-            for (level, parts) in self.parts.iter().enumerate().rev() {
-                let total = within * parts;
+            // The sites of a location are numbered consecutively.
+            let mut sites_of_child = 1;
+            for (level, children) in self.children.iter().enumerate().rev() {
+                let total = sites_of_child * children;
                 let first = site / total * total;
-                let next = first + (site - first + within) % total;
-                // Sites of the innermost level are joined twice: one router may be down.
-                let dials = if level + 1 == self.parts.len() { 2 } else { 1 };
-                for _ in 0..dials {
-                    links.insert(door(site, next));
+                let next = first + (site - first + sites_of_child) % total;
+                // Sites of the innermost level have two links, so that one router of a site may be down.
+                let count = if level + 1 == self.children.len() { 2 } else { 1 };
+                for _ in 0..count {
+                    links.insert(remote_link(site, next));
                 }
-                links.insert(door(site, first + chance.random_range(0..total)));
-                within = total;
+                links.insert(remote_link(site, first + rng.random_range(0..total)));
+                sites_of_child = total;
             }
         }
         links.retain(|(a, b)| a != b);
--- a/crates/membership/tests/support/json.rs
+++ b/crates/membership/tests/support/json.rs
@@ -1,4 +1,4 @@
-//! Writes a value as JSON text, so that its names can be compared without a further dependency.
+//! Serializes a value as JSON text, so that its names can be compared without a further dependency.
 
 use std::fmt::{self, Display, Write};
 
@@ -24,7 +24,7 @@
 /// The JSON text of a value.
 pub fn to_string<T: Serialize + ?Sized>(value: &T) -> String {
     let mut writer = Writer::default();
-    value.serialize(&mut writer).expect("a value that JSON has");
+    value.serialize(&mut writer).expect("a value that JSON can represent");
     writer.text
 }
 
@@ -89,7 +89,8 @@
     type SerializeStruct = Compound<'a>;
     type SerializeStructVariant = Compound<'a>;
 
-    scalars!(serialize_bool: bool, serialize_i8: i8, serialize_i16: i16, serialize_i32: i32, serialize_i64: i64);
+    scalars!(serialize_bool: bool, serialize_i8: i8, serialize_i16: i16, serialize_i32: i32);
+    scalars!(serialize_i64: i64);
     scalars!(serialize_u8: u8, serialize_u16: u16, serialize_u32: u32, serialize_u64: u64);
     scalars!(serialize_f32: f32, serialize_f64: f64, serialize_char: char, serialize_str: &str);
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Golden fixtures: lines of `name: value`, written by one build and compared by all later ones.
+//! Golden fixtures: lines of `name: value`, written by one build and compared with the output of all later
+//! ones.
 
 pub mod json;
 
@@ -6,7 +7,7 @@
 use std::fmt::Write;
 use std::path::Path;
 
-/// Set to write the fixtures anew instead of comparing with them.
+/// If this variable is set, the fixtures are written instead of compared.
 const UPDATE_VARIABLE: &str = "LINNETHOOK_UPDATE_GOLDEN";
 
 pub type Fixtures = BTreeMap<String, String>;
@@ -27,7 +28,7 @@
 /// Reads a fixture file.
 pub fn read(path: &Path) -> Fixtures {
     let text = std::fs::read_to_string(path).expect("a fixture file");
-    let lines = text.lines().map(|line| line.split_once(": ").expect("a line of name: value"));
+    let lines = text.lines().map(|line| line.split_once(": ").expect("a line of the form name: value"));
     lines.map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
 
@@ -35,12 +36,12 @@
 pub fn compare(path: &Path, fixtures: &Fixtures) {
     if std::env::var_os(UPDATE_VARIABLE).is_some() {
         let lines = fixtures.iter().map(|(name, value)| format!("{name}: {value}\n"));
-        std::fs::write(path, lines.collect::<String>()).expect("a fixture file that can be written");
+        std::fs::write(path, lines.collect::<String>()).expect("a writable fixture file");
         return;
     }
     let golden = read(path);
     for (name, value) in fixtures {
         assert_eq!(golden.get(name), Some(value), "{name} of {}", path.display());
     }
-    assert_eq!(golden.len(), fixtures.len(), "{} has other fixtures", path.display());
+    assert_eq!(golden.len(), fixtures.len(), "number of fixtures in {}", path.display());
 }
