--- a/crates/audit/src/audit_log.rs
+++ b/crates/audit/src/audit_log.rs
@@ -1,7 +1,7 @@
-//! One router's own audit log: what it does is counted, and recorded span by span.
+//! One router's own audit log: the router's actions are counted and recorded in spans.
 //!
-//! A span ends where the versions that the router acts on change, after a time, or when it is full. A record that was
-//! written never changes, and the log in memory is bounded.
+//! A span ends when the versions that the router acts on change, when it reaches its maximum length, or when
+//! it is full. Written records never change, and the size of the log in memory is bounded.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -15,17 +15,17 @@
 /// The limits of audit logs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AuditLogConfig {
-    /// The longest span.
+    /// The maximum length of a span.
     pub max_span: Ms,
     /// How many kinds of actions a span counts separately.
     pub max_action_kinds: usize,
-    /// How many attempts of non-idempotent requests a span lists, and how many outcomes.
+    /// How many attempts of writes a span lists, and how many outcomes.
     pub max_write_attempts: usize,
-    /// Bytes of the own log that are kept in memory.
+    /// Bytes of this router's own log that are retained in memory.
     pub max_log_bytes: usize,
-    /// Bytes of each other router's log that are kept.
+    /// Bytes of the log of each other router that are retained.
     pub max_replica_bytes: usize,
-    /// How many peers keep a replica of the own log.
+    /// How many peers store a replica of this router's log.
     pub replica_count: usize,
 }
 
@@ -42,16 +42,16 @@
     }
 }
 
-/// The newest record of a log.
+/// The number and the hash of the newest record of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogHead {
-    /// Its number.
+    /// The number of the record.
     pub number: u64,
-    /// Its hash.
+    /// The hash of the record.
     pub hash: RecordHash,
 }
 
-/// The span that is not yet recorded.
+/// The span that has not been recorded yet.
 #[derive(Debug, Default)]
 struct OpenSpan {
     started_at: Timestamp,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Records an attempt of a non-idempotent request.
+    /// Records an attempt of a write.
     pub fn record_write_attempt(&mut self, attempt: WriteAttempt) {
         self.record_action(attempt.at, AuditedAction::WriteAttempt { target: attempt.target });
         match self.open_span.write_attempts.len() < self.config.max_write_attempts {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Records how an attempt of a non-idempotent request ended.
+    /// Records the outcome of an attempt of a write.
     pub fn record_write_outcome(&mut self, outcome: WriteOutcome) {
         match self.open_span.write_outcomes.len() < self.config.max_write_attempts {
             true => self.open_span.write_outcomes.push(outcome),
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Whether the versions are others than those of the open span. Drains and purges are actions themselves and do not
-    /// end a span.
+    /// Whether the versions differ from those of the open span. The counts of applied drains and purges are
+    /// ignored: drains and purges are recorded as actions.
     fn differs(&self, versions: &ActiveVersions) -> bool {
         let own = &self.versions;
         own.settings_digest != versions.settings_digest
@@ -174,14 +174,14 @@
             || own.build != versions.build
     }
 
-    /// Whether the open span is to be recorded.
+    /// Whether the open span is due to be recorded.
     pub fn is_due(&self, now: Ms, versions: &ActiveVersions) -> bool {
         let is_full = self.open_span.write_attempts.len() >= self.config.max_write_attempts
             || self.open_span.counts.len() >= self.config.max_action_kinds;
         is_full || now >= self.next_deadline() || self.differs(versions)
     }
 
-    /// Sets what the router acts on. What it did before is recorded with the versions before.
+    /// Sets the versions that the router acts on. The open span is recorded with the previous versions.
     pub fn set_versions(
         &mut self,
         now: Ms,
@@ -207,8 +207,8 @@
         self.open_span.opened_at + self.config.max_span
     }
 
-    /// Records the open span and opens another one. An empty span goes on, unless it has the full length: a record of
-    /// it shows that nothing is missing.
+    /// Records the open span and opens another one. An empty span is continued instead, unless it has reached
+    /// the maximum length: then its record shows that nothing is missing.
     pub fn close_span(&mut self, now: Ms, at: Timestamp, node_name: impl Fn(u64) -> Option<String>) {
         if self.is_closed {
             return;
@@ -245,7 +245,7 @@
         }
     }
 
-    /// Appends a record. The oldest ones make room.
+    /// Appends a record, and removes the oldest ones beyond the size limit.
     fn append(&mut self, record: &Record) {
         let number = self.head.number + 1;
         let link = ChainLink::new(&self.name, self.incarnation, number, self.head.hash, record);
@@ -258,7 +258,7 @@
         }
     }
 
-    /// The records from that number on, as far as they are kept.
+    /// The records from this number on, as far as they are retained.
     pub fn records_from(&self, number: u64) -> impl Iterator<Item = &ChainLink> {
         self.links.iter().filter(move |link| link.number >= number)
     }
@@ -269,7 +269,7 @@
     }
 }
 
-/// The names of all nodes of these actions, by id, as far as they are known.
+/// The known names of all nodes of these actions, by id.
 fn node_names(
     counts: &[(AuditedAction, Tally)],
     node_name: impl Fn(u64) -> Option<String>,
--- a/crates/audit/src/error.rs
+++ b/crates/audit/src/error.rs
@@ -1,18 +1,18 @@
-//! Why bytes are not a part of an audit log.
+//! Errors of decoding parts of an audit log.
 
 use std::error::Error;
 use std::fmt;
 
 use crate::record::RECORD_VERSION;
 
-/// Why a record can't be read.
+/// Why a record cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordError {
-    /// It is of a version that this build does not know.
+    /// The record has a version that this build does not know.
     UnknownVersion(u16),
-    /// Its bytes are no record.
+    /// The bytes are not a record.
     Malformed(postcard::Error),
-    /// So many bytes follow the record.
+    /// This many bytes follow the record.
     TrailingBytes(usize),
 }
 
@@ -20,10 +20,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownVersion(version) => {
-                write!(f, "a record of version {version}, where this build reads version {RECORD_VERSION}")
+                write!(f, "expected a record of version {RECORD_VERSION}, got version {version}")
             }
-            Self::Malformed(_) => f.write_str("the bytes are no record"),
-            Self::TrailingBytes(bytes) => write!(f, "{bytes} bytes follow the record"),
+            Self::Malformed(_) => f.write_str("the bytes are not a record of an audit log"),
+            Self::TrailingBytes(bytes) => write!(f, "expected no bytes after the record, got {bytes}"),
         }
     }
 }
@@ -46,7 +46,7 @@
 
 impl fmt::Display for MalformedLink {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the bytes are no link of an audit log")
+        f.write_str("the bytes are not a link of an audit log")
     }
 }
 
@@ -56,19 +56,19 @@
     }
 }
 
-/// Why the content of a file is not that of audit logs.
+/// Why a file of audit logs cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogFileError {
-    /// It does not begin as such a file does.
-    NoLogFile,
-    /// Its links can't be decoded, for instance because the file is incomplete.
+    /// The file does not begin with the magic bytes of such files.
+    NotALogFile,
+    /// The links cannot be decoded, for instance because the file is incomplete.
     Malformed(postcard::Error),
 }
 
 impl fmt::Display for LogFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NoLogFile => f.write_str("this is no file of audit logs"),
+            Self::NotALogFile => f.write_str("the file is not a file of audit logs"),
             Self::Malformed(_) => f.write_str("the file of audit logs is incomplete or damaged"),
         }
     }
@@ -78,7 +78,7 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             Self::Malformed(error) => Some(error),
-            Self::NoLogFile => None,
+            Self::NotALogFile => None,
         }
     }
 }
--- a/crates/audit/src/record.rs
+++ b/crates/audit/src/record.rs
@@ -1,6 +1,7 @@
-//! What an audit log records, and how each record is chained to the one before it.
+//! The records of an audit log, and the hash chain that links each record to the previous one.
 //!
-//! A record counts only where its hash fits, and a record of an unknown version is never read as another one.
+//! A record is valid only if it follows the hash of the previous one, and a record of an unknown version is
+//! never decoded as another version.
 
 use linnethook_membership::hybrid_clock::Timestamp;
 use linnethook_membership::versions::ActiveVersions;
@@ -9,7 +10,7 @@
 
 use crate::error::{LogFileError, MalformedLink, RecordError};
 
-/// An action that is counted. Nodes are ids; their names are in the span.
+/// An action that is counted. Nodes are identified by ids; the span contains their names.
 ///
 /// The order of the variants is part of the stored format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -20,14 +21,14 @@
         #[serde(rename = "to")]
         target: u64,
     },
-    /// A request was sent together with the source to fill from.
+    /// A request was sent together with the source from which to fill.
     Fill {
         /// The node that fills.
         child: u64,
-        /// The node that it fills from.
+        /// The node from which it fills.
         source: u64,
     },
-    /// A write was sent; it is recorded one by one, too.
+    /// A write was sent. The attempt is also listed in the span.
     #[serde(rename = "Booking")]
     WriteAttempt {
         /// The node.
@@ -44,7 +45,7 @@
         /// The source.
         #[serde(rename = "to")]
         target: u64,
-        /// The stage's number in the hierarchy.
+        /// The number of the stage in the hierarchy.
         stage: u8,
     },
     /// A cache began to drain.
@@ -54,11 +55,11 @@
         /// The position in the journal.
         #[serde(rename = "number")]
         journal_position: u64,
-        /// Whether the news came from gossip and not from the own journal.
+        /// Whether the event was received by gossip and not from the router's own journal.
         #[serde(rename = "fellows")]
         from_gossip: bool,
     },
-    /// A cache takes new work again.
+    /// A cache accepts new work again.
     #[serde(rename = "Back")]
     CacheRestored {
         /// The cache.
@@ -66,7 +67,7 @@
         /// The position in the journal.
         #[serde(rename = "number")]
         journal_position: u64,
-        /// Whether the news came from gossip and not from the own journal.
+        /// Whether the event was received by gossip and not from the router's own journal.
         #[serde(rename = "fellows")]
         from_gossip: bool,
     },
@@ -75,7 +76,7 @@
         /// The position in the journal.
         #[serde(rename = "number")]
         journal_position: u64,
-        /// Whether the news came from gossip and not from the own journal.
+        /// Whether the event was received by gossip and not from the router's own journal.
         #[serde(rename = "fellows")]
         from_gossip: bool,
     },
@@ -85,7 +86,7 @@
         author: u16,
         /// The batch's number.
         number: u64,
-        /// Whether it came from gossip.
+        /// Whether the batch was received by gossip.
         #[serde(rename = "fellows")]
         from_gossip: bool,
     },
@@ -94,18 +95,19 @@
     RejectedAsStraggler,
 }
 
-/// How often an action was done in a span.
+/// How many times an action was performed in a span, and when.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// How often.
+    /// How many times the action was performed.
     pub count: u64,
-    /// When first.
+    /// When it was performed first.
     pub first: Timestamp,
-    /// When last.
+    /// When it was performed last.
     pub last: Timestamp,
 }
 
-/// An attempt of a write: a request that the class or the client marks as one, whatever its idempotence.
+/// An attempt of a write: a request that its class or the client marks as a write, whether it is idempotent
+/// or not.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteAttempt {
     /// The request.
@@ -121,7 +123,8 @@
     pub at: Timestamp,
 }
 
-/// How an attempt of a write ended. Without one the outcome is unknown, such as after the client has left.
+/// How an attempt of a write ended. An attempt without a recorded outcome has an unknown one, such as after
+/// the client has disconnected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteOutcome {
     /// The request.
@@ -137,34 +140,34 @@
     pub at: Timestamp,
 }
 
-/// A time span in which a router acted on the same versions, and what it did.
+/// A time span in which a router acted on the same versions, and the router's actions in it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Span {
-    /// Its begin.
+    /// The begin of the span.
     pub from: Timestamp,
-    /// Its end.
+    /// The end of the span.
     pub to: Timestamp,
-    /// Begin and end by the router's own clock, in Unix milliseconds.
+    /// The begin and the end by the router's own clock, in Unix milliseconds.
     #[serde(rename = "clock")]
     pub wall_clock: (Ms, Ms),
-    /// What the router acted on.
+    /// The versions that the router acted on.
     #[serde(rename = "acts_on")]
     pub versions: ActiveVersions,
-    /// The actions, in their order, and how often each was done.
+    /// The actions, sorted, with how many times each was performed.
     pub counts: Vec<(AuditedAction, Tally)>,
-    /// Attempts of non-idempotent requests.
+    /// Attempts of writes.
     #[serde(rename = "bookings")]
     pub write_attempts: Vec<WriteAttempt>,
-    /// Outcomes of such attempts.
+    /// Outcomes of attempts of writes.
     #[serde(rename = "ends")]
     pub write_outcomes: Vec<WriteOutcome>,
-    /// Attempts and outcomes beyond the limit of the lists.
+    /// The number of attempts and outcomes beyond the limits of the lists.
     #[serde(rename = "unnamed")]
     pub omitted_writes: u64,
-    /// Actions of kinds beyond the limit of the counts.
+    /// The number of actions of kinds beyond the limit of the counts.
     #[serde(rename = "untold")]
     pub omitted_actions: u64,
-    /// The names of the nodes, by id.
+    /// The names of the nodes of the actions, by id.
     #[serde(rename = "names")]
     pub node_names: Vec<(u64, String)>,
 }
@@ -176,22 +179,22 @@
 pub enum Record {
     /// The router started.
     Started {
-        /// When.
+        /// When it started.
         at: Timestamp,
-        /// The same by its own clock, in Unix milliseconds.
+        /// The same by the router's own clock, in Unix milliseconds.
         wall_clock: Ms,
     },
-    /// What it did in a span.
+    /// The router's actions in a span.
     Span(Box<Span>),
-    /// The router shut down gracefully: nothing follows.
+    /// The router shut down gracefully. No record follows.
     Closed {
-        /// When.
+        /// When the log was closed.
         at: Timestamp,
     },
 }
 
 impl Record {
-    /// Up to when the record covers what the router did.
+    /// Up to when the record covers the router's actions.
     pub fn covered_until(&self) -> Timestamp {
         match self {
             Self::Started { at, .. } | Self::Closed { at } => *at,
@@ -200,10 +203,10 @@
     }
 }
 
-/// The BLAKE3 hash of a record and its place.
+/// The BLAKE3 hash of a record and its position in a log.
 pub type RecordHash = [u8; 32];
 
-/// An encoded record with its place in the log of one incarnation of one router.
+/// An encoded record with its position in the log of one incarnation of one router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChainLink {
     /// The router.
@@ -213,22 +216,22 @@
     pub incarnation: u64,
     /// The record's number, from 1.
     pub number: u64,
-    /// The hash of the record before it; all zeros for the first one.
+    /// The hash of the previous record; all zeros for the first one.
     #[serde(rename = "before")]
     pub previous_hash: RecordHash,
     /// The version of the body's format.
     pub version: u16,
-    /// The record, encoded.
+    /// The encoded record.
     pub body: Vec<u8>,
 }
 
 /// The version of the record format that this build reads and writes.
 pub const RECORD_VERSION: u16 = 1;
-/// Bytes of a link beside the body and the router's name, roughly.
+/// The approximate number of bytes of a link beside the body and the router's name.
 const LINK_OVERHEAD_BYTES: usize = 64;
 
 impl ChainLink {
-    /// A record at its place in a log.
+    /// A record at a position in a log.
     pub fn new(
         name: &str,
         incarnation: u64,
@@ -241,7 +244,7 @@
         Self { name: name.to_string(), incarnation, number, previous_hash, version: RECORD_VERSION, body }
     }
 
-    /// The hash over everything that the link has.
+    /// The hash over all fields of the link.
     pub fn hash(&self) -> RecordHash {
         let mut hasher = blake3::Hasher::new();
         hasher.update(&self.previous_hash);
@@ -254,11 +257,11 @@
         *hasher.finalize().as_bytes()
     }
 
-    /// The record.
+    /// Decodes the record.
     ///
     /// # Errors
     ///
-    /// A record that this build cannot read.
+    /// The record has an unknown version, is malformed, or is followed by other bytes.
     pub fn decode_record(&self) -> Result<Record, RecordError> {
         if self.version != RECORD_VERSION {
             return Err(RecordError::UnknownVersion(self.version));
@@ -270,7 +273,7 @@
         }
     }
 
-    /// Roughly the bytes that the link takes in memory.
+    /// The approximate number of bytes that the link takes in memory.
     pub fn size_estimate(&self) -> usize {
         self.body.len() + self.name.len() + LINK_OVERHEAD_BYTES
     }
@@ -280,11 +283,11 @@
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Reads a link.
+    /// Decodes a link.
     ///
     /// # Errors
     ///
-    /// Bytes that are not one.
+    /// The bytes are not a link.
     pub fn decode(bytes: &[u8]) -> Result<Self, MalformedLink> {
         postcard::from_bytes(bytes).map_err(MalformedLink)
     }
@@ -293,19 +296,19 @@
 /// The first bytes of a file of audit logs.
 const FILE_MAGIC: &[u8] = b"lhaudit1";
 
-/// Links as the content of a file.
+/// Encodes links as the content of a file.
 pub fn write_file(links: &[ChainLink]) -> Vec<u8> {
     let mut bytes = FILE_MAGIC.to_vec();
     bytes.extend(postcard::to_stdvec(links).unwrap_or_default());
     bytes
 }
 
-/// The links of a file.
+/// Decodes the links of a file.
 ///
 /// # Errors
 ///
-/// Content that is not what [`write_file`] writes.
+/// The content is not one that [`write_file`] writes.
 pub fn read_file(bytes: &[u8]) -> Result<Vec<ChainLink>, LogFileError> {
-    let links = bytes.strip_prefix(FILE_MAGIC).ok_or(LogFileError::NoLogFile)?;
+    let links = bytes.strip_prefix(FILE_MAGIC).ok_or(LogFileError::NotALogFile)?;
     postcard::from_bytes(links).map_err(LogFileError::Malformed)
 }
--- a/crates/audit/src/replicas.rs
+++ b/crates/audit/src/replicas.rs
@@ -1,13 +1,14 @@
-//! Replicas of other routers' audit logs, record by record.
+//! Replicas of other routers' audit logs.
 //!
-//! A record is taken in where it follows the one before it; a later one tells which records are missing. No two records
-//! take one place, and a gap is closed only by the records that belong there.
+//! A record is accepted if it follows the last one of its log; a later one shows which records are missing.
+//! Two records never have the same position in a log, and a gap is closed only by the missing records
+//! themselves.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::record::{ChainLink, RecordHash};
 
-/// What an insertion did.
+/// The outcome of an insertion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplicaOutcome {
     /// The record was new.
@@ -16,7 +17,7 @@
     Known,
     /// The records from that number on have to be requested first.
     Missing(u64),
-    /// The record contradicts one that is kept: another one has its place or precedes it.
+    /// The record contradicts a stored one: another record has the same position, or another one precedes it.
     Forked,
 }
 
@@ -27,13 +28,13 @@
     bytes: usize,
     last_number: u64,
     head: RecordHash,
-    /// The first record that the owner still has.
+    /// The number of the first record that the owner still has.
     first_number: u64,
-    /// Records that contradict the kept ones: the first few.
+    /// The first records that contradict stored ones, at most [`MAX_FORKS`].
     forks: Vec<ChainLink>,
 }
 
-/// How much is kept.
+/// The sizes of all replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicaSizes {
     /// The number of logs.
@@ -44,7 +45,7 @@
     pub bytes: usize,
 }
 
-/// The replicas that this router keeps.
+/// The replicas that this router stores.
 #[derive(Debug, Clone, Default)]
 pub struct LogReplicas {
     max_bytes_per_log: usize,
@@ -53,25 +54,25 @@
     logs: BTreeMap<(String, u64), LogReplica>,
 }
 
-/// The number of logs that are kept.
+/// The largest number of stored logs.
 const MAX_LOGS: usize = 4_096;
-/// Bytes of all logs together.
+/// The largest size of all logs together, in bytes.
 const MAX_TOTAL_BYTES: usize = 32 << 20;
-/// The number of contradicting records that are kept of each log.
+/// The largest number of contradicting records that are stored for each log.
 const MAX_FORKS: usize = 4;
 
 impl LogReplicas {
-    /// Replicas of at most that many bytes each.
+    /// Replicas of at most this many bytes each.
     pub fn new(max_bytes_per_log: usize) -> Self {
         Self { max_bytes_per_log, bytes: 0, logs: BTreeMap::new() }
     }
 
-    /// Sets how many bytes of each log are kept.
+    /// Sets how many bytes of each log are retained.
     pub fn set_max_bytes(&mut self, max_bytes_per_log: usize) {
         self.max_bytes_per_log = max_bytes_per_log;
     }
 
-    /// Takes in a record. The oldest records of its log make room.
+    /// Inserts a record, and removes the oldest records of its log beyond the size limit.
     pub fn insert(&mut self, link: ChainLink) -> ReplicaOutcome {
         let key = (link.name.clone(), link.incarnation);
         if !self.logs.contains_key(&key) && self.logs.len() >= MAX_LOGS || self.bytes > MAX_TOTAL_BYTES {
@@ -82,9 +83,9 @@
             return log.insert_known(link);
         }
         let is_first = log.links.is_empty();
-        // A replica that begins late begins with the first record that the owner still has.
-        let is_late_begin = is_first && link.number == log.first_number;
-        if link.number > log.last_number + 1 && !is_late_begin {
+        // A replica may begin with the first record that the owner still has.
+        let is_first_of_owner = is_first && link.number == log.first_number;
+        if link.number > log.last_number + 1 && !is_first_of_owner {
             return ReplicaOutcome::Missing(log.last_number + 1);
         }
         if !is_first && link.previous_hash != log.head {
@@ -103,22 +104,22 @@
         self.bytes -= removed.map_or(0, |log| log.bytes);
     }
 
-    /// Records that the owner of a log has nothing before that record any more.
+    /// Records that the owner of a log no longer has the records before this number.
     pub fn set_first_number(&mut self, name: &str, incarnation: u64, number: u64) {
         self.logs.entry((name.to_string(), incarnation)).or_default().first_number = number;
     }
 
-    /// The number of the next record that a log lacks.
+    /// The number of the next record that the replica of a log lacks.
     pub fn next_number(&self, name: &str, incarnation: u64) -> u64 {
         self.logs.get(&(name.to_string(), incarnation)).map_or(1, |log| log.last_number + 1)
     }
 
-    /// All records, those that contradict others included.
+    /// All records, including those that contradict others.
     pub fn iter(&self) -> impl Iterator<Item = &ChainLink> {
         self.logs.values().flat_map(|log| log.links.iter().chain(&log.forks))
     }
 
-    /// How much is kept.
+    /// The sizes of all replicas.
     pub fn sizes(&self) -> ReplicaSizes {
         ReplicaSizes {
             logs: self.logs.len(),
@@ -136,7 +137,8 @@
         self.links.push_back(link);
     }
 
-    /// Removes the oldest records down to that size, except the newest one. The bytes that were removed.
+    /// Removes the oldest records down to this size, except the newest one. Returns the number of removed
+    /// bytes.
     fn remove_oldest(&mut self, max_bytes: usize) -> usize {
         let before = self.bytes;
         while self.bytes > max_bytes && self.links.len() > 1 {
@@ -145,12 +147,12 @@
         before - self.bytes
     }
 
-    /// Takes in a record whose number is not new.
+    /// Handles a record whose number is not new.
     fn insert_known(&mut self, link: ChainLink) -> ReplicaOutcome {
         let known = self.links.iter().find(|known| known.number == link.number);
         match known {
             Some(known) if *known != link => self.record_fork(link),
-            // One that has made room already cannot be compared.
+            // A record that has been removed already cannot be compared.
             Some(_) | None => ReplicaOutcome::Known,
         }
     }
--- a/crates/audit/src/verification.rs
+++ b/crates/audit/src/verification.rs
@@ -1,6 +1,8 @@
-//! What follows from audit logs alone: whether their chains hold, what is missing, and who acted on what.
+//! Verification of audit logs: whether their hash chains are valid, which records are missing, and which
+//! router acted on which versions.
 //!
-//! Nothing is guessed: what no record covers is a gap, with its bounds.
+//! The results follow from the records alone: a time that no record covers is reported as a gap with its
+//! bounds.
 
 mod queries;
 
@@ -14,52 +16,53 @@
 
 use crate::record::{ChainLink, Record, RecordHash, Span};
 
-/// Something that is missing from a log or contradicts it.
+/// A missing, contradictory or unreadable part of a log.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Finding {
-    /// No record covers what the router did after a record.
+    /// No record covers the router's actions after a record.
     Gap {
         /// The router.
         name: String,
         /// Its incarnation.
         #[serde(rename = "start")]
         incarnation: u64,
-        /// The last record before the gap; 0 where the log lacks its begin.
+        /// The number of the last record before the gap; 0 if the first record is missing.
         after: u64,
-        /// From when on; `None` where that is unknown.
+        /// The begin of the gap; `None` if it is unknown.
         from: Option<Timestamp>,
-        /// Up to when, at the latest up to the next incarnation; `None` where that is unknown.
+        /// The end of the gap, which is at the latest the start of the next incarnation; `None` if it is
+        /// unknown.
         to: Option<Timestamp>,
     },
-    /// Two records have one place: two logs of one incarnation, or one that was rewritten.
+    /// Two records have the same position: there are two logs of one incarnation, or a log was rewritten.
     Fork {
         /// The router.
         name: String,
         /// Its incarnation.
         #[serde(rename = "start")]
         incarnation: u64,
-        /// The place.
+        /// The number of the records.
         number: u64,
     },
-    /// A record does not follow from the one before it.
+    /// A record does not follow the hash of the previous one.
     Broken {
         /// The router.
         name: String,
         /// Its incarnation.
         #[serde(rename = "start")]
         incarnation: u64,
-        /// The record.
+        /// The number of the record.
         number: u64,
     },
-    /// A record is of a version that this build cannot read.
+    /// A record cannot be decoded, for instance because this build does not know its version.
     Unreadable {
         /// The router.
         name: String,
         /// Its incarnation.
         #[serde(rename = "start")]
         incarnation: u64,
-        /// The record.
+        /// The number of the record.
         number: u64,
     },
 }
@@ -67,13 +70,13 @@
 /// When a router started.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StartTime {
-    /// The time that orders events.
+    /// The hybrid clock's timestamp.
     pub at: Timestamp,
     /// The same by the router's own clock, in Unix milliseconds.
     pub wall_clock: Ms,
 }
 
-/// A record that has its place in a log, with its hash.
+/// A record that was accepted into a log, with its hash.
 #[derive(Debug, Clone)]
 struct VerifiedRecord {
     hash: RecordHash,
@@ -83,13 +86,13 @@
 /// The log of one incarnation of one router, as far as it is known.
 #[derive(Debug, Clone, Default)]
 pub struct VerifiedLog {
-    /// By number; of two records at one place the one that the next record follows.
+    /// By number; of two records with the same number the one that the next record follows.
     records: BTreeMap<u64, VerifiedRecord>,
     /// Whether the router shut down gracefully.
     pub is_closed: bool,
-    /// Up to when records cover what the router did.
+    /// Up to when records cover the router's actions.
     pub known_until: Timestamp,
-    /// When the router started; `None` where that record is missing.
+    /// When the router started; `None` if that record is missing.
     pub started: Option<StartTime>,
 }
 
@@ -106,7 +109,7 @@
         self.records.insert(number, VerifiedRecord { hash, record });
     }
 
-    /// From when on the log covers what the router did.
+    /// From when on the log covers the router's actions.
     fn known_from(&self) -> Option<Timestamp> {
         let first = self.records.values().next()?;
         Some(match &first.record {
@@ -115,7 +118,7 @@
         })
     }
 
-    /// The gaps of the log, given the begin of the router's next incarnation.
+    /// The gaps of the log, given the start of the router's next incarnation.
     fn gaps(&self, next_incarnation: Option<Timestamp>) -> Vec<GapBounds> {
         let mut gaps = Vec::new();
         let mut last_number = 0;
@@ -141,7 +144,7 @@
     to: Option<Timestamp>,
 }
 
-/// A log with its place.
+/// A log with its router and incarnation.
 #[derive(Debug, Clone, Copy)]
 pub struct IncarnationLog<'a> {
     /// The router.
@@ -152,7 +155,7 @@
     pub log: &'a VerifiedLog,
 }
 
-/// A span with its place.
+/// A span with its router, incarnation and number.
 #[derive(Debug, Clone, Copy)]
 pub struct SpanRecord<'a> {
     /// The router.
@@ -165,17 +168,17 @@
     pub span: &'a Span,
 }
 
-/// All logs that some routers kept, with what was found in them.
+/// The logs of several routers, with the findings of their verification.
 #[derive(Debug, Clone, Default)]
 pub struct VerifiedLogs {
     /// By name and incarnation.
     logs: BTreeMap<(String, u64), VerifiedLog>,
-    /// What is missing or contradictory, in order.
+    /// The findings, sorted.
     pub findings: Vec<Finding>,
 }
 
 impl VerifiedLogs {
-    /// Verifies links, from whatever sources and in any order.
+    /// Verifies links, from any sources and in any order.
     pub fn new(links: impl IntoIterator<Item = ChainLink>) -> Self {
         let mut by_log = BTreeMap::<(String, u64), BTreeMap<u64, Vec<ChainLink>>>::new();
         for link in links {
@@ -196,7 +199,7 @@
         verified
     }
 
-    /// Verifies the chain of one log, given the candidates for each place.
+    /// Verifies the chain of one log, given the candidates for each number.
     fn verify_chain(
         &mut self,
         name: &str,
@@ -224,7 +227,7 @@
         log
     }
 
-    /// Finds what is missing: within each log, before it, and after it where the router did not shut down gracefully.
+    /// Finds the gaps: within each log, before it, and after it if the router did not shut down gracefully.
     fn find_gaps(&mut self) {
         let mut logs = self.logs.iter().peekable();
         while let Some(((name, incarnation), log)) = logs.next() {
@@ -237,7 +240,7 @@
         }
     }
 
-    /// From when on anything is known of each router. Of what it did before, nothing follows.
+    /// The begin of the earliest record of each router. Nothing is known of the router's actions before.
     pub fn earliest_known(&self) -> BTreeMap<&str, Timestamp> {
         let mut earliest = BTreeMap::new();
         for ((name, _), log) in &self.logs {
@@ -269,8 +272,8 @@
     }
 }
 
-/// Of the candidates for a place that follow from the record before it, the one that a following record follows; of
-/// several the one with the smallest hash.
+/// Of the candidates for a number that follow the hash of the previous record, the one that the next record
+/// follows; of several ones the one with the smallest hash.
 fn select_link<'a>(
     candidates: &'a [ChainLink],
     previous_hash: Option<RecordHash>,
--- a/crates/audit/src/verification/queries.rs
+++ b/crates/audit/src/verification/queries.rs
@@ -1,4 +1,5 @@
-//! Questions to verified logs: who acted on a version, what became of a request, which routers applied an event.
+//! Queries of verified logs: which routers acted on a version, how the attempts of a write ended, and which
+//! routers applied a journal event.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
 use super::{SpanRecord, VerifiedLogs};
 use crate::record::{AuditedAction, Span, Tally, WriteAttempt, WriteOutcome};
 
-/// A copy of a span with its place.
+/// A copy of a span with its router, incarnation and number.
 #[derive(Debug, Clone, Serialize)]
 pub struct AttributedSpan {
     /// The router.
@@ -25,7 +26,7 @@
     pub span: Span,
 }
 
-/// What one router recorded of an attempt of a non-idempotent request.
+/// What one router recorded of an attempt of a write.
 #[derive(Debug, Clone, Serialize)]
 pub struct AttemptTrace {
     /// The router.
@@ -33,12 +34,12 @@
     /// Its incarnation.
     #[serde(rename = "start")]
     pub incarnation: u64,
-    /// The name of the node that it was sent to, where it is known.
+    /// The name of the node to which it was sent; `None` if it is unknown.
     #[serde(rename = "to")]
     pub target: Option<String>,
-    /// The attempt; `None` where only its outcome is known.
+    /// The attempt; `None` if only its outcome is known.
     pub attempt: Option<WriteAttempt>,
-    /// The outcome; `None` where it is not known.
+    /// The outcome; `None` if it is unknown.
     #[serde(rename = "end")]
     pub outcome: Option<WriteOutcome>,
     /// The version of the hierarchy that the router acted on.
@@ -62,7 +63,7 @@
         }
     }
 
-    /// When the attempt was sent, or else when it ended.
+    /// When the attempt was sent; if that is unknown, when it ended.
     fn at(&self) -> Option<Timestamp> {
         let sent_at = self.attempt.as_ref().map(|attempt| attempt.at);
         sent_at.or(self.outcome.as_ref().map(|outcome| outcome.at))
@@ -82,7 +83,7 @@
     pub name: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The time that orders events.
+    /// The hybrid clock's timestamp.
     pub at: Timestamp,
     /// The same by the router's own clock, in Unix milliseconds.
     pub wall_clock: Ms,
@@ -102,9 +103,9 @@
     pub name: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// When it applied the event first.
+    /// When it first applied the event.
     pub at: Timestamp,
-    /// Whether the news came from gossip and not from the own journal.
+    /// Whether the event was received by gossip and not from the router's own journal.
     pub from_gossip: bool,
 }
 
@@ -114,11 +115,11 @@
     }
 }
 
-/// Two routers that filled by two hierarchies at once. Serialized as an array.
+/// Two routers that filled by different hierarchies at the same time. Serialized as an array.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(into = "(String, String, Timestamp, Timestamp)")]
 pub struct HierarchyConflict {
-    /// The router of the smaller name.
+    /// The router with the smaller name.
     pub first: String,
     /// The other router.
     pub second: String,
@@ -134,7 +135,7 @@
     }
 }
 
-/// A span without duration still covers its begin.
+/// The shortest duration of a span in queries: a span without duration still covers its begin.
 const SHORTEST_SPAN_MS: Ms = 1e-3;
 
 impl VerifiedLogs {
@@ -151,13 +152,13 @@
         })
     }
 
-    /// The spans in which a router acted on a version: a version or a digest of the hierarchy, or `journal:`, `build:`,
-    /// `operator:` or `settings:` followed by the position, the build or the begin of the digest.
+    /// The spans in which a router acted on a version: a version or a digest of the hierarchy, or `journal:`,
+    /// `build:`, `operator:` or `settings:` followed by the position, the build or a prefix of the digest.
     pub fn spans_on_version<'a>(&'a self, version: &'a str) -> impl Iterator<Item = AttributedSpan> + 'a {
         self.matching_spans(move |span| is_on_version(span, version))
     }
 
-    /// The spans at a time, in Unix milliseconds by the clock of each router.
+    /// The spans that cover a time, in Unix milliseconds by the clock of each router.
     pub fn spans_at(&self, time: Ms) -> impl Iterator<Item = AttributedSpan> + '_ {
         self.matching_spans(move |span| {
             let (from, to) = span.wall_clock;
@@ -165,7 +166,7 @@
         })
     }
 
-    /// All that is known of the attempts of a non-idempotent request, by time.
+    /// The recorded attempts of a write, by time.
     pub fn attempts_of_request(&self, request_id: &str) -> Vec<AttemptTrace> {
         let mut traces = Vec::<AttemptTrace>::new();
         for SpanRecord { name, incarnation, span, .. } in self.spans() {
@@ -207,12 +208,12 @@
         first_spans
     }
 
-    /// The spans after that time in which a router did something on a hierarchy of another digest.
+    /// The spans after a time in which a router performed actions on a hierarchy with another digest.
     pub fn spans_on_other_hierarchy(&self, digest: u64, since: Timestamp) -> Vec<AttributedSpan> {
-        let is_behind = move |span: &Span| {
+        let is_on_other = move |span: &Span| {
             span.versions.hierarchy.digest != digest && span.from > since && !span.counts.is_empty()
         };
-        self.matching_spans(is_behind).collect()
+        self.matching_spans(is_on_other).collect()
     }
 
     /// Which routers applied the drain or the purge at a position of the journal, by time.
@@ -229,7 +230,7 @@
         all
     }
 
-    /// Pairs of routers that filled by two hierarchies at once, by name.
+    /// Pairs of routers that filled by different hierarchies at the same time, by name.
     pub fn conflicting_hierarchies(&self) -> Vec<HierarchyConflict> {
         let fills =
             |span: &Span| span.counts.iter().any(|(action, _)| matches!(action, AuditedAction::Fill { .. }));
@@ -258,7 +259,8 @@
     known.map(|(_, name)| name.clone())
 }
 
-/// Whether an action applies the drain or the purge at that position of the journal: then whether it came from gossip.
+/// For an action that applies the drain or the purge at this position of the journal, whether the event was
+/// received by gossip; `None` for all other actions.
 fn applies_journal_event(action: &AuditedAction, position: u64) -> Option<bool> {
     match action {
         AuditedAction::Drain { journal_position, from_gossip, .. }
@@ -271,12 +273,12 @@
 
 fn is_on_version(span: &Span, version: &str) -> bool {
     let versions = &span.versions;
-    let is_digest = |value: u64, begin: &str| format!("{value:016x}").starts_with(begin);
+    let has_prefix = |value: u64, prefix: &str| format!("{value:016x}").starts_with(prefix);
     match version.split_once(':') {
         Some(("journal", position)) => position.parse() == Ok(versions.journal_position),
         Some(("build", build)) => versions.build == build,
-        Some(("operator", digest)) => is_digest(versions.operator_digest, digest),
-        Some(("settings", digest)) => is_digest(versions.settings_digest, digest),
+        Some(("operator", digest)) => has_prefix(versions.operator_digest, digest),
+        Some(("settings", digest)) => has_prefix(versions.settings_digest, digest),
         Some(_) => false,
         None => {
             let HierarchyVersion { version: number, digest } = versions.hierarchy;
--- a/crates/audit/tests/golden.rs
+++ b/crates/audit/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of audit logs, on links and in files, and the names that commands print: compared with fixtures that an
-//! earlier build has written, read by this build and written again.
+//! The bytes of audit logs, on links and in files, and the names that commands print: compared with fixtures
+//! that an earlier build has written, read by this build and written again.
 
 #[path = "../../membership/tests/support/mod.rs"]
 mod support;
@@ -19,7 +19,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-fn stamp(ms: u64) -> Timestamp {
+fn timestamp(ms: u64) -> Timestamp {
     Timestamp { ms, counter: 300 }
 }
 
@@ -52,24 +52,24 @@
 }
 
 fn span() -> Span {
-    let tally = |n: u64| Tally { count: n, first: stamp(n), last: stamp(n * 2) };
+    let tally = |n: u64| Tally { count: n, first: timestamp(n), last: timestamp(n * 2) };
     Span {
-        from: stamp(1_000),
-        to: stamp(6_000),
+        from: timestamp(1_000),
+        to: timestamp(6_000),
         wall_clock: (1_000.5, 6_000.5),
         versions: active_versions(),
-        counts: actions().into_iter().zip(1..).map(|(act, n)| (act, tally(n))).collect(),
+        counts: actions().into_iter().zip(1..).map(|(action, n)| (action, tally(n))).collect(),
         write_attempts: vec![WriteAttempt {
             request_id: "request-1".to_string(),
             attempt: 2,
             target: 3,
-            at: stamp(2_000),
+            at: timestamp(2_000),
         }],
         write_outcomes: vec![WriteOutcome {
             request_id: "request-1".to_string(),
             attempt: 2,
             outcome: "answered".to_string(),
-            at: stamp(3_000),
+            at: timestamp(3_000),
         }],
         omitted_writes: 4,
         omitted_actions: 5,
@@ -79,52 +79,52 @@
 
 fn records() -> Vec<(&'static str, Record)> {
     vec![
-        ("began", Record::Started { at: stamp(1_000), wall_clock: 1_000.5 }),
+        ("began", Record::Started { at: timestamp(1_000), wall_clock: 1_000.5 }),
         ("span", Record::Span(Box::new(span()))),
-        ("ended", Record::Closed { at: stamp(9_000) }),
+        ("ended", Record::Closed { at: timestamp(9_000) }),
     ]
 }
 
 fn links() -> Vec<ChainLink> {
-    let mut before = [0; 32];
+    let mut previous_hash = [0; 32];
     let link = |(number, (_, record)): (u64, (_, Record))| {
-        let link = ChainLink::new("r1", 1 << 40, number, before, &record);
-        before = link.hash();
+        let link = ChainLink::new("r1", 1 << 40, number, previous_hash, &record);
+        previous_hash = link.hash();
         link
     };
     (1..).zip(records()).map(link).collect()
 }
 
-/// A log as a router writes it, with an end.
-fn written() -> AuditLog {
-    let names = |id: u64| Some(format!("node-{id}"));
+/// A closed log as a router writes it.
+fn written_log() -> AuditLog {
+    let node_name = |id: u64| Some(format!("node-{id}"));
     let mut clock = HybridClock::default();
-    let rules = AuditLogConfig { max_action_kinds: 9, max_write_attempts: 2, ..AuditLogConfig::default() };
-    let mut account = AuditLog::new(0.0, clock.next_timestamp(0.0), rules, "r1", 1_000, active_versions());
+    let config = AuditLogConfig { max_action_kinds: 9, max_write_attempts: 2, ..AuditLogConfig::default() };
+    let mut log = AuditLog::new(0.0, clock.next_timestamp(0.0), config, "r1", 1_000, active_versions());
     for n in 0..40u64 {
         let now = n as f64 * 700.0;
-        let all = actions();
-        account.record_action(clock.next_timestamp(now), all[n as usize % all.len()]);
+        let actions = actions();
+        log.record_action(clock.next_timestamp(now), actions[n as usize % actions.len()]);
         let id = format!("request-{n}");
-        account.record_write_attempt(WriteAttempt {
+        log.record_write_attempt(WriteAttempt {
             request_id: id.clone(),
             attempt: 1,
             target: n % 3,
             at: clock.next_timestamp(now),
         });
-        let (how, at) = ("answered".to_string(), clock.next_timestamp(now + 1.0));
-        account.record_write_outcome(WriteOutcome { request_id: id, attempt: 1, outcome: how, at });
-        let journal = 70_000 + n / 10;
-        account.set_versions(
+        let (outcome, at) = ("answered".to_string(), clock.next_timestamp(now + 1.0));
+        log.record_write_outcome(WriteOutcome { request_id: id, attempt: 1, outcome, at });
+        let journal_position = 70_000 + n / 10;
+        log.set_versions(
             now + 2.0,
             clock.next_timestamp(now + 2.0),
-            &ActiveVersions { journal_position: journal, ..active_versions() },
-            names,
+            &ActiveVersions { journal_position, ..active_versions() },
+            node_name,
         );
-        account.tick(now + 3.0, clock.next_timestamp(now + 3.0), names);
+        log.tick(now + 3.0, clock.next_timestamp(now + 3.0), node_name);
     }
-    account.finish(30_000.0, clock.next_timestamp(30_000.0), names);
-    account
+    log.finish(30_000.0, clock.next_timestamp(30_000.0), node_name);
+    log
 }
 
 #[test]
@@ -136,12 +136,12 @@
         fixtures.insert(format!("hash.{name}"), hex(&link.hash()));
     }
     fixtures.insert("file".to_string(), hex(&write_file(&links())));
-    let written: Vec<ChainLink> = written().records_from(1).cloned().collect();
+    let written: Vec<ChainLink> = written_log().records_from(1).cloned().collect();
     fixtures.insert("written".to_string(), hex(&write_file(&written)));
     support::compare(&file("links.txt"), &fixtures);
 }
 
-/// What an earlier build has written is read, and written again to the same bytes.
+/// Fixtures of an earlier build are decoded, and encoded again to the same bytes.
 #[test]
 fn fixtures_are_read_and_written_again_to_the_same_bytes() {
     let fixtures = support::read(&file("links.txt"));
@@ -163,20 +163,20 @@
 fn printed_json_keeps_its_names() {
     let mut fixtures = Fixtures::new();
     let mut add = |name: &str, text: String| fixtures.insert(name.to_string(), text);
-    let (name, start) = ("r1".to_string(), 7);
-    let (from, to) = (Some(stamp(1)), None);
+    let (name, incarnation) = ("r1".to_string(), 7);
+    let (from, to) = (Some(timestamp(1)), None);
     let findings = [
-        Finding::Gap { name: name.clone(), incarnation: start, after: 3, from, to },
-        Finding::Fork { name: name.clone(), incarnation: start, number: 3 },
-        Finding::Broken { name: name.clone(), incarnation: start, number: 3 },
-        Finding::Unreadable { name, incarnation: start, number: 3 },
+        Finding::Gap { name: name.clone(), incarnation, after: 3, from, to },
+        Finding::Fork { name: name.clone(), incarnation, number: 3 },
+        Finding::Broken { name: name.clone(), incarnation, number: 3 },
+        Finding::Unreadable { name, incarnation, number: 3 },
     ];
     add("findings", support::json::to_string(&findings));
     add("span", support::json::to_string(&span()));
-    let accounts = VerifiedLogs::new(links());
-    add("who", support::json::to_string(&accounts.spans_on_version("300").collect::<Vec<_>>()));
-    add("request", support::json::to_string(&accounts.attempts_of_request("request-1")));
-    add("settled", support::json::to_string(&accounts.first_spans_on_version("300")));
-    add("drained", support::json::to_string(&accounts.journal_event_applied(70_000)));
+    let logs = VerifiedLogs::new(links());
+    add("who", support::json::to_string(&logs.spans_on_version("300").collect::<Vec<_>>()));
+    add("request", support::json::to_string(&logs.attempts_of_request("request-1")));
+    add("settled", support::json::to_string(&logs.first_spans_on_version("300")));
+    add("drained", support::json::to_string(&logs.journal_event_applied(70_000)));
     support::compare(&file("json.txt"), &fixtures);
 }
