--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -99,7 +99,7 @@
     }
 
     /// Drops the records of removed endpoints without an attempt in flight.
-    pub(super) fn forget_removed_endpoints(&mut self) {
+    pub(super) fn drop_removed_endpoints(&mut self) {
         self.endpoints
             .retain(|_, record| record.endpoint.phase != EndpointPhase::Removed || record.in_flight > 0);
     }
--- a/src/policy/freshness.rs
+++ b/src/policy/freshness.rs
@@ -79,7 +79,7 @@
         for record in self.endpoints.values_mut() {
             record.cached_copies.rotate();
         }
-        self.forget_removed_endpoints();
+        self.drop_removed_endpoints();
         let filter_retention = ROTATIONS_IN_FILTER * FILTER_ROTATION;
         let oldest = self.now - self.settings.purge_completion.max(filter_retention) - PURGE_MARGIN;
         self.purges.remove_before(oldest);
--- a/src/policy/placement.rs
+++ b/src/policy/placement.rs
@@ -166,7 +166,7 @@
         if disabled || request.owner_only || !self.is_known_copy(owner, copy_key) {
             return None;
         }
-        let sibling = self.far_less_busy(owner, caches)?;
+        let sibling = self.overflow_sibling(owner, caches)?;
         let may_be_stale = self.may_serve_stale(request);
         let fill = self.fill_instruction(&request.request, owner, NO_RETENTION, may_be_stale);
         Some(Route::with_fill(sibling, FillInstruction { only_if_cached: true, ..fill }))
@@ -176,7 +176,7 @@
     ///
     /// Both limits are relative to this router's share of the owner, as each of many routers has only a few
     /// attempts in flight there.
-    fn far_less_busy(&self, owner: EndpointId, caches: &[EndpointId]) -> Option<EndpointId> {
+    fn overflow_sibling(&self, owner: EndpointId, caches: &[EndpointId]) -> Option<EndpointId> {
         let others: Vec<EndpointId> = caches.iter().copied().filter(|&id| id != owner).collect();
         let least_busy = self.least_busy(&others)?;
         let mean_load = others.iter().map(|&id| self.own_load(id)).sum::<f64>() / others.len() as f64;
--- a/src/policy/request_flow.rs
+++ b/src/policy/request_flow.rs
@@ -50,7 +50,7 @@
             return;
         }
         let time_left = request.deadline - self.now - DEADLINE_TICKS * self.settings.clock_resolution;
-        if let Some(reason) = self.attempt_barred(request, time_left) {
+        if let Some(reason) = self.attempt_rejection(request, time_left) {
             return self.give_up(id, reason);
         }
         let is_write = self.is_write(&request.request);
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -59,7 +59,7 @@
 
 impl Policy {
     /// The reason for which no further attempt may be sent to any endpoint, if there is one.
-    pub(super) fn attempt_barred(&self, request: &RequestRecord, time_left: Ms) -> Option<RejectReason> {
+    pub(super) fn attempt_rejection(&self, request: &RequestRecord, time_left: Ms) -> Option<RejectReason> {
         let is_retry = request.attempts_sent > 0;
         let first_endpoint = request.may_have_executed.map(|(_, endpoint)| endpoint);
         if time_left <= 0.0 {
