--- a/crates/hierarchy/src/edge_backoff.rs
+++ b/crates/hierarchy/src/edge_backoff.rs
@@ -1,4 +1,4 @@
-//! Excludes edges on which a fill loop was detected, for a time that grows with each repetition.
+//! Excludes edges on which a fill loop was detected, for a time that grows with each repeated detection.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 
 use crate::node::NodeId;
 
-/// How long an edge is excluded, in milliseconds, and how many may be.
+/// Durations and bounds of exclusions. Durations are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EdgeBackoffConfig {
-    /// The first exclusion.
+    /// Duration of the first exclusion.
     pub initial: Ms,
-    /// By what each further exclusion grows that follows soon after the last.
+    /// Factor between the durations of an exclusion and of one that follows soon after it.
     pub factor: f64,
-    /// The longest exclusion.
+    /// The longest duration of an exclusion.
     pub max: Ms,
-    /// Edges that may be excluded at a time.
+    /// Maximum number of edges excluded at the same time.
     pub max_edges: usize,
 }
 
@@ -42,9 +42,10 @@
 
 /// The edges excluded after a detected loop.
 ///
-/// An edge is excluded at the version of the topology at which the loop was detected and at older ones. A newer
-/// version is tried at once, as both ends may agree on it. A loop that is detected again within as much time after
-/// the exclusion as the exclusion lasted extends the next one by [`EdgeBackoffConfig::factor`].
+/// An edge is excluded at the version of the topology at which the loop was detected and at older ones. At a
+/// newer version it is used again at once, as both ends may agree on that version. If the loop is detected
+/// again, and the time since the last exclusion is shorter than that exclusion was, the new exclusion is
+/// longer by [`EdgeBackoffConfig::factor`].
 #[derive(Debug, Clone, Default)]
 pub struct EdgeBackoff {
     config: EdgeBackoffConfig,
@@ -52,12 +53,12 @@
 }
 
 impl EdgeBackoff {
-    /// No edge excluded.
+    /// A backoff without excluded edges.
     pub fn new(config: EdgeBackoffConfig) -> Self {
         Self { config, exclusions: BTreeMap::new() }
     }
 
-    /// Excludes an edge on which a loop was detected at that version of the topology.
+    /// Excludes an edge on which a loop was detected at `version` of the topology.
     pub fn back_off(&mut self, now: Ms, from: NodeId, to: NodeId, version: u64) {
         self.expire(now);
         let edge = EdgeId { from, to };
@@ -65,7 +66,7 @@
             self.remove_soonest_to_end();
         }
         let duration = match self.exclusions.get(&edge) {
-            // Another report of the same loop, by a fill that was in flight.
+            // Another report of the same loop, by a fill that was in flight at the first report.
             Some(exclusion) if now < exclusion.until => exclusion.duration,
             Some(exclusion) => (exclusion.duration * self.config.factor).min(self.config.max),
             None => self.config.initial,
@@ -80,28 +81,28 @@
         }
     }
 
-    /// Whether fills may not use the edge now, at that version of the topology.
+    /// Whether the edge is excluded now, at `version` of the topology.
     pub fn is_backed_off(&self, now: Ms, from: NodeId, to: NodeId, version: u64) -> bool {
         let exclusion = self.exclusions.get(&EdgeId { from, to });
         exclusion.is_some_and(|exclusion| now < exclusion.until && version <= exclusion.version)
     }
 
-    /// Edges excluded now.
+    /// Number of edges excluded now.
     pub fn active_count(&self, now: Ms) -> usize {
         self.exclusions.values().filter(|exclusion| now < exclusion.until).count()
     }
 
-    /// Forgets exclusions that ended as long ago as they lasted.
+    /// Drops exclusions that ended at least as long ago as they lasted.
     pub fn expire(&mut self, now: Ms) {
         self.exclusions.retain(|_, exclusion| now < exclusion.until + exclusion.duration);
     }
 
-    /// Edges that are excluded or were lately.
+    /// Number of edges that are excluded or whose exclusion ended recently.
     pub fn len(&self) -> usize {
         self.exclusions.len()
     }
 
-    /// Whether no edge is excluded or was lately.
+    /// Whether no edge is excluded and no exclusion ended recently.
     pub fn is_empty(&self) -> bool {
         self.exclusions.is_empty()
     }
--- a/crates/hierarchy/src/hierarchy/child.rs
+++ b/crates/hierarchy/src/hierarchy/child.rs
@@ -1,4 +1,4 @@
-//! The source lists of one cache that sources are chosen for.
+//! The source lists of one cache whose fill sources this router selects.
 
 use crate::node::{preferred_sources, NodeId, Source};
 use crate::rollout::MigrationId;
@@ -6,31 +6,32 @@
 
 use super::FillSources;
 
-/// A cache that sources are chosen for.
+/// A cache whose fill sources this router selects.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Child {
-    /// The sources in use where migrations are not settled yet.
+    /// The sources from before the migrations that are not settled yet; equal to `desired` without
+    /// migrations.
     pub settled: Vec<Source>,
-    /// The sources that the topology gives it, retiring ones left out.
-    pub wanted: Vec<Source>,
-    /// The newest batch that wrote the wanted sources.
+    /// The sources that the topology lists for the cache, without retiring ones.
+    pub desired: Vec<Source>,
+    /// The newest batch that wrote the desired sources.
     pub written_by: BatchPosition,
-    /// What was published last.
+    /// The value published last.
     pub published: FillSources,
 }
 
 impl Child {
-    /// Its migrations from the settled to the wanted sources.
+    /// The migrations from the settled to the desired sources.
     pub fn migrations(&self) -> impl Iterator<Item = MigrationId> + '_ {
         let position = self.written_by;
         self.migration_targets().into_iter().map(move |target| MigrationId { target, position })
     }
 
-    /// The sources that get more of its fills than before: those that are new among the preferred ones, or all
-    /// preferred ones where one has only left.
+    /// The sources that receive more fills of this cache than before: the preferred sources that are new, or
+    /// all preferred sources if some were removed and none was added.
     pub fn migration_targets(&self) -> Vec<NodeId> {
         let old: Vec<NodeId> = preferred_sources(&self.settled).collect();
-        let new: Vec<NodeId> = preferred_sources(&self.wanted).collect();
+        let new: Vec<NodeId> = preferred_sources(&self.desired).collect();
         let added: Vec<NodeId> = new.iter().copied().filter(|id| !old.contains(id)).collect();
         let has_removed = old.iter().any(|id| !new.contains(id));
         if added.is_empty() && has_removed {
--- a/crates/hierarchy/src/hierarchy/config.rs
+++ b/crates/hierarchy/src/hierarchy/config.rs
@@ -1,4 +1,4 @@
-//! All settings of the hierarchy.
+//! The settings of the hierarchy.
 
 use linnethook::interface::Ms;
 
@@ -13,33 +13,33 @@
 pub struct HierarchyConfig {
     /// Bounds on batches and on the topology.
     pub batch_limits: BatchLimits,
-    /// Bounds on what the history stores.
+    /// Bounds on the size of the history.
     pub history_limits: HistoryLimits,
     /// How long edges are excluded after a detected loop.
     pub edge_backoff: EdgeBackoffConfig,
     /// How children migrate to new sources.
     pub rollout: RolloutConfig,
-    /// What the origin shield lets through.
+    /// The limits of the origin shield.
     pub shield: ShieldConfig,
-    /// Whether children migrate in stages; otherwise they change sources at once.
+    /// Whether children migrate in stages; otherwise they switch sources at once.
     pub rollout_enabled: bool,
-    /// Whether fills pass the shield.
+    /// Whether the shield limits fills; otherwise all are admitted.
     pub shield_enabled: bool,
-    /// For how long a retiring node may still be asked for cached objects.
+    /// For how long a retiring node still serves requests for cached objects.
     pub retirement_grace: Ms,
-    /// Keys whose last fetch is remembered.
+    /// Number of keys whose last fetch time is stored.
     pub recent_keys: usize,
-    /// For how long it is remembered.
+    /// For how long a fetch time is stored.
     pub recent_keys_horizon: Ms,
-    /// The probability that a node has to fetch a recently fetched key again, before any was observed.
+    /// The initial estimate of the probability that a node has to fetch a recently fetched key again.
     pub initial_fill_probability: f64,
-    /// Weight of one fill in an observed probability.
+    /// Weight of one fill in an estimated probability.
     pub sample_weight: f64,
-    /// Caches that sources are chosen for.
+    /// Maximum number of caches whose fill sources this router selects.
     pub max_children: usize,
-    /// By how much a fraction of objects has to change before it is published again.
+    /// The smallest change of a fraction of objects that is published.
     pub publish_step: f64,
-    /// For how long the tiers above count as constrained after a fill was rejected for its budget.
+    /// For how long the tiers above count as constrained after a rate budget rejected a fill.
     pub constrained_hold: Ms,
 }
 
--- a/crates/hierarchy/src/hierarchy/fill_estimator.rs
+++ b/crates/hierarchy/src/hierarchy/fill_estimator.rs
@@ -1,7 +1,8 @@
-//! Estimates how likely a fill reaches the tiers above, from when its key was fetched last.
+//! Estimates the probability that a fill reaches the tiers above, from the time since the last fetch of its
+//! key.
 //!
-//! A node that fetched a key not long ago most likely still has it cached. Keys are grouped into classes by the time
-//! since their last fetch, and the observed outcomes of each class estimate those of the next fill.
+//! A node that fetched a key recently most likely still has it cached. Keys are grouped into classes by the
+//! time since their last fetch, and the observed outcomes of each class estimate those of the next fill.
 
 use std::collections::BTreeMap;
 
@@ -13,22 +14,22 @@
 use crate::node::NodeId;
 use crate::recent_keys::RecentKeys;
 
-/// Classes of keys by time since the last fetch.
+/// Number of classes of keys by time since the last fetch.
 const AGE_CLASSES: usize = 6;
 
-/// The class of keys whose last fetch is not remembered.
+/// The class of keys whose last fetch time is not stored.
 const UNKNOWN_AGE: usize = AGE_CLASSES - 1;
 
-/// The upper end of the first class, in milliseconds.
+/// The upper bound of the first class, in milliseconds.
 const FIRST_CLASS_END: Ms = 1_000.0;
 
-/// The factor between the ends of two classes.
+/// The ratio between the upper bounds of two successive classes.
 const CLASS_RATIO: f64 = 4.0;
 
-/// Keeps what is remembered of a key at a child apart from what is remembered of it at a source.
+/// Separates the fetch times of a key at a child from those at a source with the same id.
 const CHILD_KEY_SALT: u64 = 0x6368_696c;
 
-/// The class of a key that was last fetched that many milliseconds ago.
+/// The class of a key whose last fetch was `age` milliseconds ago; `None` if unknown.
 fn age_class(age: Option<Ms>) -> usize {
     let Some(age) = age else { return UNKNOWN_AGE };
     let class = (age / FIRST_CLASS_END).max(1.0).log(CLASS_RATIO).ceil() as usize;
@@ -38,25 +39,25 @@
 /// The observed outcomes at a node, by age class.
 #[derive(Debug, Clone, Copy, Default)]
 struct Observations {
-    /// As a child: the ratio of requests that it had to fill.
+    /// As a child: the fraction of requests that it had to fill.
     fills: [Ewma; AGE_CLASSES],
-    /// As a source: the ratio of fills that it forwarded to the tiers above.
+    /// As a source: the fraction of fills that it forwarded to the tiers above.
     forwarded: [Ewma; AGE_CLASSES],
 }
 
-/// An estimated probability, with the class of keys that it was observed on.
+/// An estimated probability, with the class of keys that it was estimated from.
 #[derive(Debug, Clone, Copy)]
 struct Estimate {
     class: usize,
     probability: f64,
 }
 
-/// How likely a fill reaches its source and the tiers above.
+/// The estimated probabilities that a fill reaches its source and the tiers above.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FillEstimate {
-    /// The child has to fill.
+    /// The probability that the child has to fill.
     pub reaches_source: f64,
-    /// The source forwards a fill.
+    /// The probability that the source forwards a fill that has reached it.
     pub is_forwarded: f64,
     pub classes: EstimateClasses,
 }
@@ -68,7 +69,7 @@
     source: usize,
 }
 
-/// How far a fill went; `None` where it is not known.
+/// Which tiers a fill reached; `None` where that is unknown.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct FillReach {
     pub reached_source: Option<bool>,
@@ -87,7 +88,7 @@
     }
 }
 
-/// What of a fill its outcome is recorded by.
+/// The data of a fill that the estimator needs to record its outcome.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EstimatedFill {
     pub child: NodeId,
@@ -101,7 +102,7 @@
 pub(super) struct FillEstimator {
     recent_keys: RecentKeys,
     last_sweep: Ms,
-    /// The probability for a remembered key before any was observed.
+    /// The estimate for a key with a stored fetch time before any outcome was observed.
     initial_probability: f64,
     sample_weight: f64,
     observations: BTreeMap<NodeId, Observations>,
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Estimates how far a fill goes.
+    /// Estimates which tiers a fill reaches.
     pub fn estimate(&self, now: Ms, fill: &SelectedFill) -> FillEstimate {
         let child = self.estimate_child(now, fill);
         let source = self.estimate_source(now, fill);
@@ -129,7 +130,8 @@
         }
     }
 
-    /// How likely the child has to fill. A request that goes straight to a source does reach it.
+    /// The probability that the child has to fill. A request that is sent directly to a source always reaches
+    /// it.
     fn estimate_child(&self, now: Ms, fill: &SelectedFill) -> Estimate {
         if fill.child == fill.source {
             return Estimate { class: UNKNOWN_AGE, probability: 1.0 };
@@ -138,7 +140,7 @@
         self.estimate_by_age(age, self.observations.get(&fill.child).map(|observed| &observed.fills))
     }
 
-    /// How likely the source forwards the fill.
+    /// The probability that the source forwards the fill.
     fn estimate_source(&self, now: Ms, fill: &SelectedFill) -> Estimate {
         let age = self.recent_keys.age(now, source_key(fill.key, fill.source));
         self.estimate_by_age(age, self.observations.get(&fill.source).map(|observed| &observed.forwarded))
@@ -151,7 +153,7 @@
         Estimate { class, probability: mean.map_or(initial, |mean| mean.value) }
     }
 
-    /// Records how far a fill went, and that its key was fetched.
+    /// Records which tiers a fill reached, and the time at which its key was fetched.
     pub fn record(&mut self, now: Ms, fill: &EstimatedFill, result: FillResult) {
         let reach = FillReach::of(result);
         if let Some(reached_source) = reach.reached_source.filter(|_| fill.child != fill.source) {
@@ -172,14 +174,14 @@
         }
     }
 
-    /// A node has restarted with an empty cache.
+    /// Drops the observations of a node that has restarted with an empty cache.
     pub fn reset(&mut self, id: NodeId) {
         if let Some(observed) = self.observations.get_mut(&id) {
             *observed = Observations::default();
         }
     }
 
-    /// Drops the observations of all nodes but those that `keep` names.
+    /// Drops the observations of all nodes for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(NodeId) -> bool) {
         self.observations.retain(|id, _| keep(*id));
     }
--- a/crates/hierarchy/src/hierarchy/fill_sources.rs
+++ b/crates/hierarchy/src/hierarchy/fill_sources.rs
@@ -10,20 +10,20 @@
 use crate::loop_detection::MAX_HOPS;
 use crate::node::{preferred_sources, NodeId, Role, Source};
 
-/// Keeps the hash that selects migrating objects apart from all other hashes.
+/// Makes the hash that selects migrating objects independent of all other hashes.
 const MIGRATION_SALT: u64 = 0x676f_6f76;
 
-/// The sources that the decision module may choose from for a cache's fills. Lower ranks come first; among equal ranks
-/// an object has its own source by hash.
+/// The sources that the decision module may choose from for a cache's fills. Lower ranks are preferred; among
+/// equal ranks the hash of the object selects the source.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct FillSources {
     /// For the objects whose hash with `salt` is below `fraction`.
     pub current: Vec<Source>,
-    /// For all other objects, as before the change that is being rolled out.
+    /// For all other objects: the sources from before the change that is being rolled out.
     pub previous: Vec<Source>,
-    /// From 0 to 1.
+    /// The fraction of objects that use `current`, from 0 to 1.
     pub fraction: f64,
-    /// Changes with each batch, so that successive changes start with different objects.
+    /// Differs for each batch, so that successive changes start with different objects.
     pub salt: u64,
 }
 
@@ -48,40 +48,41 @@
     }
 }
 
-/// Where a source forwards a fill that it can't serve.
+/// A node to which a fill is forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Hop {
-    /// The node to ask next.
+    /// The node that the fill is forwarded to.
     pub node: NodeId,
-    /// It is asked for a cached copy alone.
+    /// Whether the node may only serve a cached copy, and must not fetch one.
     pub cached_only: bool,
 }
 
 impl Hierarchy {
     /// The sources that the decision module may choose from for a child's fills now.
     ///
-    /// The current list is the one that the topology gives the child. While a migration is in progress, the objects
-    /// outside its fraction use the settled list from before it, without nodes that were removed or whose retirement
-    /// grace has ended. Edges on which a loop was detected are left out of both lists.
+    /// The current list is the one that the topology has for the child. While a migration is in progress, the
+    /// objects outside its fraction use the settled list from before it, without nodes that were removed or
+    /// whose retirement grace period has ended. Neither list contains edges on which a loop was detected.
     pub fn fill_sources(&self, now: Ms, id: NodeId) -> FillSources {
         let Some(child) = self.children.get(&id) else { return FillSources::default() };
         let version = self.version();
         let is_usable = |source: &&Source| !self.edge_backoff.is_backed_off(now, id, source.node, version);
-        let is_still_served = |source: &&Source| {
+        let may_serve_cached = |source: &&Source| {
             self.topology().node(source.node).is_some() && self.is_within_grace(now, source.node)
         };
         let fractions = child.migrations().map(|migration| self.rollout.fraction(now, migration));
         let fraction = fractions.fold(1.0, f64::min);
         let previous = if fraction < 1.0 { &child.settled[..] } else { &[] };
         FillSources {
-            current: child.wanted.iter().filter(is_usable).copied().collect(),
-            previous: previous.iter().filter(is_usable).filter(is_still_served).copied().collect(),
+            current: child.desired.iter().filter(is_usable).copied().collect(),
+            previous: previous.iter().filter(is_usable).filter(may_serve_cached).copied().collect(),
             fraction,
             salt: child.written_by.stamp ^ MIGRATION_SALT,
         }
     }
 
-    /// The children whose fill sources have changed since they were published last, by id. They count as published.
+    /// The children whose fill sources have changed since they were last published, by id. Marks them as
+    /// published.
     pub fn changed_fill_sources(&mut self, now: Ms) -> Vec<(NodeId, FillSources)> {
         let ids: Vec<NodeId> = self.children.keys().copied().collect();
         let mut changed = Vec::new();
@@ -96,11 +97,11 @@
         changed
     }
 
-    /// Where `source` forwards a fill of `child` that it can't serve.
+    /// The path along which `source` forwards a fill of `child` that it can't serve.
     ///
-    /// While the child migrates to the source, first to the old source, for a cached copy alone; then upwards to the
-    /// origin, at each node by rank and hash. Nodes that are not ready or retire, edges on which a loop was detected
-    /// and nodes already on the path are left out.
+    /// While the child migrates to the source, the first hop is the old source, for a cached copy only. The
+    /// path then leads up to the origin; at each node the next hop is selected by rank and hash. It skips
+    /// nodes that are not ready or retire, edges on which a loop was detected and nodes already on the path.
     pub fn onward_path(&self, now: Ms, child: NodeId, source: NodeId, object: u64) -> Vec<Hop> {
         let mut path = Vec::new();
         let mut passed = vec![child, source];
@@ -127,7 +128,8 @@
         path
     }
 
-    /// The parent that filled an object before `child` began to migrate to `source`, by the hash that chose it then.
+    /// The parent that filled an object before `child` began to migrate to `source`, selected by the same
+    /// hash.
     fn old_source(&self, now: Ms, child: NodeId, source: NodeId, object: u64) -> Option<NodeId> {
         let child = self.children.get(&child)?;
         if !child.migrations().any(|migration| migration.target == source) {
@@ -138,13 +140,13 @@
             .min_by_key(|id| parent_rank_hash(object, id.0))
     }
 
-    /// Whether a node is a parent that may be asked for cached objects.
+    /// Whether a node is a ready parent that still serves requests for cached objects.
     pub(super) fn is_usable_parent(&self, now: Ms, id: NodeId) -> bool {
         let is_parent = self.topology().node(id).is_some_and(|node| node.role == Role::Parent);
         is_parent && self.endpoints.is_ready(id) && self.is_within_grace(now, id)
     }
 
-    /// Some nodes, and all nodes that they may fill from.
+    /// The given nodes and all nodes that they may fill from, directly or through others.
     pub(super) fn with_nodes_above(&self, nodes: BTreeSet<NodeId>) -> BTreeSet<NodeId> {
         let mut unvisited: Vec<NodeId> = nodes.iter().copied().collect();
         let mut found = nodes;
--- a/crates/hierarchy/src/hierarchy/fills.rs
+++ b/crates/hierarchy/src/hierarchy/fills.rs
@@ -1,4 +1,4 @@
-//! Passes selected fills through the shield, and learns from their ends.
+//! Submits selected fills to the shield, and records their outcomes.
 
 use linnethook::interface::Ms;
 
@@ -11,15 +11,15 @@
 };
 use crate::rollout::MigrationId;
 
-/// The probability of a fill from which it needs the lease on its key.
+/// A fill needs the lease on its key if the probability that it takes place is at least this.
 const MIN_LEASE_PROBABILITY: f64 = 0.5;
 
 /// A fill whose source the decision module has selected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SelectedFill {
-    /// The caller's name for it.
+    /// The caller's identifier for the fill.
     pub ticket: Ticket,
-    /// The cache that fills; equal to `source` for a request that goes straight to a parent or the origin.
+    /// The cache that fills; equal to `source` for a request that is sent directly to a parent or the origin.
     pub child: NodeId,
     /// The node it fills from.
     pub source: NodeId,
@@ -29,28 +29,28 @@
     pub key: u64,
     /// Its priority.
     pub priority: Priority,
-    /// Its size in bytes, as far as known.
+    /// The expected size in bytes.
     pub bytes: f64,
-    /// Whether it may join a fetch of the same key that is in flight at its node.
+    /// Whether it may join a fetch of the same key that is in flight at its source.
     pub may_join: bool,
-    /// How long it may be queued and still be in time, in milliseconds.
+    /// The longest time that it may be queued, in milliseconds.
     pub max_wait: Ms,
 }
 
 /// How a fill ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FillResult {
-    /// The source served it from its cache, or from that of a node beside it.
+    /// The source served it from its cache, or from that of the old source that it forwarded the fill to.
     ServedFromCache,
     /// The source forwarded it to the origin, or is the origin.
     ServedFromOrigin,
-    /// It was served, and it is not known from where.
+    /// It was served from an unknown tier.
     ServedFromUnknown,
     /// The child had it cached: no fill took place.
     AlreadyCached,
-    /// The source refused it, failed or could not be reached.
+    /// The source rejected it, failed or could not be reached.
     Failed,
-    /// The client that waited for it has left, so that it is no observation of the source.
+    /// It ended without being an observation of the source, for instance because its client disconnected.
     Abandoned,
 }
 
@@ -60,13 +60,13 @@
         matches!(self, Self::ServedFromCache | Self::ServedFromOrigin | Self::ServedFromUnknown)
     }
 
-    /// Whether it is an observation of how well the source serves.
+    /// Whether the result is an observation of the source's health.
     fn is_observation(self) -> bool {
         self.is_served() || self == Self::Failed
     }
 }
 
-/// A fill that was admitted or queued, until its end is reported.
+/// A fill that was admitted or queued and whose end was not reported yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingFill {
     child: NodeId,
@@ -76,7 +76,7 @@
 }
 
 impl Hierarchy {
-    /// Asks for a selected fill to go. Its expected costs follow from its path and from past fills.
+    /// Requests admission of a selected fill. Its expected costs follow from its path and from past fills.
     pub fn request_fill(&mut self, now: Ms, fill: &SelectedFill) -> ShieldDecision {
         let estimate = self.estimator.estimate(now, fill);
         let decision = if self.config.shield_enabled {
@@ -99,7 +99,7 @@
         match decision {
             ShieldDecision::Reject { reason, .. } => {
                 if matches!(reason, ShieldRejection::BudgetExhausted | ShieldRejection::QueueTimeout) {
-                    self.hold_constrained(now);
+                    self.mark_constrained(now);
                 }
             }
             ShieldDecision::Admit | ShieldDecision::Queue { .. } => {
@@ -111,7 +111,8 @@
         decision
     }
 
-    /// Records how an admitted fill ended. `is_late` says that it took longer than its latency objective.
+    /// Records the result of an admitted fill, and returns the decisions on queued fills that follow.
+    /// `is_late` means that the fill took longer than its latency objective.
     pub fn complete_fill(
         &mut self,
         now: Ms,
@@ -145,40 +146,42 @@
         self.rollout.record_fill(migration, fill.source, is_failure);
     }
 
-    /// A fill is not wanted any more, and has not gone.
+    /// Cancels a fill that was not sent. Does nothing if the ticket is unknown.
     pub fn cancel_fill(&mut self, ticket: Ticket) {
         self.shield.cancel_fill(ticket);
         self.pending_fills.remove(&ticket);
     }
 
-    /// Whether the tiers above can hardly take more: a tier above a change is near its limit, or fills were rejected
-    /// lately. Objects that can be served as they are should not be fetched anew now, and ramps pause.
+    /// Whether the tiers above have little free capacity: a tier above a change is near its limit, or fills
+    /// were rejected recently. Objects that can be served stale should not be revalidated now, and ramps
+    /// pause.
     pub fn is_constrained(&self, now: Ms) -> bool {
         now < self.constrained_until || self.shield.is_near_ceiling(now)
     }
 
-    /// A fill that `from` had forwarded to `to` has returned to a node that it had passed, at that version of the
-    /// topology. The edge is excluded for a while.
+    /// Excludes the edge from `from` to `to` for a limited time: a fill that was forwarded along it at
+    /// `version` of the topology has returned to a node on its path.
     pub fn report_loop(&mut self, now: Ms, from: NodeId, to: NodeId, version: u64) {
         self.edge_backoff.back_off(now, from, to, version.max(self.version()));
     }
 
-    /// Follows the rejections of queued fills.
+    /// Drops queued fills that were rejected, and marks the tiers above as constrained.
     pub(super) fn apply_rejections(&mut self, now: Ms, decisions: &[QueuedDecision]) {
         for decision in decisions {
             if let ShieldDecision::Reject { .. } = decision.decision {
                 self.pending_fills.remove(&decision.ticket);
-                self.hold_constrained(now);
+                self.mark_constrained(now);
             }
         }
     }
 
-    fn hold_constrained(&mut self, now: Ms) {
+    fn mark_constrained(&mut self, now: Ms) {
         self.constrained_until = now + self.config.constrained_hold;
     }
 }
 
-/// The expected costs of a fill: at its source, and at the tiers above. Requests for cached copies cost nothing.
+/// The expected costs of a fill at its source and at the tiers above. Requests for cached copies have no
+/// cost.
 fn tier_costs(source: NodeId, path: &[Hop], reaches_source: f64, is_forwarded: f64) -> Vec<TierCost> {
     let mut costs = vec![TierCost { target: source, expected_fills: reaches_source }];
     let above = path.iter().filter(|hop| !hop.cached_only);
--- a/crates/hierarchy/src/hierarchy/mod.rs
+++ b/crates/hierarchy/src/hierarchy/mod.rs
@@ -1,13 +1,13 @@
 //! One router's view of the hierarchy: the history of batches, the rollout of changes and the origin shield.
 //!
-//! The decision module chooses among the [`FillSources`] of a cache; the fill that it selects passes the shield and
-//! gets its path on from here. This module never selects a source itself.
+//! The decision module selects a source among the [`FillSources`] of a cache. This module submits the
+//! selected fill to the shield and computes its onward path. It never selects a source itself.
 //!
 //! - `fill_sources`: which sources a child's fills may use, and where a source forwards a fill;
-//! - `fills`: what is admitted, and what follows from the end of a fill;
+//! - `fills`: admission of fills, and the processing of their results;
 //! - `rollout_control`: which migrations begin and end with a change;
-//! - `fill_estimator`: how likely a fill reaches the tiers above;
-//! - `endpoints`, `child`: what is known of nodes and of the caches that sources are chosen for.
+//! - `fill_estimator`: the probability that a fill reaches the tiers above;
+//! - `endpoints`, `child`: the state of nodes and of the caches whose fill sources this router selects.
 
 use std::collections::BTreeMap;
 
@@ -40,23 +40,23 @@
 pub use self::fills::{FillResult, SelectedFill};
 pub use self::view::{BudgetView, HierarchyView, MigrationView};
 
-/// How often the fractions of a rollout in progress are published, in milliseconds.
+/// Interval at which the fractions of a rollout in progress are published, in milliseconds.
 const PUBLISH_INTERVAL: Ms = 100.0;
 
-/// The longest and the shortest time between two ticks, in milliseconds.
+/// Bounds on the time between two ticks, in milliseconds.
 const MAX_TICK_INTERVAL: Ms = 1_000.0;
 const MIN_TICK_INTERVAL: Ms = 1.0;
 
-/// What follows from an update of an endpoint.
+/// The effects of an endpoint update.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct EndpointUpdateOutcome {
     /// Migrations to the endpoint that were rolled back.
     pub transitions: Vec<StageTransition>,
-    /// Queued fills from the endpoint, which may not be used any more.
+    /// Queued fills from the endpoint that were cancelled, as it may no longer be used.
     pub cancelled: Vec<Ticket>,
 }
 
-/// What follows from the passing of time.
+/// The effects of a tick.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct TickOutcome {
     /// Decisions on queued fills.
@@ -74,12 +74,12 @@
     edge_backoff: EdgeBackoff,
     estimator: FillEstimator,
     endpoints: Endpoints,
-    /// The caches that sources are chosen for.
+    /// The caches whose fill sources this router selects.
     children: BTreeMap<NodeId, Child>,
     pending_fills: BTreeMap<Ticket, PendingFill>,
-    /// The tiers above count as constrained until then, as they have rejected a fill.
+    /// The tiers above count as constrained until this time, after a rejected fill.
     constrained_until: Ms,
-    /// A migration was in progress at the last tick.
+    /// Whether a migration was in progress at the last tick.
     was_in_progress: bool,
 }
 
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The present topology.
+    /// The current topology.
     pub fn topology(&self) -> &Topology {
         self.history.topology()
     }
@@ -133,7 +133,8 @@
 
     // Batches.
 
-    /// Receives a batch from any source.
+    /// Receives a batch: inserts it into the history, or retains it until the batches that it depends on are
+    /// received.
     pub fn receive_batch(&mut self, now: Ms, batch: ChangeBatch) -> ReceiveOutcome {
         let outcome = self.history.receive_batch(batch);
         if matches!(outcome, ReceiveOutcome::Accepted(_)) {
@@ -142,7 +143,8 @@
         outcome
     }
 
-    /// Starts from another router's topology. What is settled there counts as settled here.
+    /// Replaces the topology by that of another router. Source lists that are settled there count as settled
+    /// here.
     ///
     /// # Errors
     ///
@@ -153,12 +155,12 @@
         Ok(())
     }
 
-    /// The present topology, for a router that has just started.
+    /// A snapshot of the current topology for a router that has just started.
     pub fn snapshot(&self) -> Snapshot {
         self.history.snapshot()
     }
 
-    /// A batch by that author, based on everything received so far.
+    /// Drafts a batch by `author` that is based on all batches received so far.
     pub fn draft_batch(&self, author: AuthorId, effective_at: Ms, changes: Vec<Change>) -> ChangeBatch {
         self.history.draft_batch(author, effective_at, changes)
     }
@@ -168,8 +170,8 @@
         self.history.basis()
     }
 
-    /// Rolls back the migrations of a batch at once, and returns the changes that revert it, for a batch of their own.
-    /// `None` if the batch is not retained or was rejected.
+    /// Rolls back the migrations of a batch at once, and returns the changes that revert it, for the caller
+    /// to put into a new batch. `None` if the batch is not retained or was rejected.
     pub fn roll_back_batch(&mut self, now: Ms, id: BatchId) -> Option<Vec<Change>> {
         let changes = self.history.inverse_changes(id)?;
         self.rollout.roll_back_batch(now, id);
@@ -178,7 +180,7 @@
 
     // Endpoints.
 
-    /// Chooses sources for a cache from now on. Returns false if there are too many already.
+    /// Starts to select fill sources for a cache. Returns false if the maximum number of caches is reached.
     pub fn track_child(&mut self, now: Ms, child: NodeId) -> bool {
         if !self.children.contains_key(&child) && self.children.len() >= self.config.max_children {
             return false;
@@ -188,13 +190,13 @@
         true
     }
 
-    /// Chooses no sources for a cache any more.
+    /// Stops selecting fill sources for a cache.
     pub fn untrack_child(&mut self, child: NodeId) {
         self.children.remove(&child);
         self.drop_unused_migrations();
     }
 
-    /// Follows an entry of the endpoint list. `started` is in milliseconds of Unix time.
+    /// Applies an entry of the endpoint list. `started` is in milliseconds of Unix time.
     pub fn update_endpoint(
         &mut self,
         now: Ms,
@@ -218,14 +220,14 @@
         }
     }
 
-    /// This router sees that a node has failed or does not answer.
+    /// Rolls back the migrations to a node that has failed or does not respond, as observed by this router.
     pub fn endpoint_failed(&mut self, now: Ms, id: NodeId) -> Vec<StageTransition> {
         self.rollout.source_lost(now, id)
     }
 
     // Time.
 
-    /// Follows the passing of time.
+    /// Advances rollouts, budgets and timeouts to `now`.
     pub fn tick(&mut self, now: Ms) -> TickOutcome {
         self.estimator.tick(now);
         self.edge_backoff.expire(now);
--- a/crates/hierarchy/src/hierarchy/rollout_control.rs
+++ b/crates/hierarchy/src/hierarchy/rollout_control.rs
@@ -1,4 +1,4 @@
-//! Connects the topology, the children and the rollout: which migrations begin and end with a change.
+//! Starts and ends migrations when the topology changes, and advances them over time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use crate::version::BatchPosition;
 
 impl Hierarchy {
-    /// Follows a change of the topology: children get new source lists, and migrations begin or end.
+    /// Applies a change of the topology: updates the source lists of children, and starts or ends migrations.
     pub(super) fn topology_changed(&mut self, now: Ms) {
         let children: Vec<NodeId> = self.children.keys().copied().collect();
         for child in children {
@@ -23,25 +23,26 @@
         self.drop_unused_migrations();
     }
 
-    /// Gives a child the sources that the topology has for it, and starts the migrations to them.
+    /// Sets a child's desired sources to those in the topology, and starts the migrations to them.
     pub(super) fn refresh_child(&mut self, now: Ms, id: NodeId) {
         let topology = self.history.topology();
         let Some(record) = topology.record(id) else { return };
         let Some(child) = self.children.get_mut(&id) else { return };
-        // Children leave a retiring source by the same stages as one that is not listed any more.
+        // Children migrate away from a retiring source in the same stages as from one that was removed from
+        // the list.
         let is_staying = |source: &Source| topology.node(source.node).is_some_and(|node| !node.retiring);
-        let wanted: Vec<Source> = topology.sources(id).filter(is_staying).collect();
-        if child.wanted == wanted {
+        let desired: Vec<Source> = topology.sources(id).filter(is_staying).collect();
+        if child.desired == desired {
             return;
         }
         if child.settled.is_empty() || !self.config.rollout_enabled {
-            child.settled.clone_from(&wanted);
+            child.settled.clone_from(&desired);
         }
         let source_records = topology.sources(id).filter_map(|source| topology.record(source.node));
         let written_by = source_records
             .map(|source| source.node_written_by)
             .fold(record.edges_written_by, BatchPosition::max);
-        child.wanted = wanted;
+        child.desired = desired;
         child.written_by = written_by;
         let effective_at = self.history.effective_at(written_by).unwrap_or(now);
         for migration in child.migrations() {
@@ -50,17 +51,17 @@
         }
     }
 
-    /// Drops the migrations that no child takes part in any more.
+    /// Drops the migrations that no child is part of.
     pub(super) fn drop_unused_migrations(&mut self) {
         let used: BTreeSet<MigrationId> = self.children.values().flat_map(Child::migrations).collect();
         self.rollout.retain(|id| used.contains(&id));
     }
 
-    /// Moves migrations on to their next stages.
+    /// Advances migrations to their next stages.
     pub(super) fn tick_rollout(&mut self, now: Ms) -> Vec<StageTransition> {
         self.update_fallbacks(now);
-        // Ramps also pause until the rates from before the change are known: fills added by then would count as part
-        // of them.
+        // Ramps also pause until the rates from before the change are known: fills added earlier would be
+        // included in these rates.
         let is_constrained = self.is_constrained(now) || self.shield.is_learning();
         let endpoints = &self.endpoints;
         let transitions = self.rollout.tick(now, is_constrained, |id| endpoints.is_ready(id));
@@ -77,7 +78,7 @@
         transitions
     }
 
-    /// Records which migrations have a fallback: a preferred parent of the settled list that can still be used.
+    /// Records which migrations have a fallback: a preferred parent in the settled list that can still serve.
     fn update_fallbacks(&mut self, now: Ms) {
         let mut has_no_fallback = BTreeMap::<MigrationId, bool>::new();
         for child in self.children.values() {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Lets children whose migrations have all settled drop their old source list.
+    /// Drops the old source lists of children whose migrations have all settled.
     fn settle_children(&mut self) {
         for child in self.children.values_mut() {
             let is_open = |id: MigrationId| {
@@ -99,14 +100,14 @@
                 migration.is_some_and(|migration| migration.stage() != RolloutStage::Settled)
             };
             if !child.migrations().any(is_open) {
-                child.settled.clone_from(&child.wanted);
+                child.settled.clone_from(&child.desired);
             }
         }
         self.drop_unused_migrations();
     }
 
-    /// Limits the rates of all tiers above the targets of migrations to their level from before the change. A tier that
-    /// no fill reached before has no such level, and is protected by the rollout alone.
+    /// Limits the fill rates of all tiers above the targets of migrations to their level from before the
+    /// change. A tier that no fill reached before has no such level; only the staged rollout protects it.
     fn limit_tiers_above(&mut self, now: Ms) {
         let targets: BTreeSet<NodeId> = self.rollout.migrations().map(|(id, _)| id.target).collect();
         let settled_sources = self.children.values().flat_map(|child| &child.settled);
--- a/crates/hierarchy/src/hierarchy/view.rs
+++ b/crates/hierarchy/src/hierarchy/view.rs
@@ -1,4 +1,4 @@
-//! What commands show of a router's view of the hierarchy.
+//! The state of a router's hierarchy as commands show it.
 
 use linnethook::interface::Ms;
 use serde::Serialize;
@@ -14,23 +14,23 @@
     pub version: u64,
     /// The digest of the topology, in hexadecimal.
     pub digest: String,
-    /// Nodes of the topology.
+    /// Number of nodes in the topology.
     pub nodes: usize,
-    /// Edges suspended because they would close a cycle.
+    /// Number of edges suspended because they would close a cycle.
     #[serde(rename = "suspended")]
     pub suspended_edges: usize,
-    /// Edges excluded after a detected loop.
+    /// Number of edges excluded after a detected loop.
     #[serde(rename = "held_back")]
     pub backed_off_edges: usize,
-    /// Batches that wait for another one.
+    /// Number of batches that are pending until another one is received.
     #[serde(rename = "waiting_batches")]
     pub pending_batches: usize,
-    /// The migrations that are not settled and dropped.
+    /// The migrations in the rollout; settled ones are dropped.
     #[serde(rename = "moves")]
     pub migrations: Vec<MigrationView>,
     /// The budgets of parents and origins.
     pub budgets: Vec<BudgetView>,
-    /// What the shield has admitted and rejected.
+    /// Numbers of fills that the shield has admitted, queued and rejected.
     #[serde(rename = "counts")]
     pub counters: ShieldCounters,
 }
@@ -45,12 +45,12 @@
     pub author: u16,
     /// The number of its batch.
     pub number: u64,
-    /// Its stage.
+    /// The current stage.
     pub stage: RolloutStage,
     /// The fraction of objects that the new source fills, from 0 to 1.
     #[serde(rename = "part")]
     pub fraction: f64,
-    /// Rollbacks so far.
+    /// Number of rollbacks so far.
     #[serde(rename = "tries")]
     pub attempts: u32,
     /// The ratio of late or failed fills by the new source, from 0 to 1.
@@ -66,14 +66,14 @@
 pub struct BudgetView {
     /// The id of the parent or origin.
     pub target: u64,
-    /// Fills per second that go to it.
+    /// Fills per second that are sent to it.
     pub per_second: f64,
-    /// Fills per second that may go to it; `None` without a limit.
+    /// The limit in fills per second; `None` if unlimited.
     pub limit: Option<f64>,
 }
 
 impl Hierarchy {
-    /// The state that commands show.
+    /// The current state, as commands show it.
     pub fn view(&self, now: Ms) -> HierarchyView {
         let migrations = self.rollout.migrations().map(|(id, migration)| {
             let batch = id.position.batch_id();
--- a/crates/hierarchy/src/lease.rs
+++ b/crates/hierarchy/src/lease.rs
@@ -1,8 +1,8 @@
-//! Leases on fetches: one request at a time fetches a key from a source while others wait for it (Nishtala et al.
-//! 2013, "Scaling Memcache at Facebook").
+//! Leases on fetches: one request at a time fetches a key from a source while others are queued (Nishtala et
+//! al. 2013, "Scaling Memcache at Facebook").
 //!
-//! A lease expires by itself, so that a filler that is lost does not block others. A full table grants no lease but
-//! holds no fill back either.
+//! A lease expires, so that a holder whose end is never reported does not block others for good. A full table
+//! grants no lease, and fetches proceed without one.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -11,7 +11,7 @@
 
 use crate::node::NodeId;
 
-/// What is fetched, and from where.
+/// A fetch: the key and the source.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FetchKey {
     /// The node it is fetched from.
@@ -20,18 +20,18 @@
     pub key: u64,
 }
 
-/// The name of a lease. It is never reused.
+/// The id of a lease. It is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(u64);
 
-/// The answer to a request for a lease.
+/// The response to a request for a lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Grant {
-    /// The lease is granted: no other request fetches the key.
+    /// The lease is granted: no other request is fetching the key.
     Granted(LeaseId),
-    /// Another request has this lease.
+    /// Another request holds this lease.
     AlreadyLeased(LeaseId),
-    /// The table is full: the fetch may go without a lease.
+    /// The table is full: the fetch may proceed without a lease.
     Untracked,
 }
 
@@ -48,7 +48,7 @@
     expires_at: Micros,
 }
 
-/// The leases granted at present, up to a bound.
+/// The current leases, up to a maximum number.
 #[derive(Debug, Clone)]
 pub struct LeaseTable {
     max_leases: usize,
@@ -58,12 +58,12 @@
 }
 
 impl LeaseTable {
-    /// An empty table for that many leases.
+    /// An empty table for at most `max_leases` leases.
     pub fn new(max_leases: usize) -> Self {
         Self { max_leases, last_id: 0, leases: HashMap::default(), by_expiry: BTreeSet::new() }
     }
 
-    /// Leases in the table, expired ones included that were not removed yet.
+    /// Number of leases in the table, including expired ones that were not removed yet.
     pub fn len(&self) -> usize {
         self.leases.len()
     }
@@ -73,7 +73,7 @@
         self.leases.is_empty()
     }
 
-    /// Requests the lease on a fetch, for that many milliseconds at most.
+    /// Requests the lease on a fetch, for at most `duration` milliseconds.
     pub fn acquire(&mut self, now: Ms, fetch: FetchKey, duration: Ms) -> Grant {
         let at = micros(now);
         match self.leases.get(&fetch).copied() {
@@ -93,7 +93,7 @@
         Grant::Granted(lease.id)
     }
 
-    /// Removes the lease that expired first, if any has expired.
+    /// Removes the lease that expired first, and returns its fetch; `None` if no lease has expired.
     fn remove_first_expired(&mut self, at: Micros) -> Option<FetchKey> {
         let &(expires_at, fetch) = self.by_expiry.first().filter(|(expires_at, _)| *expires_at <= at)?;
         self.by_expiry.remove(&(expires_at, fetch));
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Whether a request has the lease on a fetch now.
+    /// Whether a request holds the lease on a fetch now.
     pub fn is_leased(&self, now: Ms, fetch: FetchKey) -> bool {
         self.leases.get(&fetch).is_some_and(|lease| lease.expires_at > micros(now))
     }
--- a/crates/hierarchy/src/lib.rs
+++ b/crates/hierarchy/src/lib.rs
@@ -1,37 +1,41 @@
-//! The hierarchy of caches, parents and the origin, and how it changes while traffic runs.
+//! The hierarchy of caches, parents and the origin, and how it is changed under live traffic.
 //!
-//! What the hierarchy is:
+//! Modules that define the hierarchy:
 //!
 //! - [`node`]: nodes and their sources;
-//! - [`topology`]: which node may fill from which, without cycles; [`topological_order`] finds these;
-//! - [`batch`], [`version`]: batches of changes, their names, their order, and why one is rejected;
-//! - [`history`]: the batches received, in the order that all routers share;
-//! - [`change_spec`]: nodes, changes and batches as they are written, sent and shown.
+//! - [`topology`]: which node may fill from which, without cycles; [`topological_order`] detects the cycles;
+//! - [`batch`], [`version`]: batches of changes, their ids, their order, and the reasons for a rejection;
+//! - [`history`]: the batches received, in a total order that is the same at all routers;
+//! - [`change_spec`]: the external format of nodes, changes and batches: in files, on the wire and in
+//!   commands.
 //!
-//! How a change takes effect, and how fills are protected meanwhile:
+//! Modules that roll out a change and limit fills during the rollout:
 //!
-//! - [`rollout`]: children migrate to a new source in stages, and back if it does harm;
-//! - [`origin_shield`]: which fills go, wait or are rejected, by [`rate_budget`] and [`lease`];
-//! - [`loop_detection`], [`edge_backoff`]: a fill that returns to a node, and the edge that is excluded for it;
-//! - [`plan`]: what a batch would do, before it is applied;
-//! - [`hierarchy`]: all of it together, as one router sees it.
+//! - [`rollout`]: children migrate to a new source in stages, and are rolled back if its fills fail or are
+//!   late;
+//! - [`origin_shield`]: admits, queues or rejects fills, using [`rate_budget`] and [`lease`];
+//! - [`loop_detection`], [`edge_backoff`]: detects a fill that returns to a node, and excludes the edge it
+//!   took;
+//! - [`plan`]: forecasts the effects of a batch before it is applied;
+//! - [`hierarchy`]: combines these modules into one router's view of the hierarchy.
 //!
-//! [`recent_keys`] and [`event_rate`] are small structures that these use.
+//! [`recent_keys`] and [`event_rate`] are data structures that these modules use.
 //!
-//! Where each rule is:
+//! Where to find each rule:
 //!
 //! | question | rule |
 //! | --- | --- |
 //! | which sources may a cache's fill use? | [`Hierarchy::fill_sources`] |
 //! | where does a source forward a fill? | [`Hierarchy::onward_path`] |
 //! | why was a fill queued or rejected? | [`origin_shield`], [`origin_shield::ShieldRejection`] |
-//! | how many fills may a parent or the origin get? | [`rate_budget`] |
-//! | when does a migration go on, pause or roll back? | [`rollout`], [`rollout::RollbackReason`] |
+//! | what limits the fills of a parent or the origin? | [`rate_budget`] |
+//! | when does a migration proceed, pause or roll back? | [`rollout`], [`rollout::RollbackReason`] |
 //! | why is an edge not used? | [`topology`] for a cycle, [`edge_backoff`] for a detected loop |
-//! | why was a batch rejected? | [`BatchRejection`]; [`BatchError`] if it has no place in the history |
+//! | why was a batch rejected? | [`BatchRejection`]; [`BatchError`] if it can't be inserted |
 //!
-//! No module reads a clock, a socket or a file or draws random numbers: times and seeds are arguments. Times are in
-//! milliseconds, `now` in milliseconds of Unix time. `docs/hierarchy.md` gives the design and what it guarantees.
+//! No module reads a clock, a socket or a file or draws random numbers: times and seeds are arguments. Times
+//! are in milliseconds, `now` in milliseconds of Unix time. `docs/hierarchy.md` describes the design and its
+//! guarantees.
 
 #![warn(
     missing_docs,
--- a/crates/hierarchy/src/node.rs
+++ b/crates/hierarchy/src/node.rs
@@ -2,18 +2,18 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A cache, a parent of any tier, or the origin, by the id that the decision module uses as well.
+/// The id of a cache, a parent of any tier, or the origin; the decision module uses the same ids.
 pub use linnethook::interface::EndpointId as NodeId;
 
-/// What a node is in the hierarchy.
+/// The role of a node in the hierarchy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// Serves clients and fills from parents or the origin.
+    /// Serves clients; fills from parents or the origin.
     Cache,
-    /// Serves fills and fills from other parents or the origin.
+    /// Serves fills of other nodes; fills from other parents or the origin.
     Parent,
-    /// Has no sources; every fill path may end here.
+    /// Has no sources; the end of every fill path.
     Origin,
 }
 
@@ -28,29 +28,30 @@
     }
 }
 
-/// One node.
+/// A node of the hierarchy.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Node {
     /// The hash of its name.
     #[serde(with = "id_as_number")]
     pub id: NodeId,
-    /// What it is in the hierarchy.
+    /// Its role in the hierarchy.
     pub role: Role,
     /// The site or hub it belongs to, as the hash of the site's name.
     pub site: u32,
-    /// Distance from the clients: 0 for caches, one more for each tier of parents.
+    /// Distance from the clients: 0 for caches, 1 more for each tier of parents.
     pub tier: u8,
-    /// What it can serve, in any unit that is the same for all nodes of a tier.
+    /// The load that it can serve, in any unit that is the same for all nodes of a tier.
     pub capacity: f64,
-    /// Receives no new children. Its children migrate away in stages, and it serves cached objects until its
-    /// retirement grace ends.
+    /// Whether it retires: it receives no new children, its children migrate away in stages, and it serves
+    /// cached objects until its retirement grace period ends.
     pub retiring: bool,
 }
 
-/// A node to fill from. Lower ranks are tried first; sources of equal rank share objects by hash.
+/// A node to fill from. Lower ranks are preferred; among sources of equal rank the hash of the object selects
+/// one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Source {
-    /// The order of preference.
+    /// The order of preference; lower ranks are preferred.
     pub rank: u16,
     /// The node to fill from.
     #[serde(with = "id_as_number")]
--- a/crates/hierarchy/src/origin_shield/config.rs
+++ b/crates/hierarchy/src/origin_shield/config.rs
@@ -1,29 +1,30 @@
-//! Bounds of the origin shield.
+//! The settings of the origin shield.
 
 use linnethook::interface::Ms;
 
 use crate::rate_budget::RateBudgetConfig;
 
-/// What the shield lets through and holds. Durations are in milliseconds.
+/// Limits on admitted and queued fills. Durations are in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct ShieldConfig {
     /// The budget of each target.
     pub budget: RateBudgetConfig,
-    /// The longest time for which one fill makes others of the same key wait. A lost filler blocks no longer.
+    /// The longest time for which one fill blocks others of the same key, so that a fill whose end is never
+    /// reported does not block them for good.
     pub lease_duration: Ms,
-    /// Leases tracked.
+    /// Maximum number of leases.
     pub max_leases: usize,
-    /// Fills that may be queued.
+    /// Maximum number of queued fills.
     pub max_queued: usize,
-    /// Bytes that queued fills may ask for together.
+    /// Maximum total size of queued fills, in bytes.
     pub max_queued_bytes: f64,
-    /// The longest time in the queue.
+    /// The longest time that a fill is queued.
     pub max_wait: Ms,
     /// The shortest Retry-After of a rejection.
     pub min_retry_after: Ms,
     /// The longest Retry-After of a rejection.
     pub max_retry_after: Ms,
-    /// Targets with a budget of their own; further ones have no limit.
+    /// Maximum number of targets with a rate budget; the rate of further targets is not limited.
     pub max_targets: usize,
 }
 
--- a/crates/hierarchy/src/origin_shield/fill.rs
+++ b/crates/hierarchy/src/origin_shield/fill.rs
@@ -1,4 +1,4 @@
-//! Requests to the origin shield and its answers.
+//! Requests to the origin shield and its decisions.
 
 use linnethook::interface::Ms;
 use serde::Serialize;
@@ -6,21 +6,21 @@
 use crate::lease::FetchKey;
 use crate::node::NodeId;
 
-/// The caller's name for a fill.
+/// The caller's identifier for a fill.
 pub type Ticket = u64;
 
-/// What goes first.
+/// The priority of a fill; lower variants are admitted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Priority {
-    /// Has to run at the origin. Never queued or rejected.
+    /// A write, which has to be executed at the origin. Never queued or rejected.
     Write,
-    /// A client waits for it.
+    /// A fill for the request of a client.
     Demand,
-    /// Renews a copy that can still be served. Never queued.
+    /// Revalidates a copy that can still be served. Never queued.
     Revalidation,
 }
 
-/// What a fill is expected to cost a tier.
+/// The expected cost of a fill at one tier.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TierCost {
     /// The parent or origin.
@@ -29,32 +29,33 @@
     pub expected_fills: f64,
 }
 
-/// A fill that asks to go.
+/// A request to admit a fill.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FillRequest {
-    /// The caller's name for it.
+    /// The caller's identifier for the fill.
     pub ticket: Ticket,
-    /// What it fetches.
+    /// The fetch that it makes.
     pub fetch: FetchKey,
     /// Its priority.
     pub priority: Priority,
-    /// Its size in bytes, as far as known.
+    /// The expected size in bytes.
     pub bytes: f64,
-    /// Whether it may join a fetch of the same key that is in flight at its node.
+    /// Whether it may join a fetch of the same key that is in flight at its source.
     pub may_join: bool,
-    /// Whether it will most likely take place. Requests for cached objects need no lease, as many of them come at once.
+    /// Whether it needs the lease on its fetch, because it will most likely take place. Requests for cached
+    /// objects need none: many of them arrive at the same time.
     pub needs_lease: bool,
-    /// How long it may be queued and still be in time, in milliseconds.
+    /// The longest time that it may be queued, in milliseconds.
     pub max_wait: Ms,
-    /// What it is expected to cost each tier that it may reach, its source first.
+    /// The expected cost at each tier that it may reach, its source first.
     pub tier_costs: Vec<TierCost>,
 }
 
-/// Why a fill does not go now.
+/// Why a fill is not admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ShieldRejection {
-    /// Another fill fetches the same key, and this one can't wait for it.
+    /// Another fill is fetching the same key, and this one can't be queued until it ends.
     #[serde(rename = "fetched")]
     FetchInProgress,
     /// The rate budget of a tier is exhausted.
@@ -63,22 +64,22 @@
     /// The queue is full.
     #[serde(rename = "queue")]
     QueueFull,
-    /// It was queued for as long as it may be.
+    /// It was queued for the longest time allowed.
     #[serde(rename = "time")]
     QueueTimeout,
 }
 
-/// The answer to a fill that asks to go.
+/// The shield's decision on a fill.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ShieldDecision {
-    /// It goes now.
+    /// The fill may be sent now.
     Admit,
-    /// It is queued. A [`QueuedDecision`] follows by then.
+    /// The fill is queued. A [`QueuedDecision`] follows.
     Queue {
-        /// In milliseconds of Unix time.
+        /// When its queueing time expires, in milliseconds of Unix time.
         until: Ms,
     },
-    /// It does not go: only a cached copy will do, or a rejection of the request.
+    /// The fill must not be sent. The request may still be served by a cached copy; otherwise it is rejected.
     Reject {
         /// The rule that rejected it.
         reason: ShieldRejection,
@@ -87,7 +88,7 @@
     },
 }
 
-/// The final answer to a queued fill.
+/// The final decision on a queued fill.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QueuedDecision {
     /// The fill.
@@ -96,15 +97,15 @@
     pub decision: ShieldDecision,
 }
 
-/// How a fill ended. `None` where it is not known.
+/// The outcome of a fill; `None` where a property is unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FillOutcome {
-    /// There is a copy now.
+    /// Whether the fill stored a copy.
     pub has_copy: bool,
-    /// It was late or failed.
+    /// Whether it was late or failed.
     pub is_late: Option<bool>,
-    /// It reached its source.
+    /// Whether it reached its source.
     pub reached_source: Option<bool>,
-    /// It reached the tiers above its source.
+    /// Whether it reached the tiers above its source.
     pub reached_upper_tiers: Option<bool>,
 }
--- a/crates/hierarchy/src/origin_shield/mod.rs
+++ b/crates/hierarchy/src/origin_shield/mod.rs
@@ -1,15 +1,17 @@
 //! Protects parents and the origin from more fills than they can serve.
 //!
-//! A fill that asks to go is decided on by these rules, in this order:
+//! The decision on a fill follows these rules, in this order:
 //!
 //! 1. A write is admitted.
-//! 2. A fill whose key another fill fetches joins that fetch where its node allows it, else it waits for it.
-//! 3. A fill is admitted if the rate budget of each tier that it may reach admits its expected cost.
-//! 4. Any other fill waits, by priority and order of arrival, unless the queue is full, the fill can't wait for as
-//!    long as its budgets need, or it is a revalidation. It is then rejected with a Retry-After.
+//! 2. A fill whose key another fill is fetching joins that fetch if its source supports it, and is otherwise
+//!    queued until that fetch ends.
+//! 3. A fill is admitted if the rate budgets of all tiers that it may reach admit its expected cost.
+//! 4. Any other fill is queued, by priority and order of arrival, unless the queue is full, its budgets admit
+//!    it only after its longest queueing time, or it is a revalidation. It is then rejected with a
+//!    Retry-After.
 //!
-//! A queued fill is admitted when its fetch or its budgets allow it, and rejected when its time is up. The shield never
-//! chooses a source.
+//! A queued fill is admitted when its fetch has ended or its budgets admit it, and rejected when its queueing
+//! time expires. The shield never selects a source.
 
 use std::collections::BTreeMap;
 
@@ -30,13 +32,14 @@
 };
 use self::queue::{FillQueue, QueuedFill};
 
-/// The probability of reaching a tier from which a fill's end counts as an observation of that tier.
+/// The end of a fill counts as an observation of a tier if the probability that it reached the tier is at
+/// least this.
 const MIN_OBSERVED_COST: f64 = 0.5;
 
-/// The shortest time between two looks at the budgets of the first queued fill, in milliseconds.
+/// The shortest time between two checks of the budgets of the first queued fill, in milliseconds.
 const MIN_BUDGET_DELAY: Ms = 1.0;
 
-/// A fill that was admitted, until its end is reported.
+/// A fill that was admitted and whose end was not reported yet.
 #[derive(Debug, Clone)]
 struct InFlightFill {
     fetch: FetchKey,
@@ -44,7 +47,7 @@
     tier_costs: Vec<TierCost>,
 }
 
-/// What was admitted and what was not, since the start.
+/// Numbers of fills by decision since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ShieldCounters {
     /// Fills admitted, at once or from the queue.
@@ -72,12 +75,12 @@
     pub leases_expired: u64,
 }
 
-/// What the shield holds at present.
+/// The current size of the shield's tables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShieldOccupancy {
     /// Fills queued.
     pub queued: usize,
-    /// Fills admitted whose end was not reported yet.
+    /// Admitted fills whose end was not reported yet.
     pub in_flight: usize,
     /// Leases in the table.
     pub leases: usize,
@@ -88,9 +91,9 @@
 pub struct BudgetStatus {
     /// The parent or origin.
     pub target: NodeId,
-    /// Fills that go to it.
+    /// The rate of fills that are sent to it.
     pub rate: f64,
-    /// Fills that may go to it; infinite without a limit.
+    /// The limit on that rate; infinite if unlimited.
     pub limit: f64,
 }
 
@@ -118,12 +121,12 @@
         }
     }
 
-    /// What was admitted and what was not.
+    /// Numbers of fills by decision since the start.
     pub fn counters(&self) -> ShieldCounters {
         self.counters
     }
 
-    /// What it holds at present.
+    /// The current size of the tables.
     pub fn occupancy(&self) -> ShieldOccupancy {
         ShieldOccupancy {
             queued: self.queue.len(),
@@ -141,14 +144,14 @@
         })
     }
 
-    /// The budget of a target that fills went to.
+    /// The budget of a target; `None` if no fill was sent to it.
     pub fn budget(&self, target: NodeId) -> Option<&RateBudget> {
         self.budgets.get(&target)
     }
 
     // Decisions.
 
-    /// Decides whether a fill goes now, waits or is rejected, by the rules of this module.
+    /// Admits, queues or rejects a fill by the rules of this module.
     pub fn request_fill(&mut self, now: Ms, fill: FillRequest) -> ShieldDecision {
         if fill.priority == Priority::Write {
             self.admit(now, &fill, None);
@@ -160,7 +163,8 @@
         }
     }
 
-    /// Admits a fill whose key nobody else fetches and whose budgets admit it, or that may join the fetch.
+    /// Admits a fill if it may join a fetch of its key, or if no other fill is fetching the key and its
+    /// budgets admit it.
     fn try_admit(&mut self, now: Ms, fill: &FillRequest) -> Result<(), ShieldRejection> {
         if fill.needs_lease && self.leases.is_leased(now, fill.fetch) {
             if !fill.may_join {
@@ -199,19 +203,19 @@
         }
         let in_flight = InFlightFill { fetch: fill.fetch, lease, tier_costs: fill.tier_costs.clone() };
         let replaced = self.in_flight.insert(fill.ticket, in_flight);
-        // The same request was admitted before: its earlier fetch is over.
+        // The same ticket was admitted before: its earlier fetch has ended.
         if let Some(InFlightFill { fetch, lease: Some(lease), .. }) = replaced {
             self.leases.release(fetch, lease);
         }
     }
 
-    /// Admits a fill that is served by another one's fetch.
+    /// Admits a fill that is served by the fetch of another one.
     fn admit_without_cost(&mut self, now: Ms, fill: FillRequest) {
         let fill = FillRequest { tier_costs: Vec::new(), ..fill };
         self.admit(now, &fill, None);
     }
 
-    /// The budget of a target; `None` if there is no room for a further one.
+    /// The budget of a target; `None` if the maximum number of targets is reached.
     fn budget_mut(&mut self, now: Ms, target: NodeId) -> Option<&mut RateBudget> {
         let config = self.config.budget;
         if !self.budgets.contains_key(&target) && self.budgets.len() >= self.config.max_targets {
@@ -220,7 +224,7 @@
         Some(self.budgets.entry(target).or_insert_with(|| RateBudget::new(now, config)))
     }
 
-    /// Queues a fill that is not admitted now, or rejects it if it can't wait.
+    /// Queues a fill that is not admitted now, or rejects it if it can't be queued.
     fn queue_or_reject(&mut self, now: Ms, fill: FillRequest, reason: ShieldRejection) -> ShieldDecision {
         let delay = match reason {
             ShieldRejection::BudgetExhausted => self.budget_delay(now, &fill),
@@ -229,8 +233,8 @@
         let max_wait = fill.max_wait.min(self.config.max_wait);
         let is_full = self.queue.len() >= self.config.max_queued
             || self.queue.bytes() + fill.bytes > self.config.max_queued_bytes;
-        let can_wait = max_wait > 0.0 && delay <= max_wait && fill.priority != Priority::Revalidation;
-        if is_full || !can_wait {
+        let can_queue = max_wait > 0.0 && delay <= max_wait && fill.priority != Priority::Revalidation;
+        if is_full || !can_queue {
             let reason = if is_full && delay <= max_wait { ShieldRejection::QueueFull } else { reason };
             return self.reject(reason, delay);
         }
@@ -240,7 +244,7 @@
         ShieldDecision::Queue { until }
     }
 
-    /// Milliseconds until all budgets of a fill admit it, if no other fill goes.
+    /// Milliseconds until all budgets of a fill admit it, if no other fill is admitted.
     fn budget_delay(&self, now: Ms, fill: &FillRequest) -> Ms {
         let delay = |cost: &TierCost| {
             let budget = self.budgets.get(&cost.target);
@@ -263,55 +267,56 @@
 
     // Ends of fills.
 
-    /// A queued fill is not wanted any more. Returns whether it was queued.
+    /// Removes a fill from the queue. Returns whether it was queued.
     pub fn cancel_fill(&mut self, ticket: Ticket) -> bool {
         self.queue.remove(ticket).is_some()
     }
 
-    /// Cancels all queued fills from a source that may not be used any more.
+    /// Cancels all queued fills from a source that may no longer be used.
     pub fn cancel_source(&mut self, source: NodeId) -> Vec<Ticket> {
         self.queue.remove_source(source)
     }
 
-    /// An admitted fill has ended. Corrects the budgets by what it has really cost, and decides on the fills that
-    /// wait for its fetch.
+    /// Records the end of an admitted fill: corrects the budgets by its actual cost, and returns the
+    /// decisions on the fills that were queued for its fetch.
     pub fn complete_fill(&mut self, now: Ms, ticket: Ticket, outcome: FillOutcome) -> Vec<QueuedDecision> {
         let Some(fill) = self.in_flight.remove(&ticket) else { return Vec::new() };
         for (index, cost) in fill.tier_costs.iter().enumerate() {
             let Some(budget) = self.budgets.get_mut(&cost.target) else { continue };
             let has_reached = if index == 0 { outcome.reached_source } else { outcome.reached_upper_tiers };
-            let true_cost = match has_reached {
+            let actual_cost = match has_reached {
                 Some(has_reached) => {
-                    let true_cost = f64::from(u8::from(has_reached));
-                    budget.spend(now, true_cost - cost.expected_fills);
-                    true_cost
+                    let actual_cost = f64::from(u8::from(has_reached));
+                    budget.spend(now, actual_cost - cost.expected_fills);
+                    actual_cost
                 }
                 None => cost.expected_fills,
             };
             // A fill that most likely did not reach a tier is no observation of it.
-            if let Some(is_late) = outcome.is_late.filter(|_| true_cost >= MIN_OBSERVED_COST) {
+            if let Some(is_late) = outcome.is_late.filter(|_| actual_cost >= MIN_OBSERVED_COST) {
                 budget.report(now, is_late);
             }
         }
         match fill.lease {
             Some(lease) if self.leases.release(fill.fetch, lease) => {
-                self.decide_waiting_for(now, fill.fetch, outcome.has_copy)
+                self.decide_queued_for(now, fill.fetch, outcome.has_copy)
             }
             _ => Vec::new(),
         }
     }
 
-    /// Decides on the fills that wait for a fetch that has ended: with a copy all of them go, without one the first
-    /// that its budgets admit fetches again, and the others wait for that.
-    fn decide_waiting_for(&mut self, now: Ms, fetch: FetchKey, has_copy: bool) -> Vec<QueuedDecision> {
+    /// Decides on the fills that are queued for a fetch that has ended. If it stored a copy, all of them are
+    /// admitted. Otherwise the first one that its budgets admit fetches the key again, and the others are
+    /// queued for that fetch.
+    fn decide_queued_for(&mut self, now: Ms, fetch: FetchKey, has_copy: bool) -> Vec<QueuedDecision> {
         let mut decisions = Vec::new();
-        for ticket in self.queue.waiting_for(fetch).to_vec() {
+        for ticket in self.queue.queued_for(fetch).to_vec() {
             let Some(queued) = self.queue.remove(ticket) else { continue };
             if has_copy {
                 self.admit_without_cost(now, queued.fill);
             } else if self.try_admit(now, &queued.fill).is_err() {
-                let waits_for_fetch = self.leases.is_leased(now, fetch);
-                self.queue.push(queued, waits_for_fetch);
+                let is_queued_for_fetch = self.leases.is_leased(now, fetch);
+                self.queue.push(queued, is_queued_for_fetch);
                 continue;
             }
             decisions.push(QueuedDecision { ticket, decision: ShieldDecision::Admit });
@@ -321,31 +326,32 @@
 
     // Time.
 
-    /// Admits queued fills in their order as far as budgets allow, and rejects those whose time is up.
+    /// Admits queued fills in their order while budgets admit them, and rejects those whose queueing time has
+    /// expired.
     pub fn tick(&mut self, now: Ms) -> Vec<QueuedDecision> {
         let mut decisions = Vec::new();
         self.budgets.values_mut().for_each(|budget| budget.tick(now));
         for fetch in self.leases.remove_expired(now) {
             self.counters.leases_expired += 1;
-            decisions.extend(self.decide_waiting_for(now, fetch, false));
+            decisions.extend(self.decide_queued_for(now, fetch, false));
         }
         let mut is_blocked = false;
         for ticket in self.queue.tickets() {
             let Some(queued) = self.queue.get(ticket) else { continue };
-            let waits_for_fetch = self.queue.waiting_for(queued.fill.fetch).contains(&ticket);
+            let is_queued_for_fetch = self.queue.queued_for(queued.fill.fetch).contains(&ticket);
             if now >= queued.until {
                 let delay = self.budget_delay(now, &queued.fill);
                 self.queue.remove(ticket);
                 let decision = self.reject(ShieldRejection::QueueTimeout, delay);
                 decisions.push(QueuedDecision { ticket, decision });
-            } else if !waits_for_fetch && !is_blocked {
+            } else if !is_queued_for_fetch && !is_blocked {
                 let fill = queued.fill.clone();
                 match self.try_admit(now, &fill) {
                     Ok(()) => {
                         self.queue.remove(ticket);
                         decisions.push(QueuedDecision { ticket, decision: ShieldDecision::Admit });
                     }
-                    // Later fills must not overtake this one, unless they need other budgets.
+                    // Later fills must not be admitted before this one, unless they need other budgets.
                     Err(ShieldRejection::BudgetExhausted) => is_blocked = self.queue.needs_single_budget(),
                     Err(_) => {}
                 }
@@ -354,26 +360,27 @@
         decisions
     }
 
-    /// When [`tick`](Self::tick) is due, as far as that is known, in milliseconds of Unix time.
+    /// When [`tick`](Self::tick) is due, in milliseconds of Unix time; `None` if no fill is queued.
     pub fn next_deadline(&self, now: Ms) -> Option<Ms> {
         let timeout = self.queue.next_timeout();
         let first = self.queue.fills().next();
         let budget = first.map(|queued| now + self.budget_delay(now, &queued.fill).max(MIN_BUDGET_DELAY));
-        let lease = self.leases.next_expiry().filter(|_| self.queue.is_waiting_for_any_fetch());
+        let lease = self.leases.next_expiry().filter(|_| self.queue.has_fills_queued_for_fetch());
         [timeout, budget, lease].into_iter().flatten().reduce(f64::min)
     }
 
     // Changes of the topology.
 
-    /// A change of the topology begins below a target: its rate is held near its present level. A target without a
-    /// budget has no past to compare with, and is protected by the rollout alone.
+    /// Limits the fill rate of a target to about its current level while the topology below the target
+    /// changes. A target without a budget has no earlier rate to compare with; only the staged rollout
+    /// protects it.
     pub fn begin_change(&mut self, now: Ms, target: NodeId) {
         if let Some(budget) = self.budgets.get_mut(&target) {
             budget.begin_change(now);
         }
     }
 
-    /// No change is in progress any more.
+    /// Ends the limits of [`begin_change`](Self::begin_change), once no change is in progress.
     pub fn end_change(&mut self, now: Ms) {
         self.budgets.values_mut().for_each(|budget| budget.end_change(now));
     }
@@ -383,12 +390,12 @@
         self.budgets.values().any(|budget| budget.is_near_ceiling(now))
     }
 
-    /// Whether the rate of a target from before a change is not known yet.
+    /// Whether the rate of a target from before a change is still being measured.
     pub fn is_learning(&self) -> bool {
         self.budgets.values().any(RateBudget::is_learning)
     }
 
-    /// Drops the budgets of all nodes but those that `keep` names.
+    /// Drops the budgets of all nodes for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(NodeId) -> bool) {
         self.budgets.retain(|id, _| keep(*id));
     }
--- a/crates/hierarchy/src/origin_shield/queue.rs
+++ b/crates/hierarchy/src/origin_shield/queue.rs
@@ -1,4 +1,4 @@
-//! The fills that wait, by priority and order of arrival.
+//! The queued fills, by priority and order of arrival.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -9,27 +9,28 @@
 use crate::lease::FetchKey;
 use crate::node::NodeId;
 
-/// A place in the queue.
+/// A position in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     priority: Priority,
     sequence: u64,
 }
 
-/// A fill that waits.
+/// A queued fill.
 #[derive(Debug, Clone)]
 pub(super) struct QueuedFill {
     pub fill: FillRequest,
+    /// When its queueing time expires, in milliseconds of Unix time.
     pub until: Ms,
 }
 
-/// All fills that wait: for a rate budget, or for the fetch of the same key by another fill.
+/// All queued fills: those that need a rate budget, and those of a key that another fill is fetching.
 #[derive(Debug, Clone, Default)]
 pub(super) struct FillQueue {
     fills: BTreeMap<QueuePosition, QueuedFill>,
     positions: HashMap<Ticket, QueuePosition, FxBuildHasher>,
-    /// Fills that wait for the end of a fetch, in order of arrival.
-    waiting_for_fetch: BTreeMap<FetchKey, Vec<Ticket>>,
+    /// Fills that are queued until a fetch ends, in order of arrival.
+    queued_for_fetch: BTreeMap<FetchKey, Vec<Ticket>>,
     bytes: f64,
     last_sequence: u64,
 }
@@ -39,7 +40,7 @@
         self.fills.len()
     }
 
-    /// Bytes that the queued fills ask for.
+    /// The total expected size of the queued fills.
     pub fn bytes(&self) -> f64 {
         self.bytes
     }
@@ -58,14 +59,14 @@
     }
 
     /// Adds a fill behind all others of its priority.
-    pub fn push(&mut self, queued: QueuedFill, waits_for_fetch: bool) {
+    pub fn push(&mut self, queued: QueuedFill, is_queued_for_fetch: bool) {
         self.last_sequence += 1;
         let QueuedFill { fill, .. } = &queued;
         let position = QueuePosition { priority: fill.priority, sequence: self.last_sequence };
         self.bytes += fill.bytes;
         self.positions.insert(fill.ticket, position);
-        if waits_for_fetch {
-            self.waiting_for_fetch.entry(fill.fetch).or_default().push(fill.ticket);
+        if is_queued_for_fetch {
+            self.queued_for_fetch.entry(fill.fetch).or_default().push(fill.ticket);
         }
         self.fills.insert(position, queued);
     }
@@ -74,10 +75,10 @@
         let position = self.positions.remove(&ticket)?;
         let queued = self.fills.remove(&position)?;
         self.bytes = (self.bytes - queued.fill.bytes).max(0.0);
-        if let Some(others) = self.waiting_for_fetch.get_mut(&queued.fill.fetch) {
+        if let Some(others) = self.queued_for_fetch.get_mut(&queued.fill.fetch) {
             others.retain(|other| *other != ticket);
             if others.is_empty() {
-                self.waiting_for_fetch.remove(&queued.fill.fetch);
+                self.queued_for_fetch.remove(&queued.fill.fetch);
             }
         }
         Some(queued)
@@ -93,16 +94,17 @@
         tickets
     }
 
-    /// The fills that wait for a fetch, in order of arrival.
-    pub fn waiting_for(&self, fetch: FetchKey) -> &[Ticket] {
-        self.waiting_for_fetch.get(&fetch).map_or(&[], Vec::as_slice)
+    /// The fills that are queued until `fetch` ends, in order of arrival.
+    pub fn queued_for(&self, fetch: FetchKey) -> &[Ticket] {
+        self.queued_for_fetch.get(&fetch).map_or(&[], Vec::as_slice)
     }
 
-    pub fn is_waiting_for_any_fetch(&self) -> bool {
-        !self.waiting_for_fetch.is_empty()
+    pub fn has_fills_queued_for_fetch(&self) -> bool {
+        !self.queued_for_fetch.is_empty()
     }
 
-    /// Whether all fills need the same budget first, so that none can go before the first one.
+    /// Whether all fills need the budget of the same source, so that none can be admitted before the first
+    /// one.
     pub fn needs_single_budget(&self) -> bool {
         let mut targets = self.fills().map(|queued| queued.fill.tier_costs.first().map(|cost| cost.target));
         let first = targets.next();
--- a/crates/hierarchy/src/rate_budget.rs
+++ b/crates/hierarchy/src/rate_budget.rs
@@ -1,42 +1,42 @@
-//! The rate of fills that may go to one parent or origin.
+//! Limits the rate of fills that are sent to one parent or origin.
 //!
-//! Two limits apply, and the lower one counts:
+//! The lower of two limits applies:
 //!
-//! - the adaptive limit is cut while fills of the target end late, and grows back in proportion to itself;
-//! - the change ceiling holds the rate near its level from before a change of the topology, so that the change
-//!   alone can't flood the target. It applies only once that level is known.
+//! - the adaptive limit is decreased while fills of the target are late, and then grows exponentially;
+//! - the change ceiling limits the rate to about its level from before a change of the topology, so that the
+//!   change can't overload the target. It applies only once that level is known.
 //!
-//! Without lateness and without a change there is no limit. No limit depends on the size of a deployment.
+//! Without late fills and without a change there is no limit. No limit depends on the size of a deployment.
 
 use linnethook::estimators::{ConcurrencyLimit, ConcurrencyLimitConfig, TokenBucket};
 use linnethook::interface::Ms;
 
 use crate::event_rate::EventRate;
 
-/// How a budget adapts.
+/// The settings of a budget.
 #[derive(Debug, Clone, Copy)]
 pub struct RateBudgetConfig {
     /// Window over which the rate of fills is averaged, in milliseconds.
     pub rate_window: Ms,
-    /// Weight of one fill in the ratio of late fills.
+    /// Weight of one fill in the fraction of late fills.
     pub sample_weight: f64,
-    /// Ratio of late fills above which the adaptive limit is cut.
+    /// Fraction of late fills above which the adaptive limit is decreased.
     pub max_late_ratio: f64,
-    /// Factor of one cut.
+    /// Factor by which one decrease multiplies the limit.
     pub decrease_factor: f64,
-    /// Shortest time between two cuts, in milliseconds.
+    /// Shortest time between two decreases, in milliseconds.
     pub decrease_interval: Ms,
-    /// Growth of a limit per second, as a ratio of itself.
+    /// Growth of a limit per second, relative to the limit.
     pub growth_per_second: f64,
-    /// A limit is lifted when it exceeds the rate of fills by this factor.
+    /// A limit is removed when it exceeds the rate of fills by this factor.
     pub unlimited_multiple: f64,
     /// The change ceiling, as a multiple of the rate before the change.
     pub headroom: f64,
-    /// Burst size, as seconds of the limit. Arrivals at random come in clusters, the more so at low rates.
+    /// Burst size, in seconds at the limit. Random arrivals are clustered, relatively more at low rates.
     pub burst_seconds: f64,
-    /// The least value of a limit, in fills per second.
+    /// The lowest value of a limit, in fills per second.
     pub min_rate: f64,
-    /// For how long fills have to be seen before their rate counts as known, in milliseconds.
+    /// Time since the first fill after which the rate counts as known, in milliseconds.
     pub learning_time: Ms,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// The limit that holds the rate near its level from before a change.
+/// The limit that is derived from the rate before a change.
 #[derive(Debug, Clone, Copy)]
 struct ChangeCeiling {
     /// Fills per second.
@@ -67,11 +67,11 @@
     ended_at: Option<Ms>,
 }
 
-/// The flow that a limit allows.
-struct Flow {
+/// The parameters of the token bucket for a limit.
+struct BucketParameters {
     /// Fills per millisecond.
     rate: f64,
-    /// Fills that may go at once.
+    /// Fills that may be sent at the same time.
     burst: f64,
 }
 
@@ -83,7 +83,7 @@
     adaptive_limit: ConcurrencyLimit,
     adapted_at: Ms,
     ceiling: Option<ChangeCeiling>,
-    /// A change is in progress, and the rate before it is not known yet.
+    /// Whether a change is in progress and the rate before it is not known yet.
     is_learning: bool,
     allowance: TokenBucket,
 }
@@ -104,12 +104,12 @@
         }
     }
 
-    /// Fills per second that go to the target.
+    /// Fills per second that are sent to the target.
     pub fn rate(&self, now: Ms) -> f64 {
         self.rate.per_second(now, self.config.rate_window)
     }
 
-    /// Fills per second that may go to the target; infinite without a limit.
+    /// The limit in fills per second; infinite if there is none.
     pub fn limit(&self, now: Ms) -> f64 {
         let ceiling = self.ceiling.map_or(f64::INFINITY, |ceiling| self.ceiling_at(now, &ceiling));
         self.adaptive_limit.limit.min(ceiling).max(self.config.min_rate)
@@ -120,43 +120,46 @@
         ceiling.limit * (1.0 + self.config.growth_per_second).powf(seconds)
     }
 
-    fn flow(&self, now: Ms) -> Option<Flow> {
+    /// The parameters of the token bucket; `None` without a limit.
+    fn bucket_parameters(&self, now: Ms) -> Option<BucketParameters> {
         let limit = self.limit(now);
         let burst = (limit * self.config.burst_seconds).max(1.0);
-        limit.is_finite().then(|| Flow { rate: limit / 1000.0, burst })
+        limit.is_finite().then(|| BucketParameters { rate: limit / 1000.0, burst })
     }
 
-    /// Whether fills of that expected number may go now.
+    /// Whether fills of the expected number `cost` may be sent now.
     pub fn admits(&self, now: Ms, cost: f64) -> bool {
-        self.flow(now)
-            .is_none_or(|flow| self.allowance.available(now, flow.rate, flow.burst) >= cost.min(flow.burst))
+        self.bucket_parameters(now).is_none_or(|bucket| {
+            self.allowance.available(now, bucket.rate, bucket.burst) >= cost.min(bucket.burst)
+        })
     }
 
-    /// Milliseconds until fills of that expected number may go, if no others do.
+    /// Milliseconds until fills of the expected number `cost` may be sent, if no others are.
     pub fn delay(&self, now: Ms, cost: f64) -> Ms {
-        self.flow(now).map_or(0.0, |flow| {
-            let missing = cost.min(flow.burst) - self.allowance.available(now, flow.rate, flow.burst);
-            (missing / flow.rate).max(0.0)
+        self.bucket_parameters(now).map_or(0.0, |bucket| {
+            let missing = cost.min(bucket.burst) - self.allowance.available(now, bucket.rate, bucket.burst);
+            (missing / bucket.rate).max(0.0)
         })
     }
 
-    /// Whether the rate is so near the change ceiling that a rollout had better pause.
+    /// Whether the rate is so near the change ceiling that a rollout should pause.
     pub fn is_near_ceiling(&self, now: Ms) -> bool {
-        // Half way between the rate before the change and the ceiling.
+        // Halfway between the rate before the change and the ceiling.
         let near_ratio = (1.0 + 1.0 / self.config.headroom) / 2.0;
         self.ceiling
             .is_some_and(|ceiling| ceiling.ended_at.is_none() && self.rate(now) > ceiling.limit * near_ratio)
     }
 
-    /// Records fills that go, admitted or not. A negative cost is given back.
+    /// Records fills that are sent, whether the budget admitted them or not. A negative cost refunds earlier
+    /// ones.
     pub fn spend(&mut self, now: Ms, cost: f64) {
         self.rate.add(now, cost, self.config.rate_window);
-        if let Some(flow) = self.flow(now) {
-            self.allowance.spend(now, flow.rate, flow.burst, cost);
+        if let Some(bucket) = self.bucket_parameters(now) {
+            self.allowance.spend(now, bucket.rate, bucket.burst, cost);
         }
     }
 
-    /// Records whether a fill of the target ended late.
+    /// Records whether a fill of the target was late.
     pub fn report(&mut self, now: Ms, is_late: bool) {
         let rule = ConcurrencyLimitConfig {
             observation_weight: self.config.sample_weight,
@@ -171,15 +174,15 @@
         self.adaptive_limit.record(now, is_late, self.rate(now), &rule);
     }
 
-    /// Lets limits grow, and lifts those that limit nothing any more.
+    /// Increases limits over time, and removes those that are far above the rate.
     pub fn tick(&mut self, now: Ms) {
         let used = self.rate(now).max(self.config.min_rate);
-        let lifted_above = used * self.config.unlimited_multiple;
-        let was_unlimited = self.grow_adaptive_limit(now, lifted_above);
-        let is_lifted = |ceiling: &ChangeCeiling| {
-            ceiling.ended_at.is_some() && self.ceiling_at(now, ceiling) > lifted_above
+        let removed_above = used * self.config.unlimited_multiple;
+        let was_unlimited = self.grow_adaptive_limit(now, removed_above);
+        let is_removable = |ceiling: &ChangeCeiling| {
+            ceiling.ended_at.is_some() && self.ceiling_at(now, ceiling) > removed_above
         };
-        if self.ceiling.as_ref().is_some_and(is_lifted) {
+        if self.ceiling.as_ref().is_some_and(is_removable) {
             self.ceiling = None;
         }
         if self.is_learning && self.is_rate_known(now) {
@@ -190,33 +193,33 @@
         }
     }
 
-    /// Lets the adaptive limit grow. Returns whether there was no limit before.
-    fn grow_adaptive_limit(&mut self, now: Ms, lifted_above: f64) -> bool {
+    /// Increases the adaptive limit over time. Returns whether there was no limit before.
+    fn grow_adaptive_limit(&mut self, now: Ms, removed_above: f64) -> bool {
         let seconds = ((now - self.adapted_at) / 1000.0).max(0.0);
         self.adapted_at = now;
         let was_unlimited = self.limit(now).is_infinite();
         if self.adaptive_limit.limit.is_finite() {
             self.adaptive_limit.limit *= (1.0 + self.config.growth_per_second).powf(seconds);
-            if self.adaptive_limit.limit > lifted_above {
+            if self.adaptive_limit.limit > removed_above {
                 self.adaptive_limit.limit = f64::INFINITY;
             }
         }
         was_unlimited
     }
 
-    /// A change of the topology begins: the change ceiling applies until it ends.
+    /// Applies the change ceiling from the start of a topology change until its end.
     pub fn begin_change(&mut self, now: Ms) {
         let is_known = self.is_rate_known(now);
         match &mut self.ceiling {
-            // A further change must not raise the ceiling by the fills that this one caused.
+            // A further change must not raise the ceiling by the fills that the earlier one caused.
             Some(ceiling) => ceiling.ended_at = None,
             None if is_known => self.set_ceiling(now),
-            // A ceiling by the rate of a moment would refuse what the target can serve.
+            // A ceiling from the rate of a very short time would reject fills that the target can serve.
             None => self.is_learning = true,
         }
     }
 
-    /// Whether fills went to the target for long enough to know their rate.
+    /// Whether fills were sent to the target for long enough that their rate is known.
     fn is_rate_known(&self, now: Ms) -> bool {
         self.rate.age(now) >= self.config.learning_time
     }
@@ -233,7 +236,7 @@
         self.is_learning
     }
 
-    /// The change has ended: the ceiling grows until it is lifted.
+    /// Ends the change: the ceiling grows until it is removed.
     pub fn end_change(&mut self, now: Ms) {
         self.is_learning = false;
         if let Some(ceiling) = self.ceiling.as_mut().filter(|ceiling| ceiling.ended_at.is_none()) {
@@ -241,7 +244,7 @@
         }
     }
 
-    /// Whether the change ceiling applies, in a change or after it.
+    /// Whether the change ceiling applies, during a change or after it.
     pub fn has_ceiling(&self) -> bool {
         self.ceiling.is_some()
     }
--- a/crates/hierarchy/src/recent_keys.rs
+++ b/crates/hierarchy/src/recent_keys.rs
@@ -1,14 +1,15 @@
-//! When keys were last fetched through a node, at four bytes a key.
+//! Records when keys were last fetched, in four bytes a key.
 //!
-//! A set-associative table of fingerprints with a coarse timestamp each, of constant size. A full set forgets its
-//! oldest key. Two keys of one set may share a fingerprint (16 bits among eight cells: about one key in eight
-//! thousand). Both errors only shift an estimate.
+//! The table is set-associative and of constant size; each cell has a fingerprint and a coarse timestamp. A
+//! full set evicts its oldest key. Two keys of one set may share a fingerprint (16 bits among eight cells:
+//! about one key in eight thousand). Both errors only affect the accuracy of an estimate.
 
 use linnethook::interface::Ms;
 
 const CELLS_PER_SET: usize = 8;
 
-/// Timestamps wrap after four times as many ticks, so that ages up to the horizon are unambiguous.
+/// The horizon in ticks. Timestamps wrap after four times as many ticks, so that ages up to the horizon are
+/// unambiguous.
 const HORIZON_TICKS: u16 = 1 << 14;
 
 /// The shortest tick, in milliseconds.
@@ -41,7 +42,7 @@
 }
 
 impl RecentKeys {
-    /// Room for that many keys, rounded up to a power of two, and a horizon in milliseconds.
+    /// A table for at least `keys` keys, rounded up to a power of two, with a horizon in milliseconds.
     pub fn new(keys: usize, horizon: Ms) -> Self {
         let sets = keys.div_ceil(CELLS_PER_SET).next_power_of_two();
         let tick = (horizon / f64::from(HORIZON_TICKS)).max(MIN_TICK);
@@ -49,18 +50,18 @@
     }
 
     fn tick_at(&self, now: Ms) -> u16 {
-        // Wraps on purpose.
+        // The cast wraps on purpose.
         ((now / self.tick) as u64) as u16
     }
 
-    /// The set of a key, and its fingerprint: the lower bits choose the one and the upper bits are the other.
+    /// The set of a key, from its lower bits, and its fingerprint, from its upper bits.
     fn set_and_fingerprint(&self, key: u64) -> (usize, u16) {
         let set = key as usize & (self.sets.len() - 1);
         let fingerprint = (key >> 48) as u16;
         (set, fingerprint.max(1))
     }
 
-    /// Records a key now. A full set forgets the key that was recorded longest ago.
+    /// Records a key at the time `now`. A full set evicts the key that was recorded longest ago.
     pub fn record(&mut self, now: Ms, key: u64) {
         let (set, fingerprint) = self.set_and_fingerprint(key);
         let recorded_at = self.tick_at(now);
@@ -74,7 +75,8 @@
         cells[index] = Cell { fingerprint, recorded_at };
     }
 
-    /// Milliseconds since the key was recorded, to the tick. `None` beyond the horizon, or for a forgotten key.
+    /// Milliseconds since the key was recorded, to the precision of a tick. `None` beyond the horizon, or for
+    /// a key that is not in the table.
     pub fn age(&self, now: Ms, key: u64) -> Option<Ms> {
         let (set, fingerprint) = self.set_and_fingerprint(key);
         let cell = self.sets[set].iter().find(|cell| cell.fingerprint == fingerprint)?;
@@ -82,16 +84,16 @@
         (age <= HORIZON_TICKS).then(|| f64::from(age) * self.tick)
     }
 
-    /// Forgets a key.
-    pub fn forget(&mut self, key: u64) {
+    /// Removes a key.
+    pub fn remove(&mut self, key: u64) {
         let (set, fingerprint) = self.set_and_fingerprint(key);
         for cell in self.sets[set].iter_mut().filter(|cell| cell.fingerprint == fingerprint) {
             *cell = Cell::default();
         }
     }
 
-    /// Forgets all keys beyond the horizon. Has to be called once in each [`sweep_interval`](Self::sweep_interval),
-    /// or old timestamps would wrap and look new.
+    /// Removes all keys beyond the horizon. Must be called at least once in each
+    /// [`sweep_interval`](Self::sweep_interval): older timestamps would wrap and appear recent.
     pub fn sweep(&mut self, now: Ms) {
         let now = self.tick_at(now);
         for cell in self.sets.iter_mut().flatten() {
--- a/crates/hierarchy/src/rollout/config.rs
+++ b/crates/hierarchy/src/rollout/config.rs
@@ -1,37 +1,41 @@
-//! Durations and bounds of a rollout.
+//! The settings of a rollout.
 
 use linnethook::interface::{Ms, SlowStart};
 
-/// How a rollout proceeds. Durations are in milliseconds.
+/// Durations and bounds of a rollout. Durations are in milliseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct RolloutConfig {
-    /// From the time at which a batch takes effect to the first fills: all routers receive the batch in that time.
+    /// Time between a batch's effective time and the start of the ramp. All routers receive the batch within
+    /// it.
     pub announcement: Ms,
-    /// From the first objects to all of them.
+    /// Duration of the ramp from the initial fraction to all objects.
     pub ramp_duration: Ms,
     /// The fraction of objects with which the ramp starts.
     pub initial_fraction: f64,
-    /// From the end of the ramp to the settled stage. Until then the old source is asked for cached objects.
+    /// Time between the end of the ramp and the settled stage. Until then the old source is queried for
+    /// cached objects.
     pub settling_time: Ms,
-    /// How a source that has itself just started may be loaded.
+    /// The slow start of a source that has just started.
     pub slow_start: SlowStart,
-    /// The part of that load that migrating children may use.
+    /// The fraction of the load allowed by the slow start that migrating children may use.
     pub slow_start_fraction: f64,
-    /// Weight of one fill in a failure ratio. Late fills count as failed.
+    /// Weight of one fill in a failure ratio. Late fills count as failures.
     pub sample_weight: f64,
-    /// Fills needed before a failure ratio counts.
+    /// Minimum number of fills before a failure ratio is considered.
     pub min_samples: f64,
-    /// Failure ratio of the new source above which a migration is rolled back...
+    /// Failure ratio of the new source above which a migration is rolled back, subject to
+    /// `max_failure_multiple`.
     pub max_failure_ratio: f64,
-    /// ... if it is also above the failure ratio of the old sources by this factor.
+    /// A migration is rolled back only if the failure ratio of the new source also exceeds that of the old
+    /// sources by this factor.
     pub max_failure_multiple: f64,
-    /// From a rollback to the next attempt.
+    /// Delay between a rollback and the next attempt.
     pub retry_delay: Ms,
-    /// Factor by which the delay grows with each attempt.
+    /// Factor by which the retry delay grows with each attempt.
     pub backoff_factor: f64,
-    /// Rollbacks after which a migration is not tried again.
+    /// Number of rollbacks after which a migration is not retried.
     pub max_attempts: u32,
-    /// For how long in all a ramp may pause while the tiers above are constrained.
+    /// The longest total time for which a ramp pauses while the tiers above are constrained.
     pub max_pause: Ms,
 }
 
--- a/crates/hierarchy/src/rollout/migration.rs
+++ b/crates/hierarchy/src/rollout/migration.rs
@@ -1,4 +1,5 @@
-//! The migration of children to one new source: the fraction of objects it fills, and when its stages change.
+//! The migration of children to one new source: the fraction of objects that it fills, and its stage
+//! transitions.
 
 use linnethook::estimators::Ewma;
 use linnethook::interface::Ms;
@@ -10,46 +11,49 @@
 /// The largest exponent of the retry backoff.
 const MAX_BACKOFF_EXPONENT: u32 = 30;
 
-/// The migration of children to a new source by one batch.
+/// Identifies the migration of children to a new source by one batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MigrationId {
     /// The new source.
     pub target: NodeId,
-    /// The batch that wrote it.
+    /// The position of the batch that made it a source.
     pub position: BatchPosition,
 }
 
-/// What a migration depends on beside its own state.
+/// The external conditions of a stage transition.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Conditions {
-    /// The tiers above reject fills or are near their limits.
+    /// Whether the tiers above reject fills or are near their limits.
     pub is_constrained: bool,
-    /// The new source may be used.
+    /// Whether the new source is ready.
     pub is_target_ready: bool,
 }
 
-/// How far a migration has come, and what was observed of it.
+/// The state of a migration, and the observed failure ratios.
 #[derive(Debug, Clone)]
 pub struct Migration {
     stage: RolloutStage,
-    /// When the ramp started or starts, pauses added.
+    /// The start of the ramp, delayed by the total time of its pauses. After a rollback, the time of the next
+    /// attempt.
     ramp_start: Ms,
-    /// How long the ramp has paused in all.
+    /// Total time for which the ramp has paused.
     paused: Ms,
     attempts: u32,
     new_failures: Ewma,
     old_failures: Ewma,
-    /// When the new source last started; 0 if that is not known.
+    /// When the new source last started; 0 if unknown.
     target_started: Ms,
     has_no_fallback: bool,
     last_tick: Ms,
 }
 
 impl Migration {
-    /// A migration by a batch that takes effect at `effective_at`, to a source that started at `target_started`.
+    /// A migration by a batch that takes effect at `effective_at`, to a source that started at
+    /// `target_started`.
     pub(super) fn new(now: Ms, effective_at: Ms, target_started: Ms, config: &RolloutConfig) -> Self {
         let ramp_start = effective_at + config.announcement;
-        // A router that receives the batch late, as after a restart, joins the others in the ramp.
+        // A router that receives the batch late, for instance after a restart, enters the ramp where the
+        // others are.
         let stage = if now >= ramp_start { RolloutStage::Warming } else { RolloutStage::Planned };
         Self {
             stage,
@@ -64,12 +68,12 @@
         }
     }
 
-    /// Its present stage.
+    /// The current stage.
     pub fn stage(&self) -> RolloutStage {
         self.stage
     }
 
-    /// Rollbacks so far.
+    /// Number of rollbacks so far.
     pub fn rollbacks(&self) -> u32 {
         self.attempts
     }
@@ -86,11 +90,11 @@
 
     /// The fraction of objects that the new source fills now, from 0 to 1.
     ///
-    /// It rises linearly over the ramp, from the time of the batch, so that all routers agree on it unless they have
-    /// paused, rolled back or retried by their own observations. A source
-    /// that has itself just started gets no more than its slow start allows. Without a fallback the new source fills
-    /// all objects: the remaining old source is the origin, which the shield protects, and the new source caches
-    /// what it fills.
+    /// It rises linearly over the ramp, which starts at a time given by the batch. All routers therefore
+    /// agree on it unless they have paused, rolled back or retried because of their own observations. For a
+    /// source that has just started, the slow start limits the fraction. Without a fallback the new source
+    /// fills all objects: the remaining old source is the origin, which the shield protects, and the new
+    /// source caches the objects that it fills.
     pub fn fraction(&self, now: Ms, config: &RolloutConfig) -> f64 {
         let ramp = match self.stage {
             _ if self.has_no_fallback => 1.0,
@@ -104,7 +108,8 @@
         ramp.min(self.slow_start_fraction(now, config))
     }
 
-    /// The fraction that a source that has just started can serve, by the slow start of caches.
+    /// The upper bound that slow start sets on the fraction of a source that has just started; 1 for any
+    /// other.
     fn slow_start_fraction(&self, now: Ms, config: &RolloutConfig) -> f64 {
         let slow_start = &config.slow_start;
         let age = now - self.target_started;
@@ -121,13 +126,14 @@
         matches!(self.stage, RolloutStage::Announced | RolloutStage::Warming)
     }
 
-    /// Whether it was rolled back and has no attempts left.
+    /// Whether it was rolled back and has no retries left.
     pub(super) fn is_abandoned(&self, config: &RolloutConfig) -> bool {
         matches!(self.stage, RolloutStage::RolledBack(_)) && self.attempts >= config.max_attempts
     }
 
-    /// Whether the new source does harm: its failure ratio is known, too high, and far above that of the old
-    /// sources, so that lateness on both sides is not blamed on the change.
+    /// Whether the failure ratio of the new source is too high: it is based on enough samples, above the
+    /// maximum, and far above that of the old sources. The last condition excludes failures that affect old
+    /// and new sources alike, which the change has not caused.
     fn has_high_failure_rate(&self, config: &RolloutConfig) -> bool {
         self.new_failures.samples >= config.min_samples
             && self.new_failures.value > config.max_failure_ratio
@@ -144,7 +150,7 @@
         self.old_failures.update_from_mean(failure, config.sample_weight);
     }
 
-    /// The new source has restarted with an empty cache.
+    /// Records that the new source has restarted with an empty cache.
     pub(super) fn target_restarted(&mut self, at: Ms) {
         self.target_started = self.target_started.max(at);
     }
@@ -153,8 +159,9 @@
         self.has_no_fallback = has_no_fallback;
     }
 
-    /// Rolls back if fills use the new source or soon will. The next attempt follows after a delay that grows with
-    /// each rollback; a requested rollback is final. Returns whether it rolled back.
+    /// Rolls back a migration that is planned, announced or warming. The next attempt follows after a delay
+    /// that grows with each rollback; a requested rollback is final. Returns whether the migration was rolled
+    /// back.
     pub(super) fn roll_back(&mut self, now: Ms, reason: RollbackReason, config: &RolloutConfig) -> bool {
         if !self.is_in_progress() && self.stage != RolloutStage::Planned {
             return false;
@@ -171,8 +178,8 @@
         true
     }
 
-    /// Moves on to the next stage if that is due. This is the one place that decides when a migration goes on, pauses
-    /// or is rolled back for its failure rate. Returns whether the stage has changed.
+    /// Enters the next stage if it is due. All decisions to proceed, to pause or to roll back for a high
+    /// failure rate are made here. Returns whether the stage has changed.
     pub(super) fn tick(&mut self, now: Ms, conditions: Conditions, config: &RolloutConfig) -> bool {
         let elapsed = (now - self.last_tick).max(0.0);
         self.last_tick = now;
@@ -206,12 +213,12 @@
         }
     }
 
-    /// Whether a rolled-back migration may be tried again: after its delay, with the new source ready.
+    /// Whether a rolled-back migration may be retried: its delay has passed and the new source is ready.
     fn may_retry(&self, now: Ms, conditions: Conditions, config: &RolloutConfig) -> bool {
         !self.is_abandoned(config) && now >= self.ramp_start && conditions.is_target_ready
     }
 
-    /// When its stage changes next, as far as that follows from the time, in milliseconds of Unix time.
+    /// When the next transition that depends only on time is due, in milliseconds of Unix time.
     pub(super) fn next_deadline(&self, config: &RolloutConfig) -> Option<Ms> {
         match self.stage {
             RolloutStage::Planned => Some(self.ramp_start - config.announcement),
--- a/crates/hierarchy/src/rollout/mod.rs
+++ b/crates/hierarchy/src/rollout/mod.rs
@@ -1,8 +1,9 @@
 //! Migrates children to a new source in stages: planned, announced, warming, settled, or rolled back.
 //!
-//! The fraction of objects that a new source fills follows from the time of the batch alone, so that all routers
-//! agree, up to the first pause, rollback or retry, which each router decides by its own observations. Objects are selected by a hash that is the same at all
-//! routers, and a smaller fraction is part of any larger one.
+//! The fraction of objects that a new source fills depends only on the effective time of the batch, so that
+//! all routers agree on it until the first pause, rollback or retry, which each router decides by its own
+//! observations. Objects are selected by a hash that is the same at all routers, and the objects of a smaller
+//! fraction are a subset of those of any larger one.
 
 use std::collections::BTreeMap;
 
@@ -27,11 +28,11 @@
     pub migration: MigrationId,
     /// The stage that it has entered.
     pub stage: RolloutStage,
-    /// It was rolled back and is not tried again.
+    /// Whether it was rolled back and is not retried.
     pub is_final: bool,
 }
 
-/// All migrations that are not settled and dropped yet.
+/// The migrations in progress, planned, rolled back, or settled and not dropped yet.
 #[derive(Debug, Clone, Default)]
 pub struct Rollout {
     config: RolloutConfig,
@@ -44,12 +45,12 @@
         Self { config, migrations: BTreeMap::new() }
     }
 
-    /// Its durations and bounds.
+    /// The settings of the rollout.
     pub fn config(&self) -> &RolloutConfig {
         &self.config
     }
 
-    /// A migration.
+    /// A migration; `None` if it is unknown or was dropped.
     pub fn migration(&self, id: MigrationId) -> Option<&Migration> {
         self.migrations.get(&id)
     }
@@ -64,13 +65,13 @@
         self.migrations.values().any(Migration::is_in_progress)
     }
 
-    /// The fraction of objects that the target of a migration fills now; 1 without such a migration.
+    /// The fraction of objects that the target of a migration fills now; 1 if there is no such migration.
     pub fn fraction(&self, now: Ms, id: MigrationId) -> f64 {
         self.migrations.get(&id).map_or(1.0, |migration| migration.fraction(now, &self.config))
     }
 
-    /// Starts a migration by a batch that takes effect at `effective_at`, to a target that itself started at
-    /// `target_started` (0 if that is not known). Starting it again changes nothing.
+    /// Starts a migration by a batch that takes effect at `effective_at`, to a target that started at
+    /// `target_started` (0 if unknown). A migration that exists already is left unchanged.
     pub fn start(&mut self, now: Ms, id: MigrationId, effective_at: Ms, target_started: Ms) {
         let config = &self.config;
         self.migrations
@@ -78,21 +79,21 @@
             .or_insert_with(|| Migration::new(now, effective_at, target_started, config));
     }
 
-    /// Drops all migrations but those that `keep` names.
+    /// Drops all migrations for which `keep` is false.
     pub fn retain(&mut self, keep: impl Fn(MigrationId) -> bool) {
         self.migrations.retain(|id, _| keep(*id));
     }
 
-    /// Records whether children still have an old source to fall back to. Without one, failures cause no rollback;
-    /// after a rollback for another reason the new source goes on filling all objects.
+    /// Records whether children have no old source as a fallback. Without a fallback, failures cause no
+    /// rollback, and after a rollback for another reason the new source still fills all objects.
     pub fn set_has_no_fallback(&mut self, id: MigrationId, has_no_fallback: bool) {
         if let Some(migration) = self.migrations.get_mut(&id) {
             migration.set_has_no_fallback(has_no_fallback);
         }
     }
 
-    /// Records the end of a fill from `source`: as one by the new source for the migration that the child is part of,
-    /// else as one by an old source for all migrations to other targets.
+    /// Records the end of a fill from `source`: as a fill by the new source if `id` names a migration of the
+    /// child, and otherwise as a fill by an old source for all migrations to other targets.
     pub fn record_fill(&mut self, id: Option<MigrationId>, source: NodeId, is_failure: bool) {
         let failure = f64::from(u8::from(is_failure));
         if let Some(migration) = id.and_then(|id| self.migrations.get_mut(&id)) {
@@ -104,19 +105,19 @@
         }
     }
 
-    /// A node has restarted with an empty cache.
+    /// Records that a node has restarted with an empty cache.
     pub fn source_restarted(&mut self, node: NodeId, at: Ms) {
         for (_, migration) in self.migrations.iter_mut().filter(|(id, _)| id.target == node) {
             migration.target_restarted(at);
         }
     }
 
-    /// Rolls back all migrations to a node that drains, was removed or has failed.
+    /// Rolls back all migrations to a node that is draining, was removed or has failed.
     pub fn source_lost(&mut self, now: Ms, node: NodeId) -> Vec<StageTransition> {
         self.roll_back_where(now, RollbackReason::SourceLost, |id| id.target == node)
     }
 
-    /// Rolls back all migrations of a batch, for good.
+    /// Rolls back all migrations of a batch, without a retry.
     pub fn roll_back_batch(&mut self, now: Ms, batch: BatchId) -> Vec<StageTransition> {
         self.roll_back_where(now, RollbackReason::Requested, |id| id.position.batch_id() == batch)
     }
@@ -137,7 +138,7 @@
         transitions
     }
 
-    /// Moves migrations on to their next stages. Ramps pause while the tiers above are constrained.
+    /// Advances migrations to their next stages. Ramps pause while the tiers above are constrained.
     pub fn tick(
         &mut self,
         now: Ms,
@@ -155,7 +156,7 @@
         transitions
     }
 
-    /// When the next stage is due, as far as that follows from the time, in milliseconds of Unix time.
+    /// When the next transition that depends only on time is due, in milliseconds of Unix time.
     pub fn next_deadline(&self) -> Option<Ms> {
         let deadlines =
             self.migrations.values().filter_map(|migration| migration.next_deadline(&self.config));
--- a/crates/hierarchy/src/topological_order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -1,30 +1,31 @@
-//! A topological order of the edges in use, maintained as edges are inserted and removed (Pearce and Kelly 2006).
+//! A topological order of the edges in use, maintained as edges are inserted and removed (Pearce and Kelly
+//! 2006).
 //!
-//! An edge leads from a node to one that it may fill from. [`TopologicalOrder::insert_edge`] refuses an edge that
-//! would close a cycle. Its cost depends on the nodes between the two ends in the order, not on the size of the
-//! graph.
+//! An edge leads from a node to one that it may fill from. [`TopologicalOrder::insert_edge`] rejects an edge
+//! that would close a cycle. Its cost depends on the number of nodes between the two ends in the order, not
+//! on the size of the graph.
 
-/// The index of a node, given by [`TopologicalOrder::add_node`].
+/// The index of a node, returned by [`TopologicalOrder::add_node`].
 pub type NodeIndex = u32;
 
-/// The edges in use, and an order of the nodes in which every edge leads upwards.
+/// The edges in use, and an order of the nodes in which every edge leads to a higher position.
 #[derive(Debug, Clone, Default)]
 pub struct TopologicalOrder {
-    /// By node: its position in the order.
+    /// The position in the order, by node.
     positions: Vec<u32>,
     successors: Vec<Vec<NodeIndex>>,
     predecessors: Vec<Vec<NodeIndex>>,
-    /// By node: the last search that visited it, which saves clearing a set for each search.
+    /// The last search that visited a node, by node. Avoids clearing a visited set for each search.
     visited_by: Vec<u32>,
     last_search: u32,
 }
 
-/// The cycle that an edge would close: the nodes from the edge's end back to its start.
+/// The cycle that an edge would close: the nodes from the edge's end to its start.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Cycle(pub Vec<NodeIndex>);
 
 impl TopologicalOrder {
-    /// Nodes that were ever added.
+    /// Number of nodes that were added.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
@@ -59,7 +60,7 @@
         self.successors(node).is_empty() && self.predecessors(node).is_empty()
     }
 
-    /// Inserts an edge. Inserting it again changes nothing.
+    /// Inserts an edge. An edge that exists already is left unchanged.
     ///
     /// # Errors
     ///
@@ -83,7 +84,7 @@
         Ok(())
     }
 
-    /// Removes an edge. The order stays valid.
+    /// Removes an edge. The order remains valid.
     pub fn remove_edge(&mut self, from: NodeIndex, to: NodeIndex) {
         self.successors[from as usize].retain(|node| *node != to);
         self.predecessors[to as usize].retain(|node| *node != from);
@@ -105,8 +106,8 @@
         self.last_search
     }
 
-    /// All nodes reachable from `start` below the position `upper`, by depth-first search; the path to `target` as
-    /// an error if it is among them.
+    /// All nodes below the position `upper` that are reachable from `start`, by depth-first search; the path
+    /// to `target` as an error if it is reachable.
     fn find_successors(
         &mut self,
         start: NodeIndex,
@@ -115,7 +116,7 @@
     ) -> Result<Vec<NodeIndex>, Cycle> {
         let search = self.begin_search();
         let mut found = Vec::new();
-        // Nodes on the current path, each with the edge to follow next.
+        // Nodes on the current path, each with the index of the edge to follow next.
         let mut path = vec![(start, 0)];
         self.visited_by[start as usize] = search;
         while let Some((node, next_edge)) = path.last_mut() {
@@ -138,7 +139,7 @@
         Ok(found)
     }
 
-    /// All nodes that reach `start` above the position `lower`, by breadth-first search.
+    /// All nodes above the position `lower` that reach `start`, by breadth-first search.
     fn find_predecessors(&mut self, start: NodeIndex, lower: u32) -> Vec<NodeIndex> {
         let search = self.begin_search();
         let mut found = vec![start];
@@ -157,7 +158,8 @@
         found
     }
 
-    /// Redistributes the positions of both sets: first to the nodes below, then to those above.
+    /// Redistributes the positions of both sets: the lower ones to the nodes in `below`, the higher ones to
+    /// those in `above`.
     fn reorder(&mut self, mut below: Vec<NodeIndex>, mut above: Vec<NodeIndex>) {
         below.sort_unstable_by_key(|node| self.positions[*node as usize]);
         above.sort_unstable_by_key(|node| self.positions[*node as usize]);
--- a/crates/hierarchy/src/topology/mod.rs
+++ b/crates/hierarchy/src/topology/mod.rs
@@ -1,7 +1,7 @@
 //! The topology: nodes, the sources that each may fill from, and which of these edges are in use.
 //!
-//! The edges in use never contain a cycle. An edge that would close one is suspended until the cycle is broken.
-//! Neither the digest nor any answer depends on the order in which nodes were stored.
+//! The edges in use never contain a cycle. An edge that would close one is suspended until the cycle is
+//! broken. Neither the digest nor the result of any query depends on the order in which nodes were stored.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -23,10 +23,10 @@
     slots: Vec<Option<NodeRecord>>,
     /// The node id of each slot.
     ids: Vec<NodeId>,
-    /// Released slots, to be used again.
+    /// Released slots, to be reused.
     free_slots: Vec<NodeIndex>,
     order: TopologicalOrder,
-    /// By slot: how many records list the node as a source, in use or not.
+    /// The number of records that list the node as a source, in use or not, by slot.
     listing_counts: Vec<u32>,
     suspended: BTreeSet<SuspendedEdge>,
     node_count: usize,
@@ -35,7 +35,7 @@
 }
 
 impl Topology {
-    /// Nodes in the topology.
+    /// Number of nodes.
     pub fn len(&self) -> usize {
         self.node_count
     }
@@ -45,12 +45,12 @@
         self.node_count == 0
     }
 
-    /// Origins in the topology.
+    /// Number of origins.
     pub fn origin_count(&self) -> usize {
         self.origin_count
     }
 
-    /// A hash that is equal for equal topologies, whatever the changes that led to them.
+    /// A hash that depends only on the current nodes and edges, not on the changes that led to them.
     pub fn digest(&self) -> u64 {
         self.digest
     }
@@ -60,7 +60,7 @@
         self.slots_by_id.get(&id).and_then(|index| self.slots[*index as usize].as_ref())
     }
 
-    /// A node's own figures.
+    /// A node's attributes.
     pub fn node(&self, id: NodeId) -> Option<&Node> {
         self.record(id).map(|record| &record.node)
     }
@@ -72,12 +72,12 @@
         records
     }
 
-    /// A node's edges in order of rank, suspended ones included. Takes constant time.
+    /// A node's edges in order of rank, including suspended ones. Takes constant time.
     pub fn edges(&self, id: NodeId) -> &[Edge] {
         self.record(id).map_or(&[], |record| &record.edges)
     }
 
-    /// A node's sources as they were written, suspended ones included.
+    /// A node's sources as they were written, including suspended ones.
     pub fn listed_sources(&self, id: NodeId) -> Vec<Source> {
         self.edges(id).iter().map(|edge| edge.source).collect()
     }
@@ -87,23 +87,23 @@
         self.edges(id).iter().filter(|edge| edge.in_use).map(|edge| edge.source)
     }
 
-    /// Whether fills of `from` may go to `to`.
+    /// Whether `from` may fill from `to`.
     pub fn allows(&self, from: NodeId, to: NodeId) -> bool {
         self.edges(from).iter().any(|edge| edge.in_use && edge.source.node == to)
     }
 
-    /// The nodes whose fills may use it.
+    /// The nodes that may fill from `id`.
     pub fn children(&self, id: NodeId) -> impl Iterator<Item = NodeId> + '_ {
         let children = self.slots_by_id.get(&id).map_or(&[][..], |index| self.order.predecessors(*index));
         children.iter().map(|index| self.ids[*index as usize])
     }
 
-    /// Whether any node lists it as a source, in use or not.
+    /// Whether any node lists `id` as a source, in use or not.
     pub fn is_listed(&self, id: NodeId) -> bool {
         self.slots_by_id.get(&id).is_some_and(|index| self.listing_counts[*index as usize] > 0)
     }
 
-    /// The nodes that list it as a source, in use or not, by id.
+    /// The nodes that list `id` as a source, in use or not, sorted by id.
     pub(crate) fn nodes_listing(&self, id: NodeId) -> Vec<NodeId> {
         let lists_node = |record: &&NodeRecord| record.edges.iter().any(|edge| edge.source.node == id);
         self.records().into_iter().filter(lists_node).map(|record| record.node.id).collect()
@@ -122,8 +122,8 @@
         }
     }
 
-    /// The cycle that an edge would close now, from `to` to `from`; `None` if it would close none or a node is
-    /// unknown. Uses scratch space of the topology.
+    /// The cycle that an edge would close now, from `to` to `from`; `None` if it would not close one, is in
+    /// use already, or a node is unknown. Uses scratch space of the topology.
     pub fn cycle_closed_by(&mut self, from: NodeId, to: NodeId) -> Option<Vec<NodeId>> {
         let (from, to) = (*self.slots_by_id.get(&from)?, *self.slots_by_id.get(&to)?);
         if self.order.successors(from).contains(&to) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Slots in use or released, as a measure of memory.
+    /// Number of slots, in use or released: a measure of memory use.
     pub fn slot_count(&self) -> usize {
         self.slots.len()
     }
--- a/crates/hierarchy/src/topology/record.rs
+++ b/crates/hierarchy/src/topology/record.rs
@@ -1,11 +1,11 @@
-//! What the topology stores of a node, and the log that undoes a change.
+//! The record of a node in the topology, and the undo log of a change.
 
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::node::{Node, NodeId, Source};
 use crate::version::BatchPosition;
 
-/// A source of a node as the topology has it.
+/// A source of a node, and whether the topology lets fills use it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Edge {
     /// The source as it was written.
@@ -17,9 +17,9 @@
 /// A node with its edges, and the batches that wrote them last.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeRecord {
-    /// The node's own figures.
+    /// The node's attributes.
     pub node: Node,
-    /// The batch that wrote these.
+    /// The batch that wrote the attributes.
     pub node_written_by: BatchPosition,
     /// Its sources, sorted by rank and id.
     pub edges: Vec<Edge>,
@@ -28,12 +28,12 @@
 }
 
 impl NodeRecord {
-    /// The sources as they were written, suspended ones included.
+    /// The sources as they were written, including suspended ones.
     pub fn listed_sources(&self) -> Vec<Source> {
         self.edges.iter().map(|edge| edge.source).collect()
     }
 
-    /// The hash of everything that fills depend on.
+    /// The hash of the attributes and edges, which determine all fills.
     pub(super) fn digest(&self) -> u64 {
         let Node { id, role, site, tier, capacity, retiring } = self.node;
         let mut hash = Xxh3::new();
@@ -50,28 +50,28 @@
     }
 }
 
-/// An edge that is suspended because it would close a cycle. The order is the one in which edges are resumed.
+/// An edge that is suspended because it would close a cycle. Edges are resumed in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SuspendedEdge {
     /// The batch that wrote the edge.
     pub written_by: BatchPosition,
-    /// The node that would fill.
+    /// The node whose edge it is.
     pub from: NodeId,
-    /// The source that it would fill from.
+    /// The source at the other end.
     pub source: Source,
 }
 
-/// One step of a change, with what is needed to undo it.
+/// One step of a change, with the data that is needed to undo it.
 #[derive(Debug, Clone)]
 pub(crate) enum UndoStep {
-    /// A record was written; `before` is what it replaced, if the node existed.
+    /// A record was written or removed; `before` is the earlier record, if the node existed.
     RecordWritten { id: NodeId, before: Option<Box<NodeRecord>> },
-    /// An edge came into use.
+    /// An edge was enabled.
     EdgeEnabled { from: NodeId, to: NodeId },
-    /// An edge went out of use.
+    /// An edge was disabled.
     EdgeDisabled { from: NodeId, to: NodeId },
 }
 
-/// The steps of a change, in the order in which they were made.
+/// The steps of a change, in the order in which they were applied.
 #[derive(Debug, Clone, Default)]
 pub struct UndoLog(pub(crate) Vec<UndoStep>);
--- a/crates/hierarchy/src/topology/update.rs
+++ b/crates/hierarchy/src/topology/update.rs
@@ -1,4 +1,4 @@
-//! The writing side of the topology. Each step goes to an [`UndoLog`], so that a batch can be undone.
+//! Updates of the topology. Each step is recorded in an [`UndoLog`], so that a batch can be undone.
 
 use super::record::{Edge, NodeRecord, SuspendedEdge, UndoLog, UndoStep};
 use super::Topology;
@@ -7,7 +7,7 @@
 use crate::version::BatchPosition;
 
 impl Topology {
-    /// Writes a node's own figures. Its sources stay.
+    /// Writes a node's attributes. Its sources are unchanged.
     pub(crate) fn write_node(&mut self, node: Node, written_by: BatchPosition, undo_log: &mut UndoLog) {
         let before = self.record(node.id).cloned();
         let record = match &before {
@@ -31,8 +31,8 @@
         undo_log.0.push(UndoStep::RecordWritten { id, before: before.map(Box::new) });
     }
 
-    /// Gives a node other sources. A source that would close a cycle is listed and suspended. Returns whether an
-    /// edge went out of use, so that a suspended one may be resumed.
+    /// Replaces a node's sources. A source that would close a cycle is listed and suspended. Returns whether
+    /// an edge that was in use was removed, so that a suspended one may be resumed.
     pub(crate) fn write_sources(
         &mut self,
         id: NodeId,
@@ -44,10 +44,10 @@
         let mut sources = sources.to_vec();
         sources.sort_unstable();
         sources.dedup_by_key(|source| source.node);
-        let mut has_freed_edge = false;
+        let mut has_removed_edge = false;
         for edge in before.edges.iter().filter(|edge| edge.in_use) {
             self.disable_edge(id, edge.source.node, undo_log);
-            has_freed_edge |= sources.iter().all(|source| source.node != edge.source.node);
+            has_removed_edge |= sources.iter().all(|source| source.node != edge.source.node);
         }
         let record =
             NodeRecord { edges: unused_edges(&sources), edges_written_by: written_by, ..before.clone() };
@@ -58,11 +58,11 @@
         for source in sources {
             self.enable_edge_if_acyclic(id, source.node, undo_log);
         }
-        has_freed_edge
+        has_removed_edge
     }
 
-    /// Gives a node the sources of a snapshot, with those in use that `is_used` names. One that would close a cycle
-    /// all the same stays suspended.
+    /// Restores a node's sources from a snapshot, and enables those for which `is_used` is true. One that
+    /// would close a cycle in spite of that remains suspended.
     pub(crate) fn restore_sources(
         &mut self,
         id: NodeId,
@@ -78,14 +78,14 @@
         }
     }
 
-    /// Resumes suspended edges whose cycle is broken, those of the oldest batches first.
+    /// Enables suspended edges that no longer close a cycle, those of the oldest batches first.
     pub(crate) fn resume_suspended_edges(&mut self, undo_log: &mut UndoLog) {
         for edge in self.suspended.clone() {
             self.enable_edge_if_acyclic(edge.from, edge.source.node, undo_log);
         }
     }
 
-    /// Undoes the steps of a log, the last one first.
+    /// Undoes the steps of a log in reverse order.
     pub fn undo(&mut self, undo_log: UndoLog) {
         for step in undo_log.0.into_iter().rev() {
             match step {
@@ -112,7 +112,7 @@
         undo_log.0.push(UndoStep::EdgeDisabled { from, to });
     }
 
-    /// Takes an edge into use or out of it, in the record, the order and the set of suspended edges alike.
+    /// Enables or disables an edge, in the record, the order and the set of suspended edges.
     fn set_in_use(&mut self, from: NodeId, to: NodeId, in_use: bool) {
         let (from_index, to_index) = (self.slot_of(from), self.slot_of(to));
         self.uncount_record(from);
@@ -122,7 +122,7 @@
             edge.in_use = in_use;
         }
         if in_use {
-            // Callers have found that it closes no cycle, or restore a state in which it was in use.
+            // Callers have checked that it closes no cycle, or restore a state in which it was in use.
             drop(self.order.insert_edge(from_index, to_index));
         } else {
             self.order.remove_edge(from_index, to_index);
@@ -130,7 +130,7 @@
         self.count_record(from);
     }
 
-    /// Replaces a record. Its edges in use are none, or are part of the order already.
+    /// Replaces a record. Any edges of it that are in use must be part of the order already.
     fn replace_record(&mut self, id: NodeId, record: Option<NodeRecord>) {
         let index = self.slot_of(id) as usize;
         self.uncount_record(id);
@@ -149,12 +149,12 @@
         }
     }
 
-    /// The slot of a node; a new one where it has none.
+    /// The slot of a node; allocates one if it has none.
     fn slot_of(&mut self, id: NodeId) -> NodeIndex {
         if let Some(&index) = self.slots_by_id.get(&id) {
             return index;
         }
-        // A released slot may be anywhere in the order, as it has no edges.
+        // A released slot has no edges, so that it may be at any position in the order.
         let index = self.free_slots.pop().unwrap_or_else(|| {
             self.slots.push(None);
             self.ids.push(id);
@@ -166,7 +166,7 @@
         index
     }
 
-    /// Takes a record out of the counts, the digest and the set of suspended edges.
+    /// Removes a record from the counts, the digest and the set of suspended edges.
     fn uncount_record(&mut self, id: NodeId) {
         let index = self.slots_by_id[&id] as usize;
         let Some(record) = self.slots[index].take() else { return };
@@ -181,7 +181,7 @@
         self.slots[index] = Some(record);
     }
 
-    /// Enters a record into the counts, the digest and the set of suspended edges.
+    /// Adds a record to the counts, the digest and the set of suspended edges.
     fn count_record(&mut self, id: NodeId) {
         let index = self.slots_by_id[&id] as usize;
         let Some(record) = self.slots[index].take() else { return };
