--- a/crates/hierarchy/src/batch/application.rs
+++ b/crates/hierarchy/src/batch/application.rs
@@ -1,26 +1,27 @@
-//! Applies a batch to a topology, whole or not at all.
+//! Applies a batch to a topology atomically.
 
 use super::{BatchLimits, BatchPosition, BatchRejection, Change, ChangeBatch};
 use crate::node::{Node, NodeId, Role, Source};
 use crate::topology::{Topology, UndoLog};
 
 impl ChangeBatch {
-    /// Applies the batch to the topology and returns what undoes it.
+    /// Applies the batch to the topology and returns its undo log.
     ///
-    /// A batch may write a node's figures or a node's source list unless a batch that its author had not seen has
-    /// written the same item before. A single conflict rejects the whole batch, since its changes belong together.
+    /// A batch may write the attributes or the source list of a node unless a batch that its author had not
+    /// received has written the same item before. A single conflict rejects the entire batch, since its
+    /// changes are atomic.
     ///
     /// # Errors
     ///
-    /// The first reason found in the order of the changes. The topology is then as it was before.
+    /// The first reason for a rejection, in the order of the changes. The topology is then unchanged.
     pub fn apply(&self, topology: &mut Topology, limits: &BatchLimits) -> Result<UndoLog, BatchRejection> {
         let mut application =
-            BatchApplication { batch: self, limits, undo_log: UndoLog::default(), has_freed_edge: false };
+            BatchApplication { batch: self, limits, undo_log: UndoLog::default(), has_removed_edge: false };
         let outcome = application.apply_all(topology);
-        let BatchApplication { mut undo_log, has_freed_edge, .. } = application;
+        let BatchApplication { mut undo_log, has_removed_edge, .. } = application;
         let result = match outcome {
             Ok(()) => {
-                if has_freed_edge {
+                if has_removed_edge {
                     topology.resume_suspended_edges(&mut undo_log);
                 }
                 Ok(undo_log)
@@ -40,8 +41,8 @@
     batch: &'a ChangeBatch,
     limits: &'a BatchLimits,
     undo_log: UndoLog,
-    /// An edge went out of use, so that a suspended edge may come back.
-    has_freed_edge: bool,
+    /// An edge that was in use was removed, so that a suspended edge may be resumed.
+    has_removed_edge: bool,
 }
 
 impl BatchApplication<'_> {
@@ -66,8 +67,8 @@
         Ok(())
     }
 
-    /// Checks that every listed source exists. Runs after all changes, as they may refer to each other's nodes in
-    /// any order.
+    /// Checks that every listed source exists. Runs after all changes, as they may refer to each other's
+    /// nodes in any order.
     fn check_references(&self, topology: &Topology) -> Result<(), BatchRejection> {
         let is_missing = |id: &NodeId| topology.is_listed(*id) && topology.record(*id).is_none();
         for change in &self.batch.changes {
@@ -91,15 +92,15 @@
             }
             Change::Remove { node } => self.remove_node(topology, *node),
             Change::Move { node, site, sources } => {
-                let present = self.writable_node(topology, *node)?;
-                self.write_node(topology, Node { site: *site, ..present });
+                let current = self.writable_node(topology, *node)?;
+                self.write_node(topology, Node { site: *site, ..current });
                 self.write_sources(topology, *node, sources)
             }
             Change::Replace { old, new } => self.replace_node(topology, *old, *new),
             Change::Rerank { node, sources } => self.write_sources(topology, *node, sources),
             Change::Retire { node, retiring } => {
-                let present = self.writable_node(topology, *node)?;
-                self.write_node(topology, Node { retiring: *retiring, ..present });
+                let current = self.writable_node(topology, *node)?;
+                self.write_node(topology, Node { retiring: *retiring, ..current });
                 Ok(())
             }
         }
@@ -119,7 +120,7 @@
     fn remove_node(&mut self, topology: &mut Topology, id: NodeId) -> Result<(), BatchRejection> {
         self.writable_node(topology, id)?;
         self.node_with_writable_sources(topology, id)?;
-        self.has_freed_edge |= topology.sources(id).next().is_some();
+        self.has_removed_edge |= topology.sources(id).next().is_some();
         topology.remove_node(id, self.position(), &mut self.undo_log);
         Ok(())
     }
@@ -130,11 +131,11 @@
         old: NodeId,
         new: Node,
     ) -> Result<(), BatchRejection> {
-        let present = self.writable_node(topology, old)?;
+        let current = self.writable_node(topology, old)?;
         self.insert_node(topology, new)?;
         let sources = topology.listed_sources(old);
         self.write_sources(topology, new.id, &sources)?;
-        self.write_node(topology, Node { retiring: true, ..present });
+        self.write_node(topology, Node { retiring: true, ..current });
         for child in topology.nodes_listing(old) {
             let mut sources = topology.listed_sources(child);
             for source in sources.iter_mut().filter(|source| source.node == old) {
@@ -167,7 +168,7 @@
         if sources.iter().any(|source| source.node == id) {
             return Err(BatchRejection::SelfReference(id));
         }
-        self.has_freed_edge |= topology.write_sources(id, sources, self.position(), &mut self.undo_log);
+        self.has_removed_edge |= topology.write_sources(id, sources, self.position(), &mut self.undo_log);
         Ok(())
     }
 
@@ -184,7 +185,7 @@
     }
 
     fn check_conflict(&self, node: NodeId, written_by: BatchPosition) -> Result<(), BatchRejection> {
-        if written_by == self.position() || self.batch.has_seen(written_by) {
+        if written_by == self.position() || self.batch.has_received(written_by) {
             return Ok(());
         }
         Err(BatchRejection::Conflict { node, by: written_by.batch_id() })
--- a/crates/hierarchy/src/batch/mod.rs
+++ b/crates/hierarchy/src/batch/mod.rs
@@ -1,6 +1,7 @@
-//! Batches of topology changes: what they contain, what bounds them, and why one is rejected.
+//! Batches of topology changes: their contents, their limits, and the reasons for a rejection.
 //!
-//! [`ChangeBatch::apply`] depends on the batch and the topology alone, so that all routers decide alike.
+//! The result of [`ChangeBatch::apply`] depends only on the batch and the topology, so that it is the same at
+//! all routers.
 
 use std::fmt;
 
@@ -19,16 +20,16 @@
     Add {
         /// The new node.
         node: Node,
-        /// Where it fills from; empty for an origin.
+        /// Its sources; empty for an origin.
         sources: Vec<Source>,
     },
-    /// Removes a node that no other node lists as a source any more.
+    /// Removes a node that no other node lists as a source.
     Remove {
         /// The node to remove.
         #[serde(with = "id_as_number")]
         node: NodeId,
     },
-    /// Moves a node to another site and gives it the sources to use there.
+    /// Moves a node to another site, and replaces its sources.
     Move {
         /// The node that moves.
         #[serde(with = "id_as_number")]
@@ -38,15 +39,15 @@
         /// Its new sources.
         sources: Vec<Source>,
     },
-    /// Puts a new node in place of another one in all source lists. The old node starts to retire.
+    /// Replaces a node by a new one in all source lists. The old node starts to retire.
     Replace {
         /// The node that retires.
         #[serde(with = "id_as_number")]
         old: NodeId,
-        /// The node that takes over, with the sources of the old one.
+        /// The new node, which takes over the sources of the old one.
         new: Node,
     },
-    /// Gives a node other sources or other ranks.
+    /// Replaces the sources of a node, or changes their ranks.
     Rerank {
         /// The node whose sources change.
         #[serde(with = "id_as_number")]
@@ -65,7 +66,7 @@
 }
 
 impl Change {
-    /// The node that the change is about and the sources that it lists.
+    /// The node that the change writes and the sources that it lists.
     fn referenced_nodes(&self) -> (NodeId, &[Source]) {
         match self {
             Self::Add { node, sources } => (node.id, sources),
@@ -76,17 +77,18 @@
     }
 }
 
-/// Changes that take effect together or not at all.
+/// Changes that are applied atomically.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChangeBatch {
-    /// Its name.
+    /// The id of the batch.
     #[serde(rename = "serial")]
     pub id: BatchId,
-    /// Its Lamport timestamp, above that of every batch in its basis.
+    /// The Lamport timestamp, above that of every batch in its basis.
     pub stamp: u64,
-    /// The newest batch of each author that its author had seen.
+    /// The newest batch of each author that its author had received.
     pub basis: VersionVector,
-    /// When it takes effect, in milliseconds of Unix time. All routers count the rollout stages from here.
+    /// When it takes effect, in milliseconds of Unix time. The stages of the rollout are timed from here at
+    /// all routers.
     #[serde(rename = "at")]
     pub effective_at: f64,
     /// The changes, in the order in which they are applied.
@@ -94,16 +96,16 @@
 }
 
 impl ChangeBatch {
-    /// Its place in the total order.
+    /// The position in the total order.
     pub fn position(&self) -> BatchPosition {
         BatchPosition::new(self.stamp, self.id)
     }
 
-    /// Whether its author had seen the batch at that place.
-    fn has_seen(&self, other: BatchPosition) -> bool {
+    /// Whether its author had received the batch at the position `other`.
+    fn has_received(&self, other: BatchPosition) -> bool {
         let other = other.batch_id();
         let is_own_earlier = other.author == self.id.author && other.number < self.id.number;
-        // The initial contents of a topology belong to no author.
+        // The initial contents of a topology have no author.
         let is_initial = other.number == 0;
         let is_in_basis = self.basis.get(&other.author).is_some_and(|seen| other.number <= *seen);
         is_own_earlier || is_initial || is_in_basis
@@ -117,8 +119,8 @@
         })
     }
 
-    /// Whether all its figures are finite numbers.
-    pub fn has_finite_figures(&self) -> bool {
+    /// Whether its effective time and all capacities are finite.
+    pub fn has_finite_values(&self) -> bool {
         self.effective_at.is_finite()
             && self.changes.iter().all(|change| match change {
                 Change::Add { node, .. } | Change::Replace { new: node, .. } => node.capacity.is_finite(),
@@ -127,16 +129,16 @@
     }
 }
 
-/// Bounds on batches and on the topology that they make, so that no author can exhaust a router's memory.
+/// Bounds on batches and on the resulting topology, so that no author can exhaust a router's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BatchLimits {
-    /// Changes of a batch.
+    /// Maximum number of changes of a batch.
     pub max_changes: usize,
-    /// Sources of a node.
+    /// Maximum number of sources of a node.
     pub max_sources: usize,
-    /// Nodes of the topology.
+    /// Maximum number of nodes of the topology.
     pub max_nodes: usize,
-    /// Authors whose batches are accepted.
+    /// Maximum number of authors whose batches are accepted.
     pub max_authors: usize,
 }
 
@@ -146,17 +148,17 @@
     }
 }
 
-/// Why a batch is not applied. All routers that have received the same batches agree on it.
+/// Why a batch is not applied. The reason is the same at all routers that have received the same batches.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BatchRejection {
     /// A change refers to a node that does not exist.
-    #[error("node {} is not in the shape", NodeLabel(*.0))]
+    #[error("node {} is not in the topology", NodeLabel(*.0))]
     UnknownNode(NodeId),
     /// A node to add exists already.
-    #[error("node {} is in the shape already", NodeLabel(*.0))]
+    #[error("node {} is already in the topology", NodeLabel(*.0))]
     NodeExists(NodeId),
     /// A node to remove is still listed as a source.
-    #[error("node {} is still a source of others", NodeLabel(*.0))]
+    #[error("node {} is still a source of other nodes", NodeLabel(*.0))]
     StillReferenced(NodeId),
     /// A cache or parent would have no source.
     #[error("node {} would have no source", NodeLabel(*.0))]
@@ -168,25 +170,26 @@
     #[error("node {} would be its own source", NodeLabel(*.0))]
     SelfReference(NodeId),
     /// The topology would have no origin.
-    #[error("no origin would be left")]
+    #[error("the topology would have no origin")]
     NoOrigin,
-    /// A concurrent batch has written the same node or the same source list.
-    #[error("node {} was changed by batch {by}, which this one was not planned on", NodeLabel(*.node))]
+    /// A concurrent batch has written the attributes or the source list of the same node.
+    #[error("node {} was changed by batch {by}, which is not in the basis of this batch", NodeLabel(*.node))]
     Conflict {
         /// The node.
         node: NodeId,
         /// The concurrent batch.
         by: BatchId,
     },
-    /// The batch or the topology would exceed a bound of [`BatchLimits`], with what it counts.
-    #[error("more than {0} {1}")]
+    /// The batch or the topology would exceed a bound of [`BatchLimits`]: the bound, and the items that it
+    /// limits.
+    #[error("limit exceeded: more than {0} {1}")]
     LimitExceeded(usize, &'static str),
     /// A capacity is not a positive number.
-    #[error("node {} has a capacity that is no positive number", NodeLabel(*.0))]
+    #[error("node {} has a capacity that is not a positive number", NodeLabel(*.0))]
     InvalidCapacity(NodeId),
 }
 
-/// Names a node in error messages, in a form that scripts read and that is independent of type names.
+/// The form of a node id in error messages. Scripts parse it, so it must not change with the names of types.
 struct NodeLabel(NodeId);
 
 impl fmt::Display for NodeLabel {
--- a/crates/hierarchy/src/change_spec/mod.rs
+++ b/crates/hierarchy/src/change_spec/mod.rs
@@ -1,7 +1,8 @@
-//! Nodes, changes and batches as they are written in files, sent between routers and shown by commands: with the names
-//! of nodes instead of their ids.
+//! The external format of nodes, changes and batches: in files, between routers and in the output of
+//! commands. It has the names of nodes instead of their ids.
 //!
-//! The names of fields and variants and their order are the format. What a change does is judged when it is applied.
+//! The names of fields and variants and their order define the format. A change is validated only when it is
+//! applied.
 
 use linnethook::interface::Ms;
 use serde::{Deserialize, Serialize};
@@ -19,19 +20,19 @@
 /// A node with its sources.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct NodeSpec {
-    /// Its name, the same at all routers.
+    /// Its name, which is the same at all routers.
     pub name: String,
-    /// What it is in the hierarchy.
+    /// Its role in the hierarchy.
     pub role: Role,
     /// The name of its site or hub.
     pub site: String,
-    /// Distance from the clients: 0 for caches, one more for each tier of parents.
+    /// Distance from the clients: 0 for caches, 1 more for each tier of parents.
     pub tier: u8,
-    /// What it can serve, in any unit that is the same for all nodes of a tier.
+    /// The load that it can serve, in any unit that is the same for all nodes of a tier.
     pub capacity: f64,
     /// Whether it retires.
     pub retiring: bool,
-    /// Where it fills from, by rank.
+    /// Its sources with their ranks.
     pub sources: Vec<SourceSpec>,
 }
 
@@ -40,11 +41,11 @@
 pub struct SourceSpec {
     /// The name of the node to fill from.
     pub name: String,
-    /// The order of preference; lower ranks come first.
+    /// The order of preference; lower ranks are preferred.
     pub rank: u16,
 }
 
-/// A change. The variants mean the same as those of [`Change`](crate::batch::Change).
+/// A change. The variants correspond to those of [`Change`](crate::batch::Change).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeSpec {
@@ -61,17 +62,17 @@
         node: String,
         /// The name of the new site.
         site: String,
-        /// Its sources there.
+        /// Its sources at the new site.
         sources: Vec<SourceSpec>,
     },
-    /// Puts a new node in place of another one.
+    /// Replaces a node by a new one.
     Replace {
         /// The name of the node that retires.
         old: String,
-        /// The node that takes over; its sources are those of the old one.
+        /// The new node, which takes over the sources of the old one; those in the specification are ignored.
         new: NodeSpec,
     },
-    /// Gives a node other sources or other ranks.
+    /// Replaces the sources of a node, or changes their ranks.
     Rerank {
         /// Its name.
         node: String,
@@ -87,16 +88,16 @@
     },
 }
 
-/// A batch. The fields mean the same as those of [`ChangeBatch`](crate::batch::ChangeBatch).
+/// A batch. The fields correspond to those of [`ChangeBatch`](crate::batch::ChangeBatch).
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct BatchSpec {
-    /// Who wrote it.
+    /// The author.
     pub author: u16,
     /// Its number among the author's batches.
     pub number: u64,
-    /// Its Lamport timestamp.
+    /// The Lamport timestamp.
     pub stamp: u64,
-    /// The newest batch of each author that its author had seen, as pairs of author and number.
+    /// The newest batch of each author that its author had received, as pairs of author and number.
     #[serde(default)]
     pub basis: Vec<(u16, u64)>,
     /// When it takes effect, in milliseconds of Unix time.
--- a/crates/hierarchy/src/change_spec/name_table.rs
+++ b/crates/hierarchy/src/change_spec/name_table.rs
@@ -13,7 +13,7 @@
 use crate::topology::{NodeRecord, Topology};
 use crate::version::{AuthorId, BatchId};
 
-/// The id of a node name: the one that the decision module uses for the cache, parent or origin of that uid.
+/// The id of a node name. The decision module uses the same id for the cache, parent or origin with that uid.
 pub fn node_id(name: &str) -> NodeId {
     NodeId(xxh3_64(name.as_bytes()))
 }
@@ -23,7 +23,7 @@
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// The names of the nodes and sites that were read, as long as the topology contains them.
+/// The names of nodes and sites. [`retain`](Self::retain) drops those that the topology does not contain.
 #[derive(Debug, Clone, Default)]
 pub struct NameTable {
     nodes: BTreeMap<NodeId, String>,
@@ -31,7 +31,7 @@
 }
 
 impl NameTable {
-    /// The name of a node, or its id in hexadecimal if its name is not known.
+    /// The name of a node, or its id in hexadecimal if the name is unknown.
     pub fn node_name(&self, id: NodeId) -> String {
         self.nodes.get(&id).cloned().unwrap_or_else(|| format!("#{:016x}", id.0))
     }
@@ -52,7 +52,8 @@
         id
     }
 
-    /// Adds names that another router knows. An id follows from its name, so that no name can replace another.
+    /// Adds names received from another router. The id is the hash of the name, and a name that is in the
+    /// table already is not replaced.
     pub fn add_names(&mut self, nodes: &[String], sites: &[String]) {
         for name in nodes {
             self.add_node(name);
@@ -79,17 +80,17 @@
         self.sites.values().cloned().collect()
     }
 
-    /// Names of nodes and sites.
+    /// Number of names of nodes and sites.
     pub fn len(&self) -> usize {
         self.nodes.len() + self.sites.len()
     }
 
-    /// Whether no name is known.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    // From names to ids. Each new name is added.
+    // From names to ids. New names are added to the table.
 
     /// Translates a batch.
     pub fn resolve_batch(&mut self, spec: &BatchSpec) -> ChangeBatch {
@@ -146,22 +147,23 @@
         specs.iter().map(|spec| Source::new(self.add_node(&spec.name), spec.rank)).collect()
     }
 
-    /// The changes that turn a topology into the wanted one. They are the same at all routers where both are the same.
-    pub fn changes_to_reach(&mut self, topology: &Topology, wanted: &[NodeSpec]) -> Vec<Change> {
+    /// The changes that turn a topology into the desired one. The result depends only on these two, so that
+    /// it is the same at all routers.
+    pub fn changes_to_reach(&mut self, topology: &Topology, desired: &[NodeSpec]) -> Vec<Change> {
         let mut changes = Vec::new();
-        let mut wanted_ids = BTreeSet::new();
-        for spec in wanted {
+        let mut desired_ids = BTreeSet::new();
+        for spec in desired {
             let node = self.resolve_node(spec);
             let mut sources = self.resolve_sources(&spec.sources);
             sources.sort_unstable();
-            wanted_ids.insert(node.id);
+            desired_ids.insert(node.id);
             match topology.record(node.id) {
-                Some(present) => add_node_changes(present, node, sources, &mut changes),
+                Some(current) => add_node_changes(current, node, sources, &mut changes),
                 None => changes.push(Change::Add { node, sources }),
             }
         }
-        let unwanted = topology.records().into_iter().filter(|record| !wanted_ids.contains(&record.node.id));
-        changes.extend(unwanted.map(|record| Change::Remove { node: record.node.id }));
+        let removed = topology.records().into_iter().filter(|record| !desired_ids.contains(&record.node.id));
+        changes.extend(removed.map(|record| Change::Remove { node: record.node.id }));
         changes
     }
 
@@ -267,22 +269,22 @@
     }
 }
 
-/// Adds the changes that turn an existing node into the wanted one.
-fn add_node_changes(present: &NodeRecord, wanted: Node, sources: Vec<Source>, changes: &mut Vec<Change>) {
+/// Adds the changes that turn an existing node into the desired one.
+fn add_node_changes(current: &NodeRecord, desired: Node, sources: Vec<Source>, changes: &mut Vec<Change>) {
     let kind = |node: &Node| (node.role, node.tier, node.capacity.to_bits());
-    let id = wanted.id;
-    if kind(&present.node) != kind(&wanted) {
-        // Another machine under the same name.
+    let id = desired.id;
+    if kind(&current.node) != kind(&desired) {
+        // Another machine with the same name.
         changes.push(Change::Remove { node: id });
-        changes.push(Change::Add { node: wanted, sources });
+        changes.push(Change::Add { node: desired, sources });
         return;
     }
-    if present.node.site != wanted.site {
-        changes.push(Change::Move { node: id, site: wanted.site, sources });
-    } else if present.listed_sources() != sources {
+    if current.node.site != desired.site {
+        changes.push(Change::Move { node: id, site: desired.site, sources });
+    } else if current.listed_sources() != sources {
         changes.push(Change::Rerank { node: id, sources });
     }
-    if present.node.retiring != wanted.retiring {
-        changes.push(Change::Retire { node: id, retiring: wanted.retiring });
+    if current.node.retiring != desired.retiring {
+        changes.push(Change::Retire { node: id, retiring: desired.retiring });
     }
 }
--- a/crates/hierarchy/src/change_spec/plan_spec.rs
+++ b/crates/hierarchy/src/change_spec/plan_spec.rs
@@ -1,17 +1,18 @@
-//! A plan as commands show it. Scripts read its lists of tuples, so that the types here are written as tuples.
+//! A plan as commands show it. Scripts parse its lists of tuples, so that the types here are serialised as
+//! tuples.
 
 use serde::{Deserialize, Serialize};
 
 use super::SourceSpec;
 
-/// What a batch would change, with the names of nodes.
+/// The forecast effects of a batch, with the names of nodes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlanSpec {
     /// Nodes that would be added.
     pub added: Vec<String>,
     /// Nodes that would be removed.
     pub removed: Vec<String>,
-    /// Nodes whose own figures would change.
+    /// Nodes whose attributes would change.
     pub altered: Vec<String>,
     /// Nodes whose sources would change.
     #[serde(rename = "rerouted")]
@@ -19,13 +20,13 @@
     /// The cycles that edges of the batch would close; these edges would be suspended.
     #[serde(rename = "loops")]
     pub cycles: Vec<Vec<String>>,
-    /// Suspended edges that would be resumed.
+    /// Number of suspended edges that would be resumed.
     #[serde(rename = "resumed")]
     pub resumed_edges: usize,
-    /// Sources that would get more children.
+    /// Parents that would get new children.
     #[serde(rename = "pushes")]
     pub source_loads: Vec<SourceLoadSpec>,
-    /// The load of the origin.
+    /// The forecast load of the origin.
     #[serde(rename = "origin")]
     pub origin_load: OriginLoadSpec,
 }
@@ -36,9 +37,9 @@
 pub struct SourceChangeSpec {
     /// The name of the node.
     pub node: String,
-    /// Its present sources.
+    /// The current sources.
     pub before: Vec<SourceSpec>,
-    /// Its new sources.
+    /// The new sources.
     pub after: Vec<SourceSpec>,
 }
 
@@ -56,19 +57,19 @@
     }
 }
 
-/// The load of a source, as the capacity of the nodes that prefer it divided by its own.
+/// The load of a source: the total capacity of the nodes that prefer it, divided by its own capacity.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "SourceLoadTuple", into = "SourceLoadTuple")]
 pub struct SourceLoadSpec {
     /// The name of the source.
     pub source: String,
-    /// Its present load.
+    /// The current load.
     pub before: f64,
-    /// Its load after the change.
+    /// The load after the change.
     pub after: f64,
     /// The mean load of its tier after the change.
     pub tier_mean: f64,
-    /// Whether the load would grow, and be far above that of others of the tier.
+    /// Whether the load would grow to far above the mean of its tier.
     pub is_heavy: bool,
 }
 
@@ -90,11 +91,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "OriginLoadTuple", into = "OriginLoadTuple")]
 pub struct OriginLoadSpec {
-    /// The present rate.
+    /// The current rate.
     pub current: f64,
-    /// What the change adds at worst if all children change sources at once.
+    /// The largest increase if all children switch sources at once.
     pub immediate: f64,
-    /// What the change adds at worst if children migrate in stages.
+    /// The largest increase if children migrate in stages.
     pub staged: f64,
 }
 
--- a/crates/hierarchy/src/change_spec/validation.rs
+++ b/crates/hierarchy/src/change_spec/validation.rs
@@ -1,4 +1,4 @@
-//! Checks a whole topology as it is written in a file, before any of it is used.
+//! Validates a complete topology as it is written in a file, before any of it is used.
 
 use std::collections::BTreeMap;
 
@@ -6,14 +6,14 @@
 use crate::node::Role;
 use crate::topological_order::{NodeIndex, TopologicalOrder};
 
-/// What is wrong with a list of nodes.
+/// Why a list of nodes is not a valid topology.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum TopologyError {
     /// Two nodes have this name.
     #[error("two nodes are named {0:?}")]
     DuplicateName(String),
     /// A source is not in the list.
-    #[error("{node:?} names {source_name:?} as a source, which is no node")]
+    #[error("{node:?} lists {source_name:?} as a source, which is not a node")]
     UnknownSource {
         /// The name of the node.
         node: String,
@@ -21,10 +21,10 @@
         source_name: String,
     },
     /// No path leads from this node to an origin.
-    #[error("{0:?} has no way to the origin")]
+    #[error("{0:?} has no path to the origin")]
     NoPathToOrigin(String),
-    /// Fills would go round these nodes.
-    #[error("fills would go round: {}", .0.join(" -> "))]
+    /// The sources of these nodes form a cycle, in which fills would loop.
+    #[error("fills would loop: {}", .0.join(" -> "))]
     Cycle(Vec<String>),
     /// No node is an origin.
     #[error("there is no origin")]
@@ -32,7 +32,7 @@
 }
 
 impl TopologyError {
-    /// The node that the error is about, if it is about a single one.
+    /// The node that the error refers to, or the first node of a cycle; `None` for the entire list.
     pub fn node(&self) -> Option<&str> {
         match self {
             Self::DuplicateName(node) | Self::NoPathToOrigin(node) | Self::UnknownSource { node, .. } => {
@@ -44,8 +44,8 @@
     }
 }
 
-/// Checks that names are unique, that sources are known, that there is no cycle, and that a path leads from each node
-/// to an origin.
+/// Checks that names are unique, that sources are known, that there is no cycle, and that a path leads from
+/// each node to an origin.
 ///
 /// # Errors
 ///
@@ -91,7 +91,7 @@
         let sources = node.sources.iter().filter_map(|source| indices.get(source.name.as_str()));
         for to in sources {
             if let Err(cycle) = order.insert_edge(from as NodeIndex, *to) {
-                // In the direction of fills: from the node on, and back to it.
+                // The cycle in the direction of fills, starting and ending at the node.
                 let path = std::iter::once(from as NodeIndex).chain(cycle.0);
                 let names = path.map(|index| nodes[index as usize].name.clone());
                 return Err(TopologyError::Cycle(names.collect()));
@@ -101,7 +101,7 @@
     Ok(order)
 }
 
-/// Follows the edges down from the origins: a node that is not visited has no path up.
+/// Follows the edges from the origins to their children: a node that is not visited has no path to an origin.
 fn check_paths_to_origin(nodes: &[NodeSpec], order: &TopologicalOrder) -> Result<(), TopologyError> {
     let is_origin = |index: &usize| nodes[*index].role == Role::Origin;
     let mut unvisited: Vec<usize> = (0..nodes.len()).filter(is_origin).collect();
--- a/crates/hierarchy/src/history/inverse.rs
+++ b/crates/hierarchy/src/history/inverse.rs
@@ -15,8 +15,8 @@
 }
 
 impl History {
-    /// The changes that revert a batch: back to the figures and sources from before it. `None` if the batch is not
-    /// retained or was rejected.
+    /// The changes that revert a batch: they restore the attributes and sources from before it. `None` if the
+    /// batch is not retained or was rejected.
     pub fn inverse_changes(&self, id: BatchId) -> Option<Vec<Change>> {
         let undo_log = self.entry(id)?.result.as_ref().ok()?;
         let mut additions = Vec::new();
@@ -52,7 +52,7 @@
     states
 }
 
-/// Adds the changes that bring an existing node back to an earlier record.
+/// Adds the changes that restore an existing node to an earlier record.
 fn revert_node(before: &NodeRecord, now: &NodeRecord, sources: Vec<Source>, changes: &mut Vec<Change>) {
     let node = before.node.id;
     if now.node.site != before.node.site {
--- a/crates/hierarchy/src/history/mod.rs
+++ b/crates/hierarchy/src/history/mod.rs
@@ -1,8 +1,8 @@
-//! The batches received, in the total order that all routers share, and the topology that they make.
+//! The batches received, in the total order that all routers share, and the topology that results from them.
 //!
-//! A late batch is inserted at its place: the batches after it are undone and applied again. The topology therefore
-//! follows from the set of batches alone, whatever the order in which they arrived. A batch is applied only after
-//! the batches that it is based on.
+//! A late batch is inserted at its position: the batches after it are undone and applied again. The topology
+//! therefore depends only on the set of batches, not on the order in which they were received. A batch is
+//! applied only after the batches that it is based on.
 
 use std::collections::BTreeMap;
 
@@ -15,12 +15,12 @@
 
 pub use self::snapshot::Snapshot;
 
-/// Bounds on what a history stores.
+/// Bounds on the size of a history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HistoryLimits {
-    /// Applied batches that can still be undone to insert a late one before them.
+    /// Maximum number of batches in the history that can still be undone to insert a late one before them.
     pub retained_batches: usize,
-    /// Batches that wait for a batch they depend on.
+    /// Maximum number of batches that are pending until a batch that they depend on is received.
     pub pending_batches: usize,
 }
 
@@ -30,40 +30,40 @@
     }
 }
 
-/// What became of a batch that was received.
+/// The result of receiving a batch.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReceiveOutcome {
-    /// It has its place in the history, and so have the pending batches named after it.
+    /// It was inserted into the history, and so were the pending batches that follow it in the list.
     Accepted(Vec<BatchId>),
     /// It was received before.
     Duplicate,
-    /// It waits for that batch.
+    /// It is pending until that batch is received.
     Pending(BatchId),
-    /// It can't have a place in the history.
+    /// It can't be inserted into the history.
     Invalid(BatchError),
 }
 
-/// Why a batch can't have a place in the history at all.
+/// Why a batch can't be inserted into the history.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum BatchError {
-    /// A batch of the same name but with other content was received before.
-    #[error("batch {0} was heard with other content")]
+    /// A batch with the same id but different content was received before.
+    #[error("batch {0} was received before with different content")]
     ConflictingContent(BatchId),
-    /// Its timestamp is not above that of a batch in its basis.
-    #[error("its stamp is not above that of batch {0}, on which it was planned")]
+    /// Its timestamp is not above that of its author's previous batch or of a batch in its basis.
+    #[error("its timestamp is not above that of batch {0}, which it depends on")]
     StampTooLow(BatchId),
-    /// Its place lies before the batches that can still be undone.
-    #[error("it belongs before what is kept of the history; the shape has to be learned anew")]
+    /// Its position is before the batches that can still be undone.
+    #[error("it is older than the retained history; the topology has to be restored from a snapshot")]
     TooOld,
     /// A bound on pending batches or on authors is reached.
-    #[error("too many batches wait for others, or come from too many authors")]
+    #[error("too many pending batches or too many authors")]
     LimitReached,
-    /// A number or timestamp is zero, or a figure is not finite.
-    #[error("batches are numbered from 1 on, a stamp is above 0, and figures are numbers")]
-    InvalidFigures,
+    /// Its number or timestamp is zero, or a time or capacity is not finite.
+    #[error("the number and timestamp of a batch must be at least 1, its times and capacities finite")]
+    InvalidValue,
 }
 
-/// A batch at its place, and the result of applying it.
+/// A batch in the history, and the result of applying it.
 #[derive(Debug, Clone)]
 struct HistoryEntry {
     batch: ChangeBatch,
@@ -77,14 +77,14 @@
     stamp: u64,
 }
 
-/// All batches received, and the topology that they make.
+/// All batches received, and the topology that results from them.
 #[derive(Debug, Clone, Default)]
 pub struct History {
     batch_limits: BatchLimits,
     limits: HistoryLimits,
     topology: Topology,
     entries: Vec<HistoryEntry>,
-    /// Batches up to this place can't be undone any more.
+    /// Batches up to this position can no longer be undone.
     truncated_at: BatchPosition,
     authors: BTreeMap<AuthorId, AuthorProgress>,
     pending: BTreeMap<BatchId, ChangeBatch>,
@@ -96,12 +96,12 @@
         Self { batch_limits, limits, ..Self::default() }
     }
 
-    /// The present topology.
+    /// The current topology.
     pub fn topology(&self) -> &Topology {
         &self.topology
     }
 
-    /// The present topology, for searches that use its scratch space. They don't change its answers.
+    /// The current topology, for searches that need its scratch space. They don't change the topology itself.
     pub fn topology_mut(&mut self) -> &mut Topology {
         &mut self.topology
     }
@@ -111,7 +111,7 @@
         self.authors.iter().map(|(author, newest)| (*author, newest.number)).collect()
     }
 
-    /// A timestamp above all that were received.
+    /// A timestamp above those of all batches received.
     pub fn next_stamp(&self) -> u64 {
         self.authors.values().map(|newest| newest.stamp).max().unwrap_or(0) + 1
     }
@@ -126,7 +126,7 @@
         self.next_stamp() - 1
     }
 
-    /// Pending batches, each with the batch that it waits for.
+    /// Pending batches, each with the first batch that has to be received before it.
     pub fn pending(&self) -> impl Iterator<Item = (BatchId, BatchId)> + '_ {
         self.pending.iter().filter_map(|(id, batch)| Some((*id, self.missing_dependency(batch)?)))
     }
@@ -141,13 +141,14 @@
         self.entry(id).map(|entry| entry.result.as_ref().map(|_| ()))
     }
 
-    /// When the batch at that place takes effect, in milliseconds of Unix time, if it is retained.
+    /// When the batch at that position takes effect, in milliseconds of Unix time; `None` if it is not
+    /// retained.
     pub fn effective_at(&self, position: BatchPosition) -> Option<f64> {
         let index = self.entries.binary_search_by_key(&position, |entry| entry.batch.position()).ok()?;
         Some(self.entries[index].batch.effective_at)
     }
 
-    /// A batch by that author, based on everything received so far.
+    /// Drafts a batch by `author` that is based on all batches received so far.
     pub fn draft_batch(&self, author: AuthorId, effective_at: f64, changes: Vec<Change>) -> ChangeBatch {
         ChangeBatch {
             id: BatchId { author, number: self.next_number(author) },
@@ -158,7 +159,8 @@
         }
     }
 
-    /// Receives a batch from any source.
+    /// Receives a batch: inserts it, or retains it as pending until the batches that it depends on are
+    /// received.
     pub fn receive_batch(&mut self, batch: ChangeBatch) -> ReceiveOutcome {
         if let Some(outcome) = self.outcome_without_insertion(&batch) {
             return outcome;
@@ -174,7 +176,7 @@
         if let Err(error) = self.insert(batch) {
             return ReceiveOutcome::Invalid(error);
         }
-        // Batches that waited for this one, and those that waited for these in turn.
+        // Pending batches that depend on this one, directly or through others.
         while let Some(ready) = self.pending.values().find(|batch| self.missing_dependency(batch).is_none()) {
             let id = ready.id;
             let Some(batch) = self.pending.remove(&id) else { break };
@@ -193,8 +195,8 @@
     /// The outcome of a batch that is invalid or was received before; `None` for any other.
     fn outcome_without_insertion(&self, batch: &ChangeBatch) -> Option<ReceiveOutcome> {
         let BatchId { author, number } = batch.id;
-        if number == 0 || batch.stamp == 0 || !batch.has_finite_figures() {
-            return Some(ReceiveOutcome::Invalid(BatchError::InvalidFigures));
+        if number == 0 || batch.stamp == 0 || !batch.has_finite_values() {
+            return Some(ReceiveOutcome::Invalid(BatchError::InvalidValue));
         }
         let newest = self.authors.get(&author);
         if newest.is_none() && self.authors.len() >= self.batch_limits.max_authors {
@@ -214,7 +216,7 @@
         None
     }
 
-    /// The first batch that has to be received before this one.
+    /// The first missing batch that has to be received before this one.
     fn missing_dependency(&self, batch: &ChangeBatch) -> Option<BatchId> {
         let BatchId { author, number } = batch.id;
         let first_missing = |author: AuthorId, required: u64| {
@@ -226,7 +228,7 @@
             .or_else(|| other_authors.find_map(|(other, number)| first_missing(*other, *number)))
     }
 
-    /// Inserts a batch at its place, and applies it and all batches after it.
+    /// Inserts a batch at its position, and applies it and all batches after it.
     fn insert(&mut self, batch: ChangeBatch) -> Result<(), BatchError> {
         self.check_position(&batch)?;
         let newest = AuthorProgress { number: batch.id.number, stamp: batch.stamp };
@@ -244,18 +246,18 @@
         Ok(())
     }
 
-    /// Checks that the batch comes after the batches that it is based on, and not before the truncated ones.
+    /// Checks that the batch is ordered after the batches that it depends on and after the truncated ones.
     fn check_position(&self, batch: &ChangeBatch) -> Result<(), BatchError> {
         let newest = self.authors.get(&batch.id.author).copied().unwrap_or_default();
         if batch.stamp <= newest.stamp {
             return Err(BatchError::StampTooLow(BatchId { number: newest.number, ..batch.id }));
         }
-        let is_later_dependency = |entry: &&HistoryEntry| {
+        let is_dependency_not_before = |entry: &&HistoryEntry| {
             let id = entry.batch.id;
             let is_in_basis = batch.basis.get(&id.author).is_some_and(|seen| id.number <= *seen);
             entry.batch.stamp >= batch.stamp && is_in_basis
         };
-        if let Some(dependency) = self.entries.iter().find(is_later_dependency) {
+        if let Some(dependency) = self.entries.iter().find(is_dependency_not_before) {
             return Err(BatchError::StampTooLow(dependency.batch.id));
         }
         if batch.position() <= self.truncated_at {
@@ -269,7 +271,7 @@
         self.entries.push(HistoryEntry { batch, result });
     }
 
-    /// Drops the oldest batches beyond the bound. Their changes stay.
+    /// Drops the oldest batches beyond the bound. Their changes remain in the topology.
     fn truncate(&mut self) {
         let excess = self.entries.len().saturating_sub(self.limits.retained_batches);
         for entry in self.entries.drain(..excess) {
--- a/crates/hierarchy/src/history/snapshot.rs
+++ b/crates/hierarchy/src/history/snapshot.rs
@@ -1,4 +1,4 @@
-//! The present topology as one router hands it to another.
+//! The current topology as one router transfers it to another.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,8 +8,8 @@
 use crate::topology::{NodeRecord, Topology};
 use crate::version::{AuthorId, BatchPosition};
 
-/// The present topology with its place in the history, for a router that has just started. The order of fields is
-/// the format between routers.
+/// The current topology with its position in the history, for a router that has just started. The order of
+/// fields defines the wire format between routers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     records: Vec<SnapshotRecord>,
@@ -54,7 +54,7 @@
     #[serde(rename = "node_by")]
     node_written_by: BatchPosition,
     sources: Vec<Source>,
-    /// The sources that are in use.
+    /// The sources whose edges are in use.
     #[serde(rename = "used")]
     used_sources: Vec<SerializedNodeId>,
     #[serde(rename = "edges_by")]
@@ -78,7 +78,7 @@
 }
 
 impl History {
-    /// The present topology, for a router that has just started.
+    /// A snapshot of the current topology for a router that has just started.
     pub fn snapshot(&self) -> Snapshot {
         let authors = self.authors.iter().map(|(author, newest)| SnapshotAuthor {
             author: *author,
@@ -92,12 +92,14 @@
         }
     }
 
-    /// Starts again from another router's topology. Batches that the other router had not received are lost unless
-    /// they are received again; batches older than its last one can't be inserted any more.
+    /// Replaces the topology by that of another router. Batches that the other router had not received are
+    /// lost unless they are received again; batches that are older than its last one can no longer be
+    /// inserted.
     ///
     /// # Errors
     ///
-    /// A rejection if the snapshot has too many nodes or lists an unknown source. The history is then unchanged.
+    /// A rejection if the snapshot has too many nodes or lists an unknown source. The history is then
+    /// unchanged.
     pub fn restore_snapshot(&mut self, snapshot: Snapshot) -> Result<(), BatchRejection> {
         let max_nodes = self.batch_limits.max_nodes;
         if snapshot.records.len() > max_nodes {
--- a/crates/hierarchy/src/loop_detection.rs
+++ b/crates/hierarchy/src/loop_detection.rs
@@ -1,21 +1,21 @@
 //! The path of a fill, by which a node detects that a fill has returned to it (compare RFC 8586, CDN-Loop).
 //!
-//! Routers and nodes may act on different versions of the topology for a moment. Each version is free of cycles, but
-//! a fill that is forwarded by two of them may return to a node.
+//! Routers and nodes may act on different versions of the topology for a short time. No version has a cycle,
+//! but a fill that is forwarded by two versions may return to a node.
 
 use std::fmt;
 
-/// Nodes that a fill may pass.
+/// Maximum number of nodes that a fill may pass.
 pub const MAX_HOPS: usize = 16;
 
-/// Bytes of the field that names the nodes passed.
+/// Maximum length of the path field, in bytes.
 const MAX_FIELD_BYTES: usize = 512;
 
-/// Characters that separate names or fields on the wire and can't be part of a name.
+/// Characters that separate names or fields on the wire, and that a name can't contain.
 const SEPARATORS: &[u8] = b",=+:>";
 
-/// The nodes that a fill has passed, and the version of the topology by which it was forwarded. The text form is
-/// `VERSION:NODE+NODE+...`.
+/// The nodes that a fill has passed, and the version of the topology by which it was forwarded. Its text
+/// format is `VERSION:NODE+NODE+...`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct FillPath {
     /// The version of the topology, as a Lamport timestamp.
@@ -23,30 +23,30 @@
     names: Vec<String>,
 }
 
-/// Why a field is not the path of a fill.
+/// Why a field is not a valid fill path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FillPathError {
-    /// It exceeds a bound.
-    #[error("the way of a fill is longer than {MAX_FIELD_BYTES} bytes or {MAX_HOPS} nodes")]
+    /// It exceeds the maximum length or number of nodes.
+    #[error("the fill path is longer than {MAX_FIELD_BYTES} bytes or {MAX_HOPS} nodes")]
     TooLong,
-    /// It has another form.
-    #[error("the way of a fill is not VERSION:NODE+NODE+...")]
+    /// It does not have the text format of a path.
+    #[error("the fill path does not have the form VERSION:NODE+NODE+...")]
     Malformed,
 }
 
-/// Why a fill is not forwarded. It has had no effect at the node.
+/// Why a node rejects a fill. The fill had no effect at the node.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PathRejection {
-    /// The fill has returned to a node that it had passed.
-    #[error("it came back to {to}, sent on by {from}")]
+    /// The fill has returned to a node that it has passed before.
+    #[error("the fill has returned to {to}, forwarded by {from}")]
     Loop {
         /// The node that forwarded it last.
         from: String,
         /// The node that it returned to.
         to: String,
     },
-    /// The fill has passed as many nodes as it may.
-    #[error("it has passed {MAX_HOPS} nodes")]
+    /// The fill has passed the maximum number of nodes.
+    #[error("the fill has passed {MAX_HOPS} nodes, the maximum")]
     HopLimit,
 }
 
@@ -56,11 +56,11 @@
         Self { version, names: Vec::new() }
     }
 
-    /// Reads the field that goes with a fill.
+    /// Parses the path field of a fill.
     ///
     /// # Errors
     ///
-    /// The field exceeds a bound, or has another form. Nothing is copied before its length is checked.
+    /// The field exceeds a bound or is malformed. Nothing is copied before its length is checked.
     pub fn parse(text: &str) -> Result<Self, FillPathError> {
         if text.len() > MAX_FIELD_BYTES {
             return Err(FillPathError::TooLong);
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// The fill has passed that node before, or as many nodes as it may.
+    /// The fill has passed that node before, or has passed the maximum number of nodes.
     pub fn append_node(mut self, node: &str) -> Result<Self, PathRejection> {
         if self.names.iter().any(|name| name == node) {
             let from = self.names.last().cloned().unwrap_or_default();
--- a/crates/hierarchy/src/plan.rs
+++ b/crates/hierarchy/src/plan.rs
@@ -1,5 +1,5 @@
-//! Forecasts what a batch would do before it is applied: what changes, which edges would be suspended, and how the load
-//! of sources and of the origin changes. The forecast works on a copy of the history.
+//! Forecasts the effects of a batch before it is applied: the changed nodes, the suspended edges, and the
+//! load of sources and of the origin. The forecast uses a copy of the history.
 
 use std::collections::BTreeMap;
 
@@ -15,28 +15,28 @@
 /// The load of a source is heavy above this multiple of the mean of its tier.
 const HEAVY_LOAD_RATIO: f64 = 1.5;
 
-/// The time in which a popular object is requested again, in milliseconds: what a ramp adds in that time arrives at
-/// the origin at once.
+/// The time within which a popular object is requested again, in milliseconds. The fills that a ramp adds
+/// within this time count as reaching the origin at the same time.
 const REREQUEST_INTERVAL: Ms = 1_000.0;
 
-/// What a batch would change.
+/// The forecast effects of a batch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangePlan {
     /// Nodes that would be added.
     pub added: Vec<NodeId>,
     /// Nodes that would be removed.
     pub removed: Vec<NodeId>,
-    /// Nodes whose own figures would change: site, capacity, retirement.
+    /// Nodes whose attributes would change: site, capacity, retirement.
     pub altered: Vec<NodeId>,
     /// Nodes whose sources would change.
     pub source_changes: Vec<SourceChange>,
     /// The cycles that edges of the batch would close; these edges would be suspended.
     pub cycles: Vec<Vec<NodeId>>,
-    /// Sources that would get more children.
+    /// Parents that would get new children.
     pub source_loads: Vec<SourceLoad>,
-    /// Suspended edges that would be resumed.
+    /// Number of suspended edges that would be resumed.
     pub resumed_edges: usize,
-    /// The load of the origin.
+    /// The forecast load of the origin.
     pub origin_load: OriginLoad,
 }
 
@@ -45,27 +45,27 @@
 pub struct SourceChange {
     /// The node.
     pub node: NodeId,
-    /// Its present sources.
+    /// The current sources.
     pub before: Vec<Source>,
-    /// Its new sources.
+    /// The new sources.
     pub after: Vec<Source>,
 }
 
-/// The load of a source, as the capacity of the nodes that prefer it divided by its own.
+/// The load of a source: the total capacity of the nodes that prefer it, divided by its own capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SourceLoad {
     /// The source.
     pub source: NodeId,
-    /// Its present load.
+    /// The current load.
     pub before: f64,
-    /// Its load after the change.
+    /// The load after the change.
     pub after: f64,
     /// The mean load of its tier after the change.
     pub tier_mean: f64,
 }
 
 impl SourceLoad {
-    /// Whether the load would grow, and be far above that of others of the tier.
+    /// Whether the load would grow to far above the mean of its tier.
     pub fn is_heavy(&self) -> bool {
         self.after > self.before && self.after > HEAVY_LOAD_RATIO * self.tier_mean
     }
@@ -74,13 +74,13 @@
 /// Fills per second at the origin, from this router's own traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct OriginLoad {
-    /// The present rate.
+    /// The current rate.
     #[serde(rename = "now")]
     pub current: f64,
-    /// What the change adds at worst if all children change sources at once.
+    /// The largest increase if all children switch sources at once.
     #[serde(rename = "flip")]
     pub immediate: f64,
-    /// What the change adds at worst if children migrate in stages.
+    /// The largest increase if children migrate in stages.
     pub staged: f64,
 }
 
@@ -90,14 +90,14 @@
     /// The batch would be rejected.
     #[error(transparent)]
     Rejected(BatchRejection),
-    /// The batch can't have a place in the history.
+    /// The batch can't be inserted into the history.
     #[error(transparent)]
     Invalid(BatchError),
-    /// The batch is based on batches that were not received here.
-    #[error("it was planned on batches that have not been heard here")]
+    /// The batch is based on batches that this router has not received.
+    #[error("it is based on batches that this router has not received")]
     UnknownBase,
     /// The batch was received before.
-    #[error("it was heard before")]
+    #[error("it was received before")]
     Duplicate,
 }
 
@@ -105,11 +105,11 @@
 type EdgeEnds = (NodeId, NodeId);
 
 impl Hierarchy {
-    /// Forecasts what a batch would do here and now. Nothing is changed.
+    /// Forecasts the effects of a batch on the current topology. Changes nothing.
     ///
     /// # Errors
     ///
-    /// The batch would not be applied.
+    /// The reason why the batch would not be applied.
     pub fn plan_batch(&self, now: Ms, batch: &ChangeBatch) -> Result<ChangePlan, PlanError> {
         let mut history = self.history().clone();
         match history.receive_batch(batch.clone()) {
@@ -136,15 +136,16 @@
         Ok(plan)
     }
 
-    /// Forecasts the load of the origin: at worst, all fills by the sources that children leave miss at the new ones.
+    /// Forecasts the load of the origin. In the worst case, all fills that children move away from their old
+    /// sources miss at the new ones.
     fn origin_load(&self, now: Ms, changes: &[SourceChange]) -> OriginLoad {
         let rate = |id: NodeId| self.shield().budget(id).map_or(0.0, |budget| budget.rate(now));
         let records = self.topology().records().into_iter();
         let origins = records.filter(|record| record.node.role == Role::Origin);
         let current = origins.map(|record| rate(record.node.id)).sum();
-        let moved_rates = leaving_children(changes).into_iter().map(|(source, leaving)| {
+        let moved_rates = departing_children(changes).into_iter().map(|(source, departing)| {
             let children = self.topology().children(source).count().max(1);
-            rate(source) * (leaving / children as f64).min(1.0)
+            rate(source) * (departing / children as f64).min(1.0)
         });
         let immediate = moved_rates.sum::<f64>();
         let config = self.rollout().config();
@@ -154,24 +155,25 @@
     }
 }
 
-/// By source: how many children leave it. A child with several preferred sources counts as a part for each.
-fn leaving_children(changes: &[SourceChange]) -> BTreeMap<NodeId, f64> {
-    let mut leaving = BTreeMap::<NodeId, f64>::new();
+/// The number of children that would no longer prefer a source, by source. A child with several preferred
+/// sources counts as an equal fraction for each.
+fn departing_children(changes: &[SourceChange]) -> BTreeMap<NodeId, f64> {
+    let mut departing = BTreeMap::<NodeId, f64>::new();
     for SourceChange { before, after, .. } in changes {
         let old: Vec<NodeId> = preferred_sources(before).collect();
         let new: Vec<NodeId> = preferred_sources(after).collect();
         for id in old.iter().filter(|id| !new.contains(id)) {
-            *leaving.entry(*id).or_default() += 1.0 / old.len() as f64;
+            *departing.entry(*id).or_default() += 1.0 / old.len() as f64;
         }
     }
-    leaving
+    departing
 }
 
 fn suspended_edges(topology: &Topology) -> Vec<EdgeEnds> {
     topology.suspended_edges().map(|edge| (edge.from, edge.source.node)).collect()
 }
 
-/// The plan with the differences of the nodes alone.
+/// A plan that contains only the differences between nodes; cycles and loads are empty.
 fn differences(before: &Topology, after: &Topology) -> ChangePlan {
     let mut plan = ChangePlan {
         added: Vec::new(),
@@ -218,14 +220,14 @@
     parents
         .map(|node| SourceLoad {
             source: node.id,
-            before: before.node(node.id).map_or(0.0, |present| load(before, present)),
+            before: before.node(node.id).map_or(0.0, |current| load(before, current)),
             after: load(after, node),
             tier_mean: mean_load_of_tier(after, node.tier),
         })
         .collect()
 }
 
-/// The capacity of the nodes that prefer a node, divided by its own.
+/// The total capacity of the nodes that prefer a node, divided by its own capacity.
 fn load(topology: &Topology, node: &Node) -> f64 {
     let prefers_node =
         |child: &NodeId| topology.sources(*child).next().is_some_and(|source| source.node == node.id);
--- a/crates/hierarchy/src/rollout/stage.rs
+++ b/crates/hierarchy/src/rollout/stage.rs
@@ -11,7 +11,7 @@
     /// Fills by the new source were late or failed far more often than by the old ones.
     #[serde(rename = "late")]
     HighFailureRate,
-    /// The new source drains, was removed or has failed.
+    /// The new source is draining, was removed or has failed.
     #[serde(rename = "lost")]
     SourceLost,
     /// A rollback was requested.
@@ -23,13 +23,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::HighFailureRate => "fills by the new source were late or failed",
-            Self::SourceLost => "the new source drains, is gone or has fallen over",
-            Self::Requested => "somebody asked for it",
+            Self::SourceLost => "the new source is draining, was removed or has failed",
+            Self::Requested => "a rollback was requested",
         })
     }
 }
 
-/// How far a migration has come.
+/// The stage of a migration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutStage {
@@ -37,12 +37,12 @@
     Planned,
     /// Its batch has taken effect; all routers receive it, and fills use the old sources.
     Announced,
-    /// A growing fraction of objects is filled from the new source.
+    /// An increasing fraction of objects is filled from the new source.
     Warming,
     /// All objects are filled from the new source, and the old source list is dropped.
     Settled,
-    /// Fills use the old sources; it is tried again later unless its attempts are used up. Without a
-    /// fallback the new source goes on filling all objects.
+    /// Fills use the old sources; the migration is retried later unless its attempts are used up. Without a
+    /// fallback the new source still fills all objects.
     RolledBack(RollbackReason),
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// The text that log lines contain, independent of the names of variants.
+/// The form in log lines. It does not depend on the names of variants.
 impl fmt::Display for RolloutStage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/hierarchy/tests/convergence.rs
+++ b/crates/hierarchy/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! The topological order and the history compared with simple models, over seeded scripts.
+//! Compares the topological order and the history with simple models, over seeded scripts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,11 +15,16 @@
 use rand_pcg::Pcg64Mcg;
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 64,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(1),
+        ..ProptestConfig::default()
+    })]
 
-    /// An edge is refused if and only if a full search finds a cycle, and the cycle returned is one.
+    /// An edge is rejected if and only if a full search finds a cycle, and the returned path is a cycle.
     #[test]
-    fn the_order_refuses_an_edge_when_a_full_search_finds_a_cycle(
+    fn the_order_rejects_an_edge_exactly_when_a_full_search_finds_a_cycle(
         steps in prop::collection::vec((0u32..24, 0u32..24, 0u8..4), 1..200)
     ) {
         let (mut order, mut model) = (TopologicalOrder::default(), DiGraphMap::<NodeIndex, ()>::new());
@@ -36,11 +41,11 @@
             let closes = from == to || has_path_connecting(&model, to, from, None);
             match order.insert_edge(from, to) {
                 Ok(()) => {
-                    prop_assert!(!closes, "{from} to {to} closes a loop");
+                    prop_assert!(!closes, "{from} to {to} closes a cycle");
                     model.add_edge(from, to, ());
                 }
                 Err(found) => {
-                    prop_assert!(closes, "{from} to {to} closes no loop");
+                    prop_assert!(closes, "{from} to {to} closes no cycle");
                     prop_assert_eq!((found.0.first(), found.0.last()), (Some(&to), Some(&from)));
                     prop_assert!(found.0.windows(2).all(|pair| model.contains_edge(pair[0], pair[1])));
                 }
@@ -49,8 +54,9 @@
         }
     }
 
-    /// All routers have the same topology in the end, whatever the order in which they receive batches. It is that of
-    /// applying all batches in order. A router that starts from another's snapshot has it as well.
+    /// All routers converge to the same topology, whatever the order in which they receive batches: the one
+    /// that results from applying all batches in order. A router that restores another router's snapshot has
+    /// the same topology.
     #[test]
     fn all_routers_converge_to_the_same_topology(seed in any::<u64>()) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -67,37 +73,39 @@
             }
             prop_assert_eq!(router.pending().count(), 0);
             digests.insert(router.topology().digest());
-            assert_sound(router.topology_mut());
-            let text = serde_json::to_string(&router.snapshot()).expect("a snapshot is written");
+            assert_consistent(router.topology_mut());
+            let text = serde_json::to_string(&router.snapshot()).expect("serialised snapshot");
             let mut started = History::default();
-            started.restore_snapshot(serde_json::from_str(&text).expect("and read")).expect("a shape");
+            let snapshot = serde_json::from_str(&text).expect("parsed snapshot");
+            started.restore_snapshot(snapshot).expect("valid snapshot");
             digests.insert(started.topology().digest());
             prop_assert_eq!(started.basis(), router.basis());
         }
         prop_assert_eq!(digests.len(), 1);
     }
 
-    /// Undoing a batch leaves no trace.
+    /// Undoing a batch restores the topology, and applying it again has the same result.
     #[test]
     fn undoing_a_batch_restores_the_topology(seed in any::<u64>()) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let batches = concurrent_batches(&mut rng, 2, 30);
         let mut topology = Topology::default();
         for batch in &batches {
-            let before = (topology.digest(), topology.len(), topology.suspended_edges().count());
-            if let Ok(steps) = batch.apply(&mut topology, &BatchLimits::default()) {
+            let before = topology_summary(&topology);
+            if let Ok(undo_log) = batch.apply(&mut topology, &BatchLimits::default()) {
                 let after = topology.digest();
-                topology.undo(steps);
-                prop_assert_eq!((topology.digest(), topology.len(), topology.suspended_edges().count()), before);
-                batch.apply(&mut topology, &BatchLimits::default()).expect("as before");
+                topology.undo(undo_log);
+                prop_assert_eq!(topology_summary(&topology), before);
+                batch.apply(&mut topology, &BatchLimits::default()).expect("applied before");
                 prop_assert_eq!(topology.digest(), after);
             } else {
-                prop_assert_eq!((topology.digest(), topology.len(), topology.suspended_edges().count()), before);
+                prop_assert_eq!(topology_summary(&topology), before);
             }
         }
     }
 
-    /// The inverse changes of the newest batch restore all source lists. Which edges are suspended may differ.
+    /// The inverse changes of the newest batch restore all source lists. Which edges are suspended may
+    /// differ.
     #[test]
     fn inverse_changes_restore_the_source_lists(seed in any::<u64>()) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -106,14 +114,14 @@
             let before = source_lists(history.topology());
             let batch_id = batch.id;
             history.receive_batch(batch);
-            if history.outcome(batch_id).is_none_or(|verdict| verdict.is_err()) {
+            if history.outcome(batch_id).is_none_or(|result| result.is_err()) {
                 continue;
             }
             let changes = history.inverse_changes(batch_id).expect("it was applied");
-            let back = history.draft_batch(AuthorId(9), 0.0, changes);
+            let revert = history.draft_batch(AuthorId(9), 0.0, changes);
             let mut copy = history.clone();
-            let batch_id = back.id;
-            copy.receive_batch(back);
+            let batch_id = revert.id;
+            copy.receive_batch(revert);
             prop_assert_eq!(copy.outcome(batch_id), Some(Ok(())));
             prop_assert_eq!(source_lists(copy.topology()), before);
         }
@@ -128,8 +136,13 @@
     all.map(|node| (node.id, (node.site, node.retiring, sources_of(node.id)))).collect()
 }
 
+/// The digest and the numbers of nodes and suspended edges.
+fn topology_summary(topology: &Topology) -> (u64, usize, usize) {
+    (topology.digest(), topology.len(), topology.suspended_edges().count())
+}
+
 /// Checks that the edges in use have no cycle, and that each suspended edge would close one.
-fn assert_sound(topology: &mut Topology) {
+fn assert_consistent(topology: &mut Topology) {
     let mut model = DiGraphMap::<u64, ()>::new();
     for record in topology.records() {
         for edge in record.edges.iter().filter(|edge| edge.in_use) {
@@ -165,7 +178,7 @@
     Node { id: NodeId(id), role, site, tier: u8::from(role != Role::Cache), capacity: 1.0, retiring: false }
 }
 
-/// Batches of several authors, each of whom has received some of the others' batches.
+/// Batches of several authors, each of which has received some of the others' batches.
 fn concurrent_batches(rng: &mut Pcg64Mcg, authors: u16, count: usize) -> Vec<ChangeBatch> {
     let mut authors_views: Vec<History> = (0..authors).map(|_| History::default()).collect();
     let origin = Change::Add { node: node(1, Role::Origin, 0), sources: Vec::new() };
@@ -179,13 +192,13 @@
     let mut all = vec![first];
     for n in 1..count {
         let author = rng.random_range(0..authors);
-        // Sometimes it receives all batches written so far.
+        // The author receives all batches written so far with a probability of one third.
         if rng.random_range(0..3) == 0 {
             for batch in &all {
                 authors_views[usize::from(author)].receive_batch(batch.clone());
             }
         }
-        let changes = (0..rng.random_range(1..3)).map(|k| change(rng, (n * 4 + k) as u64)).collect();
+        let changes = (0..rng.random_range(1..3)).map(|k| random_change(rng, (n * 4 + k) as u64)).collect();
         let view = &mut authors_views[usize::from(author)];
         let batch = view.draft_batch(AuthorId(author), n as f64, changes);
         view.receive_batch(batch.clone());
@@ -194,12 +207,12 @@
     all
 }
 
-fn change(rng: &mut Pcg64Mcg, fresh: u64) -> Change {
-    let any = |rng: &mut Pcg64Mcg| NodeId(rng.random_range(2..12));
-    let target = any(rng);
+fn random_change(rng: &mut Pcg64Mcg, unused_id: u64) -> Change {
+    let random_node = |rng: &mut Pcg64Mcg| NodeId(rng.random_range(2..12));
+    let target = random_node(rng);
     let mut sources = vec![Source::new(NodeId(1), 9)];
     for rank in 0..rng.random_range(1..3u16) {
-        let source = any(rng);
+        let source = random_node(rng);
         if source != target {
             sources.push(Source::new(source, rank));
         }
@@ -208,7 +221,7 @@
         0 | 1 => Change::Add { node: node(target.0, Role::Parent, 1), sources },
         2 => Change::Remove { node: target },
         3 | 4 => Change::Move { node: target, site: rng.random_range(0..3), sources },
-        5 => Change::Replace { old: target, new: node(100 + fresh, Role::Parent, 1) },
+        5 => Change::Replace { old: target, new: node(100 + unused_id, Role::Parent, 1) },
         6 => Change::Retire { node: target, retiring: rng.random_range(0..2) == 0 },
         _ => Change::Rerank { node: target, sources },
     }
@@ -216,7 +229,7 @@
 
 /// The error for each kind of invalid batch, and the limits.
 #[test]
-fn invalid_batches_are_rejected_completely_and_limits_apply() {
+fn invalid_batches_are_rejected_entirely_and_limits_apply() {
     let mut history = History::new(
         BatchLimits { max_authors: 2, ..BatchLimits::default() },
         HistoryLimits { retained_batches: 4, pending_batches: 2 },
@@ -228,14 +241,14 @@
     let origin = || Change::Add { node: node(1, Role::Origin, 0), sources: Vec::new() };
     let capacity = Change::Add { node: Node { capacity: -1.0, ..node(8, Role::Parent, 0) }, sources: vec![] };
     let table = [
-        (vec![add(2, &[1])], "not in the shape"),
-        (vec![origin(), origin()], "in the shape already"),
+        (vec![add(2, &[1])], "not in the topology"),
+        (vec![origin(), origin()], "already in the topology"),
         (vec![origin(), add(2, &[])], "no source"),
         (vec![origin(), add(2, &[2])], "its own source"),
         (vec![origin(), add(2, &[1]), Change::Remove { node: NodeId(1) }], "still a source"),
         (
             vec![origin(), Change::Remove { node: NodeId(1) }, origin(), Change::Remove { node: NodeId(3) }],
-            "not in",
+            "not in the topology",
         ),
         (vec![origin(), capacity], "capacity"),
     ];
@@ -244,18 +257,18 @@
         let batch = history.draft_batch(AuthorId(0), 0.0, changes);
         batch_ids.push(batch.id);
         assert!(matches!(history.receive_batch(batch.clone()), ReceiveOutcome::Accepted(_)));
-        let verdict = history.outcome(batch.id).expect("kept").expect_err("refused").to_string();
-        assert!(verdict.contains(reason), "{verdict}");
+        let rejection = history.outcome(batch.id).expect("retained").expect_err("rejected").to_string();
+        assert!(rejection.contains(reason), "{rejection}");
         assert!(history.topology().is_empty());
         assert_eq!(history.receive_batch(batch.clone()), ReceiveOutcome::Duplicate);
     }
-    assert!(history.outcome(batch_ids[0]).is_none(), "only the newest are kept");
-    let good = history.draft_batch(AuthorId(0), 0.0, vec![origin(), add(2, &[1])]);
-    assert!(matches!(history.receive_batch(good.clone()), ReceiveOutcome::Accepted(_)));
-    let conflicting = ChangeBatch { changes: vec![origin()], ..good };
+    assert!(history.outcome(batch_ids[0]).is_none(), "only the newest batches are retained");
+    let valid = history.draft_batch(AuthorId(0), 0.0, vec![origin(), add(2, &[1])]);
+    assert!(matches!(history.receive_batch(valid.clone()), ReceiveOutcome::Accepted(_)));
+    let conflicting = ChangeBatch { changes: vec![origin()], ..valid };
     assert!(
         matches!(history.receive_batch(conflicting), ReceiveOutcome::Invalid(_)),
-        "the same name with other content"
+        "the same id with different content"
     );
     for (number, n) in [(3, 0), (4, 1), (5, 2)] {
         let mut late = history.draft_batch(AuthorId(1), 0.0, vec![]);
@@ -275,15 +288,15 @@
         history.receive_batch(history.draft_batch(AuthorId(7), f64::NAN, vec![])),
         ReceiveOutcome::Invalid(_)
     ));
-    assert!(history.topology().slot_count() <= 2, "what was refused keeps no place");
+    assert!(history.topology().slot_count() <= 2, "rejected nodes release their slots");
     let mut old = history.draft_batch(AuthorId(7), 0.0, vec![]);
     old.stamp = 1;
     assert!(matches!(history.receive_batch(old), ReceiveOutcome::Invalid(_)));
 }
 
-/// Two changes that are valid alone and close a cycle together: the edge of the later one is suspended, whatever the
-/// order in which a router receives them, and resumed when the cycle is broken. The same with three changes of which
-/// any two are valid.
+/// Two changes are valid separately and close a cycle together. The edge of the later one is suspended,
+/// whatever the order in which a router receives them, and is resumed when the cycle is broken. The same
+/// holds for three changes of which any two are valid.
 #[test]
 fn of_concurrent_changes_that_close_a_cycle_the_last_one_is_suspended() {
     for count in [2u64, 3] {
@@ -306,14 +319,14 @@
         assert_eq!(in_order.topology().digest(), reversed.topology().digest());
         for router in [&mut in_order, &mut reversed] {
             let suspended: Vec<NodeId> = router.topology().suspended_edges().map(|edge| edge.from).collect();
-            assert_eq!(suspended, [NodeId(1 + count)], "of {count}");
-            assert_sound(router.topology_mut());
-            let back = router.draft_batch(
+            assert_eq!(suspended, [NodeId(1 + count)], "{count} changes");
+            assert_consistent(router.topology_mut());
+            let break_cycle = router.draft_batch(
                 AuthorId(0),
                 0.0,
                 vec![Change::Rerank { node: NodeId(2), sources: vec![Source::new(NodeId(1), 9)] }],
             );
-            router.receive_batch(back);
+            router.receive_batch(break_cycle);
             assert_eq!(router.topology().suspended_edges().count(), 0);
             assert!(router.topology().allows(NodeId(1 + count), NodeId(2)));
         }
--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -137,7 +137,7 @@
             }
             BatchError::TooOld => self.text("too old"),
             BatchError::LimitReached => self.text("limit reached"),
-            BatchError::InvalidFigures => self.text("invalid value"),
+            BatchError::InvalidValue => self.text("invalid value"),
         }
     }
 
--- a/crates/hierarchy/tests/golden.rs
+++ b/crates/hierarchy/tests/golden.rs
@@ -1,6 +1,6 @@
-//! Fixes the encodings and texts that other processes, files and people read: JSON and postcard of every
-//! serialised type, error texts, printed names and the digest of a shape. The fixtures under `tests/golden/`
-//! are the reference: `LINNETHOOK_WRITE_GOLDEN=1` writes one that is missing, and never replaces one.
+//! Compares the external formats with golden files under `tests/golden/`: JSON and postcard of every
+//! serialised type, error texts, printed names and the digest of a topology. `LINNETHOOK_WRITE_GOLDEN=1`
+//! writes a golden file that is missing; it never replaces one.
 
 use std::fmt::{Debug, Write as _};
 use std::path::Path;
@@ -22,13 +22,13 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Compares text with a fixture, line by line, so that a difference names its case.
+/// Compares text with a golden file line by line, so that a failure shows the line that differs.
 fn assert_golden(file: &str, actual: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
     if !path.exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
-        std::fs::write(&path, actual).expect("the fixture is written");
+        std::fs::write(&path, actual).expect("golden file written");
     }
-    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
+    let expected = std::fs::read_to_string(&path).expect("golden file");
     for (expected, actual) in expected.lines().zip(actual.lines()) {
         assert_eq!(actual, expected, "{file}");
     }
@@ -42,28 +42,28 @@
     })
 }
 
-/// The encodings of values, one a line.
+/// The encodings of values, one per line.
 #[derive(Default)]
 struct Encodings(String);
 
 impl Encodings {
     fn add<T: Serialize>(&mut self, name: &str, value: &T) {
-        let json = serde_json::to_string(value).expect("JSON is written");
-        let postcard = postcard::to_stdvec(value).expect("postcard is written");
+        let json = serde_json::to_string(value).expect("JSON encoding");
+        let postcard = postcard::to_stdvec(value).expect("postcard encoding");
         let _ = writeln!(self.0, "{name} json {json}\n{name} postcard {}", hex(&postcard));
     }
 
-    /// The same, read back and written again to the byte.
-    fn add_both_ways<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
+    /// Adds a value, and checks that it is decoded and encoded again to the same bytes.
+    fn add_round_trip<T: Serialize + DeserializeOwned + PartialEq + Debug>(&mut self, name: &str, value: &T) {
         self.add(name, value);
-        let json = serde_json::to_string(value).expect("JSON is written");
-        let read: T = serde_json::from_str(&json).expect("JSON is read");
-        assert_eq!(&read, value, "{name}");
-        assert_eq!(serde_json::to_string(&read).expect("JSON is written"), json, "{name}");
-        let postcard = postcard::to_stdvec(value).expect("postcard is written");
-        let read: T = postcard::from_bytes(&postcard).expect("postcard is read");
-        assert_eq!(&read, value, "{name}");
-        assert_eq!(postcard::to_stdvec(&read).expect("postcard is written"), postcard, "{name}");
+        let json = serde_json::to_string(value).expect("JSON encoding");
+        let decoded: T = serde_json::from_str(&json).expect("JSON decoding");
+        assert_eq!(&decoded, value, "{name}");
+        assert_eq!(serde_json::to_string(&decoded).expect("JSON encoding"), json, "{name}");
+        let postcard = postcard::to_stdvec(value).expect("postcard encoding");
+        let decoded: T = postcard::from_bytes(&postcard).expect("postcard decoding");
+        assert_eq!(&decoded, value, "{name}");
+        assert_eq!(postcard::to_stdvec(&decoded).expect("postcard encoding"), postcard, "{name}");
     }
 }
 
@@ -125,26 +125,26 @@
     }
 }
 
-/// A history with a change of every kind, a suspended edge and a refused batch.
+/// A history with a change of every kind, a suspended edge and a rejected batch.
 fn history() -> History {
     let mut history = History::default();
-    let mut hear = |author: u16, changes: Vec<Change>| {
+    let mut receive = |author: u16, changes: Vec<Change>| {
         let batch = history.draft_batch(AuthorId(author), 1_000.0 * f64::from(author), changes);
         assert!(matches!(history.receive_batch(batch), ReceiveOutcome::Accepted(_)));
     };
-    hear(1, changes()[..4].to_vec());
-    hear(
+    receive(1, changes()[..4].to_vec());
+    receive(
         2,
         vec![Change::Rerank { node: SOUTH, sources: vec![Source::new(CENTRE, 0), Source::new(ORIGIN, 9)] }],
     );
-    hear(
+    receive(
         3,
         vec![Change::Rerank { node: CENTRE, sources: vec![Source::new(SOUTH, 0), Source::new(ORIGIN, 9)] }],
     );
-    hear(1, vec![Change::Move { node: CACHE, site: 5, sources: vec![Source::new(CENTRE, 0)] }]);
-    hear(1, vec![Change::Retire { node: SOUTH, retiring: true }]);
-    hear(2, vec![Change::Replace { old: CENTRE, new: node(NodeId(4), Role::Parent, 1) }]);
-    hear(2, vec![Change::Remove { node: NodeId(99) }]);
+    receive(1, vec![Change::Move { node: CACHE, site: 5, sources: vec![Source::new(CENTRE, 0)] }]);
+    receive(1, vec![Change::Retire { node: SOUTH, retiring: true }]);
+    receive(2, vec![Change::Replace { old: CENTRE, new: node(NodeId(4), Role::Parent, 1) }]);
+    receive(2, vec![Change::Remove { node: NodeId(99) }]);
     history
 }
 
@@ -158,7 +158,7 @@
         RolloutStage::RolledBack(RollbackReason::SourceLost),
         RolloutStage::RolledBack(RollbackReason::Requested),
     ];
-    let moves = stages.map(|stage| MigrationView {
+    let migrations = stages.map(|stage| MigrationView {
         target: 3,
         author: 7,
         number: 300,
@@ -175,16 +175,16 @@
         suspended_edges: 1,
         backed_off_edges: 2,
         pending_batches: 3,
-        migrations: moves.to_vec(),
+        migrations: migrations.to_vec(),
         budgets: vec![
             BudgetView { target: 1, per_second: 2.5, limit: None },
             BudgetView { target: 2, per_second: 0.0, limit: Some(11.5) },
         ],
-        counters: counts(),
+        counters: counters(),
     }
 }
 
-fn counts() -> ShieldCounters {
+fn counters() -> ShieldCounters {
     ShieldCounters {
         admitted: 1,
         joined: 2,
@@ -222,30 +222,30 @@
 #[test]
 fn encodings_of_batches_and_specs() {
     let mut encodings = Encodings::default();
-    encodings.add_both_ways("Role", &[Role::Cache, Role::Parent, Role::Origin]);
-    encodings.add_both_ways("Author", &AuthorId(300));
-    encodings.add_both_ways("Serial", &BatchId { author: AuthorId(300), number: 70_000 });
-    encodings.add_both_ways("Node", &node(NodeId(u64::MAX), Role::Parent, 1));
-    encodings.add_both_ways("Source", &Source::new(SOUTH, 300));
+    encodings.add_round_trip("Role", &[Role::Cache, Role::Parent, Role::Origin]);
+    encodings.add_round_trip("Author", &AuthorId(300));
+    encodings.add_round_trip("Serial", &BatchId { author: AuthorId(300), number: 70_000 });
+    encodings.add_round_trip("Node", &node(NodeId(u64::MAX), Role::Parent, 1));
+    encodings.add_round_trip("Source", &Source::new(SOUTH, 300));
     for change in changes() {
-        encodings.add_both_ways("Change", &change);
+        encodings.add_round_trip("Change", &change);
     }
     let mut names = NameTable::default();
     let batch: ChangeBatch = names.resolve_batch(&batch_spec());
-    encodings.add_both_ways("Batch", &batch);
-    encodings.add_both_ways("Key", &batch.position());
-    encodings.add_both_ways("Key", &BatchPosition::default());
-    encodings.add_both_ways("SourceSpec", &source("south", 300));
-    encodings.add_both_ways("NodeSpec", &node_spec("cache-1", Role::Cache, vec![source("south", 0)]));
+    encodings.add_round_trip("Batch", &batch);
+    encodings.add_round_trip("Key", &batch.position());
+    encodings.add_round_trip("Key", &BatchPosition::default());
+    encodings.add_round_trip("SourceSpec", &source("south", 300));
+    encodings.add_round_trip("NodeSpec", &node_spec("cache-1", Role::Cache, vec![source("south", 0)]));
     for change in change_specs() {
-        encodings.add_both_ways("ChangeSpec", &change);
+        encodings.add_round_trip("ChangeSpec", &change);
     }
-    encodings.add_both_ways("BatchSpec", &batch_spec());
-    encodings.add_both_ways("BatchSpec", &names.batch_spec(&batch));
-    encodings.add_both_ways("PlanSpec", &plan_spec());
+    encodings.add_round_trip("BatchSpec", &batch_spec());
+    encodings.add_round_trip("BatchSpec", &names.batch_spec(&batch));
+    encodings.add_round_trip("PlanSpec", &plan_spec());
     let without_basis = r#"{"author":1,"number":2,"stamp":3,"at":4.5,"changes":[]}"#;
-    let read: BatchSpec = serde_json::from_str(without_basis).expect("the basis may be left out");
-    encodings.add_both_ways("BatchSpec without basis", &read);
+    let decoded: BatchSpec = serde_json::from_str(without_basis).expect("batch without a basis");
+    encodings.add_round_trip("BatchSpec without basis", &decoded);
     assert_golden("specs.txt", &encodings.0);
 }
 
@@ -253,20 +253,20 @@
 fn encodings_of_history_and_snapshot() {
     let history = history();
     let mut encodings = Encodings::default();
-    for (batch, verdict) in history.entries() {
-        encodings.add_both_ways("Batch", batch);
-        let verdict = verdict.map_or_else(|refusal| refusal.to_string(), |()| "applied".to_string());
-        let _ = writeln!(encodings.0, "verdict {verdict}");
+    for (batch, result) in history.entries() {
+        encodings.add_round_trip("Batch", batch);
+        let result = result.map_or_else(|rejection| rejection.to_string(), |()| "applied".to_string());
+        let _ = writeln!(encodings.0, "verdict {result}");
     }
     let snapshot = history.snapshot();
-    encodings.add_both_ways("Snapshot", &snapshot);
-    encodings.add_both_ways("Snapshot of nothing", &Snapshot::clone(&History::default().snapshot()));
-    // As one router hands it to another.
+    encodings.add_round_trip("Snapshot", &snapshot);
+    encodings.add_round_trip("Snapshot of nothing", &Snapshot::clone(&History::default().snapshot()));
+    // The form in which one router sends it to another.
     let names = (snapshot.clone(), vec!["south".to_string()], vec!["hub".to_string()]);
-    encodings.add_both_ways("Snapshot with names", &names);
+    encodings.add_round_trip("Snapshot with names", &names);
     let mut restored = History::default();
-    restored.restore_snapshot(snapshot).expect("a good snapshot");
-    encodings.add_both_ways("Snapshot again", &restored.snapshot());
+    restored.restore_snapshot(snapshot).expect("valid snapshot");
+    encodings.add_round_trip("Snapshot again", &restored.snapshot());
     let digests = [history.topology(), restored.topology(), &Topology::default()].map(Topology::digest);
     let _ = writeln!(encodings.0, "digests {digests:016x?}");
     let _ = writeln!(encodings.0, "version {} next {}", history.version(), history.next_stamp());
@@ -277,7 +277,7 @@
 fn encodings_of_views() {
     let mut encodings = Encodings::default();
     encodings.add("View", &view());
-    encodings.add("Counts", &counts());
+    encodings.add("Counts", &counters());
     encodings.add(
         "Over",
         &[
@@ -310,8 +310,8 @@
     for role in [Role::Cache, Role::Parent, Role::Origin] {
         let _ = writeln!(text, "role {}", role.name());
     }
-    for shown in view().migrations {
-        let _ = writeln!(text, "stage {}", shown.stage.name());
+    for migration in view().migrations {
+        let _ = writeln!(text, "stage {}", migration.stage.name());
     }
     assert_golden("names.txt", &text);
 }
@@ -319,7 +319,7 @@
 #[test]
 fn texts_of_errors() {
     let batch_id = BatchId { author: AuthorId(7), number: 300 };
-    let refusals = [
+    let rejections = [
         BatchRejection::UnknownNode(SOUTH),
         BatchRejection::NodeExists(SOUTH),
         BatchRejection::StillReferenced(SOUTH),
@@ -331,60 +331,60 @@
         BatchRejection::LimitExceeded(32, "sources of a node"),
         BatchRejection::InvalidCapacity(SOUTH),
     ];
-    let unusable = [
+    let batch_errors = [
         BatchError::ConflictingContent(batch_id),
         BatchError::StampTooLow(batch_id),
         BatchError::TooOld,
         BatchError::LimitReached,
-        BatchError::InvalidFigures,
+        BatchError::InvalidValue,
     ];
     let name = |name: &str| name.to_string();
-    let shapes = [
+    let topology_errors = [
         TopologyError::DuplicateName(name("a")),
         TopologyError::UnknownSource { node: name("a"), source_name: name("b") },
         TopologyError::NoPathToOrigin(name("a")),
         TopologyError::Cycle(vec![name("a"), name("b"), name("a")]),
         TopologyError::NoOrigin,
     ];
-    let plans = [
+    let plan_errors = [
         PlanError::Rejected(BatchRejection::NoOrigin),
         PlanError::Invalid(BatchError::TooOld),
         PlanError::UnknownBase,
         PlanError::Duplicate,
     ];
-    let paths = [PathRejection::Loop { from: name("a"), to: name("b") }, PathRejection::HopLimit];
+    let path_rejections = [PathRejection::Loop { from: name("a"), to: name("b") }, PathRejection::HopLimit];
     let mut text = String::new();
-    refusals.iter().for_each(|error| _ = writeln!(text, "batch {error}"));
-    unusable.iter().for_each(|error| _ = writeln!(text, "history {error}"));
-    shapes.iter().for_each(|error| _ = writeln!(text, "shape {error} {:?}", error.node()));
-    plans.iter().for_each(|error| _ = writeln!(text, "plan {error}"));
-    paths.iter().for_each(|error| _ = writeln!(text, "path {error}"));
+    rejections.iter().for_each(|error| _ = writeln!(text, "batch {error}"));
+    batch_errors.iter().for_each(|error| _ = writeln!(text, "history {error}"));
+    topology_errors.iter().for_each(|error| _ = writeln!(text, "topology {error} {:?}", error.node()));
+    plan_errors.iter().for_each(|error| _ = writeln!(text, "plan {error}"));
+    path_rejections.iter().for_each(|error| _ = writeln!(text, "path {error}"));
     [FillPathError::TooLong, FillPathError::Malformed]
         .iter()
         .for_each(|error| _ = writeln!(text, "field {error}"));
     [RollbackReason::HighFailureRate, RollbackReason::SourceLost, RollbackReason::Requested]
         .iter()
-        .for_each(|reason| _ = writeln!(text, "harm {reason}"));
-    let alone = validate(&[node_spec("a", Role::Cache, Vec::new())]).expect_err("no origin");
-    let _ = writeln!(text, "check {alone}");
+        .for_each(|reason| _ = writeln!(text, "rollback {reason}"));
+    let no_origin = validate(&[node_spec("a", Role::Cache, Vec::new())]).expect_err("no origin");
+    let _ = writeln!(text, "check {no_origin}");
     assert_golden("texts.txt", &text);
 }
 
 #[test]
-fn token_of_a_fill_path() {
+fn text_format_of_a_fill_path() {
     let mut text = String::new();
-    for written in ["0:", "7:", "7:a", "7:a+b", "18446744073709551615:cache-1+parent.south+#00ff"] {
-        let path = FillPath::parse(written).expect("a good token");
-        assert_eq!(path.to_string(), written);
+    for field in ["0:", "7:", "7:a", "7:a+b", "18446744073709551615:cache-1+parent.south+#00ff"] {
+        let path = FillPath::parse(field).expect("valid path");
+        assert_eq!(path.to_string(), field);
         let names: Vec<&str> = path.names().collect();
-        let _ = writeln!(text, "{written} version {} names {names:?}", path.version);
+        let _ = writeln!(text, "{field} version {} names {names:?}", path.version);
     }
-    let long = (0..MAX_HOPS)
+    let longest = (0..MAX_HOPS)
         .try_fold(FillPath::new(70_000), |path, n| path.append_node(&format!("n{n}")))
-        .expect("so many");
-    let _ = writeln!(text, "{long}");
+        .expect("the maximum number of nodes");
+    let _ = writeln!(text, "{longest}");
     for malformed in ["", "7", "x:a", "7:a++b", "7:a=b", "-1:a", "7:a b", "7:a>b", "7:a,b", "7:+"] {
-        let _ = writeln!(text, "{malformed:?} {}", FillPath::parse(malformed).expect_err("a bad token"));
+        let _ = writeln!(text, "{malformed:?} {}", FillPath::parse(malformed).expect_err("malformed path"));
     }
     assert_golden("fill_path.txt", &text);
 }
--- a/crates/hierarchy/tests/loop_detection.rs
+++ b/crates/hierarchy/tests/loop_detection.rs
@@ -1,22 +1,23 @@
-//! The path of a fill, and edges excluded after a detected loop.
+//! The path of a fill, and the exclusion of edges after a detected loop.
 
 use linnethook_hierarchy::edge_backoff::{EdgeBackoff, EdgeBackoffConfig};
 use linnethook_hierarchy::loop_detection::{FillPath, FillPathError, PathRejection, MAX_HOPS};
 use linnethook_hierarchy::NodeId;
 
 #[test]
-fn a_path_is_read_back_and_a_node_on_it_rejects_the_fill() {
-    let path = FillPath::new(7).append_node("a").and_then(|path| path.append_node("b")).expect("no loop yet");
+fn a_path_is_parsed_and_a_node_on_it_rejects_the_fill() {
+    let path =
+        FillPath::new(7).append_node("a").and_then(|path| path.append_node("b")).expect("distinct nodes");
     assert_eq!(path.to_string(), "7:a+b");
-    let read = FillPath::parse("7:a+b").expect("what was written");
-    assert_eq!(read, path);
-    let back = read.clone().append_node("a").expect_err("a loop");
-    assert_eq!(back, PathRejection::Loop { from: "b".to_string(), to: "a".to_string() });
+    let parsed = FillPath::parse("7:a+b").expect("valid path");
+    assert_eq!(parsed, path);
+    let rejection = parsed.clone().append_node("a").expect_err("a loop");
+    assert_eq!(rejection, PathRejection::Loop { from: "b".to_string(), to: "a".to_string() });
     assert_eq!(FillPath::parse("3:").map(|path| path.names().count()), Ok(0));
-    let far = (0..MAX_HOPS)
+    let longest = (0..MAX_HOPS)
         .try_fold(FillPath::new(1), |path, n| path.append_node(&format!("n{n}")))
-        .expect("so many");
-    assert_eq!(far.append_node("one-more"), Err(PathRejection::HopLimit));
+        .expect("the maximum number of nodes");
+    assert_eq!(longest.append_node("one-more"), Err(PathRejection::HopLimit));
 }
 
 #[test]
@@ -31,7 +32,7 @@
 }
 
 #[test]
-fn an_edge_is_excluded_longer_each_time_and_tried_at_a_newer_version() {
+fn an_edge_is_excluded_longer_each_time_and_used_again_at_a_newer_version() {
     let (mut backoff, a, b) = (
         EdgeBackoff::new(EdgeBackoffConfig { max_edges: 3, ..EdgeBackoffConfig::default() }),
         NodeId(1),
@@ -46,7 +47,10 @@
     );
     assert!(!backoff.is_backed_off(1_011.0, a, b, 5));
     backoff.back_off(1_500.0, a, b, 5);
-    assert!(backoff.is_backed_off(3_499.0, a, b, 5), "twice as long when it is found again soon after");
+    assert!(
+        backoff.is_backed_off(3_499.0, a, b, 5),
+        "twice as long if the loop is detected again soon after"
+    );
     (10..20).for_each(|n| backoff.back_off(1_600.0, NodeId(n), b, 5));
     assert_eq!(backoff.len(), 3);
     backoff.expire(100_000.0);
--- a/crates/router/tests/commands.rs
+++ b/crates/router/tests/commands.rs
@@ -97,7 +97,7 @@
     let bad = fleet.write_file("bad.star", "remove(\"nobody\")").expect("written").display().to_string();
     for verb in ["plan", "apply"] {
         let (code, _, err) = ask(&fleet, &[verb, &bad]);
-        assert!(code == 1 && err.contains("is not in the shape"), "{code} {err}");
+        assert!(code == 1 && err.contains("is not in the topology"), "{code} {err}");
     }
     let (code, _, err) = ask(&fleet, &["rollback", "7", "7"]);
     assert!(code == 1 && err.contains("no such batch"), "{err}");
@@ -136,7 +136,7 @@
     let (_, before, _) = ask(&fleet, &["nodes"]);
     for (content, expected) in [
         (good.replace("hierarchy(", "hierarchy(wram = 3"), "not reloaded: "),
-        (good.replace("(\"south\", 0)", "(\"cache-0\", 0)"), "fills would go round"),
+        (good.replace("(\"south\", 0)", "(\"cache-0\", 0)"), "fills would loop"),
         (String::new(), "nothing in it can change"),
         (good.replace("(\"south\", 0)", "(\"centre\", 0)"), "read again, 2 changes"),
     ] {
--- a/crates/router/tests/unit/hierarchy_adapter.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -59,12 +59,12 @@
     reasons.push(hierarchy.restore_snapshot(2_000.0, &early).expect_err("it is older").to_string());
     reasons.push(hierarchy.restore_snapshot(2_000.0, &[]).expect_err("no snapshot").to_string());
     let expected = [
-        "node CacheId(17775146599398579598) is not in the shape",
+        "node CacheId(17775146599398579598) is not in the topology",
         "no such batch is kept, or it was not applied",
-        "node CacheId(17775146599398579598) is not in the shape",
+        "node CacheId(17775146599398579598) is not in the topology",
         "it waits for batch 2 of author 9",
-        "its stamp is not above that of batch Serial { author: Author(9), number: 1 }, on which it was planned",
-        "batches are numbered from 1 on, a stamp is above 0, and figures are numbers",
+        "its timestamp is not above that of batch Serial { author: Author(9), number: 1 }, which it depends on",
+        "the number and timestamp of a batch must be at least 1, its times and capacities finite",
         "it is at version 0, this router at 5",
         "Hit the end of buffer, expected more data",
     ];
