--- a/crates/hierarchy/src/origin_shield/mod.rs
+++ b/crates/hierarchy/src/origin_shield/mod.rs
@@ -50,7 +50,7 @@
 /// Numbers of fills by decision since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct ShieldCounters {
-    /// Fills admitted, at once or from the queue.
+    /// Fills admitted, immediately or from the queue.
     #[serde(rename = "gone")]
     pub admitted: u64,
     /// Fills that joined a fetch of the same key.
--- a/crates/hierarchy/src/plan.rs
+++ b/crates/hierarchy/src/plan.rs
@@ -84,7 +84,7 @@
     pub staged: f64,
 }
 
-/// Why there is no plan.
+/// Why a batch can't be planned.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum PlanError {
     /// The batch would be rejected.
--- a/crates/hierarchy/src/topological_order.rs
+++ b/crates/hierarchy/src/topological_order.rs
@@ -74,7 +74,7 @@
         }
         let (lower, upper) = (self.positions[to as usize], self.positions[from as usize]);
         if lower < upper {
-            // Only nodes between the two ends can be part of a cycle or have to move.
+            // Only nodes between the two ends can be part of a cycle or need a new position.
             let above = self.find_successors(to, from, upper)?;
             let below = self.find_predecessors(from, lower);
             self.reorder(below, above);
--- a/crates/hierarchy/tests/convergence.rs
+++ b/crates/hierarchy/tests/convergence.rs
@@ -117,7 +117,7 @@
             if history.outcome(batch_id).is_none_or(|result| result.is_err()) {
                 continue;
             }
-            let changes = history.inverse_changes(batch_id).expect("it was applied");
+            let changes = history.inverse_changes(batch_id).expect("applied batch");
             let revert = history.draft_batch(AuthorId(9), 0.0, changes);
             let mut copy = history.clone();
             let batch_id = revert.id;
@@ -152,7 +152,8 @@
     assert!(!is_cyclic_directed(&model));
     for edge in topology.suspended_edges().copied().collect::<Vec<_>>() {
         assert!(has_path_connecting(&model, edge.source.node.0, edge.from.0, None));
-        let found = topology.cycle_closed_by(edge.from, edge.source.node).expect("the cycle it would close");
+        let found =
+            topology.cycle_closed_by(edge.from, edge.source.node).expect("a suspended edge closes a cycle");
         assert_eq!((found.first(), found.last()), (Some(&edge.source.node), Some(&edge.from)));
     }
 }
