--- a/crates/gateway/tests/attempt_ledger.rs
+++ b/crates/gateway/tests/attempt_ledger.rs
@@ -24,7 +24,12 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 200,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(1),
+        ..ProptestConfig::default()
+    })]
 
     /// Whatever the link and the two sides do: no booking runs twice, none has two attempts that may run, each has one
     /// end in time, and none is called free that ran.
@@ -33,7 +38,10 @@
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let (mut near, mut far) = (1u64, 1u64);
         let mut sent = SentAttempts::new(near, 64);
-        let mut received = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
+        let mut received = ReceivedAttempts::new(AttemptLedgerConfig {
+            retention: 3_000.0,
+            ..AttemptLedgerConfig::default()
+        });
         received.accept_epoch(near);
         let (mut up, mut now) = (true, 0.0);
         // Mail arrives late or never, in any order; only what is sent while the link is up is on its way.
@@ -49,7 +57,10 @@
             match random.random_range(0..20) {
                 0..=5 => {
                     // A new booking, or another attempt at one that is free.
-                    let ticket = free.pop().unwrap_or_else(|| { next += 1; next });
+                    let ticket = free.pop().unwrap_or_else(|| {
+                        next += 1;
+                        next
+                    });
                     let deadline = ends.get(&ticket).map_or(now + 2_000.0, |(deadline, _)| *deadline);
                     ends.entry(ticket).or_insert((deadline, None));
                     if up && now < deadline {
@@ -69,7 +80,9 @@
                     let n = random.random_range(0..to_far.len());
                     match to_far.swap_remove(n) {
                         Mail::Open(token) => match received.admit(token) {
-                            Admission::Run => { running.insert(token); }
+                            Admission::Run => {
+                                running.insert(token);
+                            }
                             Admission::Known(outcome) => to_near.push(Mail::Report(token, outcome)),
                             Admission::Fenced | Admission::AtCapacity => {}
                         },
@@ -139,7 +152,10 @@
                     }
                     to_far.clear();
                     to_near.clear();
-                    received = ReceivedAttempts::new(AttemptLedgerConfig { retention: 3_000.0, ..AttemptLedgerConfig::default() });
+                    received = ReceivedAttempts::new(AttemptLedgerConfig {
+                        retention: 3_000.0,
+                        ..AttemptLedgerConfig::default()
+                    });
                     received.accept_epoch(near);
                     for resolution in sent.connection_lost(0) {
                         if let Resolution::NeverRan(ticket) = resolution {
@@ -153,7 +169,8 @@
                     // The near side starts again: its clients are gone with it, and its tokens are void.
                     near += 1;
                     sent = SentAttempts::new(near, 64);
-                    let open: Vec<u64> = ends.iter().filter(|(_, (_, end))| end.is_none()).map(|(t, _)| *t).collect();
+                    let open: Vec<u64> =
+                        ends.iter().filter(|(_, (_, end))| end.is_none()).map(|(t, _)| *t).collect();
                     for ticket in open {
                         ends.insert(ticket, (ends[&ticket].0, Some(ends[&ticket].0)));
                     }
@@ -179,22 +196,52 @@
 
     /// Frames come out as they went in, however their bytes are split.
     #[test]
-    fn frames_survive_any_split(messages in prop::collection::vec((any::<u32>(), 0u8..8, prop::collection::vec(any::<u8>(), 0..200)), 1..20), cuts in prop::collection::vec(1usize..50, 1..50)) {
+    fn frames_survive_any_split(
+        messages in prop::collection::vec(
+            (any::<u32>(), 0u8..8, prop::collection::vec(any::<u8>(), 0..200)),
+            1..20,
+        ),
+        cuts in prop::collection::vec(1usize..50, 1..50),
+    ) {
         let token = Token { epoch: 3, number: 9 };
-        let frames: Vec<Frame> = messages.into_iter().map(|(stream, kind, bytes)| {
-            let text = String::from_utf8_lossy(&bytes).into_owned();
-            let message = match kind {
-                0 => Message::Hello(Hello { versions: VersionRange { min: 1, max: 2 }, site: text.clone(), node: text, epoch: 7, known_state: StatePosition { epoch: 1, version: 2 }, proof: bytes }),
-                1 => Message::Request(Box::new(ForwardedRequest { token: Some(token), remaining_ms: 5, priority: 1, passed_sites: vec![text], resume_from: None, fields: Vec::new(), body: bytes.into() })),
-                2 => Message::Response(Box::new(ResponseHead { served: true, body_length: bytes.len() as u64, offset: 3, version: None, fields: vec![("a".to_string(), text)] })),
-                3 => Message::OutcomeReport(token, AttemptOutcome::Completed(Some(bytes))),
-                4 => Message::OutcomeQuery(token),
-                5 => Message::Credit(bytes.len() as u32),
-                6 => Message::Reject { reason: RejectReason::AtCapacity, retry_after_ms: 7 },
-                _ => Message::Data(bytes.into()),
-            };
-            Frame { stream, message }
-        }).collect();
+        let frames: Vec<Frame> = messages
+            .into_iter()
+            .map(|(stream, kind, bytes)| {
+                let text = String::from_utf8_lossy(&bytes).into_owned();
+                let message = match kind {
+                    0 => Message::Hello(Hello {
+                        versions: VersionRange { min: 1, max: 2 },
+                        site: text.clone(),
+                        node: text,
+                        epoch: 7,
+                        known_state: StatePosition { epoch: 1, version: 2 },
+                        proof: bytes,
+                    }),
+                    1 => Message::Request(Box::new(ForwardedRequest {
+                        token: Some(token),
+                        remaining_ms: 5,
+                        priority: 1,
+                        passed_sites: vec![text],
+                        resume_from: None,
+                        fields: Vec::new(),
+                        body: bytes.into(),
+                    })),
+                    2 => Message::Response(Box::new(ResponseHead {
+                        served: true,
+                        body_length: bytes.len() as u64,
+                        offset: 3,
+                        version: None,
+                        fields: vec![("a".to_string(), text)],
+                    })),
+                    3 => Message::OutcomeReport(token, AttemptOutcome::Completed(Some(bytes))),
+                    4 => Message::OutcomeQuery(token),
+                    5 => Message::Credit(bytes.len() as u32),
+                    6 => Message::Reject { reason: RejectReason::AtCapacity, retry_after_ms: 7 },
+                    _ => Message::Data(bytes.into()),
+                };
+                Frame { stream, message }
+            })
+            .collect();
         let bytes: Vec<u8> = frames.iter().flat_map(encode_frame).collect();
         let (mut decoder, mut found, mut rest) = (FrameDecoder::default(), Vec::new(), &bytes[..]);
         for cut in cuts.iter().cycle() {
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -24,7 +24,12 @@
 };
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 100,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(1),
+        ..ProptestConfig::default()
+    })]
 
     /// All that is pushed arrives, nothing beyond what was granted, and a reader that stops holds up nobody else.
     #[test]
@@ -36,7 +41,8 @@
         // Nobody ever reads stream 1.
         let stuck = 1u32;
         for stream in 1..=6u32 {
-            let priority = [Priority::Booking, Priority::FirstPart, Priority::LaterPart][random.random_range(0..3)];
+            let priority =
+                [Priority::Booking, Priority::FirstPart, Priority::LaterPart][random.random_range(0..3)];
             prop_assert!(sending.open_stream(stream, priority));
             receiving.open_stream(stream);
             let bytes = if stream == stuck { 50_000 } else { random.random_range(0..30_000) };
@@ -69,7 +75,8 @@
     #[test]
     fn a_body_is_complete_and_of_one_version(seed in any::<u64>()) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let copy = |tag: u32| ObjectVersion { tag: tag.to_string(), issued_at: 1.0, length: 1_000 + u64::from(tag) };
+        let copy =
+            |tag: u32| ObjectVersion { tag: tag.to_string(), issued_at: 1.0, length: 1_000 + u64::from(tag) };
         let mut transfer = Transfer::new(10_000.0, 6);
         // What the client was given: which copy, and how much of it.
         let (mut given, mut at, mut now) = (Vec::<(u32, u64)>::new(), 0u64, 0.0);
@@ -82,11 +89,20 @@
             let begins = if random.random_range(0..4) == 0 { 0 } else { from };
             match transfer.begin_response(copy(version), begins) {
                 ResponseFit::Continues => {}
-                ResponseFit::Restarts => { given.clear(); at = 0; }
+                ResponseFit::Restarts => {
+                    given.clear();
+                    at = 0;
+                }
                 ResponseFit::Mismatch => match transfer.resume(now, 50.0) {
                     Resumption::GiveUp => break false,
-                    Resumption::Restart => { from = 0; continue }
-                    Resumption::Remainder { offset: rest, .. } => { from = rest; continue }
+                    Resumption::Restart => {
+                        from = 0;
+                        continue;
+                    }
+                    Resumption::Remainder { offset: rest, .. } => {
+                        from = rest;
+                        continue;
+                    }
                 },
             }
             let at_now = if begins == 0 && !passes_on { 0 } else { at };
@@ -109,7 +125,8 @@
                 }
             }
         };
-        let versions: std::collections::BTreeSet<u32> = given.iter().filter(|g| g.1 > 0).map(|g| g.0).collect();
+        let versions: std::collections::BTreeSet<u32> =
+            given.iter().filter(|g| g.1 > 0).map(|g| g.0).collect();
         prop_assert!(versions.len() <= 1, "pieces of two copies");
         let sum: u64 = given.iter().map(|g| g.1).sum();
         prop_assert!(!is_complete || !passes_on || sum == copy(version).length, "{sum}");
@@ -128,8 +145,18 @@
         for n in 0..300u32 {
             let now = f64::from(n) * 10.0;
             let (about, fact) = match random.random_range(0..4) {
-                0 => (FactKey::Site, FactValue::Load { utilization: random.random_range(0..10) as f64 / 10.0, caches: 3, origin_reachable: true }),
-                1 => (FactKey::Object(random.random_range(0..9u32).to_string()), FactValue::Purged { stamp: now }),
+                0 => (
+                    FactKey::Site,
+                    FactValue::Load {
+                        utilization: random.random_range(0..10) as f64 / 10.0,
+                        caches: 3,
+                        origin_reachable: true,
+                    },
+                ),
+                1 => (
+                    FactKey::Object(random.random_range(0..9u32).to_string()),
+                    FactValue::Purged { stamp: now },
+                ),
                 _ => {
                     let ready = random.random_range(0..2) == 0;
                     (FactKey::Cache(random.random_range(0..5u32).to_string()), FactValue::Cache { ready })
@@ -148,7 +175,9 @@
             match random.random_range(0..4) {
                 0 => {}
                 1 => late.push(state),
-                _ => { other.apply_update(now, state, 1_000); }
+                _ => {
+                    other.apply_update(now, state, 1_000);
+                }
             }
             if let Some(state) = late.pop().filter(|_| random.random_range(0..3) == 0) {
                 if let UpdateResult::Missing(from) = other.apply_update(now, state, 1_000) {
@@ -156,7 +185,9 @@
                 }
             }
             for (about, fact) in &plain {
-                if let (FactValue::Purged { .. }, Some(FactValue::Purged { stamp })) = (fact, other.get(now, 1e9, about)) {
+                if let (FactValue::Purged { .. }, Some(FactValue::Purged { stamp })) =
+                    (fact, other.get(now, 1e9, about))
+                {
                     let before = stamps.insert(about.clone(), *stamp).unwrap_or(0.0);
                     prop_assert!(*stamp >= before, "a purge was taken back");
                 }
@@ -169,7 +200,11 @@
         for (about, fact) in &plain {
             prop_assert_eq!(other.get(4_000.0, 100.0, about), Some(fact));
         }
-        prop_assert_eq!(other.get(9_000.0, 100.0, &FactKey::Site), None, "older than its bound it counts for nothing");
+        prop_assert_eq!(
+            other.get(9_000.0, 100.0, &FactKey::Site),
+            None,
+            "older than its bound it counts for nothing"
+        );
     }
 }
 
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -120,7 +120,12 @@
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 300,
+        failure_persistence: None,
+        rng_seed: RngSeed::Fixed(1),
+        ..ProptestConfig::default()
+    })]
 
     /// Words in any order, on any stream, with bytes that are no words among them: no panic, every bound is kept, and
     /// each request of this side has one answer at the most, by its deadline.
@@ -128,7 +133,11 @@
     fn whatever_a_peer_says(seed in any::<u64>(), garbage in prop::collection::vec(any::<u8>(), 0..60)) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut config = GatewayConfig::default();
-        (config.forwarding.max_remote_requests, config.attempt_ledger.max_tokens, config.routing.initial_share) = (16, 32, 1.0);
+        (
+            config.forwarding.max_remote_requests,
+            config.attempt_ledger.max_tokens,
+            config.routing.initial_share,
+        ) = (16, 32, 1.0);
         let mut gateway = connected(config);
         gateway.report_local_load(60.0, 0, 0.1);
         let (mut now, mut asked, mut answers, mut up) = (60.0, 0u64, BTreeMap::<u64, u32>::new(), true);
@@ -151,14 +160,25 @@
                 8 => Message::OutcomeReport(token, AttemptOutcome::NeverRan),
                 9 => Message::OutcomeReport(token, AttemptOutcome::Completed(Some(bytes))),
                 10 => Message::Reject { reason: RejectReason::AtCapacity, retry_after_ms: 7 },
-                11 => Message::Response(Box::new(ResponseHead { served: true, fields: Vec::new(), body_length: length, offset: 0, version: None })),
+                11 => Message::Response(Box::new(ResponseHead {
+                    served: true,
+                    fields: Vec::new(),
+                    body_length: length,
+                    offset: 0,
+                    version: None,
+                })),
                 12 => Message::Data(bytes.into()),
                 13 => Message::End,
                 14 => Message::Ping(9),
                 15 => Message::Pong(random.random_range(0..10)),
                 16 => Message::StateRequest(StatePosition { epoch: 7, version: random.random_range(0..10) }),
                 17 if random.random_range(0..10) == 0 => hello(random.random_range(4..7)),
-                _ => Message::StateUpdate(StateUpdate { epoch: 5, since: 0, version: asked, facts: Vec::new() }),
+                _ => Message::StateUpdate(StateUpdate {
+                    epoch: 5,
+                    since: 0,
+                    version: asked,
+                    facts: Vec::new(),
+                }),
             };
             if up {
                 send(&mut gateway, now, stream, message);
@@ -172,10 +192,16 @@
             for action in actions(&mut gateway) {
                 match action {
                     // At home it is answered by others.
-                    Action::Answer(ticket, _) | Action::ServeLocally(ticket) => *answers.entry(ticket).or_default() += 1,
+                    Action::Answer(ticket, _) | Action::ServeLocally(ticket) => {
+                        *answers.entry(ticket).or_default() += 1
+                    }
                     Action::ServeRemote(requests) if random.random_range(0..3) > 0 => {
                         let body = Bytes::from(vec![2; 500]);
-                        gateway.complete_remote_request(now, requests.ticket, Reply::Served { fields: Vec::new(), body, version: None });
+                        gateway.complete_remote_request(
+                            now,
+                            requests.ticket,
+                            Reply::Served { fields: Vec::new(), body, version: None },
+                        );
                     }
                     Action::Close(..) => up = false,
                     _ => {}
