--- a/crates/gateway/src/actions.rs
+++ b/crates/gateway/src/actions.rs
@@ -1,4 +1,4 @@
-//! What a gateway asks its owner to do, and the requests and replies that this is about.
+//! The actions that a gateway requests from its caller, and the types of requests and replies in them.
 
 use bytes::Bytes;
 use linnethook::interface::Ms;
@@ -9,10 +9,11 @@
 use crate::site_state::Fact;
 use crate::transfer::ObjectVersion;
 
-/// A connection, numbered by whoever owns the sockets.
+/// A connection, numbered by the owner of the sockets.
 pub type ConnectionId = u64;
 
-/// The first ticket of requests from other sites: whoever numbers requests of its own stays below.
+/// Lower bound of the tickets of requests from other sites. Callers use smaller tickets for their own
+/// requests.
 pub const FIRST_REMOTE_TICKET: Ticket = 1 << 54;
 
 /// The final reply to a request.
@@ -24,69 +25,69 @@
         fields: Fields,
         /// The complete body.
         body: Bytes,
-        /// The version of the object, where that is known.
+        /// The version of the object, if known.
         version: Option<ObjectVersion>,
     },
-    /// It never ran.
+    /// It was rejected without having run.
     Rejected {
-        /// When the client may try again, in milliseconds; 0 if that is not known.
+        /// The time until the client may try again, in milliseconds; 0 if unknown.
         retry_after: Ms,
     },
-    /// It may have run; nothing is promised.
+    /// It failed, and may have run.
     Failed,
 }
 
 /// A request from another site, to be served here.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RemoteRequest {
-    /// Names it in the reply that is owed.
+    /// Identifies the request in the call that completes it.
     pub ticket: Ticket,
     /// Names and values of the request.
     pub fields: Fields,
     /// The body of the request.
     pub body: Bytes,
-    /// How long its answer may take, in milliseconds.
+    /// The time left for its answer, in milliseconds.
     pub remaining: Ms,
-    /// The names of the sites that it has passed, the sender's last.
+    /// The names of the sites that it has passed, ending with the sender's.
     pub passed_sites: Vec<String>,
 }
 
-/// What the owner of a gateway is to do. Actions are carried out in their order.
+/// An action that the caller of a gateway has to carry out. Actions are carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Connect, for that entry of the sites to dial.
+    /// Open a connection for this entry of the sites to dial.
     Dial(usize),
     /// Close a connection.
     Close(ConnectionId, CloseReason),
-    /// Take output for a connection and write it.
+    /// Take the output of a connection and write it.
     Write(ConnectionId),
-    /// Serve a request of this site here.
+    /// Serve a submitted request at this site.
     ServeLocally(Ticket),
     /// Give a request its one final reply.
     Answer(Ticket, Reply),
-    /// Serve a request from another site; it is owed one
+    /// Serve a request from another site. The caller completes it exactly once, with
     /// [`complete_remote_request`](crate::gateway::Gateway::complete_remote_request).
     ServeRemote(RemoteRequest),
     /// Cancel a request from another site.
     CancelServe(Ticket),
-    /// Another site has published a fact that counts here, too.
+    /// Another site has published a fact that concerns this site too.
     RemoteFact(Fact),
-    /// The first connection with that start of a router of the own site is up, or the last one is down.
+    /// The first connection to one start of a router of the local site is up, or the last one is down.
     PeerLink {
-        /// The router's name.
+        /// The name of the router.
         name: String,
-        /// When its process started, in Unix microseconds.
+        /// The start time of its process, in Unix microseconds.
         start: u64,
-        /// Up or down.
+        /// Whether the connection is up.
         up: bool,
     },
-    /// A router of the own site has sent an entry of its gossip.
+    /// A router of the local site has sent a gossip entry.
     PeerEntry {
-        /// The router's name.
+        /// The name of the router.
         name: String,
-        /// The entry's key, as routers encode it.
+        /// The encoded key of the entry.
         key: Vec<u8>,
-        /// The entry, as routers encode it.
+        /// The encoded entry.
         entry: Vec<u8>,
     },
     /// Log a line.
--- a/crates/gateway/src/attempt_ledger/received.rs
+++ b/crates/gateway/src/attempt_ledger/received.rs
@@ -1,4 +1,4 @@
-//! The receiver's side of the ledger.
+//! The receiver's side of the attempt ledger.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,15 +6,16 @@
 
 use super::{AttemptOutcome, Token};
 
-/// What the receiver remembers of attempts.
+/// How much the receiver retains of attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptLedgerConfig {
-    /// How long a token that has ended is remembered, in milliseconds; longer than any deadline, or queries are of no
-    /// use.
+    /// How long a token that has ended is retained, in milliseconds. Must be longer than any deadline, or
+    /// else queries can't be answered.
     pub retention: Ms,
-    /// Tokens of one gateway that are remembered.
+    /// The most tokens of one gateway that are retained.
     pub max_tokens: usize,
-    /// Bytes of their answers. The oldest answers are dropped first; their tokens stay.
+    /// The most bytes of answers that are retained. The oldest answers are dropped first; their tokens are
+    /// retained.
     pub max_answer_bytes: usize,
 }
 
@@ -28,55 +29,55 @@
 enum TokenState {
     Running,
     Completed(Option<Vec<u8>>),
-    /// It was reported as never run, or was rejected.
+    /// It was rejected, or reported as never run.
     Fenced,
 }
 
-/// How much is remembered of the attempts of one gateway.
+/// How much is retained of the attempts of one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RetainedAttempts {
-    /// Tokens.
+    /// The number of tokens.
     pub tokens: usize,
-    /// Bytes of answers.
+    /// The number of bytes of answers.
     pub answer_bytes: usize,
 }
 
-/// Whether a token that arrives may run.
+/// The decision about a token that arrives.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Admission {
-    /// It runs.
+    /// It is to run.
     Run,
-    /// It has arrived before; what became of it.
+    /// It has arrived before; with its outcome.
     Known(AttemptOutcome),
-    /// It may not run: fenced, of an earlier start of its sender, or older than what is remembered.
+    /// It may not run: it is fenced, from an earlier start of its sender, or older than the retained tokens.
     Fenced,
-    /// Too many are remembered.
+    /// The limit of retained tokens is reached.
     AtCapacity,
 }
 
-/// Starts of a sender that are distinguished.
+/// The most starts of a sender that are distinguished.
 const MAX_KNOWN_EPOCHS: usize = 16;
 
-/// The tokens that one other gateway has sent.
+/// The tokens received from one other gateway.
 #[derive(Debug, Clone)]
 pub struct ReceivedAttempts {
     config: AttemptLedgerConfig,
-    /// The latest start of the sender that is known.
+    /// The latest known start of the sender.
     epoch: u64,
     states: BTreeMap<Token, TokenState>,
-    /// Tokens that have ended, the oldest first, each with its time.
+    /// Tokens that have ended, each with the time of its end, the oldest first.
     ended: VecDeque<(Ms, Token)>,
     /// Tokens with a retained answer, the oldest first.
     answers: VecDeque<Token>,
     answer_bytes: usize,
-    /// By epoch, the highest number that was forgotten: for those up to it there is no proof any more.
+    /// For each epoch, the highest dropped number: nothing can be proven about tokens up to it.
     forgotten_up_to: BTreeMap<u64, u64>,
-    /// For earlier epochs there is no proof at all.
+    /// Nothing can be proven about tokens of earlier epochs.
     first_known_epoch: u64,
 }
 
 impl ReceivedAttempts {
-    /// Nothing is remembered yet.
+    /// Creates an empty ledger.
     pub fn new(config: AttemptLedgerConfig) -> Self {
         Self {
             config,
@@ -90,12 +91,13 @@
         }
     }
 
-    /// How much is remembered.
+    /// How much is retained.
     pub fn retained(&self) -> RetainedAttempts {
         RetainedAttempts { tokens: self.states.len(), answer_bytes: self.answer_bytes }
     }
 
-    /// The sender has introduced itself. False if its start is earlier than one that is known: a replay.
+    /// Records the epoch of the sender's hello. Returns false if the epoch is earlier than a known one, which
+    /// means that the hello is a replay.
     pub fn accept_epoch(&mut self, epoch: u64) -> bool {
         if epoch < self.epoch {
             return false;
@@ -109,14 +111,15 @@
             || self.forgotten_up_to.get(&token.epoch).is_some_and(|highest| token.number <= *highest)
     }
 
-    /// A token arrives.
+    /// Decides whether a token that arrives may run, and records it as running if so.
     pub fn admit(&mut self, token: Token) -> Admission {
         match self.states.get(&token) {
             Some(TokenState::Fenced) => return Admission::Fenced,
             Some(state) => return Admission::Known(outcome_of(state)),
             None => {}
         }
-        // What an earlier start has sent may still be on its way; its sender has given it up, or queries it.
+        // A request from an earlier start of the sender may still be in transit; the sender has given it up
+        // or queries its outcome.
         if token.epoch != self.epoch || self.is_forgotten(token) {
             return Admission::Fenced;
         }
@@ -127,7 +130,7 @@
         Admission::Run
     }
 
-    /// A token has run.
+    /// Records the answer of a token that has run.
     pub fn record_answer(&mut self, now: Ms, token: Token, answer: Vec<u8>) {
         let Some(state) = self.states.get_mut(&token).filter(|state| **state == TokenState::Running) else {
             return;
@@ -144,7 +147,7 @@
         }
     }
 
-    /// A token was rejected before it ran.
+    /// Records that a token was rejected before it ran.
     pub fn record_rejection(&mut self, now: Ms, token: Token) {
         if let Some(state) = self.states.get_mut(&token).filter(|state| **state == TokenState::Running) {
             *state = TokenState::Fenced;
@@ -152,7 +155,7 @@
         }
     }
 
-    /// What became of a token. One that has not arrived is fenced: from here on it never runs.
+    /// The outcome of a token. A token that has not arrived is fenced: it will never run.
     pub fn query_outcome(&mut self, now: Ms, token: Token) -> AttemptOutcome {
         if let Some(state) = self.states.get(&token) {
             return outcome_of(state);
@@ -165,7 +168,8 @@
         AttemptOutcome::NeverRan
     }
 
-    /// Forgets what ended too long ago, and remembers that it has.
+    /// Drops tokens that ended longer ago than the retention, and records up to which number they were
+    /// dropped.
     pub fn expire(&mut self, now: Ms) {
         while let Some(&(at, token)) = self.ended.front() {
             if now - at < self.config.retention {
@@ -179,7 +183,7 @@
             let highest = self.forgotten_up_to.entry(token.epoch).or_default();
             *highest = (*highest).max(token.number);
         }
-        // Of older starts nothing that is not in the table is proven any more.
+        // For older starts, nothing can be proven about tokens that are not in the table.
         while self.forgotten_up_to.len() > MAX_KNOWN_EPOCHS {
             let Some((epoch, _)) = self.forgotten_up_to.pop_first() else { break };
             self.first_known_epoch = self.first_known_epoch.max(epoch + 1);
--- a/crates/gateway/src/attempt_ledger/sent.rs
+++ b/crates/gateway/src/attempt_ledger/sent.rs
@@ -1,4 +1,4 @@
-//! The sender's side of the ledger.
+//! The sender's side of the attempt ledger.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +6,12 @@
 
 use super::{AttemptOutcome, Ticket, Token};
 
-/// What the sender knows of an attempt.
+/// What the sender knows about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptState {
-    /// Not every byte was accepted by the system: the request can't have arrived.
+    /// Not every byte was accepted by the operating system: the request can't have arrived.
     Unwritten,
-    /// It may run.
+    /// It was written completely and may be running.
     InFlight,
     /// Its connection was lost: it may have run.
     Uncertain,
@@ -20,26 +20,26 @@
 #[derive(Debug, Clone)]
 struct Attempt {
     ticket: Ticket,
-    /// Names the process that it was sent to.
+    /// Identifies the process that it was sent to.
     receiver_start: u64,
-    /// The connection that it was sent on, or reported on as running.
+    /// The connection that it was sent on, or on which it was reported as running.
     connection: u64,
     deadline: Ms,
     state: AttemptState,
 }
 
-/// What the sender does about a request.
+/// The consequence of an outcome for the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Resolution {
-    /// It ran; with its answer.
+    /// It ran; with its encoded answer.
     Answered(Ticket, Vec<u8>),
-    /// Proven not to have run: another attempt, or a rejection, does no harm.
+    /// It is proven not to have run: it is safe to retry or reject it.
     NeverRan(Ticket),
-    /// Its time is over, or its result can't be known: it has failed, and nothing follows.
+    /// Its deadline has passed or its result can't be determined: it has failed for good.
     Failed(Ticket),
 }
 
-/// The attempts with tokens that this process has sent.
+/// The open attempts with tokens that this process has sent.
 #[derive(Debug, Clone)]
 pub struct SentAttempts {
     epoch: u64,
@@ -50,7 +50,8 @@
 }
 
 impl SentAttempts {
-    /// `epoch` is the start of this process, in Unix microseconds; at most `max_attempts` may be open.
+    /// Creates an empty ledger. `epoch` is the start time of this process, in Unix microseconds; at most
+    /// `max_attempts` may be open at a time.
     pub fn new(epoch: u64, max_attempts: usize) -> Self {
         Self { epoch, last_number: 0, attempts: BTreeMap::new(), by_ticket: BTreeMap::new(), max_attempts }
     }
@@ -65,9 +66,10 @@
         self.attempts.is_empty()
     }
 
-    /// A token for a request; `None` while another attempt of it is open, or too many are.
+    /// Begins an attempt and returns its token; `None` if another attempt of the request is open or the limit
+    /// of open attempts is reached.
     ///
-    /// `receiver_start` names the process that it is sent to, `connection` the connection.
+    /// `receiver_start` identifies the process that it is sent to, `connection` the connection.
     pub fn begin(
         &mut self,
         ticket: Ticket,
@@ -88,7 +90,7 @@
         Some(token)
     }
 
-    /// The request that a token is for.
+    /// The request that a token belongs to.
     pub fn ticket_of(&self, token: Token) -> Option<Ticket> {
         self.attempts.get(&token).map(|attempt| attempt.ticket)
     }
@@ -103,13 +105,13 @@
         self.attempts.values().filter(|attempt| attempt.state == AttemptState::Uncertain).count()
     }
 
-    /// What is known of the open attempt of a request.
+    /// The state of the open attempt of a request.
     pub fn state_of(&self, ticket: Ticket) -> Option<AttemptState> {
         let token = self.by_ticket.get(&ticket)?;
         self.attempts.get(token).map(|attempt| attempt.state)
     }
 
-    /// The last byte of an attempt was accepted by the system.
+    /// Records that the last byte of an attempt was accepted by the operating system.
     pub fn mark_written(&mut self, token: Token) {
         if let Some(attempt) = self.attempts.get_mut(&token).filter(|a| a.state == AttemptState::Unwritten) {
             attempt.state = AttemptState::InFlight;
@@ -122,10 +124,12 @@
         Some(attempt)
     }
 
-    /// A connection is down: what was not written completely has not run, all else that was sent there is uncertain.
+    /// Records the loss of a connection: attempts that were not written completely have not run; the others
+    /// that were sent on it become uncertain.
     pub fn connection_lost(&mut self, connection: u64) -> Vec<Resolution> {
         let unwritten = |a: &Attempt| a.connection == connection && a.state == AttemptState::Unwritten;
-        let free: Vec<Token> = self.attempts.iter().filter(|(_, a)| unwritten(a)).map(|(t, _)| *t).collect();
+        let never_ran: Vec<Token> =
+            self.attempts.iter().filter(|(_, a)| unwritten(a)).map(|(t, _)| *t).collect();
         for attempt in self
             .attempts
             .values_mut()
@@ -133,25 +137,27 @@
         {
             attempt.state = AttemptState::Uncertain;
         }
-        free.into_iter()
+        never_ran
+            .into_iter()
             .filter_map(|token| self.remove(token))
             .map(|a| Resolution::NeverRan(a.ticket))
             .collect()
     }
 
-    /// A connection to that process is up: the uncertain attempts whose outcome it may know.
+    /// The uncertain attempts whose outcome a process may know, to be queried once a connection to it is up.
     ///
-    /// What is in flight on another connection is not queried, since its answer may still arrive there. An attempt that
-    /// went to an earlier start of the other side stays uncertain until its time is over: the new one knows nothing of
-    /// it.
+    /// Attempts in flight on another connection are not queried, since their answers may still arrive there.
+    /// An attempt that was sent to an earlier start of the peer stays uncertain until its deadline: the new
+    /// process knows nothing about it.
     pub fn tokens_to_query(&self, receiver_start: u64) -> Vec<Token> {
-        let ask = |attempt: &&Attempt| {
+        let is_queried = |attempt: &&Attempt| {
             attempt.state == AttemptState::Uncertain && attempt.receiver_start == receiver_start
         };
-        self.attempts.iter().filter(|(_, attempt)| ask(attempt)).map(|(token, _)| *token).collect()
+        self.attempts.iter().filter(|(_, attempt)| is_queried(attempt)).map(|(token, _)| *token).collect()
     }
 
-    /// The other side reports on a connection what became of a token, or answers it.
+    /// Records the outcome of a token that the receiver has reported, or given with its answer, on a
+    /// connection.
     pub fn record_outcome(
         &mut self,
         token: Token,
@@ -162,7 +168,7 @@
             AttemptOutcome::Completed(Some(answer)) => {
                 self.remove(token).map(|a| Resolution::Answered(a.ticket, answer))
             }
-            // It ran, and its result is not known.
+            // It ran, but its result is not available.
             AttemptOutcome::Completed(None) => self.remove(token).map(|a| Resolution::Failed(a.ticket)),
             AttemptOutcome::NeverRan => self.remove(token).map(|a| Resolution::NeverRan(a.ticket)),
             AttemptOutcome::Running => {
@@ -170,23 +176,25 @@
                 (attempt.state, attempt.connection) = (AttemptState::InFlight, connection);
                 None
             }
-            // No proof: it stays uncertain until its time is over.
+            // This proves nothing: the attempt stays uncertain until its deadline.
             AttemptOutcome::Forgotten => None,
         }
     }
 
-    /// Nobody waits for a request any more; its token stays as it is at the other side.
+    /// Drops the attempt of a request that was cancelled. The state of its token at the receiver does not
+    /// change.
     pub fn abandon(&mut self, ticket: Ticket) {
         if let Some(token) = self.by_ticket.get(&ticket).copied() {
             self.remove(token);
         }
     }
 
-    /// Ends the attempts whose deadline has passed: they have failed, and nothing follows.
+    /// Ends the attempts whose deadline has passed: they have failed for good.
     pub fn expire(&mut self, now: Ms) -> Vec<Resolution> {
-        let over: Vec<Token> =
+        let expired: Vec<Token> =
             self.attempts.iter().filter(|(_, a)| now >= a.deadline).map(|(t, _)| *t).collect();
-        over.into_iter()
+        expired
+            .into_iter()
             .filter_map(|token| self.remove(token))
             .map(|a| Resolution::Failed(a.ticket))
             .collect()
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -1,7 +1,8 @@
-//! The frames of a link: a length, a kind, a stream, and a payload.
+//! The frames of a link: a length, a kind, a stream number and a payload.
 //!
-//! Bytes of bodies are raw; all else is postcard, so the order of variants and fields here is the format. Nothing of a
-//! frame is buffered beyond its bound, and a connection is closed after one that can't be read.
+//! Bytes of bodies are sent raw; everything else is encoded with postcard, so the order of variants and
+//! fields in this module is part of the wire format. The length of a frame is checked before the frame is
+//! buffered. A connection is closed after a malformed frame.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
@@ -10,29 +11,30 @@
 use crate::site_state::{Fact, StatePosition, StateUpdate};
 use crate::transfer::ObjectVersion;
 
-/// Size of the length, which counts the kind, the stream and the payload.
+/// Size of the length field, which counts the kind, the stream and the payload.
 const LENGTH_BYTES: usize = 4;
 const KIND_AND_STREAM_BYTES: usize = 5;
-/// What a frame has beside its payload, in bytes.
+/// Size of a frame without its payload.
 pub const DATA_OVERHEAD_BYTES: usize = LENGTH_BYTES + KIND_AND_STREAM_BYTES;
 
-/// Names and values, as clients write them.
+/// Names and values, in the form in which clients send them.
 pub type Fields = Vec<(String, String)>;
 
-/// The versions of these frames that this build speaks. Since 2 there are entries of routers of one site.
+/// The protocol versions that this build supports. Version 2 added gossip entries between routers of one
+/// site.
 pub const SUPPORTED_VERSIONS: VersionRange = VersionRange { min: 1, max: 2 };
 
-/// Versions of the frames.
+/// A range of protocol versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionRange {
-    /// The oldest one.
+    /// The oldest supported version.
     pub min: u16,
-    /// The newest one.
+    /// The newest supported version.
     pub max: u16,
 }
 
 impl VersionRange {
-    /// Whether there is a version that both sides speak.
+    /// Whether the two ranges have a version in common.
     pub fn overlaps(self, other: Self) -> bool {
         self.min <= self.max && self.max >= other.min && self.min <= other.max
     }
@@ -43,105 +45,105 @@
 pub enum Message {
     /// The first frame of each side.
     Hello(Hello),
-    /// A request opens a stream; streams are numbered upwards by the side that opens them.
+    /// A request, which opens a stream. The side that opens streams numbers them in ascending order.
     Request(Box<ForwardedRequest>),
-    /// A response begins.
+    /// The beginning of a response.
     Response(Box<ResponseHead>),
-    /// Bytes of the body of a response.
+    /// Bytes of a response body.
     Data(Bytes),
-    /// The body is complete.
+    /// The response body is complete.
     End,
-    /// Nobody waits for the response any more.
+    /// The sender no longer needs the response.
     Cancel,
-    /// The request was rejected, and never ran.
+    /// The request was rejected without having run.
     Reject {
-        /// Why.
+        /// Why it was rejected.
         reason: RejectReason,
-        /// When it may be sent again, in milliseconds; 0 if that is not known.
+        /// The time until it may be sent again, in milliseconds; 0 if unknown.
         retry_after_ms: u32,
     },
-    /// So many more bytes may be sent on the stream or, on stream 0, on the connection.
+    /// Grants that many more bytes on the stream or, on stream 0, on the connection.
     Credit(u32),
-    /// The other side answers with the same number, behind all that it had queued before.
+    /// A ping. The receiver answers with the same number, after everything that it had queued before.
     Ping(u64),
     /// The answer to a ping.
     Pong(u64),
-    /// What became of an attempt?
+    /// Queries the outcome of an attempt.
     OutcomeQuery(Token),
-    /// What became of an attempt.
+    /// Reports the outcome of an attempt.
     OutcomeReport(Token, AttemptOutcome),
-    /// What has changed of the state of a site.
+    /// A change of the state of a site.
     StateUpdate(StateUpdate),
-    /// An update is missing: the position up to which all is known.
+    /// Requests the updates that follow the position up to which the sender has received all of them.
     StateRequest(StatePosition),
-    /// No new streams on this connection.
+    /// No new streams may be opened on this connection.
     GoAway,
-    /// Facts outside of the order of updates, for one router of the own site that lacks them.
+    /// Facts outside the versioned updates, for one router of the same site that lacks them.
     DirectFacts(Vec<Fact>),
 }
 
-/// How a gateway introduces itself.
+/// The handshake message: the identity of a gateway and what it supports.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
-    /// The versions of the frames that it speaks.
+    /// The protocol versions that it supports.
     pub versions: VersionRange,
     /// The name of its site.
     pub site: String,
     /// Its name within its site.
     pub node: String,
-    /// When its process started, in Unix microseconds.
+    /// The start time of its process, in Unix microseconds.
     pub epoch: u64,
-    /// The position up to which it knows the state of the other side.
+    /// The position up to which it has received the state of the receiver.
     pub known_state: StatePosition,
-    /// Reserved for a proof of its identity; empty.
+    /// Reserved for a proof of identity; empty.
     pub proof: Vec<u8>,
 }
 
-/// A request that is forwarded to another site.
+/// A request that was forwarded to another site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
-    /// The fencing token, if a second execution would do harm.
+    /// The fencing token of a request that is not idempotent.
     pub token: Option<Token>,
-    /// How long the answer may take, in milliseconds.
+    /// The time left for the answer, in milliseconds.
     pub remaining_ms: u32,
     /// The number of its [`Priority`](crate::flow_control::Priority).
     pub priority: u8,
-    /// The names of the sites that it has passed, the sender's last.
+    /// The names of the sites that it has passed, ending with the sender's.
     pub passed_sites: Vec<String>,
-    /// Set if the first part of the body is there already.
+    /// Where the response body is to resume; set if the sender already has its beginning.
     pub resume_from: Option<ResumePoint>,
-    /// Names and values, as the client has sent them.
+    /// Names and values, as sent by the client.
     pub fields: Fields,
     /// The body of the request.
     pub body: Bytes,
 }
 
-/// Where a body that stopped is to go on.
+/// Where an interrupted body is to resume.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ResumePoint {
-    /// The first byte that is wanted.
+    /// The offset of the first requested byte.
     pub offset: u64,
-    /// The version of the object that it has to be.
+    /// The required version of the object.
     pub version: ObjectVersion,
 }
 
-/// The beginning of a response.
+/// The head of a response.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ResponseHead {
-    /// Whether the request was served; else it failed.
+    /// Whether the request was served; otherwise it failed.
     pub served: bool,
     /// Names and values of the answer.
     pub fields: Fields,
     /// The length of the complete body, in bytes.
     pub body_length: u64,
-    /// The first byte of it that will be sent.
+    /// The offset of the first byte that will be sent.
     pub offset: u64,
-    /// The version of the object, where that is known.
+    /// The version of the object, if known.
     pub version: Option<ObjectVersion>,
 }
 
 impl ResponseHead {
-    /// The response to a request that failed.
+    /// Creates the response to a request that failed.
     pub fn failed() -> Self {
         Self { served: false, fields: Vec::new(), body_length: 0, offset: 0, version: None }
     }
@@ -150,24 +152,24 @@
 /// Why a request was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RejectReason {
-    /// As many streams, requests or attempts are open as may be.
+    /// A limit of streams, requests or attempts is reached.
     AtCapacity,
-    /// Its token is fenced, or older than what is remembered. Only decoded: this version reports the token's outcome
-    /// instead.
+    /// Its token is fenced, or older than the retained tokens. Only decoded: this version reports the token's
+    /// outcome instead.
     TokenFenced,
-    /// The receiver may not know of all drains and purges that the sender knew of.
+    /// The receiver may not know all drains and purges that the sender knew.
     StateTooOld,
-    /// The receiver's site is drained by its operators, or the gateway shuts down.
+    /// The receiver's site is drained by its operators, or its gateway is shutting down.
     Draining,
-    /// The decisions of the receiver's site rejected it.
+    /// The policy of the receiver's site rejected it.
     Refused,
-    /// It has passed the receiver's site, or as many sites as it may.
+    /// It has already passed the receiver's site, or the largest allowed number of sites.
     HopLimit,
-    /// It can't be read there.
+    /// It can't be processed by the receiver.
     Unusable,
 }
 
-/// An answer as it is retained with its token. The sender of a query gets it in these bytes.
+/// An answer as it is retained with its token. The sender of an outcome query receives these bytes.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct CachedReply {
     pub served: bool,
@@ -178,23 +180,23 @@
 /// One frame.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Frame {
-    /// The stream that it belongs to; 0 for the connection.
+    /// The stream that it belongs to; 0 means the connection.
     pub stream: u32,
-    /// What it says.
+    /// The message.
     pub message: Message,
 }
 
-/// A frame that can't be read.
+/// Why a frame can't be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedFrame {
-    /// Its length, and the longest that is accepted.
-    #[error("a frame of {0} bytes, {1} at the most")]
+    /// The length field is out of range: the length found, and the longest that is accepted.
+    #[error("frame of {0} bytes, expected {min} to {1}", min = KIND_AND_STREAM_BYTES)]
     InvalidLength(usize, usize),
-    /// Its kind is not known.
-    #[error("a frame of an unknown kind")]
+    /// The kind of the frame is unknown.
+    #[error("frame of an unknown kind")]
     UnknownKind,
-    /// Its payload is not one message.
-    #[error("a frame that can't be read")]
+    /// The payload is not exactly one message.
+    #[error("frame payload can't be decoded")]
     InvalidPayload,
 }
 
@@ -207,19 +209,19 @@
     out.put_u32(stream);
 }
 
-/// Appends a frame with bytes of a body.
+/// Appends a frame with bytes of a body to `out`.
 pub fn write_data(out: &mut BytesMut, stream: u32, bytes: &[u8]) {
     out.reserve(DATA_OVERHEAD_BYTES + bytes.len());
     write_header(out, KIND_DATA, stream, bytes.len());
     out.extend_from_slice(bytes);
 }
 
-/// Appends a frame.
+/// Appends a frame with a message to `out`.
 pub fn write_message(out: &mut BytesMut, stream: u32, message: &Message) {
     match message {
         Message::Data(bytes) => write_data(out, stream, bytes),
         message => {
-            // Messages hold nothing that postcard can't write.
+            // Postcard can encode every message.
             let payload = postcard::to_stdvec(message).unwrap_or_default();
             write_header(out, KIND_MESSAGE, stream, payload.len());
             out.extend_from_slice(&payload);
@@ -227,35 +229,35 @@
     }
 }
 
-/// The bytes of a frame.
+/// Encodes a frame.
 pub fn encode_frame(frame: &Frame) -> Vec<u8> {
     let mut out = BytesMut::new();
     write_message(&mut out, frame.stream, &frame.message);
     out.to_vec()
 }
 
-/// Reads frames from bytes as they arrive.
+/// Decodes frames from a stream of bytes.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
     buffer: BytesMut,
 }
 
 impl FrameDecoder {
-    /// Adds bytes that have arrived.
+    /// Adds received bytes.
     pub fn push_bytes(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes of a frame that is not complete yet.
+    /// The number of bytes that are not decoded yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next frame, once it is complete. `max_bytes` bounds its kind, stream and payload, in bytes.
+    /// Takes the next frame once it is complete. `max_bytes` limits its kind, stream and payload together.
     ///
     /// # Errors
     ///
-    /// The frame is too long, or can't be read; what follows can't be read, either.
+    /// The frame is too long or malformed; the bytes that follow can't be decoded either.
     pub fn next_frame(&mut self, max_bytes: usize) -> Result<Option<Frame>, MalformedFrame> {
         let Some((head, rest)) = self.buffer.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*head) as usize;
@@ -268,7 +270,7 @@
         self.buffer.advance(LENGTH_BYTES);
         let kind = self.buffer.get_u8();
         let stream = self.buffer.get_u32();
-        // Bytes of bodies are handed on as they lie.
+        // Bytes of bodies are passed on without a copy.
         let payload = self.buffer.split_to(length - KIND_AND_STREAM_BYTES).freeze();
         let message = match kind {
             KIND_DATA => Message::Data(payload),
--- a/crates/gateway/src/concurrency_window.rs
+++ b/crates/gateway/src/concurrency_window.rs
@@ -1,32 +1,33 @@
-//! How many requests may be in flight to a site: additive increase and multiplicative decrease, by whether answers meet
-//! their latency objective.
+//! The limit on requests in flight to a site, adjusted by additive increase and multiplicative decrease
+//! according to whether answers meet their latency objective.
 //!
-//! The window never exceeds its maximum, and never closes so far that nothing could show a recovery.
+//! The window never exceeds its maximum, and always allows at least one request, so that a recovery can be
+//! detected.
 
 use linnethook::interface::Ms;
 
 use crate::flow_control::Priority;
 
-/// How a window changes.
+/// The settings of a window.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ConcurrencyWindowConfig {
-    /// Requests in flight at first, and at the most after an outage.
+    /// The initial window, which is also the largest one right after an outage.
     pub initial: f64,
     /// The smallest window.
     pub min: f64,
     /// The largest window.
     pub max: f64,
-    /// The ratio of late answers above which the window shrinks.
+    /// The ratio of late answers above which the window is decreased.
     pub max_late_ratio: f64,
-    /// The weight of one request in that ratio, and in the mean length of answers.
+    /// The weight of one request in this ratio and in the mean length of answers.
     pub sample_weight: f64,
-    /// The factor by which the window shrinks.
+    /// The factor by which the window is decreased.
     pub decrease_factor: f64,
-    /// It shrinks once in that time, in milliseconds.
+    /// The shortest time between two decreases, in milliseconds.
     pub decrease_interval: Ms,
-    /// The ratios of the window that bookings, first parts and later parts may fill.
+    /// The fractions of the window that bookings, first parts and later parts may use.
     pub priority_shares: [f64; 3],
-    /// Bytes of answers that may be expected at a time.
+    /// The most bytes of answers that may be expected at a time.
     pub max_expected_bytes: f64,
 }
 
@@ -46,10 +47,10 @@
     }
 }
 
-/// By how much the window grows with a full window of answers in time.
+/// The increase of the window after a full window of answers in time.
 const INCREASE_PER_WINDOW: f64 = 4.0;
 
-/// The window grows only while at least this ratio of it is in use.
+/// The window is increased only while at least this fraction of it is in use.
 const MIN_USED_RATIO: f64 = 0.5;
 
 /// The window of one site.
@@ -64,7 +65,7 @@
 }
 
 impl ConcurrencyWindow {
-    /// The window of a site that nothing is known of.
+    /// Creates the window of a site without any recorded requests.
     pub fn new(config: ConcurrencyWindowConfig) -> Self {
         Self {
             config,
@@ -76,38 +77,38 @@
         }
     }
 
-    /// The site was out of reach: the window is at most the initial one.
+    /// Resets the window after the site was unreachable: it is at most the initial one.
     pub fn reset(&mut self) {
         self.limit = self.config.initial.min(self.limit);
         self.late_ratio = 0.0;
     }
 
-    /// Requests that may be in flight.
+    /// The number of requests that may be in flight.
     pub fn limit(&self) -> f64 {
         self.limit
     }
 
-    /// Requests that are in flight.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Whether one more request may be sent. There is always room for one.
+    /// Whether one more request may be sent. One request is always allowed.
     pub fn may_send(&self, priority: Priority) -> bool {
         let share = self.config.priority_shares[priority as usize];
         let count = f64::from(self.in_flight) + 1.0;
-        let expects_few_bytes =
+        let is_within_byte_limit =
             (count * self.mean_answer_bytes) <= self.config.max_expected_bytes || self.in_flight == 0;
-        count <= (self.limit * share).max(1.0) && expects_few_bytes
+        count <= (self.limit * share).max(1.0) && is_within_byte_limit
     }
 
-    /// A request is sent.
+    /// Records that a request is sent.
     pub fn start_request(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A request has ended. `is_late` is whether it missed its latency objective or failed, `None` where its end says
-    /// nothing of the site. `answer_bytes` is the length of its answer, if it has one.
+    /// Records the end of a request. `is_late` is whether it missed its latency objective or failed; `None`
+    /// if its end has no bearing on the site. `answer_bytes` is the length of its answer, if it has one.
     pub fn finish_request(&mut self, now: Ms, is_late: Option<bool>, answer_bytes: Option<f64>) {
         let is_used = f64::from(self.in_flight) >= self.limit * MIN_USED_RATIO;
         self.in_flight = self.in_flight.saturating_sub(1);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,4 @@
-//! All settings of a gateway. Each concern has its settings in its own module.
+//! The configuration of a gateway. Each module defines the settings of its own concern.
 
 use linnethook::interface::Ms;
 
@@ -10,44 +10,45 @@
 use crate::routing::RoutingConfig;
 use crate::session::SessionConfig;
 
-/// All that can be set of a gateway.
+/// All settings of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct GatewayConfig {
-    /// Limits of one connection.
+    /// Limits of a single connection.
     pub session: SessionConfig,
-    /// Pauses between attempts to connect.
+    /// Backoff between connection attempts.
     pub reconnect: ReconnectConfig,
-    /// Which site serves a request.
+    /// The choice of the site that serves a request.
     pub routing: RoutingConfig,
-    /// How many requests may be in flight to a site.
+    /// The limit on requests in flight to a site.
     pub concurrency_window: ConcurrencyWindowConfig,
-    /// When the own site counts as unable to serve.
+    /// When the local site counts as unavailable.
     pub local_capacity: LocalCapacityConfig,
-    /// Limits of requests that other sites serve.
+    /// Limits of requests that are forwarded to other sites.
     pub forwarding: ForwardingConfig,
-    /// How long the outcome of an attempt is remembered.
+    /// How long the outcome of an attempt is retained.
     pub attempt_ledger: AttemptLedgerConfig,
-    /// What is known of other sites, and limits of connections.
+    /// Retention of the state of other sites, and limits on connections.
     pub peers: PeerConfig,
 }
 
-/// What is known of other sites, and limits of connections.
+/// Retention of the state of other sites, and limits on connections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerConfig {
-    /// Requests from another site are admitted only while all that was known there so long ago, in milliseconds, is
-    /// known here, too: its drains. 0 admits all.
+    /// The greatest age, in milliseconds, that the received state of another site may have for requests from
+    /// that site to be admitted: a request must not be served without the drains that its sender already knew
+    /// of. 0 admits all requests.
     pub max_state_delay: Ms,
-    /// The load that a site has reported longer ago than that, in milliseconds, counts for nothing.
+    /// How long the reported load and drain of a site are valid after its last message, in milliseconds.
     pub state_lifetime: Ms,
-    /// Facts of the own site that are retained.
+    /// The largest number of facts about the local site that are retained.
     pub max_facts: usize,
-    /// How long purges are sent to sites that reconnect, in milliseconds.
+    /// How long purges are retained for sites that reconnect, in milliseconds.
     pub purge_retention: Ms,
-    /// Gateways that are known at a time.
+    /// The largest number of known peer gateways.
     pub max_gateways: usize,
-    /// Connections with one gateway.
+    /// The largest number of connections with one peer gateway.
     pub max_connections: usize,
-    /// Connections that were accepted, of all gateways.
+    /// The largest number of accepted connections, over all peer gateways.
     pub max_accepted: usize,
 }
 
@@ -65,22 +66,22 @@
     }
 }
 
-/// What a gateway is started with.
+/// The identity and configuration that a gateway is created with.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GatewaySetup {
-    /// The name of the own site.
+    /// The name of the local site.
     pub site: String,
     /// The names of the other sites.
     pub other_sites: Vec<String>,
     /// The gateway's name within its site.
     pub node: String,
-    /// When its process started, in Unix microseconds: greater with each start.
+    /// The start time of the process, in Unix microseconds: greater with each start.
     pub epoch: u64,
-    /// Seed of the jitter between attempts to connect.
+    /// Seed of the jitter between connection attempts.
     pub seed: u64,
-    /// The sites to dial, one entry for each connection.
+    /// The sites to dial, one entry per connection.
     pub dial_sites: Vec<String>,
-    /// Whether routers of the own site form a cluster, and may connect.
+    /// Whether the routers of the local site form a cluster and may connect to this gateway.
     pub accepts_cluster_peers: bool,
     /// All settings.
     pub config: GatewayConfig,
--- a/crates/gateway/src/dialers.rs
+++ b/crates/gateway/src/dialers.rs
@@ -1,4 +1,4 @@
-//! The connections that this gateway opens: when each is tried, and how long it pauses after a failure.
+//! The connections that this gateway opens: when each is dialled, and the backoff after a failure.
 
 use linnethook::interface::Ms;
 use rand::{RngExt, SeedableRng};
@@ -15,13 +15,13 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum DialState {
-    /// The next attempt is at that time.
+    /// Waiting for the time of the next attempt.
     Waiting(Ms),
     Connecting,
     Connected,
 }
 
-/// All connections that this gateway opens, by the number of their entry in the setup.
+/// All connections that this gateway opens, by the index of their entry in the setup.
 #[derive(Debug)]
 pub(crate) struct Dialers {
     dialers: Vec<Dialer>,
@@ -29,13 +29,13 @@
 }
 
 impl Dialers {
-    /// One dialer for each entry of `sites`; all try at once.
+    /// Creates one dialer for each entry of `sites`; all are due at once.
     pub fn new(now: Ms, sites: Vec<String>, backoff: &ReconnectBackoff, seed: u64) -> Self {
         let dialer = |site| Dialer { site, backoff: backoff.clone(), state: DialState::Waiting(now) };
         Self { dialers: sites.into_iter().map(dialer).collect(), random: Pcg64Mcg::seed_from_u64(seed) }
     }
 
-    /// The site that an entry dials.
+    /// The name of the site that an entry dials.
     pub fn site(&self, entry: usize) -> Option<&str> {
         self.dialers.get(entry).map(|dialer| dialer.site.as_str())
     }
@@ -46,14 +46,15 @@
         }
     }
 
-    /// The other side has introduced itself.
+    /// Records that the hello of the peer was received.
     pub fn record_up(&mut self, now: Ms, entry: usize) {
         if let Some(dialer) = self.dialers.get_mut(entry) {
             dialer.backoff.record_up(now);
         }
     }
 
-    /// A connection was lost or could not be made. `abandoned_site` is dialled no more.
+    /// Records that a connection was lost or could not be established. No further attempt follows for
+    /// `abandoned_site`.
     pub fn record_down(&mut self, now: Ms, entry: usize, abandoned_site: Option<&str>) {
         let draw = self.random.random::<f64>();
         let Some(dialer) = self.dialers.get_mut(entry) else { return };
@@ -62,7 +63,7 @@
         dialer.state = DialState::Waiting(if is_abandoned { f64::INFINITY } else { next_attempt });
     }
 
-    /// Stops dialling a site, where no attempt is in progress.
+    /// Stops dialling a site. Attempts in progress are not affected.
     pub fn abandon_site(&mut self, site: &str) {
         for dialer in self.dialers.iter_mut().filter(|dialer| dialer.site == site) {
             if matches!(dialer.state, DialState::Waiting(_)) {
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Whether a link to a site went down so often of late that being up tells little.
+    /// Whether a link to a site is flapping.
     pub fn is_flapping(&self, now: Ms, site: &str) -> bool {
         self.dialers.iter().any(|dialer| dialer.site == site && dialer.backoff.is_flapping(now))
     }
 
-    /// The entries to dial now; they count as connecting from here on.
+    /// Takes the entries to dial now and marks them as connecting.
     pub fn take_due(&mut self, now: Ms) -> Vec<usize> {
         let mut due = Vec::new();
         for (entry, dialer) in self.dialers.iter_mut().enumerate() {
@@ -88,7 +89,7 @@
         due
     }
 
-    /// When the next entry is due.
+    /// The time of the next dial attempt.
     pub fn next_deadline(&self) -> Option<Ms> {
         let waiting = self.dialers.iter().filter_map(|dialer| match dialer.state {
             DialState::Waiting(at) => Some(at),
--- a/crates/gateway/src/flow_control.rs
+++ b/crates/gateway/src/flow_control.rs
@@ -1,8 +1,9 @@
-//! How much may be sent now: credit by stream and by connection, as in RFC 9113, and turns by priority.
+//! Flow control of a connection: credit per stream and per connection as in RFC 9113, and scheduling by
+//! priority.
 //!
-//! A reader that stops holds up its own stream and no other. Among the streams that may send, higher priorities go
-//! first and equal ones take turns; the lowest is never starved. Nothing is sent that was not granted, and nothing is
-//! buffered beyond its bound.
+//! A reader that stops reading blocks only its own stream. Among the streams that can send, higher priorities
+//! go first and equal ones take turns; the lowest priority is never starved. Nothing is sent beyond the
+//! granted credit, and nothing is buffered beyond its limit.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,7 +12,7 @@
 pub enum Priority {
     /// A request that is not idempotent.
     Booking,
-    /// The first part of an object, which a viewer waits for.
+    /// The first part of an object, for which a viewer is waiting.
     FirstPart,
     /// Any other part.
     LaterPart,
@@ -19,18 +20,18 @@
 
 const PRIORITY_COUNT: usize = 3;
 
-/// The bounds of a connection.
+/// The limits of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowControlConfig {
-    /// Streams at a time, in each direction.
+    /// The largest number of open streams in each direction.
     pub max_streams: usize,
-    /// What may be sent on a stream before more is granted.
+    /// The initial credit of a stream.
     pub stream_window_bytes: u64,
-    /// What may be sent on a connection before more is granted.
+    /// The initial credit of a connection.
     pub link_window_bytes: u64,
-    /// What is sent in one turn at the most.
+    /// The most bytes sent in one turn.
     pub max_turn_bytes: u64,
-    /// After so many turns of higher priorities, a lower one has its turn.
+    /// The number of turns that higher priorities may take before a waiting lower one gets a turn.
     pub max_skipped_turns: u32,
 }
 
@@ -46,20 +47,20 @@
     }
 }
 
-/// What the other side has done that it may not. The connection has to be closed.
+/// A violation of flow control by the peer. The connection has to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FlowControlError {
-    /// It has sent more than was granted.
-    #[error("more bytes than were granted")]
+    /// The peer sent more bytes than were granted.
+    #[error("received more bytes than were granted")]
     WindowExceeded,
-    /// It grants without end.
-    #[error("more credit than can be counted")]
+    /// The granted credit exceeds the largest window, `u32::MAX` bytes.
+    #[error("granted credit exceeds {} bytes", u32::MAX)]
     CreditOverflow,
-    /// It refers to a stream that was never opened.
-    #[error("a stream that is not open")]
+    /// The peer refers to a stream that was never opened.
+    #[error("message on a stream that was never opened")]
     UnknownStream,
-    /// It opens a stream twice.
-    #[error("a stream that was used before")]
+    /// The peer opens a stream whose number was used before.
+    #[error("stream number was used before")]
     StreamReused,
 }
 
@@ -68,20 +69,20 @@
     priority: Priority,
     credit: u64,
     queued_bytes: u64,
-    /// Nothing more will be queued; the stream ends once all is sent.
+    /// No more bytes will be queued; the stream ends once all of them are sent.
     is_complete: bool,
-    /// It is in the queue of its priority.
+    /// Whether the stream is in the queue of its priority.
     is_ready: bool,
 }
 
-/// What may be sent now.
+/// The bytes of one stream that are to be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SendTurn {
     /// The stream.
     pub stream: u32,
-    /// How many bytes of it.
+    /// The number of bytes to send.
     pub bytes: u64,
-    /// The stream ends with them.
+    /// Whether the stream ends with these bytes.
     pub is_last: bool,
 }
 
@@ -91,13 +92,13 @@
     config: FlowControlConfig,
     link_credit: u64,
     streams: BTreeMap<u32, OutgoingStream>,
-    /// By priority, the streams that have something to send and credit for it, in their turns.
+    /// For each priority, the streams that have something to send and credit for it, in order of their turns.
     ready: [VecDeque<u32>; PRIORITY_COUNT],
     skipped_turns: [u32; PRIORITY_COUNT],
 }
 
 impl SendScheduler {
-    /// A connection without streams.
+    /// Creates the state of a connection without streams.
     pub fn new(config: FlowControlConfig) -> Self {
         Self {
             link_credit: config.link_window_bytes,
@@ -118,12 +119,12 @@
         self.streams.is_empty()
     }
 
-    /// Bytes that wait to be sent.
+    /// The number of bytes that are queued for sending.
     pub fn queued_bytes(&self) -> u64 {
         self.streams.values().map(|stream| stream.queued_bytes).sum()
     }
 
-    /// Whether a stream could send now, as far as the credit of the connection goes.
+    /// Whether a stream can send now, within the credit of the connection.
     pub fn has_ready_stream(&self) -> bool {
         let may_send = |id: &u32| {
             let stream = self.streams.get(id);
@@ -132,7 +133,7 @@
         self.ready.iter().any(|ready| ready.iter().any(may_send))
     }
 
-    /// Opens a stream; false if there are as many as may be, or if it is open.
+    /// Opens a stream. Returns false if it is already open or the limit of streams is reached.
     pub fn open_stream(&mut self, id: u32, priority: Priority) -> bool {
         if self.streams.len() >= self.config.max_streams || self.streams.contains_key(&id) {
             return false;
@@ -144,7 +145,7 @@
         true
     }
 
-    /// Queues bytes of a stream; `is_last` is whether none follow.
+    /// Queues bytes of a stream; `is_last` means that none follow.
     pub fn queue_bytes(&mut self, id: u32, bytes: u64, is_last: bool) {
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.queued_bytes += bytes;
@@ -153,16 +154,16 @@
         self.enqueue_if_ready(id);
     }
 
-    /// Drops a stream with what is queued.
+    /// Drops a stream and its queued bytes.
     pub fn cancel_stream(&mut self, id: u32) {
         self.streams.remove(&id);
     }
 
-    /// The other side grants more bytes on a stream or, on stream 0, on the connection.
+    /// Adds credit that the peer granted to a stream or, on stream 0, to the connection.
     ///
     /// # Errors
     ///
-    /// The credit can't be counted any more.
+    /// The credit would exceed `u32::MAX` bytes.
     pub fn add_credit(&mut self, id: u32, bytes: u32) -> Result<(), FlowControlError> {
         let add = |credit: u64| {
             let sum = credit + u64::from(bytes);
@@ -172,7 +173,7 @@
             self.link_credit = add(self.link_credit)?;
             return Ok(());
         }
-        // The stream may have ended while the credit was on its way.
+        // The stream may have ended while the credit was in transit.
         let Some(stream) = self.streams.get_mut(&id) else { return Ok(()) };
         stream.credit = add(stream.credit)?;
         self.enqueue_if_ready(id);
@@ -189,8 +190,9 @@
         }
     }
 
-    /// The next stream to send, and how much of it; `room` is how many bytes the connection accepts now.
-    pub fn next_turn(&mut self, room: u64) -> Option<SendTurn> {
+    /// Takes the next turn: the stream to send and how many of its bytes. `max_bytes` is the number of bytes
+    /// that the connection accepts now.
+    pub fn next_turn(&mut self, max_bytes: u64) -> Option<SendTurn> {
         let priority = self.choose_priority()?;
         for lower in 0..PRIORITY_COUNT {
             let is_skipped = lower > priority && !self.ready[lower].is_empty();
@@ -200,10 +202,11 @@
             let Some(stream) = self.streams.get_mut(&id) else { continue };
             stream.is_ready = false;
             let bytes = stream.queued_bytes.min(stream.credit).min(self.link_credit);
-            let bytes = bytes.min(self.config.max_turn_bytes).min(room);
+            let bytes = bytes.min(self.config.max_turn_bytes).min(max_bytes);
             let is_last = stream.is_complete && bytes == stream.queued_bytes;
             if bytes == 0 && !is_last {
-                // The connection's credit or room is used up; the stream keeps its turn.
+                // The credit of the connection, or `max_bytes`, is used up; the stream stays first in its
+                // queue.
                 stream.is_ready = true;
                 self.ready[priority].push_front(id);
                 return None;
@@ -221,7 +224,7 @@
         None
     }
 
-    /// The highest priority that has a stream ready, or a lower one that was skipped too often.
+    /// The highest priority with a ready stream, or a lower one that has been skipped too often.
     fn choose_priority(&mut self) -> Option<usize> {
         for ready in &mut self.ready {
             while ready.front().is_some_and(|id| !self.streams.contains_key(id)) {
@@ -237,9 +240,9 @@
 
 #[derive(Debug, Clone, Copy)]
 struct IncomingStream {
-    /// Bytes that may still come.
+    /// Granted bytes that have not been received yet.
     remaining: u64,
-    /// Bytes that were consumed and not granted again.
+    /// Consumed bytes for which no new credit was granted yet.
     consumed: u64,
 }
 
@@ -252,17 +255,17 @@
     streams: BTreeMap<u32, IncomingStream>,
 }
 
-/// Credit for the other side.
+/// Credit to be granted to the peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CreditGrant {
-    /// The stream; 0 for the connection.
+    /// The stream; 0 means the connection.
     pub stream: u32,
-    /// How many more bytes it may send.
+    /// How many more bytes the peer may send.
     pub bytes: u32,
 }
 
 impl ReceiveWindow {
-    /// A connection without streams.
+    /// Creates the state of a connection without streams.
     pub fn new(config: FlowControlConfig) -> Self {
         Self { link_remaining: config.link_window_bytes, link_consumed: 0, config, streams: BTreeMap::new() }
     }
@@ -277,18 +280,18 @@
         self.streams.is_empty()
     }
 
-    /// Expects bytes on a stream that this side has opened.
+    /// Starts to expect bytes on a stream that this side opened.
     pub fn open_stream(&mut self, id: u32) {
         let stream = IncomingStream { remaining: self.config.stream_window_bytes, consumed: 0 };
         self.streams.insert(id, stream);
     }
 
-    /// Bytes were received. On a stream that is not open any more they count for the connection alone, and are consumed
-    /// at once.
+    /// Records received bytes. On a stream that is no longer open they count only towards the connection and
+    /// are consumed at once.
     ///
     /// # Errors
     ///
-    /// There are more of them than were granted.
+    /// The peer sent more bytes than were granted.
     pub fn receive(&mut self, id: u32, bytes: u64) -> Result<Vec<CreditGrant>, FlowControlError> {
         let exceeded = FlowControlError::WindowExceeded;
         self.link_remaining = self.link_remaining.checked_sub(bytes).ok_or(exceeded)?;
@@ -301,7 +304,7 @@
         }
     }
 
-    /// Bytes were consumed: what is granted for them.
+    /// Records consumed bytes and returns the credit to grant for them.
     pub fn consume(&mut self, id: u32, bytes: u64) -> Vec<CreditGrant> {
         let mut grants = self.consume_link(bytes);
         let half = self.config.stream_window_bytes / 2;
@@ -323,7 +326,8 @@
         vec![CreditGrant { stream: 0, bytes: std::mem::take(&mut self.link_consumed) as u32 }]
     }
 
-    /// The stream has ended or was cancelled; `unread` bytes of it will never be consumed.
+    /// Removes a stream that ended or was cancelled and returns the credit to grant; `unread` bytes of it
+    /// will never be consumed.
     pub fn close_stream(&mut self, id: u32, unread: u64) -> Vec<CreditGrant> {
         match self.streams.remove(&id) {
             Some(_) => self.consume_link(unread),
--- a/crates/gateway/src/forwarding/config.rs
+++ b/crates/gateway/src/forwarding/config.rs
@@ -5,31 +5,32 @@
 /// Limits of requests between sites.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ForwardingConfig {
-    /// Attempts with tokens that may be open.
+    /// The most open attempts with tokens.
     pub max_attempts: usize,
-    /// Requests of other sites that may be here.
+    /// The most open requests from other sites.
     pub max_remote_requests: usize,
-    /// A retry needs at least so much time before the deadline, in milliseconds.
+    /// The least time before the deadline for a retry, in milliseconds.
     pub min_retry_time: Ms,
-    /// How often a body that stopped is requested again.
+    /// The most retries of a request.
     pub max_retries: u32,
-    /// How long a body that stopped may wait for a connection, in milliseconds.
+    /// How long an interrupted request may wait for a connection, in milliseconds.
     pub max_wait: Ms,
-    /// How many requests may wait so.
+    /// The most requests that may wait for a connection.
     pub max_waiting: usize,
-    /// Bytes of bodies that may be buffered.
+    /// The most buffered bytes of response bodies.
     pub max_buffered_bytes: usize,
-    /// How many waiting requests resume at each check once a connection is back.
+    /// The most waiting requests that are resumed per check after a reconnect.
     pub max_resumed_per_check: usize,
-    /// Whether a body that stopped resumes where it stopped.
+    /// Whether an interrupted body is resumed instead of being requested again from the start.
     pub resumes_bodies: bool,
-    /// Whether the outcome of an uncertain attempt is queried; else it fails at once, as with a plain gateway.
+    /// Whether the outcome of an uncertain attempt is queried; otherwise it fails at once, as with a plain
+    /// gateway.
     pub queries_outcomes: bool,
     /// The longest answer, in bytes.
     pub max_answer_bytes: u64,
-    /// How long an answer to another site may take to be written, in milliseconds.
+    /// The longest time for writing an answer to another site, in milliseconds.
     pub answer_write_timeout: Ms,
-    /// When a rejected client may try again, in milliseconds, where nothing better is known.
+    /// The least time after which a rejected client may try again, in milliseconds.
     pub retry_after: Ms,
 }
 
--- a/crates/gateway/src/forwarding/mod.rs
+++ b/crates/gateway/src/forwarding/mod.rs
@@ -1,12 +1,12 @@
-//! The requests of this gateway that other sites serve, from the choice of the site to the one reply.
+//! Requests that are forwarded to other sites, from the choice of the site to the final reply.
 //!
 //! - this file: the choice of a site, and attempts;
 //! - `pending`: the requests that have no reply yet;
-//! - `responses`: what the other site answers;
-//! - `recovery`: retries, lost connections, resumed bodies and time-outs.
+//! - `responses`: the handling of responses;
+//! - `recovery`: retries, lost connections, resumed bodies and timeouts.
 //!
-//! A request never has two attempts open. One that is not idempotent is not sent again before it is proven that its
-//! attempt never ran.
+//! A request never has two open attempts. A request that is not idempotent is sent again only after its
+//! previous attempt is proven not to have run.
 
 mod config;
 mod pending;
@@ -25,41 +25,41 @@
 use crate::flow_control::Priority;
 use crate::links::Links;
 use crate::local_capacity::{LocalCapacity, RequestKind};
-use crate::routing::{Route, RouteQuery, RouteRefusal, RoutingTable, SiteId};
-use crate::site_names::{SiteNames, OWN_SITE};
+use crate::routing::{Route, RouteQuery, RouteRejection, RoutingTable, SiteId};
+use crate::site_names::{SiteNames, LOCAL_SITE};
 
 use pending::{ForwardState, PendingRequest, PendingRequests};
 
 pub use config::ForwardingConfig;
 pub(crate) use responses::Rejection;
 
-/// A request that needs a site.
+/// A request for which a site has to be chosen.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ForwardRequest {
     /// The hash of the object.
     pub object: u64,
-    /// It runs at the origin.
+    /// Whether it is a write, which runs at the origin.
     pub write: bool,
-    /// A second execution would do harm.
+    /// Whether it must not be executed twice.
     pub not_idempotent: bool,
-    /// The site that its class is bound to; `None` for the own one.
+    /// The site that its class is bound to; `None` for the local site.
     pub home_site: Option<SiteId>,
     /// Its priority on a link.
     pub priority: Priority,
     /// The latency objective, in milliseconds.
     pub latency_objective: Ms,
-    /// When it must have its reply.
+    /// The time by which it must have its reply.
     pub deadline: Ms,
     /// The names of the sites that it has passed.
     pub passed_sites: Vec<String>,
-    /// Names and values, as the client has sent them.
+    /// Names and values, as sent by the client.
     pub fields: Fields,
     /// The body of the request.
     pub body: Bytes,
 }
 
 impl ForwardRequest {
-    /// What it needs of a site.
+    /// What it requires of the site that serves it.
     pub fn kind(&self) -> RequestKind {
         if self.write {
             RequestKind::Write
@@ -68,12 +68,12 @@
         }
     }
 
-    fn is_bound_to_own_site(&self) -> bool {
-        self.home_site.is_none_or(|home| home == OWN_SITE)
+    fn is_bound_to_local_site(&self) -> bool {
+        self.home_site.is_none_or(|home| home == LOCAL_SITE)
     }
 }
 
-/// Chooses the site of each request and owns those that are at other sites.
+/// Chooses the site of each request and owns the requests that were forwarded.
 #[derive(Debug)]
 pub(crate) struct Forwarder {
     config: ForwardingConfig,
@@ -86,7 +86,8 @@
 }
 
 impl Forwarder {
-    /// Each other site begins with `window`; `sent_attempts` is the ledger of this process, and empty.
+    /// Creates a forwarder. Each other site starts with a copy of `window`; `sent_attempts` is the empty
+    /// ledger of this process.
     pub fn new(
         config: ForwardingConfig,
         sites: SiteNames,
@@ -110,7 +111,7 @@
         self.windows.get(&site)
     }
 
-    /// The last connection with a gateway of a site is down.
+    /// Resets the window of a site after the last connection to one of its gateways went down.
     pub fn reset_window(&mut self, site: SiteId) {
         if let Some(window) = self.windows.get_mut(&site) {
             window.reset();
@@ -125,7 +126,7 @@
         self.sent_attempts.uncertain_count()
     }
 
-    /// The last byte of a request with that token was written.
+    /// Records that the last byte of a request with a token was written.
     pub fn mark_written(&mut self, token: Token) {
         self.sent_attempts.mark_written(token);
     }
@@ -136,8 +137,9 @@
         deadlines.reduce(f64::min)
     }
 
-    /// Whether the own site is too unable for such requests: then one that was rejected here may be forwarded.
-    pub fn is_locally_unable(&self, kind: RequestKind) -> bool {
+    /// Whether the local site is unavailable for such requests, so that one that was rejected here may be
+    /// forwarded.
+    pub fn is_locally_unavailable(&self, kind: RequestKind) -> bool {
         let view = self.local_capacity.view();
         match kind {
             RequestKind::Read => !view.has_caches,
@@ -145,7 +147,7 @@
         }
     }
 
-    /// A request of a client, or one that came from another site: served here, forwarded, or rejected at once.
+    /// Serves a request of a client or from another site here, forwards it, or rejects it at once.
     pub fn submit_request(&mut self, links: &mut Links, now: Ms, ticket: Ticket, spec: ForwardRequest) {
         let route = self.first_route(links, now, &spec);
         match route {
@@ -154,7 +156,7 @@
                 let request = PendingRequest::new(now, spec, Vec::new(), self.config.max_retries);
                 self.send_attempt(links, now, ticket, site, request);
             }
-            Route::Refused(_) => {
+            Route::Rejected(_) => {
                 links.counts.without_site += 1;
                 links.counts.rejected += 1;
                 let retry_after = self.config.retry_after;
@@ -163,8 +165,9 @@
         }
     }
 
-    /// The own site, which the caller knows to be unable, has rejected a request, so that it never ran: whether it is
-    /// forwarded instead. If not, the rejection stands; a retry of the site's budget may have been used.
+    /// Tries to forward a request that the local site, which the caller knows to be unavailable, has rejected
+    /// without running it. Returns whether it is forwarded. If not, the rejection stands, but a retry of the
+    /// chosen site's budget may have been used.
     pub fn forward_rejected_request(
         &mut self,
         links: &mut Links,
@@ -175,7 +178,7 @@
         if now + self.config.min_retry_time > spec.deadline {
             return false;
         }
-        let tried_sites = vec![OWN_SITE];
+        let tried_sites = vec![LOCAL_SITE];
         match self.choose_route(now, &spec, &tried_sites, true, None) {
             Route::Remote(site) if self.may_send(links, site, spec.priority) => {
                 let request = PendingRequest::new(now, spec, tried_sites, self.config.max_retries);
@@ -186,24 +189,25 @@
         }
     }
 
-    /// The route of a request that no site has tried yet.
+    /// Chooses the route of a request without an earlier attempt.
     fn first_route(&mut self, links: &Links, now: Ms, spec: &ForwardRequest) -> Route {
         let route = match self.choose_route(now, spec, &[], false, None) {
             Route::Remote(site) if !self.may_send(links, site, spec.priority) => {
-                let may_serve = !self.local_capacity.is_drained() && !self.is_locally_unable(spec.kind());
+                let may_serve =
+                    !self.local_capacity.is_drained() && !self.is_locally_unavailable(spec.kind());
                 if may_serve {
                     Route::Local
                 } else {
-                    Route::Refused(RouteRefusal::NoCapacity)
+                    Route::Rejected(RouteRejection::NoCapacity)
                 }
             }
             route => route,
         };
-        // What can't be forwarded either is left to the own site: its caches may have the object, and what they lack
-        // is rejected there.
-        let is_own_read = spec.passed_sites.is_empty() && spec.is_bound_to_own_site() && !spec.write;
+        // A read that can't be forwarded either is passed to the local site: its caches may have the object,
+        // and otherwise it is rejected there.
+        let is_local_read = spec.passed_sites.is_empty() && spec.is_bound_to_local_site() && !spec.write;
         match route {
-            Route::Refused(_) if is_own_read && self.local_capacity.may_have_cached() => Route::Local,
+            Route::Rejected(_) if is_local_read && self.local_capacity.may_have_cached() => Route::Local,
             route => route,
         }
     }
@@ -216,8 +220,8 @@
         is_retry: bool,
         admitted_site: Option<SiteId>,
     ) -> Route {
-        if spec.is_bound_to_own_site()
-            && !tried_sites.contains(&OWN_SITE)
+        if spec.is_bound_to_local_site()
+            && !tried_sites.contains(&LOCAL_SITE)
             && self.local_capacity.take_probe(now, spec.kind())
         {
             return Route::Local;
@@ -242,7 +246,8 @@
             && links.connection_to(site).is_some()
     }
 
-    /// Sends an attempt; there is room for it, and no other attempt of the request is open.
+    /// Sends an attempt. The caller has checked [`Self::may_send`], and no other attempt of the request is
+    /// open.
     fn send_attempt(
         &mut self,
         links: &mut Links,
@@ -278,14 +283,14 @@
         links.request_write(connection);
     }
 
-    /// The message of an attempt; where a part of the body is here, only the rest is requested.
+    /// The message of an attempt. If a part of the body was received, only the rest is requested.
     fn attempt_message(&self, now: Ms, request: &PendingRequest) -> ForwardedRequest {
         let version = request.transfer.version().filter(|_| !request.body.is_empty());
         let resume_from = version
             .map(|version| ResumePoint { offset: request.body.len() as u64, version: version.clone() });
         let spec = &request.spec;
         let mut passed_sites = spec.passed_sites.clone();
-        passed_sites.push(self.sites.own().to_string());
+        passed_sites.push(self.sites.local().to_string());
         ForwardedRequest {
             token: request.token,
             remaining_ms: (spec.deadline - now).clamp(1.0, f64::from(u32::MAX)) as u32,
@@ -297,14 +302,14 @@
         }
     }
 
-    /// Nothing of the request has run, and it is not sent again.
+    /// Answers a request that has not run with a rejection.
     fn reject_request(&self, links: &mut Links, ticket: Ticket, request: &PendingRequest) {
         links.counts.rejected += 1;
         let retry_after = request.retry_after.max(self.config.retry_after);
         links.push(Action::Answer(ticket, Reply::Rejected { retry_after }));
     }
 
-    /// Nobody waits for the reply any more.
+    /// Cancels a request whose reply is no longer needed.
     pub fn cancel_request(&mut self, links: &mut Links, now: Ms, ticket: Ticket) {
         let Some(request) = self.pending.remove(ticket) else { return };
         self.record_outcome(now, &request, None);
@@ -312,7 +317,7 @@
         self.sent_attempts.abandon(ticket);
     }
 
-    /// An attempt is over. `failed` is `None` where that says nothing of the path to the site.
+    /// Records the end of an attempt. `failed` is `None` if it has no bearing on the path to the site.
     fn record_outcome(&mut self, now: Ms, request: &PendingRequest, failed: Option<bool>) {
         let site = match request.state {
             ForwardState::InFlight(_, site) | ForwardState::Uncertain(site) => site,
--- a/crates/gateway/src/forwarding/pending.rs
+++ b/crates/gateway/src/forwarding/pending.rs
@@ -12,13 +12,14 @@
 use crate::routing::SiteId;
 use crate::transfer::Transfer;
 
+/// The state of a forwarded request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ForwardState {
-    /// On a stream of that connection.
+    /// An attempt is open on this connection, at this site.
     InFlight(ConnectionId, SiteId),
-    /// Its connection was lost, and the outcome of its token is not known.
+    /// The connection to this site was lost, and the outcome of the token is unknown.
     Uncertain(SiteId),
-    /// Its body stopped; it resumes until then, or not at all.
+    /// It was interrupted and waits for a connection until this time; then it is rejected.
     Waiting(Ms),
 }
 
@@ -29,17 +30,17 @@
     pub state: ForwardState,
     pub token: Option<Token>,
     pub transfer: Transfer,
-    /// Whether two versions of the object could be told apart.
+    /// Whether the response names the version of the object.
     pub has_version: bool,
-    /// The other site serves it, as its response has announced.
+    /// Whether the response head announces that the request was served.
     pub served: bool,
     pub fields: Fields,
-    /// What has come of the body.
+    /// The received part of the body.
     pub body: BytesMut,
     pub tried_sites: Vec<SiteId>,
     /// The site of the last attempt.
     pub last_site: Option<SiteId>,
-    /// What the last site that rejected it has asked to wait, in milliseconds.
+    /// The retry delay requested by the last site that rejected the request, in milliseconds.
     pub retry_after: Ms,
 }
 
@@ -61,13 +62,13 @@
         }
     }
 
-    /// What has come of the body can't be told from another version.
+    /// Discards the received part of the body, for example because its version is unknown.
     pub fn discard_body(&mut self) {
         self.body.clear();
         self.transfer.discard();
     }
 
-    /// The site that has just turned the request down is not tried again.
+    /// Excludes the site of the current attempt from further attempts.
     pub fn exclude_current_site(&mut self) {
         if let ForwardState::InFlight(_, site) = self.state {
             self.tried_sites.push(site);
@@ -75,14 +76,14 @@
     }
 }
 
-/// All requests without a reply.
+/// All forwarded requests without a reply.
 #[derive(Debug, Default)]
 pub(super) struct PendingRequests {
     requests: BTreeMap<Ticket, PendingRequest>,
-    /// The deadlines of those without a token, in microseconds.
+    /// The deadlines of requests without a token, in microseconds.
     deadlines: BTreeSet<(u64, Ticket)>,
     waiting: BTreeSet<Ticket>,
-    /// Bytes of bodies.
+    /// The number of buffered bytes of response bodies.
     buffered_bytes: usize,
 }
 
@@ -95,7 +96,7 @@
         self.requests.len()
     }
 
-    /// Bytes of bodies that are buffered.
+    /// The number of buffered bytes of response bodies.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
@@ -104,12 +105,13 @@
         self.requests.get(&ticket)
     }
 
-    /// The body is changed by the methods below alone.
+    /// Callers must not change the body; [`Self::append_body`] and [`Self::truncate_body`] do so.
     pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&ticket)
     }
 
-    /// Adds a request. One without a token is due at its deadline; the ledger knows when the others are.
+    /// Adds a request. Only the deadlines of requests without a token are tracked here; the attempt ledger
+    /// tracks the others.
     pub fn insert(&mut self, ticket: Ticket, request: PendingRequest) {
         if request.token.is_none() {
             self.deadlines.insert((to_micros(request.spec.deadline), ticket));
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Cuts the body of a request to that length; the number of bytes that were dropped.
+    /// Truncates the body of a request and returns the number of dropped bytes.
     pub fn truncate_body(&mut self, ticket: Ticket, length: usize) -> usize {
         let Some(request) = self.requests.get_mut(&ticket) else { return 0 };
         let dropped = request.body.len().saturating_sub(length);
@@ -160,16 +162,16 @@
         &self.waiting
     }
 
-    /// Those whose time to wait is over.
-    pub fn waited_too_long(&self, now: Ms) -> Vec<Ticket> {
-        let is_over = |ticket: &&Ticket| {
+    /// The requests whose time to wait for a connection has passed.
+    pub fn expired_waiting(&self, now: Ms) -> Vec<Ticket> {
+        let is_expired = |ticket: &&Ticket| {
             let request = self.requests.get(ticket);
             request.is_none_or(|r| matches!(r.state, ForwardState::Waiting(until) if now >= until))
         };
-        self.waiting.iter().filter(is_over).copied().collect()
+        self.waiting.iter().filter(is_expired).copied().collect()
     }
 
-    /// Takes out a request without a token whose deadline has passed.
+    /// Removes a request without a token whose deadline has passed.
     pub fn pop_expired(&mut self, now: Ms) -> Option<(Ticket, PendingRequest)> {
         while let Some((at, ticket)) = self.deadlines.first().copied() {
             if at > to_micros(now) {
--- a/crates/gateway/src/forwarding/recovery.rs
+++ b/crates/gateway/src/forwarding/recovery.rs
@@ -1,4 +1,4 @@
-//! What becomes of forwarded requests that were interrupted: retries, lost connections, resumed bodies and time-outs.
+//! Recovery of interrupted requests: retries, lost connections, resumed bodies and timeouts.
 
 use std::collections::BTreeSet;
 
@@ -15,8 +15,8 @@
 use crate::transfer::{Resumption, Transfer};
 
 impl Forwarder {
-    /// A request that is proven not to have run, or is idempotent, is tried again if there is time and a site for it.
-    /// One whose attempt `was_interrupted` may wait for a connection.
+    /// Retries a request that is idempotent or proven not to have run, if there is time and a site for it. A
+    /// request whose attempt `was_interrupted` may wait for a connection instead.
     pub(super) fn retry_request(
         &mut self,
         links: &mut Links,
@@ -40,7 +40,7 @@
                 self.send_attempt(links, now, ticket, site, request);
             }
             _ if was_interrupted && self.may_wait(&request) => {
-                // Its connection may be back in time, and then what has come of the body is not sent again.
+                // The site may reconnect in time; the received part of the body then need not be sent again.
                 let latest = request.spec.deadline - self.config.min_retry_time;
                 request.state = ForwardState::Waiting((now + self.config.max_wait).min(latest));
                 self.pending.insert(ticket, request);
@@ -59,7 +59,8 @@
             && self.pending.buffered_bytes() + request.body.len() < self.config.max_buffered_bytes
     }
 
-    /// A connection is down. `tickets` had streams on it; the outcome of others was reported there as running.
+    /// Handles the loss of a connection. `tickets` are the requests with streams on it; it also affects
+    /// attempts whose outcome was reported on it as running.
     pub fn handle_lost_connection(
         &mut self,
         links: &mut Links,
@@ -74,24 +75,24 @@
             let Some(request) = self.pending.get_mut(ticket) else { continue };
             let ForwardState::InFlight(_, site) = request.state else { continue };
             if request.token.is_none() {
-                // That the connection is down says nothing of the site's capacity.
+                // The loss of the connection has no bearing on the capacity of the site.
                 let Some(request) = self.pending.remove(ticket) else { continue };
                 self.record_outcome(now, &request, None);
                 self.retry_request(links, now, ticket, request, true);
                 continue;
             }
             request.state = ForwardState::Uncertain(site);
-            // What has come of its answer comes again with its outcome.
+            // The complete answer will be received with the outcome.
             request.transfer = Transfer::new(request.spec.deadline, self.config.max_retries);
             self.pending.truncate_body(ticket, 0);
-            self.note_uncertain(links, now, ticket);
+            self.handle_uncertain(links, now, ticket);
         }
         for resolution in resolutions {
             self.resolve_attempt(links, now, resolution);
         }
     }
 
-    fn note_uncertain(&mut self, links: &mut Links, now: Ms, ticket: Ticket) {
+    fn handle_uncertain(&mut self, links: &mut Links, now: Ms, ticket: Ticket) {
         if !self.sent_attempts.is_uncertain(ticket) {
             return;
         }
@@ -102,7 +103,8 @@
         }
     }
 
-    /// A connection is up: the outcome of uncertain attempts at that process is queried. `start` names the process.
+    /// Queries the outcomes of uncertain attempts at a process after a connection to it was established;
+    /// `start` identifies the process.
     pub fn query_outcomes(&mut self, links: &mut Links, connection: ConnectionId, start: u64) {
         for token in self.sent_attempts.tokens_to_query(start) {
             links.send(connection, &Message::OutcomeQuery(token));
@@ -110,7 +112,7 @@
         links.request_write(connection);
     }
 
-    /// Ends requests whose time is over.
+    /// Ends the requests whose deadline, or time to wait for a connection, has passed.
     pub fn expire_requests(&mut self, links: &mut Links, now: Ms) {
         for resolution in self.sent_attempts.expire(now) {
             self.resolve_attempt(links, now, resolution);
@@ -120,7 +122,7 @@
             cancel_stream(links, &request, ticket);
             answer_request(links, ticket, Reply::Failed);
         }
-        for ticket in self.pending.waited_too_long(now) {
+        for ticket in self.pending.expired_waiting(now) {
             if let Some(request) = self.pending.remove(ticket) {
                 self.reject_request(links, ticket, &request);
             }
@@ -129,7 +131,7 @@
 
     /// Resumes requests that wait for a connection, a few at a time.
     pub fn resume_waiting(&mut self, links: &mut Links, now: Ms) {
-        // A route that is chosen and not used would cost one of the retries.
+        // Choosing a route that is then not used would waste a retry of the budget.
         let may_send = |site: &SiteId| self.may_send(links, *site, Priority::LaterPart);
         if self.pending.waiting().is_empty() || !self.routing.reachable_sites().iter().any(may_send) {
             return;
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Whether a waiting request could be resumed, here or elsewhere.
+    /// Tries to resume a waiting request, here or at another site. Returns whether that succeeded.
     fn resume_request(&mut self, links: &mut Links, now: Ms, ticket: Ticket) -> bool {
         let Some(request) = self.pending.get(ticket) else { return false };
         let (spec, tried_sites) = (request.spec.clone(), request.tried_sites.clone());
--- a/crates/gateway/src/forwarding/responses.rs
+++ b/crates/gateway/src/forwarding/responses.rs
@@ -1,4 +1,4 @@
-//! What another site answers to a request that was forwarded to it.
+//! Responses of other sites to forwarded requests.
 
 use linnethook::interface::Ms;
 
@@ -12,11 +12,11 @@
 use crate::transfer::{ObjectVersion, ResponseFit};
 
 impl Forwarder {
-    /// A response begins.
+    /// Handles the beginning of a response.
     ///
     /// # Errors
     ///
-    /// The response contradicts itself, or is not what was requested: the connection has to be closed.
+    /// The response is inconsistent, or is not what was requested: the connection has to be closed.
     pub fn begin_response(
         &mut self,
         links: &mut Links,
@@ -26,7 +26,7 @@
         head: ResponseHead,
     ) -> Result<(), CloseReason> {
         if head.body_length > self.config.max_answer_bytes {
-            self.discard_long_answer(links, now, connection, ticket, head.body_length);
+            self.discard_oversized_answer(links, now, connection, ticket, head.body_length);
             return Ok(());
         }
         let Some(request) = self.pending.get_mut(ticket) else { return Ok(()) };
@@ -47,8 +47,8 @@
         }
     }
 
-    /// An answer is longer than is accepted: its stream ends, and all others go on.
-    fn discard_long_answer(
+    /// Cancels a response that is longer than accepted. Other streams of the connection continue.
+    fn discard_oversized_answer(
         &mut self,
         links: &mut Links,
         now: Ms,
@@ -58,7 +58,7 @@
     ) {
         let Some(token) = self.pending.get(ticket).map(|request| request.token) else { return };
         if let Some(token) = token {
-            // It ran, whatever it answers.
+            // The request ran, although its answer is discarded.
             let outcome = AttemptOutcome::Completed(None);
             if self.sent_attempts.record_outcome(token, outcome, connection).is_none() {
                 return;
@@ -66,7 +66,7 @@
         }
         let Some(mut request) = self.pending.remove(ticket) else { return };
         let longest = self.config.max_answer_bytes;
-        links.log(format!("an answer of {length} bytes is left: {longest} are taken"));
+        links.log(format!("gateway: response of {length} bytes discarded: at most {longest} are accepted"));
         self.record_outcome(now, &request, None);
         cancel_stream(links, &request, ticket);
         if request.spec.not_idempotent {
@@ -76,11 +76,11 @@
         self.retry_request(links, now, ticket, request, false);
     }
 
-    /// Bytes of a body.
+    /// Handles bytes of a response body.
     ///
     /// # Errors
     ///
-    /// The body is longer than its head has announced.
+    /// The body is longer than announced by the head of the response.
     pub fn receive_body(&mut self, ticket: Ticket, bytes: &[u8]) -> Result<(), CloseReason> {
         let Some(request) = self.pending.get_mut(ticket) else { return Ok(()) };
         if !request.transfer.receive(bytes.len() as u64) {
@@ -90,11 +90,11 @@
         Ok(())
     }
 
-    /// A response is complete.
+    /// Handles the end of a response.
     ///
     /// # Errors
     ///
-    /// The body is shorter than its head has announced.
+    /// The body is shorter than announced by the head of the response.
     pub fn end_response(
         &mut self,
         links: &mut Links,
@@ -126,7 +126,7 @@
         Ok(())
     }
 
-    /// The other site has rejected a request, which so has never run there.
+    /// Handles the rejection of a request by another site, where it has not run.
     pub fn handle_rejection(
         &mut self,
         links: &mut Links,
@@ -143,15 +143,15 @@
             }
         }
         let Some(mut request) = self.pending.remove(ticket) else { return };
-        // That its state was too old or that it drains says nothing of the site's capacity.
-        let says_full = matches!(rejection.reason, RejectReason::AtCapacity | RejectReason::Refused);
-        self.record_outcome(now, &request, says_full.then_some(true));
+        // Only these reasons indicate that the site lacks capacity; old state or a drain does not.
+        let is_overloaded = matches!(rejection.reason, RejectReason::AtCapacity | RejectReason::Refused);
+        self.record_outcome(now, &request, is_overloaded.then_some(true));
         request.retry_after = rejection.retry_after;
         request.exclude_current_site();
         self.retry_request(links, now, ticket, request, false);
     }
 
-    /// The other side reports what became of an attempt.
+    /// Handles a report of the outcome of an attempt.
     pub fn handle_outcome(
         &mut self,
         links: &mut Links,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Does what follows from the outcome of an attempt with a token.
+    /// Applies the resolution of an attempt with a token.
     pub(super) fn resolve_attempt(&mut self, links: &mut Links, now: Ms, resolution: Resolution) {
         match resolution {
             Resolution::Answered(ticket, answer) => {
@@ -208,10 +208,10 @@
     }
 }
 
-/// How another site has rejected a request.
+/// The rejection of a request by another site.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Rejection {
     pub reason: RejectReason,
-    /// When it may be sent there again, in milliseconds; 0 if that is not known.
+    /// The time until it may be sent there again, in milliseconds; 0 if unknown.
     pub retry_after: Ms,
 }
--- a/crates/gateway/src/gateway/cluster.rs
+++ b/crates/gateway/src/gateway/cluster.rs
@@ -1,4 +1,4 @@
-//! Routers of the own site: they exchange entries of their gossip over links, and no requests.
+//! Links with routers of the local site: they carry gossip entries, and no requests.
 
 use linnethook::interface::Ms;
 
@@ -7,20 +7,20 @@
 use crate::session::CloseReason;
 use crate::site_state::{Fact, FactKey, FactValue, StatePosition};
 
-/// Bytes of entries in one frame, about.
+/// The approximate limit on the bytes of entries in one frame.
 const MAX_UPDATE_BYTES: usize = 128 << 10;
 
-/// An entry or a message for a router of the own site. The gateway does not interpret it.
+/// A gossip entry or message for a router of the local site. The gateway does not interpret it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerEntry {
-    /// The key: a later entry replaces an earlier one of the same key.
+    /// The key. A later entry replaces an earlier one with the same key.
     pub key: Vec<u8>,
     /// The value.
     pub value: Vec<u8>,
 }
 
 impl Gateway {
-    /// Requests on that connection all entries that are not known yet, and those that follow.
+    /// Requests all entries that were not received yet, and those that follow, on a connection.
     pub(super) fn request_peer_state(&mut self, connection: ConnectionId) {
         let position = self.links.peer_of(connection).map(|peer| peer.state.position());
         self.links.send(connection, &Message::StateRequest(position.unwrap_or_default()));
@@ -37,14 +37,14 @@
         }
     }
 
-    /// Sends entries to all routers of the own site, also to those that connect later.
+    /// Sends entries to all routers of the local site, including those that connect later.
     pub fn broadcast_to_peers(&mut self, now: Ms, entries: Vec<PeerEntry>) {
         let Some(published) = &mut self.peer_entries else { return };
         for PeerEntry { key, value } in entries {
             published.publish(now, FactKey::PeerEntry(key), FactValue::PeerEntry(value));
         }
         for connection in self.links.cluster_connections() {
-            // Whoever has not requested entries yet gets them once it does.
+            // A router that has not requested entries yet receives them when it does.
             let known = self.links.connections.get(&connection).filter(|known| known.sends_peer_state);
             if let Some(version) = known.map(|known| known.session.sent_version) {
                 self.send_peer_state(connection, StatePosition { epoch: self.epoch, version });
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Routers that connect later need not be sent that entry any more.
+    /// Stops sending an entry to routers that connect later.
     pub fn remove_peer_entry(&mut self, key: Vec<u8>) {
         if let Some(published) = &mut self.peer_entries {
             published.remove(&FactKey::PeerEntry(key));
         }
     }
 
-    /// Sends the entries that follow a position of the other side.
+    /// Sends the entries that follow a position of the peer.
     pub(super) fn send_peer_state(&mut self, connection: ConnectionId, position: StatePosition) {
         let Some(published) = &self.peer_entries else { return };
         let Some(known) = self.links.connections.get_mut(&connection) else { return };
@@ -71,7 +71,7 @@
         self.links.request_write(connection);
     }
 
-    /// Sends entries to one router of the own site.
+    /// Sends entries to one router of the local site.
     pub fn send_to_peer(&mut self, name: &str, entries: Vec<PeerEntry>) {
         let peers = self.links.peers.values().filter(|peer| peer.is_in_cluster() && peer.node == name);
         let connection = peers.filter_map(|peer| peer.connections.first().copied()).next();
@@ -81,12 +81,12 @@
         self.links.request_write(connection);
     }
 
-    /// Closes the links with routers of the own site, and opens and accepts none any more.
+    /// Closes the links with routers of the local site, and opens and accepts no more of them.
     pub fn disconnect_peers(&mut self, now: Ms) {
         self.peer_entries = None;
         for connection in self.links.cluster_connections() {
             self.close_connection(now, connection, CloseReason::Stopped);
         }
-        self.dialers.abandon_site(self.sites.own());
+        self.dialers.abandon_site(self.sites.local());
     }
 }
--- a/crates/gateway/src/gateway/connections.rs
+++ b/crates/gateway/src/gateway/connections.rs
@@ -1,4 +1,4 @@
-//! Connections that come up and go down, and what is received on them.
+//! The life cycle of connections, and the messages received on them.
 
 use linnethook::interface::Ms;
 
@@ -9,14 +9,16 @@
 use crate::links::{peer_start_id, Peer, SiteConnection};
 use crate::remote_requests::StreamId;
 use crate::session::{CloseReason, Session, SessionEvent};
-use crate::site_names::OWN_SITE;
+use crate::site_names::LOCAL_SITE;
 use crate::site_state::{ReceivedState, StatePosition};
 
-/// By how much the clocks of two sites may differ at the most, in microseconds, as process starts are told in.
+/// The largest tolerated difference between the clocks of two sites, in microseconds, the unit of process
+/// start times.
 const MAX_CLOCK_DIFFERENCE_US: f64 = 86_400e6;
 
 impl Gateway {
-    /// A connection is open: one that was dialled for that entry, or one that was accepted.
+    /// Handles a new connection: one that was dialled for the entry `dialer`, or one that was accepted if
+    /// that is `None`.
     pub fn connection_opened(&mut self, now: Ms, connection: ConnectionId, dialer: Option<usize>) {
         let accepted = self.links.connections.values().filter(|known| known.dialer.is_none()).count();
         if dialer.is_none() && accepted >= self.config.peers.max_accepted {
@@ -28,7 +30,7 @@
         let mut session = Session::new(now, self.config.session);
         session.send(&Message::Hello(Hello {
             versions: SUPPORTED_VERSIONS,
-            site: self.sites.own().to_string(),
+            site: self.sites.local().to_string(),
             node: self.node.clone(),
             epoch: self.epoch,
             known_state: self.known_state_of(dialer),
@@ -42,7 +44,8 @@
         self.links.push(Action::Write(connection));
     }
 
-    /// What is known of the state of the site that is dialled. Whoever was dialled learns first who connects.
+    /// The position up to which the state of a dialled site is known. For an accepted connection the peer is
+    /// not known yet, so it is the default position.
     fn known_state_of(&self, dialer: Option<usize>) -> StatePosition {
         let name = dialer.and_then(|entry| self.dialers.site(entry));
         let Some(site) = name.and_then(|name| self.sites.id(name)) else { return StatePosition::default() };
@@ -50,13 +53,13 @@
         peer.map_or(StatePosition::default(), |peer| peer.state.position())
     }
 
-    /// A connection could not be made.
+    /// Handles a connection that could not be established.
     pub fn dial_failed(&mut self, now: Ms, dialer: usize) {
-        let abandoned_site = self.peer_entries.is_none().then(|| self.sites.own());
+        let abandoned_site = self.peer_entries.is_none().then(|| self.sites.local());
         self.dialers.record_down(now, dialer, abandoned_site);
     }
 
-    /// A connection has ended by itself.
+    /// Handles a connection that was not closed by this side.
     pub fn connection_closed(&mut self, now: Ms, connection: ConnectionId) {
         self.remove_connection(now, connection, CloseReason::Closed);
     }
@@ -86,19 +89,19 @@
         self.forwarder.handle_lost_connection(&mut self.links, now, connection, tickets);
     }
 
-    /// Whether it was the last connection with that peer.
+    /// Removes a connection from its peer. Returns whether it was the last connection to that peer.
     fn remove_from_peer(&mut self, connection: ConnectionId, name: &str) -> bool {
         let Some(peer) = self.links.peers.get_mut(name) else { return false };
         peer.connections.retain(|other| *other != connection);
         let (site, node, start) = (peer.site, peer.node.clone(), peer.epoch);
         let next = peer.connections.first().copied();
         if next.is_none() {
-            if site == OWN_SITE {
+            if site == LOCAL_SITE {
                 self.links.push(Action::PeerLink { name: node, start, up: false });
             }
             self.forwarder.reset_window(site);
         }
-        if let Some(next) = next.filter(|_| site == OWN_SITE) {
+        if let Some(next) = next.filter(|_| site == LOCAL_SITE) {
             self.request_peer_state(next);
         }
         next.is_none()
@@ -107,21 +110,21 @@
     fn log_closed(&mut self, removed: &SiteConnection, reason: CloseReason, was_last: bool) {
         let Some(peer) = &removed.peer else {
             if reason != CloseReason::Closed {
-                self.links.log(format!("gateway: a connection is closed: {reason}"));
+                self.links.log(format!("gateway: connection with an unidentified peer closed: {reason}"));
             }
             return;
         };
         self.links.counts.connections_down += 1;
         let streams = removed.session.open_streams();
         self.links.log(format!(
-            "gateway: a connection with {peer} is down, {} requests out and {} from there: {reason}{}",
+            "gateway: connection with {peer} down, {} outgoing and {} incoming requests open: {reason}{}",
             streams.outgoing,
             streams.incoming,
-            if was_last { "; it was the last one" } else { "" }
+            if was_last { "; no connection left" } else { "" }
         ));
     }
 
-    /// Bytes have arrived on a connection.
+    /// Processes bytes received on a connection.
     pub fn receive(&mut self, now: Ms, connection: ConnectionId, bytes: &[u8]) {
         let Some(session) = self.links.session_mut(connection) else { return };
         let mut events = Vec::new();
@@ -185,19 +188,20 @@
         Ok(())
     }
 
-    /// The other side has introduced itself.
+    /// Handles the hello of a peer.
     fn handle_hello(&mut self, now: Ms, connection: ConnectionId, hello: Hello) -> Result<(), CloseReason> {
         let site = self.sites.id(&hello.site).ok_or(CloseReason::UnknownSite)?;
-        let is_in_cluster = site == OWN_SITE;
+        let is_in_cluster = site == LOCAL_SITE;
         let is_itself = hello.epoch == self.epoch && hello.node == self.node;
         if is_in_cluster && (self.peer_entries.is_none() || is_itself) {
             return Err(CloseReason::OwnIdentity);
         }
-        // A start in the future would keep out all that follow.
+        // An accepted start time in the future would make all later starts of the peer look outdated.
         if hello.epoch as f64 > now * 1_000.0 + MAX_CLOCK_DIFFERENCE_US {
             return Err(CloseReason::InvalidEpoch);
         }
-        // Within a cluster, two processes of one name are told apart: which of them keeps it is the cluster's to decide.
+        // Within a cluster, two processes with the same name are distinguished by their start: the cluster
+        // decides which of them keeps the name.
         let start = if is_in_cluster { format!("#{}", hello.epoch) } else { String::new() };
         let name = format!("{}/{}{start}", hello.site, hello.node);
         if is_in_cluster {
@@ -207,7 +211,7 @@
             });
         }
         if !self.links.peers.contains_key(&name) {
-            self.make_room_for_peer(now)?;
+            self.evict_idle_peer(now)?;
             let peer = Peer {
                 site,
                 node: hello.node.clone(),
@@ -222,11 +226,11 @@
         for replaced in self.add_to_peer(now, connection, &name, hello.epoch)? {
             self.close_connection(now, replaced, CloseReason::Replaced);
         }
-        self.greet_peer(now, connection, &name, &hello);
+        self.handle_identified_peer(now, connection, &name, &hello);
         Ok(())
     }
 
-    /// Adds a connection to a known peer; those that it replaces.
+    /// Adds a connection to a known peer and returns the connections that it replaces.
     fn add_to_peer(
         &mut self,
         now: Ms,
@@ -241,7 +245,7 @@
         peer.last_received = now;
         let mut replaced = Vec::new();
         if epoch > peer.epoch {
-            // It has started again: what is still open to its earlier start is dead.
+            // The peer has restarted: connections to its earlier start are dead.
             replaced.append(&mut peer.connections);
             peer.epoch = epoch;
         }
@@ -258,12 +262,12 @@
         Ok(replaced)
     }
 
-    /// Does what follows from a connection whose peer is known now.
-    fn greet_peer(&mut self, now: Ms, connection: ConnectionId, name: &str, hello: &Hello) {
+    /// Starts the exchange with the peer of a connection once its hello has been accepted.
+    fn handle_identified_peer(&mut self, now: Ms, connection: ConnectionId, name: &str, hello: &Hello) {
         let Some(peer) = self.links.peers.get(name) else { return };
         let (is_first, is_in_cluster) = (peer.connections.len() == 1, peer.is_in_cluster());
         if is_first {
-            self.links.log(format!("gateway: a connection with {name} is up"));
+            self.links.log(format!("gateway: connection with {name} up"));
         }
         if is_in_cluster {
             if is_first {
@@ -279,9 +283,9 @@
         self.forwarder.query_outcomes(&mut self.links, connection, start);
     }
 
-    /// Makes room for another gateway: of those that have been silent for longer than tokens are remembered, the one
-    /// that has been so for longest is forgotten.
-    fn make_room_for_peer(&mut self, now: Ms) -> Result<(), CloseReason> {
+    /// Frees a place for another gateway at the limit of known gateways: evicts the one that has been silent
+    /// for the longest time, if that is longer than tokens are retained.
+    fn evict_idle_peer(&mut self, now: Ms) -> Result<(), CloseReason> {
         let peers = &mut self.links.peers;
         if peers.len() < self.config.peers.max_gateways {
             return Ok(());
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -1,13 +1,15 @@
-//! A gateway: the only module that knows both the requests it forwards and those it serves for other sites.
+//! The facade of the gateway: the only module that knows both the requests it forwards and those it serves
+//! for other sites.
 //!
-//! Bytes, times and requests come in by calls; what is to be done comes out as [`Action`]s, in their order. A gateway
-//! chooses sites and never servers: what is to be served at its site is handed to whoever decides that.
+//! The caller passes in received bytes, the time and requests, and carries out the returned [`Action`]s in
+//! order. A gateway chooses sites, never servers: a request for the local site is passed to the caller, whose
+//! policy decides about it.
 //!
 //! - this file: requests, output and timers;
-//! - `connections`: connections that come up and go down, and what is received on them;
-//! - `state`: what this site publishes and what others have published;
-//! - `cluster`: routers of the own site;
-//! - `report`: the gateway as commands show it.
+//! - `connections`: the life cycle of connections and the messages received on them;
+//! - `state`: the facts that sites publish about themselves;
+//! - `cluster`: links with routers of the local site;
+//! - `report`: the status that commands print.
 
 mod cluster;
 mod connections;
@@ -29,7 +31,7 @@
 use crate::reconnect::ReconnectBackoff;
 use crate::remote_requests::RemoteRequests;
 use crate::routing::{RoutingTable, SiteId};
-use crate::site_names::{SiteNames, OWN_SITE};
+use crate::site_names::{SiteNames, LOCAL_SITE};
 use crate::site_state::PublishedState;
 
 pub use self::cluster::PeerEntry;
@@ -39,13 +41,13 @@
     ConnectionView, GatewayCounts, GatewayStatusView, PeerGatewayView, RemoteSiteView, RouteView, SiteShare,
 };
 
-/// How often the views of other sites are refreshed, in milliseconds.
+/// The interval at which the views of other sites are refreshed, in milliseconds.
 const VIEW_REFRESH_INTERVAL: Ms = 50.0;
 
-/// [`Gateway::next_deadline`] is at most so far in the future, in milliseconds.
+/// [`Gateway::next_deadline`] is at most this far in the future, in milliseconds.
 const MAX_TIMER_INTERVAL: Ms = 1_000.0;
 
-/// One gateway.
+/// A gateway.
 #[derive(Debug)]
 pub struct Gateway {
     config: GatewayConfig,
@@ -57,7 +59,7 @@
     forwarder: Forwarder,
     remote_requests: RemoteRequests,
     published: PublishedState,
-    /// What routers of the own site are sent; `None` where they form no cluster.
+    /// The gossip entries for routers of the local site; `None` if they form no cluster.
     peer_entries: Option<PublishedState>,
     /// Other sites that the operators of this one have drained.
     drained_sites: BTreeSet<SiteId>,
@@ -66,7 +68,7 @@
 }
 
 impl Gateway {
-    /// A gateway that has just started; its first actions dial.
+    /// Creates a gateway. Its first actions dial the configured sites.
     pub fn new(now: Ms, setup: GatewaySetup) -> Self {
         let GatewaySetup { config, epoch, .. } = setup;
         let backoff = ReconnectBackoff::new(config.reconnect, config.session.heartbeat);
@@ -77,12 +79,12 @@
             forwarder: Forwarder::new(
                 config.forwarding,
                 sites.clone(),
-                RoutingTable::new(OWN_SITE, config.routing),
+                RoutingTable::new(LOCAL_SITE, config.routing),
                 LocalCapacity::new(config.local_capacity),
                 &ConcurrencyWindow::new(config.concurrency_window),
                 SentAttempts::new(epoch, config.forwarding.max_attempts),
             ),
-            remote_requests: RemoteRequests::new(&config, sites.own()),
+            remote_requests: RemoteRequests::new(&config, sites.local()),
             published: PublishedState::new(epoch, config.peers.max_facts),
             peer_entries: setup.accepts_cluster_peers.then(|| PublishedState::new(epoch, usize::MAX)),
             drained_sites: BTreeSet::new(),
@@ -95,70 +97,72 @@
         }
     }
 
-    /// What is to be done next.
+    /// Takes the next action to carry out.
     pub fn next_action(&mut self) -> Option<Action> {
         self.links.actions.pop_front()
     }
 
-    /// The number of a site that the setup names.
+    /// The id of a site; `None` if it is not in the setup.
     pub fn site_id(&self, name: &str) -> Option<SiteId> {
         self.sites.id(name)
     }
 
-    /// The name of a site; `?` if the setup does not name it.
+    /// The name of a site; `?` if it is not in the setup.
     pub fn site_name(&self, site: SiteId) -> &str {
         self.sites.name(site).unwrap_or("?")
     }
 
-    /// Whether requests can go to other sites at all.
+    /// Whether there are other sites to forward requests to.
     pub fn forwards_requests(&self) -> bool {
         self.sites.others().next().is_some()
     }
 
     // ---- Requests.
 
-    /// A request of a client, or one from another site: what becomes of it follows as an action.
+    /// Submits a request of a client or from another site. The decision about it follows as an action.
     pub fn submit_request(&mut self, now: Ms, ticket: Ticket, request: ForwardRequest) {
         self.forwarder.submit_request(&mut self.links, now, ticket, request);
     }
 
-    /// The own site, which the caller knows to be unable, has rejected a request, so that it never ran: whether it is
-    /// forwarded instead. If not, the rejection stands; a retry of the site's budget may have been used.
+    /// Tries to forward a request that the local site, which the caller knows to be unavailable, has rejected
+    /// without running it. Returns whether it is forwarded. If not, the rejection stands, but a retry of the
+    /// chosen site's budget may have been used.
     pub fn forward_rejected_request(&mut self, now: Ms, ticket: Ticket, request: ForwardRequest) -> bool {
         self.forwarder.forward_rejected_request(&mut self.links, now, ticket, request)
     }
 
-    /// Nobody waits for the reply to a request any more.
+    /// Cancels a request whose reply is no longer needed.
     pub fn cancel_request(&mut self, now: Ms, ticket: Ticket) {
         self.forwarder.cancel_request(&mut self.links, now, ticket);
     }
 
-    /// The one reply to a request from another site. One that was rejected has never run.
+    /// Completes a request from another site with its only reply. A rejected request must not have run.
     pub fn complete_remote_request(&mut self, now: Ms, ticket: Ticket, reply: Reply) {
         self.remote_requests.complete(&mut self.links, now, ticket, reply);
     }
 
-    /// How a request of a client of this site ended that was served here.
+    /// Records the outcome of a request that was served here for a client of this site.
     pub fn record_local_outcome(&mut self, now: Ms, kind: RequestKind, failed: bool) {
         self.forwarder.local_capacity.record_outcome(now, kind, failed);
         self.publish_load(now);
     }
 
-    /// Whether this site is too unable for such requests: then one that was rejected here may be forwarded.
-    pub fn is_locally_unable(&self, kind: RequestKind) -> bool {
-        self.forwarder.is_locally_unable(kind)
+    /// Whether this site is unavailable for such requests, so that one that was rejected here may be
+    /// forwarded.
+    pub fn is_locally_unavailable(&self, kind: RequestKind) -> bool {
+        self.forwarder.is_locally_unavailable(kind)
     }
 
     // ---- Output.
 
-    /// Appends what is to be written on a connection next, about `max_bytes`.
+    /// Moves the output to be written on a connection next to `into`, about `max_bytes` of it.
     pub fn take_output(&mut self, connection: ConnectionId, max_bytes: usize, into: &mut BytesMut) {
         if let Some(session) = self.links.session_mut(connection) {
             session.take_output(max_bytes, into);
         }
     }
 
-    /// The system has accepted so many bytes of the output that was taken for a connection.
+    /// Records that the operating system has accepted this many bytes of the output taken for a connection.
     pub fn mark_written(&mut self, connection: ConnectionId, bytes: usize) {
         let Some(session) = self.links.session_mut(connection) else { return };
         for token in session.mark_written(bytes) {
@@ -168,7 +172,7 @@
 
     // ---- Time.
 
-    /// Does what is due.
+    /// Runs all timers that are due.
     pub fn on_timer(&mut self, now: Ms) {
         self.run_session_timers(now);
         if !self.is_stopping {
@@ -219,7 +223,7 @@
         deadlines.fold(now + MAX_TIMER_INTERVAL, f64::min).max(now)
     }
 
-    /// Has the other sites send nothing new; what is open goes on.
+    /// Notifies all peers that no new requests are accepted. Open requests continue.
     pub fn begin_shutdown(&mut self) {
         self.is_stopping = true;
         let connections: Vec<ConnectionId> = self.links.connections.keys().copied().collect();
--- a/crates/gateway/src/gateway/report.rs
+++ b/crates/gateway/src/gateway/report.rs
@@ -1,4 +1,4 @@
-//! The gateway as commands show it.
+//! The status of the gateway, as printed by commands.
 
 use linnethook::interface::Ms;
 
@@ -8,7 +8,7 @@
 use crate::routing::{SiteId, SiteView};
 
 impl Gateway {
-    /// Where reads and writes go now.
+    /// The current routes of reads and writes.
     pub fn route_views(&self, now: Ms) -> Vec<RouteView> {
         vec![self.route_view(now, RequestKind::Read), self.route_view(now, RequestKind::Write)]
     }
@@ -35,12 +35,12 @@
         }
     }
 
-    /// The gateway and the other sites.
+    /// The status of the gateway and of the other sites.
     pub fn status(&self, now: Ms) -> GatewayStatusView {
         let capacity = &self.forwarder.local_capacity;
         let own = capacity.view();
         GatewayStatusView {
-            site: self.sites.own().to_string(),
+            site: self.sites.local().to_string(),
             node: self.node.clone(),
             epoch: self.epoch,
             usable_caches: capacity.usable_caches(),
--- a/crates/gateway/src/gateway/state.rs
+++ b/crates/gateway/src/gateway/state.rs
@@ -1,34 +1,36 @@
-//! What this site publishes, what others have published, and the views of sites that follow from it.
+//! The facts that this site publishes, the facts received from other sites, and the views of sites derived
+//! from them.
 
 use linnethook::interface::Ms;
 
 use super::{Action, ConnectionId, Gateway};
 use crate::codec::Message;
 use crate::session::CloseReason;
-use crate::site_names::OWN_SITE;
+use crate::site_names::LOCAL_SITE;
 use crate::site_state::{Fact, FactKey, FactValue, StatePosition, StateUpdate, UpdateResult};
 
-/// Load is published in steps of one over this: smaller changes are not worth a message to all sites.
+/// The published load is rounded to multiples of 1 / `LOAD_STEPS`: smaller changes are not worth a message to
+/// all sites.
 const LOAD_STEPS: f64 = 20.0;
 
 impl Gateway {
-    /// Publishes a fact to all other sites, also to those that connect later.
+    /// Publishes a fact to all other sites, including those that connect later.
     pub fn publish_fact(&mut self, now: Ms, key: FactKey, value: FactValue) {
         if !self.published.publish(now, key, value) {
             return;
         }
-        let mut behind = Vec::new();
+        let mut outdated = Vec::new();
         for (connection, known) in &self.links.connections {
             if known.peer.is_some() && !self.links.is_cluster_peer(*connection) {
-                behind.push((*connection, known.session.sent_version));
+                outdated.push((*connection, known.session.sent_version));
             }
         }
-        for (connection, version) in behind {
+        for (connection, version) in outdated {
             self.send_state(connection, StatePosition { epoch: self.epoch, version });
         }
     }
 
-    /// Sends what has changed since a position of the other side.
+    /// Sends the changes since a position of the peer.
     pub(super) fn send_state(&mut self, connection: ConnectionId, position: StatePosition) {
         let Some(session) = self.links.session_mut(connection) else { return };
         let update = self.published.changes_since(position);
@@ -37,7 +39,7 @@
         self.links.request_write(connection);
     }
 
-    /// The other side lacks what follows that position.
+    /// Handles a request for the state after a position.
     pub(super) fn handle_state_request(&mut self, connection: ConnectionId, position: StatePosition) {
         if self.links.is_cluster_peer(connection) {
             self.send_peer_state(connection, position);
@@ -46,14 +48,14 @@
         }
     }
 
-    /// The other side has published something.
+    /// Handles an update of the published state of a peer.
     pub(super) fn handle_state_update(
         &mut self,
         now: Ms,
         connection: ConnectionId,
         update: StateUpdate,
     ) -> Result<(), CloseReason> {
-        // What of it has expired there may not have here.
+        // Facts that have expired at the publisher may not have expired here yet.
         let max_facts = self.config.peers.max_facts * 2;
         let Some(peer) = self.links.peer_of_mut(connection) else { return Ok(()) };
         let is_in_cluster = peer.is_in_cluster();
@@ -84,12 +86,12 @@
         }
     }
 
-    /// Whether another site has announced of a cache that it takes no new work.
-    pub fn is_cache_barred(&self, cache: &str) -> bool {
-        self.links.peers.values().any(|peer| peer.state.has_barred_cache(cache))
+    /// Whether another site has published that a cache accepts no new work or was removed.
+    pub fn is_cache_unavailable(&self, cache: &str) -> bool {
+        self.links.peers.values().any(|peer| peer.state.has_unavailable_cache(cache))
     }
 
-    /// Has the routes follow what is known of other sites now.
+    /// Updates the routing table with the current views of other sites.
     pub(super) fn refresh_site_views(&mut self, now: Ms) {
         for site in self.sites.others() {
             let mut view = self.links.site_view(now, site, self.config.peers.state_lifetime);
@@ -100,10 +102,10 @@
         self.views_refreshed_at = now;
     }
 
-    /// How many caches of this site take new work, and the ratio of what it can carry that is in use.
+    /// Reports the number of caches of this site that accept new work, and its utilization, from 0 to 1.
     pub fn report_local_load(&mut self, now: Ms, caches: u32, utilization: f64) {
         let capacity = &mut self.forwarder.local_capacity;
-        capacity.set_listed_caches(caches);
+        capacity.set_ready_caches(caches);
         capacity.set_utilization((utilization * LOAD_STEPS).round() / LOAD_STEPS);
         self.publish_load(now);
     }
@@ -117,13 +119,14 @@
             origin_reachable: view.has_origin,
         };
         self.publish_fact(now, FactKey::Site, load);
-        self.forwarder.routing.set_own_view(view);
+        self.forwarder.routing.set_local_view(view);
     }
 
-    /// The operators drain a site, or take that back; false if the setup names no such site.
+    /// Drains a site on behalf of the operators, or ends the drain. Returns false if the site is not in the
+    /// setup.
     pub fn set_drained(&mut self, now: Ms, name: &str, drained: bool) -> bool {
         let Some(site) = self.sites.id(name) else { return false };
-        if site == OWN_SITE {
+        if site == LOCAL_SITE {
             self.forwarder.local_capacity.set_drained(drained);
             self.publish_fact(now, FactKey::Operators, FactValue::Drained(drained));
             self.publish_load(now);
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -1,8 +1,8 @@
-//! Whether the other side of a connection is still there: a phi accrual failure detector (Hayashibara 2004).
+//! Liveness of the peer of a connection: a phi accrual failure detector (Hayashibara 2004).
 //!
-//! Every byte that is received is a sign of life. How long a silence is suspicious follows from the intervals seen
-//! before, within fixed bounds. Pings tell a slow connection, and one that works in one direction only, from a silent
-//! one.
+//! Every receipt of data is a heartbeat. How long a silence is suspicious follows from the intervals observed
+//! before, within fixed limits. Pings distinguish a slow connection, and one that works in only one
+//! direction, from a silent one.
 
 use std::collections::VecDeque;
 
@@ -11,23 +11,24 @@
 /// When a connection counts as slow, silent or flapping.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HeartbeatConfig {
-    /// How often the other side is pinged, in milliseconds.
+    /// The interval between pings, in milliseconds.
     pub interval: Ms,
-    /// Intervals between signs of life that are remembered.
+    /// The number of intervals between receipts that are retained.
     pub max_samples: usize,
-    /// The standard deviation of the intervals counts as at least that, in milliseconds.
+    /// The least standard deviation of the intervals that is assumed, in milliseconds.
     pub min_deviation: Ms,
-    /// The suspicion at which the other side is silent: the chance that it is not is one in ten to that.
+    /// The suspicion level from which the peer counts as silent: at level n, the probability that it is alive
+    /// is 10^-n.
     pub phi_threshold: f64,
-    /// It is never silent sooner, in milliseconds.
+    /// The shortest time without a receipt after which the peer can count as silent, in milliseconds.
     pub min_silence: Ms,
-    /// It is always silent after that, in milliseconds.
+    /// The time without a receipt after which the peer always counts as silent, in milliseconds.
     pub max_silence: Ms,
-    /// The connection is slow if pings take that many times the best round trip.
+    /// The connection counts as slow if the smoothed round trip exceeds the best one by this factor.
     pub slow_ratio: f64,
-    /// The link flaps if it went down so often within `flap_window`.
+    /// The number of disconnects within `flap_window` from which the link counts as flapping.
     pub flap_threshold: usize,
-    /// See `flap_threshold`; in milliseconds.
+    /// The period over which disconnects are counted, in milliseconds.
     pub flap_window: Ms,
 }
 
@@ -47,14 +48,14 @@
     }
 }
 
-/// What a connection is like.
+/// The health of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkHealth {
-    /// Nothing is wrong.
+    /// No problem was detected.
     Healthy,
-    /// Pings are answered far later than they can be.
+    /// Pings take far longer than the best round trip.
     Slow,
-    /// Something is received, but pings are not answered: one direction is dead.
+    /// Data is received, but pings are not answered: one direction has failed.
     HalfOpen,
     /// Nothing is received.
     Silent,
@@ -72,10 +73,10 @@
     }
 }
 
-/// Receipts closer to each other than that are one sign of life, in milliseconds.
+/// Receipts that follow each other more closely count as one, in milliseconds.
 const MIN_SAMPLE_INTERVAL: Ms = 1.0;
 
-/// Shorter round trips can't be told apart, in milliseconds.
+/// Shorter round trips can't be distinguished and count as this long, in milliseconds.
 const MIN_ROUND_TRIP: Ms = 0.1;
 
 /// The weight of one ping in the smoothed round trip.
@@ -91,7 +92,7 @@
 #[derive(Debug, Clone)]
 pub struct Heartbeat {
     config: HeartbeatConfig,
-    /// Intervals between signs of life, the oldest first.
+    /// Intervals between receipts, the oldest first.
     intervals: VecDeque<Ms>,
     last_received: Ms,
     pending_ping: Option<PendingPing>,
@@ -103,7 +104,7 @@
 }
 
 impl Heartbeat {
-    /// A connection that has just been opened.
+    /// Creates the failure detector of a connection that has just been opened.
     pub fn new(now: Ms, config: HeartbeatConfig) -> Self {
         Self {
             config,
@@ -117,7 +118,7 @@
         }
     }
 
-    /// Something was received.
+    /// Records that data was received.
     pub fn record_receipt(&mut self, now: Ms) {
         let interval = now - self.last_received;
         if interval < MIN_SAMPLE_INTERVAL {
@@ -130,7 +131,7 @@
         self.last_received = now;
     }
 
-    /// The number of a ping to be sent now, if one is due. There is one at a time.
+    /// The number of the ping to be sent now, if one is due. Only one ping is pending at a time.
     pub fn next_ping(&mut self, now: Ms) -> Option<u64> {
         let is_first = self.last_ping == 0;
         let is_quiet = now - self.last_received >= self.config.interval / 2.0;
@@ -143,7 +144,7 @@
         Some(self.last_ping)
     }
 
-    /// A ping was answered. An answer to any but the pending one is a sign of life only.
+    /// Records the answer to a ping. An answer to any but the pending ping counts only as a receipt.
     pub fn record_pong(&mut self, now: Ms, number: u64) {
         self.record_receipt(now);
         let Some(ping) = self.pending_ping.filter(|ping| ping.number == number) else { return };
@@ -155,26 +156,26 @@
         self.smoothed_round_trip += (round_trip - self.smoothed_round_trip) * weight;
     }
 
-    /// All that the other side had queued up to then has been received, since its answer to a ping comes behind that.
+    /// The time up to which everything that the peer had queued has been received: its answer to a ping is
+    /// queued behind it.
     pub fn all_received_until(&self) -> Option<Ms> {
         self.answered_ping_sent
     }
 
-    /// How long an answer to a ping takes, in milliseconds; 0 if none was received yet.
+    /// The smoothed round-trip time of pings, in milliseconds; 0 if no answer was received yet.
     pub fn round_trip(&self) -> Ms {
         self.smoothed_round_trip
     }
 
-    /// The suspicion that the other side is silent: `-log10` of the chance that nothing comes for so long if it is
-    /// there.
+    /// The suspicion level: `-log10` of the probability that a live peer sends nothing for this long.
     pub fn phi(&self, now: Ms) -> f64 {
         let count = self.intervals.len().max(1) as f64;
         let mean = self.intervals.iter().sum::<f64>() / count;
         let variance = self.intervals.iter().map(|interval| (interval - mean).powi(2)).sum::<f64>() / count;
         let deviation = variance.sqrt().max(self.config.min_deviation);
         let y = (now - self.last_received - mean) / deviation;
-        // The logistic approximation of the tail of the normal distribution. Far out, where the power overflows, its
-        // logarithm is taken directly.
+        // The logistic approximation of the tail of the normal distribution. For large exponents, where the
+        // power overflows, its logarithm is computed directly.
         let exponent = y * (1.5976 + 0.070566 * y * y);
         match exponent > 300.0 {
             true => exponent / std::f64::consts::LN_10,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// What the connection is like now.
+    /// The health of the connection now.
     pub fn health(&self, now: Ms) -> LinkHealth {
         let silence = now - self.last_received;
         let is_suspect = silence >= self.config.min_silence && self.phi(now) >= self.config.phi_threshold;
@@ -201,7 +202,7 @@
         }
     }
 
-    /// When [`Self::health`] has to be asked for again.
+    /// When [`Self::health`] has to be checked again.
     pub fn next_check(&self, now: Ms) -> Ms {
         let may_be_silent = self.last_received + self.config.min_silence;
         may_be_silent.max(now + self.config.interval / 4.0).min(now + self.config.interval)
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,23 +1,25 @@
-//! A gateway between sites: requests cross links that fail, each with one final reply, and one that is not idempotent
-//! never runs twice.
+//! A gateway that forwards requests between sites over unreliable links. Each request gets exactly one final
+//! reply, and a request that is not idempotent is never executed twice.
 //!
-//! - [`gateway`]: the facade that ties the parts together, with its [`actions`], [`config`] and [`status`];
-//! - [`routing`]: which site serves a request;
-//! - [`forwarding`]: requests that other sites serve;
-//! - `remote_requests`: requests of other sites that are served here;
-//! - [`attempt_ledger`]: who may run a request now, by fencing tokens;
-//! - [`transfer`]: a body that stops and resumes;
-//! - [`concurrency_window`]: how many requests may be in flight to a site;
-//! - [`local_capacity`]: what the own site can serve;
-//! - [`site_state`]: what sites publish of themselves, by version;
-//! - `links`, `dialers`: connections with other gateways, and when they are tried again;
-//! - [`session`]: one connection;
-//! - [`heartbeat`]: whether the other side is still there;
-//! - [`reconnect`]: the pauses between attempts to connect;
-//! - [`flow_control`]: how much may be sent now, by credit and priority;
+//! - [`gateway`]: the facade that combines the other modules, with its [`actions`], [`config`] and
+//!   [`status`];
+//! - [`routing`]: the choice of the site that serves a request;
+//! - [`forwarding`]: requests that are forwarded to other sites;
+//! - `remote_requests`: requests from other sites that are served here;
+//! - [`attempt_ledger`]: fencing tokens, which prevent a second execution;
+//! - [`transfer`]: response bodies that are interrupted and resumed;
+//! - [`concurrency_window`]: the limit on requests in flight to a site;
+//! - [`local_capacity`]: what the local site can serve;
+//! - [`site_state`]: the versioned state that sites publish about themselves;
+//! - `links`, `dialers`: connections with other gateways, and when to dial again;
+//! - [`session`]: the protocol of one connection;
+//! - [`heartbeat`]: the failure detector of a connection;
+//! - [`reconnect`]: the backoff between connection attempts;
+//! - [`flow_control`]: credit-based flow control and scheduling by priority;
 //! - [`codec`]: the frames of a link.
 //!
-//! No part reads a clock, a socket, a file or a random source: times are arguments, and jitter has a seed.
+//! No module reads a clock, a socket, a file or a random source: the caller passes in the time, and jitter is
+//! drawn from a seeded generator.
 //! `docs/gateway.md` describes the design.
 
 #![warn(missing_docs, clippy::missing_errors_doc, clippy::too_many_arguments, clippy::too_many_lines)]
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -1,5 +1,5 @@
-//! The links with other gateways: connections, who is at their other end, and the queue of actions and the counters
-//! that whoever handles them adds to.
+//! The links with other gateways: connections and peers, with the queue of actions and the counters that all
+//! modules of the gateway share.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,19 +12,20 @@
 use crate::heartbeat::LinkHealth;
 use crate::routing::{SiteId, SiteView};
 use crate::session::Session;
-use crate::site_names::OWN_SITE;
+use crate::site_names::LOCAL_SITE;
 use crate::site_state::{FactKey, FactValue, ReceivedState};
 use crate::status::{ConnectionView, GatewayCounts};
 
-/// A connection and what it belongs to.
+/// A connection with its session and peer.
 #[derive(Debug)]
 pub(crate) struct SiteConnection {
     pub session: Session,
-    /// The other gateway, once it has introduced itself.
+    /// The name of the peer gateway, once its hello was received.
     pub peer: Option<String>,
-    /// The entry that was dialled; `None` for accepted connections.
+    /// The dialer entry that opened the connection; `None` for accepted connections.
     pub dialer: Option<usize>,
-    /// A router of the own site wants gossip entries here: on one of several connections.
+    /// Whether a cluster peer has requested gossip entries on this connection, which it does on one of
+    /// several.
     pub sends_peer_state: bool,
 }
 
@@ -42,7 +43,7 @@
     }
 
     fn is_usable(&self, now: Ms) -> bool {
-        !self.session.is_leaving
+        !self.session.received_go_away
             && self.session.heartbeat.all_received_until().is_some()
             && self.session.heartbeat.health(now) != LinkHealth::HalfOpen
     }
@@ -52,31 +53,31 @@
     }
 }
 
-/// Another gateway.
+/// A peer: another gateway, or a router of the local site (a cluster peer).
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub site: SiteId,
     /// Its name within its site.
     pub node: String,
-    /// When its process started, in Unix microseconds.
+    /// The start time of its process, in Unix microseconds.
     pub epoch: u64,
-    /// The tokens that it has sent.
+    /// The fencing tokens that it has sent.
     pub received_attempts: ReceivedAttempts,
-    /// What it has published.
+    /// The facts that it has published.
     pub state: ReceivedState,
-    /// The connections with it, the oldest first.
+    /// The connections to it, the oldest first.
     pub connections: Vec<ConnectionId>,
-    /// When anything was received from it.
+    /// The time of the latest receipt from it.
     pub last_received: Ms,
 }
 
 impl Peer {
     pub fn is_in_cluster(&self) -> bool {
-        self.site == OWN_SITE
+        self.site == LOCAL_SITE
     }
 }
 
-/// Names one start of another gateway.
+/// Identifies one start of another gateway.
 pub(crate) fn peer_start_id(name: &str, epoch: u64) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), epoch)
 }
@@ -85,9 +86,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     pub connections: BTreeMap<ConnectionId, SiteConnection>,
-    /// By site and name; within the own site also by start.
+    /// By site and node name; for cluster peers also by the start of the process.
     pub peers: BTreeMap<String, Peer>,
-    /// What the owner is to do, in its order.
+    /// The actions that the caller has to carry out, in order.
     pub actions: VecDeque<Action>,
     pub counts: GatewayCounts,
 }
@@ -106,14 +107,14 @@
         self.connections.get_mut(&connection).map(|connection| &mut connection.session)
     }
 
-    /// Queues a message on no stream; a write has to be requested for it.
+    /// Queues a message that belongs to no stream. The caller also has to request a write.
     pub fn send(&mut self, connection: ConnectionId, message: &Message) {
         if let Some(session) = self.session_mut(connection) {
             session.send(message);
         }
     }
 
-    /// Has the owner write a connection that has output.
+    /// Requests a write if the connection has output.
     pub fn request_write(&mut self, connection: ConnectionId) {
         if self.connections.get(&connection).is_some_and(|known| known.session.has_output()) {
             self.push(Action::Write(connection));
@@ -136,17 +137,17 @@
         self.peers.get_mut(self.connections.get(&connection)?.peer.as_ref()?)
     }
 
-    /// Whether a router of the own site is at the other end.
+    /// Whether the peer of a connection is a router of the local site.
     pub fn is_cluster_peer(&self, connection: ConnectionId) -> bool {
         self.peer_of(connection).is_some_and(Peer::is_in_cluster)
     }
 
-    /// The connections with routers of the own site.
+    /// The connections to routers of the local site.
     pub fn cluster_connections(&self) -> Vec<ConnectionId> {
         self.connections.keys().copied().filter(|connection| self.is_cluster_peer(*connection)).collect()
     }
 
-    /// The connection for one more request to a site: the one with the fewest bytes to be written.
+    /// The connection for the next request to a site: the one with the fewest queued bytes.
     pub fn connection_to(&self, site: SiteId) -> Option<ConnectionId> {
         let peers = self.peers.values().filter(|peer| peer.site == site);
         let connections = peers.flat_map(|peer| peer.connections.iter().copied());
@@ -158,14 +159,14 @@
         })
     }
 
-    /// Names the process at the other end of a connection.
+    /// Identifies the process at the other end of a connection.
     pub fn start_of_peer(&self, connection: ConnectionId) -> Option<u64> {
         let name = self.connections.get(&connection)?.peer.as_ref()?;
         self.peers.get(name).map(|peer| peer_start_id(name, peer.epoch))
     }
 
-    /// What is known of another site, by all of its gateways. Load that was reported more than `state_lifetime` ago
-    /// counts for nothing.
+    /// The view of another site, combined from all of its gateways. A load or drain is ignored if the gateway
+    /// that published it has been silent for longer than `state_lifetime` milliseconds.
     pub fn site_view(&self, now: Ms, site: SiteId, state_lifetime: Ms) -> SiteView {
         let mut view = SiteView { utilization: 1.0, ..SiteView::default() };
         for peer in self.peers.values().filter(|peer| peer.site == site) {
--- a/crates/gateway/src/local_capacity.rs
+++ b/crates/gateway/src/local_capacity.rs
@@ -1,26 +1,27 @@
-//! What the own site can serve: by its list of caches, and by how requests ended that were served here.
+//! What the local site can serve, judged by its ready caches and by the outcomes of requests that were served
+//! here.
 //!
-//! A site never counts as unable for good: probes go on showing whether it has recovered.
+//! A site never counts as unavailable for good: probes detect its recovery.
 
 use linnethook::estimators::Ewma;
 use linnethook::interface::Ms;
 
 use crate::routing::SiteView;
 
-/// When the own site counts as unable.
+/// When the local site counts as unavailable.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LocalCapacityConfig {
-    /// The ratio of failed requests above which it is unable.
+    /// The ratio of failed requests from which the site is unavailable.
     pub max_failure_ratio: f64,
-    /// The weight of one request in that ratio.
+    /// The weight of one request in this ratio.
     pub sample_weight: f64,
-    /// How many requests must have been seen before the ratio counts.
+    /// The least number of recorded requests for the ratio to be considered.
     pub min_samples: f64,
-    /// It is able again after so many successes in a row.
+    /// The number of successes in a row after which the site is available again.
     pub recovery_successes: u32,
-    /// While it is unable, one request in that time is a probe, in milliseconds.
+    /// The interval between probes of an unavailable site, in milliseconds.
     pub probe_interval: Ms,
-    /// After that time without any outcome, in milliseconds, earlier ones count for nothing.
+    /// How long recorded outcomes are valid after the latest one, in milliseconds.
     pub sample_lifetime: Ms,
 }
 
@@ -37,20 +38,20 @@
     }
 }
 
-/// What a request needs of the site that serves it.
+/// What a request requires of the site that serves it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Its caches.
+    /// Ready caches.
     Read,
-    /// Its path to the origin.
+    /// A working path to the origin.
     Write,
 }
 
-/// How requests of one kind ended.
+/// The outcomes of requests of one kind.
 #[derive(Debug, Clone, Copy, Default)]
 struct OutcomeHistory {
     failure_ratio: Ewma,
-    is_unable: bool,
+    is_unavailable: bool,
     last_outcome: Ms,
     successes_in_a_row: u32,
     last_probe: Ms,
@@ -60,27 +61,27 @@
     fn record(&mut self, now: Ms, failed: bool, config: &LocalCapacityConfig) {
         if now - self.last_outcome > config.sample_lifetime {
             self.failure_ratio = Ewma::default();
-            self.is_unable = false;
+            self.is_unavailable = false;
         }
         self.last_outcome = now;
         self.failure_ratio.update_from_mean(f64::from(u8::from(failed)), config.sample_weight);
         self.successes_in_a_row = if failed { 0 } else { self.successes_in_a_row + 1 };
-        if self.is_unable {
+        if self.is_unavailable {
             if self.successes_in_a_row >= config.recovery_successes {
-                self.is_unable = false;
+                self.is_unavailable = false;
                 self.failure_ratio = Ewma::default();
             }
         } else if self.failure_ratio.samples >= config.min_samples
             && self.failure_ratio.value >= config.max_failure_ratio
         {
-            self.is_unable = true;
-            // This request was as good as a probe.
+            self.is_unavailable = true;
+            // This request has the effect of a probe.
             self.last_probe = now;
         }
     }
 }
 
-/// What the own site can serve.
+/// The availability of the local site.
 #[derive(Debug, Clone)]
 pub struct LocalCapacity {
     config: LocalCapacityConfig,
@@ -92,7 +93,7 @@
 }
 
 impl LocalCapacity {
-    /// A site whose caches are not known yet.
+    /// Creates the state of a site whose caches are not known yet.
     pub fn new(config: LocalCapacityConfig) -> Self {
         Self {
             config,
@@ -104,12 +105,12 @@
         }
     }
 
-    /// Sets how many caches of the site take new work.
-    pub fn set_listed_caches(&mut self, caches: u32) {
+    /// Sets the number of caches of the site that accept new work.
+    pub fn set_ready_caches(&mut self, caches: u32) {
         self.caches = caches;
     }
 
-    /// Sets the ratio of what the site can carry that is in use.
+    /// Sets the utilization of the site, from 0 to 1.
     pub fn set_utilization(&mut self, utilization: f64) {
         self.utilization = utilization;
     }
@@ -131,44 +132,45 @@
         }
     }
 
-    /// Records how a request ended that was served here. One whose client has disconnected is not recorded.
+    /// Records the outcome of a request that was served here. Requests whose client disconnected are not
+    /// recorded.
     pub fn record_outcome(&mut self, now: Ms, kind: RequestKind, failed: bool) {
         let config = self.config;
         self.history_mut(kind).record(now, failed, &config);
     }
 
-    /// Whether the next request of that kind is a probe of an unable site.
+    /// Whether the next request of that kind is to be used as a probe of an unavailable site.
     pub fn take_probe(&mut self, now: Ms, kind: RequestKind) -> bool {
         let probe_interval = self.config.probe_interval;
         let has_nothing_to_probe = self.drained || kind == RequestKind::Read && self.caches == 0;
         let history = self.history_mut(kind);
-        if has_nothing_to_probe || !history.is_unable || now - history.last_probe < probe_interval {
+        if has_nothing_to_probe || !history.is_unavailable || now - history.last_probe < probe_interval {
             return false;
         }
         history.last_probe = now;
         true
     }
 
-    /// The caches that can serve reads: none while the site is unable to.
+    /// The number of caches that can serve reads; 0 while the site is unavailable for reads.
     pub fn usable_caches(&self) -> u32 {
-        if self.reads.is_unable {
+        if self.reads.is_unavailable {
             0
         } else {
             self.caches
         }
     }
 
-    /// Whether caches may still serve what they have, whatever they can't get.
+    /// Whether caches may still serve objects that they have cached, even if they can't fetch others.
     pub fn may_have_cached(&self) -> bool {
         self.caches > 0 && !self.drained
     }
 
-    /// The site as routes see it.
+    /// The view of the site that routing uses.
     pub fn view(&self) -> SiteView {
         SiteView {
             reachable: true,
             has_caches: self.usable_caches() > 0,
-            has_origin: !self.writes.is_unable,
+            has_origin: !self.writes.is_unavailable,
             utilization: self.utilization,
             drained: self.drained,
             flapping: false,
--- a/crates/gateway/src/reconnect.rs
+++ b/crates/gateway/src/reconnect.rs
@@ -1,4 +1,4 @@
-//! The pauses between attempts to connect, and whether a link flaps.
+//! Backoff between connection attempts, and detection of flapping links.
 
 use std::collections::VecDeque;
 
@@ -6,16 +6,16 @@
 
 use crate::heartbeat::HeartbeatConfig;
 
-/// The pauses between attempts to connect.
+/// The settings of the backoff.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReconnectConfig {
-    /// The first pause, in milliseconds.
+    /// The first delay, in milliseconds.
     pub initial_delay: Ms,
-    /// By how much each pause is longer than the one before.
+    /// The factor by which each delay is longer than the previous one.
     pub delay_multiplier: f64,
-    /// The longest pause, in milliseconds.
+    /// The longest delay, in milliseconds.
     pub max_delay: Ms,
-    /// After a connection that lasted so long, in milliseconds, the next pause is the first one again.
+    /// The duration of a connection, in milliseconds, after which the backoff is reset.
     pub reset_after: Ms,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// The backoff of one connection that this side opens.
+/// The backoff of one dialled connection.
 #[derive(Debug, Clone)]
 pub struct ReconnectBackoff {
     config: ReconnectConfig,
@@ -33,12 +33,13 @@
     flap_window: Ms,
     delay: Ms,
     up_since: Option<Ms>,
-    /// When the connection went down, the oldest first.
-    downs: VecDeque<Ms>,
+    /// The times of the latest disconnects, the oldest first.
+    disconnect_times: VecDeque<Ms>,
 }
 
 impl ReconnectBackoff {
-    /// A connection that was not tried yet. When it flaps is a setting of the heartbeat.
+    /// Creates the backoff of a connection that was not tried yet. The thresholds for flapping are taken from
+    /// `heartbeat`.
     pub fn new(config: ReconnectConfig, heartbeat: HeartbeatConfig) -> Self {
         Self {
             config,
@@ -46,36 +47,37 @@
             flap_window: heartbeat.flap_window,
             delay: config.initial_delay,
             up_since: None,
-            downs: VecDeque::new(),
+            disconnect_times: VecDeque::new(),
         }
     }
 
-    /// The connection came up.
+    /// Records that the connection was established.
     pub fn record_up(&mut self, now: Ms) {
         self.up_since = Some(now);
     }
 
-    /// The connection went down or could not be made; the time of the next attempt. `draw` is a random number from 0
-    /// to 1 for the jitter, so that not all gateways reconnect at once.
+    /// Records that the connection was lost or could not be established, and returns the time of the next
+    /// attempt. `draw` is a random number from 0 to 1 for the jitter, so that gateways do not all reconnect
+    /// at the same time.
     pub fn record_down(&mut self, now: Ms, draw: f64) -> Ms {
         let up_since = self.up_since.take();
         if up_since.is_some() {
-            self.downs.push_back(now);
-            if self.downs.len() > self.flap_threshold.max(1) {
-                self.downs.pop_front();
+            self.disconnect_times.push_back(now);
+            if self.disconnect_times.len() > self.flap_threshold.max(1) {
+                self.disconnect_times.pop_front();
             }
         }
         if up_since.is_some_and(|since| now - since >= self.config.reset_after) {
             self.delay = self.config.initial_delay;
         }
-        let pause = self.delay * (0.5 + 0.5 * draw.clamp(0.0, 1.0));
+        let delay = self.delay * (0.5 + 0.5 * draw.clamp(0.0, 1.0));
         self.delay = (self.delay * self.config.delay_multiplier).min(self.config.max_delay);
-        now + pause
+        now + delay
     }
 
-    /// Whether the connection went down so often of late that being up tells little.
+    /// Whether the connection went down so often recently that it may go down again at any time.
     pub fn is_flapping(&self, now: Ms) -> bool {
-        let recent = self.downs.iter().filter(|at| now - **at < self.flap_window).count();
+        let recent = self.disconnect_times.iter().filter(|at| now - **at < self.flap_window).count();
         recent >= self.flap_threshold
     }
 }
--- a/crates/gateway/src/remote_requests.rs
+++ b/crates/gateway/src/remote_requests.rs
@@ -1,8 +1,8 @@
-//! The requests of other sites that are served here.
+//! Requests from other sites that are served here.
 //!
-//! Each is handed on once and owed one reply. The reply goes back on its stream or, where that has ended, is retained
-//! with the request's token until the sender queries it. A token never runs twice, and one that ran is never reported
-//! as not run.
+//! Each request is passed to the caller once and gets one reply. The reply is sent on the request's stream
+//! or, if that has ended, retained with the request's token until the sender queries it. A token never runs
+//! twice, and a token that ran is never reported as not run.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,17 +16,17 @@
 use crate::flow_control::Priority;
 use crate::links::{Links, Peer, SiteConnection};
 
-/// A stream that the other side has opened.
+/// A stream that a peer opened.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StreamId {
     pub connection: ConnectionId,
     pub stream: u32,
 }
 
-/// A request of another site that has no reply yet.
+/// A request from another site that has no reply yet.
 #[derive(Debug, Clone)]
 struct ServedRequest {
-    /// Where the reply goes; `None` once that stream has ended.
+    /// The stream for the reply; `None` once it has ended.
     reply_to: Option<StreamId>,
     peer: String,
     token: Option<Token>,
@@ -34,7 +34,7 @@
     priority: Priority,
 }
 
-/// The rules by which requests of other sites are admitted.
+/// The rules for admitting requests from other sites.
 #[derive(Debug, Clone, Copy)]
 struct AdmissionRules {
     max_requests: usize,
@@ -43,16 +43,16 @@
     max_state_delay: Ms,
 }
 
-/// All requests of other sites.
+/// All requests from other sites.
 #[derive(Debug)]
 pub(crate) struct RemoteRequests {
     rules: AdmissionRules,
     answer_write_timeout: Ms,
-    own_site: String,
+    local_site: String,
     last_number: Ticket,
     requests: BTreeMap<Ticket, ServedRequest>,
     by_stream: BTreeMap<StreamId, Ticket>,
-    /// Streams whose answers are being written, by when that has to be over, in milliseconds.
+    /// Streams whose answers are being written, with the deadline of each, in milliseconds.
     write_deadlines: BTreeSet<(u64, StreamId)>,
 }
 
@@ -65,7 +65,7 @@
 }
 
 impl AdmissionRules {
-    /// Whether the other side may know of a drain that is not known here yet.
+    /// Whether the sender may know a drain that is not known here yet.
     fn is_state_too_old(&self, now: Ms, connection: &SiteConnection) -> bool {
         let received_until = connection.session.heartbeat.all_received_until();
         self.max_state_delay > 0.0 && received_until.is_none_or(|at| now - at > self.max_state_delay)
@@ -73,7 +73,7 @@
 }
 
 impl RemoteRequests {
-    pub fn new(config: &GatewayConfig, own_site: &str) -> Self {
+    pub fn new(config: &GatewayConfig, local_site: &str) -> Self {
         let rules = AdmissionRules {
             max_requests: config.forwarding.max_remote_requests,
             max_hops: config.routing.max_hops,
@@ -82,7 +82,7 @@
         Self {
             rules,
             answer_write_timeout: config.forwarding.answer_write_timeout,
-            own_site: own_site.to_string(),
+            local_site: local_site.to_string(),
             last_number: 0,
             requests: BTreeMap::new(),
             by_stream: BTreeMap::new(),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Requests without a reply.
+    /// The number of requests without a reply.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
@@ -100,7 +100,7 @@
         self.write_deadlines.first().map(|(at, _)| *at as Ms)
     }
 
-    /// A request has come in; `is_draining` is whether this site takes none.
+    /// Handles a request from another site; `is_draining` means that this site accepts none.
     pub fn handle_request(
         &mut self,
         links: &mut Links,
@@ -140,14 +140,14 @@
     ) -> Option<RejectReason> {
         let peer = connection.peer.as_ref().and_then(|name| links.peers.get(name));
         let passed = &request.passed_sites;
-        // Routers of one site serve their own requests: none is forwarded between them.
+        // Routers of one site do not forward requests to each other.
         if peer.is_some_and(Peer::is_in_cluster) {
             Some(RejectReason::Unusable)
         } else if is_draining {
             Some(RejectReason::Draining)
         } else if self.rules.is_state_too_old(now, connection) {
             Some(RejectReason::StateTooOld)
-        } else if passed.contains(&self.own_site) || passed.len() >= self.rules.max_hops {
+        } else if passed.contains(&self.local_site) || passed.len() >= self.rules.max_hops {
             Some(RejectReason::HopLimit)
         } else if self.requests.len() >= self.rules.max_requests {
             Some(RejectReason::AtCapacity)
@@ -177,7 +177,7 @@
         }));
     }
 
-    /// The one reply to a request of another site. One that was rejected has never run.
+    /// Completes a request with its only reply. A rejected request must not have run.
     pub fn complete(&mut self, links: &mut Links, now: Ms, ticket: Ticket, reply: Reply) {
         let Some(request) = self.requests.remove(&ticket) else { return };
         if let Some(stream) = request.reply_to {
@@ -191,7 +191,7 @@
         if is_sent {
             return;
         }
-        // Its stream has ended: the outcome is reported on another connection, or the sender queries it.
+        // The stream has ended: the outcome is reported on another connection, or else the sender queries it.
         let Some(token) = request.token else { return };
         let Some(peer) = links.peers.get_mut(&request.peer) else { return };
         let Some(connection) = peer.connections.last().copied() else { return };
@@ -200,7 +200,7 @@
         links.request_write(connection);
     }
 
-    /// False if the stream has ended.
+    /// Sends a reply on its stream. Returns false if the stream has ended.
     fn send_reply(
         &mut self,
         links: &mut Links,
@@ -225,7 +225,7 @@
             Reply::Served { fields, body, version } => {
                 links.counts.remote_served += 1;
                 let body_length = body.len() as u64;
-                // The rest alone, where it is the rest of the same version.
+                // Only the rest of the body is sent if it belongs to the version that the sender has.
                 let resume_from = request.resume_from.as_ref().filter(|from| {
                     version.as_ref() == Some(&from.version)
                         && from.offset <= body_length
@@ -243,8 +243,8 @@
         true
     }
 
-    /// The other side does not wait any more. A request with a token runs on all the same, and its outcome is
-    /// remembered.
+    /// Handles a cancellation by the sender. A request with a token continues to run, and its outcome is
+    /// retained.
     pub fn handle_cancellation(&mut self, links: &mut Links, stream: StreamId) {
         let Some(ticket) = self.by_stream.remove(&stream) else { return };
         match self.requests.get_mut(&ticket) {
@@ -257,7 +257,7 @@
         }
     }
 
-    /// A connection is down with all its streams.
+    /// Handles the loss of a connection with all its streams.
     pub fn handle_lost_connection(&mut self, links: &mut Links, connection: ConnectionId) {
         let all = StreamId { connection, stream: 0 }..=StreamId { connection, stream: u32::MAX };
         let streams: Vec<StreamId> = self.by_stream.range(all).map(|(stream, _)| *stream).collect();
@@ -267,7 +267,7 @@
         self.write_deadlines.retain(|(_, stream)| stream.connection != connection);
     }
 
-    /// Drops answers that the other side has not read in time.
+    /// Drops answers that the sender of the request has not read in time.
     pub fn expire_writes(&mut self, links: &mut Links, now: Ms) {
         while let Some((at, stream)) = self.write_deadlines.first().copied() {
             if at as Ms > now {
@@ -289,7 +289,7 @@
     }
 }
 
-/// The token has been here before: its outcome is reported in place of an answer.
+/// Reports the outcome of a token that may not run, in place of a response.
 fn report_outcome(links: &mut Links, stream: StreamId, token: Token, outcome: AttemptOutcome) {
     links.counts.remote_rejected += 1;
     if let Some(session) = links.session_mut(stream.connection) {
@@ -307,6 +307,6 @@
         }
         Reply::Failed => CachedReply { served: false, fields: Vec::new(), body: Bytes::new() },
     };
-    // It holds nothing that postcard can't write.
+    // Postcard can encode every reply.
     peer.received_attempts.record_answer(now, token, postcard::to_stdvec(&cached).unwrap_or_default());
 }
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -1,8 +1,9 @@
-//! Which site serves a request: the own one while it can, another one only where it has capacity.
+//! The choice of the site that serves a request: the local one while it can, another one only within the
+//! share that it may receive.
 //!
-//! What may go to a site that was out of reach rises slowly, by a hash of the object that is the same at all gateways,
-//! so that they do not overload it together. A request is never sent back to where it came from, and retries keep to
-//! their budget.
+//! After an outage, the share of objects that a site receives is ramped up slowly. Objects are admitted by a
+//! hash that is the same at all gateways, so that together they do not overload the site. A request is never
+//! sent back to a site that it has passed, and retries have a budget.
 
 use std::collections::BTreeMap;
 
@@ -10,41 +11,42 @@
 use linnethook::hash_ring::{hash_pair, unit_fraction};
 use linnethook::interface::Ms;
 
-/// A site, by its place in the operator file; the own one is 0.
+/// A site, by its position in the operator file; 0 is the local site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SiteId(pub u16);
 
-/// How routes change.
+/// The settings of a routing table.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoutingConfig {
-    /// The share of the objects that a site gets when it is new.
+    /// The share of objects that a site receives at the start of its ramp.
     pub initial_share: f64,
-    /// How long from there until it may get all, in milliseconds.
+    /// The time in which a full ramp would rise from 0 to all objects, in milliseconds.
     pub ramp_duration: Ms,
-    /// The same for what runs at the origin: no cache is cold for it.
+    /// The same for writes, in milliseconds: they run at the origin, so that cold caches do not slow them
+    /// down.
     pub write_ramp_duration: Ms,
-    /// While a site is out of reach, its last share is halved in that time, in milliseconds: after a short outage it
-    /// continues from there.
+    /// The half-life of the last share of a site while it is unreachable, in milliseconds: after a short
+    /// outage the ramp continues from what is left.
     pub share_half_life: Ms,
-    /// The largest share while the link to the site flaps.
+    /// The largest share while the link to the site is flapping.
     pub flapping_share: f64,
-    /// The reported utilization above which a site gets only the initial share.
+    /// The reported utilization from which a site receives only the initial share.
     pub full_utilization: f64,
-    /// The reported utilization below which it gets its share again.
+    /// The reported utilization up to which this limit is lifted.
     pub reopen_utilization: f64,
-    /// The ratio of requests that failed or were late above which a site gets only the initial share.
+    /// The ratio of failed requests from which a site receives only the initial share.
     pub max_failure_ratio: f64,
-    /// The ratio below which it gets its share again.
+    /// The ratio of failed requests up to which this limit is lifted.
     pub reopen_failure_ratio: f64,
-    /// The weight of one request in that ratio.
+    /// The weight of one request in this ratio.
     pub sample_weight: f64,
-    /// How many requests must have been seen before the ratio counts.
+    /// The least number of recorded requests for the ratio to be considered.
     pub min_samples: f64,
-    /// Retries at a site that each first attempt there allows.
+    /// The number of retries at a site that each first attempt there earns.
     pub retries_per_request: f64,
-    /// How many of them may be saved.
+    /// The most retries that can be saved up.
     pub max_saved_retries: f64,
-    /// Sites that a request may pass, the first and the last included: 2 is one crossing.
+    /// The most sites that a request may visit, including the first and the last: 2 allows one forwarding.
     pub max_hops: usize,
 }
 
@@ -69,88 +71,89 @@
     }
 }
 
-/// What is known of a site.
+/// What is known about a site.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct SiteView {
-    /// A connection is up, and the site's state is recent; always so for the own site.
+    /// Whether a connection is up and the received state of the site is recent; always true for the local
+    /// site.
     pub reachable: bool,
-    /// It has a cache that can be used.
+    /// Whether it has a usable cache.
     pub has_caches: bool,
-    /// Its path to the origin is open.
+    /// Whether its path to the origin works.
     pub has_origin: bool,
-    /// The ratio of what it can carry that is in use.
+    /// Its utilization, from 0 to 1.
     pub utilization: f64,
-    /// Its operators, or those of this site, have drained it.
+    /// Whether its operators, or those of this site, have drained it.
     pub drained: bool,
-    /// The link to it went down so often of late that being up tells little.
+    /// Whether the link to it went down so often recently that it may go down again at any time.
     pub flapping: bool,
 }
 
-/// A request that needs a site.
+/// A request to be routed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteQuery {
     /// The hash of the object.
     pub object: u64,
-    /// It runs at the origin.
+    /// Whether it is a write, which runs at the origin.
     pub write: bool,
-    /// The site that its class is bound to; `None` for the own one.
+    /// The site that its class is bound to; `None` for the local site.
     pub home_site: Option<SiteId>,
     /// The sites that it has passed.
     pub passed_sites: Vec<SiteId>,
     /// The sites that have rejected it.
     pub tried_sites: Vec<SiteId>,
-    /// It was sent to another site before.
+    /// Whether it was sent to another site before.
     pub is_retry: bool,
-    /// The site that it was admitted to before: the share of a site is for new requests only.
+    /// The site that it was admitted to before: the admitted share limits only new requests.
     pub admitted_site: Option<SiteId>,
 }
 
-/// Where a request goes.
+/// The route of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Route {
-    /// The own site.
+    /// It is served by the local site.
     Local,
-    /// Another site.
+    /// It is forwarded to another site.
     Remote(SiteId),
-    /// No site: it is answered at once.
-    Refused(RouteRefusal),
+    /// No site serves it: it is rejected at once.
+    Rejected(RouteRejection),
 }
 
 /// Why no site serves a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RouteRefusal {
-    /// No site has what it needs.
+pub enum RouteRejection {
+    /// No site has what it requires.
     NoCapableSite,
-    /// A site has, but no capacity for it now.
+    /// A site has what it requires, but no capacity for it now.
     NoCapacity,
-    /// It has come back, or has passed as many sites as it may.
+    /// It has already passed this site, or the largest allowed number of sites.
     HopLimit,
-    /// The budget of retries is used up.
+    /// The retry budget is used up.
     RetryBudget,
 }
 
-/// A site as commands show it.
+/// The status of a site.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct SiteStatus {
-    /// What is known of it.
+    /// What is known about it.
     pub view: SiteView,
-    /// It gets only the initial share, for its utilization or its failures.
+    /// Whether it is limited to the initial share because of its utilization or failures.
     pub is_shut: bool,
-    /// The smoothed ratio of requests that failed or were late there.
+    /// The smoothed ratio of requests that failed there.
     pub failure_ratio: f64,
 }
 
-/// What is known of another site, and the share that it may get.
+/// What is known about another site, and the share that it may receive.
 #[derive(Debug, Clone)]
 struct SiteRoute {
     view: SiteView,
-    /// Since when it can be used without interruption.
+    /// The start of the current uninterrupted period in which it can be used.
     usable_since: Option<Ms>,
-    /// The share at `usable_since` or, while it can't be used, at `lost_at`.
+    /// The share at `usable_since` or, while the site can't be used, at `lost_at`.
     share: f64,
     lost_at: Ms,
     failure_ratio: Ewma,
-    /// Shut until its utilization and failures are well below their bounds.
+    /// Limited to the initial share until utilization and failures are well below their limits.
     is_shut: bool,
     saved_retries: f64,
 }
@@ -172,7 +175,7 @@
         (self.share + (now - since) / ramp_duration.max(1.0)).min(1.0)
     }
 
-    /// The ramp begins anew whenever the site was out of reach, from what is left of its share.
+    /// Starts a new ramp when the site becomes usable again, from what is left of its last share.
     fn update_ramp(&mut self, now: Ms, config: &RoutingConfig) {
         match (self.usable_since, self.view.reachable && !self.view.drained) {
             (None, true) => {
@@ -191,32 +194,32 @@
     }
 }
 
-/// The routes of one gateway.
+/// The routing table of a gateway.
 #[derive(Debug, Clone)]
 pub struct RoutingTable {
     config: RoutingConfig,
-    own_site: SiteId,
-    own_view: SiteView,
+    local_site: SiteId,
+    local_view: SiteView,
     sites: BTreeMap<SiteId, SiteRoute>,
 }
 
-/// Keeps the hash that admits objects to a site apart from the one that orders sites.
+/// Separates the hash that admits objects to a site from the one that orders sites.
 const SHARE_HASH_SALT: u64 = 0x7369_7465;
 
 impl RoutingTable {
-    /// Routes with no other site; the own one can serve all.
-    pub fn new(own_site: SiteId, config: RoutingConfig) -> Self {
-        let own_view =
+    /// Creates a table without other sites, in which the local site can serve every request.
+    pub fn new(local_site: SiteId, config: RoutingConfig) -> Self {
+        let local_view =
             SiteView { reachable: true, has_caches: true, has_origin: true, ..SiteView::default() };
-        Self { config, own_site, own_view, sites: BTreeMap::new() }
+        Self { config, local_site, local_view, sites: BTreeMap::new() }
     }
 
-    /// Sets what is known of the own site.
-    pub fn set_own_view(&mut self, view: SiteView) {
-        self.own_view = view;
+    /// Updates the view of the local site.
+    pub fn set_local_view(&mut self, view: SiteView) {
+        self.local_view = view;
     }
 
-    /// Sets what is known of another site.
+    /// Updates the view of another site.
     pub fn update_site(&mut self, now: Ms, site: SiteId, view: SiteView) {
         let config = self.config;
         let route =
@@ -232,7 +235,7 @@
         route.update_ramp(now, &config);
     }
 
-    /// Records how a request ended at another site.
+    /// Records the outcome of a request at another site.
     pub fn record_outcome(&mut self, site: SiteId, failed: bool) {
         let config = self.config;
         let Some(route) = self.sites.get_mut(&site) else { return };
@@ -243,12 +246,12 @@
         }
     }
 
-    /// The sites that can be reached now.
+    /// The sites that are reachable now.
     pub fn reachable_sites(&self) -> Vec<SiteId> {
         self.sites.iter().filter(|(_, route)| route.view.reachable).map(|(site, _)| *site).collect()
     }
 
-    /// Another site as commands show it; `None` before its first view.
+    /// The status of another site; `None` before its first update.
     pub fn site_status(&self, site: SiteId) -> Option<SiteStatus> {
         let route = self.sites.get(&site)?;
         Some(SiteStatus {
@@ -258,12 +261,13 @@
         })
     }
 
-    /// The share of the objects, by hash, that a site may get now: of reads, or of writes.
+    /// The share of objects, by hash, whose writes (if `write`) or reads are admitted at a site now, from 0
+    /// to 1.
     pub fn admitted_share(&self, now: Ms, site: SiteId, write: bool) -> f64 {
         let Some(route) = self.sites.get(&site) else { return 0.0 };
         let Some(since) = route.usable_since else { return 0.0 };
         if route.is_shut {
-            // A few requests show whether it has recovered.
+            // A few requests detect its recovery.
             return self.config.initial_share;
         }
         let ramp = if write { self.config.write_ramp_duration } else { self.config.ramp_duration };
@@ -271,8 +275,8 @@
         route.ramped_share(now, since, ramp).min(max_share)
     }
 
-    /// Whether a site has what a request needs. What caches have can be served without a path to the origin; a write
-    /// can't.
+    /// Whether a site has what a request requires. Cached objects can be served without a path to the origin;
+    /// a write can't.
     fn can_serve(view: &SiteView, query: &RouteQuery) -> bool {
         if query.write {
             view.has_origin
@@ -295,56 +299,58 @@
         query.admitted_site == Some(site) || hash < self.admitted_share(now, site, query.write)
     }
 
-    /// The route of a request. A first attempt at another site saves retries there, and a retry uses one.
+    /// Chooses the route of a request. A first attempt at another site adds to the retry budget of that site;
+    /// a retry uses one retry.
     pub fn route(&mut self, now: Ms, query: &RouteQuery) -> Route {
-        let is_bound_to_own_site = query.home_site.is_none_or(|home| home == self.own_site);
-        let may_serve = !self.own_view.drained
-            && !query.tried_sites.contains(&self.own_site)
-            && Self::can_serve(&self.own_view, query);
-        if is_bound_to_own_site && may_serve {
+        let is_bound_to_local_site = query.home_site.is_none_or(|home| home == self.local_site);
+        let may_serve = !self.local_view.drained
+            && !query.tried_sites.contains(&self.local_site)
+            && Self::can_serve(&self.local_view, query);
+        if is_bound_to_local_site && may_serve {
             return Route::Local;
         }
-        if query.passed_sites.contains(&self.own_site) {
-            return Route::Refused(RouteRefusal::HopLimit);
+        if query.passed_sites.contains(&self.local_site) {
+            return Route::Rejected(RouteRejection::HopLimit);
         }
         match self.choose_remote_site(now, query) {
             Ok(site) => Route::Remote(site),
             Err(_) if may_serve => Route::Local,
-            Err(refusal) => Route::Refused(refusal),
+            Err(rejection) => Route::Rejected(rejection),
         }
     }
 
-    /// The site that a request is bound to before all others, and else one order at all gateways.
-    fn choose_remote_site(&mut self, now: Ms, query: &RouteQuery) -> Result<SiteId, RouteRefusal> {
-        // The own site counts as one that is passed.
+    /// Chooses among the other sites: first the one that the request is bound to, then by an order that is
+    /// the same at all gateways.
+    fn choose_remote_site(&mut self, now: Ms, query: &RouteQuery) -> Result<SiteId, RouteRejection> {
+        // The local site counts as one that the request has passed.
         if query.passed_sites.len() + 1 >= self.config.max_hops {
-            return Err(RouteRefusal::HopLimit);
+            return Err(RouteRejection::HopLimit);
         }
         let candidates = self.sites.keys().copied().filter(|site| self.is_candidate(*site, query));
         let candidates: Vec<SiteId> = candidates.collect();
         if candidates.is_empty() {
-            return Err(RouteRefusal::NoCapableSite);
+            return Err(RouteRejection::NoCapableSite);
         }
         let order = |site: &SiteId| match query.home_site == Some(*site) {
             true => 0,
             false => hash_pair(query.object, u64::from(site.0)) | 1,
         };
         let admitted = candidates.into_iter().filter(|site| self.is_admitted(now, *site, query));
-        let site = admitted.min_by_key(|site| (order(site), *site)).ok_or(RouteRefusal::NoCapacity)?;
+        let site = admitted.min_by_key(|site| (order(site), *site)).ok_or(RouteRejection::NoCapacity)?;
         self.use_retry_budget(site, query.is_retry)?;
         Ok(site)
     }
 
-    fn use_retry_budget(&mut self, site: SiteId, is_retry: bool) -> Result<(), RouteRefusal> {
+    fn use_retry_budget(&mut self, site: SiteId, is_retry: bool) -> Result<(), RouteRejection> {
         let config = self.config;
-        let Some(route) = self.sites.get_mut(&site) else { return Err(RouteRefusal::NoCapacity) };
+        let Some(route) = self.sites.get_mut(&site) else { return Err(RouteRejection::NoCapacity) };
         if !is_retry {
             route.saved_retries =
                 (route.saved_retries + config.retries_per_request).min(config.max_saved_retries);
             return Ok(());
         }
         if route.saved_retries < 1.0 {
-            return Err(RouteRefusal::RetryBudget);
+            return Err(RouteRejection::RetryBudget);
         }
         route.saved_retries -= 1.0;
         Ok(())
--- a/crates/gateway/src/session/close_reason.rs
+++ b/crates/gateway/src/session/close_reason.rs
@@ -3,69 +3,69 @@
 use crate::codec::{MalformedFrame, VersionRange};
 use crate::flow_control::FlowControlError;
 
-/// Why a connection is closed. What the other side may not do closes that connection alone.
+/// Why a connection is closed. A violation of the protocol closes only the connection on which it occurs.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum CloseReason {
-    /// A frame can't be read.
+    /// A frame can't be decoded.
     #[error(transparent)]
     MalformedFrame(#[from] MalformedFrame),
-    /// More was sent, granted or opened than may be.
+    /// The peer violated the flow control.
     #[error(transparent)]
     FlowControl(#[from] FlowControlError),
-    /// The first message has to be a hello.
-    #[error("a word before its hello")]
+    /// The first message was not a hello.
+    #[error("received a message before the hello")]
     NoHello,
-    /// There is one hello on a connection.
-    #[error("a second hello")]
+    /// A second hello was received on the connection.
+    #[error("received a second hello")]
     DuplicateHello,
-    /// The hello took longer than `hello_timeout`.
-    #[error("no hello in time")]
+    /// No hello was received within `hello_timeout`.
+    #[error("received no hello in time")]
     HelloTimeout,
-    /// There is no version that both sides speak.
+    /// The two sides support no common protocol version.
     #[error(
-        "it speaks versions {} to {}, expected {} to {}",
+        "peer supports protocol versions {} to {}, expected {} to {}",
         .offered.min, .offered.max, .supported.min, .supported.max
     )]
     UnsupportedVersions {
-        /// What the other side speaks.
+        /// The versions that the peer supports.
         offered: VersionRange,
-        /// What this build speaks.
+        /// The versions that this build supports.
         supported: VersionRange,
     },
-    /// A response has no request, or is not what was requested.
-    #[error("an answer to a stream that was never opened, or that has one")]
+    /// A response does not belong to an open request, or is not what was requested.
+    #[error("received a response that matches no open request")]
     UnexpectedResponse,
-    /// More than `max_output_bytes` wait to be written.
-    #[error("it takes nothing of what waits for it")]
+    /// More than `max_output_bytes` are queued for writing.
+    #[error("peer does not read the queued output")]
     OutputBacklog,
-    /// The other side is this very process, or of this site where that has no cluster.
-    #[error("it says that it is this site")]
+    /// The peer is this process itself, or claims to be of the local site although that has no cluster.
+    #[error("peer identifies itself as this site")]
     OwnIdentity,
-    /// The operator file does not name the other side's site.
-    #[error("it is of a site that is not known here")]
+    /// The site of the peer is not in the operator file.
+    #[error("site of the peer is not in the operator file")]
     UnknownSite,
-    /// An earlier start of the other side than one that is known, or one in the future.
-    #[error("an earlier start of its, or another than it had")]
+    /// The start time in the hello is earlier than a known one of the peer, or in the future.
+    #[error("start time of the peer is earlier than a known one or in the future")]
     InvalidEpoch,
-    /// The other side has published more than `max_facts` allows.
-    #[error("it says more of its site than is kept")]
+    /// The peer has published more facts than `max_facts` allows.
+    #[error("peer published more facts than are retained for a site")]
     TooManyFacts,
-    /// More gateways, or accepted connections, than may be.
-    #[error("more gateways than may be")]
+    /// The limit of known gateways or of accepted connections is reached.
+    #[error("limit of gateways or accepted connections reached")]
     TooManyGateways,
-    /// The failure detector suspects that the other side is gone.
-    #[error("nothing comes in any more")]
+    /// The failure detector suspects that the peer has failed.
+    #[error("nothing received for too long")]
     Silent,
-    /// Something comes in, but pings are not answered.
-    #[error("nothing that is sent is answered")]
+    /// Data is received, but pings are not answered.
+    #[error("pings are not answered")]
     HalfOpen,
-    /// The other side has closed the connection, or the network has.
-    #[error("closed by the other side, or broken")]
+    /// The peer closed the connection, or the network failed.
+    #[error("closed by the peer or lost")]
     Closed,
-    /// This gateway has no use for it any more.
-    #[error("this gateway ends")]
+    /// This gateway no longer needs the connection.
+    #[error("no longer needed by this gateway")]
     Stopped,
-    /// A newer connection, or a newer start of the other side, replaces it.
-    #[error("a newer connection has taken its place")]
+    /// A newer connection, or a newer start of the peer, replaces it.
+    #[error("replaced by a newer connection")]
     Replaced,
 }
--- a/crates/gateway/src/session/incoming.rs
+++ b/crates/gateway/src/session/incoming.rs
@@ -1,4 +1,5 @@
-//! What a session reads: frames, and what the other side may send when.
+//! The receiving side of a session: decodes frames and checks that the peer may send each message in the
+//! current state.
 
 use linnethook::interface::Ms;
 
@@ -8,11 +9,11 @@
 use crate::flow_control::FlowControlError;
 
 impl Session {
-    /// Reads bytes that have arrived; what they mean is appended to `events`, also where an error follows.
+    /// Processes received bytes. The resulting events are appended to `events`, also those before an error.
     ///
     /// # Errors
     ///
-    /// The other side has sent what it may not: the connection has to be closed.
+    /// The peer violated the protocol or does not read its output: the connection has to be closed.
     pub fn receive(
         &mut self,
         now: Ms,
@@ -68,7 +69,7 @@
             Message::StateRequest(position) => SessionEvent::StateRequest(position),
             Message::DirectFacts(facts) => SessionEvent::DirectFacts(facts),
             Message::GoAway => {
-                self.is_leaving = true;
+                self.received_go_away = true;
                 SessionEvent::GoAway
             }
         };
@@ -87,7 +88,7 @@
         Ok(SessionEvent::Hello(hello))
     }
 
-    /// A message on a stream that this side has opened; nothing where it was cancelled here.
+    /// Handles a message on a stream that this side opened. Returns `None` if the stream was cancelled here.
     fn handle_response(
         &mut self,
         stream: u32,
@@ -100,7 +101,7 @@
             self.send_credit(grants);
         }
         let Some(request) = self.request_of(stream)? else { return Ok(None) };
-        // Data and the end follow a head; a head and a rejection are the first message.
+        // Data and the end follow a head; a head or a rejection is the first message.
         let follows_head = matches!(message, Message::Data(_) | Message::End);
         if request.response_begun != follows_head {
             return Err(CloseReason::UnexpectedResponse);
@@ -115,7 +116,7 @@
                 SessionEvent::ResponseHead(ticket, head)
             }
             Message::Data(bytes) => {
-                // The request that it is buffered with has its own bound: it is granted again at once.
+                // Credit is granted again at once: the request that buffers the bytes has its own limit.
                 let grants = self.receive_window.consume(stream, bytes.len() as u64);
                 self.send_credit(grants);
                 SessionEvent::Data(ticket, bytes)
@@ -137,14 +138,15 @@
             self.scheduler.cancel_stream(stream);
             return Ok(Some(SessionEvent::Cancelled(stream)));
         }
-        // The response may be complete by now, which the other side did not know.
+        // The response may have been completed before the cancellation arrived.
         if stream == 0 || stream > self.last_remote_stream {
             return Err(FlowControlError::UnknownStream.into());
         }
         Ok(None)
     }
 
-    /// A stream that the other side opens. False if there are too many: then the request is rejected.
+    /// Accepts a stream that the peer opens. Returns false if the limit is reached; the request is then
+    /// rejected.
     fn admit_stream(&mut self, stream: u32) -> Result<bool, CloseReason> {
         if stream == 0 || stream <= self.last_remote_stream {
             return Err(FlowControlError::StreamReused.into());
@@ -158,7 +160,8 @@
         Ok(true)
     }
 
-    /// The request that a response is for; `None` if it was cancelled here, and the response has crossed that.
+    /// The request that a response belongs to; `None` if it was cancelled here while the response was in
+    /// transit.
     fn request_of(&mut self, stream: u32) -> Result<Option<&mut OutgoingRequest>, CloseReason> {
         if stream == 0 || stream > self.last_stream {
             return Err(CloseReason::UnexpectedResponse);
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -1,10 +1,10 @@
-//! One connection of a link: its frames, flow control and heartbeat, and the streams that are open on it.
+//! The protocol of one connection of a link: frames, flow control, heartbeat and open streams.
 //!
-//! A session keeps its bounds however the other side behaves, and reports what has to close the connection. What a
-//! message means for a request is not its business.
+//! A session stays within its limits regardless of how the peer behaves, and reports violations for which the
+//! connection has to be closed. It does not interpret what a message means for a request.
 //!
-//! - this file: settings, events, and what a session sends;
-//! - `incoming`: what it reads;
+//! - this file: settings, events, and the sending side;
+//! - `incoming`: the receiving side;
 //! - [`CloseReason`]: why a connection is closed.
 
 mod close_reason;
@@ -28,19 +28,19 @@
 /// Limits of a session.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SessionConfig {
-    /// Windows and turns of streams.
+    /// Flow control and scheduling of streams.
     pub flow_control: FlowControlConfig,
-    /// Pings, and when the other side counts as silent.
+    /// Pings and failure detection.
     pub heartbeat: HeartbeatConfig,
-    /// The longest frame, without its length.
+    /// The longest frame, without its length field.
     pub max_frame_bytes: usize,
-    /// While more bytes of messages wait to be written, no new request is sent.
-    pub crowded_output_bytes: usize,
-    /// If more bytes of messages wait to be written, the connection is closed.
+    /// High-water mark of the queued messages: no new request is sent from this many bytes on.
+    pub high_water_output_bytes: usize,
+    /// The most bytes of queued messages; beyond this the connection is closed.
     pub max_output_bytes: usize,
-    /// How long the other side may take to introduce itself, in milliseconds.
+    /// The longest time until the hello of the peer is received, in milliseconds.
     pub hello_timeout: Ms,
-    /// Cancelled streams that are remembered, since their responses may be on the way.
+    /// The most cancelled streams that are retained, since responses on them may still be in transit.
     pub max_cancelled_streams: usize,
 }
 
@@ -50,7 +50,7 @@
             flow_control: FlowControlConfig::default(),
             heartbeat: HeartbeatConfig::default(),
             max_frame_bytes: 1 << 20,
-            crowded_output_bytes: 256 << 10,
+            high_water_output_bytes: 256 << 10,
             max_output_bytes: 2 << 20,
             hello_timeout: 2_000.0,
             max_cancelled_streams: 4_096,
@@ -58,110 +58,111 @@
     }
 }
 
-/// What the other side has sent, in its order.
+/// An event of a session. Events have the order in which the peer sent the messages.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionEvent {
-    /// It has introduced itself.
+    /// The hello of the peer.
     Hello(Hello),
-    /// A request on that stream, which is owed a response or a rejection.
+    /// A request on a stream, which requires a response or a rejection.
     Request(u32, Box<ForwardedRequest>),
     /// The response to a request begins.
     ResponseHead(Ticket, Box<ResponseHead>),
-    /// Bytes of the body of a response.
+    /// Bytes of a response body.
     Data(Ticket, Bytes),
     /// The response is complete.
     ResponseEnd(Ticket),
-    /// A request was rejected, and never ran there.
+    /// A request was rejected without having run.
     Rejected {
         /// The request.
         ticket: Ticket,
-        /// Why.
+        /// Why it was rejected.
         reason: RejectReason,
-        /// When it may be sent there again, in milliseconds; 0 if that is not known.
+        /// The time until it may be sent again, in milliseconds; 0 if unknown.
         retry_after: Ms,
     },
-    /// The other side does not wait for the response on that stream any more.
+    /// The peer no longer needs the response on this stream.
     Cancelled(u32),
-    /// The other side asks what became of an attempt.
+    /// The peer queries the outcome of an attempt.
     OutcomeQuery(Token),
-    /// The other side reports what became of an attempt.
+    /// The peer reports the outcome of an attempt.
     OutcomeReport(Token, AttemptOutcome),
-    /// The state of the other side has changed.
+    /// The published state of the peer has changed.
     StateUpdate(StateUpdate),
-    /// The other side knows the state of this one up to there, and lacks the rest.
+    /// The peer requests the state of this side after a position.
     StateRequest(StatePosition),
-    /// The other side wants no new requests.
+    /// The peer accepts no new requests.
     GoAway,
-    /// Facts outside of the order of updates.
+    /// Facts outside the versioned updates.
     DirectFacts(Vec<Fact>),
 }
 
-/// A stream that this side has opened.
+/// A stream that this side opened.
 #[derive(Debug, Clone, Copy)]
 struct OutgoingRequest {
     ticket: Ticket,
     response_begun: bool,
 }
 
-/// A stream that the other side has opened.
+/// A stream that the peer opened.
 #[derive(Debug, Clone, Default)]
 struct IncomingRequest {
-    /// What is still to be sent of the body of the response.
+    /// The unsent rest of the response body.
     body: Bytes,
 }
 
-/// A request with a token, by the place of its last byte in the output.
+/// The end of a request with a token in the output of the connection.
 #[derive(Debug, Clone, Copy)]
 struct RequestEnd {
+    /// Bytes of output up to and including the last byte of the request.
     position: u64,
     token: Token,
 }
 
-/// The number of streams that are open.
+/// The numbers of open streams.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenStreams {
     /// Opened by this side.
     pub outgoing: usize,
-    /// Opened by the other side.
+    /// Opened by the peer.
     pub incoming: usize,
 }
 
-/// One connection.
+/// The state of one connection.
 #[derive(Debug)]
 pub struct Session {
     config: SessionConfig,
     opened_at: Ms,
     has_hello: bool,
     decoder: FrameDecoder,
-    /// Messages that wait to be written.
+    /// Messages that are queued for writing.
     output: BytesMut,
     scheduler: SendScheduler,
     receive_window: ReceiveWindow,
-    /// Whether the other side is still there.
+    /// The failure detector.
     pub heartbeat: Heartbeat,
     next_ping: Ms,
     last_stream: u32,
-    /// The last stream of the other side, which numbers them upwards.
+    /// The last stream that the peer opened; it numbers them in ascending order.
     last_remote_stream: u32,
     outgoing: BTreeMap<u32, OutgoingRequest>,
     tickets: BTreeMap<Ticket, u32>,
     incoming: BTreeMap<u32, IncomingRequest>,
-    /// Bytes of output that were taken.
+    /// The number of bytes of output that were taken.
     handed_over_bytes: u64,
-    /// Bytes of these that the system has accepted.
+    /// The number of these bytes that the operating system has accepted.
     written_bytes: u64,
     request_ends: VecDeque<RequestEnd>,
     cancelled_streams: BTreeSet<u32>,
-    /// The version of the own state that the other side was sent.
+    /// The version of the published state that was sent to the peer.
     pub sent_version: u64,
-    /// The other side sends no new requests here, or wants none.
-    pub is_leaving: bool,
-    /// Bytes of bodies that were received.
+    /// The peer has announced that it accepts no new requests.
+    pub received_go_away: bool,
+    /// The number of received bytes of response bodies.
     pub received_body_bytes: u64,
 }
 
 impl Session {
-    /// A connection that has just been opened.
+    /// Creates the session of a connection that has just been opened.
     pub fn new(now: Ms, config: SessionConfig) -> Self {
         Self {
             config,
@@ -183,27 +184,27 @@
             request_ends: VecDeque::new(),
             cancelled_streams: BTreeSet::new(),
             sent_version: 0,
-            is_leaving: false,
+            received_go_away: false,
             received_body_bytes: 0,
         }
     }
 
-    /// Queues a message on no stream.
+    /// Queues a message that belongs to no stream.
     pub fn send(&mut self, message: &Message) {
         write_message(&mut self.output, 0, message);
     }
 
-    /// Whether the other side has introduced itself.
+    /// Whether the hello of the peer was received.
     pub fn has_hello(&self) -> bool {
         self.has_hello
     }
 
-    /// The number of streams that are open.
+    /// The numbers of open streams.
     pub fn open_streams(&self) -> OpenStreams {
         OpenStreams { outgoing: self.outgoing.len(), incoming: self.incoming.len() }
     }
 
-    /// Bytes that wait to be written, those of bodies included.
+    /// The number of bytes that are queued for writing, including bodies.
     pub fn queued_bytes(&self) -> u64 {
         self.output.len() as u64 + self.scheduler.queued_bytes()
     }
@@ -211,15 +212,15 @@
     /// Whether a new request may be sent.
     pub fn may_open_stream(&self) -> bool {
         self.has_hello
-            && !self.is_leaving
-            && self.output.len() < self.config.crowded_output_bytes
+            && !self.received_go_away
+            && self.output.len() < self.config.high_water_output_bytes
             && self.outgoing.len() < self.config.flow_control.max_streams
             && self.last_stream < u32::MAX
     }
 
     // ---- Requests of this side.
 
-    /// Sends a request; events of its response bear the ticket.
+    /// Sends a request. Events of its response carry the ticket.
     pub fn send_request(&mut self, ticket: Ticket, request: ForwardedRequest) {
         self.last_stream += 1;
         let (stream, token) = (self.last_stream, request.token);
@@ -241,7 +242,7 @@
         self.send_credit(grants);
     }
 
-    /// Cancels a request: nobody waits for its response any more.
+    /// Cancels a request whose response is no longer needed.
     pub fn cancel_request(&mut self, ticket: Ticket) {
         let Some(stream) = self.tickets.get(&ticket).copied() else { return };
         self.finish_stream(stream);
@@ -260,7 +261,7 @@
 
     // ---- Responses of this side.
 
-    /// Sends the response to a request of the other side; false if its stream has ended.
+    /// Sends the response to a request of the peer. Returns false if its stream has ended.
     pub fn send_response(
         &mut self,
         stream: u32,
@@ -277,7 +278,7 @@
         true
     }
 
-    /// Rejects a request of the other side; `retry_after` is in milliseconds, 0 if that is not known.
+    /// Rejects a request of the peer. `retry_after` is in milliseconds; 0 if unknown.
     pub fn reject_stream(&mut self, stream: u32, reason: RejectReason, retry_after: Ms) {
         if self.incoming.remove(&stream).is_some() {
             self.send_rejection(stream, reason, retry_after.clamp(0.0, f64::from(u32::MAX)) as u32);
@@ -288,7 +289,7 @@
         write_message(&mut self.output, stream, &Message::Reject { reason, retry_after_ms });
     }
 
-    /// Drops a request of the other side, and what is still to be sent of its response.
+    /// Drops a request of the peer and the unsent rest of its response.
     pub fn drop_stream(&mut self, stream: u32) {
         self.incoming.remove(&stream);
         self.scheduler.cancel_stream(stream);
@@ -296,7 +297,7 @@
 
     // ---- Output.
 
-    /// Appends what is to be written next, about `max_bytes`; it counts as taken.
+    /// Moves the output to be written next to `into`, about `max_bytes` of it.
     pub fn take_output(&mut self, max_bytes: usize, into: &mut BytesMut) {
         let start = into.len();
         if !self.output.is_empty() {
@@ -304,8 +305,8 @@
             self.output.clear();
         }
         while into.len() - start < max_bytes {
-            let room = max_bytes - (into.len() - start);
-            let Some(turn) = self.scheduler.next_turn(room as u64) else { break };
+            let remaining = max_bytes - (into.len() - start);
+            let Some(turn) = self.scheduler.next_turn(remaining as u64) else { break };
             let Some(request) = self.incoming.get_mut(&turn.stream) else { continue };
             if turn.bytes > 0 {
                 let bytes = request.body.split_to((turn.bytes as usize).min(request.body.len()));
@@ -319,7 +320,8 @@
         self.handed_over_bytes += (into.len() - start) as u64;
     }
 
-    /// The system has accepted so many bytes of what was taken: the tokens of the requests that are written with them.
+    /// Records that the operating system has accepted this many further bytes of the taken output. Returns
+    /// the tokens of the requests that are now written completely.
     pub fn mark_written(&mut self, bytes: usize) -> Vec<Token> {
         self.written_bytes += bytes as u64;
         let mut written = Vec::new();
@@ -330,18 +332,18 @@
         written
     }
 
-    /// Whether something could be written.
+    /// Whether there is output that can be written now.
     pub fn has_output(&self) -> bool {
         !self.output.is_empty() || self.scheduler.has_ready_stream()
     }
 
     // ---- Time.
 
-    /// Sends a ping if one is due.
+    /// Checks the liveness of the peer and sends a ping if one is due.
     ///
     /// # Errors
     ///
-    /// The other side is not there any more, or has not introduced itself in time.
+    /// The peer counts as failed, or its hello was not received in time.
     pub fn on_timer(&mut self, now: Ms) -> Result<(), CloseReason> {
         if !self.has_hello {
             let is_late = now - self.opened_at >= self.config.hello_timeout;
