--- a/crates/gateway/src/site_names.rs
+++ b/crates/gateway/src/site_names.rs
@@ -1,27 +1,27 @@
-//! The sites that the operator file names, and their numbers.
+//! The sites in the operator file and their ids.
 
 use crate::routing::SiteId;
 
-/// The names of all sites, the own one first.
+/// The names of all sites, the local one first.
 #[derive(Debug, Clone)]
 pub(crate) struct SiteNames {
     names: Vec<String>,
 }
 
-/// The number of the own site.
-pub(crate) const OWN_SITE: SiteId = SiteId(0);
+/// The id of the local site.
+pub(crate) const LOCAL_SITE: SiteId = SiteId(0);
 
-/// Stands for a site that the operator file does not name.
+/// Represents a site that is not in the operator file.
 const UNNAMED_SITE: SiteId = SiteId(u16::MAX);
 
 impl SiteNames {
-    pub fn new(own: String, others: Vec<String>) -> Self {
-        let mut names = vec![own];
+    pub fn new(local: String, others: Vec<String>) -> Self {
+        let mut names = vec![local];
         names.extend(others);
         Self { names }
     }
 
-    pub fn own(&self) -> &str {
+    pub fn local(&self) -> &str {
         &self.names[0]
     }
 
@@ -33,12 +33,13 @@
         self.names.iter().position(|known| known == name).map(|n| SiteId(n as u16))
     }
 
-    /// The numbers of sites; one that has none still counts as passed.
+    /// The ids of sites that a request has passed. An unknown site also gets an entry, since it counts as
+    /// passed.
     pub fn ids(&self, names: &[String]) -> Vec<SiteId> {
         names.iter().map(|name| self.id(name).unwrap_or(UNNAMED_SITE)).collect()
     }
 
-    /// All sites but the own one.
+    /// All sites except the local one.
     pub fn others(&self) -> impl Iterator<Item = SiteId> {
         (1..self.names.len() as u16).map(SiteId)
     }
--- a/crates/gateway/src/site_state.rs
+++ b/crates/gateway/src/site_state.rs
@@ -1,51 +1,54 @@
-//! What sites publish of themselves: readiness of caches, drains, purges and load, by version.
+//! The state that sites publish about themselves, with versions: readiness of caches, drains, purges and
+//! load.
 //!
-//! An update is all there is, or what has changed since a version that the other side names, so that a lost connection
-//! costs only what was missed. An older update never replaces a newer one, and a purge is never taken back.
+//! An update holds either the complete state or the changes since a version that the receiver names, so that
+//! after a lost connection only the missed changes are sent. An older update never replaces a newer one, and
+//! a purge is never reverted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethook::interface::Ms;
 use serde::{Deserialize, Serialize};
 
-/// What is the case.
+/// The value of a fact.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum FactValue {
-    /// Whether a cache takes new work. Only one that does not is published, or one that does so again.
+    /// Whether a cache accepts new work. Published when a cache stops accepting it, and when it accepts it
+    /// again.
     Cache {
-        /// Whether it does.
+        /// Whether it accepts new work.
         ready: bool,
     },
-    /// A cache has left for good.
+    /// A cache was removed permanently.
     CacheRemoved,
-    /// Copies of an object or group from before are out of date.
+    /// Copies of an object or group from before the purge are out of date.
     Purged {
         /// The time of the purge, in Unix milliseconds.
         stamp: Ms,
     },
     /// The load of a site.
     Load {
-        /// The ratio of what the site can carry that is in use.
+        /// The utilization of the site, from 0 to 1.
         utilization: f64,
-        /// How many of its caches take new work.
+        /// The number of its caches that accept new work.
         caches: u32,
-        /// Whether its path to the origin is open.
+        /// Whether its path to the origin works.
         origin_reachable: bool,
     },
     /// Whether the operators have drained the site.
     Drained(bool),
-    /// An entry of the gossip between routers of one site, as they encode it.
+    /// A gossip entry between routers of one site, in their encoding.
     PeerEntry(Vec<u8>),
 }
 
 impl FactValue {
-    /// Whether it need not be known for ever.
+    /// Whether the fact may be dropped once it is old enough.
     fn may_expire(&self) -> bool {
         matches!(self, Self::Purged { .. } | Self::CacheRemoved | Self::Cache { ready: true })
     }
 }
 
-/// What a fact is about. A later fact with the same key replaces an earlier one.
+/// The subject of a fact. A later fact with the same key replaces an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FactKey {
     /// A cache, by its name.
@@ -56,31 +59,31 @@
     Group(u32),
     /// The site itself: its load.
     Site,
-    /// What the operators want of the site.
+    /// The state that the operators requested for the site.
     Operators,
-    /// An entry of the gossip between routers of one site, by its encoded key.
+    /// A gossip entry between routers of one site, by its encoded key.
     PeerEntry(Vec<u8>),
 }
 
-/// Something that a site publishes. On the wire it is the key followed by the value.
+/// A key and its value, as published by a site. The wire format is the key followed by the value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fact {
-    /// What it is about.
+    /// The subject.
     pub key: FactKey,
-    /// What is the case.
+    /// The value.
     pub value: FactValue,
 }
 
-/// What the enums, lengths and versions of a fact take on the wire at the most, about, in bytes.
+/// An approximate upper bound on the encoded size of a fact without its strings.
 const FACT_OVERHEAD_BYTES: usize = 24;
 
 impl Fact {
-    /// What is the case with something.
+    /// Creates a fact.
     pub fn new(key: FactKey, value: FactValue) -> Self {
         Self { key, value }
     }
 
-    /// About how many bytes it takes on the wire.
+    /// The approximate size on the wire.
     fn estimated_bytes(&self) -> usize {
         let key = match &self.key {
             FactKey::Cache(name) | FactKey::Object(name) => name.len(),
@@ -92,23 +95,23 @@
     }
 }
 
-/// A point in the history of what a process has published.
+/// A position in the history of the facts that a process publishes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct StatePosition {
-    /// When the process started, in Unix microseconds: versions count within it.
+    /// The start time of the process, in Unix microseconds. Versions are counted per process.
     pub epoch: u64,
-    /// The version up to which all is known.
+    /// The version up to which all facts are known.
     pub version: u64,
 }
 
-/// What has changed of the state of a site.
+/// A change of the state of a site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct StateUpdate {
-    /// When the process that publishes it started, in Unix microseconds.
+    /// The start time of the publishing process, in Unix microseconds.
     pub epoch: u64,
-    /// The version that this is on top of; 0 if it is all there is.
+    /// The version that the update is based on; 0 if it holds the complete state.
     pub since: u64,
-    /// The version that is known with it.
+    /// The version that is reached with the update.
     pub version: u64,
     /// The facts, the oldest first.
     pub facts: Vec<Fact>,
@@ -121,25 +124,26 @@
     value: FactValue,
 }
 
-/// A fact with the version in which it was published.
+/// A fact with the version at which it was published.
 struct VersionedFact {
     version: u64,
     fact: Fact,
 }
 
-/// What this process publishes.
+/// The facts that this process publishes.
 #[derive(Debug, Clone)]
 pub struct PublishedState {
     epoch: u64,
     version: u64,
     facts: BTreeMap<FactKey, PublishedFact>,
-    /// Facts of earlier versions were forgotten: whoever is behind that gets all there is.
+    /// Facts up to this version may have been dropped: a receiver that is behind it gets the complete state.
     complete_since: u64,
     max_facts: usize,
 }
 
 impl PublishedState {
-    /// `epoch` is the start of this process; facts that may expire are evicted beyond `max_facts`.
+    /// Creates an empty state. `epoch` is the start time of this process, in Unix microseconds; facts that
+    /// may expire are evicted beyond `max_facts`.
     pub fn new(epoch: u64, max_facts: usize) -> Self {
         Self { epoch, version: 0, facts: BTreeMap::new(), complete_since: 0, max_facts }
     }
@@ -149,7 +153,7 @@
         self.version
     }
 
-    /// Publishes a fact; false if it is known already.
+    /// Publishes a fact. Returns false if it is already published.
     pub fn publish(&mut self, now: Ms, key: FactKey, value: FactValue) -> bool {
         let is_known = |known: &FactValue| match (known, &value) {
             (FactValue::Purged { stamp: known }, FactValue::Purged { stamp }) => stamp <= known,
@@ -166,8 +170,8 @@
         true
     }
 
-    /// Forgets what was published before that time and need not be known for ever: purges, and caches that are ready
-    /// again or have left.
+    /// Drops the facts that may expire and were published before that time: purges, removed caches and caches
+    /// that are ready again.
     pub fn expire(&mut self, before: Ms) {
         let count = self.facts.len();
         let mut newest_expired = self.complete_since;
@@ -183,7 +187,7 @@
         }
     }
 
-    /// Evicts the oldest fact that need not be known for ever; drains and readiness stay.
+    /// Evicts the oldest fact that may expire. Drains and caches that are not ready are retained.
     fn evict_oldest(&mut self) {
         let candidates = self.facts.iter().filter(|(_, fact)| fact.value.may_expire());
         let oldest = candidates.min_by_key(|(_, fact)| fact.version);
@@ -193,13 +197,13 @@
         }
     }
 
-    /// Removes a fact. Whoever knows of it is not told.
+    /// Removes a fact without notifying receivers that already have it.
     pub fn remove(&mut self, key: &FactKey) {
         self.facts.remove(key);
     }
 
-    /// The version that an update for `position` is on top of: 0, so that it holds all there is, where that position is
-    /// of another start or behind what was forgotten.
+    /// The version that an update for `position` is based on. It is 0, for the complete state, if the
+    /// position belongs to another start of the process or precedes dropped facts.
     fn base_version(&self, position: StatePosition) -> u64 {
         let is_known = position.epoch == self.epoch
             && position.version <= self.version
@@ -211,7 +215,7 @@
         }
     }
 
-    /// The facts after a version, in their order.
+    /// The facts published after a version, in ascending order of versions.
     fn facts_since(&self, version: u64) -> Vec<VersionedFact> {
         let newer = self.facts.iter().filter(|(_, fact)| fact.version > version);
         let mut facts: Vec<VersionedFact> = newer
@@ -224,14 +228,15 @@
         facts
     }
 
-    /// What has changed since a position of the other side; all there is if that is not known any more.
+    /// The changes since a position of the receiver, or the complete state if these are no longer available.
     pub fn changes_since(&self, position: StatePosition) -> StateUpdate {
         let since = self.base_version(position);
         let facts = self.facts_since(since).into_iter().map(|versioned| versioned.fact).collect();
         StateUpdate { epoch: self.epoch, since, version: self.version, facts }
     }
 
-    /// The same in several updates of about `max_bytes` each, each on top of the one before.
+    /// Like [`Self::changes_since`], split into updates of about `max_bytes` that each build on the previous
+    /// one.
     pub fn update_chunks(&self, position: StatePosition, max_bytes: usize) -> Vec<StateUpdate> {
         let mut since = self.base_version(position);
         let (mut chunks, mut facts) = (Vec::new(), Vec::new());
@@ -252,16 +257,16 @@
     }
 }
 
-/// What came of an update.
+/// The result of applying an update.
 #[derive(Debug, Clone, PartialEq)]
 pub enum UpdateResult {
-    /// What is new in it.
+    /// It was applied; the facts in it that are new.
     Applied(Vec<Fact>),
-    /// It was known before, or is of an earlier start.
+    /// It was already known, or is from an earlier start of the process.
     Outdated,
-    /// An update before it is missing: all after that version is to be requested.
+    /// A previous update is missing: the updates after this version have to be requested.
     Missing(u64),
-    /// It has more facts than are retained of a site.
+    /// It exceeds the number of facts that are retained for a site.
     TooManyFacts,
 }
 
@@ -271,7 +276,7 @@
     value: FactValue,
 }
 
-/// What another process has published.
+/// The facts received from another process.
 #[derive(Debug, Clone, Default)]
 pub struct ReceivedState {
     position: StatePosition,
@@ -280,19 +285,19 @@
 }
 
 impl ReceivedState {
-    /// The position up to which all is known, for the other side after a reconnect.
+    /// The position up to which all facts were received; sent to the peer after a reconnect.
     pub fn position(&self) -> StatePosition {
         self.position
     }
 
-    /// Something was received from there, so that what is known still holds.
+    /// Records that something was received from the process, which confirms that its facts are current.
     pub fn record_activity(&mut self, now: Ms) {
         if self.last_update.is_some() {
             self.last_update = Some(now);
         }
     }
 
-    /// Applies an update; at most `max_facts` are retained.
+    /// Applies an update. At most `max_facts` facts are retained.
     pub fn apply_update(&mut self, now: Ms, update: StateUpdate, max_facts: usize) -> UpdateResult {
         let is_same_start = update.epoch == self.position.epoch;
         let is_known = is_same_start && update.version <= self.position.version && update.since > 0;
@@ -315,28 +320,28 @@
         UpdateResult::Applied(new)
     }
 
-    /// Removes what an update with all there is does not have; purges are not taken back. Caches that were not ready
-    /// are ready again, which is new.
+    /// Removes the facts that a complete update does not contain, except purges. Returns a fact for each
+    /// cache that was not ready and thereby is ready again.
     fn remove_missing(&mut self, update: &StateUpdate) -> Vec<Fact> {
-        let listed: BTreeSet<&FactKey> = update.facts.iter().map(|fact| &fact.key).collect();
+        let published: BTreeSet<&FactKey> = update.facts.iter().map(|fact| &fact.key).collect();
         let mut new = Vec::new();
         self.facts.retain(|key, known| {
-            let stays = matches!(known.value, FactValue::Purged { .. }) || listed.contains(key);
-            if !stays && known.value == (FactValue::Cache { ready: false }) {
+            let is_retained = matches!(known.value, FactValue::Purged { .. }) || published.contains(key);
+            if !is_retained && known.value == (FactValue::Cache { ready: false }) {
                 new.push(Fact { key: key.clone(), value: FactValue::Cache { ready: true } });
             }
-            stays
+            is_retained
         });
         new
     }
 
-    /// The fact, if it is new.
+    /// Stores a fact and returns it if it is new.
     fn apply_fact(&mut self, now: Ms, fact: Fact) -> Option<Fact> {
-        // Routers of one site know by themselves which entries of their gossip are new.
+        // Routers of one site detect by themselves which gossip entries are new.
         if matches!(fact.key, FactKey::PeerEntry(_)) {
             return Some(fact);
         }
-        // Of two purges the later one holds, whatever the order in which they arrive.
+        // The later of two purges wins, regardless of the order of their arrival.
         let is_new = match (self.facts.get(&fact.key).map(|known| &known.value), &fact.value) {
             (Some(FactValue::Purged { stamp: known }), FactValue::Purged { stamp }) => stamp > known,
             (Some(known), value) => known != value,
@@ -349,29 +354,30 @@
         Some(fact)
     }
 
-    /// Forgets what was received before that time and need not be known for ever.
+    /// Drops the facts that may expire and were received before that time.
     pub fn expire(&mut self, before: Ms) {
         self.facts.retain(|_, fact| !fact.value.may_expire() || fact.received_at >= before);
     }
 
-    /// The number of facts that are retained.
+    /// The number of retained facts.
     pub fn len(&self) -> usize {
         self.facts.len()
     }
 
-    /// Whether nothing is known.
+    /// Whether no facts are retained.
     pub fn is_empty(&self) -> bool {
         self.facts.is_empty()
     }
 
-    /// Whether a cache takes no new work; that holds until the site publishes otherwise.
-    pub fn has_barred_cache(&self, cache: &str) -> bool {
+    /// Whether the site has published that a cache accepts no new work. This holds until it publishes
+    /// otherwise.
+    pub fn has_unavailable_cache(&self, cache: &str) -> bool {
         let fact = self.facts.get(&FactKey::Cache(cache.to_string()));
         let value = fact.map(|fact| &fact.value);
         matches!(value, Some(FactValue::Cache { ready: false } | FactValue::CacheRemoved))
     }
 
-    /// What is known of something, if the site was received from at most `lifetime` milliseconds ago.
+    /// The value of a fact, if anything was received from the process at most `lifetime` milliseconds ago.
     pub fn get(&self, now: Ms, lifetime: Ms, key: &FactKey) -> Option<&FactValue> {
         let is_recent = self.last_update.is_some_and(|at| now - at <= lifetime);
         self.facts.get(key).filter(|_| is_recent).map(|fact| &fact.value)
--- a/crates/gateway/src/transfer.rs
+++ b/crates/gateway/src/transfer.rs
@@ -1,15 +1,16 @@
-//! A body that crosses a link: how much of it is here when its stream stops, and what is requested next.
+//! The transfer of a response body over links: how much of it was received when its stream ends, and what to
+//! request next.
 //!
-//! A client gets one complete, unchanged body, or one that it can tell is cut off. Bytes of two versions of an object
-//! are never joined.
+//! A client receives either one complete, unmodified body or one that is recognizably truncated. Bytes of two
+//! versions of an object are never combined.
 
 use linnethook::interface::Ms;
 use serde::{Deserialize, Serialize};
 
-/// What two copies of an object are told apart by.
+/// Identifies a version of an object.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ObjectVersion {
-    /// The origin's name for the version.
+    /// The tag that the origin gave to the version.
     pub tag: String,
     /// When the origin issued it, in Unix milliseconds.
     pub issued_at: Ms,
@@ -17,49 +18,50 @@
     pub length: u64,
 }
 
-/// What is requested after a stream has stopped.
+/// What to request after an interruption.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Resumption {
-    /// The rest of that version.
+    /// The rest of the same version.
     Remainder {
-        /// The first byte that is missing.
+        /// The offset of the first missing byte.
         offset: u64,
-        /// The version that it has to be.
+        /// The required version.
         version: ObjectVersion,
     },
-    /// The complete body: nothing of it was received.
+    /// The complete body, since no part of it is usable.
     Restart,
-    /// Nothing: there is no time, or no try, left.
+    /// Nothing: the time or the number of retries is used up.
     GiveUp,
 }
 
-/// How a response fits what was received before.
+/// How a response relates to the bytes that were received before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseFit {
-    /// Its bytes follow those that are here.
+    /// Its bytes follow the received ones.
     Continues,
-    /// It is another version, from its start, and nothing was delivered yet: it replaces what is here.
+    /// It starts at the first byte and replaces the received bytes, none of which were delivered yet.
     Restarts,
-    /// It is another version, and some of the first one was delivered.
+    /// It can't be combined with the received bytes: it is of another version or has the wrong offset, and
+    /// bytes may already have been delivered.
     Mismatch,
 }
 
-/// One body.
+/// The state of one transfer.
 #[derive(Debug, Clone)]
 pub struct Transfer {
     version: Option<ObjectVersion>,
-    /// Bytes that were received.
+    /// The number of received bytes.
     received: u64,
-    /// Bytes of these that the client has.
+    /// The number of these bytes that were delivered to the client.
     delivered: u64,
     deadline: Ms,
     remaining_tries: u32,
-    /// Bytes that have crossed more than once.
+    /// The number of bytes that were discarded and have to be transferred again.
     repeated_bytes: u64,
 }
 
 impl Transfer {
-    /// A body that must be complete by then, and may be requested again so many times.
+    /// Creates a transfer that must be complete by `deadline` and may be requested again `max_retries` times.
     pub fn new(deadline: Ms, max_retries: u32) -> Self {
         Self {
             version: None,
@@ -71,13 +73,14 @@
         }
     }
 
-    /// A response begins, with that byte of the version.
+    /// Begins a response whose first byte is at `offset` of that version.
     pub fn begin_response(&mut self, version: ObjectVersion, offset: u64) -> ResponseFit {
         let is_same = self.version.as_ref() == Some(&version);
         if is_same && offset == self.received {
             return ResponseFit::Continues;
         }
-        // Where nothing was delivered, a response that repeats bytes, or is of another version, replaces what is here.
+        // As long as nothing was delivered, a response that repeats bytes or is of another version replaces
+        // the received bytes.
         let may_replace = match self.version {
             None => offset == 0,
             Some(_) => self.delivered == 0 && (offset == 0 || is_same && offset < self.received),
@@ -95,30 +98,30 @@
         }
     }
 
-    /// Bytes were received; false if there are more than the version has.
+    /// Records received bytes. Returns false if they exceed the length of the version.
     pub fn receive(&mut self, bytes: u64) -> bool {
         self.received += bytes;
         self.version.as_ref().is_some_and(|version| self.received <= version.length)
     }
 
-    /// The client has got so many more bytes.
+    /// Records that this number of further bytes was delivered to the client.
     pub fn mark_delivered(&mut self, bytes: u64) {
         self.delivered = (self.delivered + bytes).min(self.received);
     }
 
-    /// The version, once a response has begun.
+    /// The version of the object, once a response has begun.
     pub fn version(&self) -> Option<&ObjectVersion> {
         self.version.as_ref()
     }
 
-    /// Discards what was received.
+    /// Discards the received bytes.
     pub fn discard(&mut self) {
         self.repeated_bytes += self.received;
         self.version = None;
         self.received = 0;
     }
 
-    /// Bytes that are here.
+    /// The number of received bytes.
     pub fn received_bytes(&self) -> u64 {
         self.received
     }
@@ -128,13 +131,13 @@
         self.version.as_ref().is_some_and(|version| version.length == self.received)
     }
 
-    /// Bytes that have crossed more than once.
+    /// The number of bytes that were discarded and have to be transferred again.
     pub fn repeated_bytes(&self) -> u64 {
         self.repeated_bytes
     }
 
-    /// The stream has stopped before the body was complete: what to request next. A retry needs `min_retry_time`
-    /// milliseconds.
+    /// Decides what to request after the stream ended before the body was complete. A retry needs at least
+    /// `min_retry_time` milliseconds.
     pub fn resume(&mut self, now: Ms, min_retry_time: Ms) -> Resumption {
         if now + min_retry_time > self.deadline || self.remaining_tries == 0 {
             return Resumption::GiveUp;
--- a/crates/gateway/tests/attempt_ledger.rs
+++ b/crates/gateway/tests/attempt_ledger.rs
@@ -1,4 +1,5 @@
-//! The ledger and the codec over seeded scripts: a link that loses, delays and is cut, two sides that start again.
+//! Property tests of the attempt ledger and the codec: the link loses, delays and reorders messages and is
+//! cut, and both sides restart.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,8 +18,8 @@
 use rand_pcg::Pcg64Mcg;
 
 #[derive(Debug, Clone)]
-enum Mail {
-    Open(Token),
+enum Packet {
+    Request(Token),
     Query(Token),
     Report(Token, AttemptOutcome),
 }
@@ -31,93 +32,98 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the link and the two sides do: no booking runs twice, none has two attempts that may run, each has one
-    /// end in time, and none is called free that ran.
+    /// For any sequence of faults: no booking runs twice or has two open attempts, each has one final outcome
+    /// by its deadline, and none that ran is resolved as never run.
     #[test]
     fn no_booking_runs_twice(seed in any::<u64>()) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let (mut near, mut far) = (1u64, 1u64);
-        let mut sent = SentAttempts::new(near, 64);
+        let (mut sender_epoch, mut receiver_start) = (1u64, 1u64);
+        let mut sent = SentAttempts::new(sender_epoch, 64);
         let mut received = ReceivedAttempts::new(AttemptLedgerConfig {
             retention: 3_000.0,
             ..AttemptLedgerConfig::default()
         });
-        received.accept_epoch(near);
+        received.accept_epoch(sender_epoch);
         let (mut up, mut now) = (true, 0.0);
-        // Mail arrives late or never, in any order; only what is sent while the link is up is on its way.
-        let (mut to_far, mut to_near) = (Vec::<Mail>::new(), Vec::<Mail>::new());
+        // Packets are delayed, lost or reordered; only those sent while the link is up are in transit.
+        let (mut to_receiver, mut to_sender) = (Vec::<Packet>::new(), Vec::<Packet>::new());
         let mut runs = BTreeMap::<u64, u32>::new();
         let mut tickets = BTreeMap::<Token, u64>::new();
         let mut running = BTreeSet::<Token>::new();
         let mut ends = BTreeMap::<u64, (f64, Option<f64>)>::new();
         let mut next = 0u64;
-        let mut free = Vec::<u64>::new();
+        let mut retryable = Vec::<u64>::new();
         for _ in 0..600 {
             now += random.random_range(1..60) as f64;
             match random.random_range(0..20) {
                 0..=5 => {
-                    // A new booking, or another attempt at one that is free.
-                    let ticket = free.pop().unwrap_or_else(|| {
+                    // A new booking, or a retry of one whose attempt is proven not to have run.
+                    let ticket = retryable.pop().unwrap_or_else(|| {
                         next += 1;
                         next
                     });
                     let deadline = ends.get(&ticket).map_or(now + 2_000.0, |(deadline, _)| *deadline);
                     ends.entry(ticket).or_insert((deadline, None));
                     if up && now < deadline {
-                        let token = sent.begin(ticket, far, 0, deadline).expect("no other attempt is open");
+                        let token = sent
+                            .begin(ticket, receiver_start, 0, deadline)
+                            .expect("no other attempt is open");
                         tickets.insert(token, ticket);
                         if random.random_range(0..8) > 0 {
                             sent.mark_written(token);
-                            to_far.push(Mail::Open(token));
+                            to_receiver.push(Packet::Request(token));
                         }
                     } else {
-                        // Nothing ran that is not proven not to have: it may be refused.
+                        // No attempt has run, so the booking may be rejected.
                         prop_assert!(runs.get(&ticket).copied().unwrap_or(0) == 0);
                         ends.insert(ticket, (deadline, Some(now)));
                     }
                 }
-                6..=9 if up && !to_far.is_empty() => {
-                    let n = random.random_range(0..to_far.len());
-                    match to_far.swap_remove(n) {
-                        Mail::Open(token) => match received.admit(token) {
+                6..=9 if up && !to_receiver.is_empty() => {
+                    let n = random.random_range(0..to_receiver.len());
+                    match to_receiver.swap_remove(n) {
+                        Packet::Request(token) => match received.admit(token) {
                             Admission::Run => {
                                 running.insert(token);
                             }
-                            Admission::Known(outcome) => to_near.push(Mail::Report(token, outcome)),
+                            Admission::Known(outcome) => to_sender.push(Packet::Report(token, outcome)),
                             Admission::Fenced | Admission::AtCapacity => {}
                         },
-                        Mail::Query(token) => {
+                        Packet::Query(token) => {
                             let outcome = received.query_outcome(now, token);
-                            to_near.push(Mail::Report(token, outcome));
+                            to_sender.push(Packet::Report(token, outcome));
                         }
-                        Mail::Report(..) => {}
+                        Packet::Report(..) => {}
                     }
                 }
                 10..=12 => {
-                    // One ends where it runs: it took effect, or was turned away before it did.
+                    // A running attempt ends: it took effect, or was rejected before it did.
                     if let Some(token) = running.pop_first() {
                         let ticket = tickets[&token];
                         if random.random_range(0..5) == 0 {
                             received.record_rejection(now, token);
-                            to_near.push(Mail::Report(token, AttemptOutcome::NeverRan));
+                            to_sender.push(Packet::Report(token, AttemptOutcome::NeverRan));
                         } else {
                             *runs.entry(ticket).or_default() += 1;
-                            prop_assert_eq!(runs[&ticket], 1, "it ran twice");
+                            prop_assert_eq!(runs[&ticket], 1, "the booking ran twice");
                             received.record_answer(now, token, vec![1]);
-                            to_near.push(Mail::Report(token, AttemptOutcome::Completed(Some(vec![1]))));
+                            to_sender.push(Packet::Report(token, AttemptOutcome::Completed(Some(vec![1]))));
                         }
                     }
                 }
-                13..=15 if up && !to_near.is_empty() => {
-                    let n = random.random_range(0..to_near.len());
-                    if let Mail::Report(token, outcome) = to_near.swap_remove(n) {
+                13..=15 if up && !to_sender.is_empty() => {
+                    let n = random.random_range(0..to_sender.len());
+                    if let Packet::Report(token, outcome) = to_sender.swap_remove(n) {
                         match sent.record_outcome(token, outcome, 0) {
                             Some(Resolution::NeverRan(ticket)) => {
-                                prop_assert!(!runs.contains_key(&ticket), "it ran, and is called free");
-                                free.push(ticket);
+                                prop_assert!(
+                                    !runs.contains_key(&ticket),
+                                    "the booking ran, but is resolved as never run"
+                                );
+                                retryable.push(ticket);
                             }
                             Some(Resolution::Answered(ticket, _) | Resolution::Failed(ticket)) => {
-                                prop_assert!(ends[&ticket].1.is_none(), "a second end");
+                                prop_assert!(ends[&ticket].1.is_none(), "a second final outcome");
                                 ends.insert(ticket, (ends[&ticket].0, Some(now)));
                             }
                             None => {}
@@ -126,62 +132,65 @@
                 }
                 16 => {
                     if up {
-                        // Cut: what is on its way is lost, or still arrives.
-                        to_near.clear();
+                        // The link is cut: packets in transit are lost, or some still arrive.
+                        to_sender.clear();
                         if random.random_range(0..2) == 0 {
-                            to_far.clear();
+                            to_receiver.clear();
                         }
                         for resolution in sent.connection_lost(0) {
                             if let Resolution::NeverRan(ticket) = resolution {
-                                free.push(ticket);
+                                retryable.push(ticket);
                             }
                         }
                     } else {
-                        received.accept_epoch(near);
-                        to_far.extend(sent.tokens_to_query(far).into_iter().map(Mail::Query));
+                        received.accept_epoch(sender_epoch);
+                        to_receiver
+                            .extend(sent.tokens_to_query(receiver_start).into_iter().map(Packet::Query));
                     }
                     up = !up;
                 }
                 17 if random.random_range(0..4) == 0 => {
-                    // The far side starts again: what ran there may have run, and nothing is remembered.
-                    far += 1;
+                    // The receiver restarts: running attempts may have taken effect, and its ledger is lost.
+                    receiver_start += 1;
                     for token in std::mem::take(&mut running) {
                         if random.random_range(0..2) == 0 {
                             *runs.entry(tickets[&token]).or_default() += 1;
                         }
                     }
-                    to_far.clear();
-                    to_near.clear();
+                    to_receiver.clear();
+                    to_sender.clear();
                     received = ReceivedAttempts::new(AttemptLedgerConfig {
                         retention: 3_000.0,
                         ..AttemptLedgerConfig::default()
                     });
-                    received.accept_epoch(near);
+                    received.accept_epoch(sender_epoch);
                     for resolution in sent.connection_lost(0) {
                         if let Resolution::NeverRan(ticket) = resolution {
-                            free.push(ticket);
+                            retryable.push(ticket);
                         }
                     }
-                    // Those that went to the start before can't be asked after.
-                    prop_assert!(sent.tokens_to_query(far).is_empty());
+                    // Attempts sent to the earlier start can't be queried.
+                    prop_assert!(sent.tokens_to_query(receiver_start).is_empty());
                 }
                 18 if random.random_range(0..4) == 0 => {
-                    // The near side starts again: its clients are gone with it, and its tokens are void.
-                    near += 1;
-                    sent = SentAttempts::new(near, 64);
+                    // The sender restarts: its clients are disconnected, and its tokens are void.
+                    sender_epoch += 1;
+                    sent = SentAttempts::new(sender_epoch, 64);
                     let open: Vec<u64> =
                         ends.iter().filter(|(_, (_, end))| end.is_none()).map(|(t, _)| *t).collect();
                     for ticket in open {
                         ends.insert(ticket, (ends[&ticket].0, Some(ends[&ticket].0)));
                     }
-                    free.clear();
-                    prop_assert!(received.accept_epoch(near) && !received.accept_epoch(near - 1));
+                    retryable.clear();
+                    prop_assert!(
+                        received.accept_epoch(sender_epoch) && !received.accept_epoch(sender_epoch - 1)
+                    );
                 }
                 _ => received.expire(now),
             }
             for resolution in sent.expire(now) {
                 if let Resolution::Failed(ticket) = resolution {
-                    prop_assert!(ends[&ticket].1.is_none(), "a second end");
+                    prop_assert!(ends[&ticket].1.is_none(), "a second final outcome");
                     ends.insert(ticket, (ends[&ticket].0, Some(now)));
                 }
             }
@@ -189,12 +198,15 @@
         }
         prop_assert!(runs.values().all(|runs| *runs == 1));
         for (ticket, (deadline, end)) in &ends {
-            let waits = sent.state_of(*ticket).is_some() || free.contains(ticket);
-            prop_assert!(end.is_some() || waits || now < deadline + 60.0, "{ticket} was lost");
+            let waits = sent.state_of(*ticket).is_some() || retryable.contains(ticket);
+            prop_assert!(
+                end.is_some() || waits || now < deadline + 60.0,
+                "booking {ticket} has no final outcome"
+            );
         }
     }
 
-    /// Frames come out as they went in, however their bytes are split.
+    /// Decoded frames equal the encoded ones, regardless of how the bytes are split.
     #[test]
     fn frames_survive_any_split(
         messages in prop::collection::vec(
@@ -243,25 +255,25 @@
             })
             .collect();
         let bytes: Vec<u8> = frames.iter().flat_map(encode_frame).collect();
-        let (mut decoder, mut found, mut rest) = (FrameDecoder::default(), Vec::new(), &bytes[..]);
+        let (mut decoder, mut decoded, mut rest) = (FrameDecoder::default(), Vec::new(), &bytes[..]);
         for cut in cuts.iter().cycle() {
-            let (now, later) = rest.split_at((*cut).min(rest.len()));
-            decoder.push_bytes(now);
-            while let Some(frame) = decoder.next_frame(10_000).expect("well formed") {
-                found.push(frame);
+            let (part, later) = rest.split_at((*cut).min(rest.len()));
+            decoder.push_bytes(part);
+            while let Some(frame) = decoder.next_frame(10_000).expect("a valid frame") {
+                decoded.push(frame);
             }
             rest = later;
             if rest.is_empty() {
                 break;
             }
         }
-        prop_assert_eq!(found, frames);
+        prop_assert_eq!(decoded, frames);
         prop_assert_eq!(decoder.buffered_bytes(), 0);
     }
 
-    /// Random bytes are frames or an end of the session, and nothing is kept of a frame that is too long.
+    /// Random bytes decode to frames or an error, and no more than the input is buffered.
     #[test]
-    fn garbage_ends_the_session(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn random_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut decoder = FrameDecoder::default();
         decoder.push_bytes(&bytes);
         while let Ok(Some(_)) = decoder.next_frame(300) {}
@@ -270,7 +282,7 @@
 }
 
 #[test]
-fn a_frame_is_checked_before_it_is_there() {
+fn frame_header_is_checked_before_the_frame_is_complete() {
     let mut decoder = FrameDecoder::default();
     decoder.push_bytes(&[255, 255, 255, 255]);
     assert_eq!(decoder.next_frame(1_000), Err(MalformedFrame::InvalidLength(u32::MAX as usize, 1_000)));
@@ -286,7 +298,7 @@
     }
 }
 
-/// The cases of the design note's table, one by one.
+/// The cases of the table of outcomes in the design note, one by one.
 #[test]
 fn what_is_proof_and_what_is_not() {
     let mut sent = SentAttempts::new(1, 2);
@@ -295,7 +307,7 @@
     assert!(received.accept_epoch(1));
     let token = sent.begin(7, 1, 0, 1_000.0).expect("a token");
     assert_eq!((sent.begin(7, 1, 0, 1_000.0), sent.state_of(7)), (None, Some(AttemptState::Unwritten)));
-    assert_eq!(sent.connection_lost(0), [Resolution::NeverRan(7)], "not a whole byte of it came");
+    assert_eq!(sent.connection_lost(0), [Resolution::NeverRan(7)], "it was not written completely");
     let token = Token { number: token.number + 1, ..token };
     assert_eq!(sent.begin(7, 1, 0, 1_000.0), Some(token));
     sent.mark_written(token);
@@ -304,13 +316,13 @@
             && sent.tokens_to_query(1) == [token]
             && sent.tokens_to_query(2).is_empty()
     );
-    // It never came: freed here, and fenced off there.
+    // It never arrived: resolved as never run at the sender, and fenced at the receiver.
     let outcome = received.query_outcome(10.0, token);
     assert_eq!(
         (sent.record_outcome(token, outcome, 0), received.admit(token)),
         (Some(Resolution::NeverRan(7)), Admission::Fenced)
     );
-    // It ran, and its answer is kept; then only that it ran.
+    // It ran, and its answer is retained; once the answer is evicted, only the fact that it ran.
     let other = sent.begin(7, 1, 0, 1_000.0).expect("another attempt");
     assert_eq!(received.admit(other), Admission::Run);
     assert_eq!(received.query_outcome(11.0, other), AttemptOutcome::Running);
@@ -322,19 +334,23 @@
     let outcome = received.query_outcome(14.0, other);
     assert_eq!((outcome.clone(), received.retained().answer_bytes), (AttemptOutcome::Completed(None), 2));
     assert_eq!(sent.record_outcome(other, outcome, 0), Some(Resolution::Failed(7)));
-    // Past the horizon nothing is proven, and nothing is let in.
+    // Beyond the retention nothing is proven, and the token is not admitted.
     received.expire(500.0);
     assert_eq!(
         (received.query_outcome(501.0, other), received.admit(other)),
         (AttemptOutcome::Forgotten, Admission::Fenced)
     );
     assert_eq!(received.retained(), RetainedAttempts { tokens: 0, answer_bytes: 0 });
-    // A sender that started again: its old tokens are void, its old hello is a replay.
+    // After a restart of the sender, its old tokens are void and its old hello is a replay.
     assert!(received.accept_epoch(2) && !received.accept_epoch(1));
     assert_eq!(received.admit(Token { epoch: 1, number: 60 }), Admission::Fenced);
-    // Time runs out first.
+    // The deadline passes before an outcome is known.
     let last = sent.begin(8, 1, 0, 900.0).expect("a token");
     sent.mark_written(last);
     assert_eq!((sent.expire(899.0), sent.expire(900.0)), (vec![], vec![Resolution::Failed(8)]));
-    assert_eq!(sent.record_outcome(last, AttemptOutcome::Completed(Some(vec![])), 0), None, "nothing after");
+    assert_eq!(
+        sent.record_outcome(last, AttemptOutcome::Completed(Some(vec![])), 0),
+        None,
+        "no outcome after the deadline"
+    );
 }
--- a/crates/gateway/tests/golden.rs
+++ b/crates/gateway/tests/golden.rs
@@ -1,7 +1,7 @@
-//! The bytes of every frame between sites and between fellow routers' gateways: compared with a fixture that an earlier
-//! build has written, read and written again.
+//! Compares the bytes of every frame between sites and between gateways of peer routers with a fixture
+//! written by an earlier build, and decodes and encodes that fixture.
 //!
-//! `LINNETHOOK_WRITE_GOLDEN=1` writes the fixture where it is missing, and never replaces it.
+//! `LINNETHOOK_WRITE_GOLDEN=1` writes the fixture if it is missing, and never replaces it.
 
 use std::fmt::Write;
 use std::path::PathBuf;
@@ -14,7 +14,7 @@
 use linnethook_gateway::site_state::{Fact, FactKey, FactValue, StatePosition, StateUpdate};
 use linnethook_gateway::transfer::ObjectVersion;
 
-const LONGEST_FRAME: usize = 1 << 16;
+const MAX_FRAME_BYTES: usize = 1 << 16;
 
 fn fields() -> Vec<(String, String)> {
     vec![("id".to_string(), "9b1f".to_string()), ("class".to_string(), "booking".to_string())]
@@ -129,19 +129,19 @@
 }
 
 #[test]
-fn every_frame_keeps_its_bytes() {
+fn frames_are_encoded_as_in_the_fixture() {
     let mut lines = String::new();
     for (name, message) in messages() {
         let _ = writeln!(lines, "{name}: {}", hex(&encode_frame(&Frame { stream: 300, message })));
     }
     if !fixture().exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
-        std::fs::write(fixture(), &lines).expect("written");
+        std::fs::write(fixture(), &lines).expect("the fixture can be written");
     }
     assert_eq!(lines, std::fs::read_to_string(fixture()).expect("the fixture"));
 }
 
 #[test]
-fn frames_of_the_fixture_are_read_and_written_again_to_the_byte() {
+fn fixture_is_decoded_and_encoded_unchanged() {
     let fixture = std::fs::read_to_string(fixture()).expect("the fixture");
     let messages = messages();
     assert_eq!(fixture.lines().count(), messages.len());
@@ -149,8 +149,7 @@
         let bytes = unhex(line.rsplit_once(": ").expect("a name and bytes").1);
         let mut decoder = FrameDecoder::default();
         decoder.push_bytes(&bytes);
-        let frame =
-            decoder.next_frame(LONGEST_FRAME).expect("a frame that can be read").expect("a complete frame");
+        let frame = decoder.next_frame(MAX_FRAME_BYTES).expect("a valid frame").expect("a complete frame");
         assert_eq!(frame, Frame { stream: 300, message }, "{name}");
         assert_eq!(encode_frame(&frame), bytes, "{name}");
         assert_eq!(decoder.buffered_bytes(), 0, "{name}");
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -1,4 +1,4 @@
-//! Streams, transfers, site state and routes over seeded scripts, against plain models.
+//! Property tests of streams, transfers and site state against simple models, and tests of routing.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
     CreditGrant, FlowControlConfig, FlowControlError, Priority, ReceiveWindow, SendScheduler,
 };
 use linnethook_gateway::routing::{
-    Route, RouteQuery, RouteRefusal, RoutingConfig, RoutingTable, SiteId, SiteView,
+    Route, RouteQuery, RouteRejection, RoutingConfig, RoutingTable, SiteId, SiteView,
 };
 use linnethook_gateway::site_state::{FactKey, FactValue, PublishedState, ReceivedState, UpdateResult};
 use linnethook_gateway::transfer::{ObjectVersion, ResponseFit, Resumption, Transfer};
@@ -15,7 +15,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const BOUNDS: FlowControlConfig = FlowControlConfig {
+const LIMITS: FlowControlConfig = FlowControlConfig {
     max_streams: 8,
     stream_window_bytes: 4_000,
     link_window_bytes: 12_000,
@@ -31,120 +31,123 @@
         ..ProptestConfig::default()
     })]
 
-    /// All that is pushed arrives, nothing beyond what was granted, and a reader that stops holds up nobody else.
+    /// All queued bytes arrive, none beyond the granted credit, and a reader that stops blocks no other
+    /// stream.
     #[test]
-    fn streams_share_a_link(seed in any::<u64>()) {
+    fn streams_share_a_connection(seed in any::<u64>()) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let (mut sending, mut receiving) = (SendScheduler::new(BOUNDS), ReceiveWindow::new(BOUNDS));
-        let mut wanted = BTreeMap::<u32, u64>::new();
-        let mut got = BTreeMap::<u32, u64>::new();
-        // Nobody ever reads stream 1.
-        let stuck = 1u32;
+        let (mut sending, mut receiving) = (SendScheduler::new(LIMITS), ReceiveWindow::new(LIMITS));
+        let mut expected = BTreeMap::<u32, u64>::new();
+        let mut received = BTreeMap::<u32, u64>::new();
+        // Stream 1 is never read.
+        let blocked = 1u32;
         for stream in 1..=6u32 {
             let priority =
                 [Priority::Booking, Priority::FirstPart, Priority::LaterPart][random.random_range(0..3)];
             prop_assert!(sending.open_stream(stream, priority));
             receiving.open_stream(stream);
-            let bytes = if stream == stuck { 50_000 } else { random.random_range(0..30_000) };
-            wanted.insert(stream, bytes);
+            let bytes = if stream == blocked { 50_000 } else { random.random_range(0..30_000) };
+            expected.insert(stream, bytes);
             sending.queue_bytes(stream, bytes, true);
         }
         for _ in 0..5_000 {
             let Some(turn) = sending.next_turn(random.random_range(1..2_000)) else { break };
-            prop_assert!(turn.bytes <= BOUNDS.max_turn_bytes);
-            let mut grants = receiving.receive(turn.stream, turn.bytes).expect("within what was granted");
-            *got.entry(turn.stream).or_default() += turn.bytes;
-            if turn.stream != stuck {
+            prop_assert!(turn.bytes <= LIMITS.max_turn_bytes);
+            let mut grants = receiving.receive(turn.stream, turn.bytes).expect("within the granted credit");
+            *received.entry(turn.stream).or_default() += turn.bytes;
+            if turn.stream != blocked {
                 grants.extend(receiving.consume(turn.stream, turn.bytes));
                 if turn.is_last {
                     receiving.close_stream(turn.stream, 0);
                 }
             }
             for CreditGrant { stream, bytes } in grants {
-                sending.add_credit(stream, bytes).expect("no more than can be counted");
+                sending.add_credit(stream, bytes).expect("within the largest window");
             }
         }
-        for (stream, bytes) in &wanted {
-            let arrived = got.get(stream).copied().unwrap_or(0);
-            prop_assert_eq!(arrived, if *stream == stuck { BOUNDS.stream_window_bytes } else { *bytes });
+        for (stream, bytes) in &expected {
+            let arrived = received.get(stream).copied().unwrap_or(0);
+            prop_assert_eq!(arrived, if *stream == blocked { LIMITS.stream_window_bytes } else { *bytes });
         }
         prop_assert_eq!((sending.len(), receiving.len()), (1, 1));
     }
 
-    /// However often and wherever it stops: one whole body of one copy, or cut off; what crossed twice is counted.
+    /// Regardless of how often and where a transfer is interrupted, the client receives one complete body of
+    /// one version or a truncated one.
     #[test]
     fn a_body_is_complete_and_of_one_version(seed in any::<u64>()) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let copy =
+        let object_version =
             |tag: u32| ObjectVersion { tag: tag.to_string(), issued_at: 1.0, length: 1_000 + u64::from(tag) };
         let mut transfer = Transfer::new(10_000.0, 6);
-        // What the client was given: which copy, and how much of it.
-        let (mut given, mut at, mut now) = (Vec::<(u32, u64)>::new(), 0u64, 0.0);
-        let (mut version, mut from) = (1u32, 0u64);
-        let passes_on = random.random_range(0..2) == 0;
+        // What was delivered to the client: versions, and the bytes of each.
+        let (mut delivered, mut position, mut now) = (Vec::<(u32, u64)>::new(), 0u64, 0.0);
+        let (mut version, mut offset) = (1u32, 0u64);
+        let delivers_at_once = random.random_range(0..2) == 0;
         let is_complete = loop {
             now += 100.0;
-            // Another site may have another copy, or give it from the start although the rest was asked for.
+            // Another site may have another version, or send it from the start although the rest was
+            // requested.
             version += u32::from(random.random_range(0..4) == 0);
-            let begins = if random.random_range(0..4) == 0 { 0 } else { from };
-            match transfer.begin_response(copy(version), begins) {
+            let first_byte = if random.random_range(0..4) == 0 { 0 } else { offset };
+            match transfer.begin_response(object_version(version), first_byte) {
                 ResponseFit::Continues => {}
                 ResponseFit::Restarts => {
-                    given.clear();
-                    at = 0;
+                    delivered.clear();
+                    position = 0;
                 }
                 ResponseFit::Mismatch => match transfer.resume(now, 50.0) {
                     Resumption::GiveUp => break false,
                     Resumption::Restart => {
-                        from = 0;
+                        offset = 0;
                         continue;
                     }
-                    Resumption::Remainder { offset: rest, .. } => {
-                        from = rest;
+                    Resumption::Remainder { offset: missing, .. } => {
+                        offset = missing;
                         continue;
                     }
                 },
             }
-            let at_now = if begins == 0 && !passes_on { 0 } else { at };
-            let bytes = random.random_range(0..=(copy(version).length - at_now));
+            let start = if first_byte == 0 && !delivers_at_once { 0 } else { position };
+            let bytes = random.random_range(0..=(object_version(version).length - start));
             prop_assert!(transfer.receive(bytes));
-            at = at_now + bytes;
-            if passes_on {
+            position = start + bytes;
+            if delivers_at_once {
                 transfer.mark_delivered(bytes);
-                given.push((version, bytes));
+                delivered.push((version, bytes));
             }
             if transfer.is_complete() {
                 break true;
             }
             match transfer.resume(now, 50.0) {
                 Resumption::GiveUp => break false,
-                Resumption::Restart => from = 0,
-                Resumption::Remainder { offset: rest, version: wanted } => {
-                    prop_assert_eq!(wanted.tag, version.to_string());
-                    from = rest;
+                Resumption::Restart => offset = 0,
+                Resumption::Remainder { offset: missing, version: expected } => {
+                    prop_assert_eq!(expected.tag, version.to_string());
+                    offset = missing;
                 }
             }
         };
         let versions: std::collections::BTreeSet<u32> =
-            given.iter().filter(|g| g.1 > 0).map(|g| g.0).collect();
-        prop_assert!(versions.len() <= 1, "pieces of two copies");
-        let sum: u64 = given.iter().map(|g| g.1).sum();
-        prop_assert!(!is_complete || !passes_on || sum == copy(version).length, "{sum}");
+            delivered.iter().filter(|part| part.1 > 0).map(|part| part.0).collect();
+        prop_assert!(versions.len() <= 1, "bytes of two versions were delivered");
+        let sum: u64 = delivered.iter().map(|part| part.1).sum();
+        prop_assert!(!is_complete || !delivers_at_once || sum == object_version(version).length, "{sum}");
     }
 
-    /// Whatever is lost or comes twice: once the other side has heard the last, it knows what the one has said, and no
-    /// purge is ever taken back.
+    /// Updates are lost, delayed and duplicated. After the last one the receiver knows everything that was
+    /// published, and no purge is ever reverted.
     #[test]
-    fn site_state_is_resumed(seed in any::<u64>()) {
+    fn site_state_converges_after_lost_updates(seed in any::<u64>()) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let mut own = PublishedState::new(1, 64);
-        let mut other = ReceivedState::default();
-        let mut plain = BTreeMap::<FactKey, FactValue>::new();
-        let mut late = Vec::new();
+        let mut published = PublishedState::new(1, 64);
+        let mut received = ReceivedState::default();
+        let mut model = BTreeMap::<FactKey, FactValue>::new();
+        let mut delayed = Vec::new();
         let (mut epoch, mut stamps) = (1, BTreeMap::<FactKey, f64>::new());
         for n in 0..300u32 {
             let now = f64::from(n) * 10.0;
-            let (about, fact) = match random.random_range(0..4) {
+            let (key, value) = match random.random_range(0..4) {
                 0 => (
                     FactKey::Site,
                     FactValue::Load {
@@ -162,71 +165,67 @@
                     (FactKey::Cache(random.random_range(0..5u32).to_string()), FactValue::Cache { ready })
                 }
             };
-            own.publish(now, about.clone(), fact.clone());
-            plain.insert(about, fact);
+            published.publish(now, key.clone(), value.clone());
+            model.insert(key, value);
             if random.random_range(0..60) == 0 {
-                // It starts again, and says all anew.
+                // The publisher restarts and publishes everything again.
                 epoch += 1;
-                own = PublishedState::new(epoch, 64);
-                plain.iter().for_each(|(about, fact)| _ = own.publish(now, about.clone(), fact.clone()));
+                published = PublishedState::new(epoch, 64);
+                model.iter().for_each(|(key, value)| _ = published.publish(now, key.clone(), value.clone()));
             }
-            let known = other.position();
-            let state = own.changes_since(known);
+            let known = received.position();
+            let state = published.changes_since(known);
             match random.random_range(0..4) {
                 0 => {}
-                1 => late.push(state),
+                1 => delayed.push(state),
                 _ => {
-                    other.apply_update(now, state, 1_000);
+                    received.apply_update(now, state, 1_000);
                 }
             }
-            if let Some(state) = late.pop().filter(|_| random.random_range(0..3) == 0) {
-                if let UpdateResult::Missing(from) = other.apply_update(now, state, 1_000) {
-                    prop_assert!(from <= own.version());
+            if let Some(state) = delayed.pop().filter(|_| random.random_range(0..3) == 0) {
+                if let UpdateResult::Missing(from) = received.apply_update(now, state, 1_000) {
+                    prop_assert!(from <= published.version());
                 }
             }
-            for (about, fact) in &plain {
+            for (key, value) in &model {
                 if let (FactValue::Purged { .. }, Some(FactValue::Purged { stamp })) =
-                    (fact, other.get(now, 1e9, about))
+                    (value, received.get(now, 1e9, key))
                 {
-                    let before = stamps.insert(about.clone(), *stamp).unwrap_or(0.0);
-                    prop_assert!(*stamp >= before, "a purge was taken back");
+                    let before = stamps.insert(key.clone(), *stamp).unwrap_or(0.0);
+                    prop_assert!(*stamp >= before, "a purge was reverted");
                 }
             }
         }
-        let known = other.position();
-        other.apply_update(4_000.0, own.changes_since(known), 1_000);
-        // Where that told nothing new, it is the session that is alive.
-        other.record_activity(4_000.0);
-        for (about, fact) in &plain {
-            prop_assert_eq!(other.get(4_000.0, 100.0, about), Some(fact));
+        let known = received.position();
+        received.apply_update(4_000.0, published.changes_since(known), 1_000);
+        // If the update held nothing new, activity on the session keeps the state current.
+        received.record_activity(4_000.0);
+        for (key, value) in &model {
+            prop_assert_eq!(received.get(4_000.0, 100.0, key), Some(value));
         }
-        prop_assert_eq!(
-            other.get(9_000.0, 100.0, &FactKey::Site),
-            None,
-            "older than its bound it counts for nothing"
-        );
+        prop_assert_eq!(received.get(9_000.0, 100.0, &FactKey::Site), None, "the load has expired");
     }
 }
 
 #[test]
-fn what_the_other_side_may_not_do_ends_the_session() {
-    let mut receiving = ReceiveWindow::new(BOUNDS);
+fn violations_of_flow_control_are_reported() {
+    let mut receiving = ReceiveWindow::new(LIMITS);
     receiving.open_stream(3);
     assert_eq!(receiving.receive(3, 4_001), Err(FlowControlError::WindowExceeded));
-    let mut sending = SendScheduler::new(BOUNDS);
+    let mut sending = SendScheduler::new(LIMITS);
     assert!(sending.open_stream(1, Priority::LaterPart) && !sending.open_stream(1, Priority::LaterPart));
     assert_eq!(sending.add_credit(1, u32::MAX), Err(FlowControlError::CreditOverflow));
     assert_eq!(sending.add_credit(0, u32::MAX), Err(FlowControlError::CreditOverflow));
-    assert_eq!(sending.add_credit(77, 5), Ok(()), "one that has just ended");
+    assert_eq!(sending.add_credit(77, 5), Ok(()), "the stream may just have ended");
 }
 
-/// Bookings go first, and what is left over still gets its turns.
+/// Bookings go first, and lower priorities still get turns.
 #[test]
-fn priorities_go_first_and_starve_nobody() {
+fn higher_priorities_go_first_without_starving_others() {
     let mut sending = SendScheduler::new(FlowControlConfig {
         link_window_bytes: 1 << 30,
         stream_window_bytes: 1 << 30,
-        ..BOUNDS
+        ..LIMITS
     });
     for (stream, priority) in [(1, Priority::LaterPart), (2, Priority::FirstPart), (3, Priority::Booking)] {
         sending.open_stream(stream, priority);
@@ -239,7 +238,7 @@
 
 #[test]
 fn requests_stay_at_home_and_go_across_only_where_that_helps() {
-    let well = SiteView {
+    let healthy = SiteView {
         reachable: true,
         has_caches: true,
         has_origin: true,
@@ -256,55 +255,56 @@
         is_retry: false,
         admitted_site: None,
     };
-    let (me, other) = (SiteId(1), SiteId(2));
-    let mut routes = RoutingTable::new(me, RoutingConfig::default());
-    routes.update_site(0.0, other, well);
-    let across = |routes: &mut RoutingTable, now: f64| {
-        (0..1_000).filter(|n| routes.route(now, &query(*n)) == Route::Remote(other)).count()
+    let (local, remote) = (SiteId(1), SiteId(2));
+    let mut routes = RoutingTable::new(local, RoutingConfig::default());
+    routes.update_site(0.0, remote, healthy);
+    let count_forwarded = |routes: &mut RoutingTable, now: f64| {
+        (0..1_000).filter(|n| routes.route(now, &query(*n)) == Route::Remote(remote)).count()
     };
-    assert_eq!(across(&mut routes, 0.0), 0, "home serves");
-    routes.set_own_view(SiteView { has_caches: false, ..well });
-    // It rises from a twentieth to all, and again after each cut.
+    assert_eq!(count_forwarded(&mut routes, 0.0), 0, "the local site serves");
+    routes.set_local_view(SiteView { has_caches: false, ..healthy });
+    // The admitted share rises from a twentieth to all objects, and again after each outage.
     let counts: Vec<usize> =
-        [0.0, 5_000.0, 10_000.0].into_iter().map(|now| across(&mut routes, now)).collect();
+        [0.0, 5_000.0, 10_000.0].into_iter().map(|now| count_forwarded(&mut routes, now)).collect();
     assert!(
         (20..90).contains(&counts[0]) && (430..620).contains(&counts[1]) && counts[2] == 1_000,
         "{counts:?}"
     );
-    routes.update_site(11_000.0, other, SiteView { reachable: false, ..well });
-    assert_eq!(routes.route(11_000.0, &query(1)), Route::Refused(RouteRefusal::NoCapableSite));
-    // After a second nearly two thirds of the part that it had are left; after a long cut it begins anew.
-    routes.update_site(12_000.0, other, well);
-    let left = across(&mut routes, 12_000.0);
-    assert!((560..700).contains(&left), "{left}");
-    routes.update_site(13_000.0, other, SiteView { reachable: false, ..well });
-    routes.update_site(29_000.0, other, well);
-    assert!(across(&mut routes, 29_000.0) < 90);
-    // Full by its own word, with hysteresis; and by what went there.
-    for (used, all) in [(0.95, false), (0.8, false), (0.7, true), (0.8, true)] {
-        routes.update_site(50_000.0, other, SiteView { utilization: used, ..well });
-        assert_eq!(across(&mut routes, 50_000.0) == 1_000, all, "{used}");
+    routes.update_site(11_000.0, remote, SiteView { reachable: false, ..healthy });
+    assert_eq!(routes.route(11_000.0, &query(1)), Route::Rejected(RouteRejection::NoCapableSite));
+    // After one second nearly two thirds of the share are left; after a long outage the ramp starts over.
+    routes.update_site(12_000.0, remote, healthy);
+    let forwarded = count_forwarded(&mut routes, 12_000.0);
+    assert!((560..700).contains(&forwarded), "{forwarded}");
+    routes.update_site(13_000.0, remote, SiteView { reachable: false, ..healthy });
+    routes.update_site(29_000.0, remote, healthy);
+    assert!(count_forwarded(&mut routes, 29_000.0) < 90);
+    // The site is limited by its reported utilization, with hysteresis, and by the outcomes of requests
+    // there.
+    for (utilization, admits_all) in [(0.95, false), (0.8, false), (0.7, true), (0.8, true)] {
+        routes.update_site(50_000.0, remote, SiteView { utilization, ..healthy });
+        assert_eq!(count_forwarded(&mut routes, 50_000.0) == 1_000, admits_all, "utilization {utilization}");
     }
-    (0..60).for_each(|_| routes.record_outcome(other, true));
-    assert!(across(&mut routes, 50_000.0) < 90);
-    (0..200).for_each(|_| routes.record_outcome(other, false));
-    routes.update_site(51_000.0, other, well);
-    assert_eq!(across(&mut routes, 51_000.0), 1_000);
-    // A write needs the way to the origin; what has come from there does not go back.
+    (0..60).for_each(|_| routes.record_outcome(remote, true));
+    assert!(count_forwarded(&mut routes, 50_000.0) < 90);
+    (0..200).for_each(|_| routes.record_outcome(remote, false));
+    routes.update_site(51_000.0, remote, healthy);
+    assert_eq!(count_forwarded(&mut routes, 51_000.0), 1_000);
+    // A write needs the path to the origin; a request is not sent back to a site that it has passed.
     let write = RouteQuery { write: true, ..query(5) };
-    assert_eq!(routes.route(51_000.0, &write), Route::Local, "the own way to the origin is open");
-    routes.set_own_view(SiteView { has_caches: false, has_origin: false, ..well });
-    assert_eq!(routes.route(51_000.0, &write), Route::Remote(other));
-    routes.update_site(51_000.0, other, SiteView { has_origin: false, ..well });
-    assert_eq!(routes.route(51_000.0, &write), Route::Refused(RouteRefusal::NoCapableSite));
-    routes.update_site(51_000.0, other, well);
+    assert_eq!(routes.route(51_000.0, &write), Route::Local, "the local path to the origin works");
+    routes.set_local_view(SiteView { has_caches: false, has_origin: false, ..healthy });
+    assert_eq!(routes.route(51_000.0, &write), Route::Remote(remote));
+    routes.update_site(51_000.0, remote, SiteView { has_origin: false, ..healthy });
+    assert_eq!(routes.route(51_000.0, &write), Route::Rejected(RouteRejection::NoCapableSite));
+    routes.update_site(51_000.0, remote, healthy);
     let passed = |sites: &[SiteId]| RouteQuery { passed_sites: sites.to_vec(), ..query(5) };
-    assert_eq!(routes.route(51_000.0, &passed(&[other])), Route::Refused(RouteRefusal::HopLimit));
-    assert_eq!(routes.route(51_000.0, &passed(&[me])), Route::Refused(RouteRefusal::HopLimit));
-    // Repeats have a budget, which other requests fill.
-    let repeat = RouteQuery { is_retry: true, ..query(5) };
-    let sent = (0..100).filter(|_| routes.route(51_000.0, &repeat) == Route::Remote(other)).count();
-    assert_eq!((sent, routes.route(51_000.0, &repeat)), (20, Route::Refused(RouteRefusal::RetryBudget)));
+    assert_eq!(routes.route(51_000.0, &passed(&[remote])), Route::Rejected(RouteRejection::HopLimit));
+    assert_eq!(routes.route(51_000.0, &passed(&[local])), Route::Rejected(RouteRejection::HopLimit));
+    // Retries have a budget, to which first attempts add.
+    let retry = RouteQuery { is_retry: true, ..query(5) };
+    let sent = (0..100).filter(|_| routes.route(51_000.0, &retry) == Route::Remote(remote)).count();
+    assert_eq!((sent, routes.route(51_000.0, &retry)), (20, Route::Rejected(RouteRejection::RetryBudget)));
     (0..11).for_each(|_| _ = routes.route(51_000.0, &query(5)));
-    assert_eq!(routes.route(51_000.0, &repeat), Route::Remote(other));
+    assert_eq!(routes.route(51_000.0, &retry), Route::Remote(remote));
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -1,5 +1,5 @@
-//! A gateway beside peers that do what they may not, or nothing at all: nothing is kept beyond its bounds, nothing
-//! is answered twice, and what is turned away says why.
+//! A gateway with peers that violate the protocol or stop responding: memory stays within its limits, no
+//! request is answered twice, and rejections carry a reason.
 
 use std::collections::BTreeMap;
 
@@ -43,7 +43,7 @@
     })
 }
 
-fn open(token: Option<Token>) -> Message {
+fn request(token: Option<Token>) -> Message {
     Message::Request(Box::new(ForwardedRequest {
         token,
         remaining_ms: 1_000,
@@ -59,7 +59,7 @@
     gateway.receive(now, 1, &encode_frame(&Frame { stream, message }));
 }
 
-/// What the gateway has to say on its connection.
+/// Takes the output of the gateway on its connection and decodes it.
 fn sent_frames(gateway: &mut Gateway) -> Vec<Frame> {
     let (mut bytes, mut decoder, mut frames) = (BytesMut::new(), FrameDecoder::default(), Vec::new());
     gateway.take_output(1, 1 << 24, &mut bytes);
@@ -71,7 +71,7 @@
     frames
 }
 
-/// Answers the pings among these, so that the link is known to be fresh.
+/// Answers the pings among these frames, so that the received state counts as recent.
 fn answer_pings(gateway: &mut Gateway, now: f64, frames: &[Frame]) {
     for frame in frames {
         if let Message::Ping(number) = frame.message {
@@ -80,7 +80,7 @@
     }
 }
 
-/// A gateway with a session that is up and fresh.
+/// Creates a gateway with an established session and recent state.
 fn connected(config: GatewayConfig) -> Gateway {
     let mut gateway = gateway(config);
     gateway.connection_opened(0.0, 1, None);
@@ -100,11 +100,11 @@
     gateway
 }
 
-fn wanted(harmful: bool, deadline: f64) -> ForwardRequest {
+fn forward_request(not_idempotent: bool, deadline: f64) -> ForwardRequest {
     ForwardRequest {
         object: 1,
-        write: harmful,
-        not_idempotent: harmful,
+        write: not_idempotent,
+        not_idempotent,
         home_site: None,
         priority: Priority::Booking,
         latency_objective: 500.0,
@@ -127,10 +127,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// Words in any order, on any stream, with bytes that are no words among them: no panic, every bound is kept, and
-    /// each request of this side has one answer at the most, by its deadline.
+    /// Messages in any order, on any stream, with random bytes among them: no panic, every limit is
+    /// respected, and each local request gets exactly one answer by its deadline.
     #[test]
-    fn whatever_a_peer_says(seed in any::<u64>(), garbage in prop::collection::vec(any::<u8>(), 0..60)) {
+    fn arbitrary_messages_of_a_peer_are_handled(
+        seed in any::<u64>(),
+        garbage in prop::collection::vec(any::<u8>(), 0..60),
+    ) {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut config = GatewayConfig::default();
         (
@@ -140,12 +143,16 @@
         ) = (16, 32, 1.0);
         let mut gateway = connected(config);
         gateway.report_local_load(60.0, 0, 0.1);
-        let (mut now, mut asked, mut answers, mut up) = (60.0, 0u64, BTreeMap::<u64, u32>::new(), true);
+        let (mut now, mut submitted, mut answers, mut up) = (60.0, 0u64, BTreeMap::<u64, u32>::new(), true);
         for _ in 0..300 {
             now += random.random_range(0.0..20.0);
             if random.random_range(0..4) == 0 {
-                asked += 1;
-                gateway.submit_request(now, asked, wanted(random.random_range(0..2) == 0, now + 300.0));
+                submitted += 1;
+                gateway.submit_request(
+                    now,
+                    submitted,
+                    forward_request(random.random_range(0..2) == 0, now + 300.0),
+                );
             }
             let stream = random.random_range(0..12);
             let token = Token { epoch: random.random_range(4..8), number: random.random_range(0..40) };
@@ -154,8 +161,8 @@
             let message = match random.random_range(0..20) {
                 0 => Message::Cancel,
                 1 => Message::Credit(random.random_range(0..100_000)),
-                2..=5 => open(Some(token)),
-                6 => open(None),
+                2..=5 => request(Some(token)),
+                6 => request(None),
                 7 => Message::OutcomeQuery(token),
                 8 => Message::OutcomeReport(token, AttemptOutcome::NeverRan),
                 9 => Message::OutcomeReport(token, AttemptOutcome::Completed(Some(bytes))),
@@ -176,7 +183,7 @@
                 _ => Message::StateUpdate(StateUpdate {
                     epoch: 5,
                     since: 0,
-                    version: asked,
+                    version: submitted,
                     facts: Vec::new(),
                 }),
             };
@@ -191,15 +198,15 @@
             gateway.on_timer(now);
             for action in actions(&mut gateway) {
                 match action {
-                    // At home it is answered by others.
+                    // A request that is served locally is answered by the caller.
                     Action::Answer(ticket, _) | Action::ServeLocally(ticket) => {
                         *answers.entry(ticket).or_default() += 1
                     }
-                    Action::ServeRemote(requests) if random.random_range(0..3) > 0 => {
+                    Action::ServeRemote(request) if random.random_range(0..3) > 0 => {
                         let body = Bytes::from(vec![2; 500]);
                         gateway.complete_remote_request(
                             now,
-                            requests.ticket,
+                            request.ticket,
                             Reply::Served { fields: Vec::new(), body, version: None },
                         );
                     }
@@ -223,25 +230,25 @@
             }
         }
         prop_assert!(answers.values().all(|n| *n == 1), "{answers:?}");
-        prop_assert_eq!(answers.len() as u64, asked);
+        prop_assert_eq!(answers.len() as u64, submitted);
     }
 }
 
-/// One that never grants credit: what it may have is sent and no more, others have their turns, and in the end it is
-/// dropped.
+/// A peer that never grants credit receives no more than its window, other streams get their turns, and its
+/// answer is finally dropped.
 #[test]
-fn a_reader_that_stops_is_dropped_in_the_end() {
+fn answer_to_a_stopped_reader_is_dropped_after_the_timeout() {
     let mut config = GatewayConfig::default();
     config.forwarding.answer_write_timeout = 1_000.0;
     let mut gateway = connected(config);
     sent_frames(&mut gateway);
     for stream in [1, 2] {
-        send(&mut gateway, 61.0, stream, open(None));
+        send(&mut gateway, 61.0, stream, request(None));
     }
     let requests: Vec<u64> = actions(&mut gateway)
         .into_iter()
         .filter_map(
-            |action| if let Action::ServeRemote(requests) = action { Some(requests.ticket) } else { None },
+            |action| if let Action::ServeRemote(request) = action { Some(request.ticket) } else { None },
         )
         .collect();
     for (ticket, size) in requests.into_iter().zip([1_000_000, 1_000]) {
@@ -271,36 +278,36 @@
     assert!(connection.queued_bytes < 1_000 && connection.incoming == 0, "{connection:?}");
 }
 
-/// What the sender was told 200 ms ago may not be known here: a request is turned away, and has never run. With a
-/// token it is not remembered either: the sender asks elsewhere.
+/// When the received state is older than 200 ms, drains that the sender knows may be unknown here: a request
+/// is rejected without having run. Its token is not recorded, so that the sender can retry at another site.
 #[test]
 fn a_request_is_let_in_only_while_the_other_sides_state_is_fresh() {
     let mut gateway = connected(GatewayConfig::default());
     sent_frames(&mut gateway);
     let token = Token { epoch: 5, number: 1 };
-    send(&mut gateway, 150.0, 1, open(Some(token)));
+    send(&mut gateway, 150.0, 1, request(Some(token)));
     assert!(matches!(actions(&mut gateway).last(), Some(Action::ServeRemote(_) | Action::Write(_))));
     let late = Token { epoch: 5, number: 2 };
-    send(&mut gateway, 260.0, 2, open(Some(late)));
-    let never = Frame {
+    send(&mut gateway, 260.0, 2, request(Some(late)));
+    let rejection = Frame {
         stream: 2,
         message: Message::Reject { reason: RejectReason::StateTooOld, retry_after_ms: 0 },
     };
     let frames = sent_frames(&mut gateway);
-    assert!(frames.contains(&never), "{frames:?}");
-    // Fenced off when asked after, as one that never came.
+    assert!(frames.contains(&rejection), "{frames:?}");
+    // When queried, it is fenced like a token that never arrived.
     send(&mut gateway, 261.0, 0, Message::OutcomeQuery(late));
     let report = Frame { stream: 0, message: Message::OutcomeReport(late, AttemptOutcome::NeverRan) };
     assert!(sent_frames(&mut gateway).contains(&report));
     answer_pings(&mut gateway, 262.0, &[]);
-    // A drain that is heard on the way is handed on before the request behind it.
+    // A drain that is received before a request is reported before the request.
     gateway.on_timer(270.0);
     let frames = sent_frames(&mut gateway);
     answer_pings(&mut gateway, 271.0, &frames);
     actions(&mut gateway);
     let facts = vec![Fact::new(FactKey::Cache("c".to_string()), FactValue::Cache { ready: false })];
     send(&mut gateway, 272.0, 0, Message::StateUpdate(StateUpdate { epoch: 5, since: 1, version: 2, facts }));
-    send(&mut gateway, 272.0, 3, open(None));
+    send(&mut gateway, 272.0, 3, request(None));
     let order: Vec<u8> = actions(&mut gateway)
         .iter()
         .filter_map(|action| match action {
@@ -309,13 +316,14 @@
             _ => None,
         })
         .collect();
-    assert_eq!((order, gateway.is_cache_barred("c")), (vec![1, 2], true));
+    assert_eq!((order, gateway.is_cache_unavailable("c")), (vec![1, 2], true));
 }
 
-/// An answer that is kept with its token reaches who asks for it on another connection, once; and an attempt that
-/// was handed to the system in part only is free when its connection goes.
+/// The outcome of an attempt does not depend on its connection: an attempt that was only partly written has
+/// not run when its connection is lost, and one that was written completely stays uncertain until its
+/// deadline.
 #[test]
-fn fates_belong_to_tokens_and_not_to_connections() {
+fn outcomes_of_attempts_survive_lost_connections() {
     let mut config = GatewayConfig::default();
     config.routing.initial_share = 1.0;
     let mut gateway = connected(config);
@@ -325,22 +333,23 @@
     });
     sent_frames(&mut gateway);
     actions(&mut gateway);
-    // Written in part: free, and refused as there is no other site. It waits for a link until its time is up.
-    gateway.submit_request(62.0, 1, wanted(true, 400.0));
+    // Partly written: it never ran. It waits for a connection until its time is up, and is rejected since
+    // there is no other site.
+    gateway.submit_request(62.0, 1, forward_request(true, 400.0));
     let mut bytes = BytesMut::new();
     gateway.take_output(1, 1 << 20, &mut bytes);
     gateway.mark_written(1, bytes.len() - 1);
     gateway.connection_closed(63.0, 1);
     gateway.on_timer(310.0);
     assert!(actions(&mut gateway).iter().any(|a| matches!(a, Action::Answer(1, Reply::Rejected { .. }))));
-    // Written whole: uncertain, and failed when its time is up.
+    // Completely written: it is uncertain, and fails at its deadline.
     let mut gateway = connected(config);
     gateway.report_local_load(61.0, 0, 0.1);
     (0..6).for_each(|_| {
         gateway.record_local_outcome(61.0, linnethook_gateway::local_capacity::RequestKind::Write, true)
     });
     sent_frames(&mut gateway);
-    gateway.submit_request(62.0, 1, wanted(true, 400.0));
+    gateway.submit_request(62.0, 1, forward_request(true, 400.0));
     sent_frames(&mut gateway);
     gateway.connection_closed(63.0, 1);
     gateway.on_timer(399.0);
--- a/crates/model/src/world/sites.rs
+++ b/crates/model/src/world/sites.rs
@@ -210,7 +210,7 @@
             (client.router, if client.books { RequestKind::Write } else { RequestKind::Read });
         let gateway = &mut self.sites.gateways[router];
         gateway.record_local_outcome(ms(now), need, !served);
-        if !refused || !gateway.is_locally_unable(need) {
+        if !refused || !gateway.is_locally_unavailable(need) {
             return false;
         }
         let Some(client) = self.clients.get(&number) else { return false };
--- a/crates/router/src/operator_digest/gateway.rs
+++ b/crates/router/src/operator_digest/gateway.rs
@@ -45,7 +45,7 @@
             ("streams", &streams),
             ("pulse", &heartbeat_config(&config.heartbeat)),
             ("frame", &config.max_frame_bytes),
-            ("crowded", &config.crowded_output_bytes),
+            ("crowded", &config.high_water_output_bytes),
             ("backlog", &config.max_output_bytes),
             ("greeting", &config.hello_timeout),
             ("called_off", &config.max_cancelled_streams),
--- a/crates/router/src/remote_sites/mod.rs
+++ b/crates/router/src/remote_sites/mod.rs
@@ -249,7 +249,7 @@
             } else if known && !was_ready {
                 self.gateway.publish_fact(now, about, FactValue::Cache { ready: true });
             }
-            if entry.is_ready() && self.gateway.is_cache_barred(&name) {
+            if entry.is_ready() && self.gateway.is_cache_unavailable(&name) {
                 entry.mark_draining();
             }
         }
@@ -269,7 +269,7 @@
     /// The line of an endpoint of the own list with what other sites have announced of it.
     pub fn current_entry(&self, name: &str) -> Option<EndpointUpdate> {
         let mut entry = self.endpoints.get(name)?.entry.clone();
-        if entry.is_ready() && self.gateway.is_cache_barred(name) {
+        if entry.is_ready() && self.gateway.is_cache_unavailable(name) {
             entry.mark_draining();
         }
         Some(EndpointUpdate { is_complete: false, entries: vec![entry] })
@@ -290,7 +290,7 @@
     /// there may be, or that of rejected requests.
     pub fn report_load(&mut self, now: Ms, open_ratio: f64) {
         let is_usable = |(name, listed): &(&String, &ListedEndpoint)| {
-            listed.at_this_site && listed.entry.is_ready() && !self.gateway.is_cache_barred(name)
+            listed.at_this_site && listed.entry.is_ready() && !self.gateway.is_cache_unavailable(name)
         };
         let usable = self.endpoints.iter().filter(is_usable).count() as u32;
         let load = open_ratio.max(self.rejected_ratio * REJECTED_LOAD_FACTOR).min(1.0);
--- a/crates/router/src/remote_sites/serving.rs
+++ b/crates/router/src/remote_sites/serving.rs
@@ -27,7 +27,7 @@
     /// Forwards a client's request that was rejected here; false where the gateway has no site for it.
     pub fn forward_rejected(&mut self, now: Ms, ticket: Ticket, open: &OpenRequest) -> bool {
         let Some(request) = open.cross_site.as_ref().filter(|_| !is_remote(ticket)) else { return false };
-        if !self.gateway.is_locally_unable(request.need()) {
+        if !self.gateway.is_locally_unavailable(request.need()) {
             return false;
         }
         let spec = self.forward_spec(request, &open.message);
--- a/crates/testbed/src/two_sites/requests.rs
+++ b/crates/testbed/src/two_sites/requests.rs
@@ -171,7 +171,7 @@
         if now > asker.deadline {
             return self.answer(n, ticket, Reply::Failed);
         }
-        if attempt == 0 && asker.own && gateway.is_locally_unable(need) {
+        if attempt == 0 && asker.own && gateway.is_locally_unavailable(need) {
             let wanted = wanted(&asker, self.play.aim);
             if gateway.forward_rejected_request(now, ticket, wanted) {
                 if let Some(asker) = self.sides[n].askers.get_mut(&ticket) {
