--- a/crates/router/src/proxy/endpoints.rs
+++ b/crates/router/src/proxy/endpoints.rs
@@ -80,7 +80,7 @@
             self.upstreams.withdraw_purged(now, object, group);
         }
         if let Some(remote_sites) = &mut self.parts.remote_sites {
-            remote_sites.announce_purge(now, purge);
+            remote_sites.publish_purge(now, purge);
         }
         self.report_to_policy(now, input);
     }
@@ -102,7 +102,7 @@
                 ClusterEffect::EndpointChanged(entry) => self.apply_cluster_entry(entry),
                 ClusterEffect::Purge(purge) => {
                     if let Some(remote_sites) = &mut self.parts.remote_sites {
-                        remote_sites.announce_purge(self.clock.now(), &purge);
+                        remote_sites.publish_purge(self.clock.now(), &purge);
                     }
                     self.apply_announced_purge(&purge);
                 }
--- a/crates/router/src/remote_sites/commands.rs
+++ b/crates/router/src/remote_sites/commands.rs
@@ -7,11 +7,11 @@
 
 use super::RemoteSites;
 
-/// The response to a request, and whether the gateway now asks for something.
+/// The response to a request of the control socket, and whether effects follow from it.
 pub struct SiteResponse {
     /// The response.
     pub response: ControlResponse,
-    /// Whether [`RemoteSites::next_effect`] is to be called.
+    /// Whether [`RemoteSites::next_effect`] has to be called.
     pub has_effects: bool,
 }
 
@@ -20,19 +20,19 @@
         Self { response, has_effects: false }
     }
 
-    fn refused(reason: impl Into<String>) -> Self {
+    fn rejected(reason: impl Into<String>) -> Self {
         Self::without_effects(ControlResponse::Refused(reason.into()))
     }
 }
 
-/// Answers a request; `remote_sites` is `None` where the operator file has no `gateway()`.
+/// Handles a request; `remote_sites` is `None` if the operator file has no `gateway()`.
 pub fn respond<W: EventHandler>(
     remote_sites: Option<&mut RemoteSites<W>>,
     now: Ms,
     request: ControlRequest,
 ) -> SiteResponse {
     let Some(remote_sites) = remote_sites else {
-        return SiteResponse::refused("the gateway is off: the operator file has no gateway()");
+        return SiteResponse::rejected("the gateway is disabled: the operator file has no gateway()");
     };
     let gateway = &remote_sites.gateway;
     match request {
@@ -43,18 +43,18 @@
             SiteResponse::without_effects(ControlResponse::GatewayRoutes(gateway.route_views(now)))
         }
         ControlRequest::DrainSite { site, drained } => remote_sites.drain_site(now, &site, drained),
-        _ => SiteResponse::refused("a question of another part"),
+        _ => SiteResponse::rejected("not a request about sites"),
     }
 }
 
 impl<W: EventHandler> RemoteSites<W> {
-    /// Drains a site by its operators' order, or ends that drain.
+    /// Drains a site on behalf of the operators, or ends the drain.
     fn drain_site(&mut self, now: Ms, site: &str, drained: bool) -> SiteResponse {
         if !self.gateway.set_drained(now, site, drained) {
-            return SiteResponse::refused(format!("there is no site {site:?}"));
+            return SiteResponse::rejected(format!("there is no site {site:?}"));
         }
-        let state = if drained { "left alone" } else { "used again" };
-        log_line!(always "gateway: {site} is {state}, by its operators");
+        let state = if drained { "drained" } else { "no longer drained" };
+        log_line!(always "gateway: {site} is {state} by its operators");
         let response = ControlResponse::Done(format!("{site} is {state}"));
         SiteResponse { response, has_effects: true }
     }
--- a/crates/router/src/remote_sites/links.rs
+++ b/crates/router/src/remote_sites/links.rs
@@ -1,4 +1,5 @@
-//! The connections of links with other sites: connected, accepted, read and written. Frames are the gateway's.
+//! The sockets of links with other sites: connecting, accepting, reading and writing. The gateway encodes and
+//! decodes the frames.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind, Read, Write};
@@ -15,35 +16,35 @@
 use crate::policy_adapter::Ms;
 use crate::sockets;
 
-/// Links that may wait to be accepted.
+/// The backlog of the listening socket for links.
 const LINK_BACKLOG: i32 = 64;
 
 struct Connection {
     stream: Rc<TcpStream>,
     token: RegistrationToken,
-    /// What the gateway has handed over and the system has not accepted yet.
+    /// Output taken from the gateway that the operating system has not accepted yet.
     output: BytesMut,
-    /// `None` once it is up, and for accepted ones.
+    /// Set while an outgoing connection is being established.
     connecting: Option<Connecting>,
 }
 
-/// A connect in progress.
+/// A connection attempt in progress.
 #[derive(Debug, Clone, Copy)]
 struct Connecting {
     deadline: Ms,
-    /// The gateway's number for the address.
+    /// The dialer index of the gateway.
     dialer: usize,
 }
 
-/// All connections of links.
+/// All sockets of links.
 pub struct SiteLinks<W: EventHandler> {
     limits: Limits,
     handle: LoopHandle<'static, W>,
     connections: BTreeMap<ConnectionId, Connection>,
-    last: ConnectionId,
-    /// Connections whose reading is paused: others have their turn.
+    last_id: ConnectionId,
+    /// Connections whose reading is paused so that others get their turn.
     paused: BTreeSet<ConnectionId>,
-    block: Box<[u8]>,
+    read_buffer: Box<[u8]>,
     listener: Option<RegistrationToken>,
     /// When the listener is enabled again after a failed accept.
     resume_accepting: Option<Ms>,
@@ -54,14 +55,14 @@
 
 impl<W: EventHandler> SiteLinks<W> {
     pub fn new(limits: Limits, handle: LoopHandle<'static, W>) -> Self {
-        let block = vec![0; limits.links.block_bytes].into_boxed_slice();
+        let read_buffer = vec![0; limits.links.block_bytes].into_boxed_slice();
         Self {
             limits,
             handle,
             connections: BTreeMap::new(),
-            last: 0,
+            last_id: 0,
             paused: BTreeSet::new(),
-            block,
+            read_buffer,
             listener: None,
             resume_accepting: None,
             accepted: 0,
@@ -74,11 +75,11 @@
         self.connections.len()
     }
 
-    /// Listens for gateways of other sites; the address that it got is returned.
+    /// Listens for links, and returns the local address.
     ///
     /// # Errors
     ///
-    /// Errors of the system, among them an address in use.
+    /// Errors of the operating system, for example that the address is in use.
     pub fn listen(&mut self, address: SocketAddr) -> io::Result<SocketAddr> {
         let listener = sockets::listen(address, LINK_BACKLOG)?;
         let address = listener.local_addr()?;
@@ -87,16 +88,16 @@
         Ok(address)
     }
 
-    /// Accepts a bounded number of links; those above the limit are closed at once. False where no more can be accepted for
-    /// now.
+    /// Accepts a bounded number of links; those above the limit are closed at once. Returns false if no more
+    /// can be accepted for now.
     pub fn accept(&mut self, now: Ms, listener: &TcpListener, gateway: &mut Gateway) -> bool {
         for _ in 0..self.limits.accept.max_per_turn {
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return true,
                 Err(error) => {
-                    // Without the pause the loop would spin where descriptors are short.
-                    log_line!("a link's listener: {error}");
+                    // Without the pause the event loop would spin when descriptors run out.
+                    log_line!("could not accept a link: {error}");
                     self.resume_accepting = Some(now + self.limits.accept.retry_pause_ms);
                     return false;
                 }
@@ -107,7 +108,7 @@
             }
             match self.add(stream, None) {
                 Ok(conn) => gateway.connection_opened(now, conn, None),
-                Err(error) => log_line!("a link could not be taken in: {error}"),
+                Err(error) => log_line!("could not register an accepted link: {error}"),
             }
         }
         true
@@ -116,8 +117,8 @@
     fn add(&mut self, stream: TcpStream, connecting: Option<Connecting>) -> io::Result<ConnectionId> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
-        self.last += 1;
-        let conn = self.last;
+        self.last_id += 1;
+        let conn = self.last_id;
         let stream = Rc::new(stream);
         let on_ready = move |handler: &mut W, readiness| handler.on_link_ready(conn, readiness);
         let token = sockets::register_stream(&self.handle, &stream, on_ready)?;
@@ -125,20 +126,20 @@
         Ok(conn)
     }
 
-    /// Starts a connect for the gateway's number of an address.
+    /// Starts to connect to an address for a dialer of the gateway.
     pub fn dial(&mut self, now: Ms, dialer: usize, address: SocketAddr, gateway: &mut Gateway) {
         let connecting = Connecting { deadline: now + self.limits.upstreams.connect_timeout_ms, dialer };
         let started = match self.connections.len() < self.limits.links.max_connections {
             true => sockets::connect(address).and_then(|stream| self.add(stream, Some(connecting))),
-            false => Err(io::Error::other("as many connections of links as may be")),
+            false => Err(io::Error::other("limit of link connections reached")),
         };
         if let Err(error) = started {
-            log_line!("a link to {address}: {error}");
+            log_line!("could not connect a link to {address}: {error}");
             gateway.dial_failed(now, dialer);
         }
     }
 
-    /// Continues after a connection became ready.
+    /// Finishes connecting, writes or reads, according to the readiness of a connection.
     pub fn ready(&mut self, now: Ms, conn: ConnectionId, readiness: Readiness, gateway: &mut Gateway) {
         let Some(connection) = self.connections.get_mut(&conn) else { return };
         if let Some(Connecting { dialer, .. }) = connection.connecting {
@@ -170,12 +171,12 @@
                 self.paused.insert(conn);
                 return;
             }
-            match (&*connection.stream).read(&mut self.block) {
+            match (&*connection.stream).read(&mut self.read_buffer) {
                 Ok(0) => return self.on_lost(now, conn, gateway),
                 Ok(n) => {
                     budget = budget.saturating_sub(n);
                     self.bytes_in += n as u64;
-                    gateway.receive(now, conn, &self.block[..n]);
+                    gateway.receive(now, conn, &self.read_buffer[..n]);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -189,14 +190,14 @@
         !self.paused.is_empty()
     }
 
-    /// Reads on from connections whose reading was paused.
+    /// Continues to read from connections whose reading was paused.
     pub fn read_paused(&mut self, now: Ms, gateway: &mut Gateway) {
         for conn in std::mem::take(&mut self.paused) {
             self.read(now, conn, gateway);
         }
     }
 
-    /// Writes as much as the system accepts.
+    /// Writes as much as the operating system accepts.
     pub fn write(&mut self, now: Ms, conn: ConnectionId, gateway: &mut Gateway) {
         while let Some(connection) = self.connections.get_mut(&conn).filter(|c| c.connecting.is_none()) {
             if connection.output.is_empty() {
@@ -224,7 +225,7 @@
         gateway.connection_closed(now, conn);
     }
 
-    /// Closes a connection; the gateway is not told.
+    /// Closes a connection without notifying the gateway.
     pub fn close(&mut self, conn: ConnectionId) {
         self.paused.remove(&conn);
         if let Some(connection) = self.connections.remove(&conn) {
@@ -232,11 +233,11 @@
         }
     }
 
-    /// Abandons connects that take too long.
+    /// Aborts connection attempts that have timed out, and enables the listener again once its pause is over.
     pub fn on_timer(&mut self, now: Ms, gateway: &mut Gateway) {
         if self.resume_accepting.take_if(|due| now >= *due).is_some() {
             if let Some(error) = self.listener.as_ref().and_then(|token| self.handle.enable(token).err()) {
-                log_line!("a link's listener: {error}");
+                log_line!("could not enable the listener for links again: {error}");
             }
         }
         let is_late = |connecting: &Connecting| now >= connecting.deadline;
--- a/crates/router/src/remote_sites/mod.rs
+++ b/crates/router/src/remote_sites/mod.rs
@@ -1,12 +1,13 @@
-//! The router as a gateway between sites; nothing here is used without a `gateway()` in the operator file.
+//! The router as a gateway between sites. This module is used only if the operator file has a `gateway()`.
 //!
 //! - [`links`]: the connections to gateways of other sites;
-//! - [`requests`]: requests that cross sites, and their answers, in the terms of the gateway and of the router;
-//! - [`serving`]: open requests, and the site that decides about them;
+//! - [`requests`]: conversion of requests and answers between the types of the gateway and of the router;
+//! - [`serving`]: the choice of a site for open requests, and the replies to other sites;
 //! - [`commands`]: requests of the control socket;
-//! - [`RemoteSites`]: the gateway with its links, and the endpoint list as this site publishes it.
+//! - [`RemoteSites`]: the gateway with its links, and the endpoint list that this site publishes.
 //!
-//! The gateway chooses sites. What other sites report never makes an endpoint usable that the own list has draining.
+//! The gateway chooses sites. Reports of other sites never make an endpoint usable that is draining in the
+//! local endpoint list.
 
 mod commands;
 mod links;
@@ -44,28 +45,28 @@
     ticket >= FIRST_REMOTE_TICKET
 }
 
-/// What the gateway asks of the router.
+/// What the gateway requires the router to do.
 #[derive(Debug)]
 pub enum SiteEffect {
-    /// A request is to be decided at this site.
+    /// Let the policy of this site decide about a request.
     Decide(Ticket),
-    /// The final answer to a request that went to another site.
+    /// Give a request that was submitted to the gateway its final answer.
     Answer(Ticket, Reply),
-    /// A request from another site.
+    /// Serve a request from another site.
     Serve(RemoteRequest),
-    /// Another site has cancelled its request.
+    /// Cancel a request that another site has cancelled.
     Cancel(Ticket),
-    /// Another site has announced a drain or its end.
+    /// Another site has published that an endpoint is draining, ready again or removed.
     EndpointChanged(String),
-    /// Another site has announced a purge.
+    /// Another site has published a purge.
     Purge(PurgeEvent),
-    /// The link to another router came up, or went down.
+    /// The link to another router of this site is up or down.
     PeerLink { name: String, start: u64, up: bool },
-    /// Another router has gossiped an entry.
+    /// Another router of this site has sent a gossip entry.
     PeerEntry { name: String, key: Vec<u8>, entry: Vec<u8> },
 }
 
-/// A line of the own endpoint list.
+/// An entry of the local endpoint list.
 struct ListedEndpoint {
     entry: EndpointEntry,
     /// Whether the endpoint is at this site.
@@ -76,27 +77,28 @@
 pub struct RemoteSites<W: EventHandler> {
     pub gateway: Gateway,
     links: SiteLinks<W>,
-    /// Addresses to connect to, by the gateway's number for each.
+    /// The addresses to dial, by dialer index of the gateway.
     addresses: Vec<SocketAddr>,
-    /// The sites that are home to some classes.
-    classes: HashMap<String, SiteId>,
-    /// The endpoints of the own list, by name.
+    /// The sites that request classes are bound to, by class.
+    home_sites: HashMap<String, SiteId>,
+    /// The entries of the local endpoint list, by name.
     endpoints: BTreeMap<String, ListedEndpoint>,
-    /// The share of requests rejected here, smoothed.
+    /// The smoothed ratio of requests that were rejected here.
     rejected_ratio: f64,
 }
 
-/// Weight of one request in the smoothed share of rejected requests.
+/// Weight of one request in the smoothed ratio of rejected requests.
 const REJECTED_WEIGHT: f64 = 0.02;
-/// What the share of rejected requests counts for in the load that other sites are told.
+/// Factor of the ratio of rejected requests in the load that is reported to other sites.
 const REJECTED_LOAD_FACTOR: f64 = 3.0;
 
 impl<W: EventHandler> RemoteSites<W> {
-    /// Listens for links where the operator file says so; connects are started by the gateway.
+    /// Creates the gateway and listens for links if the operator file has a `listen` address. Outgoing
+    /// connections are requested by the gateway.
     ///
     /// # Errors
     ///
-    /// An address that can't be listened at.
+    /// The system can't listen on the address.
     pub fn new(
         now: Ms,
         node: &str,
@@ -106,55 +108,56 @@
         handle: LoopHandle<'static, W>,
     ) -> io::Result<Self> {
         let mut links = SiteLinks::new(limits, handle);
-        let mut dials = Vec::new();
+        let mut dial_targets = Vec::new();
         for link in &settings.links {
-            dials.extend((0..link.connections).map(|_| (link.to.clone(), link.connect)));
+            dial_targets.extend((0..link.connections).map(|_| (link.to.clone(), link.connect)));
         }
         let setup = GatewaySetup {
             site: settings.site.clone(),
             other_sites: settings.sites.iter().map(|site| site.name.clone()).collect(),
             node: node.to_string(),
-            // Greater with each start: a start takes longer than a microsecond.
+            // Greater with each start, since a start takes longer than a microsecond.
             epoch: (now * 1_000.0) as u64,
             seed,
-            dial_sites: dials.iter().map(|(site, _)| site.clone()).collect(),
+            dial_sites: dial_targets.iter().map(|(site, _)| site.clone()).collect(),
             accepts_cluster_peers: settings.cluster.is_some(),
             config: settings.parameters,
         };
         if let Some(address) = settings.listen {
             let address = links.listen(address)?;
-            log_line!("gateway of {}: links come in at {address}", settings.site);
+            log_line!("gateway of {}: listening for links at {address}", settings.site);
         }
         let gateway = Gateway::new(now, setup);
-        let classes = settings.sites.iter().flat_map(|site| {
-            let number = gateway.site_id(&site.name);
-            site.classes.iter().filter_map(move |class| Some((class.clone(), number?)))
+        let home_sites = settings.sites.iter().flat_map(|site| {
+            let id = gateway.site_id(&site.name);
+            site.classes.iter().filter_map(move |class| Some((class.clone(), id?)))
         });
-        let classes = classes.collect();
-        let addresses = dials.into_iter().map(|(_, address)| address).collect();
+        let home_sites = home_sites.collect();
+        let addresses = dial_targets.into_iter().map(|(_, address)| address).collect();
         let endpoints = BTreeMap::new();
-        Ok(Self { gateway, links, addresses, classes, endpoints, rejected_ratio: 0.0 })
+        Ok(Self { gateway, links, addresses, home_sites, endpoints, rejected_ratio: 0.0 })
     }
 
-    /// Whether requests can go to other sites.
+    /// Whether there are other sites to forward requests to.
     pub fn forwards_requests(&self) -> bool {
         self.gateway.forwards_requests()
     }
 
-    /// What the gateway needs to forward a request.
+    /// Converts a request to the form that the gateway forwards.
     pub fn forward_spec(&self, request: &CrossSiteRequest, message: &RequestMessage) -> ForwardRequest {
-        let home = self.classes.get(&request.spec.class).copied();
+        let home = self.home_sites.get(&request.spec.class).copied();
         requests::forward_spec(request, message, home)
     }
 
-    /// The next thing that the router is to do. What concerns links only is done here.
+    /// Takes the next effect that the router has to carry out. Actions that concern only links are carried
+    /// out here.
     pub fn next_effect(&mut self, clock: &Clock) -> Option<SiteEffect> {
         loop {
             let now = clock.now();
             match self.gateway.next_action()? {
-                GatewayAction::Dial(n) => {
-                    if let Some(address) = self.addresses.get(n).copied() {
-                        self.links.dial(now, n, address, &mut self.gateway);
+                GatewayAction::Dial(dialer) => {
+                    if let Some(address) = self.addresses.get(dialer).copied() {
+                        self.links.dial(now, dialer, address, &mut self.gateway);
                     }
                 }
                 GatewayAction::Close(conn, _) => self.links.close(conn),
@@ -164,7 +167,7 @@
                 GatewayAction::ServeRemote(request) => return Some(SiteEffect::Serve(request)),
                 GatewayAction::CancelServe(ticket) => return Some(SiteEffect::Cancel(ticket)),
                 GatewayAction::RemoteFact(fact) => {
-                    if let Some(effect) = announcement(fact) {
+                    if let Some(effect) = effect_of_fact(fact) {
                         return Some(effect);
                     }
                 }
@@ -181,17 +184,17 @@
 
     // ---- Links.
 
-    /// Accepts links; false where no more can be accepted for now.
+    /// Accepts links. Returns false if no more can be accepted for now.
     pub fn accept(&mut self, now: Ms, listener: &TcpListener) -> bool {
         self.links.accept(now, listener, &mut self.gateway)
     }
 
-    /// Continues after a link became ready.
+    /// Reads or writes a link that became ready.
     pub fn on_link_ready(&mut self, now: Ms, conn: ConnectionId, readiness: Readiness) {
         self.links.ready(now, conn, readiness, &mut self.gateway);
     }
 
-    /// Whether a link can be read without waiting for an event.
+    /// Whether reading of a link was paused and has to continue without another readiness event.
     pub fn has_readable_links(&self) -> bool {
         self.links.has_paused()
     }
@@ -202,7 +205,7 @@
         self.gateway.next_deadline(now).min(connects)
     }
 
-    /// Does what is due; `open_ratio` is the share of the open requests that there may be.
+    /// Runs timers that are due. `open_ratio` is the number of open requests divided by its limit.
     pub fn on_timer(&mut self, now: Ms, open_ratio: f64) {
         self.links.on_timer(now, &mut self.gateway);
         self.links.read_paused(now, &mut self.gateway);
@@ -212,7 +215,7 @@
         }
     }
 
-    /// Counters of links, as they are printed.
+    /// The counters of links in the form in which they are logged.
     pub fn counters(&self) -> String {
         let SiteLinks { accepted, bytes_in, bytes_out, .. } = &self.links;
         let count = self.links.len();
@@ -221,8 +224,8 @@
 
     // ---- The endpoint list.
 
-    /// Announces an update of the own list to other sites, and marks endpoints as draining that these have announced as
-    /// drained.
+    /// Publishes an update of the local endpoint list to other sites. Endpoints in the update that another
+    /// site has published as unavailable are marked as draining.
     pub fn on_endpoint_update(
         &mut self,
         now: Ms,
@@ -234,20 +237,20 @@
         }
         for entry in &mut update.entries {
             let name = entry.uid.clone();
-            let about = FactKey::Cache(name.clone());
-            let known = self.endpoints.contains_key(&name);
+            let key = FactKey::Cache(name.clone());
+            let is_known = self.endpoints.contains_key(&name);
             if entry.is_removed() {
                 self.endpoints.remove(&name);
-                self.gateway.publish_fact(now, about, FactValue::CacheRemoved);
+                self.gateway.publish_fact(now, key, FactValue::CacheRemoved);
                 continue;
             }
             let listed = ListedEndpoint { entry: entry.clone(), at_this_site: is_at_this_site(entry) };
-            let before = self.endpoints.insert(name.clone(), listed);
-            let was_ready = before.is_none_or(|before| before.entry.is_ready());
+            let previous = self.endpoints.insert(name.clone(), listed);
+            let was_ready = previous.is_none_or(|previous| previous.entry.is_ready());
             if !entry.is_ready() {
-                self.gateway.publish_fact(now, about, FactValue::Cache { ready: false });
-            } else if known && !was_ready {
-                self.gateway.publish_fact(now, about, FactValue::Cache { ready: true });
+                self.gateway.publish_fact(now, key, FactValue::Cache { ready: false });
+            } else if is_known && !was_ready {
+                self.gateway.publish_fact(now, key, FactValue::Cache { ready: true });
             }
             if entry.is_ready() && self.gateway.is_cache_unavailable(&name) {
                 entry.mark_draining();
@@ -256,8 +259,8 @@
         self.report_load(now, 0.0);
     }
 
-    fn remove_unlisted(&mut self, now: Ms, targets: &[EndpointEntry]) {
-        let listed: Vec<&str> = targets.iter().map(|entry| entry.uid.as_str()).collect();
+    fn remove_unlisted(&mut self, now: Ms, entries: &[EndpointEntry]) {
+        let listed: Vec<&str> = entries.iter().map(|entry| entry.uid.as_str()).collect();
         let names = self.endpoints.keys().filter(|name| !listed.contains(&name.as_str()));
         let removed: Vec<String> = names.cloned().collect();
         for name in removed {
@@ -266,7 +269,8 @@
         }
     }
 
-    /// The line of an endpoint of the own list with what other sites have announced of it.
+    /// The entry of an endpoint in the local list, marked as draining if another site has published it as
+    /// unavailable.
     pub fn current_entry(&self, name: &str) -> Option<EndpointUpdate> {
         let mut entry = self.endpoints.get(name)?.entry.clone();
         if entry.is_ready() && self.gateway.is_cache_unavailable(name) {
@@ -275,19 +279,20 @@
         Some(EndpointUpdate { is_complete: false, entries: vec![entry] })
     }
 
-    /// Announces a purge of the own journal.
-    pub fn announce_purge(&mut self, now: Ms, purge: &PurgeEvent) {
-        let about = match &purge.object {
+    /// Publishes a purge from the local journal to other sites.
+    pub fn publish_purge(&mut self, now: Ms, purge: &PurgeEvent) {
+        let key = match &purge.object {
             Some(name) => FactKey::Object(name.clone()),
             None => FactKey::Group(purge.group),
         };
-        self.gateway.publish_fact(now, about, FactValue::Purged { stamp: purge.issued_at });
+        self.gateway.publish_fact(now, key, FactValue::Purged { stamp: purge.issued_at });
     }
 
     // ---- Load.
 
-    /// Reports to the gateway how many endpoints are usable here, and the site's load: the share of the open requests that
-    /// there may be, or that of rejected requests.
+    /// Reports the number of usable endpoints and the load of this site to the gateway. The load is the
+    /// larger of `open_ratio`, the number of open requests divided by its limit, and the scaled ratio of
+    /// rejected requests.
     pub fn report_load(&mut self, now: Ms, open_ratio: f64) {
         let is_usable = |(name, listed): &(&String, &ListedEndpoint)| {
             listed.at_this_site && listed.entry.is_ready() && !self.gateway.is_cache_unavailable(name)
@@ -297,29 +302,30 @@
         self.gateway.report_local_load(now, usable, load);
     }
 
-    /// Records how a request ended that was decided here.
+    /// Records the outcome of a request that was decided at this site.
     pub fn record_outcome(&mut self, now: Ms, request: &CrossSiteRequest, outcome: LocalOutcome) {
         let rejected = f64::from(u8::from(outcome.rejected));
         self.rejected_ratio += (rejected - self.rejected_ratio) * REJECTED_WEIGHT;
-        // The outcomes of other sites' requests are judged there.
+        // The outcome of another site's request is recorded at that site.
         if !outcome.remote {
-            self.gateway.record_local_outcome(now, request.need(), outcome.failed);
+            self.gateway.record_local_outcome(now, request.kind(), outcome.failed);
         }
     }
 }
 
-/// How a request ended that was decided at this site.
+/// The outcome of a request that was decided at this site.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalOutcome {
-    /// It came from another site.
+    /// Whether the request came from another site.
     pub remote: bool,
+    /// Whether the request was rejected.
     pub rejected: bool,
-    /// It was not served.
+    /// Whether the request was not served.
     pub failed: bool,
 }
 
-/// What another site has announced, where that concerns the router.
-fn announcement(fact: Fact) -> Option<SiteEffect> {
+/// The effect of a fact from another site; `None` if it does not concern the router.
+fn effect_of_fact(fact: Fact) -> Option<SiteEffect> {
     let purge = |object, group, issued_at| SiteEffect::Purge(PurgeEvent { object, group, issued_at });
     match (fact.key, fact.value) {
         (FactKey::Cache(name), FactValue::Cache { .. } | FactValue::CacheRemoved) => {
--- a/crates/router/src/remote_sites/requests.rs
+++ b/crates/router/src/remote_sites/requests.rs
@@ -1,4 +1,5 @@
-//! Requests that cross sites, and their answers: between the terms of the gateway and those of the router.
+//! Conversion of requests that cross sites, and of their answers, between the types of the gateway and of the
+//! router.
 
 use bytes::Bytes;
 use linnethook_gateway::codec::Fields as GatewayFields;
@@ -16,25 +17,28 @@
 use crate::policy_adapter::{FinalAnswer, Ms, RequestSpec};
 use crate::upstream::{CopyVersion, RequestMessage, ResponsePayload};
 
-/// Requests from other sites have no connection of a client.
+/// Placeholder for requests from other sites, which have no client connection.
 pub const NO_CLIENT: ClientStream = ClientStream { client: 0, stream: 0 };
 
-/// A request as the gateway needs it again, should it be forwarded.
+/// The data of a request that is required to forward it.
 #[derive(Debug, Clone)]
 pub struct CrossSiteRequest {
     pub spec: RequestSpec,
-    /// A second execution would do harm.
+    /// Whether it must not be executed twice.
     pub not_idempotent: bool,
+    /// Whether it is a write, which runs at the origin.
     pub write: bool,
     /// The latency objective, in milliseconds.
     pub objective: Ms,
+    /// The time by which it must have its answer.
     pub deadline: Ms,
-    /// Sites that it has passed.
+    /// The names of the sites that it has passed.
     pub passed: Vec<String>,
 }
 
 impl CrossSiteRequest {
-    pub fn need(&self) -> RequestKind {
+    /// What it requires of the site that serves it.
+    pub fn kind(&self) -> RequestKind {
         if self.write {
             RequestKind::Write
         } else {
@@ -43,7 +47,7 @@
     }
 }
 
-/// What the gateway needs to forward a request; `home` is the site that its class is bound to.
+/// Converts a request to the form that the gateway forwards; `home` is the site that its class is bound to.
 pub(super) fn forward_spec(
     request: &CrossSiteRequest,
     message: &RequestMessage,
@@ -68,7 +72,7 @@
     }
 }
 
-/// The fields of a request as clients write them.
+/// The fields of a request in the form in which clients send them.
 fn request_fields(spec: &RequestSpec, message: &RequestMessage) -> GatewayFields {
     let mut fields: GatewayFields = Vec::with_capacity(9);
     let mut put = |name: &str, value: String| fields.push((name.to_string(), value));
@@ -88,7 +92,7 @@
     fields
 }
 
-/// Reads a request from another site; `None` where it can't be used.
+/// Parses a request from another site; `None` if it is invalid.
 pub fn parse_remote_request(
     request: &RemoteRequest,
     buffers: &BufferPool,
@@ -106,7 +110,7 @@
     parse_request(NO_CLIENT, &fields, body, limits)
 }
 
-/// The reply to another site for an answer of this site.
+/// Converts an answer of this site to a reply to another site.
 pub fn reply_of(answer: FinalAnswer, payload: ResponsePayload) -> Reply {
     match (answer, payload) {
         (FinalAnswer::Served, ResponsePayload::Body(body, version)) => {
@@ -125,7 +129,8 @@
     }
 }
 
-/// The answer to a client for a reply of another site; `holds_copy` is whether the client has a copy of its own.
+/// Converts a reply of another site to the answer to a client. `holds_copy` is whether the client has a copy
+/// of the object.
 pub fn answer_of(
     reply: Reply,
     holds_copy: bool,
@@ -150,7 +155,7 @@
     }
 }
 
-/// Whether the copy that the client holds is the current one.
+/// Whether a reply confirms that the copy of the client is current.
 fn is_not_modified(head: &GatewayFields) -> bool {
     head.iter().any(|(name, value)| name == "valid" && value == "1")
 }
--- a/crates/router/src/remote_sites/serving.rs
+++ b/crates/router/src/remote_sites/serving.rs
@@ -1,4 +1,4 @@
-//! Open requests and the gateway: which site decides about a request, and what other sites are answered.
+//! The choice of the site that decides about an open request, and the replies to requests from other sites.
 
 use linnethook_gateway::gateway::Reply;
 
@@ -9,14 +9,15 @@
 use super::{is_remote, CrossSiteRequest, LocalOutcome, RemoteSites};
 
 impl CrossSiteRequest {
-    /// The request with the time that is left for its answer.
+    /// The specification of the request with the time that is left for its answer.
     pub fn spec_at(&self, now: Ms) -> RequestSpec {
         RequestSpec { budget: (self.deadline - now).max(0.0), ..self.spec.clone() }
     }
 }
 
 impl<W: EventHandler> RemoteSites<W> {
-    /// Lets the gateway choose the site that decides about a request; false for one that can't go to other sites.
+    /// Lets the gateway choose the site that decides about a request. Returns false if the request can't be
+    /// forwarded.
     pub fn choose_site(&mut self, now: Ms, ticket: Ticket, open: &OpenRequest) -> bool {
         let Some(request) = &open.cross_site else { return false };
         let spec = self.forward_spec(request, &open.message);
@@ -24,17 +25,17 @@
         true
     }
 
-    /// Forwards a client's request that was rejected here; false where the gateway has no site for it.
+    /// Forwards a client's request that was rejected here. Returns false if it is not forwarded.
     pub fn forward_rejected(&mut self, now: Ms, ticket: Ticket, open: &OpenRequest) -> bool {
         let Some(request) = open.cross_site.as_ref().filter(|_| !is_remote(ticket)) else { return false };
-        if !self.gateway.is_locally_unavailable(request.need()) {
+        if !self.gateway.is_locally_unavailable(request.kind()) {
             return false;
         }
         let spec = self.forward_spec(request, &open.message);
         self.gateway.forward_rejected_request(now, ticket, spec)
     }
 
-    /// Records the answer that this site's policy gave to a request.
+    /// Records the answer of this site's policy to a request.
     pub fn record_local_answer(&mut self, now: Ms, ticket: Ticket, open: &OpenRequest, answer: FinalAnswer) {
         let Some(request) = &open.cross_site else { return };
         let rejected = matches!(answer, FinalAnswer::Rejected { .. });
@@ -42,22 +43,22 @@
         self.record_outcome(now, request, LocalOutcome { remote: is_remote(ticket), rejected, failed });
     }
 
-    /// Answers a request of another site.
+    /// Completes a request from another site.
     pub fn reply(&mut self, now: Ms, ticket: Ticket, reply: Reply) {
         self.gateway.complete_remote_request(now, ticket, reply);
     }
 
-    /// Rejects a request of another site; `retry_after` 0 = none.
+    /// Rejects a request from another site. `retry_after` is in milliseconds; 0 if unknown.
     pub fn reject(&mut self, now: Ms, ticket: Ticket, retry_after: Ms) {
         self.gateway.complete_remote_request(now, ticket, Reply::Rejected { retry_after });
     }
 
-    /// Nobody waits for a request any more.
+    /// Cancels a request whose answer is no longer needed.
     pub fn cancel(&mut self, now: Ms, ticket: Ticket) {
         self.gateway.cancel_request(now, ticket);
     }
 
-    /// Announces the end of this router to other sites; no links are connected from here on.
+    /// Notifies other sites that this router is shutting down; no more links are opened.
     pub fn stop(&mut self) {
         self.gateway.begin_shutdown();
     }
--- a/crates/testbed/src/process_cluster/mod.rs
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -274,7 +274,7 @@
         let mut process = Process { child, address: ([127, 0, 0, 1], 0).into(), links: None, log };
         let address = loop {
             let line = wait(&process.log, "")?;
-            if let Some(links) = address_after(&line, "links come in at ") {
+            if let Some(links) = address_after(&line, "listening for links at ") {
                 process.links = Some(links);
             } else if let Some(address) = address_after(&line, " listens on ") {
                 break address;
