--- a/crates/router/src/counters.rs
+++ b/crates/router/src/counters.rs
@@ -35,7 +35,7 @@
         requests: u64 = "taken_in",
         /// Bytes of the bodies of these requests.
         request_bytes: u64 = "taken_in_bytes",
-        /// Requests cancelled by their clients.
+        /// Requests cancelled by their clients, or by the sites that forwarded them.
         cancelled_requests: u64 = "given_up",
         /// Attempts sent to caches, parents and the origin.
         attempts: u64 = "sent",
@@ -73,10 +73,10 @@
         withdrawn: u64 = "taken_back",
                 /// Accepted connections of clients.
         accepted_clients: u64 = "clients",
-        /// Connections of clients closed with a protocol error, time-outs and evictions included.
+        /// Connections of clients closed with a protocol error, timeouts and evictions included.
         malformed_clients: u64 = "malformed",
-        /// Connections of clients closed because no request, or only a part of a message, was received in
-        /// time.
+        /// Connections of clients closed because no request, or only a part of a message, was received within
+        /// the timeout.
         timed_out_clients: u64 = "silent",
         /// Idle connections of clients closed in favour of others.
         evicted_clients: u64 = "made_room",
--- a/crates/router/src/downstream/mod.rs
+++ b/crates/router/src/downstream/mod.rs
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ConnectionCounts {
     pub accepted: u64,
-    /// Closed with a protocol error, time-outs and evictions included.
+    /// Closed with a protocol error, timeouts and evictions included.
     pub malformed: u64,
-    /// Closed because no request, or only a part of a message, was received in time.
+    /// Closed because no request, or only a part of a message, was received within the timeout.
     pub timed_out: u64,
     /// Idle ones closed to free a connection or descriptor for others.
     pub evicted: u64,
--- a/crates/router/src/policy_adapter/events.rs
+++ b/crates/router/src/policy_adapter/events.rs
@@ -55,7 +55,7 @@
     Answered,
     /// The endpoint replied with an error; the attempt may have been executed.
     Failed,
-    /// The endpoint rejected the attempt for lack of capacity.
+    /// Rejected for lack of capacity, by the endpoint or because its queued fill was not admitted.
     Rejected,
     /// The object is not cached there, and was not filled.
     CacheMiss,
