--- a/crates/membership/src/aggregation/location.rs
+++ b/crates/membership/src/aggregation/location.rs
@@ -18,10 +18,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum LocationError {
     /// Too many names; the number found.
-    #[error("expected 1 to {MAX_DEPTH} names with / between them, got {0}")]
+    #[error("expected 1 to {MAX_DEPTH} names separated by /, got {0}")]
     Depth(usize),
     /// A name that is empty, too long, or not printable ASCII without spaces.
-    #[error("expected names of 1 to {MAX_NAME_BYTES} letters, digits or signs without /, got {0:?}")]
+    #[error("expected names of 1 to {MAX_NAME_BYTES} visible ASCII characters other than /, got {0:?}")]
     Name(String),
 }
 
