--- a/crates/membership/examples/spread.rs
+++ b/crates/membership/examples/spread.rs
@@ -109,8 +109,8 @@
 fn main() {
     let max_routers: usize = std::env::args().nth(1).and_then(|text| text.parse().ok()).unwrap_or(1_000);
     println!(
-        "| routers | loss | all joined, ms | delay of an entry: median 99% max, ms | bytes for it per router | \
-         idle bytes/s per router | detection of a crash: median 99% max, ms | false suspicions |"
+        "| routers | loss | all joined, ms | delay of an entry: median 99% max, ms | \
+         bytes for it per router | idle bytes/s per router | detection of a crash: median 99% max, ms | false suspicions |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for routers in [10, 30, 100, 300, 1_000].into_iter().filter(|routers| *routers <= max_routers) {
--- a/crates/membership/examples/summaries.rs
+++ b/crates/membership/examples/summaries.rs
@@ -22,7 +22,7 @@
 use linnethook_membership::config::MembershipConfig;
 use linnethook_membership::gossip::entry::{EntryKey, GossipEntry};
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
-use net::{LinkConfig, Network, Node, TreeShape};
+use net::{Delivery, LinkConfig, Network, Node, TreeShape};
 
 /// The number of changes whose delay is measured in a tree; without locations one less.
 const CHANGES_MEASURED: u64 = 4;
@@ -305,7 +305,7 @@
     let settled = net.now + 15_000.0;
     run.run_load(&mut net, settled, false);
     for change in 1..=CHANGES_MEASURED {
-        net.record = Some(Vec::new());
+        net.deliveries = Some(Vec::new());
         let at = net.now;
         let (routers, changed) = (net.nodes.len(), run.changed_router(net.nodes.len(), change));
         let unsettled = (0..routers)
@@ -336,9 +336,9 @@
         let key = EntryKey::Summary(location.clone()).encode();
         let mut received = BTreeMap::new();
         let mut published = BTreeMap::new();
-        let deliveries = net.record.iter().flatten().filter(|(.., (k, _))| *k == key);
-        for (delivered_at, from, to, (_, entry)) in deliveries {
-            let Ok(entry) = GossipEntry::decode(entry) else { continue };
+        let deliveries = net.deliveries.iter().flatten().filter(|delivery| delivery.key == key);
+        for Delivery { at: delivered_at, from, to, value, .. } in deliveries {
+            let Ok(entry) = GossipEntry::decode(value) else { continue };
             let Ok(SummaryReport { reported_by, summary }) = entry.decode_body::<SummaryReport>() else {
                 continue;
             };
@@ -377,7 +377,7 @@
     let mut net = Network::tree(7, shape, config, LinkConfig::default());
     let run = tree_run(shape, config, SECONDS);
     run.run_load(&mut net, 30_000.0, true);
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     let received_before = received_entries(&net);
     let bytes_before = bytes_sent_and_received(&net);
     let end = net.now + SECONDS * 1_000.0;
@@ -410,7 +410,7 @@
 /// The number and the bytes of all recorded deliveries by kind, counted at both ends; or at one router only.
 fn traffic_by_kind(net: &Network, only: Option<usize>) -> BTreeMap<String, (u64, u64)> {
     let mut kinds = BTreeMap::<String, (u64, u64)>::new();
-    for (_, from, to, (key, entry)) in net.record.iter().flatten() {
+    for Delivery { from, to, key, value, .. } in net.deliveries.iter().flatten() {
         let ends = only.map_or(2, |n| u64::from(*from == n) + u64::from(*to == n));
         if ends == 0 {
             continue;
@@ -421,7 +421,7 @@
             None => format!("word {key:?}"),
         };
         let total = kinds.entry(kind).or_default();
-        *total = (total.0 + ends, total.1 + ends * (key.len() + entry.len() + 4) as u64);
+        *total = (total.0 + ends, total.1 + ends * (key.len() + value.len() + 4) as u64);
     }
     kinds
 }
--- a/crates/membership/src/aggregation/location.rs
+++ b/crates/membership/src/aggregation/location.rs
@@ -20,7 +20,7 @@
     /// Too many names; the number found.
     #[error("expected 1 to {MAX_DEPTH} names separated by /, got {0}")]
     Depth(usize),
-    /// A name that is empty, too long, or not printable ASCII without spaces.
+    /// A name that is empty, too long, or not visible ASCII.
     #[error("expected names of 1 to {MAX_NAME_BYTES} visible ASCII characters other than /, got {0:?}")]
     Name(String),
 }
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// Too many names, or a name that is empty, too long or not printable ASCII.
+    /// Too many names, or a name that is empty, too long or not visible ASCII.
     pub fn parse(text: &str) -> Result<Self, LocationError> {
         let names: Vec<String> = text.split('/').map(str::to_string).collect();
         if names.len() > MAX_DEPTH {
--- a/crates/membership/src/aggregation/tree.rs
+++ b/crates/membership/src/aggregation/tree.rs
@@ -173,9 +173,9 @@
     }
 
     /// Records that another router published a summary of a location that this router aggregates, too. The
-    /// two may not know of each other yet, or only since recently. If the rival goes on publishing, the
-    /// router whose summary counts more alive routers remains the aggregator; of equal ones the first by
-    /// name.
+    /// two may not know of each other yet, or may have learned of each other only recently. If the rival
+    /// continues to publish, the router whose summary counts more alive routers remains the aggregator; of
+    /// equal ones the first by name.
     fn record_rival(&mut self, now: Ms, depth: usize, report: &SummaryReport, revision: Revision) {
         let published = self.published.get_mut(&depth);
         let Some(published) = published.filter(|published| revision > published.revision) else { return };
--- a/crates/membership/src/cluster.rs
+++ b/crates/membership/src/cluster.rs
@@ -62,8 +62,8 @@
     outbox: Outbox,
     rate_limiter: TokenBucket,
     anti_entropy: AntiEntropy,
-    names: NameConflicts,
-    floor: FloorMonitor,
+    name_conflicts: NameConflicts,
+    floor_monitor: FloorMonitor,
     participation: Participation,
     last_tick: Ms,
     last_flush: Ms,
@@ -97,8 +97,8 @@
             outbox: Outbox::default(),
             rate_limiter: TokenBucket::new(now, config.rate_limit),
             anti_entropy: AntiEntropy::new(now + config.comparison_interval),
-            names: NameConflicts::default(),
-            floor: FloorMonitor::default(),
+            name_conflicts: NameConflicts::default(),
+            floor_monitor: FloorMonitor::default(),
             participation: Participation::Active,
             last_tick: now,
             last_flush: now - config.flush_interval,
@@ -245,7 +245,7 @@
         if gap < self.config.freeze_threshold {
             return;
         }
-        self.names.record_freeze(now);
+        self.name_conflicts.record_freeze(now);
         self.counters.freezes += 1;
         self.emit(ClusterEvent::Frozen(gap as u64));
         if let Some(topology) = &mut self.topology {
--- a/crates/membership/src/cluster/expiry.rs
+++ b/crates/membership/src/cluster/expiry.rs
@@ -46,8 +46,8 @@
     /// Removes summaries that have not been renewed in time. A router without a location only forwards
     /// summaries and version updates, and removes both by age.
     fn expire_summaries(&mut self, now: Ms, retained_since: Ms) {
-        // By the hybrid clock, on which all routers agree: otherwise a router would send others summaries
-        // that they have removed already.
+        // By the hybrid clock, which all routers share: otherwise a router would send others summaries that
+        // they have removed already.
         let clock = self.clock.next_timestamp(now).ms;
         let Some(topology) = &mut self.topology else {
             let is_forwarded =
--- a/crates/membership/src/cluster/floor.rs
+++ b/crates/membership/src/cluster/floor.rs
@@ -60,15 +60,15 @@
     /// Enforces a floor: routers that stay below it for longer than the grace period are stragglers, whose
     /// entries are ignored.
     pub fn enforce_floor(&mut self, now: Ms, floor: u64, grace_period: Ms) {
-        self.floor.set_floor(floor, grace_period);
+        self.floor_monitor.set_floor(floor, grace_period);
         let behind = self.routers_below(floor);
         if let Some(topology) = &mut self.topology {
             // A router may become a straggler, or stop being one.
-            if !behind.is_empty() || self.floor.is_any_behind() {
+            if !behind.is_empty() || self.floor_monitor.is_any_behind() {
                 topology.summaries.mark_changed(now);
             }
         }
-        self.floor.update(now, behind);
+        self.floor_monitor.update(now, behind);
     }
 
     fn routers_below(&self, floor: u64) -> BTreeSet<String> {
@@ -89,7 +89,7 @@
 
     /// Whether a router has acted below the floor for longer than the grace period.
     pub fn is_straggler(&self, now: Ms, name: &str) -> bool {
-        self.floor.is_straggler(now, name)
+        self.floor_monitor.is_straggler(now, name)
     }
 
     /// Linked peers that act on a newer hierarchy than this router.
--- a/crates/membership/src/cluster/receive.rs
+++ b/crates/membership/src/cluster/receive.rs
@@ -128,12 +128,12 @@
         let incarnation = entry.revision.epoch;
         if name == self.name {
             // Other received statuses of this router itself are ignored.
-            if incarnation > self.incarnation && !self.names.is_rejected(name, incarnation) {
+            if incarnation > self.incarnation && !self.name_conflicts.is_rejected(name, incarnation) {
                 self.handle_later_incarnation(now, incarnation);
             }
             return;
         }
-        if self.names.is_rejected(name, incarnation) {
+        if self.name_conflicts.is_rejected(name, incarnation) {
             self.counters.entries_stale += 1;
             return;
         }
@@ -221,7 +221,7 @@
         if self.leaving {
             return;
         }
-        match self.names.decide(now, self.config.yield_window) {
+        match self.name_conflicts.decide(now, self.config.yield_window) {
             ConflictDecision::Yield => {
                 let event = ClusterEvent::Yielded { holder: incarnation };
                 self.stop_participating(Participation::Yielded(incarnation), event);
@@ -233,7 +233,7 @@
     fn reject_later_incarnation(&mut self, now: Ms, incarnation: u64) {
         self.counters.name_conflicts += 1;
         self.emit(ClusterEvent::NameConflict { incarnation });
-        self.names.reject(&self.name, incarnation);
+        self.name_conflicts.reject(&self.name, incarnation);
         let holder = NameHolder { incarnation: self.incarnation };
         let entry = GossipEntry::new(Revision::new(incarnation, 0), 1, &holder);
         self.publish(now, &EntryKey::NameConflict(self.name.clone()), entry);
@@ -260,7 +260,7 @@
             }
             return;
         }
-        self.names.reject(name, rejected);
+        self.name_conflicts.reject(name, rejected);
         let status_key = EntryKey::Router(name.to_string()).encode();
         if self.table.get(&status_key).is_some_and(|status| status.revision.epoch == rejected) {
             self.table.remove(&status_key);
--- a/crates/membership/src/cluster/report.rs
+++ b/crates/membership/src/cluster/report.rs
@@ -22,7 +22,7 @@
             entries: self.table.len(),
             bytes: self.table.bytes(),
             pending: self.outbox.len() + pending_on_links,
-            floor: self.floor.floor(),
+            floor: self.floor_monitor.floor(),
             counters: self.counters,
             location: self.location().map(Location::to_string),
             remote_peers: remote_peers
--- a/crates/membership/src/gossip/entry.rs
+++ b/crates/membership/src/gossip/entry.rs
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The priority with which an entry of this key is sent, 0 first. `None` is a kind that only a newer
-    /// build knows.
+    /// The urgency of an entry of this key; entries of urgency 0 are sent first. `None` is a kind that only a
+    /// newer build knows.
     pub fn urgency(key: Option<&Self>) -> u8 {
         match key {
             Some(Self::NameConflict(_) | Self::Floor) => 0,
@@ -63,7 +63,7 @@
     }
 }
 
-/// The priority with which an entry of this encoded key is sent, 0 first.
+/// The urgency of an entry of this encoded key; entries of urgency 0 are sent first.
 pub fn urgency(key: &[u8]) -> u8 {
     EntryKey::urgency(EntryKey::decode(key).as_ref())
 }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -132,7 +132,7 @@
 pub struct MemberList {
     timeouts: MembershipTimeouts,
     /// The name of this router.
-    own: String,
+    own_name: String,
     /// Peers and their incarnations.
     links: BTreeSet<(String, u64)>,
     members: BTreeMap<String, Member>,
@@ -147,7 +147,7 @@
     pub fn new(timeouts: MembershipTimeouts, name: &str) -> Self {
         Self {
             timeouts,
-            own: name.to_string(),
+            own_name: name.to_string(),
             links: BTreeSet::new(),
             members: BTreeMap::new(),
             reachability_changed: true,
@@ -191,7 +191,7 @@
         incarnation: u64,
         status: RouterStatus,
     ) -> Option<MemberChange> {
-        if name == self.own {
+        if name == self.own_name {
             return None;
         }
         self.reachability_changed = true;
--- a/crates/membership/tests/cluster.rs
+++ b/crates/membership/tests/cluster.rs
@@ -7,7 +7,7 @@
 use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, Purge};
 use linnethook_membership::membership::{MemberChange, MemberState};
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
-use net::{LinkConfig, Network};
+use net::{Delivery, LinkConfig, Network};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -346,7 +346,7 @@
         MembershipConfig::default(),
         LinkConfig { loss: 0.02, ..LinkConfig::default() },
     );
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     for n in 0..300u64 {
         let (now, at) = (net.now, n as usize * 5 % 12);
         for router in (0..12).filter(|router| net.is_running(*router)).collect::<Vec<_>>() {
@@ -367,10 +367,10 @@
         }
         net.run_until(now + 70.0);
     }
-    let record = net.record.take().expect("a record");
+    let deliveries = net.deliveries.take().expect("recorded deliveries");
     let mut digest = xxhash_rust::xxh3::Xxh3::new();
-    for (at, from, to, (key, entry)) in &record {
-        digest.update(format!("{at:.3} {from} {to} {key:?} {entry:?}").as_bytes());
+    for Delivery { at, from, to, key, value } in &deliveries {
+        digest.update(format!("{at:.3} {from} {to} {key:?} {value:?}").as_bytes());
     }
-    assert_eq!((record.len(), digest.digest()), (47_301, 5_369_769_045_580_680_548));
+    assert_eq!((deliveries.len(), digest.digest()), (47_301, 5_369_769_045_580_680_548));
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -26,7 +26,7 @@
     ActiveVersions, HierarchyVersion, RouterStatus, VersionFloor, VersionUpdate,
 };
 use linnethook_membership::view::{ClusterCounters, ClusterView, LocationView, RouterView};
-use net::{LinkConfig, Network, TreeShape};
+use net::{Delivery, LinkConfig, Network, TreeShape};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use support::{hex, unhex, Fixtures};
@@ -346,7 +346,7 @@
         MembershipConfig::default(),
         LinkConfig { loss: 0.02, ..LinkConfig::default() },
     );
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     let all = shape.all();
     for n in 0..400u64 {
         let (now, at) = (net.now, n as usize * 5 % all);
@@ -396,10 +396,10 @@
         }
         net.run_until(now + 70.0);
     }
-    let record = net.record.take().expect("a record");
+    let deliveries = net.deliveries.take().expect("recorded deliveries");
     let mut fixtures = Fixtures::new();
     let mut digest = xxhash_rust::xxh3::Xxh3::new();
-    for (at, from, to, (key, value)) in &record {
+    for Delivery { at, from, to, key, value } in &deliveries {
         digest.update(format!("{at:.3} {from} {to} {key:?} {value:?}").as_bytes());
         let name = format!("first.{}", kind(key));
         let message = || format!("{at:.3} {from} {to} {} {}", hex(key), hex(value));
@@ -415,7 +415,7 @@
         let node = &net.nodes[router];
         views.update(format!("{} {} {}", node.events.len(), node.actions.len(), node.bytes_sent).as_bytes());
     }
-    fixtures.insert("frames".to_string(), record.len().to_string());
+    fixtures.insert("frames".to_string(), deliveries.len().to_string());
     fixtures.insert("digest".to_string(), format!("{:016x}", digest.digest()));
     fixtures.insert("views".to_string(), format!("{:016x}", views.digest()));
     let kinds = ["digests", "router", "name_conflict", "cache", "group", "batch", "floor"];
--- a/crates/membership/tests/locations.rs
+++ b/crates/membership/tests/locations.rs
@@ -15,7 +15,7 @@
 use linnethook_membership::membership::MemberState;
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use linnethook_membership::Ms;
-use net::{LinkConfig, Network, TreeShape};
+use net::{Delivery, LinkConfig, Network, TreeShape};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -82,7 +82,7 @@
     let locations: BTreeMap<&str, &Location> =
         net.nodes.iter().filter_map(|node| Some((node.name.as_str(), node.location.as_ref()?))).collect();
     let mut leaks = Vec::new();
-    for (at, _, to, (key, _)) in net.record.iter().flatten() {
+    for Delivery { at, to, key, .. } in net.deliveries.iter().flatten() {
         let Some(receiver) = &net.nodes[*to].location else { continue };
         let leak = match EntryKey::decode(key) {
             Some(EntryKey::Router(name) | EntryKey::VersionUpdate(name)) => locations
@@ -102,11 +102,11 @@
 
 /// The routers that have published summaries of a location since a time, according to the messages on links.
 fn aggregators(net: &Network, location: &Location, since: Ms) -> BTreeSet<String> {
-    let sent = net.record.iter().flatten().filter(|(at, ..)| *at >= since);
-    let published = sent.filter_map(|(_, from, _, (key, entry))| {
+    let sent = net.deliveries.iter().flatten().filter(|delivery| delivery.at >= since);
+    let published = sent.filter_map(|Delivery { from, key, value, .. }| {
         let is_summary = EntryKey::decode(key) == Some(EntryKey::Summary(location.clone()));
         let report =
-            GossipEntry::decode(entry).ok().filter(|_| is_summary)?.decode_body::<SummaryReport>().ok()?;
+            GossipEntry::decode(value).ok().filter(|_| is_summary)?.decode_body::<SummaryReport>().ok()?;
         // Other routers forward the summary; only deliveries by its author are considered.
         (net.nodes[*from].name == report.reported_by).then_some(report.reported_by)
     });
@@ -118,7 +118,7 @@
 #[test]
 fn router_knows_its_site_and_one_summary_per_sibling_location() {
     let (mut net, shape) = fleet(1, LinkConfig::default());
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     for n in 0..shape.all() {
         net.cluster(n).set_versions(&ActiveVersions {
             journal_position: 100 + n as u64,
@@ -163,20 +163,21 @@
 #[test]
 fn without_location_no_topology_message_is_sent() {
     let mut net = Network::new(4, 8, 2, MembershipConfig::default(), LinkConfig::default());
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     net.run_until(20_000.0);
     let needs_locations = |key: &[u8]| match EntryKey::decode(key) {
         Some(EntryKey::VersionUpdate(_) | EntryKey::Summary(_)) => true,
         Some(EntryKey::Router(_)) | Some(_) => false,
         None => matches!(key, [kind] if *kind != 0xff),
     };
-    let record = net.record.as_ref().expect("a record");
-    assert!(record.len() > 50);
-    assert!(record.iter().all(|(.., (key, _))| !needs_locations(key)));
-    let statuses =
-        record.iter().filter(|(.., (key, _))| matches!(EntryKey::decode(key), Some(EntryKey::Router(_))));
+    let deliveries = net.deliveries.as_ref().expect("recorded deliveries");
+    assert!(deliveries.len() > 50);
+    assert!(deliveries.iter().all(|delivery| !needs_locations(&delivery.key)));
+    let is_status =
+        |delivery: &&Delivery| matches!(EntryKey::decode(&delivery.key), Some(EntryKey::Router(_)));
+    let statuses = deliveries.iter().filter(is_status);
     assert!(statuses
-        .filter_map(|(.., (_, entry))| GossipEntry::decode(entry).ok())
+        .filter_map(|delivery| GossipEntry::decode(&delivery.value).ok())
         .all(|entry| entry.body_version == 2));
     assert!(net
         .nodes
@@ -224,7 +225,7 @@
 #[test]
 fn repeated_hierarchy_transitions_are_published_at_interval() {
     let (mut net, shape) = fleet(16, LinkConfig::default());
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     let (from, config) = (net.now, MembershipConfig::default().aggregation);
     let version = |n: usize, now: Ms| ((now - from - (n % 5) as Ms * 100.0).max(0.0) / 3_600.0) as u64 + 1;
     let mut max_delay: Ms = 0.0;
@@ -242,9 +243,10 @@
         }
     }
     let mut published = BTreeMap::new();
-    for (at, _, _, (key, entry)) in net.record.iter().flatten().filter(|(at, ..)| *at > from + 5_000.0) {
+    let settled = net.deliveries.iter().flatten().filter(|delivery| delivery.at > from + 5_000.0);
+    for Delivery { at, key, value, .. } in settled {
         if let (Some(EntryKey::Summary(location)), Ok(entry)) =
-            (EntryKey::decode(key), GossipEntry::decode(entry))
+            (EntryKey::decode(key), GossipEntry::decode(value))
         {
             if location.depth() == 3 {
                 let summary = entry.decode_body::<SummaryReport>().expect("a report").summary;
@@ -268,7 +270,7 @@
 #[test]
 fn next_aggregator_takes_over_from_suspect_one_and_hands_back() {
     let (mut net, shape) = fleet(5, LinkConfig::default());
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     for crashed in [vec![0], vec![0, 1], vec![0, 5]] {
         crashed.iter().for_each(|n| net.crash(*n));
         let running = (shape.all() - crashed.len()) as u64;
@@ -371,7 +373,7 @@
     let is_partitioned =
         |net: &Network| all_summaries(net, |total| total.alive == all / 2 && total.unreachable == all / 2);
     assert!(is_partitioned(&net), "{:?}", fleet_summary(&net, 0));
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     let before: Vec<u64> = net.nodes.iter().map(|node| node.bytes_sent + node.bytes_received).collect();
     net.restore_all_links();
     let versions = |n: usize| versions_with_hierarchy(if n < half { 2 } else { 3 });
@@ -420,7 +422,7 @@
             MembershipConfig::default(),
             LinkConfig { loss, ..LinkConfig::default() },
         );
-        net.record = Some(Vec::new());
+        net.deliveries = Some(Vec::new());
         net.run_until(3_000.0);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let links = net.links();
@@ -483,7 +485,7 @@
 #[test]
 fn router_without_location_counts_in_site_of_its_links() {
     let (mut net, shape) = mixed_fleet(10, &[7], &[]);
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     let all = shape.all() as u64;
     let are_all_counted = |net: &Network| {
         (0..shape.all())
@@ -651,7 +653,7 @@
 #[test]
 fn persistent_rival_aggregator_is_detected_and_superseded() {
     let (mut net, shape) = fleet(14, LinkConfig::default());
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     net.crash(0);
     let running = shape.all() as u64 - 1;
     assert!(net.wait_for(8_000.0, |net| all_summaries(net, |total| total.alive == running)).is_some());
@@ -670,11 +672,11 @@
         net.run_until(now + 1_000.0);
     }
     let since = net.now - 5_000.0;
-    let delivered = net.record.iter().flatten().filter(|(at, ..)| *at >= since);
+    let delivered = net.deliveries.iter().flatten().filter(|delivery| delivery.at >= since);
     let aggregators: BTreeSet<String> = delivered
-        .filter(|(.., (key, _))| EntryKey::decode(key) == Some(EntryKey::Summary(location.clone())))
-        .filter_map(|(.., (_, entry))| {
-            Some(GossipEntry::decode(entry).ok()?.decode_body::<SummaryReport>().ok()?.reported_by)
+        .filter(|delivery| EntryKey::decode(&delivery.key) == Some(EntryKey::Summary(location.clone())))
+        .filter_map(|delivery| {
+            Some(GossipEntry::decode(&delivery.value).ok()?.decode_body::<SummaryReport>().ok()?.reported_by)
         })
         .collect();
     assert_eq!(aggregators, BTreeSet::from(["r0".to_string(), "r1".to_string()]), "both are recorded");
@@ -692,22 +694,22 @@
 #[test]
 fn stale_summary_changes_no_count() {
     let (mut net, shape) = fleet(17, LinkConfig::default());
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     net.run_until(net.now + 25_000.0);
-    let summaries: Vec<_> = net.record.iter().flatten().cloned().collect();
+    let summaries: Vec<_> = net.deliveries.iter().flatten().cloned().collect();
     let summaries: Vec<_> = summaries
         .into_iter()
-        .filter(|(.., (key, _))| matches!(EntryKey::decode(key), Some(EntryKey::Summary(_))))
+        .filter(|delivery| matches!(EntryKey::decode(&delivery.key), Some(EntryKey::Summary(_))))
         .collect();
-    let receivers: BTreeSet<usize> = summaries.iter().map(|(_, _, to, _)| *to).collect();
+    let receivers: BTreeSet<usize> = summaries.iter().map(|delivery| delivery.to).collect();
     assert_eq!(receivers.len(), shape.all(), "each router has received a summary");
     net.crash(31);
     let running = shape.all() as u64 - 1;
     assert!(net.wait_for(8_000.0, |net| all_summaries(net, |total| total.alive == running)).is_some());
     let now = net.now;
-    for (_, from, to, (key, entry)) in summaries.iter().filter(|(_, _, to, _)| *to != 31) {
+    for Delivery { from, to, key, value, .. } in summaries.iter().filter(|delivery| delivery.to != 31) {
         let from = net.nodes[*from].name.clone();
-        net.cluster(*to).receive(now, &from, key, entry);
+        net.cluster(*to).receive(now, &from, key, value);
         let total = fleet_summary(&net, *to);
         assert_eq!((total.alive, total.unreachable), (running, 0), "r{to}, from {from}");
     }
@@ -721,7 +723,7 @@
 #[test]
 fn checks_detect_double_count_and_status_leak() {
     let (mut net, shape) = mixed_fleet(15, &[7], &[(7, 41)]);
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     net.run_until(30_000.0);
     let all = shape.all() as u64;
     assert_eq!(fleet_summary(&net, 0).alive, all + 1, "counted twice");
--- a/crates/membership/tests/net/mod.rs
+++ b/crates/membership/tests/net/mod.rs
@@ -85,11 +85,15 @@
     }
 }
 
-/// The key and the value of a delivered entry or message.
-pub type KeyAndValue = (Vec<u8>, Vec<u8>);
-
-/// A delivered entry or message: the time, the sender, the receiver, the key and the value.
-pub type Delivery = (Ms, usize, usize, KeyAndValue);
+/// A delivered entry or message.
+#[derive(Debug, Clone)]
+pub struct Delivery {
+    pub at: Ms,
+    pub from: usize,
+    pub to: usize,
+    pub key: Vec<u8>,
+    pub value: Vec<u8>,
+}
 
 /// A fleet and its links.
 pub struct Network {
@@ -113,7 +117,7 @@
     /// When the last message over each link, by direction, is delivered.
     last_deliveries: BTreeMap<(usize, usize), Ms>,
     /// All deliveries, if they are recorded.
-    pub record: Option<Vec<Delivery>>,
+    pub deliveries: Option<Vec<Delivery>>,
     /// By time in microseconds and then in the order of scheduling.
     events: BTreeMap<(u64, u64), Event>,
     event_count: u64,
@@ -192,7 +196,7 @@
             extra_delays: BTreeMap::new(),
             not_receiving: BTreeSet::new(),
             last_deliveries: BTreeMap::new(),
-            record: None,
+            deliveries: None,
             events: BTreeMap::new(),
             event_count: 0,
         };
@@ -428,9 +432,10 @@
         let now = self.now;
         let name = self.nodes[from].name.clone();
         self.nodes[to].bytes_received += message_bytes(&entries);
-        if let Some(record) = &mut self.record {
-            let copies = entries.iter().cloned().map(|entry| (entry.key, entry.value));
-            record.extend(copies.map(|copy| (now, from, to, copy)));
+        if let Some(deliveries) = &mut self.deliveries {
+            let delivery =
+                |EncodedEntry { key, value }: EncodedEntry| Delivery { at: now, from, to, key, value };
+            deliveries.extend(entries.iter().cloned().map(delivery));
         }
         for EncodedEntry { key, value } in entries {
             self.cluster(to).receive(now, &name, &key, &value);
--- a/crates/membership/tests/plumtree.rs
+++ b/crates/membership/tests/plumtree.rs
@@ -16,7 +16,7 @@
 use linnethook_membership::versions::{ActiveVersions, HierarchyVersion};
 use linnethook_membership::view::ClusterCounters;
 use linnethook_membership::Ms;
-use net::{LinkConfig, Network, TreeShape};
+use net::{Delivery, LinkConfig, Network, TreeShape};
 
 const KEY: &[u8] = b"key";
 const OTHER: &[u8] = b"other";
@@ -314,19 +314,19 @@
     config.plumtree.lazy_links = false;
     let older: BTreeSet<usize> = [0, 7, 8, 31, 59].into();
     older.iter().for_each(|n| net.start_with_config(*n, config));
-    net.record = Some(Vec::new());
+    net.deliveries = Some(Vec::new());
     assert!(net.wait_for(20_000.0, |net| all_have_counted(net, 0)).is_some());
     let settled = net.now + 45_000.0;
     run_with_progress(&mut net, settled);
     let is_plumtree_message = |key: &[u8]| matches!(key, [0xfb..=0xfd]);
     let (mut plumtree_messages, mut entries_between_older) = (0, 0);
-    for (_, from, to, (key, _)) in
-        net.record.iter().flatten().filter(|(.., (key, _))| is_plumtree_message(key))
+    for Delivery { from, to, key, .. } in
+        net.deliveries.iter().flatten().filter(|delivery| is_plumtree_message(&delivery.key))
     {
         assert!(!older.contains(from) && !older.contains(to), "{key:?} from r{from} to r{to}");
         plumtree_messages += 1;
     }
-    for (at, from, to, (key, _)) in net.record.iter().flatten() {
+    for Delivery { at, from, to, key, .. } in net.deliveries.iter().flatten() {
         let uses_lazy_links =
             matches!(EntryKey::decode(key), Some(EntryKey::VersionUpdate(_) | EntryKey::Summary(_)));
         entries_between_older += usize::from(
