--- a/crates/gateway/src/attempt_ledger/received.rs
+++ b/crates/gateway/src/attempt_ledger/received.rs
@@ -12,9 +12,9 @@
     /// How long a token that has ended is retained, in milliseconds. Must be longer than any deadline, or
     /// else queries can't be answered.
     pub retention: Ms,
-    /// The most tokens of one gateway that are retained.
+    /// Maximum number of retained tokens of one gateway.
     pub max_tokens: usize,
-    /// The most bytes of answers that are retained. The oldest answers are dropped first; their tokens are
+    /// Maximum number of retained bytes of answers. The oldest answers are dropped first; their tokens are
     /// retained.
     pub max_answer_bytes: usize,
 }
@@ -55,7 +55,7 @@
     AtCapacity,
 }
 
-/// The most starts of a sender that are distinguished.
+/// Maximum number of starts of a sender that are distinguished.
 const MAX_KNOWN_EPOCHS: usize = 16;
 
 /// The tokens received from one other gateway.
--- a/crates/gateway/src/concurrency_window.rs
+++ b/crates/gateway/src/concurrency_window.rs
@@ -13,9 +13,9 @@
 pub struct ConcurrencyWindowConfig {
     /// The initial window, which is also the largest one right after an outage.
     pub initial: f64,
-    /// The smallest window.
+    /// Minimum window.
     pub min: f64,
-    /// The largest window.
+    /// Maximum window.
     pub max: f64,
     /// The ratio of late answers above which the window is decreased.
     pub max_late_ratio: f64,
@@ -23,11 +23,11 @@
     pub sample_weight: f64,
     /// The factor by which the window is decreased.
     pub decrease_factor: f64,
-    /// The shortest time between two decreases, in milliseconds.
+    /// Minimum time between two decreases, in milliseconds.
     pub decrease_interval: Ms,
     /// The fractions of the window that bookings, first parts and later parts may use.
     pub priority_shares: [f64; 3],
-    /// The most bytes of answers that may be expected at a time.
+    /// Maximum number of bytes of answers that may be expected at a time.
     pub max_expected_bytes: f64,
 }
 
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -34,21 +34,22 @@
 /// Retention of the state of other sites, and limits on connections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PeerConfig {
-    /// The greatest age, in milliseconds, that the received state of another site may have for requests from
-    /// that site to be admitted: a request must not be served without the drains that its sender already knew
-    /// of. 0 admits all requests.
+    /// Maximum age of the received state of another site for requests from that site to be admitted, in
+    /// milliseconds: a request must not be served without the drains that its sender already knew of. 0
+    /// admits all requests.
     pub max_state_delay: Ms,
     /// How long the reported load and drain of a site are valid after its last message, in milliseconds.
     pub state_lifetime: Ms,
-    /// The largest number of facts about the local site that are retained.
+    /// Maximum number of retained facts about the local site; twice as many are accepted from another
+    /// gateway.
     pub max_facts: usize,
     /// How long purges are retained for sites that reconnect, in milliseconds.
     pub purge_retention: Ms,
-    /// The largest number of known peer gateways.
+    /// Maximum number of known peer gateways.
     pub max_gateways: usize,
-    /// The largest number of connections with one peer gateway.
+    /// Maximum number of connections with one peer gateway.
     pub max_connections: usize,
-    /// The largest number of accepted connections, over all peer gateways.
+    /// Maximum number of accepted connections, over all peer gateways.
     pub max_accepted: usize,
 }
 
--- a/crates/gateway/src/flow_control.rs
+++ b/crates/gateway/src/flow_control.rs
@@ -23,13 +23,13 @@
 /// The limits of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FlowControlConfig {
-    /// The largest number of open streams in each direction.
+    /// Maximum number of open streams in each direction.
     pub max_streams: usize,
     /// The initial credit of a stream.
     pub stream_window_bytes: u64,
     /// The initial credit of a connection.
     pub link_window_bytes: u64,
-    /// The most bytes sent in one turn.
+    /// Maximum number of bytes sent in one turn.
     pub max_turn_bytes: u64,
     /// The number of turns that higher priorities may take before a waiting lower one gets a turn.
     pub max_skipped_turns: u32,
--- a/crates/gateway/src/forwarding/config.rs
+++ b/crates/gateway/src/forwarding/config.rs
@@ -5,32 +5,32 @@
 /// Limits of requests between sites.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ForwardingConfig {
-    /// The most open attempts with tokens.
+    /// Maximum number of open attempts with tokens.
     pub max_attempts: usize,
-    /// The most open requests from other sites.
+    /// Maximum number of open requests from other sites.
     pub max_remote_requests: usize,
-    /// The least time before the deadline for a retry, in milliseconds.
+    /// Minimum time left before the deadline for a retry, in milliseconds.
     pub min_retry_time: Ms,
-    /// The most retries of a request.
+    /// Maximum number of retries of a request.
     pub max_retries: u32,
-    /// How long an interrupted request may wait for a connection, in milliseconds.
+    /// Maximum time that an interrupted request waits for a connection, in milliseconds.
     pub max_wait: Ms,
-    /// The most requests that may wait for a connection.
+    /// Maximum number of requests that wait for a connection.
     pub max_waiting: usize,
-    /// The most buffered bytes of response bodies.
+    /// Maximum number of buffered bytes of response bodies.
     pub max_buffered_bytes: usize,
-    /// The most waiting requests that are resumed per check after a reconnect.
+    /// Maximum number of waiting requests that are resumed per check after a reconnect.
     pub max_resumed_per_check: usize,
     /// Whether an interrupted body is resumed instead of being requested again from the start.
     pub resumes_bodies: bool,
     /// Whether the outcome of an uncertain attempt is queried; otherwise it fails at once, as with a plain
     /// gateway.
     pub queries_outcomes: bool,
-    /// The longest answer, in bytes.
+    /// Maximum length of an answer, in bytes.
     pub max_answer_bytes: u64,
-    /// The longest time for writing an answer to another site, in milliseconds.
+    /// Maximum time for writing an answer to another site, in milliseconds.
     pub answer_write_timeout: Ms,
-    /// The least time after which a rejected client may try again, in milliseconds.
+    /// Minimum time after which a rejected client may try again, in milliseconds.
     pub retry_after: Ms,
 }
 
--- a/crates/gateway/src/gateway/cluster.rs
+++ b/crates/gateway/src/gateway/cluster.rs
@@ -45,8 +45,13 @@
         }
         for connection in self.links.cluster_connections() {
             // A router that has not requested entries yet receives them when it does.
-            let known = self.links.connections.get(&connection).filter(|known| known.sends_peer_state);
-            if let Some(version) = known.map(|known| known.session.sent_version) {
+            let site_connection = self
+                .links
+                .connections
+                .get(&connection)
+                .filter(|site_connection| site_connection.sends_peer_state);
+            if let Some(version) = site_connection.map(|site_connection| site_connection.session.sent_version)
+            {
                 self.send_peer_state(connection, StatePosition { epoch: self.epoch, version });
             }
         }
@@ -62,11 +67,11 @@
     /// Sends the entries that follow a position of the peer.
     pub(super) fn send_peer_state(&mut self, connection: ConnectionId, position: StatePosition) {
         let Some(published) = &self.peer_entries else { return };
-        let Some(known) = self.links.connections.get_mut(&connection) else { return };
-        known.sends_peer_state = true;
+        let Some(site_connection) = self.links.connections.get_mut(&connection) else { return };
+        site_connection.sends_peer_state = true;
         for update in published.update_chunks(position, MAX_UPDATE_BYTES) {
-            known.session.sent_version = update.version;
-            known.session.send(&Message::StateUpdate(update));
+            site_connection.session.sent_version = update.version;
+            site_connection.session.send(&Message::StateUpdate(update));
         }
         self.links.request_write(connection);
     }
--- a/crates/gateway/src/gateway/connections.rs
+++ b/crates/gateway/src/gateway/connections.rs
@@ -12,15 +12,20 @@
 use crate::site_names::LOCAL_SITE;
 use crate::site_state::{ReceivedState, StatePosition};
 
-/// The largest tolerated difference between the clocks of two sites, in microseconds, the unit of process
-/// start times.
+/// Maximum tolerated difference between the clocks of two sites, in microseconds, the unit of process start
+/// times.
 const MAX_CLOCK_DIFFERENCE_US: f64 = 86_400e6;
 
 impl Gateway {
     /// Handles a new connection: one that was dialled for the entry `dialer`, or one that was accepted if
     /// that is `None`.
     pub fn connection_opened(&mut self, now: Ms, connection: ConnectionId, dialer: Option<usize>) {
-        let accepted = self.links.connections.values().filter(|known| known.dialer.is_none()).count();
+        let accepted = self
+            .links
+            .connections
+            .values()
+            .filter(|site_connection| site_connection.dialer.is_none())
+            .count();
         if dialer.is_none() && accepted >= self.config.peers.max_accepted {
             return self.links.push(Action::Close(connection, CloseReason::TooManyGateways));
         }
@@ -253,9 +258,9 @@
         let excess = peer.connections.len().saturating_sub(self.config.peers.max_connections);
         replaced.extend(peer.connections.drain(..excess));
         self.links.counts.connections_up += 1;
-        if let Some(known) = self.links.connections.get_mut(&connection) {
-            known.peer = Some(name.to_string());
-            if let Some(entry) = known.dialer {
+        if let Some(site_connection) = self.links.connections.get_mut(&connection) {
+            site_connection.peer = Some(name.to_string());
+            if let Some(entry) = site_connection.dialer {
                 self.dialers.record_up(now, entry);
             }
         }
--- a/crates/gateway/src/gateway/mod.rs
+++ b/crates/gateway/src/gateway/mod.rs
@@ -214,7 +214,8 @@
 
     /// When [`Self::on_timer`] is due.
     pub fn next_deadline(&self, now: Ms) -> Ms {
-        let sessions = self.links.connections.values().map(|known| known.session.next_deadline(now));
+        let sessions =
+            self.links.connections.values().map(|site_connection| site_connection.session.next_deadline(now));
         let dials = self.dialers.next_deadline().filter(|_| !self.is_stopping);
         let requests = self.forwarder.next_deadline().into_iter().chain(self.remote_requests.next_deadline());
         let has_connections = !self.links.connections.is_empty();
--- a/crates/gateway/src/gateway/state.rs
+++ b/crates/gateway/src/gateway/state.rs
@@ -20,9 +20,9 @@
             return;
         }
         let mut outdated = Vec::new();
-        for (connection, known) in &self.links.connections {
-            if known.peer.is_some() && !self.links.is_cluster_peer(*connection) {
-                outdated.push((*connection, known.session.sent_version));
+        for (connection, site_connection) in &self.links.connections {
+            if site_connection.peer.is_some() && !self.links.is_cluster_peer(*connection) {
+                outdated.push((*connection, site_connection.session.sent_version));
             }
         }
         for (connection, version) in outdated {
--- a/crates/gateway/src/heartbeat.rs
+++ b/crates/gateway/src/heartbeat.rs
@@ -15,14 +15,14 @@
     pub interval: Ms,
     /// The number of intervals between receipts that are retained.
     pub max_samples: usize,
-    /// The least standard deviation of the intervals that is assumed, in milliseconds.
+    /// Lower bound for the standard deviation of the intervals, in milliseconds.
     pub min_deviation: Ms,
     /// The suspicion level from which the peer counts as silent: at level n, the probability that it is alive
     /// is 10^-n.
     pub phi_threshold: f64,
-    /// The shortest time without a receipt after which the peer can count as silent, in milliseconds.
+    /// Minimum time without a receipt before the peer can count as silent, in milliseconds.
     pub min_silence: Ms,
-    /// The time without a receipt after which the peer always counts as silent, in milliseconds.
+    /// Maximum time without a receipt: after it the peer always counts as silent, in milliseconds.
     pub max_silence: Ms,
     /// The connection counts as slow if the smoothed round trip exceeds the best one by this factor.
     pub slow_ratio: f64,
--- a/crates/gateway/src/links.rs
+++ b/crates/gateway/src/links.rs
@@ -116,7 +116,11 @@
 
     /// Requests a write if the connection has output.
     pub fn request_write(&mut self, connection: ConnectionId) {
-        if self.connections.get(&connection).is_some_and(|known| known.session.has_output()) {
+        if self
+            .connections
+            .get(&connection)
+            .is_some_and(|site_connection| site_connection.session.has_output())
+        {
             self.push(Action::Write(connection));
         }
     }
@@ -155,7 +159,7 @@
             self.connections.get(connection).is_some_and(SiteConnection::may_carry_request)
         });
         usable.min_by_key(|connection| {
-            self.connections.get(connection).map(|known| known.session.queued_bytes())
+            self.connections.get(connection).map(|site_connection| site_connection.session.queued_bytes())
         })
     }
 
--- a/crates/gateway/src/local_capacity.rs
+++ b/crates/gateway/src/local_capacity.rs
@@ -15,7 +15,7 @@
     pub max_failure_ratio: f64,
     /// The weight of one request in this ratio.
     pub sample_weight: f64,
-    /// The least number of recorded requests for the ratio to be considered.
+    /// Minimum number of recorded requests for the ratio to be considered.
     pub min_samples: f64,
     /// The number of successes in a row after which the site is available again.
     pub recovery_successes: u32,
--- a/crates/gateway/src/reconnect.rs
+++ b/crates/gateway/src/reconnect.rs
@@ -9,11 +9,11 @@
 /// The settings of the backoff.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReconnectConfig {
-    /// The first delay, in milliseconds.
+    /// Initial delay, in milliseconds.
     pub initial_delay: Ms,
     /// The factor by which each delay is longer than the previous one.
     pub delay_multiplier: f64,
-    /// The longest delay, in milliseconds.
+    /// Maximum delay, in milliseconds.
     pub max_delay: Ms,
     /// The duration of a connection, in milliseconds, after which the backoff is reset.
     pub reset_after: Ms,
--- a/crates/gateway/src/routing.rs
+++ b/crates/gateway/src/routing.rs
@@ -28,7 +28,7 @@
     /// The half-life of the last share of a site while it is unreachable, in milliseconds: after a short
     /// outage the ramp continues from what is left.
     pub share_half_life: Ms,
-    /// The largest share while the link to the site is flapping.
+    /// Maximum share while the link to the site is flapping.
     pub flapping_share: f64,
     /// The reported utilization from which a site receives only the initial share.
     pub full_utilization: f64,
@@ -40,13 +40,14 @@
     pub reopen_failure_ratio: f64,
     /// The weight of one request in this ratio.
     pub sample_weight: f64,
-    /// The least number of recorded requests for the ratio to be considered.
+    /// Minimum number of recorded requests for the ratio to be considered.
     pub min_samples: f64,
     /// The number of retries at a site that each first attempt there earns.
     pub retries_per_request: f64,
-    /// The most retries that can be saved up.
+    /// Maximum number of retries that can be saved up.
     pub max_saved_retries: f64,
-    /// The most sites that a request may visit, including the first and the last: 2 allows one forwarding.
+    /// Maximum number of sites that a request may visit, including the first and the last: 2 allows one
+    /// forwarding.
     pub max_hops: usize,
 }
 
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -32,15 +32,16 @@
     pub flow_control: FlowControlConfig,
     /// Pings and failure detection.
     pub heartbeat: HeartbeatConfig,
-    /// The longest frame, without its length field.
+    /// Maximum size of a frame, without its length field.
     pub max_frame_bytes: usize,
     /// High-water mark of the queued messages: no new request is sent from this many bytes on.
     pub high_water_output_bytes: usize,
-    /// The most bytes of queued messages; beyond this the connection is closed.
+    /// Maximum number of bytes of queued messages; beyond it the connection is closed.
     pub max_output_bytes: usize,
-    /// The longest time until the hello of the peer is received, in milliseconds.
+    /// Maximum time until the hello of the peer is received, in milliseconds.
     pub hello_timeout: Ms,
-    /// The most cancelled streams that are retained, since responses on them may still be in transit.
+    /// Maximum number of cancelled streams that are retained, since responses on them may still be in
+    /// transit.
     pub max_cancelled_streams: usize,
 }
 
