--- a/crates/gateway/tests/attempt_ledger.rs
+++ b/crates/gateway/tests/attempt_ledger.rs
@@ -300,7 +300,7 @@
 
 /// The cases of the table of outcomes in the design note, one by one.
 #[test]
-fn what_is_proof_and_what_is_not() {
+fn outcomes_follow_only_from_proof() {
     let mut sent = SentAttempts::new(1, 2);
     let mut received =
         ReceivedAttempts::new(AttemptLedgerConfig { retention: 100.0, max_tokens: 4, max_answer_bytes: 3 });
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn requests_stay_at_home_and_go_across_only_where_that_helps() {
+fn requests_are_forwarded_only_within_the_admitted_share() {
     let healthy = SiteView {
         reachable: true,
         has_caches: true,
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -281,7 +281,7 @@
 /// When the received state is older than 200 ms, drains that the sender knows may be unknown here: a request
 /// is rejected without having run. Its token is not recorded, so that the sender can retry at another site.
 #[test]
-fn a_request_is_let_in_only_while_the_other_sides_state_is_fresh() {
+fn request_is_admitted_only_while_the_state_of_its_sender_is_recent() {
     let mut gateway = connected(GatewayConfig::default());
     sent_frames(&mut gateway);
     let token = Token { epoch: 5, number: 1 };
