--- a/crates/model/benches/structures.rs
+++ b/crates/model/benches/structures.rs
@@ -1,4 +1,4 @@
-//! Each structure beside a plain one.
+//! Benchmarks of the data structures, each next to a simple one.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Takes the next event and adds one, with so many there: what a run does for hours.
+/// Takes the next event and adds another, with a constant number of events: the steady state of a simulation.
 fn queues(c: &mut Criterion) {
     for there in [1_000u64, 100_000, 1_000_000] {
         let mut chance = Pcg64Mcg::seed_from_u64(1);
@@ -37,7 +37,7 @@
     }
 }
 
-/// One transfer begins as another ends, with so many under way.
+/// A transfer begins when another completes, with a constant number of transfers.
 fn links(c: &mut Criterion) {
     for there in [10u64, 1_000, 10_000] {
         let mut chance = Pcg64Mcg::seed_from_u64(1);
--- a/crates/model/examples/bad-days.rs
+++ b/crates/model/examples/bad-days.rs
@@ -1,6 +1,7 @@
-//! Plays bad days drawn from seeds, has each judged, and prints what broke and how it went.
+//! Runs random fault schedules, checks the recording of each, and prints violated rules and results.
 //!
-//! `bad-days FIRST LAST [TROUBLES] [RATE]`
+//! `bad-days FIRST LAST [FAULTS] [RATE]`: seeds from FIRST to LAST; number of faults per run; requests per
+//! second.
 
 use linnethook_model::world::{Plan, World};
 
--- a/crates/model/examples/cold.rs
+++ b/crates/model/examples/cold.rs
@@ -1,7 +1,9 @@
-//! What all routers together ask of servers that start cold, beside what these bear, over many seeds.
+//! Measures the load of all routers together on servers that start cold, against what these servers can take,
+//! over many seeds.
 //!
-//! `cold [SEEDS [THREADS [DEPLOYMENT]]]`: 200 seeds and 3 threads without them, all deployments; half an hour. One row for
-//! each deployment, number of routers, demand and kind of server; bursts and late lists with a fifth of the seeds.
+//! `cold [SEEDS [THREADS [DEPLOYMENT]]]`: by default 200 seeds, 3 threads and all deployments, which takes
+//! half an hour. Prints a row for each deployment, number of routers, demand and kind of server; bursts and
+//! late endpoint updates run with a fifth of the seeds.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/crates/model/examples/day.rs
+++ b/crates/model/examples/day.rs
@@ -1,7 +1,7 @@
-//! Plays one day of a fleet and prints how it went and what it took.
+//! Simulates a fleet once, and prints results and run time.
 //!
-//! `day LOCATIONS ROUTERS CACHES RATE SECONDS [SEED]`: routers and caches of each location, requests a second in all. With
-//! `compare` in front each way to decide plays it, and half of the caches start again at the middle.
+//! `day LOCATIONS ROUTERS CACHES RATE SECONDS [SEED]`: routers and caches per location, requests per second
+//! in total. `day compare ...` runs each routing policy, and restarts half of the caches half-way.
 
 use std::time::Instant;
 
@@ -56,7 +56,7 @@
     );
 }
 
-/// The same day by each way to decide, with a restart of half of the caches at once in its middle.
+/// Runs the same plan with each routing policy; half of the caches restart at once half-way.
 fn each_way(plan: &Plan) {
     let caches = plan.locations * plan.caches;
     let middle = plan.seconds / 2.0;
--- a/crates/model/src/cold.rs
+++ b/crates/model/src/cold.rs
@@ -1,9 +1,12 @@
-//! Owns a measurement: what many shipped modules together ask of a server that has just started.
+//! Measures the load that the decision modules of many routers together put on a server that has just
+//! started.
 //!
-//! A small fleet in virtual time around the decision module alone: some routers, the caches of their locations, parents,
-//! an origin that is always well. Servers don't fall over here, so that the whole of an excess shows. Simulated are
-//! servers (an answer takes its sending time, longer where more is in hand than fits), the ways between, clients that
-//! come again when refused, and the list, which each router hears at a time of its own. One seed, one run.
+//! A small fleet in virtual time around the decision module alone: some routers, the caches of their
+//! locations, parents, and an origin that never fails. Servers don't crash under overload here, so that the
+//! full overload is visible. Simulated are the servers (a response takes its transfer time, longer when more
+//! transfers are in progress than the server has capacity for), the network delays, clients that retry
+//! rejected requests, and the endpoint list, whose updates each router receives with a delay of its own. Runs
+//! with the same seed are identical.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -21,7 +24,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-/// A class that reads: its part of the requests, and the mean sending time of its answers.
+/// A class of read requests: its share of the requests, and the mean transfer time of its responses.
 #[derive(Debug, Clone, Copy)]
 pub struct Reads {
     pub class: u16,
@@ -29,35 +32,36 @@
     pub work: Ms,
 }
 
-/// A deployment: settings as routers are told them, and the machines that these stand for.
+/// A deployment: the settings of its routers, and the machines that they describe.
 #[derive(Debug, Clone)]
 pub struct Shape {
     pub name: &'static str,
     pub settings: Settings,
     /// Locations with routers and caches; routers are spread evenly over them.
     pub locations: usize,
-    /// Whether the settings tell how many routers each location has.
+    /// Whether the settings contain the number of routers of each location.
     pub seats: bool,
-    /// What each cache of a location, and each parent, can send at once.
+    /// Capacity of each cache of a location and of each parent, in concurrent transfers.
     pub caches: Vec<f64>,
     pub parents: Vec<f64>,
     pub reads: Vec<Reads>,
-    /// Objects that are asked for again and again.
+    /// Number of objects that are requested repeatedly.
     pub objects: u64,
     pub sizes_told: bool,
 }
 
-/// How requests come.
+/// The distribution of requests over routers and time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Demand {
     Even,
     /// Every fifth router gets five times as many as each of the others.
     Skewed,
-    /// Little until some seconds after the start, when it is saved up for, then six times as much.
+    /// A quarter of the load until some seconds after the start, while retry budgets fill up, then six times
+    /// as much.
     Burst,
 }
 
-/// Who starts cold, all at one time.
+/// Which servers start cold, all at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Who {
     Cache,
@@ -68,12 +72,12 @@
     Parents,
 }
 
-/// How routers hear of the loss and of the start.
+/// The delay after which routers learn of the crash and of the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Heard {
-    /// Within half a second, each at a time of its own.
+    /// Up to half a second, drawn for each router.
     Soon,
-    /// Within 4.5 s; it is back before some have heard that it was gone.
+    /// Up to 4.5 s, drawn for each router; the server is back before some routers have learned of its crash.
     Late,
 }
 
@@ -84,38 +88,43 @@
     pub demand: Demand,
     pub who: Who,
     pub heard: Heard,
-    /// How many routers the settings tell each of; `None` = as many as there are.
+    /// The number of routers in the settings of each router; `None` = the actual number.
     pub told_of: Option<u32>,
-    /// What is asked for, as a multiple of what all caches can send.
+    /// The load, as a multiple of the capacity of all caches.
     pub load: f64,
     pub seed: u64,
 }
 
-/// What came of it, at the servers that started cold.
+/// Results of a trial at the servers that started cold.
+///
+/// A window ends with each request at such a server and is as long as its overload window. Its budget N is
+/// the number of requests of mean size that the server accepts in a window without a crash.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Sum {
-    /// Windows, each ending as a request comes to a cold server; those over N, and over N + 2 x root of N + 2.
+    /// The number of windows, of those with more than N requests, and of those above the bound N + 2 x root
+    /// of N + 2.
     pub windows: u32,
     pub over_budget: u32,
     pub over: u32,
-    /// Whether the first window over the bound came for over two thirds from routers that had been told when they sent it;
-    /// and from such as had been told by the end of the window.
+    /// Whether more than two thirds of the work of the first window above the bound came from routers that
+    /// knew of the start when they sent it, and from routers that knew of it by the end of the window.
     pub broken: bool,
     pub broken_by_then: bool,
-    /// The most that a window had, as a multiple of the bound and of N, and N at the first of these.
+    /// The largest window as a multiple of the bound, the largest as a multiple of N, and N of the former
+    /// window.
     pub worst: f64,
     pub worst_budget: f64,
     pub budget: f64,
-    /// From the start until half, and nine tenths, of what a cold server was asked before, by a window; `None` = not while it
-    /// was played.
+    /// Time from the start until a window has half, and nine tenths, of the load that the server had before
+    /// its crash; `None` = not within the trial.
     pub half: Option<Ms>,
     pub ramp: Option<Ms>,
-    /// The same for one that knew all and asked for as much as N allows.
+    /// The same for an ideal router that knows the complete state and sends as much as N allows.
     pub half_knowing: Ms,
     pub ramp_knowing: Ms,
 }
 
-/// Its windows over the bound count as told from so long after the start on.
+/// Routers count as notified from this time after the start on, in milliseconds.
 const DEEMED_TOLD: Ms = 7_000.0;
 const FIRST: Ms = 100_000.0;
 const LOST: Ms = FIRST + 6_000.0;
@@ -124,20 +133,21 @@
 const NEAR: Ms = 1.0;
 const FAR: Ms = 12.0;
 const ORIGIN_TAKES: Ms = 30.0;
-/// Part of the requests for objects that nobody has asked for before.
+/// Share of the requests that are for an object that has not been requested before.
 const ONCE: f64 = 0.25;
 const SPREAD: f64 = 0.7;
 const AGAIN: u32 = 2;
-/// A server turns away what comes while so many times what fits is in hand.
+/// A server rejects requests while this multiple of its capacity is in progress.
 const ROOM: f64 = 8.0;
 
-/// Deployments that differ in what a request costs, in what is told, and in the rule's figures: the example's, the two of
-/// `deploy/sites` (from the lower ends of their ranges, on fewer machines), the example's with copies that are soon past their
-/// fresh time, and with large objects on small machines, of which a router's part is far less than one.
+/// Deployments that differ in the cost of a request, in the outcome detail, and in the parameters of the
+/// slow-start rule: the example configuration, the two of `deploy/sites` (with the lower ends of their
+/// ranges, on fewer machines), the example with short-lived copies, and one with large objects on small
+/// machines, of which a router's share is far less than one.
 ///
 /// # Errors
 ///
-/// Returns what is wrong where the example's settings can't be read.
+/// Returns an error if the settings of a deployment cannot be read.
 pub fn shapes() -> Result<Vec<Shape>, SettingsError> {
     let config: Value =
         serde_json::from_str(include_str!("../../../examples/config.json")).map_err(|wrong| {
@@ -227,7 +237,7 @@
 }
 
 impl Shape {
-    /// The mean sending time of a request.
+    /// The mean transfer time of a response.
     pub fn work(&self) -> Ms {
         let parts: f64 = self.reads.iter().map(|reads| reads.part).sum();
         self.reads.iter().map(|reads| reads.part * reads.work).sum::<f64>() / parts
@@ -243,7 +253,7 @@
         settings
     }
 
-    /// The zone of a router; parents and the origin are in the first one of all.
+    /// The zone of a router; parents and the origin are in zone 0.
     fn zone(&self, router: usize) -> u16 {
         (1 + router % self.locations) as u16
     }
@@ -254,11 +264,12 @@
     Arrive,
     Again(u64),
     Timer(usize, u32),
-    /// An attempt gets to its server; its answer gets back; it has had its time.
+    /// An attempt arrives at its server; its response arrives at the router; it times out.
     Reach(u64),
     Back(u64),
     Expire(u64),
-    /// A fill gets to its source; a renewal of an object's copy does, for a cache, by the order of a router.
+    /// The fill of an attempt arrives at its source; the revalidation of a cached copy, instructed by a
+    /// router, arrives at its source.
     Source(u64),
     Renew {
         router: usize,
@@ -267,11 +278,11 @@
         object: u64,
         work: Ms,
     },
-    /// One transfer of a server has ended.
+    /// A transfer of a server completes; the second value is the number of starts of the server.
     Free(usize, u32),
     Lose,
     Start,
-    /// A router hears of a server as it was then.
+    /// A router receives an endpoint update with the phase that the server had when it was sent.
     Hear(usize, usize, EndpointPhase),
 }
 
@@ -302,15 +313,17 @@
     able: f64,
     cold: SlowStart,
     up: bool,
-    /// Counts its starts, so that what ends late does not free a place of the next one.
+    /// Number of its crashes, so that transfers from before a crash do not free capacity of the restarted
+    /// server.
     life: u32,
     in_hand: u32,
-    /// What it holds since its start, by when it was made; before its first start it holds all that is asked for again.
+    /// Copies stored since its start, with the time when they were made; before its first crash it has all
+    /// objects that are requested repeatedly.
     held: BTreeMap<u64, Ms>,
     whole: bool,
 }
 
-/// One that came to a server that started cold.
+/// A request that arrived at a server that started cold.
 #[derive(Debug, Clone, Copy)]
 struct Came {
     at: Ms,
@@ -327,7 +340,7 @@
     added: u64,
     chance: Pcg64Mcg,
     brains: Vec<Policy>,
-    /// When each router heard of each server's start.
+    /// When each router learned of each server's start.
     heard: Vec<BTreeMap<usize, Ms>>,
     servers: Vec<Server>,
     wishes: BTreeMap<u64, Wish>,
@@ -336,12 +349,12 @@
     sent: BTreeMap<u64, u8>,
     last: u64,
     new_objects: u64,
-    /// By server that starts cold: all that came to it.
+    /// All requests that arrived, by server that starts cold.
     came: BTreeMap<usize, Vec<Came>>,
 }
 
 impl Trial<'_> {
-    /// Servers: the caches of each location, then the parents, then the origin.
+    /// The servers that start cold. Servers are numbered: caches by location, then parents, then the origin.
     fn targets(&self) -> Vec<usize> {
         let caches = self.shape.caches.len();
         let parents = self.shape.locations * caches;
@@ -353,7 +366,7 @@
         }
     }
 
-    /// How long it is played.
+    /// When the trial ends.
     fn end(&self) -> Ms {
         let cold = match self.who {
             Who::Cache | Who::Caches => self.shape.settings.cache_slow_start,
@@ -362,7 +375,7 @@
         BACK + cold.duration.min(12_000.0)
     }
 
-    /// Plays it and counts.
+    /// Runs the trial; the result combines all servers that start cold.
     pub fn play(&self) -> Sum {
         let mut fleet = Fleet::new(self);
         fleet.run();
@@ -493,7 +506,7 @@
 
     // ---- Clients.
 
-    /// Requests a millisecond, now.
+    /// The current request rate, per millisecond.
     fn rate(&self) -> f64 {
         let shape = self.trial.shape;
         let able: f64 = shape.caches.iter().sum::<f64>() * shape.locations as f64;
@@ -518,12 +531,12 @@
             self.new_objects += 1;
             self.new_objects
         } else {
-            // Half of them are asked for much more often.
+            // Squaring skews the popularity towards low numbers.
             let place: f64 = self.chance.random();
             (place * place * shape.objects as f64) as u64
         };
         let object = object * 8 + reads as u64;
-        // Sizes are lognormal about a mean of one, and an object's is the same for all.
+        // Sizes are lognormal with a mean of one; the size of an object is the same for all requests.
         let far: f64 = StandardNormal.sample(&mut Pcg64Mcg::seed_from_u64(object));
         let size = (SPREAD * far - SPREAD * SPREAD / 2.0).exp();
         let work = (shape.reads[reads].work * size).max(1.0);
@@ -558,7 +571,7 @@
         self.tell(wish.router, &PolicyEvent::Request(request));
     }
 
-    /// A client that was refused comes again after a while, under another number.
+    /// A rejected client retries after a pause, under a new request number.
     fn refused(&mut self, id: u64) {
         let Some(wish) = self.wishes.remove(&id).filter(|wish| wish.tries < AGAIN) else { return };
         self.last += 1;
@@ -636,7 +649,7 @@
 
     // ---- Servers.
 
-    /// Notes what comes to a server that starts cold.
+    /// Records a request at a server that starts cold.
     fn count(&mut self, server: usize, router: usize, work: Ms) {
         let since = self.heard[router].get(&server).copied();
         let told = since.is_some() || self.now > BACK + DEEMED_TOLD;
@@ -645,7 +658,7 @@
         }
     }
 
-    /// Takes a place at a server; how long its transfer takes there.
+    /// Starts a transfer at a server. Returns its duration, or `None` if the server rejects it.
     fn take(&mut self, n: usize, work: Ms) -> Option<Ms> {
         let age = self.now - self.servers[n].member.started_at;
         let server = &mut self.servers[n];
@@ -660,7 +673,7 @@
         Some(takes)
     }
 
-    /// When the copy was made that a server has, if it has one.
+    /// When the copy was made that a server stores, if it stores one.
     fn held(&self, n: usize, object: u64, class: u16) -> Option<Ms> {
         let server = &self.servers[n];
         let fresh = self.trial.shape.settings.class(class).freshness_lifetime;
@@ -670,7 +683,7 @@
         server.held.get(&object).copied().or(from_before.then_some(FIRST - age))
     }
 
-    /// Whether a copy made then will do by the order.
+    /// Whether a copy made at that time is recent enough for the fill instruction.
     fn will_do(&self, made: Ms, class: u16, fill: Option<&FillInstruction>) -> bool {
         let fresh = self.trial.shape.settings.class(class).freshness_lifetime;
         let most = fill.map_or(0.0, |fill| if fill.revalidate { fill.max_stale_age } else { fill.max_age });
@@ -712,7 +725,8 @@
                 order.filter(|fill| fill.revalidate && ages).and_then(|fill| self.place(fill.source));
             if let Some(source) = source.filter(|source| *source != attempt.server) {
                 let (router, cache, work) = (attempt.router, attempt.server, wish.work);
-                // Renewed once: until that is done the copy counts as new.
+                // The copy counts as new until the revalidation completes, so that it is revalidated only
+                // once.
                 self.servers[cache].held.insert(object, self.now);
                 let at = self.now + self.way(source);
                 self.add(at, Event::Renew { router, cache, source, object, work });
@@ -733,7 +747,7 @@
         }
     }
 
-    /// A fill is at its source.
+    /// A fill has arrived at its source.
     fn fill(&mut self, number: u64) {
         let Some(attempt) = self.attempts.get(&number).copied() else { return };
         let (Some(fill), Some((wish, reads))) = (attempt.fill, self.wish_of(&attempt)) else { return };
@@ -762,7 +776,7 @@
             self.servers[attempt.server].held.insert(wish.object, made);
         }
         let note = if held.is_none() { CacheStatus::FilledByOrigin } else { CacheStatus::FilledByParent };
-        // What it fills it sends on; that takes of its link as long as it lasts.
+        // The cache forwards the data while it fills, which uses its own link for as long.
         let own = self.take(attempt.server, wish.work);
         let Some(own) = own else {
             return self.answer(number, AttemptStatus::Rejected, Some(CacheStatus::NoCapacity), way);
@@ -773,7 +787,8 @@
         self.answer(number, AttemptStatus::Ok, Some(note), waits + takes.max(own) + way);
     }
 
-    /// A renewal comes to its source, which has a copy that is fresh or gets it anew; nobody waits for it.
+    /// A revalidation has arrived at its source, which has a fresh copy or fetches one; no request waits for
+    /// it.
     fn renew(&mut self, router: usize, cache: usize, source: usize, object: u64, work: Ms) {
         if !self.servers[source].up {
             return;
@@ -790,7 +805,7 @@
         self.servers[cache].held.insert(object, made);
     }
 
-    /// The outcome gets to the router.
+    /// The outcome of an attempt arrives at its router.
     fn ended(&mut self, number: u64) {
         let Some(attempt) = self.attempts.remove(&number) else { return };
         self.by_id.remove(&attempt.id);
@@ -815,7 +830,7 @@
         self.tell(attempt.router, &PolicyEvent::AttemptFinished(outcome));
     }
 
-    // ---- The loss and the start.
+    // ---- The crash and the start.
 
     fn lose(&mut self) {
         for n in self.trial.targets() {
@@ -850,7 +865,7 @@
     }
 
     fn hear(&mut self, router: usize, server: usize, phase: EndpointPhase) {
-        // What is older than what it has heard is not told any more.
+        // An update that is older than the last one is dropped.
         if phase == EndpointPhase::Ready {
             self.heard[router].insert(server, self.now);
         } else if self.heard[router].contains_key(&server) {
@@ -864,7 +879,7 @@
         );
     }
 
-    // ---- What came of it.
+    // ---- Results.
 
     fn sum(&self, n: usize) -> Sum {
         let server = &self.servers[n];
@@ -928,7 +943,7 @@
     }
 }
 
-/// The part of what it can do that a server has so long after its start, at the least.
+/// The share of its capacity that a server has at least, at an age after its start.
 fn able(cold: &SlowStart, since: Ms, age: Ms) -> f64 {
     if since <= 0.0 || cold.duration <= 0.0 {
         return 1.0;
@@ -936,7 +951,7 @@
     cold.initial_ratio + (1.0 - cold.initial_ratio) * (age / cold.duration).clamp(0.0, 1.0)
 }
 
-/// The place that a number from 0 up to 1 falls to, by weight.
+/// The index that a number from 0 up to 1 selects, by weight.
 fn pick(at: f64, weights: &[f64]) -> usize {
     let mut left = at * weights.iter().sum::<f64>();
     let falls = |weight: &f64| {
--- a/crates/model/src/copies.rs
+++ b/crates/model/src/copies.rs
@@ -1,18 +1,18 @@
-//! Owns what a cache keeps: copies by key, with a rank and when they were made; the lowest rank goes first, and of one
-//! rank the one used longest ago.
+//! The copies that a cache stores, each with a retention rank and the time when it was made.
 //!
-//! Lists through a slab, one for each rank: every step takes the same time, however much is kept. Must never keep more
-//! than it has room for.
+//! Eviction starts with the lowest rank, and takes the least recently used copy of a rank first. The copies
+//! of each rank form a linked list in a slab, so that each operation takes constant time, however many copies
+//! are stored. The number of copies never exceeds the capacity.
 
 use std::collections::HashMap;
 use std::hash::{BuildHasherDefault, DefaultHasher};
 
 use crate::Micros;
 
-/// An object's part.
+/// Identifies one part of an object.
 pub type Key = u64;
 
-/// Ranks, from the one that goes first.
+/// Number of retention ranks; rank 0 is evicted first.
 pub const RANKS: usize = 4;
 
 const NONE: u32 = u32::MAX;
@@ -22,7 +22,7 @@
     key: Key,
     made: Micros,
     rank: u8,
-    /// The one used before it, and the one after.
+    /// Neighbours in the order of use, within the rank.
     older: u32,
     newer: u32,
 }
@@ -39,13 +39,13 @@
     most: usize,
     slab: Vec<Copy>,
     free: Vec<u32>,
-    /// The hasher has no seed: nothing depends on the order of the map, and runs are alike.
+    /// Slab index by key. The hasher has no random seed, so that runs with the same seed are identical.
     places: HashMap<Key, u32, BuildHasherDefault<DefaultHasher>>,
     ranks: [Ends; RANKS],
 }
 
 impl Copies {
-    /// Room for so many.
+    /// Creates an empty store for at most `capacity` copies.
     pub fn new(most: usize) -> Self {
         let none = Ends { oldest: NONE, newest: NONE };
         let (slab, free, places) = (Vec::new(), Vec::new(), HashMap::default());
@@ -60,7 +60,7 @@
         self.places.is_empty()
     }
 
-    /// When the copy that is held was made; it counts as used.
+    /// When the stored copy was made. Marks the copy as used.
     pub fn get(&mut self, key: Key) -> Option<Micros> {
         let place = *self.places.get(&key)?;
         self.unlink(place);
@@ -68,7 +68,9 @@
         Some(self.slab[place as usize].made)
     }
 
-    /// Keeps a copy at a rank, in the place of an older one; what had to go for it.
+    /// Stores a copy, or replaces the stored one of the same key. Returns the key that was evicted for it.
+    ///
+    /// A rank above the highest one counts as the highest. A store without capacity ignores the copy.
     pub fn keep(&mut self, key: Key, rank: u8, made: Micros) -> Option<Key> {
         let rank = rank.min(RANKS as u8 - 1);
         if let Some(&place) = self.places.get(&key) {
@@ -98,7 +100,7 @@
         gone
     }
 
-    /// Drops a copy.
+    /// Removes a copy. Returns whether it was stored.
     pub fn drop_copy(&mut self, key: Key) -> bool {
         let Some(place) = self.places.remove(&key) else { return false };
         self.unlink(place);
@@ -113,7 +115,7 @@
         Some(key)
     }
 
-    /// As the one used last.
+    /// Appends an entry to the list of its rank as the most recently used one.
     fn link(&mut self, place: u32) {
         let ends = &mut self.ranks[usize::from(self.slab[place as usize].rank)];
         let before = std::mem::replace(&mut ends.newest, place);
--- a/crates/model/src/demand.rs
+++ b/crates/model/src/demand.rs
@@ -1,21 +1,21 @@
-//! Owns what is asked for: objects by an uneven popularity that drifts and has its crowds, and their sizes.
+//! The objects that clients request: a Zipf popularity that drifts over time, flash crowds, and object sizes.
 //!
-//! An object's size follows from its number, so that all who ask for it see the same.
+//! The size of an object is derived from its number, so that every request for it sees the same size.
 
 use rand::{Rng, RngExt, SeedableRng};
 use rand_distr::{Distribution, LogNormal, Zipf};
 
 use crate::Micros;
 
-/// How demand is made.
+/// Parameters of the demand.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandRule {
     pub objects: u64,
-    /// Zipf's exponent.
+    /// Exponent of the Zipf distribution.
     pub skew: f64,
-    /// Within that time every object has changed its place in the order of popularity; 0 = never.
+    /// Time in which every object passes through all popularity ranks; 0 = popularity is constant.
     pub drift: Micros,
-    /// Bytes of a part at the median, and the spread of their logarithm.
+    /// Median of the bytes of a part, and the standard deviation of their logarithm.
     pub size: f64,
     pub spread: f64,
 }
@@ -26,7 +26,7 @@
     }
 }
 
-/// A crowd: from one time to another, so large a part of all asks for one object.
+/// From `from` until `to`, a fixed share of all requests is for one object.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Crowd {
     pub from: Micros,
@@ -35,7 +35,7 @@
     pub part: f64,
 }
 
-/// Which objects are asked for.
+/// Draws the requested objects and their sizes.
 #[derive(Debug, Clone)]
 pub struct Demand {
     rule: DemandRule,
@@ -44,7 +44,7 @@
     crowds: Vec<Crowd>,
 }
 
-/// What is wrong with a rule.
+/// Why demand cannot be generated from its parameters.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unusable(pub String);
 
@@ -56,7 +56,7 @@
         Ok(Self { rule, order, sizes, crowds })
     }
 
-    /// The next object.
+    /// Draws the object of the next request.
     pub fn object(&self, now: Micros, chance: &mut impl Rng) -> u64 {
         let crowd = self.crowds.iter().find(|crowd| (crowd.from..crowd.to).contains(&now));
         if let Some(crowd) = crowd.filter(|crowd| chance.random::<f64>() < crowd.part) {
@@ -66,9 +66,10 @@
         self.at_rank(now, rank)
     }
 
-    /// The object that has a place in the order of popularity now.
+    /// The object at a popularity rank at that time; rank 0 is the most popular.
     ///
-    /// With drift the order moves by one place at a time: what was asked for most becomes rare, and others come up.
+    /// With drift, the order is a ring that moves by one rank at a time: the most popular objects become the
+    /// least popular ones, and all others move up.
     pub fn at_rank(&self, now: Micros, rank: u64) -> u64 {
         let objects = self.rule.objects.max(1);
         let moved = match self.rule.drift {
@@ -78,7 +79,7 @@
         (rank + moved) % objects
     }
 
-    /// Bytes of an object's parts.
+    /// The size of each part of an object, in bytes.
     pub fn size<R: Rng + SeedableRng>(&self, object: u64) -> f64 {
         self.sizes.sample(&mut R::seed_from_u64(object)).max(1.0)
     }
--- a/crates/model/src/fair.rs
+++ b/crates/model/src/fair.rs
@@ -1,26 +1,28 @@
-//! Owns a link that its transfers share evenly: each gets the same part of it, and none more than a transfer may have.
+//! A link whose bandwidth is shared evenly by its transfers, up to a maximum rate for each (processor
+//! sharing).
 //!
-//! In virtual time: a counter runs as fast as one transfer is served, and a transfer ends when the counter has come as
-//! far as its size. So a transfer that begins or ends changes the pace of the counter and nothing else: O(log n), where a
-//! plain one goes over all of them.
+//! A counter advances at the rate of a single transfer, and a transfer completes when the counter has
+//! advanced by its size. A transfer that begins or ends changes only the rate of the counter, so each
+//! operation is O(log n), where updating every transfer would be O(n).
 
 use std::collections::BTreeMap;
 
 use crate::Micros;
 
-/// A transfer under way.
+/// Identifies a transfer.
 pub type Transfer = u64;
 
-/// One link.
+/// A link with the transfers that are in progress.
 #[derive(Debug, Clone)]
 pub struct Fair {
-    /// Bytes a microsecond, of the link and of one transfer at the most.
+    /// Bytes per microsecond, of the link and at most of one transfer.
     carries: f64,
     most: f64,
-    /// How far each transfer that has been there from the beginning has come.
+    /// Bytes that a transfer has received if it has been in progress since the counter was last reset.
     served: f64,
     at: Micros,
-    /// By where the counter must be at their end; their order is that of their bits, for none is below zero.
+    /// By the value of the counter at completion. Values are never negative, so their bits sort like the
+    /// numbers.
     ends: BTreeMap<(u64, Transfer), ()>,
     by_transfer: BTreeMap<Transfer, u64>,
 }
@@ -31,7 +33,7 @@
         Self { carries, most, served: 0.0, at: 0, ends, by_transfer }
     }
 
-    /// Transfers under way.
+    /// Number of transfers in progress.
     pub fn len(&self) -> usize {
         self.ends.len()
     }
@@ -40,7 +42,7 @@
         self.ends.is_empty()
     }
 
-    /// Bytes a microsecond that each has now.
+    /// The current rate of each transfer, in bytes per microsecond.
     pub fn pace(&self) -> f64 {
         (self.carries / self.ends.len().max(1) as f64).min(self.most)
     }
@@ -52,11 +54,11 @@
         self.at = self.at.max(now);
     }
 
-    /// A transfer of that many bytes begins.
+    /// Begins a transfer of `bytes` bytes.
     pub fn begin(&mut self, now: Micros, transfer: Transfer, bytes: f64) {
         self.pass(now);
         if self.ends.is_empty() {
-            // Nothing depends on how far it was: small numbers are exact ones.
+            // No transfer depends on the counter, and small values have smaller rounding errors.
             self.served = 0.0;
         }
         let end = (self.served + bytes.max(0.0)).to_bits();
@@ -64,7 +66,8 @@
         self.by_transfer.insert(transfer, end);
     }
 
-    /// A transfer is called off, or has ended; the bytes that it lacked.
+    /// Removes a completed or cancelled transfer. Returns the bytes that remained, or `None` if it is
+    /// unknown.
     pub fn end(&mut self, now: Micros, transfer: Transfer) -> Option<f64> {
         self.pass(now);
         let end = self.by_transfer.remove(&transfer)?;
@@ -72,13 +75,14 @@
         Some((f64::from_bits(end) - self.served).max(0.0))
     }
 
-    /// The link carries another amount from now on, and one transfer may have another.
+    /// Changes the bandwidth of the link and the maximum rate of a transfer, both in bytes per microsecond.
     pub fn carry(&mut self, now: Micros, carries: f64, most: f64) {
         self.pass(now);
         (self.carries, self.most) = (carries, most);
     }
 
-    /// Which transfer ends next, and when, if nothing changes; none while nothing moves.
+    /// The transfer that completes next, and when, if nothing changes; `None` if there is no transfer or no
+    /// bandwidth.
     pub fn next(&self) -> Option<(Micros, Transfer)> {
         let ((end, transfer), ()) = self.ends.first_key_value()?;
         let pace = self.pace();
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,17 +1,20 @@
-//! A discrete-event model, in virtual time, of what the router balances. Its routers are the shipped decision module.
+//! A discrete-event simulation, in virtual time, of a fleet behind linnethook. Its routers run the decision
+//! module that is shipped.
 //!
-//! - [`plan`]: a fleet, its load, what befalls it, and bad days from a seed;
-//! - [`world`]: the day itself: routers, caches, parents, origin, links, clients;
-//! - [`seen`]: what came of it; [`notes`]: its record, for the judge that reads the stand-ins' records too;
-//! - [`cold`]: servers that start cold, and what all routers together ask of them; by itself, beside the world;
-//! - [`plain`]: plain ways to decide, to compare with;
-//! - [`queue`]: the events that are to come, in their order;
-//! - [`fair`]: a link that its transfers share evenly;
-//! - [`copies`]: what a cache keeps, and what goes first;
-//! - [`demand`]: which objects are asked for, and how large they are.
+//! - [`plan`]: a fleet, its load and its faults, and random fault schedules;
+//! - [`simulation`]: one run: routers, caches, parents, origin, links and clients;
+//! - [`statistics`]: the results of a run;
+//! - [`recorder`]: the recording of a run, for the checker that also reads recordings of the testbed;
+//! - [`cold`]: the load that all routers together put on servers that start cold; independent of the
+//!   simulation;
+//! - [`baselines`]: simple routing policies, for comparison;
+//! - [`queue`]: the queue of events;
+//! - [`fair_link`]: a link that its transfers share evenly;
+//! - [`copies`]: the copies that a cache stores, and their eviction;
+//! - [`demand`]: which objects are requested, and their sizes.
 //!
-//! Nothing here reads a clock or draws chance of its own: one seed, one run. `docs/model.md` says what is compared with
-//! what.
+//! Nothing here reads a clock, and all random numbers come from the seed: runs with the same seed are
+//! identical. `docs/model.md` lists what the results are compared with.
 
 pub mod cold;
 pub mod copies;
@@ -24,5 +27,5 @@
 pub mod seen;
 pub mod world;
 
-/// Virtual time, in whole microseconds: times compare alike on every machine.
+/// Virtual time in microseconds. An integer, so that times compare alike on every machine.
 pub type Micros = u64;
--- a/crates/model/src/notes.rs
+++ b/crates/model/src/notes.rs
@@ -1,6 +1,7 @@
-//! Owns the record of a day, in the words of the record that stand-ins on sockets write: one judge reads both.
+//! Records a run in the format of the testbed's recordings, so that one checker reads both.
 //!
-//! Must never note what a router says of itself, only what reached it, its servers and its clients.
+//! Only messages that reached routers, servers and clients are recorded, never what a router reports about
+//! itself.
 
 use linnethook::interface::{Endpoint, EndpointPhase, FillInstruction, SlowStart};
 use linnethook_testbed::recording::{Asked, Phase as Told, RecordEntry, RecordedEvent, WarmUpCapacity};
@@ -8,13 +9,13 @@
 use crate::plan::Plan;
 use crate::Micros;
 
-/// The lines so far; where none are wanted nothing is made.
+/// The entries recorded so far; a disabled recorder builds no entries.
 #[derive(Debug, Default)]
 pub struct Notes {
     lines: Option<Vec<RecordEntry>>,
 }
 
-/// What is noted of a request.
+/// The recorded properties of a client request.
 #[derive(Debug, Clone, Copy)]
 pub struct Wish {
     pub request: u64,
@@ -24,16 +25,17 @@
     pub harmful: bool,
 }
 
-/// Who asks a server.
+/// The sender of a request to a server.
 #[derive(Debug, Clone, Copy)]
 pub enum Asker {
-    /// A router, naming where a miss is to be filled from.
+    /// A router, with the server that a miss is to be filled from.
     Router(Option<(usize, FillInstruction)>),
-    /// A server with its fill, at a version of the shape, for all or only what is held.
+    /// A server that fills a miss: its index, the version of the topology, and whether it wants only a cached
+    /// copy.
     Server(usize, Option<u64>, bool),
 }
 
-/// The name of a server.
+/// The name of a server in recordings.
 pub fn name(plan: &Plan, server: usize) -> String {
     let caches = plan.locations * plan.caches;
     match server {
@@ -88,7 +90,7 @@
         self.put(now, || RecordedEvent::Final { request, code, dated });
     }
 
-    /// A request reached a server: from a router by its attempt, or from a server with a fill.
+    /// A request reached a server, either an attempt of a router or a fill of another server.
     pub fn asked(&mut self, now: Micros, plan: &Plan, at: usize, attempt: u64, wish: &Wish, from: Asker) {
         self.put(now, || {
             let (by, version, cached_only) = match from {
@@ -134,7 +136,7 @@
         self.put(now, || RecordedEvent::Purged { router: router(by), object, group: None, stamp });
     }
 
-    /// The shape that routers have heard of, by its edges.
+    /// The edges of the topology that routers have received.
     pub fn shape(&mut self, now: Micros, plan: &Plan, version: u64, edges: &[(usize, usize)]) {
         self.put(now, || {
             let edges = edges.iter().map(|(from, to)| (name(plan, *from), name(plan, *to))).collect();
@@ -142,7 +144,7 @@
         });
     }
 
-    /// A request passed the link between two sites whole; the proof that one never ran did.
+    /// A complete request was forwarded over the link between two sites.
     pub fn crossed(
         &mut self,
         now: Micros,
--- a/crates/model/src/plain.rs
+++ b/crates/model/src/plain.rs
@@ -1,7 +1,8 @@
-//! Owns plain ways to decide, for comparison: what a router without the project's decision module would do.
+//! Simple routing policies, for comparison with the decision module.
 //!
-//! They see what the module sees and speak its language. Each tries another cache when one fails, as long as there is
-//! time, and keeps no books beyond its own requests in flight.
+//! They receive the same events as the decision module and return the same actions. After a failed attempt
+//! each tries another cache while time is left. Their only state is the endpoint list and their own requests
+//! in flight.
 
 use std::collections::BTreeMap;
 
@@ -14,18 +15,19 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// How requests are decided about.
+/// A routing policy.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Way {
     /// The shipped decision module.
     Shipped,
-    /// Any cache.
+    /// A random cache.
     Random,
-    /// The cache with the least of this router's requests in flight.
+    /// The cache with the fewest requests of this router in flight.
     LeastInFlight,
     /// The first cache in the object's order (rendezvous hashing).
     Hash,
-    /// The first in that order which has no more than so many times the mean in flight (Mirrokni et al. 2016).
+    /// The first cache in that order whose requests in flight are at most this multiple of the mean (Mirrokni
+    /// et al. 2016).
     BoundedHash(f64),
 }
 
@@ -44,7 +46,7 @@
     }
 }
 
-/// Whoever decides at one router.
+/// The routing policy of one router, with its state.
 pub enum Decides {
     Shipped(Box<Policy>),
     Plain(Box<Plain>),
@@ -73,7 +75,7 @@
     tried: Vec<EndpointId>,
 }
 
-/// A plain router.
+/// A router with one of the simple policies.
 pub struct Plain {
     way: Way,
     settings: Settings,
--- a/crates/model/src/plan.rs
+++ b/crates/model/src/plan.rs
@@ -1,6 +1,5 @@
-//! Owns what is to be played: a fleet, its load, what befalls it; and bad days drawn from a seed.
-//!
-//! Must never hold anything that changes while a day is played.
+//! The input of a run: a fleet, its load and its faults; and random fault schedules from a seed. Nothing here
+//! changes during a run.
 
 use std::ops::Range;
 
@@ -11,26 +10,27 @@
 use crate::demand::{Crowd, DemandRule};
 use crate::plain::Way;
 
-/// How children come to their sources where the routers have the hierarchy: times in milliseconds.
+/// The hierarchy that routers use to select fill sources. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Tiers {
-    /// Whether children go over by stages, and whether fills pass the shield.
+    /// Whether children migrate in stages, and whether fills pass the shield.
     pub staged: bool,
     pub shielded: bool,
     pub announce: f64,
     pub warm: f64,
     pub settle: f64,
-    /// The first so many parents are homes of locations in turn; the others wait.
+    /// The number of parents, from the first, that are home parents of the locations in turn; the others are
+    /// spare.
     pub homes: usize,
 }
 
 /// Two sites, whose routers are gateways to each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sites {
-    /// One way between them in milliseconds, and bytes a second in each direction.
+    /// One-way delay between the sites in milliseconds, and bandwidth in bytes per second in each direction.
     pub delay: f64,
     pub carries: f64,
-    /// How new what is known of the other side must be for its requests to be let in, in milliseconds.
+    /// The maximum age of the other site's state for its requests to be admitted, in milliseconds.
     pub fresh: f64,
 }
 
@@ -40,21 +40,21 @@
     }
 }
 
-/// What befalls the link between two sites.
+/// A fault of the link between two sites.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Blow {
-    /// Connections are reset; new ones fail until it is mended.
+    /// Connections are reset, and new ones fail until the link is restored.
     Cut,
-    /// Nothing passes any more, and nothing is said of it.
+    /// Data is lost silently.
     Silent,
-    /// So many times the delay.
+    /// The delay is multiplied by this factor.
     Slow(f64),
     Mend,
 }
 
 impl Tiers {
-    /// For how long children may be on their way from one source to another. While the tiers above are short, the shield
-    /// lets stages stand still.
+    /// The longest time that a migration of children may take, in milliseconds. While sources are short of
+    /// capacity, the shield may pause stages.
     pub(crate) fn longest(&self) -> f64 {
         let held = if self.shielded { RolloutConfig::default().max_pause } else { 0.0 };
         self.announce + self.warm + self.settle + held
@@ -68,89 +68,95 @@
     }
 }
 
-/// A fleet and its load.
+/// A fleet, its load and its faults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     pub seed: u64,
-    /// How routers decide.
+    /// The routing policy of all routers.
     pub way: Way,
     pub locations: usize,
-    /// Routers and caches of each location, and parents that all share.
+    /// Routers and caches per location, and parents that all locations share.
     pub routers: usize,
     pub caches: usize,
     pub parents: usize,
-    /// Parents of the parents, which these share by hash; 0 = they ask the origin.
+    /// Second tier of parents, which the parents share by hash; 0 = parents request from the origin.
     pub tops: usize,
-    /// The last so many caches of each location are not there until a fault starts them.
+    /// The number of caches per location, from the last, that are absent until a fault starts them.
     pub spare: usize,
-    /// Copies that a cache and a parent keep, and requests that each takes at a time.
+    /// Copies that a cache and a parent can store, and requests that each serves at a time.
     pub cache_copies: usize,
     pub parent_copies: usize,
     pub slots: usize,
-    /// Fills that a cache takes at a time, of all its cores; 0 = any number.
+    /// Fills that a cache runs at a time, over all its cores; 0 = unlimited.
     pub fills: usize,
-    /// Whether parents that are a home begin with what is asked for most.
+    /// Whether home parents start with the most popular objects cached.
     pub filled: bool,
-    /// Bytes a second: what one transfer may have, a cache's link to its clients, a location's link for fills, and the
-    /// origin's.
+    /// Bytes per second: the maximum of one transfer, a cache's link to its clients, a location's link for
+    /// fills, and the link of the origin and the parents.
     pub flow: f64,
     pub cache_link: f64,
     pub location_link: f64,
     pub origin_link: f64,
-    /// One way between neighbours, and between a location and the hub, in milliseconds.
+    /// One-way delay within a location, and between a location and the hub, in milliseconds.
     pub near: f64,
     pub far: f64,
-    /// How long the origin takes for one, and how many it has in hand before that grows.
+    /// Service time of the origin in milliseconds, and the number of concurrent requests above which it
+    /// grows.
     pub origin_takes: f64,
     pub origin_easy: usize,
-    /// With more than so many in hand it falls over, and is away for so many seconds; 0 = it never does.
+    /// The origin crashes on a request above this number of concurrent requests, and restarts after the delay
+    /// (in seconds); 0 = it never crashes.
     pub origin_bears: usize,
     pub origin_away: f64,
-    /// Clients' first requests a second in all, for how many seconds.
+    /// Clients' first requests per second in total, and the length of the load in seconds.
     pub rate: f64,
     pub seconds: f64,
-    /// Parts that a client asks for, one after the other, and the part of all clients that book instead.
+    /// Parts that a client requests one after the other, and the share of clients that send a booking
+    /// instead.
     pub parts: u32,
     pub bookings: f64,
-    /// How long clients wait, within what they want their answer, and how often they come again when refused.
+    /// How long clients wait and the latency objective, both in milliseconds, and how often clients retry a
+    /// rejected request.
     pub wait: f64,
     pub aim: f64,
     pub again: u32,
-    /// Whether they come again after a failure too (never with a booking), and how long they pause at the least, in
-    /// milliseconds; each time so many times as long.
+    /// Whether clients also retry failed requests (never bookings), their minimum pause before a retry in
+    /// milliseconds, and the factor by which it grows with each retry.
     pub again_failed: bool,
     pub pause: f64,
     pub backoff: f64,
-    /// Whether they wait for as long as they are told.
+    /// Whether clients wait at least for the rejection's retry-after time.
     pub heed: bool,
-    /// How many repeats clients may ask for by first request, in the mean; 0 = as many as they like.
+    /// Mean number of retries per first request that clients may send; 0 = unlimited.
     pub repeats: f64,
-    /// How long a copy is fresh, and for how long past that it may still be served, in milliseconds; 0 = until it is purged.
+    /// Freshness lifetime of a copy, and the time after it in which the copy may still be served, in
+    /// milliseconds; 0 = fresh until it is purged.
     pub fresh: f64,
     pub stale: f64,
-    /// Mechanisms of the routers, each of which can be left out: fills from beside, joining a fill, going past the caches,
-    /// knowing how an answer came about; and how many attempts a request may have.
+    /// Mechanisms of the routers that can be disabled: fills from sibling caches, coalesced fills, bypassing
+    /// the caches, and outcomes with cache status; and the maximum number of attempts per request.
     pub siblings: bool,
     pub joins: bool,
     pub direct: bool,
     pub told: bool,
     pub attempts: u32,
-    /// Without it a cache fills from any parent that is listed.
+    /// Without a hierarchy, a cache fills from any parent in the endpoint list.
     pub tiers: Option<Tiers>,
-    /// Without them there is one site.
+    /// Without it there is one site.
     pub sites: Option<Sites>,
     pub demand: DemandRule,
     pub crowds: Vec<Crowd>,
     pub faults: Vec<(f64, Fault)>,
-    /// How late routers hear of a change of the list, in milliseconds.
+    /// Delay until routers receive an update of the endpoint list, in milliseconds.
     pub list_late: f64,
-    /// How often servers take stock of their load, in milliseconds, so that routers hear of it that late; 0 = never.
+    /// Interval at which servers update the load that they report, in milliseconds; 0 = never.
     pub report_every: f64,
-    /// Requests a second that a cache and a parent can do once they are warm; with a cold start they begin with a quarter
-    /// and a tenth of it, and fall over beyond three times what they can do then. 0 = they never do.
+    /// Requests per second that a warm cache and a warm parent can serve. After a start they begin with a
+    /// quarter and a tenth of it, and crash on more than three times (cache) or two times (parent) of what
+    /// they can serve at that time. 0 = they never crash.
     pub cache_able: f64,
     pub parent_able: f64,
-    /// How long one that has fallen over is away, in seconds.
+    /// Time until a crashed server restarts, in seconds.
     pub away: f64,
 }
 
@@ -213,16 +219,16 @@
     }
 }
 
-/// What is told of one whose power is not set.
+/// The weight of a server without a configured throughput.
 const TOLD: f64 = 8.0;
 
 impl Plan {
-    /// All servers: caches by location, then parents, then their parents, then the origin.
+    /// The number of servers: caches by location, then parents, then their parents, then the origin.
     pub fn servers(&self) -> usize {
         self.locations * self.caches + self.parents + self.tops + 1
     }
 
-    /// What routers are told that a server can do at a time, in transfers of mean size.
+    /// The configured weight of a server: how many transfers of mean size it can serve at a time.
     pub(crate) fn weight(&self, kind: u16) -> f64 {
         let able = [self.cache_able, self.parent_able, 0.0, self.parent_able][usize::from(kind)];
         let mean = self.demand.size * (self.demand.spread * self.demand.spread / 2.0).exp() / self.flow;
@@ -237,8 +243,8 @@
         self.servers() - 1
     }
 
-    /// A bad day: so many troubles, drawn from the seed, that begin within a stretch of it and may overlap. Most end again.
-    /// Each seed leaves some kinds out, so that rare mixes come up.
+    /// A random schedule of faults that begin within `within` (seconds) and may overlap. Most end again. Each
+    /// seed excludes some kinds of fault, so that rare combinations occur.
     pub fn bad_day(&self, seed: u64, troubles: usize, within: Range<f64>) -> Vec<(f64, Fault)> {
         let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x6261_645f_6461_7973);
         let kinds: Vec<Kind> = Kind::ALL.into_iter().filter(|_| chance.random::<f64>() < 0.6).collect();
@@ -289,7 +295,7 @@
     }
 }
 
-/// Kinds of trouble of a bad day.
+/// Kinds of fault of a random schedule.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Kind {
     Die,
@@ -323,44 +329,45 @@
     ];
 }
 
-/// What befalls the fleet. Servers are numbered: caches by location, then parents, then their parents, then the origin.
+/// A fault. Servers are numbered: caches by location, then parents, then their parents, then the origin.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// It dies: connections are reset, what it held is lost; the list tells of it late.
+    /// The server crashes: connections are reset and its copies are lost. The endpoint list reports it with a
+    /// delay.
     Die(usize),
-    /// It starts again, cold and empty; one that only drained goes on as it is.
+    /// The server starts again, cold and empty. A server that was only draining continues with its copies.
     Start(usize),
-    /// It says nothing any more, or again.
+    /// The server stops (`true`) or resumes (`false`) answering.
     Silent(usize, bool),
-    /// It takes requests and does nothing about them, or does again.
+    /// The server accepts requests without processing them, or processes them again.
     Stall(usize, bool),
-    /// It answers each request with an error at once, or no longer.
+    /// The server answers each request with an error at once, or normally again.
     FailFast(usize, bool),
-    /// It takes so many times as long.
+    /// The server's service time is multiplied by this factor.
     Slow(usize, f64),
-    /// It ages: each minute it takes so many times as long more; 0 ends it.
+    /// The server becomes slower: its slowdown factor grows by this much per minute; 0 ends the growth.
     Age(usize, f64),
-    /// It takes no new work by the list.
+    /// The endpoint list reports the server as draining.
     Drain(usize),
-    /// Between a location and the hub nothing gets through, or again.
+    /// The network between a location and the hub is down, or up again.
     Cut(usize, bool),
-    /// From now on routers hear so late of a change of the list, in milliseconds.
+    /// Sets the delay of updates of the endpoint list, in milliseconds.
     ListLate(f64),
-    /// From now on servers take stock of their load so rarely, in milliseconds.
+    /// Sets the interval of load reports, in milliseconds.
     ReportsLate(f64),
-    /// So many times as much is asked for.
+    /// Multiplies the request rate of the plan by this factor.
     Rate(f64),
-    /// Locations that fill from one parent are to fill from another, both counted among the parents; nothing without the
-    /// hierarchy.
+    /// Migrates the locations that fill from one parent to another; both are indices among the parents. No
+    /// effect without the hierarchy.
     Move(usize, usize),
-    /// The link between two sites; nothing where there is one.
+    /// A fault of the link between two sites; no effect with a single site.
     Link(Blow),
-    /// So many of the objects that are asked for most are purged.
+    /// Purges this many objects, drawn by popularity.
     Purge(u32),
 }
 
 impl Fault {
-    /// The server that it befalls, where it is one.
+    /// The server that the fault affects, if it affects a single one.
     pub fn server(&self) -> Option<usize> {
         match self {
             Self::Die(n) | Self::Start(n) | Self::Drain(n) => Some(*n),
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -1,22 +1,24 @@
-//! Owns the events that are to come: a radix heap, which never goes back in time.
+//! The queue of future events: a radix heap.
 //!
-//! A discrete-event run takes its events in the order of their times and adds none before the one that it is at. That is
-//! all that a radix heap asks for (Ahuja, Mehlhorn, Orlin and Tarjan 1990): an event lies in the bucket of the highest bit in
-//! which its time differs from the present one, and moves down as time comes near, at most 64 times and in whole
-//! blocks of memory. Events of one time come in the order in which they were added. Must never let time go back.
+//! A discrete-event simulation takes events in order of time and adds none before the current time, which is
+//! what a radix heap requires (Ahuja, Mehlhorn, Orlin and Tarjan 1990). An event is in the bucket of the
+//! highest bit in which its time differs from the current time, and moves to lower buckets as time advances,
+//! at most 64 times and together with its whole bucket. Events at the same time are taken in the order in
+//! which they were added. Time never goes back.
 
 use crate::Micros;
 
 const BUCKETS: usize = 65;
 
-/// Events by time, and those of one time by when they were added.
+/// Events by time; events at the same time in the order in which they were added.
 #[derive(Debug, Clone)]
 pub struct Queue<T> {
     now: Micros,
     len: usize,
-    /// Bucket 0 has the present time, bucket n times that differ from it in bit n - 1 at the highest.
+    /// Bucket 0 has the events at the current time, bucket n those whose time differs from it in bit n - 1 at
+    /// the highest.
     buckets: Vec<Vec<(Micros, T)>>,
-    /// What is left of the present time, the next one last.
+    /// Remaining events at the current time, in reverse order.
     ready: Vec<T>,
 }
 
@@ -45,14 +47,14 @@
         self.len == 0
     }
 
-    /// Adds an event; one that would lie in the past comes now.
+    /// Adds an event; a time in the past is replaced by the current time.
     pub fn add(&mut self, at: Micros, event: T) {
         let at = at.max(self.now);
         self.len += 1;
         self.buckets[bucket(self.now, at)].push((at, event));
     }
 
-    /// The next event with its time.
+    /// Takes the next event, with its time.
     pub fn take(&mut self) -> Option<(Micros, T)> {
         if self.ready.is_empty() {
             self.refill();
@@ -62,14 +64,14 @@
         Some((self.now, event))
     }
 
-    /// Moves to the next time that has an event.
+    /// Advances to the time of the next event.
     fn refill(&mut self) {
         if self.buckets[0].is_empty() {
             let Some(n) = self.buckets.iter().position(|bucket| !bucket.is_empty()) else { return };
             let moved = std::mem::take(&mut self.buckets[n]);
             let Some(least) = moved.iter().map(|(at, _)| *at).min() else { return };
             self.now = least;
-            // Each goes lower than where it was, and those of one time stay in their order.
+            // Every event moves to a lower bucket, and events at the same time stay in order.
             for (at, event) in moved {
                 self.buckets[bucket(least, at)].push((at, event));
             }
--- a/crates/model/src/seen.rs
+++ b/crates/model/src/seen.rs
@@ -1,6 +1,7 @@
-//! Owns what was seen of a day: how requests ended by second, and what they cost.
+//! Results of a run: how requests ended in each second, and the cost.
 
-/// How requests ended, by the second in which they were asked, and what reached the origin, by second.
+/// Counts by second are indexed by the second of the run in which the client first sent the request, unless
+/// stated otherwise.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Seen {
     pub asked: Vec<u32>,
@@ -9,25 +10,25 @@
     pub refused: Vec<u32>,
     pub failed: Vec<u32>,
     pub origin: Vec<u32>,
-    /// Repeats by clients, by the second in which they came.
+    /// Retries by clients, by the second in which they are sent.
     pub repeats: Vec<u32>,
     /// Requests that the other site served.
     pub across: u64,
     pub hits: u64,
-    /// Of these, answers that were past their fresh time.
+    /// Hits that were past their freshness lifetime.
     pub stale: u64,
     pub fills: u64,
-    /// Requests that the origin worked for when nobody waited any more.
+    /// Requests that the origin completed after all who waited for them had given up.
     pub in_vain: u64,
     pub events: u64,
-    /// Servers that fell over.
+    /// Servers that crashed under overload.
     pub fell: u64,
-    /// Milliseconds that served requests took.
+    /// Latencies of the served requests, in milliseconds.
     pub took: Vec<f32>,
 }
 
 impl Seen {
-    /// One more in a second.
+    /// Adds one to the count of a second.
     pub fn count(list: &mut Vec<u32>, second: usize) {
         if list.len() <= second {
             list.resize(second + 1, 0);
@@ -35,12 +36,12 @@
         list[second] += 1;
     }
 
-    /// The part of the requests that was served in time.
+    /// The share of requests that were served within the latency objective.
     pub fn share(&self) -> f64 {
         self.share_between(0, self.asked.len())
     }
 
-    /// The same for those that were first asked from one second on and before another.
+    /// The same for requests that were first sent in the seconds `from..to`.
     pub fn share_between(&self, from: usize, to: usize) -> f64 {
         let sum = |list: &[u32]| list.iter().take(to).skip(from).map(|n| f64::from(*n)).sum::<f64>();
         sum(&self.in_time) / sum(&self.asked).max(1.0)
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,8 +1,9 @@
-//! Owns a fleet in virtual time: routers that are the shipped decision module (or a plain one, to compare with), and
-//! around them caches, parents, the origin, the links between them and the clients, all modelled.
+//! A simulated fleet in virtual time. The routers run the decision module that is shipped, or a simple policy
+//! for comparison; caches, parents, the origin, the links between them and the clients are models.
 //!
-//! One seed, one run: events of one time come in the order in which they were added, chance is one generator, and
-//! nothing depends on the order of a hash map. Must never decide anything that a router decides.
+//! A seed determines a run: events at the same time are handled in the order in which they were added, there
+//! is a single random number generator, and nothing depends on the order of a hash map. The simulation
+//! decides nothing that a router decides.
 
 mod clients;
 mod origin;
@@ -39,47 +40,47 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Event {
     Arrive,
-    /// A client asks, for the first time or again.
+    /// A client sends its request, for the first time or as a retry.
     Ask(Number),
     Timer(usize, u32),
-    /// An attempt gets to where it goes next.
+    /// An attempt arrives at its next hop.
     Step(Number),
-    /// An attempt has had its time.
+    /// An attempt times out.
     Expire(Number),
-    /// The next transfer of a link ends, if nothing has changed since.
+    /// The next transfer of a link completes; ignored if the link has changed since.
     Link(usize, u64),
-    /// An outcome gets to its router.
+    /// The outcome of an attempt arrives at its router.
     Tell(Number),
     Fault(usize),
-    /// One that fell over starts again.
+    /// A crashed server restarts.
     Back(usize),
     List(usize),
-    /// Routers hear of another shape; a hierarchy is due.
+    /// Routers receive a batch of hierarchy changes; the timer of a hierarchy is due.
     Shape(usize),
     Tend(usize),
-    /// A gateway is due; a connection between two comes up, and bytes arrive at an end of it.
+    /// The timer of a gateway is due; a connection between two gateways opens; bytes arrive at an end of it.
     Gateway(usize),
     Up(u64),
     Bytes(u64, usize),
-    /// Copies from before a purge go.
+    /// A server removes copies from before a purge.
     Drop(u64, Micros),
-    /// Servers take stock of their load.
+    /// Servers update the load that they report.
     Stock,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
-    /// The hierarchy holds it back.
+    /// Queued in the hierarchy's shield.
     Held,
     ToCache,
     /// On its way to the source of its fill.
     ToSource,
     AtOrigin,
-    /// The fill moves to the cache.
+    /// The fill is being transferred to the cache.
     Filling,
-    /// The answer moves to the client.
+    /// The response is being transferred to the client.
     Answering,
-    /// It waits for the fill of another.
+    /// Waiting for the fill of another attempt.
     Joined,
     Over,
 }
@@ -98,15 +99,16 @@
     waited: Micros,
     note: Option<CacheStatus>,
     status: AttemptStatus,
-    /// What the origin does for it.
+    /// The origin's work for it.
     work: Option<Number>,
-    /// It passed the hierarchy's shield, at a version of the shape, and may be filled from beside.
+    /// Whether the hierarchy's shield admitted it, the topology version at that time, and the node that is
+    /// checked for a cached copy after its source.
     tolled: bool,
     version: Option<u64>,
     beside: Option<usize>,
-    /// It took effect at the origin.
+    /// Whether it took effect at the origin.
     ran: bool,
-    /// When the copy that it brings was made.
+    /// When the copy that it returns was made.
     dated: Option<Micros>,
 }
 
@@ -117,20 +119,21 @@
     part: u32,
     books: bool,
     size: f64,
-    /// When it was first asked, and this time.
+    /// When the client first sent the request, and when it sent this retry.
     first: Micros,
     since: Micros,
-    /// How long it waits, in milliseconds.
+    /// How long the client waits, in milliseconds.
     wait: f64,
     tries: u32,
     attempts: u8,
-    /// From the other site: the ticket of its gateway, and the name that it has there.
+    /// Of a request from the other site: the ticket of this site's gateway, and the request's number at its
+    /// own site.
     foreign: Option<u64>,
     id: Option<Number>,
 }
 
 impl Client {
-    /// What it asks for, as copies are kept.
+    /// The key under which caches store the requested part.
     fn key(&self) -> u64 {
         match self.part {
             0 => self.object,
@@ -147,14 +150,14 @@
     stalled: bool,
     fails: bool,
     slow: f64,
-    /// Since when it ages, and by how much each minute.
+    /// Since when the server slows down, and by how much per minute.
     ages: Option<(Micros, f64)>,
 }
 
 const WELL: Health = Health { up: true, silent: false, stalled: false, fails: false, slow: 1.0, ages: None };
 
 impl Health {
-    /// How many times as long it takes now.
+    /// The factor of its service time now.
     fn slowness(&self, now: Micros) -> f64 {
         let aged = self.ages.map_or(0.0, |(since, by)| ms(now.saturating_sub(since)) / 60_000.0 * by);
         self.slow + aged
@@ -166,17 +169,17 @@
     health: Health,
     copies: Copies,
     in_hand: usize,
-    /// The link to its clients; for parents and the origin the one to the locations.
+    /// The link to its clients; parents and the origin share the origin's link.
     link: usize,
-    /// When requests came in lately, while it warms.
+    /// Times of the recent requests, while it warms up.
     came: VecDeque<Micros>,
-    /// Fills under way by object, and who waits for them.
+    /// Fills in progress by key, with the attempts that wait for each.
     filling: BTreeMap<u64, Vec<Number>>,
-    /// Of a parent: what it has asked the origin for.
+    /// Of a parent: its requests to the origin, by key.
     fetching: BTreeMap<u64, Number>,
-    /// Copies that are renewed behind.
+    /// Copies that are being revalidated in the background.
     renewing: BTreeSet<u64>,
-    /// Its load as it was when stock was last taken.
+    /// The load that it reports.
     reported: LoadReport,
     asked: u32,
     hits: u32,
@@ -187,20 +190,20 @@
     version: u64,
 }
 
-/// Something that the origin works at; it goes on when nobody waits for it any more.
+/// A request that the origin works on; it is completed even if nobody waits for it any more.
 #[derive(Debug, Clone)]
 struct Work {
-    /// The parent that asked for it, and keeps it.
+    /// The parent that requested it and stores the response.
     parent: Option<usize>,
     key: u64,
     waiting: Vec<Number>,
-    /// Parents that have it through the parent that asked.
+    /// Parents that store it too, as they requested it from that parent.
     through: Vec<usize>,
-    /// The cache that renews its copy by it.
+    /// The cache that revalidates its copy with it.
     renews: Option<usize>,
 }
 
-/// One run.
+/// A simulated fleet, for a single run.
 pub struct World {
     plan: Plan,
     chance: Pcg64Mcg,
@@ -209,7 +212,7 @@
     brains: Vec<Decides>,
     servers: Vec<Server>,
     places: BTreeMap<EndpointId, usize>,
-    /// What the origin has in hand; it works at all of it at once, as a link carries its transfers.
+    /// Requests at the origin, which shares its capacity evenly among them, like a link.
     works: BTreeMap<Number, Work>,
     working: usize,
     wires: Vec<Wire>,
@@ -217,13 +220,13 @@
     cut: Vec<bool>,
     list_late: f64,
     report_every: f64,
-    /// How many times the planned rate.
+    /// Factor of the planned request rate.
     busy: f64,
-    /// Repeats that clients may still ask for.
+    /// Tokens for client retries.
     repeats: f64,
     tiers: tiers::Tiers,
     sites: sites::Sites,
-    /// When clients whose fills were held back had better come again.
+    /// Retry-after times for clients whose fills the shield rejected.
     come_back: BTreeMap<Number, f64>,
     clients: BTreeMap<Number, Client>,
     attempts: BTreeMap<Number, Attempt>,
@@ -233,21 +236,21 @@
     notes: Notes,
 }
 
-/// How caches and parents start.
+/// Slow start of caches and of parents.
 const COLD: [SlowStart; 2] = [
     SlowStart { initial_ratio: 0.25, duration: 15_000.0, overload_multiple: 3.0, overload_window: 3_000.0 },
     SlowStart { initial_ratio: 0.1, duration: 20_000.0, overload_multiple: 2.0, overload_window: 3_000.0 },
 ];
 
-/// How long routers may go on with an old copy, and a server with one that it drains, in milliseconds; when old copies
-/// are gone.
+/// In milliseconds: how long routers may use a purged copy, how long a draining server may receive requests,
+/// and when purged copies are removed everywhere.
 const PURGE_GRACE: f64 = 1_000.0;
 const DRAIN_GRACE: f64 = 250.0;
 const PURGE_DONE: f64 = 6_000.0;
 
 const PARENT: u16 = 1;
 const ORIGIN: u16 = 2;
-/// A parent of parents, of which routers hear nothing.
+/// A parent of parents; it is not in the endpoint list of routers.
 const TOP: u16 = 3;
 
 fn micros(ms: f64) -> Micros {
@@ -263,12 +266,12 @@
         Self::with(plan, Notes::default())
     }
 
-    /// Plays a day and has its record judged by the rules that hold on sockets too.
+    /// Runs a plan, and checks its recording with the rules that also apply to recordings of the testbed.
     pub fn judged(plan: Plan) -> Result<(Seen, Vec<Breach>), Unusable> {
         let rules = RuleBounds {
             drain_grace: DRAIN_GRACE,
             purge_grace: PURGE_GRACE,
-            // The way to a server and back, and no more: there are no threads here.
+            // One round trip to a server; there is no scheduling delay in virtual time.
             slack: plan.far * 2.0 + 1.0,
             going_over: plan.tiers.map_or(0.0, |tiers| tiers.longest() + plan.list_late + plan.wait),
             ..RuleBounds::default()
@@ -277,7 +280,7 @@
         Ok((seen, judge(&lines, &rules)))
     }
 
-    /// Plays a day and keeps its record.
+    /// Runs a plan and returns its recording.
     pub fn noted(plan: Plan) -> Result<(Seen, Vec<RecordEntry>), Unusable> {
         let (seen, notes) = Self::with(plan, Notes::wanted())?.play();
         Ok((seen, notes.into_lines()))
@@ -323,12 +326,12 @@
     fn build(&mut self) {
         let plan = self.plan.clone();
         let hub = plan.locations as u16;
-        // The links for fills come first, one for each location.
+        // The locations' links for fills have the lowest indices.
         for _ in 0..plan.locations {
             self.wire(plan.location_link, plan.flow * 4.0);
         }
         let origin_link = self.wire(plan.origin_link, plan.flow * 4.0);
-        // In microseconds of work each microsecond.
+        // The unit of this link is microseconds of work per microsecond.
         self.working = self.wire(plan.origin_easy.max(1) as f64 * 1e6, 1e6);
         let caches = plan.caches.max(1);
         let kinds = (0..plan.locations * plan.caches).map(|n| (0u16, (n / caches) as u16, n % caches));
@@ -362,7 +365,7 @@
             let homes = plan.tiers.map_or(plan.parents, |tiers| tiers.homes).min(plan.parents);
             let objects = (plan.parent_copies as u64).min(plan.demand.objects);
             for server in self.servers.iter_mut().skip(plan.locations * plan.caches).take(homes) {
-                // Those asked for most were used last.
+                // Insert the most popular objects last, so that they are the most recently used.
                 (0..objects)
                     .rev()
                     .for_each(|rank| _ = server.copies.keep(self.demand.at_rank(0, rank), 1, 0));
@@ -438,7 +441,7 @@
         }
     }
 
-    /// Plays it to its end.
+    /// Runs the plan to its end.
     pub fn run(self) -> Seen {
         self.play().0
     }
@@ -501,7 +504,7 @@
         }
     }
 
-    /// Within what time an answer of that many bytes is wanted.
+    /// The latency objective for a response of `size` bytes, in milliseconds.
     fn aim(&self, size: f64) -> f64 {
         self.plan.aim + size / self.plan.flow * 1_000.0
     }
@@ -510,19 +513,19 @@
         self.places.get(&id).copied()
     }
 
-    /// Whether anything gets from a router to a server.
+    /// Whether messages of a router reach a server.
     fn hears(&self, router: usize, server: usize) -> bool {
         let zone = router / self.plan.routers.max(1);
         usize::from(self.servers[server].member.zone) == zone || !self.cut.get(zone).is_some_and(|cut| *cut)
     }
 
-    /// Whether anything gets from one server to another; a location that is cut off reaches only its own.
+    /// Whether messages of one server reach another; a location that is cut off reaches only its own servers.
     fn reaches(&self, one: usize, other: usize) -> bool {
         let zone = |n: usize| usize::from(self.servers[n].member.zone);
         zone(one) == zone(other) || !(self.cut[zone(one)] || self.cut[zone(other)])
     }
 
-    /// One way between two servers.
+    /// One-way delay between two servers, in milliseconds.
     fn way(&self, one: usize, other: usize) -> f64 {
         match self.servers[one].member.zone == self.servers[other].member.zone {
             true => self.plan.near,
--- a/crates/model/src/world/clients.rs
+++ b/crates/model/src/world/clients.rs
@@ -1,4 +1,4 @@
-//! Owns the clients: they ask, wait, ask for the next part, come again when they are turned away, and leave.
+//! Clients: they send requests, wait, request the next part, retry after a rejection, and give up.
 
 use linnethook::interface::{Event as PolicyEvent, ObjectId, Request, RequestId};
 use linnethook_gateway::gateway::Reply;
@@ -18,12 +18,12 @@
     Failed,
 }
 
-/// The codes of final answers, as they are on sockets.
+/// Codes of the final answers, as on the wire.
 const SERVED: u8 = 1;
 const REFUSED: u8 = 2;
 const FAILED: u8 = 3;
 
-/// Repeats that clients may have saved up, of those that they may ask for by first request.
+/// The maximum number of retry tokens that clients can accumulate.
 const SAVED: f64 = 100.0;
 
 impl World {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// A request is served by its own router.
+    /// Passes a request to the decision module of the client's router.
     pub(super) fn ask_home(&mut self, now: Micros, number: Number) {
         let Some(client) = self.clients.get_mut(&number) else { return };
         client.attempts = 0;
@@ -96,7 +96,7 @@
         self.tell(now, router, &PolicyEvent::Request(request));
     }
 
-    /// What is noted of a request.
+    /// The properties of a request that are recorded.
     pub(super) fn wish(&self, number: Number) -> Option<Wish> {
         let client = self.clients.get(&number)?;
         let deadline = ms(client.since) + client.wait;
@@ -104,7 +104,7 @@
         Some(Wish { request: client.id.unwrap_or(number), object, router, deadline, harmful })
     }
 
-    /// Its router has refused it.
+    /// The decision module rejected a request; `retry_after` is in milliseconds.
     pub(super) fn refused(&mut self, now: Micros, number: Number, wait: f64) {
         let wait = wait.max(self.come_back.remove(&number).unwrap_or(0.0));
         if self.ended_at_home(now, number, false, true)
@@ -115,7 +115,7 @@
         self.client_refused(now, number, wait);
     }
 
-    /// Its router promises nothing.
+    /// The decision module answered that a request failed, possibly after it was executed.
     pub(super) fn failed(&mut self, now: Micros, number: Number) {
         self.ended_at_home(now, number, false, false);
         if !self.replies(now, number, |_| Reply::Failed) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Its router has served it.
+    /// An attempt served a request; `issued_at` is when its copy was made.
     pub(super) fn served(&mut self, now: Micros, number: Number, dated: Option<Micros>) {
         self.ended_at_home(now, number, true, false);
         if !self.replies(now, number, |client| Self::body(client, dated)) {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// It comes again under a new name, as clients do.
+    /// Schedules a retry, under a new request number. Returns whether the client retries.
     fn comes_again(&mut self, now: Micros, number: Number, wait: f64) -> bool {
         let (again, budget) = (self.plan.again, self.plan.repeats > 0.0);
         let Some(client) = self.clients.get(&number) else { return false };
--- a/crates/model/src/world/origin.rs
+++ b/crates/model/src/world/origin.rs
@@ -1,5 +1,5 @@
-//! Owns the origin: it takes longer the more it has in hand, goes on with what nobody waits for any more, and falls over
-//! when it is pushed too far.
+//! The origin: its service time grows with its concurrent requests, it completes requests that nobody waits
+//! for any more, and it crashes under overload.
 
 use linnethook::interface::{AttemptStatus, CacheStatus};
 use rand::RngExt;
@@ -8,7 +8,8 @@
 use crate::Micros;
 
 impl World {
-    /// An attempt asks the origin, by itself, by its cache, or through a parent that may have asked already.
+    /// An attempt requests from the origin: directly, for its cache, or through a parent that may already
+    /// have requested the same key.
     pub(super) fn ask_origin(&mut self, now: Micros, number: Number, parent: Option<usize>) {
         let Some(attempt) = self.attempts.get(&number) else { return };
         let (key, write) = (attempt.key, attempt.write);
@@ -79,14 +80,14 @@
         self.begin(now, self.working, work, takes * 1_000.0);
     }
 
-    /// The origin works so many times as slowly.
+    /// Divides the origin's speed by a factor.
     pub(super) fn origin_slows(&mut self, now: Micros, times: f64) {
         let easy = self.plan.origin_easy.max(1) as f64;
         self.wires[self.working].fair.carry(now, easy / times, 1.0 / times);
         self.plan_link(self.working);
     }
 
-    /// The parent that a parent asks, of those that are there.
+    /// The parent of a parent for a key, among those that are running.
     fn top_of(&self, parent: usize, key: u64) -> Option<usize> {
         let first = self.plan.origin() - self.plan.tops;
         let up = (first..self.plan.origin()).filter(|n| self.servers[*n].health.up);
@@ -96,7 +97,8 @@
         })
     }
 
-    /// A cache has served an ageing copy and has it renewed behind, where the origin is there and is not asked already.
+    /// Revalidates a stale copy that a cache has served, unless the origin is unavailable or the key is
+    /// already being requested.
     pub(super) fn renew(&mut self, now: Micros, cache: usize, source: usize, key: u64) {
         let health = self.servers[self.plan.origin()].health;
         let through = self.servers[source].member.role == PARENT;
@@ -139,7 +141,7 @@
         self.end(now, number, status);
     }
 
-    /// The origin is done with something: whoever waits for it has it.
+    /// The origin has completed a request: all attempts that wait for it continue.
     pub(super) fn worked(&mut self, now: Micros, number: Number) {
         let Some(work) = self.works.remove(&number) else { return };
         if let Some(parent) = work.parent {
@@ -172,14 +174,14 @@
         }
     }
 
-    /// Nobody of an attempt waits any more; what the origin has begun it ends.
+    /// An attempt stops waiting for the origin, which completes the request all the same.
     pub(super) fn leaves_origin(&mut self, number: Number, work: Option<Number>) {
         if let Some(work) = work.and_then(|work| self.works.get_mut(&work)) {
             work.waiting.retain(|other| *other != number);
         }
     }
 
-    /// What the origin had in hand is lost with it.
+    /// The origin crashed: its requests are lost.
     pub(super) fn origin_lost(&mut self, now: Micros) {
         for (number, work) in std::mem::take(&mut self.works) {
             self.wires[self.working].fair.end(now, number);
@@ -195,7 +197,7 @@
         }
     }
 
-    /// A parent is lost, with what it waited for; the origin goes on with that.
+    /// A parent crashed: the attempts that wait at it fail, but the origin completes its requests.
     pub(super) fn parent_lost(&mut self, now: Micros, parent: usize) {
         self.servers[parent].fetching.clear();
         let of_it = self.works.values_mut().filter(|work| work.parent == Some(parent));
--- a/crates/model/src/world/serving.rs
+++ b/crates/model/src/world/serving.rs
@@ -1,4 +1,4 @@
-//! Owns attempts on their way: to a cache, to the source of a fill, over the links and back to their router.
+//! Attempts: to a cache, to the source of a fill, over the links, and back to their router.
 
 use linnethook::interface::{
     AttemptId, AttemptOutcome, AttemptStatus, CacheStatus, EndpointId, Event as PolicyEvent, FillInstruction,
@@ -10,7 +10,8 @@
 use super::{micros, ms, Attempt, Event, Number, Server, Stage, World, COLD, ORIGIN, PARENT, TOP};
 use crate::Micros;
 
-/// Numbers of requests from server to server in the record, beside those of attempts.
+/// Offset of the numbers of server-to-server requests in the recording, so that they differ from those of
+/// attempts.
 const BETWEEN: u64 = 1 << 50;
 
 impl World {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// An attempt sets out.
+    /// Sends an attempt to its server.
     pub(super) fn goes(&mut self, now: Micros, number: Number) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         attempt.stage = Stage::ToCache;
@@ -70,7 +71,7 @@
         self.queue.add(now + micros(way), Event::Step(number));
     }
 
-    /// Counts one that comes in at a server that warms; false where it falls over by it.
+    /// Counts a request at a server that is warming up. Returns false if the server crashes because of it.
     fn bears(&mut self, now: Micros, n: usize) -> bool {
         let (able, cold) = match self.servers[n].member.role {
             0 => (self.plan.cache_able, COLD[0]),
@@ -90,7 +91,7 @@
         server.came.len() as f64 <= able * part * cold.overload_multiple * cold.overload_window / 1_000.0
     }
 
-    /// An attempt goes on.
+    /// An attempt has arrived at its next hop.
     pub(super) fn step(&mut self, now: Micros, number: Number) {
         let Some(attempt) = self.attempts.get(&number) else { return };
         match attempt.stage {
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Whether a server is there to answer; one that isn't ends the attempt, or leaves it waiting.
+    /// Whether a server processes requests. If not, the attempt fails, or waits if the server is silent.
     fn answers(&mut self, now: Micros, number: Number, n: usize) -> bool {
         let health = self.servers[n].health;
         if !health.up {
@@ -112,10 +113,10 @@
         health.up && !health.fails && !health.silent
     }
 
-    /// The copy that a server has of what is wanted, where it is not too old.
+    /// When the copy that a server stores was made, unless it is older than `max_age` (in milliseconds).
     pub(super) fn held(&mut self, now: Micros, n: usize, key: u64, max_age: f64) -> Option<Micros> {
         let made = self.servers[n].copies.get(key)?;
-        // As old as the class allows, where nothing is said.
+        // Without a limit in the request, the freshness lifetime of the class applies.
         let most = if max_age > 0.0 { max_age } else { self.plan.fresh };
         (most <= 0.0 || ms(now - made.min(now)) <= most).then_some(made)
     }
@@ -124,7 +125,7 @@
         let Some(attempt) = self.attempts.get(&number).cloned() else { return };
         let at = attempt.server;
         if !self.hears(attempt.router, at) {
-            // Nothing gets there, and nothing is said of it.
+            // The message is lost without an error.
             return;
         }
         if !self.servers[at].health.up || self.servers[at].health.silent {
@@ -172,7 +173,7 @@
             }
         }
         let Some((source, fill)) = named else {
-            // A parent that is asked by itself asks the origin for what it lacks.
+            // A parent that receives the request directly fills a miss from the origin.
             if self.servers[at].member.role == PARENT && attempt.fill.is_some() {
                 return self.ask_origin(now, number, Some(at));
             }
@@ -184,7 +185,7 @@
                 return self.set_stage(number, Stage::Joined);
             }
         }
-        // Each of its cores brings in so many at a time, and no more.
+        // Each core of the cache has a limit on its concurrent fills.
         if self.plan.fills > 0 && self.servers[at].filling.len() >= self.plan.fills && !attempt.write {
             if let Some(attempt) = self.attempts.get_mut(&number) {
                 attempt.note = Some(CacheStatus::NoCapacity);
@@ -265,7 +266,7 @@
         }
     }
 
-    /// The fill moves to its cache, over its location's link.
+    /// Transfers a fill to its cache, over the location's link.
     pub(super) fn fill_moves(&mut self, now: Micros, number: Number, note: CacheStatus) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         attempt.note = Some(note);
@@ -275,7 +276,7 @@
         let kind = self.servers[server].member.role;
         let lost = kind == 0 && self.cut[usize::from(self.servers[server].member.zone)];
         if kind != 0 || attempt.write {
-            // Asked for by the client's router itself, or an answer of a few bytes.
+            // A direct request of the router, or a response of a few bytes.
             return self.answer(now, number, note, dated);
         }
         attempt.stage = Stage::Filling;
@@ -310,7 +311,7 @@
         }
     }
 
-    /// The next transfer of a link has ended.
+    /// The next transfer of a link is due.
     pub(super) fn moved(&mut self, now: Micros, wire: usize, version: u64) {
         if self.wires[wire].version != version {
             return;
@@ -345,16 +346,16 @@
         }
     }
 
-    // ---- Ends.
+    // ---- Outcomes.
 
-    /// An attempt is over where it is; its router hears of it after the way back.
+    /// Ends an attempt where it is; its router receives the outcome after the one-way delay.
     pub(super) fn end(&mut self, now: Micros, number: Number, status: AttemptStatus) {
         let Some(attempt) = self.attempts.get_mut(&number) else { return };
         if attempt.stage == Stage::Over {
             return;
         }
         let stage = std::mem::replace(&mut attempt.stage, Stage::Over);
-        // What never went has not been at its server.
+        // A queued attempt was never sent.
         let status = if stage == Stage::Held && status != AttemptStatus::Rejected {
             AttemptStatus::NotExecuted
         } else {
@@ -374,7 +375,7 @@
             at.in_hand = at.in_hand.saturating_sub(1);
         }
         let (link, zone) = (at.link, usize::from(at.member.zone).min(self.plan.locations));
-        // A fill that ends without its copy ends those that wait for it.
+        // A fill that fails also ends the attempts that wait for it.
         let filled = matches!(stage, Stage::ToSource | Stage::AtOrigin | Stage::Filling) && !attempt.write;
         let waiting = if filled { at.filling.remove(&attempt.key).unwrap_or_default() } else { Vec::new() };
         let wire = match stage {
@@ -392,7 +393,7 @@
             }
             self.end(now, other, AttemptStatus::Rejected);
         }
-        // What the router ends itself it knows at once.
+        // The router knows at once of attempts that it ends itself.
         let way = match status {
             _ if stage == Stage::Held => 0.0,
             AttemptStatus::TimedOut | AttemptStatus::Cancelled => 0.0,
--- a/crates/model/src/world/sites.rs
+++ b/crates/model/src/world/sites.rs
@@ -1,8 +1,9 @@
-//! Owns two sites: each router's gateway, the shipped one, and the link between the sites, which delays, throttles, falls
-//! silent and is cut.
+//! Two sites: each router runs the gateway that is shipped, and the link between the sites has a delay and a
+//! bandwidth, and can lose data or be cut.
 //!
-//! The first half of the locations is one site, the rest the other; a router has a connection with its counterpart, and all share
-//! the link. Bodies cross as bytes. Must never serve, refuse or repeat anything by itself: what gateways say is carried out.
+//! The first half of the locations is one site, the rest the other. Each router has a connection to its
+//! counterpart, and all connections share the link. Bodies are transferred as bytes. All serving, rejecting
+//! and retrying is decided by the gateways; this module only carries out their actions.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,28 +23,28 @@
 use crate::plan::Blow;
 use crate::Micros;
 
-/// What fits between the ends of a connection.
+/// Maximum number of bytes in flight in each direction of a connection.
 const IN_PIPE: usize = 256 << 10;
 const NAMES: [&str; 2] = ["one", "other"];
-/// What is left of a client's time for the way back, in milliseconds.
+/// The part of a client's time limit that is reserved for the response to it, in milliseconds.
 const WAY_BACK: f64 = 10.0;
 
 /// One direction of a connection.
 #[derive(Default)]
 struct Pipe {
-    /// Bytes under way: when they may arrive.
+    /// Bytes in flight, each with the time when they may arrive.
     under_way: VecDeque<(Micros, Bytes)>,
     bytes: usize,
-    /// What the middle has understood.
+    /// Decodes the bytes for the recording.
     decoder: FrameDecoder,
     ended: bool,
 }
 
-/// A connection of two gateways: which routers, the dialer first, and what passes towards each.
+/// A connection between two gateways: their routers (the dialer first), and the bytes towards each.
 struct Wire {
     ends: [usize; 2],
     pipes: [Pipe; 2],
-    /// Tokens by the stream and the end that opened it.
+    /// Fencing tokens by the end that opened a stream, and the stream.
     tokens: BTreeMap<(usize, u32), (u64, u64)>,
     open: [bool; 2],
     told: bool,
@@ -56,7 +57,7 @@
     due: Vec<Micros>,
     wires: BTreeMap<ConnectionId, Wire>,
     last: ConnectionId,
-    /// When the last byte of each direction will have left: the link is one for all.
+    /// When the last byte of each direction has been sent; all connections share the bandwidth.
     busy: [Micros; 2],
     cut: bool,
     silent: bool,
@@ -72,7 +73,7 @@
         usize::from(location >= locations.div_ceil(2))
     }
 
-    /// The router of the other site that it has a connection with.
+    /// The router of the other site that a router is connected to.
     fn counterpart(&self, router: usize) -> Option<usize> {
         let first = self.plan.locations.div_ceil(2) * self.plan.routers;
         let (one, other) = (first, self.brains.len().saturating_sub(first));
@@ -106,7 +107,7 @@
         }
     }
 
-    /// A gateway is told of its own caches, and how loaded they are.
+    /// Reports the number and the load of the local caches to a gateway.
     pub(super) fn own_caches(&mut self, now: Micros, router: usize) {
         let zone = router / self.plan.routers.max(1);
         let slots = self.plan.slots.max(1) as f64;
@@ -123,7 +124,8 @@
 
     // ---- Requests.
 
-    /// Whether a client's request goes by its router's gateway, which then says what becomes of it.
+    /// Submits a client's request to its router's gateway, which decides where it is served. Returns false if
+    /// there is no gateway.
     pub(super) fn asks_gateway(&mut self, now: Micros, number: Number) -> bool {
         let Some(client) = self.clients.get(&number) else { return false };
         if self.sites.gateways.is_empty() {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// A request of the other site comes in.
+    /// Accepts a request of the other site.
     fn serve_foreign(&mut self, now: Micros, router: usize, came: RemoteRequest) {
         let field = |name: &str| {
             let value = came.fields.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str());
@@ -198,7 +200,8 @@
         }
     }
 
-    /// How a request ended that its own router served: true where the gateway goes on with it.
+    /// Reports the local outcome of a request to the gateway. Returns true if the gateway forwards the
+    /// request.
     pub(super) fn ended_at_home(&mut self, now: Micros, number: Number, served: bool, refused: bool) -> bool {
         let Some(client) = self.clients.get(&number).filter(|_| !self.sites.gateways.is_empty()) else {
             return false;
@@ -220,7 +223,7 @@
         goes
     }
 
-    /// The answer to a request of the other site goes back there; true where it was one.
+    /// Answers a request of the other site. Returns false if the request is a local one.
     pub(super) fn replies(&mut self, now: Micros, number: Number, reply: impl Fn(&Client) -> Reply) -> bool {
         let Some(client) = self.clients.get(&number) else { return false };
         let (Some(ticket), router) = (client.foreign, client.router) else { return false };
@@ -232,7 +235,7 @@
         true
     }
 
-    /// What a served request brings back, as bytes of its size.
+    /// The reply to a served request, with a body of its size.
     pub(super) fn body(client: &Client, dated: Option<Micros>) -> Reply {
         let length = if client.books { 400 } else { client.size as usize };
         let copy = dated.map(|at| ObjectVersion {
@@ -243,9 +246,9 @@
         Reply::Served { fields: Vec::new(), body: Bytes::from(vec![0; length]), version: copy }
     }
 
-    // ---- What gateways say.
+    // ---- Actions of gateways.
 
-    /// Carries out what a gateway says, and sees when it is due again.
+    /// Carries out the actions of a gateway, and schedules its next timer.
     pub(super) fn tend_gateway(&mut self, now: Micros, router: usize) {
         while let Some(action) = self.sites.gateways[router].next_action() {
             match action {
@@ -324,7 +327,7 @@
         self.queue.add(now + self.delay() * 2, Event::Up(conn));
     }
 
-    /// A connection is up, or could not be had.
+    /// A connection has opened, or could not be established.
     pub(super) fn bring_up(&mut self, now: Micros, conn: ConnectionId) {
         let Some(wire) = self.sites.wires.get_mut(&conn) else { return };
         let [dialer, other] = wire.ends;
@@ -371,14 +374,14 @@
             let busy = &mut self.sites.busy[towards];
             *busy = (*busy).max(now) + (bytes.len() as f64 / carries).ceil() as Micros;
             let arrives = *busy + delay;
-            // In their order, however the delay has changed.
+            // Bytes arrive in order, even if the delay has become shorter.
             let arrives = pipe.under_way.back().map_or(arrives, |(at, _)| arrives.max(*at));
             pipe.under_way.push_back((arrives, bytes.freeze()));
             self.queue.add(arrives, Event::Bytes(conn, towards));
         }
     }
 
-    /// Whatever has arrived at an end by now.
+    /// Delivers the bytes that have arrived at an end of a connection by now.
     pub(super) fn arrives(&mut self, now: Micros, conn: ConnectionId, to: usize) {
         while !self.sites.silent {
             let Some(wire) = self.sites.wires.get_mut(&conn) else { return };
@@ -394,7 +397,7 @@
                     self.sites.gateways[here].receive(ms(now), conn, &bytes);
                     self.tend_gateway(now, here);
                 }
-                // There is room again for the other end.
+                // The other end may write again.
                 self.write(now, there, conn);
                 continue;
             }
@@ -410,7 +413,7 @@
         }
     }
 
-    /// The middle reads along, and notes what concerns the rules.
+    /// Decodes the delivered bytes, and records the messages that the rules are about.
     fn watch(&mut self, now: Micros, conn: ConnectionId, to: usize, bytes: &[u8]) {
         if !self.notes.are_wanted() {
             return;
@@ -428,7 +431,7 @@
                     token.into_iter().for_each(|token| _ = tokens.insert((1 - to, frame.stream), token));
                     self.notes.crossed(now, name(to), id.unwrap_or_default(), token, open.passed_sites);
                 }
-                // PolicyEvent to the sender of the token, which is at the end that it goes to.
+                // The token was issued by the receiver of the message.
                 Message::OutcomeReport(token, AttemptOutcome::NeverRan) => {
                     self.notes.proven(now, number(token, to))
                 }
--- a/crates/model/src/world/tiers.rs
+++ b/crates/model/src/world/tiers.rs
@@ -1,6 +1,8 @@
-//! Owns the hierarchy of each router, the shipped one, and what it does to the fills that the decision module picks.
+//! The hierarchy of each router, the one that is shipped, and its effect on the fills that the decision
+//! module selects.
 //!
-//! Must never choose a source: what the hierarchy says is carried out, and what comes of it is told back.
+//! This module selects no source: it carries out the decisions of the hierarchy and reports the results to
+//! it.
 
 use linnethook::hash_ring::hash_pair;
 use linnethook::interface::{
@@ -16,20 +18,20 @@
 use super::{micros, ms, Attempt, Event, Number, Stage, World, ORIGIN, PARENT, TOP};
 use crate::Micros;
 
-/// Who writes the changes of the shape.
+/// The author of all hierarchy changes.
 const AUTHOR: AuthorId = AuthorId(1);
 
 /// The hierarchies of all routers.
 #[derive(Default)]
 pub(super) struct Tiers {
     routers: Vec<Hierarchy>,
-    /// When each has something to do next, as far as an event is on its way.
+    /// When the next scheduled timer event of each hierarchy is due.
     due: Vec<Micros>,
-    /// Changes, and what each router hears of them.
+    /// Batches of changes, by the number in their event.
     batches: Vec<ChangeBatch>,
 }
 
-/// A fill as the shield knows it.
+/// The shield's ticket of a fill.
 fn ticket(attempt: &Attempt) -> u64 {
     attempt.request << 8 | u64::from(attempt.number)
 }
@@ -49,14 +51,15 @@
 }
 
 impl World {
-    /// The shape with which all begin: caches by the home of their location, then the origin.
+    /// Creates the hierarchies with the initial topology: caches fill from the home parent of their location,
+    /// then from the origin.
     pub(super) fn build_tiers(&mut self) {
         let Some(rule) = self.plan.tiers else { return };
         let id = |n: usize| self.servers[n].member.id;
         let (origin, first) = (self.plan.origin(), self.plan.locations * self.plan.caches);
         let homes = rule.homes.clamp(1, self.plan.parents.max(1));
         let mut changes = Vec::new();
-        // Whoever is a source comes before those that fill from it.
+        // A source has to be added before its children.
         for n in (0..self.servers.len()).rev() {
             let member = self.servers[n].member;
             let (role, tier, sources) = match member.role {
@@ -118,7 +121,7 @@
         self.notes.shape(now, &self.plan, hierarchy.version(), &edges);
     }
 
-    /// The locations that fill from one parent are to fill from another.
+    /// Migrates the locations that fill from one parent to another.
     pub(super) fn moves_home(&mut self, now: Micros, from: usize, to: usize) {
         let Some(first) = self.tiers.routers.first() else { return };
         let caches = self.plan.locations * self.plan.caches;
@@ -141,7 +144,7 @@
         self.queue.add(now + late, Event::Shape(self.tiers.batches.len() - 1));
     }
 
-    /// All routers hear of a change.
+    /// All routers receive a batch.
     pub(super) fn reshape(&mut self, now: Micros, n: usize) {
         let Some(batch) = self.tiers.batches.get(n).cloned() else { return };
         for router in 0..self.tiers.routers.len() {
@@ -151,7 +154,8 @@
         self.note_shape(now);
     }
 
-    /// A line of the list: what waits for one that may not be used any more comes back.
+    /// Applies an endpoint update to a hierarchy. Queued fills of an endpoint that may not be used any more
+    /// are rejected.
     pub(super) fn list_tiers(&mut self, now: Micros, router: usize, server: usize) {
         let Some(hierarchy) = self.tiers.routers.get_mut(router) else { return };
         let member = self.servers[server].member;
@@ -175,7 +179,7 @@
         self.end(now, number, AttemptStatus::Rejected);
     }
 
-    /// Tells the decision module what has changed, and sees when the hierarchy is due again.
+    /// Sends changed fill sources to the decision module, and schedules the next timer of the hierarchy.
     fn tend(&mut self, now: Micros, router: usize) {
         self.tell_feeds(now, router);
         let next = micros(self.tiers.routers[router].next_deadline(ms(now))).max(now + 1);
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Lets a router's hierarchy go on.
+    /// The timer of a router's hierarchy is due.
     pub(super) fn tend_due(&mut self, now: Micros, router: usize) {
         if now < self.tiers.due[router] {
             return;
@@ -224,7 +228,8 @@
         }
     }
 
-    /// Whether an attempt's fill may go now; one that may not is sent for what is held, or waits.
+    /// Asks the shield to admit the fill of an attempt. Without admission the attempt is queued, or sent for
+    /// a cached copy only.
     pub(super) fn admit(&mut self, now: Micros, number: Number) {
         let Some(attempt) = self.attempts.get(&number).cloned() else { return };
         let ends = self.ends(attempt.server, attempt.fill.as_ref());
@@ -260,7 +265,8 @@
         self.tend(now, attempt.router);
     }
 
-    /// Who fills, and from where; nothing where no tier above is asked.
+    /// The child and the source of a fill that the shield decides about; `None` if the attempt uses no tier
+    /// above the caches.
     fn ends(&self, server: usize, fill: Option<&FillInstruction>) -> Option<(EndpointId, EndpointId)> {
         let at = self.servers[server].member;
         let source = fill.map(|fill| fill.source).filter(|source| *source != at.id);
@@ -283,14 +289,14 @@
         self.goes(now, number);
     }
 
-    /// Nobody waits any more for a fill that the shield holds.
+    /// Cancels a fill that is queued in the shield.
     pub(super) fn forget_held(&mut self, attempt: &Attempt) {
         if let Some(hierarchy) = self.tiers.routers.get_mut(attempt.router) {
             hierarchy.cancel_fill(ticket(attempt));
         }
     }
 
-    /// How an attempt ended that passed the shield.
+    /// Reports the end of an attempt that the shield has admitted.
     pub(super) fn toll(&mut self, now: Micros, attempt: &Attempt) {
         if !attempt.tolled || self.tiers.routers.is_empty() {
             return;
@@ -304,7 +310,7 @@
         self.tend(now, attempt.router);
     }
 
-    /// What a fill's source lacks is looked for beside it, where the child is on its way from there.
+    /// Looks up a miss of the source at the former source, while the child is migrating from there.
     pub(super) fn found_beside(&mut self, number: Number, max_age: f64, now: Micros) -> Option<Micros> {
         let attempt = self.attempts.get(&number)?;
         let (beside, key) = (attempt.beside?, attempt.key);
--- a/crates/model/src/world/troubles.rs
+++ b/crates/model/src/world/troubles.rs
@@ -1,4 +1,4 @@
-//! Owns what befalls the fleet, and what routers are told of it: the list of caches with its delay, purges, load.
+//! Faults, and what servers report to routers: updates of the endpoint list with their delay, purges, load.
 
 use linnethook::interface::{
     AttemptStatus, EndpointPhase, EndpointUpdate, Event as PolicyEvent, LoadReport, ObjectId,
@@ -31,12 +31,12 @@
                 }
             }
             Fault::Age(_, by) => {
-                // What it has aged so far it keeps until it starts again.
+                // The slowdown so far stays until the server restarts.
                 health.slow = health.slowness(now);
                 health.ages = (by > 0.0).then_some((now, by));
             }
             Fault::Drain(_) => {
-                // The origin is never taken out of service by the list.
+                // The endpoint list never reports the origin as draining.
                 if self.servers[n].member.phase == EndpointPhase::Ready && n != self.plan.origin() {
                     self.servers[n].member.phase = EndpointPhase::Draining;
                     self.tell_late(now, n);
@@ -60,7 +60,7 @@
         self.queue.add(now + micros(self.list_late), Event::List(n));
     }
 
-    /// Pushed over.
+    /// A server crashes under overload, and restarts after `restart_delay`.
     pub(super) fn falls(&mut self, now: Micros, n: usize) {
         self.seen.fell += 1;
         self.notes.fell(now, &self.plan, n);
@@ -114,10 +114,10 @@
         self.tell_late(now, n);
     }
 
-    /// Routers hear how a server stands now.
+    /// Routers receive an update of the endpoint list with the current state of a server.
     pub(super) fn list(&mut self, now: Micros, n: usize) {
         let Some(member) = self.servers.get(n).map(|server| server.member) else { return };
-        // Routers name no parent of a parent; the hierarchy knows them.
+        // Routers do not have the parents of parents in their endpoint list, only in the hierarchy.
         if member.role == TOP {
             return (0..self.brains.len()).for_each(|router| self.list_tiers(now, router, n));
         }
@@ -133,7 +133,8 @@
         }
     }
 
-    /// Objects that are asked for a lot have changed: routers hear of it, and servers drop what is older by and by.
+    /// Purges objects drawn by popularity: routers are notified at once, servers remove older copies after a
+    /// random delay.
     fn purge(&mut self, now: Micros, count: u32) {
         for _ in 0..count {
             let object = self.demand.object(now, &mut self.chance);
@@ -147,7 +148,7 @@
         }
     }
 
-    /// All parts of an object from before a purge go.
+    /// Removes the copies of all parts of an object that were made before a purge.
     pub(super) fn drop_copies(&mut self, object: u64, stamp: Micros) {
         for part in 0..self.plan.parts.max(1) {
             let key =
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Servers take stock of their load, which their answers then tell.
+    /// Updates the load that servers report with their responses.
     pub(super) fn stock(&mut self, now: Micros) {
         let Self { servers, wires, plan, report_every, .. } = self;
         for server in servers {
--- a/crates/model/tests/cold.rs
+++ b/crates/model/tests/cold.rs
@@ -1,6 +1,7 @@
-//! Cold servers under the sum of many shipped modules: what each rounds up by itself does not add up beyond what they bear.
+//! The load that the decision modules of all routers together put on servers that start cold stays within
+//! what the servers can take, although each router rounds its share up.
 //!
-//! A small fixed part of what `cargo run --release -p linnethook-model --example cold` plays.
+//! These are a few fixed cases of `cargo run --release -p linnethook-model --example cold`.
 
 use linnethook_model::cold::{shapes, Demand, Heard, Sum, Trial, Who};
 
@@ -10,7 +11,7 @@
     Trial { shape, routers, demand, who, heard, told_of: None, load: 1.0, seed }.play()
 }
 
-/// Of large objects a router's part is a fifth of one where there are thirty.
+/// Deployments by index. With thirty routers, the share of each is a fifth of one large object.
 const LARGE: usize = 4;
 const SHORT: usize = 3;
 
@@ -40,7 +41,8 @@
     }
 }
 
-/// What routers send that have not heard of the start may be too much; those that have are not to blame for it.
+/// Routers that have not learned of the start may overload a server; those that have learned of it do not
+/// cause the overload.
 #[test]
 fn what_breaks_by_a_late_list_came_from_routers_that_were_not_told() {
     for (routers, seed) in [(2, 1), (10, 2), (20, 3)] {
@@ -50,7 +52,8 @@
     }
 }
 
-/// The measurement sees an excess: routers that each take themselves for the only one push it over, and are to blame.
+/// Checks that the measurement detects an overload: routers that are each configured as the only one overload
+/// the servers, and are identified as the cause.
 #[test]
 fn routers_that_know_nothing_of_each_other_push_over_what_twenty_share() {
     let shapes = shapes().expect("the example's settings");
--- a/crates/model/tests/day.rs
+++ b/crates/model/tests/day.rs
@@ -1,4 +1,5 @@
-//! A day of the model's fleet: how requests end, what it costs to play, and that one seed is one run.
+//! Runs of the simulated fleet: how requests end, what they cost, and that runs with the same seed are
+//! identical.
 
 use linnethook_model::demand::DemandRule;
 use linnethook_model::plain::Way;
@@ -24,7 +25,8 @@
     assert!(play(&Plan { seed: 2, ..plan }) != one);
 }
 
-/// A cache dies under load and comes back cold: what is asked of it goes elsewhere, and the day goes on.
+/// A cache crashes under load and restarts cold: its requests go to other caches, and most requests are still
+/// served in time.
 #[test]
 fn a_lost_cache_costs_little() {
     let faults = vec![
@@ -38,8 +40,9 @@
     assert!(seen.share() > 0.85, "{}", seen.share());
 }
 
-/// More is asked for than the links to the hub carry, and half of the caches start again at once: the module turns away what
-/// would be late and goes on with the rest; plain ways jam, and push over what comes back cold.
+/// The load exceeds the links to the hub, and half of the caches restart at once. The decision module rejects
+/// requests that would be late and serves the rest; the simple policies congest, and crash the servers that
+/// restart cold.
 #[test]
 fn under_too_much_the_module_goes_on_where_plain_ways_jam() {
     let restarts = (0..16).step_by(2).flat_map(|n| [(7.0, Fault::Die(n)), (7.05, Fault::Start(n))]);
@@ -69,7 +72,8 @@
     assert!(shares[0].0 > best + 0.2 && shares[0].1 == 0, "{shares:?}");
 }
 
-/// A day on which much goes wrong, with bookings, sessions of two parts, cold starts and an origin that falls over.
+/// A plan with many faults, bookings, sessions of two parts, cold starts and an origin that crashes under
+/// overload.
 fn bad_day(seed: u64, way: Way) -> Plan {
     let plan = Plan {
         seed,
@@ -88,8 +92,8 @@
     Plan { faults, ..plan }
 }
 
-/// The judge of the sockets reads the model's record: the shipped module keeps the rules on bad days, a plain way does not,
-/// and one seed gives one record, also beside others.
+/// The checker of the testbed also reads recordings of the simulation. The decision module keeps the rules
+/// under random faults, and a seed gives the same recording each time, also when runs are concurrent.
 #[test]
 fn bad_days_are_judged_and_one_seed_is_one_record() {
     let days = std::thread::scope(|scope| {
@@ -103,11 +107,11 @@
     }
     let (seen, lines) = World::noted(bad_day(3, Way::Shipped)).expect("a plan");
     assert!(seen == days[2].0 && lines == World::noted(bad_day(3, Way::Shipped)).expect("a plan").1);
-    // Noting changes nothing.
+    // Recording does not change the run.
     assert_eq!(seen, play(&bad_day(3, Way::Shipped)));
 }
 
-/// What breaks each rule where a plain way decides; the shipped module keeps them on the same days.
+/// Faults under which a simple policy violates a rule; the decision module keeps it under the same faults.
 #[test]
 fn the_judge_tells_plain_ways_from_the_module() {
     let origin = Plan::default().origin();
@@ -127,8 +131,8 @@
     }
 }
 
-/// The origin goes on with what nobody waits for any more, so that clients who ask again keep it busy with nothing; a fleet
-/// that doubles takes its part.
+/// The origin completes requests that nobody waits for any more, so that clients that retry keep it busy with
+/// wasted work. Caches that are added during a run take their share of the load.
 #[test]
 fn an_origin_over_its_edge_works_in_vain_and_spare_caches_come_in() {
     let crowd = vec![(4.0, Fault::Slow(10, 30.0)), (7.0, Fault::Slow(10, 1.0))];
@@ -156,8 +160,9 @@
     assert!(helped.hits > alone.hits && helped.share() > 0.9, "{}", helped.share());
 }
 
-/// One of two sites is cut off from the hub while most is asked for, and then the link between the sites is cut and falls
-/// silent: what crosses is served, nothing runs twice, and the rules of links hold.
+/// One of two sites is cut off from the hub at peak load; then the link between the sites is cut, and later
+/// loses data silently. Forwarded requests are served, nothing is executed twice, and the rules of links
+/// hold.
 #[test]
 fn a_cut_between_sites_at_the_peak() {
     let faults = vec![
@@ -191,7 +196,8 @@
     assert!(crossed > 100 && both.across > 50 && both.share() > alone.share() + 0.03, "{crossed}");
 }
 
-/// Copies age: what is past its fresh time is served where that may be, and renewed behind; without it, a lost origin is felt.
+/// Copies past their freshness lifetime are served within the stale grace and revalidated in the background;
+/// without stale grace, a crash of the origin is visible.
 #[test]
 fn ageing_copies_carry_over_a_lost_origin() {
     let origin = Plan::default().origin();
@@ -202,7 +208,7 @@
     println!("{:.3} and {:.3} in time, {} stale", strict.share(), lax.share(), lax.stale);
     assert!(breaches.is_empty() && strict.stale == 0 && lax.stale > 200);
     assert!(lax.share() > strict.share() + 0.1, "{} {}", lax.share(), strict.share());
-    // One that ages is slower with every second, until it starts again.
+    // A server that degrades gets slower with every second, until it restarts.
     let age = |by| Plan {
         faults: vec![(2.0, Fault::Age(0, by))],
         seconds: 16.0,
@@ -214,8 +220,8 @@
     assert!(longest(&old) > longest(&young) * 2.0, "{} {}", longest(&old), longest(&young));
 }
 
-/// Parents of parents take what reaches the origin; one of them dies and comes back, and the rules are kept. A cache that takes few
-/// fills at a time turns the others away.
+/// Parents of parents reduce the requests to the origin; one of them crashes and restarts, and the rules are
+/// kept. A cache that runs few fills at a time rejects the others.
 #[test]
 fn parents_in_tiers_and_fills_by_cores() {
     let plan = Plan { parents: 4, parent_copies: 600, seconds: 16.0, rate: 150.0, ..Plan::default() };
--- a/crates/model/tests/known.rs
+++ b/crates/model/tests/known.rs
@@ -1,4 +1,4 @@
-//! The structures against plain ones, and against results that are known in closed form.
+//! The data structures against simple ones, and against results that are known in closed form.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,7 +17,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, failure_persistence: None, rng_seed: RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
-    /// Events come as from a heap that knows their order, those of one time as they were added.
+    /// Events are taken in the order of a binary heap; events at the same time in the order in which they
+    /// were added.
     #[test]
     fn the_queue_is_a_heap(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -38,7 +39,7 @@
         prop_assert!(queue.take().is_some_and(|(at, _)| at >= queue.now()), "time never goes back");
     }
 
-    /// A shared link ends each transfer when one does that goes over all of them at each change.
+    /// Transfers complete as on a link that updates every transfer at each change.
     #[test]
     fn the_link_is_shared_evenly(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -55,7 +56,7 @@
                 now = at;
                 let n = plain.iter().position(|(known, _)| *known == ended).expect("it is under way");
                 let (_, left) = plain.remove(n);
-                // Times are whole: one may end up to a microsecond late.
+                // Times are integers: a transfer may complete up to a microsecond late.
                 prop_assert!(left.abs() <= most + 1e-3, "{left}");
                 prop_assert!(plain.iter().all(|(_, other)| *other >= left - most - 1e-3));
                 fair.end(now, ended);
@@ -70,7 +71,8 @@
         }
     }
 
-    /// Copies go as from a list that is searched: the lowest rank first, then the one used longest ago.
+    /// Copies are evicted as from a list that is searched: the lowest rank first, then the least recently
+    /// used.
     #[test]
     fn copies_go_in_their_order(seed in any::<u64>()) {
         let mut chance = Pcg64Mcg::seed_from_u64(seed);
@@ -105,7 +107,8 @@
     }
 }
 
-/// How long transfers take on a shared link, at a load and with sizes as `size` draws them, over their mean alone.
+/// The mean time of transfers on a shared link, at a load and with sizes drawn by `size`, relative to their
+/// mean time alone.
 fn slowdown(load: f64, mut size: impl FnMut(&mut Pcg64Mcg) -> f64, seed: u64) -> f64 {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut fair = Fair::new(1.0, 1.0);
@@ -128,8 +131,8 @@
     took.iter().skip(10_000).mean() / mean
 }
 
-/// M/M/1 and M/G/1 with processor sharing: the mean time is that alone over one less the load, whatever the sizes'
-/// distribution (Kleinrock 1967).
+/// M/M/1 and M/G/1 with processor sharing: the mean time is the time alone divided by one minus the load, for
+/// any distribution of sizes (Kleinrock 1967).
 #[test]
 fn a_shared_link_is_as_queueing_theory_has_it() {
     let exponential = Exp::new(1.0).expect("a rate");
@@ -145,9 +148,9 @@
     }
 }
 
-/// The share of hits of a cache that drops what was used longest ago, by Che's approximation (Che, Tung and Wang 2002): with the
-/// time T at which the expected number of different objects asked for is its size, an object of rate r is held
-/// with 1 - exp(-r T).
+/// The hit ratio of an LRU cache, by Che's approximation (Che, Tung and Wang 2002): with the time T in which
+/// the expected number of different requested objects is the size of the cache, an object with request rate r
+/// is cached with probability 1 - exp(-r T).
 #[test]
 fn hits_are_as_ches_approximation_has_them() {
     let (objects, skew) = (10_000u64, 0.8);
@@ -182,7 +185,7 @@
     }
 }
 
-/// Demand drifts and has its crowds, and an object has one size for all.
+/// Demand drifts and has flash crowds, and each object has a fixed size.
 #[test]
 fn demand_moves() {
     let rule = DemandRule { objects: 1_000, skew: 1.0, drift: 1_000_000, ..DemandRule::default() };
