--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -4,7 +4,7 @@
 
 use std::cell::RefCell;
 
-use linnethook_model::plain::Way;
+use linnethook_model::baselines::RoutingPolicy;
 use linnethook_model::plan::{Fault, Plan};
 use linnethook_operator_config::arguments::{Arguments, NumberKind};
 use linnethook_operator_config::evaluation::run_script;
@@ -98,7 +98,7 @@
                         sweep.set(&mut plan, value);
                     }
                     if let Some(days) = self.bad_days {
-                        plan.faults.extend(plan.bad_day(seed, days.troubles, days.from..days.to));
+                        plan.faults.extend(plan.random_faults(seed, days.troubles, days.from..days.to));
                     }
                     cases.push(Case { variant: variant.name.clone(), point, plan });
                 }
@@ -114,12 +114,12 @@
     }
 }
 
-pub const WAYS: &[(&str, Way)] = &[
-    ("shipped", Way::Shipped),
-    ("random", Way::Random),
-    ("least in flight", Way::LeastInFlight),
-    ("hash", Way::Hash),
-    ("bounded hash", Way::BoundedHash(1.25)),
+pub const WAYS: &[(&str, RoutingPolicy)] = &[
+    ("shipped", RoutingPolicy::Shipped),
+    ("random", RoutingPolicy::Random),
+    ("least in flight", RoutingPolicy::LeastInFlight),
+    ("hash", RoutingPolicy::Hash),
+    ("bounded hash", RoutingPolicy::BoundedHash(1.25)),
 ];
 
 thread_local! {
@@ -172,7 +172,7 @@
         let mut arguments = Arguments::new("hierarchy()", given);
         collect(|experiment| {
             common("hierarchy()", experiment)?;
-            experiment.plan.tiers.get_or_insert_default();
+            experiment.plan.hierarchy.get_or_insert_default();
             arguments.parameters(TIERS, &mut experiment.plan).and_then(|()| arguments.finish())
         })
     }
@@ -214,7 +214,12 @@
         let (from, to) = ((from * 1e6) as u64, (to * 1e6) as u64);
         collect(|experiment| {
             common("crowd()", experiment)?;
-            experiment.plan.crowds.push(linnethook_model::demand::Crowd { from, to, object, part });
+            experiment.plan.flash_crowds.push(linnethook_model::demand::FlashCrowd {
+                from,
+                to,
+                object,
+                share: part,
+            });
             Ok(())
         })
     }
@@ -276,9 +281,9 @@
     fn variant<'v>(name: &str, #[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("variant()", given);
         let bound = arguments.number("bound", 1.0..=100.0, NumberKind::Real)?;
-        let way = arguments.one_of("way", WAYS)?.unwrap_or(Way::Shipped);
+        let way = arguments.one_of("way", WAYS)?.unwrap_or(RoutingPolicy::Shipped);
         let way = match (way, bound) {
-            (Way::BoundedHash(_), Some(bound)) => Way::BoundedHash(bound),
+            (RoutingPolicy::BoundedHash(_), Some(bound)) => RoutingPolicy::BoundedHash(bound),
             (_, Some(_)) => return Err(anyhow::anyhow!("variant(): bound is for \"bounded hash\" alone")),
             (way, None) => way,
         };
@@ -287,7 +292,7 @@
             if experiment.variants.iter().any(|known| known.name == name) {
                 return Err(anyhow::anyhow!("variant(): {name:?} is a variant already"));
             }
-            let mut plan = Plan { way, ..experiment.plan.clone() };
+            let mut plan = Plan { routing_policy: way, ..experiment.plan.clone() };
             arguments.parameters(FLEET, &mut plan)?;
             arguments.parameters(TIERS, &mut plan)?;
             arguments.parameters(SITES, &mut plan)?;
@@ -383,10 +388,10 @@
     let wrong = |message: &str| ConfigError::of_file(file, message);
     let mut experiment = experiment.ok_or_else(|| wrong("nothing was collected"))?;
     if experiment.variants.is_empty() {
-        let all = Way::ALL.into_iter();
-        let variant = |way: Way| Variant {
+        let all = RoutingPolicy::ALL.into_iter();
+        let variant = |way: RoutingPolicy| Variant {
             name: way.name().to_string(),
-            plan: Plan { way, ..experiment.plan.clone() },
+            plan: Plan { routing_policy: way, ..experiment.plan.clone() },
         };
         experiment.variants = all.map(variant).collect();
     }
@@ -397,7 +402,7 @@
             return Err(wrong(&format!("fault(): server: expected 0 to {}, got {n}", servers - 1)));
         }
         let location = |(_, fault): &(f64, Fault)| match fault {
-            Fault::Cut(n, _) if *n >= plan.locations => Some(*n),
+            Fault::Partition(n, _) if *n >= plan.locations => Some(*n),
             _ => None,
         };
         if let Some(n) = plan.faults.iter().find_map(location) {
@@ -414,7 +419,7 @@
         if plan.sites.is_some() && plan.locations < 2 {
             return Err(wrong("sites(): expected two locations or more"));
         }
-        if plan.spare >= plan.caches {
+        if plan.spare_caches >= plan.caches {
             return Err(wrong(&format!("fleet(): spare: expected less than caches, {}", plan.caches)));
         }
     }
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -2,7 +2,7 @@
 //!
 //! Must never know what a fault does.
 
-use linnethook_model::plan::{Blow, Fault};
+use linnethook_model::plan::{Fault, LinkFault};
 
 /// What a kind of fault needs beside its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 }
 
 pub const KINDS: &[Kind] = &[
-    kind("die", Needs::Server, |n, _| Fault::Die(n)),
+    kind("die", Needs::Server, |n, _| Fault::Crash(n)),
     kind("start", Needs::Server, |n, _| Fault::Start(n)),
     kind("silent", Needs::Server, |n, _| Fault::Silent(n, true)),
     kind("heard", Needs::Server, |n, _| Fault::Silent(n, false)),
@@ -46,17 +46,17 @@
     kind("fail", Needs::Server, |n, _| Fault::FailFast(n, true)),
     kind("work", Needs::Server, |n, _| Fault::FailFast(n, false)),
     kind("slow", Needs::ServerAnd("times", 0, 10_000), Fault::Slow),
-    kind("age", Needs::ServerAnd("by", 0, 10_000), Fault::Age),
+    kind("age", Needs::ServerAnd("by", 0, 10_000), Fault::Degrade),
     kind("drain", Needs::Server, |n, _| Fault::Drain(n)),
-    kind("cut", Needs::Location, |n, _| Fault::Cut(n, true)),
-    kind("mend", Needs::Location, |n, _| Fault::Cut(n, false)),
-    kind("link cut", Needs::Nothing, |_, _| Fault::Link(Blow::Cut)),
-    kind("link silent", Needs::Nothing, |_, _| Fault::Link(Blow::Silent)),
-    kind("link slow", Needs::Number("times", 0, 10_000), |_, times| Fault::Link(Blow::Slow(times))),
-    kind("link mended", Needs::Nothing, |_, _| Fault::Link(Blow::Mend)),
-    kind("list late", Needs::Number("late", 0, 1_000_000), |_, late| Fault::ListLate(late)),
+    kind("cut", Needs::Location, |n, _| Fault::Partition(n, true)),
+    kind("mend", Needs::Location, |n, _| Fault::Partition(n, false)),
+    kind("link cut", Needs::Nothing, |_, _| Fault::Link(LinkFault::Cut)),
+    kind("link silent", Needs::Nothing, |_, _| Fault::Link(LinkFault::Silent)),
+    kind("link slow", Needs::Number("times", 0, 10_000), |_, times| Fault::Link(LinkFault::Slow(times))),
+    kind("link mended", Needs::Nothing, |_, _| Fault::Link(LinkFault::Restore)),
+    kind("list late", Needs::Number("late", 0, 1_000_000), |_, late| Fault::EndpointUpdateDelay(late)),
     kind("move", Needs::Parents, |n, to| Fault::Move(n, to as usize)),
-    kind("reports late", Needs::Number("late", 1, 1_000_000), |_, late| Fault::ReportsLate(late)),
+    kind("reports late", Needs::Number("late", 1, 1_000_000), |_, late| Fault::LoadReportInterval(late)),
     kind("rate", Needs::Number("times", 0, 1_000), |_, times| Fault::Rate(times)),
     kind("purge", Needs::Number("count", 1, 10_000), |_, count| Fault::Purge(count as u32)),
 ];
@@ -69,22 +69,22 @@
     let server = |n: &usize| Some(("server", *n));
     let location = |n: &usize| Some(("location", *n));
     match fault {
-        Fault::Die(n) => ("die", server(n), None),
+        Fault::Crash(n) => ("die", server(n), None),
         Fault::Start(n) => ("start", server(n), None),
         Fault::Silent(n, on) => (if *on { "silent" } else { "heard" }, server(n), None),
         Fault::Stall(n, on) => (if *on { "stall" } else { "go on" }, server(n), None),
         Fault::FailFast(n, on) => (if *on { "fail" } else { "work" }, server(n), None),
         Fault::Slow(n, times) => ("slow", server(n), Some(("times", *times))),
-        Fault::Age(n, by) => ("age", server(n), Some(("by", *by))),
+        Fault::Degrade(n, by) => ("age", server(n), Some(("by", *by))),
         Fault::Drain(n) => ("drain", server(n), None),
-        Fault::Cut(n, on) => (if *on { "cut" } else { "mend" }, location(n), None),
-        Fault::Link(Blow::Cut) => ("link cut", None, None),
-        Fault::Link(Blow::Silent) => ("link silent", None, None),
-        Fault::Link(Blow::Slow(times)) => ("link slow", None, Some(("times", *times))),
-        Fault::Link(Blow::Mend) => ("link mended", None, None),
-        Fault::ListLate(late) => ("list late", None, Some(("late", *late))),
+        Fault::Partition(n, on) => (if *on { "cut" } else { "mend" }, location(n), None),
+        Fault::Link(LinkFault::Cut) => ("link cut", None, None),
+        Fault::Link(LinkFault::Silent) => ("link silent", None, None),
+        Fault::Link(LinkFault::Slow(times)) => ("link slow", None, Some(("times", *times))),
+        Fault::Link(LinkFault::Restore) => ("link mended", None, None),
+        Fault::EndpointUpdateDelay(late) => ("list late", None, Some(("late", *late))),
         Fault::Move(n, to) => ("move", Some(("parent", *n)), Some(("to", *to as f64))),
-        Fault::ReportsLate(late) => ("reports late", None, Some(("late", *late))),
+        Fault::LoadReportInterval(late) => ("reports late", None, Some(("late", *late))),
         Fault::Rate(times) => ("rate", None, Some(("times", *times))),
         Fault::Purge(count) => ("purge", None, Some(("count", f64::from(*count)))),
     }
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -7,7 +7,7 @@
 use std::thread;
 
 use linnethook_model::plan::{Fault, Plan};
-use linnethook_model::world::World;
+use linnethook_model::simulation::Simulation;
 use linnethook_testbed::checker::Rule;
 
 /// What is looked for.
@@ -30,11 +30,11 @@
 
 /// Plays a day and has it judged.
 pub fn played(plan: Plan) -> Result<Day, String> {
-    let (seen, breaches) = World::judged(plan.clone()).map_err(|wrong| wrong.0)?;
+    let (seen, breaches) = Simulation::run_checked(plan.clone()).map_err(|wrong| wrong.0)?;
     let mut broken: Vec<Rule> = breaches.iter().map(|breach| breach.rule).collect();
     broken.sort_unstable();
     broken.dedup();
-    Ok(Day { plan, share: seen.share(), broken })
+    Ok(Day { plan, share: seen.in_time_share(), broken })
 }
 
 /// What is hunted for, and how.
@@ -71,7 +71,7 @@
                     break;
                 }
                 let mut faults = plan.faults.clone();
-                faults.extend(plan.bad_day(seed, self.troubles, within.clone()));
+                faults.extend(plan.random_faults(seed, self.troubles, within.clone()));
                 // What is printed has so many digits: no day may hang on more.
                 faults.iter_mut().for_each(|(at, fault)| (*at, *fault) = (rounded(*at), plain(*fault)));
                 let day = played(Plan { seed, faults, ..plan.clone() })?;
@@ -134,8 +134,8 @@
 fn plain(fault: Fault) -> Fault {
     match fault {
         Fault::Slow(n, times) => Fault::Slow(n, rounded(times)),
-        Fault::Age(n, by) => Fault::Age(n, rounded(by)),
-        Fault::ListLate(late) => Fault::ListLate(late.round()),
+        Fault::Degrade(n, by) => Fault::Degrade(n, rounded(by)),
+        Fault::EndpointUpdateDelay(late) => Fault::EndpointUpdateDelay(late.round()),
         Fault::Rate(times) => Fault::Rate(rounded(times)),
         other => other,
     }
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -14,7 +14,7 @@
 
 use linnethook_model::demand::Demand;
 use linnethook_model::plan::Plan;
-use linnethook_model::seen::Seen;
+use linnethook_model::statistics::Statistics;
 use linnethook_quickstart::Client;
 use linnethook_testbed::load::RequestNumbers;
 use linnethook_testbed::recording::{now, RecordedEvent, Recording};
@@ -41,7 +41,7 @@
 /// First requests at their intended times, in seconds: the seed's, whatever becomes of them.
 fn arrivals(plan: &Plan, routers: usize) -> Result<Vec<Wish>, String> {
     let mut chance = Pcg64Mcg::seed_from_u64(plan.seed);
-    let demand = Demand::new(plan.demand, plan.crowds.clone()).map_err(|wrong| wrong.0)?;
+    let demand = Demand::new(plan.demand, plan.flash_crowds.clone()).map_err(|wrong| wrong.0)?;
     let gap = Exp::new(plan.rate).map_err(|why| why.to_string())?;
     let (mut at, mut all) = (0.0, Vec::new());
     loop {
@@ -50,7 +50,7 @@
             return Ok(all);
         }
         let object = demand.object((at * 1e6) as u64, &mut chance);
-        let books = plan.bookings > 0.0 && chance.random::<f64>() < plan.bookings;
+        let books = plan.booking_share > 0.0 && chance.random::<f64>() < plan.booking_share;
         let router = chance.random_range(0..routers.max(1));
         all.push(Wish { object, books, router, first: at, tries: 0 });
     }
@@ -87,7 +87,7 @@
 
 impl Clients<'_> {
     /// Drives it to its end, or until it is to stop; how requests ended.
-    pub fn drive(&self, stop: &AtomicBool) -> Result<Seen, String> {
+    pub fn drive(&self, stop: &AtomicBool) -> Result<Statistics, String> {
         let text = |why: io::Error| why.to_string();
         let (sender, came) = channel();
         let mut connections = Vec::new();
@@ -108,7 +108,7 @@
             waiting: BinaryHeap::new(),
             wishes: Vec::new(),
             begun: Instant::now(),
-            seen: Seen::default(),
+            seen: Statistics::default(),
             chance: Pcg64Mcg::seed_from_u64(self.plan.seed ^ 1),
             turn: 0,
         };
@@ -151,7 +151,7 @@
     waiting: BinaryHeap<Reverse<(u64, usize)>>,
     wishes: Vec<Wish>,
     begun: Instant,
-    seen: Seen,
+    seen: Statistics,
     chance: Pcg64Mcg,
     turn: usize,
 }
@@ -164,7 +164,7 @@
 
     fn run(&mut self, came: &Receiver<Came>, stop: &AtomicBool) {
         let plan = self.clients.plan;
-        let end = Duration::from_secs_f64(plan.seconds + plan.wait / 1_000.0) + SLACK;
+        let end = Duration::from_secs_f64(plan.seconds + plan.client_timeout / 1_000.0) + SLACK;
         while !stop.load(Ordering::Acquire) && self.begun.elapsed() < end {
             let passed = self.begun.elapsed();
             let due = self.waiting.peek().map(|Reverse((at, _))| Duration::from_micros(*at));
@@ -188,26 +188,26 @@
         // Nobody answered these in time.
         let open: Vec<Wish> =
             self.connections.iter_mut().flat_map(|c| c.open.drain()).map(|(_, (wish, _))| wish).collect();
-        open.iter().for_each(|wish| Seen::count(&mut self.seen.failed, wish.first as usize));
+        open.iter().for_each(|wish| Statistics::count(&mut self.seen.failed, wish.first as usize));
     }
 
     fn ask(&mut self, at: f64, wish: Wish) {
         let plan = self.clients.plan;
         if wish.tries == 0 {
-            Seen::count(&mut self.seen.asked, wish.first as usize);
+            Statistics::count(&mut self.seen.requests, wish.first as usize);
         } else {
-            Seen::count(&mut self.seen.repeats, at as usize);
+            Statistics::count(&mut self.seen.client_retries, at as usize);
         }
         self.turn += 1;
         let count = self.connections.len();
         let fits = |n: &usize| self.connections[*n].up && self.connections[*n].router == wish.router;
         let Some(n) = (0..count).map(|n| (n + self.turn) % count).find(fits) else {
-            return Seen::count(&mut self.seen.failed, wish.first as usize);
+            return Statistics::count(&mut self.seen.failed, wish.first as usize);
         };
         let request = self.clients.numbers.next();
-        let (id, wait) = (format!("{request:016x}"), plan.wait.to_string());
+        let (id, wait) = (format!("{request:016x}"), plan.client_timeout.to_string());
         let object = format!("{:016x}", xxh3_64(&wish.object.to_le_bytes()));
-        let size = (plan.demand.size / 1_000.0).max(0.001).to_string();
+        let size = (plan.demand.median_size / 1_000.0).max(0.001).to_string();
         let class = if wish.books { "booking" } else { "video" };
         let fields = [("c", class), ("i", &id), ("d", &wait), ("o", &object), ("tag", "3"), ("m", &size)];
         let connection = &mut self.connections[n];
@@ -218,7 +218,7 @@
             id: id.clone(),
             object: object.clone(),
             group: 3,
-            deadline: now() + plan.wait,
+            deadline: now() + plan.client_timeout,
             harmful: wish.books,
             router: self.clients.routers[wish.router].0.clone(),
         });
@@ -237,20 +237,20 @@
         let at = (came.at - self.begun).as_secs_f64();
         let (plan, second) = (self.clients.plan, wish.first as usize);
         let took = (at - wish.first) * 1_000.0;
-        let aim = plan.aim + plan.demand.size / plan.flow * 1_000.0;
-        let again = code == REFUSED || plan.again_failed && !wish.books && code != SERVED;
+        let aim = plan.latency_objective + plan.demand.median_size / plan.transfer_rate * 1_000.0;
+        let again = code == REFUSED || plan.retry_failed_requests && !wish.books && code != SERVED;
         if code == SERVED {
             let list = if took <= aim { &mut self.seen.in_time } else { &mut self.seen.late };
-            Seen::count(list, second);
-            self.seen.took.push(took as f32);
-        } else if again && wish.tries < plan.again {
-            let pause = plan.pause * plan.backoff.powi(wish.tries as i32);
-            let pause = if plan.heed { pause.max(wait) } else { pause };
+            Statistics::count(list, second);
+            self.seen.latencies_ms.push(took as f32);
+        } else if again && wish.tries < plan.max_client_retries {
+            let pause = plan.retry_pause * plan.retry_backoff.powi(wish.tries as i32);
+            let pause = if plan.respect_retry_after { pause.max(wait) } else { pause };
             let pause = pause * self.chance.random_range(1.0..1.5);
             self.put(at + pause / 1_000.0, Wish { tries: wish.tries + 1, ..wish });
         } else {
-            let list = if code == REFUSED { &mut self.seen.refused } else { &mut self.seen.failed };
-            Seen::count(list, second);
+            let list = if code == REFUSED { &mut self.seen.rejected } else { &mut self.seen.failed };
+            Statistics::count(list, second);
         }
     }
 
@@ -260,7 +260,7 @@
         connection.up = false;
         for (_, (wish, request)) in connection.open.drain() {
             self.clients.record.note(RecordedEvent::Released { request });
-            Seen::count(&mut self.seen.failed, wish.first as usize);
+            Statistics::count(&mut self.seen.failed, wish.first as usize);
         }
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -15,7 +15,7 @@
 use linnethook_lab::rows::{self, Header, Row, Rows};
 use linnethook_lab::scale::{self, page};
 use linnethook_lab::{compare, experiment, faults, play, plot, report, settings, sockets};
-use linnethook_model::world::World;
+use linnethook_model::simulation::Simulation;
 
 /// Experiments on a model of the fleet, with the shipped decisions and plain ones.
 #[derive(Debug, Parser)]
@@ -215,9 +215,9 @@
         variant.is_none_or(|name| name == case.variant) && point.is_none_or(|point| case.point == Some(point))
     };
     let case = cases.iter().find(fits).ok_or_else(|| input("there is no such variant or point"))?;
-    let noted = || World::noted(case.plan.clone()).map_err(|wrong| other(wrong.0));
+    let noted = || Simulation::run_recorded(case.plan.clone()).map_err(|wrong| other(wrong.0));
     let (one, two) = (noted()?, noted()?);
-    let (_, breaches) = World::judged(case.plan.clone()).map_err(|wrong| other(wrong.0))?;
+    let (_, breaches) = Simulation::run_checked(case.plan.clone()).map_err(|wrong| other(wrong.0))?;
     let lines: Result<Vec<String>, _> = one.1.iter().map(serde_json::to_string).collect();
     let text = lines.map_err(other)?.join("\n");
     if let Some(record) = record {
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::thread;
 
-use linnethook_model::world::World;
+use linnethook_model::simulation::Simulation;
 
 use crate::experiment::Case;
 use crate::rows::Row;
@@ -14,10 +14,10 @@
 /// Plays one case.
 pub fn row(case: &Case, judged: bool) -> Result<Row, String> {
     if !judged {
-        let seen = World::new(case.plan.clone()).map_err(|wrong| wrong.0)?.run();
+        let seen = Simulation::new(case.plan.clone()).map_err(|wrong| wrong.0)?.run();
         return Ok(Row::new(case, &seen, None));
     }
-    let (seen, breaches) = World::judged(case.plan.clone()).map_err(|wrong| wrong.0)?;
+    let (seen, breaches) = Simulation::run_checked(case.plan.clone()).map_err(|wrong| wrong.0)?;
     Ok(Row::new(case, &seen, Some(breaches.len() as u64)))
 }
 
--- a/crates/lab/src/rows.rs
+++ b/crates/lab/src/rows.rs
@@ -9,7 +9,7 @@
 
 use hdrhistogram::Histogram;
 use linnethook_model::plan::Plan;
-use linnethook_model::seen::Seen;
+use linnethook_model::statistics::Statistics;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -64,10 +64,10 @@
 }
 
 impl Row {
-    pub fn new(case: &Case, seen: &Seen, breaches: Option<u64>) -> Self {
+    pub fn new(case: &Case, seen: &Statistics, breaches: Option<u64>) -> Self {
         let Plan { seed, seconds, .. } = case.plan;
         let sum = |list: &[u32]| list.iter().map(|n| u64::from(*n)).sum::<u64>();
-        let asked = sum(&seen.asked);
+        let asked = sum(&seen.requests);
         let part = |list: &[u32]| sum(list) as f64 / asked.max(1) as f64;
         let second = |(n, asked): (usize, &u32)| {
             seen.in_time.get(n).copied().unwrap_or(0) as f32 / (*asked).max(1) as f32
@@ -79,18 +79,18 @@
             asked,
             in_time: part(&seen.in_time),
             late: part(&seen.late),
-            refused: part(&seen.refused),
+            refused: part(&seen.rejected),
             failed: part(&seen.failed),
-            took: quantiles(seen.took.iter().map(|ms| f64::from(*ms))),
-            origin: sum(&seen.origin) as f64 / seconds,
-            origin_most: seen.origin.iter().copied().max().unwrap_or(0),
-            repeats: part(&seen.repeats),
-            in_vain: seen.in_vain,
-            fell: seen.fell,
+            took: quantiles(seen.latencies_ms.iter().map(|ms| f64::from(*ms))),
+            origin: sum(&seen.origin_requests) as f64 / seconds,
+            origin_most: seen.origin_requests.iter().copied().max().unwrap_or(0),
+            repeats: part(&seen.client_retries),
+            in_vain: seen.wasted_origin_work,
+            fell: seen.crashes,
             back: back(&case.plan, seen),
             breaches,
-            by_second: seen.asked.iter().enumerate().map(second).collect(),
-            origin_by_second: seen.origin.clone(),
+            by_second: seen.requests.iter().enumerate().map(second).collect(),
+            origin_by_second: seen.origin_requests.clone(),
         }
     }
 
@@ -107,13 +107,13 @@
 /// Service counts as back once three seconds in a row have so much of what it was.
 const BACK: f64 = 0.95;
 
-fn back(plan: &Plan, seen: &Seen) -> Option<f64> {
+fn back(plan: &Plan, seen: &Statistics) -> Option<f64> {
     let first = plan.faults.iter().map(|(at, _)| *at).reduce(f64::min)?;
     let last = plan.faults.iter().map(|(at, _)| *at).reduce(f64::max)?;
     let (before, from, end) = (first.floor() as usize, last.ceil() as usize, plan.seconds.floor() as usize);
     // What comes in at the very beginning finds empty caches.
-    let wanted = seen.share_between(before / 2, before) * BACK;
-    let served = |second: &usize| seen.share_between(*second, second + 3) >= wanted;
+    let wanted = seen.in_time_share_between(before / 2, before) * BACK;
+    let served = |second: &usize| seen.in_time_share_between(*second, second + 3) >= wanted;
     let found = (from..end.saturating_sub(2)).find(served).unwrap_or(end);
     Some((found as f64 - last).max(0.0))
 }
--- a/crates/lab/src/settings.rs
+++ b/crates/lab/src/settings.rs
@@ -2,7 +2,7 @@
 //!
 //! Must never hold a default: those are the model's.
 
-use linnethook_model::plan::{Plan, Sites, Tiers};
+use linnethook_model::plan::{HierarchyPlan, Plan, SitesPlan};
 use linnethook_operator_config::arguments::NumberKind;
 use linnethook_operator_config::parameters::{Parameter, Unit};
 
@@ -34,8 +34,8 @@
     };
 }
 
-fn tiers(plan: &Plan) -> Tiers {
-    plan.tiers.unwrap_or_default()
+fn tiers(plan: &Plan) -> HierarchyPlan {
+    plan.hierarchy.unwrap_or_default()
 }
 
 macro_rules! tier {
@@ -47,7 +47,7 @@
             (0.0, $most),
             NumberKind::$kind,
             |plan: &Plan| ($get)(tiers(plan)),
-            |plan: &mut Plan, value| ($set)(plan.tiers.get_or_insert_default(), value),
+            |plan: &mut Plan, value| ($set)(plan.hierarchy.get_or_insert_default(), value),
         )
     };
 }
@@ -61,16 +61,16 @@
         min: 0.0,
         max: 1.0,
         kind: NumberKind::Integer,
-        get: |plan: &Plan| f64::from(u8::from(plan.tiers.is_some())),
-        set: |plan: &mut Plan, value| plan.tiers = (value > 0.5).then(|| tiers(plan)),
+        get: |plan: &Plan| f64::from(u8::from(plan.hierarchy.is_some())),
+        set: |plan: &mut Plan, value| plan.hierarchy = (value > 0.5).then(|| tiers(plan)),
     },
     tier!(
         "staged",
         "",
         Integer,
         1.0,
-        |t: Tiers| f64::from(u8::from(t.staged)),
-        |t: &mut Tiers, v| t.staged = v > 0.5,
+        |t: HierarchyPlan| f64::from(u8::from(t.staged)),
+        |t: &mut HierarchyPlan, v| t.staged = v > 0.5,
         "whether children go over by stages, 0 or 1"
     ),
     tier!(
@@ -78,8 +78,8 @@
         "",
         Integer,
         1.0,
-        |t: Tiers| f64::from(u8::from(t.shielded)),
-        |t: &mut Tiers, v| t.shielded = v > 0.5,
+        |t: HierarchyPlan| f64::from(u8::from(t.shielded)),
+        |t: &mut HierarchyPlan, v| t.shielded = v > 0.5,
         "whether fills pass the shield, 0 or 1"
     ),
     tier!(
@@ -87,8 +87,8 @@
         "milliseconds",
         Real,
         1e7,
-        |t: Tiers| t.announce,
-        |t: &mut Tiers, v| t.announce = v,
+        |t: HierarchyPlan| t.announcement,
+        |t: &mut HierarchyPlan, v| t.announcement = v,
         "how long a change is told before it begins"
     ),
     tier!(
@@ -96,8 +96,8 @@
         "milliseconds",
         Real,
         1e7,
-        |t: Tiers| t.warm,
-        |t: &mut Tiers, v| t.warm = v,
+        |t: HierarchyPlan| t.ramp_duration,
+        |t: &mut HierarchyPlan, v| t.ramp_duration = v,
         "from the first objects to all of them"
     ),
     tier!(
@@ -105,8 +105,8 @@
         "milliseconds",
         Real,
         1e7,
-        |t: Tiers| t.settle,
-        |t: &mut Tiers, v| t.settle = v,
+        |t: HierarchyPlan| t.settling_time,
+        |t: &mut HierarchyPlan, v| t.settling_time = v,
         "how long the old source is still asked for what it holds"
     ),
     tier!(
@@ -114,8 +114,8 @@
         "",
         Integer,
         1_000.0,
-        |t: Tiers| t.homes as f64,
-        |t: &mut Tiers, v| t.homes = (v as usize).max(1),
+        |t: HierarchyPlan| t.home_parents as f64,
+        |t: &mut HierarchyPlan, v| t.home_parents = (v as usize).max(1),
         "the first so many parents are homes of locations in turn"
     ),
 ];
@@ -145,7 +145,7 @@
         kind: NumberKind::Integer,
         get: |plan: &Plan| f64::from(u8::from(plan.sites.is_some())),
         set: |plan: &mut Plan, value| {
-            plan.sites = (value > 0.5).then(|| -> Sites { plan.sites.unwrap_or_default() });
+            plan.sites = (value > 0.5).then(|| -> SitesPlan { plan.sites.unwrap_or_default() });
         },
     },
     site!("link_delay", "milliseconds", 0.0, 1e4, delay, "one way between the sites"),
@@ -154,10 +154,17 @@
         "bytes a second",
         1e3,
         1e12,
-        carries,
+        bandwidth,
         "in each direction, for all gateways together"
     ),
-    site!("fresh", "milliseconds", 0.0, 1e6, fresh, "how new what is known of the other side must be"),
+    site!(
+        "fresh",
+        "milliseconds",
+        0.0,
+        1e6,
+        max_state_delay,
+        "how new what is known of the other side must be"
+    ),
 ];
 
 /// What `fleet(...)` sets.
@@ -166,49 +173,85 @@
     parameter!(whole "routers", usize, 1.0, 1_000.0, routers, "routers of each"),
     parameter!(whole "caches", usize, 1.0, 1_000.0, caches, "caches of each"),
     parameter!(whole "parents", usize, 0.0, 1_000.0, parents, "parents that all share"),
-    parameter!(whole "tops", usize, 0.0, 1_000.0, tops, "parents of the parents"),
-    parameter!(whole "spare", usize, 0.0, 1_000.0, spare, "caches of each that only a fault starts"),
+    parameter!(whole "tops", usize, 0.0, 1_000.0, top_parents, "parents of the parents"),
+    parameter!(whole "spare", usize, 0.0, 1_000.0, spare_caches, "caches of each that only a fault starts"),
     parameter!(whole "cache_copies", usize, 0.0, 1e8, cache_copies, "copies that a cache keeps"),
     parameter!(whole "parent_copies", usize, 0.0, 1e8, parent_copies, "copies that a parent keeps"),
-    parameter!(whole "slots", usize, 1.0, 1e6, slots, "requests that a server takes at a time"),
-    parameter!(whole "fills", usize, 0.0, 1e6, fills, "fills that a cache takes at a time; 0 = any number"),
-    parameter!(flag "filled", filled, "whether parents begin with what is asked for most, 0 or 1"),
-    parameter!("flow", "bytes a second", 1e3, 1e12, flow, "what one transfer may have"),
+    parameter!(
+        whole "slots", usize, 1.0, 1e6, max_requests_per_server,
+        "requests that a server takes at a time"
+    ),
+    parameter!(
+        whole "fills", usize, 0.0, 1e6, max_fills_per_cache,
+        "fills that a cache takes at a time; 0 = any number"
+    ),
+    parameter!(
+        flag "filled", home_parents_prefilled,
+        "whether parents begin with what is asked for most, 0 or 1"
+    ),
+    parameter!("flow", "bytes a second", 1e3, 1e12, transfer_rate, "what one transfer may have"),
     parameter!("cache_link", "bytes a second", 1e3, 1e12, cache_link, "a cache's link to its clients"),
     parameter!("location_link", "bytes a second", 1e3, 1e12, location_link, "a location's link for fills"),
     parameter!("origin_link", "bytes a second", 1e3, 1e12, origin_link, "the link of parents and the origin"),
-    parameter!("near", "milliseconds", 0.0, 1e4, near, "one way within a location"),
-    parameter!("far", "milliseconds", 0.0, 1e4, far, "one way to the hub"),
-    parameter!("origin_takes", "milliseconds", 0.0, 1e5, origin_takes, "how long the origin takes for one"),
-    parameter!(whole "origin_easy", usize, 1.0, 1e6, origin_easy, "how many it has in hand before that grows"),
-    parameter!(whole "origin_bears", usize, 0.0, 1e6, origin_bears, "with more in hand it falls over; 0 = never"),
-    parameter!("origin_away", "seconds", 0.0, 1e4, origin_away, "for how long then"),
-    parameter!("list_late", "milliseconds", 0.0, 1e6, list_late, "how late routers hear of a change"),
+    parameter!("near", "milliseconds", 0.0, 1e4, local_delay, "one way within a location"),
+    parameter!("far", "milliseconds", 0.0, 1e4, hub_delay, "one way to the hub"),
+    parameter!(
+        "origin_takes",
+        "milliseconds",
+        0.0,
+        1e5,
+        origin_service_time,
+        "how long the origin takes for one"
+    ),
+    parameter!(
+        whole "origin_easy", usize, 1.0, 1e6, origin_concurrency,
+        "how many it has in hand before that grows"
+    ),
+    parameter!(
+        whole "origin_bears", usize, 0.0, 1e6, origin_crash_limit,
+        "with more in hand it falls over; 0 = never"
+    ),
+    parameter!("origin_away", "seconds", 0.0, 1e4, origin_restart_delay, "for how long then"),
+    parameter!(
+        "list_late",
+        "milliseconds",
+        0.0,
+        1e6,
+        endpoint_update_delay,
+        "how late routers hear of a change"
+    ),
     parameter!(
         "report_every",
         "milliseconds",
         0.0,
         1e6,
-        report_every,
+        load_report_interval,
         "how often servers take stock of their load; 0 = never"
     ),
-    parameter!("fresh", "milliseconds", 0.0, 1e9, fresh, "how long a copy is fresh; 0 = until it is purged"),
-    parameter!("stale", "milliseconds", 0.0, 1e9, stale, "how long past that it may be served"),
-    parameter!(flag "siblings", siblings, "whether caches may fill from each other, 0 or 1"),
-    parameter!(flag "joins", joins, "whether requests join a fill that is under way, 0 or 1"),
-    parameter!(flag "direct", direct, "whether routers may go past the caches, 0 or 1"),
-    parameter!(flag "told", told, "whether routers are told how answers came about, 0 or 1"),
-    parameter!(whole "attempts", u32, 1.0, 16.0, attempts, "attempts that a request may have"),
+    parameter!(
+        "fresh",
+        "milliseconds",
+        0.0,
+        1e9,
+        freshness_lifetime,
+        "how long a copy is fresh; 0 = until it is purged"
+    ),
+    parameter!("stale", "milliseconds", 0.0, 1e9, stale_grace, "how long past that it may be served"),
+    parameter!(flag "siblings", sibling_fill, "whether caches may fill from each other, 0 or 1"),
+    parameter!(flag "joins", coalesce_fills, "whether requests join a fill that is under way, 0 or 1"),
+    parameter!(flag "direct", bypass_caches, "whether routers may go past the caches, 0 or 1"),
+    parameter!(flag "told", report_outcome_detail, "whether routers are told how answers came about, 0 or 1"),
+    parameter!(whole "attempts", u32, 1.0, 16.0, max_attempts, "attempts that a request may have"),
     parameter!(
         "cache_able",
         "requests a second",
         0.0,
         1e7,
-        cache_able,
+        cache_throughput,
         "what a warm cache can do; 0 = a cold one never falls"
     ),
-    parameter!("parent_able", "requests a second", 0.0, 1e7, parent_able, "the same of a parent"),
-    parameter!("away", "seconds", 0.0, 1e4, away, "how long one that fell over is away"),
+    parameter!("parent_able", "requests a second", 0.0, 1e7, parent_throughput, "the same of a parent"),
+    parameter!("away", "seconds", 0.0, 1e4, restart_delay, "how long one that fell over is away"),
 ];
 
 /// What `demand(...)` sets.
@@ -216,27 +259,33 @@
     parameter!("rate", "requests a second", 0.001, 1e7, rate, "clients' first ones, in all"),
     parameter!("seconds", "seconds", 1.0, 1e5, seconds, "for how long"),
     parameter!(whole "parts", u32, 1.0, 10_000.0, parts, "parts that a client asks for, one after the other"),
-    parameter!("bookings", "", 0.0, 1.0, bookings, "the part of clients that book instead"),
-    parameter!("wait", "milliseconds", 1.0, 1e6, wait, "how long clients wait"),
-    parameter!("aim", "milliseconds", 1.0, 1e6, aim, "within what they want their answer"),
-    parameter!(whole "again", u32, 0.0, 1_000.0, again, "how often they come again when refused"),
-    parameter!(flag "again_failed", again_failed, "whether they do after a failure too, 0 or 1"),
-    parameter!("pause", "milliseconds", 1.0, 1e6, pause, "how long they pause at the least"),
-    parameter!("backoff", "", 1.0, 10.0, backoff, "so many times as long each time"),
-    parameter!(flag "heed", heed, "whether they wait for as long as they are told, 0 or 1"),
+    parameter!("bookings", "", 0.0, 1.0, booking_share, "the part of clients that book instead"),
+    parameter!("wait", "milliseconds", 1.0, 1e6, client_timeout, "how long clients wait"),
+    parameter!("aim", "milliseconds", 1.0, 1e6, latency_objective, "within what they want their answer"),
+    parameter!(
+        whole "again", u32, 0.0, 1_000.0, max_client_retries,
+        "how often they come again when refused"
+    ),
+    parameter!(flag "again_failed", retry_failed_requests, "whether they do after a failure too, 0 or 1"),
+    parameter!("pause", "milliseconds", 1.0, 1e6, retry_pause, "how long they pause at the least"),
+    parameter!("backoff", "", 1.0, 10.0, retry_backoff, "so many times as long each time"),
+    parameter!(flag "heed", respect_retry_after, "whether they wait for as long as they are told, 0 or 1"),
     parameter!(
         "repeats",
         "",
         0.0,
         100.0,
-        repeats,
+        retry_budget,
         "repeats that clients may ask for by first request; 0 = any number"
     ),
     parameter!(whole "objects", u64, 1.0, 1e12, demand.objects, "objects"),
     parameter!("skew", "", 0.0, 10.0, demand.skew, "Zipf's exponent"),
-    parameter!(whole "drift", u64, 0.0, 1e13, demand.drift, "microseconds in which the order of popularity goes round; 0 = never"),
-    parameter!("size", "bytes", 1.0, 1e9, demand.size, "of an object's part at the median"),
-    parameter!("spread", "", 0.0, 4.0, demand.spread, "of the logarithm of the sizes"),
+    parameter!(
+        whole "drift", u64, 0.0, 1e13, demand.drift_period,
+        "microseconds in which the order of popularity goes round; 0 = never"
+    ),
+    parameter!("size", "bytes", 1.0, 1e9, demand.median_size, "of an object's part at the median"),
+    parameter!("spread", "", 0.0, 4.0, demand.size_sigma, "of the logarithm of the sizes"),
 ];
 
 /// Settings of all tables.
@@ -271,7 +320,10 @@
         let number = number.map_or(String::new(), |(name, v)| format!(", {name} = {}", faults::rounded(v)));
         text += &format!("fault(at = {}, kind = {word:?}{place}{number})\n", faults::rounded(*at));
     }
-    let way = WAYS.iter().find(|(_, way)| *way == plan.way).map_or(plan.way.name(), |(word, _)| word);
+    let way = WAYS
+        .iter()
+        .find(|(_, way)| *way == plan.routing_policy)
+        .map_or(plan.routing_policy.name(), |(word, _)| word);
     text += &format!("variant({way:?}, way = {way:?})\nseed({})\njudge()\n", plan.seed);
     text
 }
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use linnethook_model::plan::{Fault, Plan};
-use linnethook_model::seen::Seen;
+use linnethook_model::statistics::Statistics;
 use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
 use linnethook_testbed::checker::{judge, Breach, RuleBounds};
 use linnethook_testbed::faults::{Fault as OnSockets, When};
@@ -39,7 +39,7 @@
         let until = |ends: &dyn Fn(&Fault) -> bool| {
             later.clone().find(|(_, other)| ends(other)).map_or(plan.seconds + 60.0, |(at, _)| *at)
         };
-        let longer = |times: f64| OnSockets::Slow((times - 1.0) * plan.origin_takes);
+        let longer = |times: f64| OnSockets::Slow((times - 1.0) * plan.origin_service_time);
         match fault {
             Fault::Silent(at, true) => {
                 let to = until(&|other| *other == Fault::Silent(*at, false));
@@ -55,7 +55,7 @@
                     all.push((*at, *from, to, longer(*times)));
                 }
             }
-            Fault::Die(_) | Fault::Start(_) | Fault::Drain(_) => {}
+            Fault::Crash(_) | Fault::Start(_) | Fault::Drain(_) => {}
             Fault::Silent(_, false) | Fault::FailFast(_, false) => {}
             other => return Err(format!("not to be had on sockets: {}", told(other))),
         }
@@ -68,14 +68,14 @@
     let plain = Plan::default();
     for (what, fits) in [
         ("one location", plan.locations == 1),
-        ("caches that are there from the beginning", plan.spare == 0),
-        ("no hierarchy", plan.tiers.is_none()),
+        ("caches that are there from the beginning", plan.spare_caches == 0),
+        ("no hierarchy", plan.hierarchy.is_none()),
         ("one part", plan.parts == 1),
-        ("one tier of parents", plan.tops == 0),
-        ("any number of fills", plan.fills == 0),
+        ("one tier of parents", plan.top_parents == 0),
+        ("any number of fills", plan.max_fills_per_cache == 0),
         ("one site", plan.sites.is_none()),
-        ("the shipped way", plan.way == plain.way),
-        ("no cold starts", plan.cache_able <= 0.0 && plan.parent_able <= 0.0),
+        ("the shipped way", plan.routing_policy == plain.routing_policy),
+        ("no cold starts", plan.cache_throughput <= 0.0 && plan.parent_throughput <= 0.0),
     ] {
         if !fits {
             return Err(format!("on sockets: expected {what}"));
@@ -89,16 +89,16 @@
     let made = |kind: ServerRole, copies: usize, takes: f64| CacheServerConfig {
         copies,
         latency: Duration::from_secs_f64(takes / 1_000.0),
-        size: plan.demand.size as usize,
+        size: plan.demand.median_size as usize,
         ..CacheServerConfig::new(kind)
     };
-    fleet.add("origin", "hub", 20.0, made(ServerRole::Origin, 1, plan.origin_takes))?;
+    fleet.add("origin", "hub", 20.0, made(ServerRole::Origin, 1, plan.origin_service_time))?;
     for n in 0..plan.parents {
         fleet.add(
             &format!("parent-{n}"),
             "hub",
             8.0,
-            made(ServerRole::Parent, plan.parent_copies, plan.far),
+            made(ServerRole::Parent, plan.parent_copies, plan.hub_delay),
         )?;
     }
     for n in 0..plan.caches {
@@ -106,7 +106,7 @@
             &format!("cache-{n}"),
             "shop",
             8.0,
-            made(ServerRole::Cache, plan.cache_copies, plan.near),
+            made(ServerRole::Cache, plan.cache_copies, plan.local_delay),
         )?;
     }
     for n in 0..plan.routers {
@@ -116,18 +116,18 @@
             settings["balancers"] = json!(plan.routers);
             settings["family-info"]["seats-by-zone"] = json!([0, plan.routers]);
             settings["family-info"]["merges-fills"] = json!(true);
-            settings["family-info"]["flow-kb-per-s"] = json!(plan.flow / 1_000.0);
+            settings["family-info"]["flow-kb-per-s"] = json!(plan.transfer_rate / 1_000.0);
             settings["family-info"]["peers-fill"] = json!("location");
-            settings["grades"][0]["objective"] = json!(plan.aim);
+            settings["grades"][0]["objective"] = json!(plan.latency_objective);
             settings["grades"][0]["aim-stretch"] = json!(1);
-            settings["grades"][0]["deadline"] = json!(plan.wait);
+            settings["grades"][0]["deadline"] = json!(plan.client_timeout);
         })?;
     }
     Ok(fleet)
 }
 
 /// Plays the day: what was seen, and the rules that were broken.
-pub fn play(plan: &Plan, program: &Path, stop: &AtomicBool) -> Result<(Seen, Vec<Breach>), String> {
+pub fn play(plan: &Plan, program: &Path, stop: &AtomicBool) -> Result<(Statistics, Vec<Breach>), String> {
     check(plan)?;
     let text = |why: std::io::Error| why.to_string();
     let mut fleet = fleet(plan, program).map_err(text)?;
@@ -145,9 +145,9 @@
         // What the list of caches tells, and when: it is late.
         let mut steps: Vec<(f64, usize, Option<Phase>)> = Vec::new();
         for (at, fault) in &plan.faults {
-            let heard = at + plan.list_late / 1_000.0;
+            let heard = at + plan.endpoint_update_delay / 1_000.0;
             match fault {
-                Fault::Die(n) => steps.extend([(*at, *n, None), (heard, *n, Some(Phase::Removed))]),
+                Fault::Crash(n) => steps.extend([(*at, *n, None), (heard, *n, Some(Phase::Removed))]),
                 Fault::Start(n) => steps.push((heard, *n, Some(Phase::Ready))),
                 Fault::Drain(n) => steps.push((heard, *n, Some(Phase::Draining))),
                 _ => {}
@@ -170,5 +170,5 @@
     let origin = fleet.record.by_second("origin", since, plan.seconds.ceil() as usize + 5);
     let breaches = judge(&fleet.record.lines(), &RuleBounds { slack: 150.0, ..RuleBounds::default() });
     let fills = origin.iter().map(|n| u64::from(*n)).sum();
-    Ok((Seen { origin, fills, ..seen }, breaches))
+    Ok((Statistics { origin_requests: origin, origin_fills: fills, ..seen }, breaches))
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -9,7 +9,7 @@
 use linnethook_lab::play::play;
 use linnethook_lab::rows::{self, Header, Row, Rows};
 use linnethook_lab::{report, settings};
-use linnethook_model::plain::Way;
+use linnethook_model::baselines::RoutingPolicy;
 use linnethook_model::plan::{Fault, Plan};
 use linnethook_testbed::checker::Rule;
 use proptest::prelude::{prop_assert_eq, proptest, ProptestConfig};
@@ -131,16 +131,16 @@
     /// A plan that is written down is read as the same plan.
     #[test]
     fn a_plan_is_read_as_it_was_written(seed in 0u64..10_000, troubles in 1usize..12, rate in 1u32..5_000) {
-        let plan = Plan { seed, rate: f64::from(rate), again_failed: true, spare: 1, ..Plan::default() };
-        let mut faults = plan.bad_day(seed, troubles, 2.0..20.0);
+        let plan = Plan { seed, rate: f64::from(rate), retry_failed_requests: true, spare_caches: 1, ..Plan::default() };
+        let mut faults = plan.random_faults(seed, troubles, 2.0..20.0);
         for (at, fault) in &mut faults {
             *at = (*at * 1e3).round() / 1e3;
             match fault {
-                Fault::Slow(_, by) | Fault::Age(_, by) | Fault::Rate(by) | Fault::ListLate(by) => *by = (*by * 1e3).round() / 1e3,
+                Fault::Slow(_, by) | Fault::Degrade(_, by) | Fault::Rate(by) | Fault::EndpointUpdateDelay(by) => *by = (*by * 1e3).round() / 1e3,
                 _ => {}
             }
         }
-        let plan = Plan { faults, way: Way::ALL[seed as usize % 5], ..plan };
+        let plan = Plan { faults, routing_policy: RoutingPolicy::ALL[seed as usize % 5], ..plan };
         let experiment = read("w.star", &settings::written(&plan, "a day\nof two lines")).expect("a good file");
         prop_assert_eq!(&experiment.cases()[0].plan, &plan);
     }
@@ -149,7 +149,7 @@
 /// A plain way breaks a rule where old copies are purged: the hunt finds a day, and leaves what does it.
 #[test]
 fn a_hunt_finds_a_broken_rule_and_shrinks_it() {
-    let plan = Plan { way: Way::Hash, seconds: 10.0, rate: 80.0, ..Plan::default() };
+    let plan = Plan { routing_policy: RoutingPolicy::Hash, seconds: 10.0, rate: 80.0, ..Plan::default() };
     let hunt = Hunt { prey: Prey::Rule, first: 1, last: 16, troubles: 8, jobs: 4 };
     let (caught, broke) = hunt.run(&plan, &AtomicBool::new(false)).expect("hunted");
     let caught = caught.expect("a plain way has no purges");
@@ -162,7 +162,9 @@
     assert_eq!(played(again.cases()[0].plan.clone()).expect("played"), day);
     // The worst day of the module breaks nothing, and what is left of it is as bad.
     let hunt = Hunt { prey: Prey::Worst, last: 8, ..hunt };
-    let (worst, _) = hunt.run(&Plan { way: Way::Shipped, ..plan }, &AtomicBool::new(false)).expect("hunted");
+    let (worst, _) = hunt
+        .run(&Plan { routing_policy: RoutingPolicy::Shipped, ..plan }, &AtomicBool::new(false))
+        .expect("hunted");
     let worst = worst.expect("there is always a worst one");
     let (shrunk, _) = hunt.shrink(worst.clone()).expect("shrunk");
     println!(
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -7,7 +7,7 @@
 
 use linnethook_lab::load::Clients;
 use linnethook_lab::sockets;
-use linnethook_model::plan::{Fault, Plan, Tiers};
+use linnethook_model::plan::{Fault, HierarchyPlan, Plan};
 
 /// So many requests before the first is answered.
 const KEPT: usize = 50;
@@ -47,7 +47,14 @@
     thread::spawn(move || {
         listener.incoming().flatten().for_each(|stream| _ = thread::spawn(|| serve(stream)))
     });
-    let plan = Plan { rate: 100.0, seconds: 1.5, wait: 2_000.0, again: 1, pause: 20.0, ..Plan::default() };
+    let plan = Plan {
+        rate: 100.0,
+        seconds: 1.5,
+        client_timeout: 2_000.0,
+        max_client_retries: 1,
+        retry_pause: 20.0,
+        ..Plan::default()
+    };
     let clients = Clients {
         plan: &plan,
         routers: &[("n0".to_string(), address)],
@@ -57,29 +64,33 @@
     };
     let seen = clients.drive(&AtomicBool::new(false)).expect("driven");
     let sum = |list: &[u32]| list.iter().sum::<u32>() as usize;
-    let ends = [&seen.in_time, &seen.late, &seen.refused, &seen.failed].map(|list| sum(list));
-    println!("{} asked, {ends:?}, {} repeats", sum(&seen.asked), sum(&seen.repeats));
-    assert_eq!(sum(&seen.asked), ends.iter().sum::<usize>(), "each has one end");
-    assert!(sum(&seen.asked) > KEPT && sum(&seen.repeats) >= 5);
+    let ends = [&seen.in_time, &seen.late, &seen.rejected, &seen.failed].map(|list| sum(list));
+    println!("{} asked, {ends:?}, {} repeats", sum(&seen.requests), sum(&seen.client_retries));
+    assert_eq!(sum(&seen.requests), ends.iter().sum::<usize>(), "each has one end");
+    assert!(sum(&seen.requests) > KEPT && sum(&seen.client_retries) >= 5);
     // At 100 a second the first of fifty has waited for half a second; most of those answered have waited long.
-    let longest = seen.took.iter().copied().fold(0.0, f32::max);
-    let long = seen.took.iter().filter(|took| **took > 100.0).count();
-    assert!(longest > 300.0 && long * 2 > seen.took.len(), "{longest} {long} of {}", seen.took.len());
+    let longest = seen.latencies_ms.iter().copied().fold(0.0, f32::max);
+    let long = seen.latencies_ms.iter().filter(|took| **took > 100.0).count();
+    assert!(
+        longest > 300.0 && long * 2 > seen.latencies_ms.len(),
+        "{longest} {long} of {}",
+        seen.latencies_ms.len()
+    );
     // What was never answered has failed.
     assert!(ends[3] > 0);
 }
 
 #[test]
 fn what_there_is_not_on_sockets_is_an_error_before_anything_starts() {
-    let good = Plan { locations: 1, faults: vec![(1.0, Fault::Die(0))], ..Plan::default() };
+    let good = Plan { locations: 1, faults: vec![(1.0, Fault::Crash(0))], ..Plan::default() };
     assert_eq!(sockets::check(&good), Ok(()));
     let fault = |fault| Plan { faults: vec![(1.0, fault)], ..good.clone() };
     for (plan, expected) in [
         (Plan { locations: 2, ..good.clone() }, "one location"),
         (Plan { parts: 2, ..good.clone() }, "one part"),
-        (Plan { tiers: Some(Tiers::default()), ..good.clone() }, "no hierarchy"),
-        (Plan { cache_able: 1.0, ..good.clone() }, "no cold starts"),
-        (fault(Fault::Cut(0, true)), "cut 0"),
+        (Plan { hierarchy: Some(HierarchyPlan::default()), ..good.clone() }, "no hierarchy"),
+        (Plan { cache_throughput: 1.0, ..good.clone() }, "no cold starts"),
+        (fault(Fault::Partition(0, true)), "cut 0"),
         (fault(Fault::Slow(0, 3.0)), "slow 0, times 3"),
     ] {
         let wrong = sockets::check(&plan).expect_err(expected);
--- a/crates/model/src/cold.rs
+++ b/crates/model/src/cold.rs
@@ -26,28 +26,28 @@
 
 /// A class of read requests: its share of the requests, and the mean transfer time of its responses.
 #[derive(Debug, Clone, Copy)]
-pub struct Reads {
+pub struct ReadClass {
     pub class: u16,
-    pub part: f64,
+    pub share: f64,
     pub work: Ms,
 }
 
 /// A deployment: the settings of its routers, and the machines that they describe.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct Deployment {
     pub name: &'static str,
     pub settings: Settings,
     /// Locations with routers and caches; routers are spread evenly over them.
     pub locations: usize,
     /// Whether the settings contain the number of routers of each location.
-    pub seats: bool,
+    pub routers_by_zone_known: bool,
     /// Capacity of each cache of a location and of each parent, in concurrent transfers.
     pub caches: Vec<f64>,
     pub parents: Vec<f64>,
-    pub reads: Vec<Reads>,
+    pub read_classes: Vec<ReadClass>,
     /// Number of objects that are requested repeatedly.
     pub objects: u64,
-    pub sizes_told: bool,
+    pub sizes_known: bool,
 }
 
 /// The distribution of requests over routers and time.
@@ -56,14 +56,14 @@
     Even,
     /// Every fifth router gets five times as many as each of the others.
     Skewed,
-    /// A quarter of the load until some seconds after the start, while retry budgets fill up, then six times
+    /// A quarter of the load until some seconds after the start, then six times
     /// as much.
     Burst,
 }
 
 /// Which servers start cold, all at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Who {
+pub enum ColdServers {
     Cache,
     /// All caches of a location but one.
     Caches,
@@ -74,7 +74,7 @@
 
 /// The delay after which routers learn of the crash and of the start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum UpdateDelay {
     /// Up to half a second, drawn for each router.
     Soon,
     /// Up to 4.5 s, drawn for each router; the server is back before some routers have learned of its crash.
@@ -83,13 +83,13 @@
 
 #[derive(Debug, Clone)]
 pub struct Trial<'a> {
-    pub shape: &'a Shape,
+    pub deployment: &'a Deployment,
     pub routers: usize,
     pub demand: Demand,
-    pub who: Who,
-    pub heard: Heard,
+    pub cold_servers: ColdServers,
+    pub update_delay: UpdateDelay,
     /// The number of routers in the settings of each router; `None` = the actual number.
-    pub told_of: Option<u32>,
+    pub configured_routers: Option<u32>,
     /// The load, as a multiple of the capacity of all caches.
     pub load: f64,
     pub seed: u64,
@@ -100,45 +100,45 @@
 /// A window ends with each request at such a server and is as long as its overload window. Its budget N is
 /// the number of requests of mean size that the server accepts in a window without a crash.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Sum {
+pub struct TrialResult {
     /// The number of windows, of those with more than N requests, and of those above the bound N + 2 x root
     /// of N + 2.
     pub windows: u32,
     pub over_budget: u32,
-    pub over: u32,
+    pub over_bound: u32,
     /// Whether more than two thirds of the work of the first window above the bound came from routers that
     /// knew of the start when they sent it, and from routers that knew of it by the end of the window.
-    pub broken: bool,
-    pub broken_by_then: bool,
+    pub caused_by_notified: bool,
+    pub caused_by_notified_by_end: bool,
     /// The largest window as a multiple of the bound, the largest as a multiple of N, and N of the former
     /// window.
-    pub worst: f64,
-    pub worst_budget: f64,
+    pub max_of_bound: f64,
+    pub max_of_budget: f64,
     pub budget: f64,
     /// Time from the start until a window has half, and nine tenths, of the load that the server had before
     /// its crash; `None` = not within the trial.
-    pub half: Option<Ms>,
-    pub ramp: Option<Ms>,
+    pub time_to_half: Option<Ms>,
+    pub time_to_nine_tenths: Option<Ms>,
     /// The same for an ideal router that knows the complete state and sends as much as N allows.
-    pub half_knowing: Ms,
-    pub ramp_knowing: Ms,
+    pub ideal_time_to_half: Ms,
+    pub ideal_time_to_nine_tenths: Ms,
 }
 
 /// Routers count as notified from this time after the start on, in milliseconds.
-const DEEMED_TOLD: Ms = 7_000.0;
-const FIRST: Ms = 100_000.0;
-const LOST: Ms = FIRST + 6_000.0;
-const BACK: Ms = LOST + 1_000.0;
-const BURST: Ms = BACK + 3_500.0;
-const NEAR: Ms = 1.0;
-const FAR: Ms = 12.0;
-const ORIGIN_TAKES: Ms = 30.0;
+const ALL_NOTIFIED_AFTER: Ms = 7_000.0;
+const TRIAL_START: Ms = 100_000.0;
+const CRASH_TIME: Ms = TRIAL_START + 6_000.0;
+const RESTART_TIME: Ms = CRASH_TIME + 1_000.0;
+const BURST_TIME: Ms = RESTART_TIME + 3_500.0;
+const LOCAL_DELAY: Ms = 1.0;
+const HUB_DELAY: Ms = 12.0;
+const ORIGIN_SERVICE_TIME: Ms = 30.0;
 /// Share of the requests that are for an object that has not been requested before.
-const ONCE: f64 = 0.25;
-const SPREAD: f64 = 0.7;
-const AGAIN: u32 = 2;
+const NEW_OBJECT_SHARE: f64 = 0.25;
+const SIZE_SIGMA: f64 = 0.7;
+const MAX_RETRIES: u32 = 2;
 /// A server rejects requests while this multiple of its capacity is in progress.
-const ROOM: f64 = 8.0;
+const REJECTION_MULTIPLE: f64 = 8.0;
 
 /// Deployments that differ in the cost of a request, in the outcome detail, and in the parameters of the
 /// slow-start rule: the example configuration, the two of `deploy/sites` (with the lower ends of their
@@ -148,13 +148,13 @@
 /// # Errors
 ///
 /// Returns an error if the settings of a deployment cannot be read.
-pub fn shapes() -> Result<Vec<Shape>, SettingsError> {
+pub fn deployments() -> Result<Vec<Deployment>, SettingsError> {
     let config: Value =
-        serde_json::from_str(include_str!("../../../examples/config.json")).map_err(|wrong| {
-            SettingsError { path: "examples/config.json".to_string(), message: wrong.to_string() }
+        serde_json::from_str(include_str!("../../../examples/config.json")).map_err(|error| {
+            SettingsError { path: "examples/config.json".to_string(), message: error.to_string() }
         })?;
     let read = |changes: Value| {
-        decode(merge(&config["settings"], &changes).to_string().as_bytes()).map(|told| told.settings)
+        decode(merge(&config["settings"], &changes).to_string().as_bytes()).map(|decoded| decoded.settings)
     };
     let grade = |aim: u32, stretch: u32, deadline: u32| {
         let (effect, worth) = ("read_like", 1);
@@ -176,80 +176,85 @@
             "parent-floor": 0.07, "parent-warms-in": 20000, "parent-fall-multiple": 2},
         "rules": {"fall": 2000, "fall-multiple": 3.5, "start-capacity": 0.2, "cold": 14000}});
     let short = json!({"family-info": {"max-age": [2000, 2000, 0], "grace-for": [4000, 4000, 0]}});
-    let one = |class, part, work| Reads { class, part, work };
+    let read_class = |class, share, work| ReadClass { class, share, work };
     Ok(vec![
-        Shape {
+        Deployment {
             name: "example",
             settings: read(json!({}))?,
             locations: 1,
-            seats: true,
+            routers_by_zone_known: true,
             caches: vec![8.0; 4],
             parents: vec![5.0; 3],
-            reads: vec![one(0, 0.3, 400.0), one(1, 0.7, 50.0)],
+            read_classes: vec![read_class(0, 0.3, 400.0), read_class(1, 0.7, 50.0)],
             objects: 3_000,
-            sizes_told: true,
+            sizes_known: true,
         },
-        Shape {
+        Deployment {
             name: "ferry-boards",
             settings: read(ferry)?,
             locations: 1,
-            seats: false,
+            routers_by_zone_known: false,
             caches: vec![2.0, 2.5, 3.0],
             parents: vec![1.5; 3],
-            reads: vec![one(0, 1.0, 35.0)],
+            read_classes: vec![read_class(0, 1.0, 35.0)],
             objects: 3_000,
-            sizes_told: true,
+            sizes_known: true,
         },
-        Shape {
+        Deployment {
             name: "orchard-charts",
             settings: read(orchard)?,
             locations: 2,
-            seats: true,
+            routers_by_zone_known: true,
             caches: vec![3.0, 5.0, 7.0],
             parents: vec![4.0; 3],
-            reads: vec![one(0, 0.2, 550.0), one(1, 0.5, 27.0), one(2, 0.3, 100.0)],
+            read_classes: vec![
+                read_class(0, 0.2, 550.0),
+                read_class(1, 0.5, 27.0),
+                read_class(2, 0.3, 100.0),
+            ],
             objects: 3_000,
-            sizes_told: false,
+            sizes_known: false,
         },
-        Shape {
+        Deployment {
             name: "short-lived copies",
             settings: read(short)?,
             locations: 1,
-            seats: true,
+            routers_by_zone_known: true,
             caches: vec![8.0; 3],
             parents: vec![6.0; 3],
-            reads: vec![one(0, 0.3, 400.0), one(1, 0.7, 100.0)],
+            read_classes: vec![read_class(0, 0.3, 400.0), read_class(1, 0.7, 100.0)],
             objects: 1_500,
-            sizes_told: true,
+            sizes_known: true,
         },
-        Shape {
+        Deployment {
             name: "large objects",
             settings: read(json!({"weight-source": "nominal"}))?,
             locations: 1,
-            seats: true,
+            routers_by_zone_known: true,
             caches: vec![4.0; 6],
             parents: vec![5.0; 3],
-            reads: vec![one(0, 0.8, 1_400.0), one(1, 0.2, 400.0)],
+            read_classes: vec![read_class(0, 0.8, 1_400.0), read_class(1, 0.2, 400.0)],
             objects: 3_000,
-            sizes_told: true,
+            sizes_known: true,
         },
     ])
 }
 
-impl Shape {
+impl Deployment {
     /// The mean transfer time of a response.
     pub fn work(&self) -> Ms {
-        let parts: f64 = self.reads.iter().map(|reads| reads.part).sum();
-        self.reads.iter().map(|reads| reads.part * reads.work).sum::<f64>() / parts
+        let shares: f64 = self.read_classes.iter().map(|read_class| read_class.share).sum();
+        self.read_classes.iter().map(|read_class| read_class.share * read_class.work).sum::<f64>() / shares
     }
 
     fn settings(&self, routers: usize, router: usize) -> Settings {
         let mut settings = self.settings.clone();
         settings.routers = routers as u32;
         settings.zone = self.zone(router);
-        let seats = |zone: u16| (0..routers).filter(|n| self.zone(*n) == zone).count() as u32;
+        let routers_in_zone = |zone: u16| (0..routers).filter(|n| self.zone(*n) == zone).count() as u32;
         let zones = 0..=self.locations as u16;
-        settings.routers_by_zone = if self.seats { zones.map(seats).collect() } else { Vec::new() };
+        settings.routers_by_zone =
+            if self.routers_by_zone_known { zones.map(routers_in_zone).collect() } else { Vec::new() };
         settings
     }
 
@@ -261,29 +266,29 @@
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Event {
-    Arrive,
-    Again(u64),
+    ClientArrival,
+    Retry(u64),
     Timer(usize, u32),
     /// An attempt arrives at its server; its response arrives at the router; it times out.
-    Reach(u64),
-    Back(u64),
-    Expire(u64),
+    AttemptArrival(u64),
+    ResponseArrival(u64),
+    Timeout(u64),
     /// The fill of an attempt arrives at its source; the revalidation of a cached copy, instructed by a
     /// router, arrives at its source.
-    Source(u64),
-    Renew {
+    FillArrival(u64),
+    Revalidation {
         router: usize,
         cache: usize,
         source: usize,
         object: u64,
         work: Ms,
     },
-    /// A transfer of a server completes; the second value is the number of starts of the server.
-    Free(usize, u32),
-    Lose,
+    /// A transfer of a server completes; the second value is the number of crashes of the server when it began.
+    TransferEnd(usize, u32),
+    Crash,
     Start,
     /// A router receives an endpoint update with the phase that the server had when it was sent.
-    Hear(usize, usize, EndpointPhase),
+    EndpointUpdate(usize, usize, EndpointPhase),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -292,44 +297,44 @@
     id: AttemptId,
     server: usize,
     fill: Option<FillInstruction>,
-    sent: Ms,
+    sent_at: Ms,
     status: AttemptStatus,
-    note: Option<CacheStatus>,
-    waited: Ms,
+    cache_status: Option<CacheStatus>,
+    source_wait: Ms,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Wish {
+struct ClientRequest {
     router: usize,
-    reads: usize,
+    read_class: usize,
     object: u64,
     work: Ms,
-    tries: u32,
-    since: Ms,
+    retries: u32,
+    first_sent_at: Ms,
 }
 
 struct Server {
-    member: Endpoint,
-    able: f64,
-    cold: SlowStart,
+    endpoint: Endpoint,
+    capacity: f64,
+    slow_start: SlowStart,
     up: bool,
     /// Number of its crashes, so that transfers from before a crash do not free capacity of the restarted
     /// server.
-    life: u32,
-    in_hand: u32,
+    crashes: u32,
+    in_flight: u32,
     /// Copies stored since its start, with the time when they were made; before its first crash it has all
     /// objects that are requested repeatedly.
-    held: BTreeMap<u64, Ms>,
-    whole: bool,
+    copies: BTreeMap<u64, Ms>,
+    has_all_objects: bool,
 }
 
 /// A request that arrived at a server that started cold.
 #[derive(Debug, Clone, Copy)]
-struct Came {
+struct Arrival {
     at: Ms,
     work: Ms,
     router: usize,
-    told: bool,
+    notified: bool,
 }
 
 struct Fleet<'a> {
@@ -337,135 +342,142 @@
     now: Ms,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: BTreeMap<u64, Event>,
-    added: u64,
-    chance: Pcg64Mcg,
-    brains: Vec<Policy>,
+    events_added: u64,
+    rng: Pcg64Mcg,
+    policies: Vec<Policy>,
     /// When each router learned of each server's start.
-    heard: Vec<BTreeMap<usize, Ms>>,
+    notified_at: Vec<BTreeMap<usize, Ms>>,
     servers: Vec<Server>,
-    wishes: BTreeMap<u64, Wish>,
+    requests: BTreeMap<u64, ClientRequest>,
     attempts: BTreeMap<u64, Attempt>,
-    by_id: BTreeMap<AttemptId, u64>,
-    sent: BTreeMap<u64, u8>,
-    last: u64,
+    attempts_by_id: BTreeMap<AttemptId, u64>,
+    attempt_counts: BTreeMap<u64, u8>,
+    last_number: u64,
     new_objects: u64,
     /// All requests that arrived, by server that starts cold.
-    came: BTreeMap<usize, Vec<Came>>,
+    arrivals: BTreeMap<usize, Vec<Arrival>>,
 }
 
 impl Trial<'_> {
     /// The servers that start cold. Servers are numbered: caches by location, then parents, then the origin.
-    fn targets(&self) -> Vec<usize> {
-        let caches = self.shape.caches.len();
-        let parents = self.shape.locations * caches;
-        match self.who {
-            Who::Cache => vec![0],
-            Who::Caches => (0..caches - 1).collect(),
-            Who::Parent => vec![parents],
-            Who::Parents => (parents..parents + self.shape.parents.len() - 1).collect(),
+    fn cold_server_indices(&self) -> Vec<usize> {
+        let caches = self.deployment.caches.len();
+        let parents = self.deployment.locations * caches;
+        match self.cold_servers {
+            ColdServers::Cache => vec![0],
+            ColdServers::Caches => (0..caches - 1).collect(),
+            ColdServers::Parent => vec![parents],
+            ColdServers::Parents => (parents..parents + self.deployment.parents.len() - 1).collect(),
         }
     }
 
     /// When the trial ends.
     fn end(&self) -> Ms {
-        let cold = match self.who {
-            Who::Cache | Who::Caches => self.shape.settings.cache_slow_start,
-            Who::Parent | Who::Parents => self.shape.settings.parent_slow_start,
+        let slow_start = match self.cold_servers {
+            ColdServers::Cache | ColdServers::Caches => self.deployment.settings.cache_slow_start,
+            ColdServers::Parent | ColdServers::Parents => self.deployment.settings.parent_slow_start,
         };
-        BACK + cold.duration.min(12_000.0)
+        RESTART_TIME + slow_start.duration.min(12_000.0)
     }
 
     /// Runs the trial; the result combines all servers that start cold.
-    pub fn play(&self) -> Sum {
+    pub fn run(&self) -> TrialResult {
         let mut fleet = Fleet::new(self);
         fleet.run();
-        let sums: Vec<Sum> = self.targets().into_iter().map(|n| fleet.sum(n)).collect();
-        let mut all = Sum { half: Some(0.0), ramp: Some(0.0), ..Sum::default() };
-        for sum in &sums {
-            all.windows += sum.windows;
-            all.over_budget += sum.over_budget;
-            all.over += sum.over;
-            all.broken |= sum.broken;
-            all.broken_by_then |= sum.broken_by_then;
-            if sum.worst > all.worst {
-                (all.worst, all.budget) = (sum.worst, sum.budget);
+        let results: Vec<TrialResult> =
+            self.cold_server_indices().into_iter().map(|n| fleet.result(n)).collect();
+        let mut combined =
+            TrialResult { time_to_half: Some(0.0), time_to_nine_tenths: Some(0.0), ..TrialResult::default() };
+        for result in &results {
+            combined.windows += result.windows;
+            combined.over_budget += result.over_budget;
+            combined.over_bound += result.over_bound;
+            combined.caused_by_notified |= result.caused_by_notified;
+            combined.caused_by_notified_by_end |= result.caused_by_notified_by_end;
+            if result.max_of_bound > combined.max_of_bound {
+                (combined.max_of_bound, combined.budget) = (result.max_of_bound, result.budget);
             }
-            all.worst_budget = all.worst_budget.max(sum.worst_budget);
+            combined.max_of_budget = combined.max_of_budget.max(result.max_of_budget);
             let later = |a: Option<Ms>, b: Option<Ms>| a.and_then(|a| b.map(|b| a.max(b)));
-            (all.half, all.ramp) = (later(all.half, sum.half), later(all.ramp, sum.ramp));
-            all.half_knowing = all.half_knowing.max(sum.half_knowing);
-            all.ramp_knowing = all.ramp_knowing.max(sum.ramp_knowing);
+            (combined.time_to_half, combined.time_to_nine_tenths) = (
+                later(combined.time_to_half, result.time_to_half),
+                later(combined.time_to_nine_tenths, result.time_to_nine_tenths),
+            );
+            combined.ideal_time_to_half = combined.ideal_time_to_half.max(result.ideal_time_to_half);
+            combined.ideal_time_to_nine_tenths =
+                combined.ideal_time_to_nine_tenths.max(result.ideal_time_to_nine_tenths);
         }
-        all
+        combined
     }
 }
 
 impl<'a> Fleet<'a> {
     fn new(trial: &'a Trial<'a>) -> Self {
-        let shape = trial.shape;
+        let deployment = trial.deployment;
         let mut servers = Vec::new();
-        let mut add = |kind: u16, zone: u16, able: f64| {
+        let mut add = |role: u16, zone: u16, capacity: f64| {
             let id = EndpointId(hash_pair(servers.len() as u64, trial.seed ^ 0x636f_6c64) >> 12);
-            let weight = if shape.settings.weights_unknown { 1.0 } else { able };
-            let member = Endpoint {
-                id,
-                cell: 0,
-                zone,
-                role: kind,
-                weight,
-                started_at: 0.0,
-                phase: EndpointPhase::Ready,
-            };
-            let cold = shape.settings.slow_start(&member);
-            let held = BTreeMap::new();
-            servers.push(Server { member, able, cold, up: true, life: 0, in_hand: 0, held, whole: true });
+            let weight = if deployment.settings.weights_unknown { 1.0 } else { capacity };
+            let endpoint =
+                Endpoint { id, cell: 0, zone, role, weight, started_at: 0.0, phase: EndpointPhase::Ready };
+            let slow_start = deployment.settings.slow_start(&endpoint);
+            servers.push(Server {
+                endpoint,
+                capacity,
+                slow_start,
+                up: true,
+                crashes: 0,
+                in_flight: 0,
+                copies: BTreeMap::new(),
+                has_all_objects: true,
+            });
         };
-        for location in 0..shape.locations {
-            shape.caches.iter().for_each(|able| add(0, 1 + location as u16, *able));
+        for location in 0..deployment.locations {
+            deployment.caches.iter().for_each(|capacity| add(0, 1 + location as u16, *capacity));
         }
-        shape.parents.iter().for_each(|able| add(1, 0, *able));
+        deployment.parents.iter().for_each(|capacity| add(1, 0, *capacity));
         add(2, 0, 1e6);
         let mut fleet = Self {
             trial,
-            now: FIRST,
+            now: TRIAL_START,
             queue: BinaryHeap::new(),
             events: BTreeMap::new(),
-            added: 0,
-            chance: Pcg64Mcg::seed_from_u64(trial.seed),
-            brains: Vec::new(),
-            heard: vec![BTreeMap::new(); trial.routers],
+            events_added: 0,
+            rng: Pcg64Mcg::seed_from_u64(trial.seed),
+            policies: Vec::new(),
+            notified_at: vec![BTreeMap::new(); trial.routers],
             servers,
-            wishes: BTreeMap::new(),
+            requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            by_id: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            last: 0,
-            new_objects: shape.objects,
-            came: trial.targets().into_iter().map(|n| (n, Vec::new())).collect(),
+            attempts_by_id: BTreeMap::new(),
+            attempt_counts: BTreeMap::new(),
+            last_number: 0,
+            new_objects: deployment.objects,
+            arrivals: trial.cold_server_indices().into_iter().map(|n| (n, Vec::new())).collect(),
         };
-        let members: Vec<Endpoint> = fleet.servers.iter().map(|server| server.member).collect();
+        let endpoints: Vec<Endpoint> = fleet.servers.iter().map(|server| server.endpoint).collect();
         for n in 0..trial.routers {
-            let mut settings = shape.settings(trial.routers, n);
-            if let Some(routers) = trial.told_of {
+            let mut settings = deployment.settings(trial.routers, n);
+            if let Some(routers) = trial.configured_routers {
                 settings.routers = routers;
                 settings.routers_by_zone.clear();
             }
-            fleet.brains.push(Policy::new(settings, hash_pair(n as u64, trial.seed)));
-            fleet.tell(
+            fleet.policies.push(Policy::new(settings, hash_pair(n as u64, trial.seed)));
+            fleet.notify_policy(
                 n,
-                &PolicyEvent::Endpoints { update: EndpointUpdate::Snapshot, endpoints: members.clone() },
+                &PolicyEvent::Endpoints { update: EndpointUpdate::Snapshot, endpoints: endpoints.clone() },
             );
         }
-        fleet.add(FIRST, Event::Arrive);
-        fleet.add(LOST, Event::Lose);
-        fleet.add(BACK, Event::Start);
+        fleet.add(TRIAL_START, Event::ClientArrival);
+        fleet.add(CRASH_TIME, Event::Crash);
+        fleet.add(RESTART_TIME, Event::Start);
         fleet
     }
 
     fn add(&mut self, at: Ms, event: Event) {
-        self.added += 1;
-        self.events.insert(self.added, event);
-        self.queue.push(Reverse(((at.max(self.now) * 1_000.0) as u64, self.added)));
+        self.events_added += 1;
+        self.events.insert(self.events_added, event);
+        self.queue.push(Reverse(((at.max(self.now) * 1_000.0) as u64, self.events_added)));
     }
 
     fn run(&mut self) {
@@ -476,29 +488,31 @@
                 return;
             }
             match self.events.remove(&number) {
-                Some(Event::Arrive) => self.arrive(),
-                Some(Event::Again(wish)) => self.ask(wish),
-                Some(Event::Timer(router, token)) => self.tell(router, &PolicyEvent::Timer(token)),
-                Some(Event::Reach(attempt)) => self.reach(attempt),
-                Some(Event::Source(attempt)) => self.fill(attempt),
-                Some(Event::Renew { router, cache, source, object, work }) => {
-                    self.renew(router, cache, source, object, work);
+                Some(Event::ClientArrival) => self.on_client_arrival(),
+                Some(Event::Retry(id)) => self.send_request(id),
+                Some(Event::Timer(router, token)) => self.notify_policy(router, &PolicyEvent::Timer(token)),
+                Some(Event::AttemptArrival(number)) => self.on_attempt_arrival(number),
+                Some(Event::FillArrival(number)) => self.on_fill_arrival(number),
+                Some(Event::Revalidation { router, cache, source, object, work }) => {
+                    self.on_revalidation(router, cache, source, object, work);
                 }
-                Some(Event::Back(attempt)) => self.ended(attempt),
-                Some(Event::Expire(attempt)) => {
-                    if let Some(out) = self.attempts.get_mut(&attempt) {
-                        out.status = AttemptStatus::TimedOut;
-                        out.note = None;
-                        self.ended(attempt);
+                Some(Event::ResponseArrival(number)) => self.deliver_outcome(number),
+                Some(Event::Timeout(number)) => {
+                    if let Some(attempt) = self.attempts.get_mut(&number) {
+                        attempt.status = AttemptStatus::TimedOut;
+                        attempt.cache_status = None;
+                        self.deliver_outcome(number);
                     }
                 }
-                Some(Event::Free(server, life)) => {
+                Some(Event::TransferEnd(server, crashes)) => {
                     let server = &mut self.servers[server];
-                    server.in_hand -= u32::from(server.life == life);
+                    server.in_flight -= u32::from(server.crashes == crashes);
                 }
-                Some(Event::Lose) => self.lose(),
+                Some(Event::Crash) => self.crash(),
                 Some(Event::Start) => self.start(),
-                Some(Event::Hear(router, server, phase)) => self.hear(router, server, phase),
+                Some(Event::EndpointUpdate(router, server, phase)) => {
+                    self.deliver_endpoint_update(router, server, phase)
+                }
                 None => {}
             }
         }
@@ -508,82 +522,90 @@
 
     /// The current request rate, per millisecond.
     fn rate(&self) -> f64 {
-        let shape = self.trial.shape;
-        let able: f64 = shape.caches.iter().sum::<f64>() * shape.locations as f64;
-        let times = match self.trial.demand {
+        let deployment = self.trial.deployment;
+        let capacity: f64 = deployment.caches.iter().sum::<f64>() * deployment.locations as f64;
+        let factor = match self.trial.demand {
             Demand::Even | Demand::Skewed => 1.0,
-            Demand::Burst if self.now < BURST => 0.25,
+            Demand::Burst if self.now < BURST_TIME => 0.25,
             Demand::Burst => 1.5,
         };
-        able / shape.work() * self.trial.load * times
+        capacity / deployment.work() * self.trial.load * factor
     }
 
-    fn arrive(&mut self) {
-        let gap: f64 = Exp1.sample(&mut self.chance);
-        self.add(self.now + gap / self.rate(), Event::Arrive);
-        let shape = self.trial.shape;
+    fn on_client_arrival(&mut self) {
+        let gap: f64 = Exp1.sample(&mut self.rng);
+        self.add(self.now + gap / self.rate(), Event::ClientArrival);
+        let deployment = self.trial.deployment;
         let heavy = |n: usize| self.trial.demand == Demand::Skewed && n.is_multiple_of(5);
         let weights: Vec<f64> = (0..self.trial.routers).map(|n| if heavy(n) { 5.0 } else { 1.0 }).collect();
-        let router = pick(self.chance.random(), &weights);
-        let parts: Vec<f64> = shape.reads.iter().map(|reads| reads.part).collect();
-        let reads = pick(self.chance.random(), &parts);
-        let object = if self.chance.random::<f64>() < ONCE {
+        let router = weighted_index(self.rng.random(), &weights);
+        let shares: Vec<f64> = deployment.read_classes.iter().map(|read_class| read_class.share).collect();
+        let read_class = weighted_index(self.rng.random(), &shares);
+        let object = if self.rng.random::<f64>() < NEW_OBJECT_SHARE {
             self.new_objects += 1;
             self.new_objects
         } else {
-            // Squaring skews the popularity towards low numbers.
-            let place: f64 = self.chance.random();
-            (place * place * shape.objects as f64) as u64
+            // Half of the requests are for a quarter of the objects.
+            let uniform: f64 = self.rng.random();
+            (uniform * uniform * deployment.objects as f64) as u64
         };
-        let object = object * 8 + reads as u64;
+        let object = object * 8 + read_class as u64;
         // Sizes are lognormal with a mean of one; the size of an object is the same for all requests.
-        let far: f64 = StandardNormal.sample(&mut Pcg64Mcg::seed_from_u64(object));
-        let size = (SPREAD * far - SPREAD * SPREAD / 2.0).exp();
-        let work = (shape.reads[reads].work * size).max(1.0);
-        self.last += 1;
-        let wish = Wish { router, reads, object, work, tries: 0, since: self.now };
-        self.wishes.insert(self.last, wish);
-        self.ask(self.last);
-    }
-
-    fn ask(&mut self, id: u64) {
-        let Some(wish) = self.wishes.get(&id).copied() else { return };
-        let shape = self.trial.shape;
-        let class = shape.reads[wish.reads].class;
-        let flow = shape.settings.flow_kb_per_s;
-        let size_kb = if shape.sizes_told { wish.work * flow / 1_000.0 } else { 0.0 };
-        let budget = shape.settings.class(class).deadline + wish.since - self.now;
+        let deviation: f64 = StandardNormal.sample(&mut Pcg64Mcg::seed_from_u64(object));
+        let size = (SIZE_SIGMA * deviation - SIZE_SIGMA * SIZE_SIGMA / 2.0).exp();
+        let work = (deployment.read_classes[read_class].work * size).max(1.0);
+        self.last_number += 1;
+        let client_request =
+            ClientRequest { router, read_class, object, work, retries: 0, first_sent_at: self.now };
+        self.requests.insert(self.last_number, client_request);
+        self.send_request(self.last_number);
+    }
+
+    fn send_request(&mut self, id: u64) {
+        let Some(client_request) = self.requests.get(&id).copied() else { return };
+        let deployment = self.trial.deployment;
+        let class = deployment.read_classes[client_request.read_class].class;
+        let flow = deployment.settings.flow_kb_per_s;
+        let size_kb = if deployment.sizes_known { client_request.work * flow / 1_000.0 } else { 0.0 };
+        let budget = deployment.settings.class(class).deadline + client_request.first_sent_at - self.now;
         if budget <= 0.0 {
-            self.wishes.remove(&id);
+            self.requests.remove(&id);
             return;
         }
         let request = Request {
             id: RequestId(id),
-            object: ObjectId(wish.object),
+            object: ObjectId(client_request.object),
             part: 0,
             group: 0,
             class,
             size_kb,
-            client_retry: wish.tries > 0,
+            client_retry: client_request.retries > 0,
             is_write: false,
             time_limit: budget,
         };
-        self.tell(wish.router, &PolicyEvent::Request(request));
+        self.notify_policy(client_request.router, &PolicyEvent::Request(request));
     }
 
     /// A rejected client retries after a pause, under a new request number.
-    fn refused(&mut self, id: u64) {
-        let Some(wish) = self.wishes.remove(&id).filter(|wish| wish.tries < AGAIN) else { return };
-        self.last += 1;
-        self.wishes.insert(self.last, Wish { tries: wish.tries + 1, ..wish });
-        let pause = self.chance.random_range(50.0..200.0);
-        self.add(self.now + pause, Event::Again(self.last));
+    fn retry_rejected(&mut self, id: u64) {
+        let Some(client_request) =
+            self.requests.remove(&id).filter(|client_request| client_request.retries < MAX_RETRIES)
+        else {
+            return;
+        };
+        self.last_number += 1;
+        self.requests.insert(
+            self.last_number,
+            ClientRequest { retries: client_request.retries + 1, ..client_request },
+        );
+        let pause = self.rng.random_range(50.0..200.0);
+        self.add(self.now + pause, Event::Retry(self.last_number));
     }
 
     // ---- Routers.
 
-    fn tell(&mut self, router: usize, event: &PolicyEvent) {
-        for action in self.brains[router].handle(self.now, event) {
+    fn notify_policy(&mut self, router: usize, event: &PolicyEvent) {
+        for action in self.policies[router].handle(self.now, event) {
             match action {
                 Action::Forward { request, endpoint: cache, timeout } => {
                     self.send(router, request, cache, timeout, None)
@@ -592,18 +614,20 @@
                     self.send(router, request, cache, timeout, Some(fill));
                 }
                 Action::CancelAttempt(id) => {
-                    if let Some(number) = self.by_id.get(&id).copied() {
-                        if let Some(out) = self.attempts.get_mut(&number) {
-                            (out.status, out.note) = (AttemptStatus::Cancelled, None);
-                            self.add(self.now, Event::Back(number));
+                    if let Some(number) = self.attempts_by_id.get(&id).copied() {
+                        if let Some(attempt) = self.attempts.get_mut(&number) {
+                            (attempt.status, attempt.cache_status) = (AttemptStatus::Cancelled, None);
+                            self.add(self.now, Event::ResponseArrival(number));
                         }
                     }
                 }
-                Action::Reject { request, .. } | Action::Fail { request, .. } => self.refused(request.0),
+                Action::Reject { request, .. } | Action::Fail { request, .. } => {
+                    self.retry_rejected(request.0)
+                }
                 Action::SetTimer { at, token } => self.add(at, Event::Timer(router, token)),
                 Action::HealthCheck(cache) => {
-                    if let Some(n) = self.place(cache) {
-                        self.count(n, router, self.trial.shape.work());
+                    if let Some(n) = self.server_index(cache) {
+                        self.record_arrival(n, router, self.trial.deployment.work());
                     }
                 }
                 Action::SubscribeEndpoints | Action::Log(_) => {}
@@ -611,8 +635,8 @@
         }
     }
 
-    fn place(&self, id: EndpointId) -> Option<usize> {
-        self.servers.iter().position(|server| server.member.id == id)
+    fn server_index(&self, id: EndpointId) -> Option<usize> {
+        self.servers.iter().position(|server| server.endpoint.id == id)
     }
 
     fn send(
@@ -623,336 +647,378 @@
         timeout: Ms,
         fill: Option<FillInstruction>,
     ) {
-        let Some(server) = self.place(cache) else { return };
-        let number = self.sent.entry(request.0).or_default();
+        let Some(server) = self.server_index(cache) else { return };
+        let number = self.attempt_counts.entry(request.0).or_default();
         let id = AttemptId { request, number: *number };
         *number += 1;
-        self.last += 1;
-        let (status, note) = (AttemptStatus::Ok, None);
-        let attempt = Attempt { router, id, server, fill, sent: self.now, status, note, waited: 0.0 };
-        self.attempts.insert(self.last, attempt);
-        self.by_id.insert(id, self.last);
-        let (way, last) = (self.way(server), self.last);
-        self.add(self.now + way, Event::Reach(last));
+        self.last_number += 1;
+        let (status, cache_status) = (AttemptStatus::Ok, None);
+        let attempt =
+            Attempt { router, id, server, fill, sent_at: self.now, status, cache_status, source_wait: 0.0 };
+        self.attempts.insert(self.last_number, attempt);
+        self.attempts_by_id.insert(id, self.last_number);
+        let (delay, last_number) = (self.network_delay(server), self.last_number);
+        self.add(self.now + delay, Event::AttemptArrival(last_number));
         if timeout > 0.0 {
-            self.add(self.now + timeout, Event::Expire(last));
+            self.add(self.now + timeout, Event::Timeout(last_number));
         }
     }
 
-    fn way(&self, server: usize) -> Ms {
-        if self.servers[server].member.role == 0 {
-            NEAR
+    fn network_delay(&self, server: usize) -> Ms {
+        if self.servers[server].endpoint.role == 0 {
+            LOCAL_DELAY
         } else {
-            FAR
+            HUB_DELAY
         }
     }
 
     // ---- Servers.
 
     /// Records a request at a server that starts cold.
-    fn count(&mut self, server: usize, router: usize, work: Ms) {
-        let since = self.heard[router].get(&server).copied();
-        let told = since.is_some() || self.now > BACK + DEEMED_TOLD;
-        if let Some(came) = self.came.get_mut(&server) {
-            came.push(Came { at: self.now, work, router, told });
+    fn record_arrival(&mut self, server: usize, router: usize, work: Ms) {
+        let notified_at = self.notified_at[router].get(&server).copied();
+        let notified = notified_at.is_some() || self.now > RESTART_TIME + ALL_NOTIFIED_AFTER;
+        if let Some(arrivals) = self.arrivals.get_mut(&server) {
+            arrivals.push(Arrival { at: self.now, work, router, notified });
         }
     }
 
     /// Starts a transfer at a server. Returns its duration, or `None` if the server rejects it.
-    fn take(&mut self, n: usize, work: Ms) -> Option<Ms> {
-        let age = self.now - self.servers[n].member.started_at;
+    fn start_transfer(&mut self, n: usize, work: Ms) -> Option<Ms> {
+        let age = self.now - self.servers[n].endpoint.started_at;
         let server = &mut self.servers[n];
-        let able = server.able * able(&server.cold, server.member.started_at, age);
-        if f64::from(server.in_hand) >= able.max(1.0) * ROOM {
+        let capacity = server.capacity * capacity_ratio(&server.slow_start, server.endpoint.started_at, age);
+        if f64::from(server.in_flight) >= capacity.max(1.0) * REJECTION_MULTIPLE {
             return None;
         }
-        server.in_hand += 1;
-        let takes = work * (f64::from(server.in_hand) / able).max(1.0);
-        let life = server.life;
-        self.add(self.now + takes, Event::Free(n, life));
-        Some(takes)
+        server.in_flight += 1;
+        let duration = work * (f64::from(server.in_flight) / capacity).max(1.0);
+        let crashes = server.crashes;
+        self.add(self.now + duration, Event::TransferEnd(n, crashes));
+        Some(duration)
     }
 
     /// When the copy was made that a server stores, if it stores one.
-    fn held(&self, n: usize, object: u64, class: u16) -> Option<Ms> {
+    fn cached_copy(&self, n: usize, object: u64, class: u16) -> Option<Ms> {
         let server = &self.servers[n];
-        let fresh = self.trial.shape.settings.class(class).freshness_lifetime;
-        let from_before = server.whole && object / 8 < self.trial.shape.objects;
-        let age =
-            unit_fraction(hash_pair(object, server.member.id.0)) * if fresh > 0.0 { fresh } else { 60_000.0 };
-        server.held.get(&object).copied().or(from_before.then_some(FIRST - age))
+        let fresh = self.trial.deployment.settings.class(class).freshness_lifetime;
+        let from_before = server.has_all_objects && object / 8 < self.trial.deployment.objects;
+        let age = unit_fraction(hash_pair(object, server.endpoint.id.0))
+            * if fresh > 0.0 { fresh } else { 60_000.0 };
+        server.copies.get(&object).copied().or(from_before.then_some(TRIAL_START - age))
     }
 
     /// Whether a copy made at that time is recent enough for the fill instruction.
-    fn will_do(&self, made: Ms, class: u16, fill: Option<&FillInstruction>) -> bool {
-        let fresh = self.trial.shape.settings.class(class).freshness_lifetime;
-        let most = fill.map_or(0.0, |fill| if fill.revalidate { fill.max_stale_age } else { fill.max_age });
-        let most = if most > 0.0 { most } else { fresh };
-        most <= 0.0 || self.now - made <= most
+    fn is_recent_enough(&self, issued_at: Ms, class: u16, fill: Option<&FillInstruction>) -> bool {
+        let fresh = self.trial.deployment.settings.class(class).freshness_lifetime;
+        let max_age =
+            fill.map_or(0.0, |fill| if fill.revalidate { fill.max_stale_age } else { fill.max_age });
+        let max_age = if max_age > 0.0 { max_age } else { fresh };
+        max_age <= 0.0 || self.now - issued_at <= max_age
     }
 
-    fn wish_of(&self, attempt: &Attempt) -> Option<(Wish, Reads)> {
-        let wish = self.wishes.get(&attempt.id.request.0).copied()?;
-        Some((wish, self.trial.shape.reads[wish.reads]))
+    fn request_of(&self, attempt: &Attempt) -> Option<(ClientRequest, ReadClass)> {
+        let client_request = self.requests.get(&attempt.id.request.0).copied()?;
+        Some((client_request, self.trial.deployment.read_classes[client_request.read_class]))
     }
 
-    fn answer(&mut self, number: u64, status: AttemptStatus, note: Option<CacheStatus>, after: Ms) {
-        if let Some(out) = self.attempts.get_mut(&number) {
-            (out.status, out.note) = (status, note);
-            self.add(self.now + after, Event::Back(number));
+    fn respond(&mut self, number: u64, status: AttemptStatus, cache_status: Option<CacheStatus>, after: Ms) {
+        if let Some(attempt) = self.attempts.get_mut(&number) {
+            (attempt.status, attempt.cache_status) = (status, cache_status);
+            self.add(self.now + after, Event::ResponseArrival(number));
         }
     }
 
-    fn reach(&mut self, number: u64) {
+    fn on_attempt_arrival(&mut self, number: u64) {
         let Some(attempt) = self.attempts.get(&number).copied() else { return };
-        let way = self.way(attempt.server);
+        let delay = self.network_delay(attempt.server);
         if !self.servers[attempt.server].up {
-            return self.answer(number, AttemptStatus::ConnectFailed, None, way);
+            return self.respond(number, AttemptStatus::ConnectFailed, None, delay);
         }
-        let Some((wish, reads)) = self.wish_of(&attempt) else { return };
-        self.count(attempt.server, attempt.router, reads.work);
+        let Some((client_request, read_class)) = self.request_of(&attempt) else { return };
+        self.record_arrival(attempt.server, attempt.router, read_class.work);
         let origin = self.servers.len() - 1;
-        let (object, class) = (wish.object, reads.class);
+        let (object, class) = (client_request.object, read_class.class);
         if attempt.server == origin {
-            return self.answer(number, AttemptStatus::Ok, None, ORIGIN_TAKES + wish.work + way);
+            return self.respond(
+                number,
+                AttemptStatus::Ok,
+                None,
+                ORIGIN_SERVICE_TIME + client_request.work + delay,
+            );
         }
-        let order = attempt.fill.as_ref();
-        let held = self.held(attempt.server, object, class);
-        if let Some(made) = held.filter(|made| self.will_do(*made, class, order)) {
-            let fresh = self.trial.shape.settings.class(class).freshness_lifetime;
-            let ages = fresh > 0.0 && self.now - made > fresh * 0.8;
-            let source =
-                order.filter(|fill| fill.revalidate && ages).and_then(|fill| self.place(fill.source));
+        let fill = attempt.fill.as_ref();
+        let cached = self.cached_copy(attempt.server, object, class);
+        if let Some(issued_at) = cached.filter(|issued_at| self.is_recent_enough(*issued_at, class, fill)) {
+            let fresh = self.trial.deployment.settings.class(class).freshness_lifetime;
+            let needs_revalidation = fresh > 0.0 && self.now - issued_at > fresh * 0.8;
+            let source = fill
+                .filter(|fill| fill.revalidate && needs_revalidation)
+                .and_then(|fill| self.server_index(fill.source));
             if let Some(source) = source.filter(|source| *source != attempt.server) {
-                let (router, cache, work) = (attempt.router, attempt.server, wish.work);
+                let (router, cache, work) = (attempt.router, attempt.server, client_request.work);
                 // The copy counts as new until the revalidation completes, so that it is revalidated only
                 // once.
-                self.servers[cache].held.insert(object, self.now);
-                let at = self.now + self.way(source);
-                self.add(at, Event::Renew { router, cache, source, object, work });
+                self.servers[cache].copies.insert(object, self.now);
+                let at = self.now + self.network_delay(source);
+                self.add(at, Event::Revalidation { router, cache, source, object, work });
             }
-            let stale = fresh > 0.0 && self.now - made > fresh;
-            return match self.take(attempt.server, wish.work) {
-                Some(takes) => {
-                    let note = if stale { CacheStatus::Stale } else { CacheStatus::Hit };
-                    self.answer(number, AttemptStatus::Ok, Some(note), takes + way);
+            let stale = fresh > 0.0 && self.now - issued_at > fresh;
+            return match self.start_transfer(attempt.server, client_request.work) {
+                Some(duration) => {
+                    let cache_status = if stale { CacheStatus::Stale } else { CacheStatus::Hit };
+                    self.respond(number, AttemptStatus::Ok, Some(cache_status), duration + delay);
                 }
-                None => self.answer(number, AttemptStatus::Rejected, None, way),
+                None => self.respond(number, AttemptStatus::Rejected, None, delay),
             };
         }
-        let own = self.servers[attempt.server].member.id;
-        match attempt.fill.filter(|fill| fill.source != own).and_then(|fill| self.place(fill.source)) {
-            None => self.answer(number, AttemptStatus::CacheMiss, None, way),
-            Some(source) => self.add(self.now + self.way(source), Event::Source(number)),
+        let own = self.servers[attempt.server].endpoint.id;
+        match attempt.fill.filter(|fill| fill.source != own).and_then(|fill| self.server_index(fill.source)) {
+            None => self.respond(number, AttemptStatus::CacheMiss, None, delay),
+            Some(source) => self.add(self.now + self.network_delay(source), Event::FillArrival(number)),
         }
     }
 
     /// A fill has arrived at its source.
-    fn fill(&mut self, number: u64) {
+    fn on_fill_arrival(&mut self, number: u64) {
         let Some(attempt) = self.attempts.get(&number).copied() else { return };
-        let (Some(fill), Some((wish, reads))) = (attempt.fill, self.wish_of(&attempt)) else { return };
-        let Some(source) = self.place(fill.source) else { return };
-        let way = self.way(source) + self.way(attempt.server);
+        let (Some(fill), Some((client_request, read_class))) = (attempt.fill, self.request_of(&attempt))
+        else {
+            return;
+        };
+        let Some(source) = self.server_index(fill.source) else { return };
+        let delay = self.network_delay(source) + self.network_delay(attempt.server);
         if !self.servers[source].up {
-            return self.answer(number, AttemptStatus::Rejected, Some(CacheStatus::SourceUnreachable), way);
+            return self.respond(
+                number,
+                AttemptStatus::Rejected,
+                Some(CacheStatus::SourceUnreachable),
+                delay,
+            );
         }
-        self.count(source, attempt.router, reads.work);
+        self.record_arrival(source, attempt.router, read_class.work);
         let origin = self.servers.len() - 1;
-        let held = self.held(source, wish.object, reads.class);
-        let held = held.filter(|made| source != origin && self.will_do(*made, reads.class, Some(&fill)));
-        if held.is_none() && fill.only_if_cached {
-            return self.answer(number, AttemptStatus::CacheMiss, Some(CacheStatus::SourceMiss), way);
+        let cached = self.cached_copy(source, client_request.object, read_class.class);
+        let cached = cached.filter(|issued_at| {
+            source != origin && self.is_recent_enough(*issued_at, read_class.class, Some(&fill))
+        });
+        if cached.is_none() && fill.only_if_cached {
+            return self.respond(number, AttemptStatus::CacheMiss, Some(CacheStatus::SourceMiss), delay);
         }
-        let waits = if held.is_none() { ORIGIN_TAKES } else { 0.0 };
-        let takes = if source == origin { Some(wish.work) } else { self.take(source, wish.work) };
-        let Some(takes) = takes else {
-            return self.answer(number, AttemptStatus::Rejected, Some(CacheStatus::SourceRejected), way);
+        let origin_wait = if cached.is_none() { ORIGIN_SERVICE_TIME } else { 0.0 };
+        let duration = if source == origin {
+            Some(client_request.work)
+        } else {
+            self.start_transfer(source, client_request.work)
+        };
+        let Some(duration) = duration else {
+            return self.respond(number, AttemptStatus::Rejected, Some(CacheStatus::SourceRejected), delay);
         };
-        let made = held.unwrap_or(self.now);
+        let issued_at = cached.unwrap_or(self.now);
         if source != origin {
-            self.servers[source].held.insert(wish.object, made);
+            self.servers[source].copies.insert(client_request.object, issued_at);
         }
         if fill.retention > 0 {
-            self.servers[attempt.server].held.insert(wish.object, made);
+            self.servers[attempt.server].copies.insert(client_request.object, issued_at);
         }
-        let note = if held.is_none() { CacheStatus::FilledByOrigin } else { CacheStatus::FilledByParent };
+        let cache_status =
+            if cached.is_none() { CacheStatus::FilledByOrigin } else { CacheStatus::FilledByParent };
         // The cache forwards the data while it fills, which uses its own link for as long.
-        let own = self.take(attempt.server, wish.work);
+        let own = self.start_transfer(attempt.server, client_request.work);
         let Some(own) = own else {
-            return self.answer(number, AttemptStatus::Rejected, Some(CacheStatus::NoCapacity), way);
+            return self.respond(number, AttemptStatus::Rejected, Some(CacheStatus::NoCapacity), delay);
         };
-        if let Some(out) = self.attempts.get_mut(&number) {
-            out.waited = self.now - out.sent + waits + FAR;
+        if let Some(attempt) = self.attempts.get_mut(&number) {
+            attempt.source_wait = self.now - attempt.sent_at + origin_wait + HUB_DELAY;
         }
-        self.answer(number, AttemptStatus::Ok, Some(note), waits + takes.max(own) + way);
+        self.respond(number, AttemptStatus::Ok, Some(cache_status), origin_wait + duration.max(own) + delay);
     }
 
     /// A revalidation has arrived at its source, which has a fresh copy or fetches one; no request waits for
     /// it.
-    fn renew(&mut self, router: usize, cache: usize, source: usize, object: u64, work: Ms) {
+    fn on_revalidation(&mut self, router: usize, cache: usize, source: usize, object: u64, work: Ms) {
         if !self.servers[source].up {
             return;
         }
-        let reads = self.trial.shape.reads[(object % 8) as usize];
-        self.count(source, router, reads.work);
-        let made =
-            self.held(source, object, reads.class).filter(|made| self.will_do(*made, reads.class, None));
-        let made = made.unwrap_or(self.now);
-        if source + 1 < self.servers.len() && self.take(source, work).is_none() {
+        let read_class = self.trial.deployment.read_classes[(object % 8) as usize];
+        self.record_arrival(source, router, read_class.work);
+        let issued_at = self
+            .cached_copy(source, object, read_class.class)
+            .filter(|issued_at| self.is_recent_enough(*issued_at, read_class.class, None));
+        let issued_at = issued_at.unwrap_or(self.now);
+        if source + 1 < self.servers.len() && self.start_transfer(source, work).is_none() {
             return;
         }
-        self.servers[source].held.insert(object, made);
-        self.servers[cache].held.insert(object, made);
+        self.servers[source].copies.insert(object, issued_at);
+        self.servers[cache].copies.insert(object, issued_at);
     }
 
     /// The outcome of an attempt arrives at its router.
-    fn ended(&mut self, number: u64) {
+    fn deliver_outcome(&mut self, number: u64) {
         let Some(attempt) = self.attempts.remove(&number) else { return };
-        self.by_id.remove(&attempt.id);
-        let settled =
-            attempt.status == AttemptStatus::Ok && self.wishes.remove(&attempt.id.request.0).is_some();
-        let tells = self.trial.shape.settings.outcome_detail;
-        let note = attempt.note.filter(|note| {
-            tells == OutcomeDetail::Full || tells == OutcomeDetail::HitsOnly && *note == CacheStatus::Hit
+        self.attempts_by_id.remove(&attempt.id);
+        let finished =
+            attempt.status == AttemptStatus::Ok && self.requests.remove(&attempt.id.request.0).is_some();
+        let detail = self.trial.deployment.settings.outcome_detail;
+        let cache_status = attempt.cache_status.filter(|cache_status| {
+            detail == OutcomeDetail::Full
+                || detail == OutcomeDetail::HitsOnly && *cache_status == CacheStatus::Hit
         });
         let server = &self.servers[attempt.server];
-        let load = LoadReport { in_flight: Some(f64::from(server.in_hand)), ..LoadReport::default() };
+        let load = LoadReport { in_flight: Some(f64::from(server.in_flight)), ..LoadReport::default() };
         let outcome = AttemptOutcome {
             attempt: attempt.id,
-            endpoint: server.member.id,
+            endpoint: server.endpoint.id,
             status: attempt.status,
-            request_finished: settled,
-            elapsed: self.now - attempt.sent,
-            source_wait: if tells == OutcomeDetail::Full { attempt.waited } else { 0.0 },
-            cache_status: note,
+            request_finished: finished,
+            elapsed: self.now - attempt.sent_at,
+            source_wait: if detail == OutcomeDetail::Full { attempt.source_wait } else { 0.0 },
+            cache_status,
             load_report: load,
         };
-        self.tell(attempt.router, &PolicyEvent::AttemptFinished(outcome));
+        self.notify_policy(attempt.router, &PolicyEvent::AttemptFinished(outcome));
     }
 
     // ---- The crash and the start.
 
-    fn lose(&mut self) {
-        for n in self.trial.targets() {
+    fn crash(&mut self) {
+        for n in self.trial.cold_server_indices() {
             let server = &mut self.servers[n];
-            (server.up, server.in_hand, server.life, server.whole) = (false, 0, server.life + 1, false);
-            server.held.clear();
-            let there: Vec<u64> =
+            (server.up, server.in_flight, server.crashes, server.has_all_objects) =
+                (false, 0, server.crashes + 1, false);
+            server.copies.clear();
+            let affected: Vec<u64> =
                 self.attempts.iter().filter(|(_, a)| a.server == n).map(|(number, _)| *number).collect();
-            there.into_iter().for_each(|number| self.answer(number, AttemptStatus::Reset, None, NEAR));
-            self.spread(n, EndpointPhase::Removed);
+            affected
+                .into_iter()
+                .for_each(|number| self.respond(number, AttemptStatus::Reset, None, LOCAL_DELAY));
+            self.announce(n, EndpointPhase::Removed);
         }
     }
 
     fn start(&mut self) {
-        for n in self.trial.targets() {
+        for n in self.trial.cold_server_indices() {
             let now = self.now;
             let server = &mut self.servers[n];
-            (server.up, server.member.started_at) = (true, now);
-            self.spread(n, EndpointPhase::Ready);
+            (server.up, server.endpoint.started_at) = (true, now);
+            self.announce(n, EndpointPhase::Ready);
         }
     }
 
-    fn spread(&mut self, server: usize, phase: EndpointPhase) {
-        let most = match self.trial.heard {
-            Heard::Soon => 500.0,
-            Heard::Late => 4_500.0,
+    fn announce(&mut self, server: usize, phase: EndpointPhase) {
+        let max_delay = match self.trial.update_delay {
+            UpdateDelay::Soon => 500.0,
+            UpdateDelay::Late => 4_500.0,
         };
         for router in 0..self.trial.routers {
-            let late = self.chance.random_range(20.0..most);
-            self.add(self.now + late, Event::Hear(router, server, phase));
+            let delay = self.rng.random_range(20.0..max_delay);
+            self.add(self.now + delay, Event::EndpointUpdate(router, server, phase));
         }
     }
 
-    fn hear(&mut self, router: usize, server: usize, phase: EndpointPhase) {
+    fn deliver_endpoint_update(&mut self, router: usize, server: usize, phase: EndpointPhase) {
         // An update that is older than the last one is dropped.
         if phase == EndpointPhase::Ready {
-            self.heard[router].insert(server, self.now);
-        } else if self.heard[router].contains_key(&server) {
+            self.notified_at[router].insert(server, self.now);
+        } else if self.notified_at[router].contains_key(&server) {
             return;
         }
-        let since = if phase == EndpointPhase::Ready { self.servers[server].member.started_at } else { 0.0 };
-        let member = Endpoint { phase, started_at: since, ..self.servers[server].member };
-        self.tell(
+        let started_at =
+            if phase == EndpointPhase::Ready { self.servers[server].endpoint.started_at } else { 0.0 };
+        let endpoint = Endpoint { phase, started_at, ..self.servers[server].endpoint };
+        self.notify_policy(
             router,
-            &PolicyEvent::Endpoints { update: EndpointUpdate::Incremental, endpoints: vec![member] },
+            &PolicyEvent::Endpoints { update: EndpointUpdate::Incremental, endpoints: vec![endpoint] },
         );
     }
 
     // ---- Results.
 
-    fn sum(&self, n: usize) -> Sum {
+    fn result(&self, n: usize) -> TrialResult {
         let server = &self.servers[n];
-        let all = &self.came[&n];
-        let (cold, mean) = (server.cold, self.trial.shape.work());
+        let all = &self.arrivals[&n];
+        let (slow_start, mean) = (server.slow_start, self.trial.deployment.work());
         let before: f64 = all
             .iter()
-            .filter(|came| (FIRST + 1_000.0..LOST).contains(&came.at))
-            .map(|came| came.work)
+            .filter(|arrival| (TRIAL_START + 1_000.0..CRASH_TIME).contains(&arrival.at))
+            .map(|arrival| arrival.work)
             .sum::<f64>()
-            / (LOST - FIRST - 1_000.0);
-        let mut sum = Sum::default();
-        let after: Vec<&Came> =
-            all.iter().filter(|came| came.at >= BACK && came.at < BACK + cold.duration).collect();
-        let (mut first, mut work, mut told) = (0, 0.0, 0.0);
-        let mut fell = false;
-        for (last, came) in after.iter().enumerate() {
-            work += came.work;
-            told += if came.told { came.work } else { 0.0 };
-            while came.at - after[first].at > cold.overload_window {
+            / (CRASH_TIME - TRIAL_START - 1_000.0);
+        let mut result = TrialResult::default();
+        let after: Vec<&Arrival> = all
+            .iter()
+            .filter(|arrival| arrival.at >= RESTART_TIME && arrival.at < RESTART_TIME + slow_start.duration)
+            .collect();
+        let (mut first, mut work, mut notified) = (0, 0.0, 0.0);
+        let mut over_bound_before = false;
+        for (last, arrival) in after.iter().enumerate() {
+            work += arrival.work;
+            notified += if arrival.notified { arrival.work } else { 0.0 };
+            while arrival.at - after[first].at > slow_start.overload_window {
                 work -= after[first].work;
-                told -= if after[first].told { after[first].work } else { 0.0 };
+                notified -= if after[first].notified { after[first].work } else { 0.0 };
                 first += 1;
             }
-            let age = came.at - BACK;
-            let budget =
-                server.able * able(&cold, BACK, age) * cold.overload_multiple * cold.overload_window / mean;
+            let age = arrival.at - RESTART_TIME;
+            let budget = server.capacity
+                * capacity_ratio(&slow_start, RESTART_TIME, age)
+                * slow_start.overload_multiple
+                * slow_start.overload_window
+                / mean;
             let bound = budget + 2.0 * budget.sqrt() + 2.0;
-            sum.windows += 1;
-            sum.over_budget += u32::from(work / mean > budget);
+            result.windows += 1;
+            result.over_budget += u32::from(work / mean > budget);
             if work / mean > bound {
-                sum.over += 1;
-                if !fell {
-                    fell = true;
-                    let by_then = |came: &&&Came| {
-                        let heard = self.heard[came.router].get(&n);
-                        heard.is_some_and(|at| *at <= BACK + age) || age > DEEMED_TOLD
+                result.over_bound += 1;
+                if !over_bound_before {
+                    over_bound_before = true;
+                    let by_then = |arrival: &&&Arrival| {
+                        let notified_at = self.notified_at[arrival.router].get(&n);
+                        notified_at.is_some_and(|at| *at <= RESTART_TIME + age) || age > ALL_NOTIFIED_AFTER
                     };
                     let window = &after[first..=last];
-                    let known: f64 = window.iter().filter(by_then).map(|came| came.work).sum();
-                    (sum.broken, sum.broken_by_then) = (told > work * 2.0 / 3.0, known > work * 2.0 / 3.0);
+                    let known: f64 = window.iter().filter(by_then).map(|arrival| arrival.work).sum();
+                    (result.caused_by_notified, result.caused_by_notified_by_end) =
+                        (notified > work * 2.0 / 3.0, known > work * 2.0 / 3.0);
                 }
             }
-            if work / mean / bound > sum.worst {
-                (sum.worst, sum.budget) = (work / mean / bound, budget);
+            if work / mean / bound > result.max_of_bound {
+                (result.max_of_bound, result.budget) = (work / mean / bound, budget);
             }
-            sum.worst_budget = sum.worst_budget.max(work / mean / budget);
-            if age > cold.overload_window {
-                let since = age - cold.overload_window / 2.0;
-                let reached = |part: f64| (work / cold.overload_window > before * part).then_some(since);
-                (sum.half, sum.ramp) = (sum.half.or(reached(0.5)), sum.ramp.or(reached(0.9)));
+            result.max_of_budget = result.max_of_budget.max(work / mean / budget);
+            if age > slow_start.overload_window {
+                let window_middle = age - slow_start.overload_window / 2.0;
+                let reached = |share: f64| {
+                    (work / slow_start.overload_window > before * share).then_some(window_middle)
+                };
+                (result.time_to_half, result.time_to_nine_tenths) =
+                    (result.time_to_half.or(reached(0.5)), result.time_to_nine_tenths.or(reached(0.9)));
             }
         }
-        let knowing = |part: f64| {
-            let fits =
-                |age: &f64| server.able * able(&cold, BACK, *age) * cold.overload_multiple >= before * part;
-            (0..400).map(|n| f64::from(n) * 50.0).find(fits).unwrap_or(cold.duration)
+        let ideal = |share: f64| {
+            let fits = |age: &f64| {
+                server.capacity
+                    * capacity_ratio(&slow_start, RESTART_TIME, *age)
+                    * slow_start.overload_multiple
+                    >= before * share
+            };
+            (0..400).map(|n| f64::from(n) * 50.0).find(fits).unwrap_or(slow_start.duration)
         };
-        (sum.half_knowing, sum.ramp_knowing) = (knowing(0.5), knowing(0.9));
-        sum
+        (result.ideal_time_to_half, result.ideal_time_to_nine_tenths) = (ideal(0.5), ideal(0.9));
+        result
     }
 }
 
 /// The share of its capacity that a server has at least, at an age after its start.
-fn able(cold: &SlowStart, since: Ms, age: Ms) -> f64 {
-    if since <= 0.0 || cold.duration <= 0.0 {
+fn capacity_ratio(slow_start: &SlowStart, started_at: Ms, age: Ms) -> f64 {
+    if started_at <= 0.0 || slow_start.duration <= 0.0 {
         return 1.0;
     }
-    cold.initial_ratio + (1.0 - cold.initial_ratio) * (age / cold.duration).clamp(0.0, 1.0)
+    slow_start.initial_ratio + (1.0 - slow_start.initial_ratio) * (age / slow_start.duration).clamp(0.0, 1.0)
 }
 
 /// The index that a number from 0 up to 1 selects, by weight.
-fn pick(at: f64, weights: &[f64]) -> usize {
+fn weighted_index(at: f64, weights: &[f64]) -> usize {
     let mut left = at * weights.iter().sum::<f64>();
     let falls = |weight: &f64| {
         left -= weight;
--- a/crates/model/src/copies.rs
+++ b/crates/model/src/copies.rs
@@ -18,9 +18,9 @@
 const NONE: u32 = u32::MAX;
 
 #[derive(Debug, Clone, Copy)]
-struct Copy {
+struct StoredCopy {
     key: Key,
-    made: Micros,
+    issued_at: Micros,
     rank: u8,
     /// Neighbours in the order of use, within the rank.
     older: u32,
@@ -28,7 +28,7 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Ends {
+struct UsageList {
     oldest: u32,
     newest: u32,
 }
@@ -36,108 +36,108 @@
 /// The copies of one cache.
 #[derive(Debug, Clone)]
 pub struct Copies {
-    most: usize,
-    slab: Vec<Copy>,
+    capacity: usize,
+    slab: Vec<StoredCopy>,
     free: Vec<u32>,
     /// Slab index by key. The hasher has no random seed, so that runs with the same seed are identical.
-    places: HashMap<Key, u32, BuildHasherDefault<DefaultHasher>>,
-    ranks: [Ends; RANKS],
+    index_by_key: HashMap<Key, u32, BuildHasherDefault<DefaultHasher>>,
+    lists_by_rank: [UsageList; RANKS],
 }
 
 impl Copies {
     /// Creates an empty store for at most `capacity` copies.
-    pub fn new(most: usize) -> Self {
-        let none = Ends { oldest: NONE, newest: NONE };
-        let (slab, free, places) = (Vec::new(), Vec::new(), HashMap::default());
-        Self { most, slab, free, places, ranks: [none; RANKS] }
+    pub fn new(capacity: usize) -> Self {
+        let empty = UsageList { oldest: NONE, newest: NONE };
+        let (slab, free, index_by_key) = (Vec::new(), Vec::new(), HashMap::default());
+        Self { capacity, slab, free, index_by_key, lists_by_rank: [empty; RANKS] }
     }
 
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.index_by_key.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.index_by_key.is_empty()
     }
 
     /// When the stored copy was made. Marks the copy as used.
     pub fn get(&mut self, key: Key) -> Option<Micros> {
-        let place = *self.places.get(&key)?;
-        self.unlink(place);
-        self.link(place);
-        Some(self.slab[place as usize].made)
+        let index = *self.index_by_key.get(&key)?;
+        self.unlink(index);
+        self.link(index);
+        Some(self.slab[index as usize].issued_at)
     }
 
     /// Stores a copy, or replaces the stored one of the same key. Returns the key that was evicted for it.
     ///
     /// A rank above the highest one counts as the highest. A store without capacity ignores the copy.
-    pub fn keep(&mut self, key: Key, rank: u8, made: Micros) -> Option<Key> {
+    pub fn insert(&mut self, key: Key, rank: u8, issued_at: Micros) -> Option<Key> {
         let rank = rank.min(RANKS as u8 - 1);
-        if let Some(&place) = self.places.get(&key) {
-            self.unlink(place);
-            let copy = &mut self.slab[place as usize];
-            (copy.made, copy.rank) = (made, rank);
-            self.link(place);
+        if let Some(&index) = self.index_by_key.get(&key) {
+            self.unlink(index);
+            let copy = &mut self.slab[index as usize];
+            (copy.issued_at, copy.rank) = (issued_at, rank);
+            self.link(index);
             return None;
         }
-        if self.most == 0 {
+        if self.capacity == 0 {
             return None;
         }
-        let gone = if self.places.len() >= self.most { self.evict() } else { None };
-        let copy = Copy { key, made, rank, older: NONE, newer: NONE };
-        let place = match self.free.pop() {
-            Some(place) => {
-                self.slab[place as usize] = copy;
-                place
+        let evicted = if self.index_by_key.len() >= self.capacity { self.evict() } else { None };
+        let copy = StoredCopy { key, issued_at, rank, older: NONE, newer: NONE };
+        let index = match self.free.pop() {
+            Some(index) => {
+                self.slab[index as usize] = copy;
+                index
             }
             None => {
                 self.slab.push(copy);
                 self.slab.len() as u32 - 1
             }
         };
-        self.places.insert(key, place);
-        self.link(place);
-        gone
+        self.index_by_key.insert(key, index);
+        self.link(index);
+        evicted
     }
 
     /// Removes a copy. Returns whether it was stored.
-    pub fn drop_copy(&mut self, key: Key) -> bool {
-        let Some(place) = self.places.remove(&key) else { return false };
-        self.unlink(place);
-        self.free.push(place);
+    pub fn remove(&mut self, key: Key) -> bool {
+        let Some(index) = self.index_by_key.remove(&key) else { return false };
+        self.unlink(index);
+        self.free.push(index);
         true
     }
 
     fn evict(&mut self) -> Option<Key> {
-        let first = self.ranks.iter().map(|ends| ends.oldest).find(|oldest| *oldest != NONE)?;
+        let first = self.lists_by_rank.iter().map(|list| list.oldest).find(|oldest| *oldest != NONE)?;
         let key = self.slab[first as usize].key;
-        self.drop_copy(key);
+        self.remove(key);
         Some(key)
     }
 
     /// Appends an entry to the list of its rank as the most recently used one.
-    fn link(&mut self, place: u32) {
-        let ends = &mut self.ranks[usize::from(self.slab[place as usize].rank)];
-        let before = std::mem::replace(&mut ends.newest, place);
-        if before == NONE {
-            ends.oldest = place;
+    fn link(&mut self, index: u32) {
+        let list = &mut self.lists_by_rank[usize::from(self.slab[index as usize].rank)];
+        let previous = std::mem::replace(&mut list.newest, index);
+        if previous == NONE {
+            list.oldest = index;
         } else {
-            self.slab[before as usize].newer = place;
+            self.slab[previous as usize].newer = index;
         }
-        let copy = &mut self.slab[place as usize];
-        (copy.older, copy.newer) = (before, NONE);
+        let copy = &mut self.slab[index as usize];
+        (copy.older, copy.newer) = (previous, NONE);
     }
 
-    fn unlink(&mut self, place: u32) {
-        let Copy { rank, older, newer, .. } = self.slab[place as usize];
-        let ends = &mut self.ranks[usize::from(rank)];
+    fn unlink(&mut self, index: u32) {
+        let StoredCopy { rank, older, newer, .. } = self.slab[index as usize];
+        let list = &mut self.lists_by_rank[usize::from(rank)];
         match older {
-            NONE => ends.oldest = newer,
+            NONE => list.oldest = newer,
             older => self.slab[older as usize].newer = newer,
         }
-        let ends = &mut self.ranks[usize::from(rank)];
+        let list = &mut self.lists_by_rank[usize::from(rank)];
         match newer {
-            NONE => ends.newest = older,
+            NONE => list.newest = older,
             newer => self.slab[newer as usize].older = older,
         }
     }
--- a/crates/model/src/demand.rs
+++ b/crates/model/src/demand.rs
@@ -9,60 +9,66 @@
 
 /// Parameters of the demand.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct DemandRule {
+pub struct DemandConfig {
     pub objects: u64,
     /// Exponent of the Zipf distribution.
     pub skew: f64,
     /// Time in which every object passes through all popularity ranks; 0 = popularity is constant.
-    pub drift: Micros,
+    pub drift_period: Micros,
     /// Median of the bytes of a part, and the standard deviation of their logarithm.
-    pub size: f64,
-    pub spread: f64,
+    pub median_size: f64,
+    pub size_sigma: f64,
 }
 
-impl Default for DemandRule {
+impl Default for DemandConfig {
     fn default() -> Self {
-        Self { objects: 100_000, skew: 0.9, drift: 0, size: 100_000.0, spread: 0.6 }
+        Self { objects: 100_000, skew: 0.9, drift_period: 0, median_size: 100_000.0, size_sigma: 0.6 }
     }
 }
 
 /// From `from` until `to`, a fixed share of all requests is for one object.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Crowd {
+pub struct FlashCrowd {
     pub from: Micros,
     pub to: Micros,
     pub object: u64,
-    pub part: f64,
+    pub share: f64,
 }
 
 /// Draws the requested objects and their sizes.
 #[derive(Debug, Clone)]
 pub struct Demand {
-    rule: DemandRule,
-    order: Zipf<f64>,
+    config: DemandConfig,
+    popularity: Zipf<f64>,
     sizes: LogNormal<f64>,
-    crowds: Vec<Crowd>,
+    flash_crowds: Vec<FlashCrowd>,
 }
 
 /// Why demand cannot be generated from its parameters.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Unusable(pub String);
+pub struct InvalidDemand(pub String);
 
 impl Demand {
-    pub fn new(rule: DemandRule, crowds: Vec<Crowd>) -> Result<Self, Unusable> {
-        let wrong = |what: &dyn std::fmt::Display| Unusable(what.to_string());
-        let order = Zipf::new(rule.objects.max(1) as f64, rule.skew).map_err(|why| wrong(&why))?;
-        let sizes = LogNormal::new(rule.size.max(1.0).ln(), rule.spread).map_err(|why| wrong(&why))?;
-        Ok(Self { rule, order, sizes, crowds })
+    pub fn new(config: DemandConfig, flash_crowds: Vec<FlashCrowd>) -> Result<Self, InvalidDemand> {
+        let DemandConfig { objects, skew, median_size, size_sigma, .. } = config;
+        let popularity = Zipf::new(objects.max(1) as f64, skew).map_err(|error| {
+            InvalidDemand(format!("popularity of {objects} objects with a skew of {skew}: {error}"))
+        })?;
+        let sizes = LogNormal::new(median_size.max(1.0).ln(), size_sigma).map_err(|error| {
+            InvalidDemand(format!(
+                "sizes with a median of {median_size} bytes and a sigma of {size_sigma}: {error}"
+            ))
+        })?;
+        Ok(Self { config, popularity, sizes, flash_crowds })
     }
 
     /// Draws the object of the next request.
-    pub fn object(&self, now: Micros, chance: &mut impl Rng) -> u64 {
-        let crowd = self.crowds.iter().find(|crowd| (crowd.from..crowd.to).contains(&now));
-        if let Some(crowd) = crowd.filter(|crowd| chance.random::<f64>() < crowd.part) {
+    pub fn object(&self, now: Micros, rng: &mut impl Rng) -> u64 {
+        let crowd = self.flash_crowds.iter().find(|crowd| (crowd.from..crowd.to).contains(&now));
+        if let Some(crowd) = crowd.filter(|crowd| rng.random::<f64>() < crowd.share) {
             return crowd.object;
         }
-        let rank = self.order.sample(chance) as u64 - 1;
+        let rank = self.popularity.sample(rng) as u64 - 1;
         self.at_rank(now, rank)
     }
 
@@ -71,12 +77,12 @@
     /// With drift, the order is a ring that moves by one rank at a time: the most popular objects become the
     /// least popular ones, and all others move up.
     pub fn at_rank(&self, now: Micros, rank: u64) -> u64 {
-        let objects = self.rule.objects.max(1);
-        let moved = match self.rule.drift {
+        let objects = self.config.objects.max(1);
+        let shift = match self.config.drift_period {
             0 => 0,
-            drift => (u128::from(now) * u128::from(objects) / u128::from(drift)) as u64,
+            drift_period => (u128::from(now) * u128::from(objects) / u128::from(drift_period)) as u64,
         };
-        (rank + moved) % objects
+        (rank + shift) % objects
     }
 
     /// The size of each part of an object, in bytes.
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -16,16 +16,16 @@
 //! Nothing here reads a clock, and all random numbers come from the seed: runs with the same seed are
 //! identical. `docs/model.md` lists what the results are compared with.
 
+pub mod baselines;
 pub mod cold;
 pub mod copies;
 pub mod demand;
-pub mod fair;
-pub mod notes;
-pub mod plain;
+pub mod fair_link;
 pub mod plan;
 pub mod queue;
-pub mod seen;
-pub mod world;
+pub mod recorder;
+pub mod simulation;
+pub mod statistics;
 
 /// Virtual time in microseconds. An integer, so that times compare alike on every machine.
 pub type Micros = u64;
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -15,6 +15,7 @@
     "crates/gateway",
     "crates/hierarchy",
     "crates/membership",
+    "crates/model",
     "crates/operator-config",
     "crates/persistence",
     "crates/router",
