--- a/crates/model/examples/cold.rs
+++ b/crates/model/examples/cold.rs
@@ -34,7 +34,7 @@
     let windows = count(|result| result.windows).max(1.0);
     let worst =
         results.iter().max_by(|a, b| a.max_of_bound.total_cmp(&b.max_of_bound)).copied().unwrap_or_default();
-    let most = results.iter().map(|result| result.max_of_budget).fold(0.0, f64::max);
+    let max_of_budget = results.iter().map(|result| result.max_of_budget).fold(0.0, f64::max);
     let median = |time: fn(&TrialResult) -> Option<f64>| {
         let mut times: Vec<f64> =
             results.iter().map(|result| time(result).unwrap_or(f64::INFINITY)).collect();
@@ -58,7 +58,7 @@
         overloads(|result| result.caused_by_notified),
         overloads(|result| result.caused_by_notified_by_end),
         worst.max_of_bound,
-        most,
+        max_of_budget,
         worst.budget,
         median(|result| result.time_to_half),
         median(|result| result.time_to_nine_tenths),
@@ -83,8 +83,8 @@
         .filter(|deployment| only.is_none_or(|name| name == deployment.name))
         .collect();
     println!(
-        "| deployment | cold | routers | demand, list | seeds | windows over N | over the bound | broken, by then | \
-         worst, of the bound | of N | N | half, 0.9 (s) | knowing all |"
+        "| deployment | cold | routers | demand, list | seeds | windows over N | over the bound | caused by notified routers, by the end | \
+         largest window, of the bound | of N | N | time to half, 0.9 (s) | ideal |"
     );
     println!("|{}", " --- |".repeat(13));
     let even = [(Demand::Even, UpdateDelay::Soon), (Demand::Skewed, UpdateDelay::Soon)];
--- a/crates/model/src/baselines.rs
+++ b/crates/model/src/baselines.rs
@@ -32,9 +32,11 @@
 }
 
 impl RoutingPolicy {
+    /// All policies, with a bound of 1.25 for the bounded hash.
     pub const ALL: [Self; 5] =
         [Self::Shipped, Self::Random, Self::LeastInFlight, Self::Hash, Self::BoundedHash(1.25)];
 
+    /// The name in printed results.
     pub fn name(self) -> &'static str {
         match self {
             Self::Shipped => "shipped",
@@ -53,6 +55,7 @@
 }
 
 impl RouterPolicy {
+    /// Creates the policy of a router; the seed is that of its random numbers.
     pub fn new(policy: RoutingPolicy, settings: Settings, seed: u64) -> Self {
         match policy {
             RoutingPolicy::Shipped => Self::Shipped(Box::new(Policy::new(settings, seed))),
@@ -60,6 +63,7 @@
         }
     }
 
+    /// Handles an event at a time in milliseconds. Returns the actions of the router.
     pub fn handle(&mut self, now: f64, event: &Event) -> Vec<Action> {
         match self {
             Self::Shipped(policy) => policy.handle(now, event),
--- a/crates/model/src/cold.rs
+++ b/crates/model/src/cold.rs
@@ -27,26 +27,34 @@
 /// A class of read requests: its share of the requests, and the mean transfer time of its responses.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadClass {
+    /// Index of the class in the settings.
     pub class: u16,
+    /// Share of the requests.
     pub share: f64,
+    /// Mean transfer time of a response.
     pub work: Ms,
 }
 
 /// A deployment: the settings of its routers, and the machines that they describe.
 #[derive(Debug, Clone)]
 pub struct Deployment {
+    /// Name in the results.
     pub name: &'static str,
+    /// Settings of the routers, without their number and zone.
     pub settings: Settings,
     /// Locations with routers and caches; routers are spread evenly over them.
     pub locations: usize,
     /// Whether the settings contain the number of routers of each location.
     pub routers_by_zone_known: bool,
-    /// Capacity of each cache of a location and of each parent, in concurrent transfers.
+    /// Capacity of each cache of a location, in concurrent transfers.
     pub caches: Vec<f64>,
+    /// Capacity of each parent, in concurrent transfers.
     pub parents: Vec<f64>,
+    /// Classes of the requests.
     pub read_classes: Vec<ReadClass>,
     /// Number of objects that are requested repeatedly.
     pub objects: u64,
+    /// Whether requests contain the size of the object.
     pub sizes_known: bool,
 }
 
@@ -81,17 +89,24 @@
     Late,
 }
 
+/// A trial: a deployment under load, of which some servers crash and start cold.
 #[derive(Debug, Clone)]
 pub struct Trial<'a> {
+    /// The simulated deployment.
     pub deployment: &'a Deployment,
+    /// Number of routers.
     pub routers: usize,
+    /// Distribution of the requests.
     pub demand: Demand,
+    /// The servers that crash and start cold.
     pub cold_servers: ColdServers,
+    /// Delay of endpoint updates.
     pub update_delay: UpdateDelay,
     /// The number of routers in the settings of each router; `None` = the actual number.
     pub configured_routers: Option<u32>,
     /// The load, as a multiple of the capacity of all caches.
     pub load: f64,
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
@@ -101,26 +116,32 @@
 /// the number of requests of mean size that the server accepts in a window without a crash.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TrialResult {
-    /// The number of windows, of those with more than N requests, and of those above the bound N + 2 x root
-    /// of N + 2.
+    /// Number of windows.
     pub windows: u32,
+    /// Windows with more than N requests.
     pub over_budget: u32,
+    /// Windows above the bound N + 2 x root of N + 2.
     pub over_bound: u32,
     /// Whether more than two thirds of the work of the first window above the bound came from routers that
-    /// knew of the start when they sent it, and from routers that knew of it by the end of the window.
+    /// knew of the start when they sent it.
     pub caused_by_notified: bool,
+    /// The same for routers that knew of the start by the end of the window.
     pub caused_by_notified_by_end: bool,
-    /// The largest window as a multiple of the bound, the largest as a multiple of N, and N of the former
-    /// window.
+    /// The largest window, as a multiple of the bound.
     pub max_of_bound: f64,
+    /// The largest window, as a multiple of N.
     pub max_of_budget: f64,
+    /// N of the window that is the largest multiple of the bound.
     pub budget: f64,
-    /// Time from the start until a window has half, and nine tenths, of the load that the server had before
-    /// its crash; `None` = not within the trial.
+    /// Time from the start until a window has half of the load that the server had before its crash; `None` =
+    /// not within the trial.
     pub time_to_half: Option<Ms>,
+    /// The same for nine tenths of that load.
     pub time_to_nine_tenths: Option<Ms>,
-    /// The same for an ideal router that knows the complete state and sends as much as N allows.
+    /// The time to half of the load with an ideal router, which knows the complete state and sends as much as
+    /// N allows.
     pub ideal_time_to_half: Ms,
+    /// The same for nine tenths of the load.
     pub ideal_time_to_nine_tenths: Ms,
 }
 
--- a/crates/model/src/copies.rs
+++ b/crates/model/src/copies.rs
@@ -52,6 +52,7 @@
         Self { capacity, slab, free, index_by_key, lists_by_rank: [empty; RANKS] }
     }
 
+    /// Number of stored copies.
     pub fn len(&self) -> usize {
         self.index_by_key.len()
     }
--- a/crates/model/src/demand.rs
+++ b/crates/model/src/demand.rs
@@ -10,13 +10,15 @@
 /// Parameters of the demand.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandConfig {
+    /// Number of objects.
     pub objects: u64,
     /// Exponent of the Zipf distribution.
     pub skew: f64,
     /// Time in which every object passes through all popularity ranks; 0 = popularity is constant.
     pub drift_period: Micros,
-    /// Median of the bytes of a part, and the standard deviation of their logarithm.
+    /// Median of the bytes of a part.
     pub median_size: f64,
+    /// Standard deviation of the logarithm of the bytes of a part.
     pub size_sigma: f64,
 }
 
@@ -49,6 +51,7 @@
 pub struct InvalidDemand(pub String);
 
 impl Demand {
+    /// Creates a generator. Returns an error if the skew or the sizes are out of range.
     pub fn new(config: DemandConfig, flash_crowds: Vec<FlashCrowd>) -> Result<Self, InvalidDemand> {
         let DemandConfig { objects, skew, median_size, size_sigma, .. } = config;
         let popularity = Zipf::new(objects.max(1) as f64, skew).map_err(|error| {
--- a/crates/model/src/fair_link.rs
+++ b/crates/model/src/fair_link.rs
@@ -28,6 +28,7 @@
 }
 
 impl FairLink {
+    /// Creates a link without transfers; both rates are in bytes per microsecond.
     pub fn new(bandwidth: f64, max_rate: f64) -> Self {
         let (completions, completion_values) = (BTreeMap::new(), BTreeMap::new());
         Self { bandwidth, max_rate, bytes_per_transfer: 0.0, updated_at: 0, completions, completion_values }
--- a/crates/model/src/plan.rs
+++ b/crates/model/src/plan.rs
@@ -13,11 +13,15 @@
 /// The hierarchy that routers use to select fill sources. Times are in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HierarchyPlan {
-    /// Whether children migrate in stages, and whether fills pass the shield.
+    /// Whether children migrate in stages.
     pub staged: bool,
+    /// Whether fills pass the shield.
     pub shielded: bool,
+    /// How long a migration is announced before its first stage.
     pub announcement: f64,
+    /// Duration from the first migrated objects to all of them.
     pub ramp_duration: f64,
+    /// How long the former source is still asked for cached copies after a migration.
     pub settling_time: f64,
     /// The number of parents, from the first, that are home parents of the locations in turn; the others are
     /// spare.
@@ -27,10 +31,11 @@
 /// Two sites, whose routers are gateways to each other.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SitesPlan {
-    /// One-way delay between the sites in milliseconds, and bandwidth in bytes per second in each direction.
+    /// One-way delay between the sites, in milliseconds.
     pub delay: f64,
+    /// Bandwidth in each direction, in bytes per second; all connections share it.
     pub bandwidth: f64,
-    /// The maximum age of the other site's state for its requests to be admitted, in milliseconds.
+    /// Maximum age of the other site's state for its requests to be admitted, in milliseconds.
     pub max_state_delay: f64,
 }
 
@@ -45,10 +50,11 @@
 pub enum LinkFault {
     /// Connections are reset, and new ones fail until the link is restored.
     Cut,
-    /// Data is lost silently.
+    /// Nothing is delivered until the link is restored, but connections stay open.
     Silent,
     /// The delay is multiplied by this factor.
     Slow(f64),
+    /// The link works normally again.
     Restore,
 }
 
@@ -71,92 +77,111 @@
 /// A fleet, its load and its faults.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
+    /// Seed of all random numbers of the run.
     pub seed: u64,
     /// The routing policy of all routers.
     pub routing_policy: RoutingPolicy,
+    /// Number of locations.
     pub locations: usize,
-    /// Routers and caches per location, and parents that all locations share.
+    /// Routers per location.
     pub routers: usize,
+    /// Caches per location.
     pub caches: usize,
+    /// Parents, which all locations share.
     pub parents: usize,
     /// Second tier of parents, which the parents share by hash; 0 = parents request from the origin.
     pub top_parents: usize,
     /// The number of caches per location, from the last, that are absent until a fault starts them.
     pub spare_caches: usize,
-    /// Copies that a cache and a parent can store, and requests that each serves at a time.
+    /// Copies that a cache can store.
     pub cache_copies: usize,
+    /// Copies that a parent can store.
     pub parent_copies: usize,
+    /// Requests that a cache or a parent serves at a time.
     pub max_requests_per_server: usize,
     /// Fills that a cache runs at a time, over all its cores; 0 = unlimited.
     pub max_fills_per_cache: usize,
     /// Whether home parents start with the most popular objects cached.
     pub home_parents_prefilled: bool,
-    /// Bytes per second: the maximum of one transfer, a cache's link to its clients, a location's link for
-    /// fills, and the link of the origin and the parents.
+    /// Maximum rate of a transfer, in bytes per second.
     pub transfer_rate: f64,
+    /// Bandwidth of a cache's link to its clients, in bytes per second.
     pub cache_link: f64,
+    /// Bandwidth of a location's link for fills, in bytes per second.
     pub location_link: f64,
+    /// Bandwidth of the link of the origin and the parents, in bytes per second.
     pub origin_link: f64,
-    /// One-way delay within a location, and between a location and the hub, in milliseconds.
+    /// One-way delay within a location, in milliseconds.
     pub local_delay: f64,
+    /// One-way delay between a location and the hub, in milliseconds.
     pub hub_delay: f64,
-    /// Service time of the origin in milliseconds, and the number of concurrent requests above which it
-    /// grows.
+    /// Mean service time of the origin, in milliseconds.
     pub origin_service_time: f64,
+    /// Number of concurrent requests above which the service time of the origin grows.
     pub origin_concurrency: usize,
-    /// The origin crashes on a request above this number of concurrent requests, and restarts after the delay
-    /// (in seconds); 0 = it never crashes.
+    /// The origin crashes on a request above this number of concurrent requests; 0 = it never crashes.
     pub origin_crash_limit: usize,
+    /// Time until the crashed origin restarts, in seconds.
     pub origin_restart_delay: f64,
-    /// Clients' first requests per second in total, and the length of the load in seconds.
+    /// Clients' first requests per second, in total.
     pub rate: f64,
+    /// Length of the load, in seconds.
     pub seconds: f64,
-    /// Parts that a client requests one after the other, and the share of clients that send a booking
-    /// instead.
+    /// Parts that a client requests, one after the other.
     pub parts: u32,
+    /// Share of clients that send a booking instead.
     pub booking_share: f64,
-    /// How long clients wait and the latency objective, both in milliseconds, and how often clients retry a
-    /// rejected request.
+    /// How long clients wait for an answer, in milliseconds.
     pub client_timeout: f64,
+    /// Latency that clients want, in milliseconds, without the transfer time of the object.
     pub latency_objective: f64,
+    /// How often a client retries a rejected request.
     pub max_client_retries: u32,
-    /// Whether clients also retry failed requests (never bookings), their minimum pause before a retry in
-    /// milliseconds, and the factor by which it grows with each retry.
+    /// Whether clients also retry failed requests; bookings are never retried after a failure.
     pub retry_failed_requests: bool,
+    /// Minimum pause before a client's first retry, in milliseconds.
     pub retry_pause: f64,
+    /// Factor by which the pause grows with each retry.
     pub retry_backoff: f64,
     /// Whether clients wait at least for the rejection's retry-after time.
     pub respect_retry_after: bool,
     /// Mean number of retries per first request that clients may send; 0 = unlimited.
     pub retry_budget: f64,
-    /// Freshness lifetime of a copy, and the time after it in which the copy may still be served, in
-    /// milliseconds; 0 = fresh until it is purged.
+    /// Freshness lifetime of a copy, in milliseconds; 0 = fresh until it is purged.
     pub freshness_lifetime: f64,
+    /// How long after its freshness lifetime a copy may still be served, in milliseconds.
     pub stale_grace: f64,
-    /// Mechanisms of the routers that can be disabled: fills from sibling caches, coalesced fills, bypassing
-    /// the caches, and outcomes with cache status; and the maximum number of attempts per request.
+    /// Whether caches may fill from sibling caches.
     pub sibling_fill: bool,
+    /// Whether a request may join a fill in progress.
     pub coalesce_fills: bool,
+    /// Whether routers may send requests past the caches.
     pub bypass_caches: bool,
+    /// Whether outcomes report the cache status.
     pub report_outcome_detail: bool,
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Without a hierarchy, a cache fills from any parent in the endpoint list.
+    /// The hierarchy of the routers; without it, a cache fills from any parent in the endpoint list.
     pub hierarchy: Option<HierarchyPlan>,
-    /// Without it there is one site.
+    /// The two sites; without it there is one site.
     pub sites: Option<SitesPlan>,
+    /// Popularity and sizes of the objects.
     pub demand: DemandConfig,
+    /// Flash crowds during the run.
     pub flash_crowds: Vec<FlashCrowd>,
+    /// Faults, each with its time in seconds.
     pub faults: Vec<(f64, Fault)>,
     /// Delay until routers receive an update of the endpoint list, in milliseconds.
     pub endpoint_update_delay: f64,
     /// Interval at which servers update the load that they report, in milliseconds; 0 = never.
     pub load_report_interval: f64,
-    /// Requests per second that a warm cache and a warm parent can serve. After a start they begin with a
-    /// quarter and a tenth of it, and crash on more than three times (cache) or two times (parent) of what
-    /// they can serve at that time. 0 = they never crash.
+    /// Requests per second that a warm cache can serve. After a start it begins with a quarter of it, and
+    /// crashes on more than three times of what it can serve at that time. 0 = it never crashes.
     pub cache_throughput: f64,
+    /// Requests per second that a warm parent can serve. After a start it begins with a tenth of it, and
+    /// crashes on more than two times of what it can serve at that time. 0 = it never crashes.
     pub parent_throughput: f64,
-    /// Time until a crashed server restarts, in seconds.
+    /// Time until a server that crashed under overload restarts, in seconds.
     pub restart_delay: f64,
 }
 
@@ -242,6 +267,7 @@
         }
     }
 
+    /// The index of the origin, which is the last server.
     pub fn origin(&self) -> usize {
         self.servers() - 1
     }
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -39,6 +39,7 @@
         self.now
     }
 
+    /// Number of events.
     pub fn len(&self) -> usize {
         self.len
     }
--- a/crates/model/src/recorder.rs
+++ b/crates/model/src/recorder.rs
@@ -20,10 +20,15 @@
 /// The recorded properties of a client request.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestInfo {
+    /// Number of the request; the number at its own site if it was forwarded.
     pub request: u64,
+    /// The requested object.
     pub object: u64,
+    /// The router that received it.
     pub router: usize,
+    /// When the client stops waiting, in milliseconds.
     pub deadline: f64,
+    /// Whether a second execution would be harmful.
     pub harmful: bool,
 }
 
@@ -57,14 +62,17 @@
 }
 
 impl Recorder {
+    /// Whether entries are recorded.
     pub fn is_enabled(&self) -> bool {
         self.entries.is_some()
     }
 
+    /// Creates a recorder that records entries; the default one is disabled.
     pub fn enabled() -> Self {
         Self { entries: Some(Vec::new()) }
     }
 
+    /// The recorded entries, in order of time.
     pub fn into_entries(self) -> Vec<RecordEntry> {
         self.entries.unwrap_or_default()
     }
@@ -75,6 +83,7 @@
         }
     }
 
+    /// A client sent a request to its router.
     pub fn record_request(&mut self, now: Micros, request_info: &RequestInfo) {
         self.record(now, || RecordedEvent::Requested {
             request: request_info.request,
@@ -87,8 +96,9 @@
         });
     }
 
-    pub fn record_answer(&mut self, now: Micros, request: u64, code: u8, dated: Option<Micros>) {
-        let dated = dated.map(|at| at as f64 / 1_000.0);
+    /// A client received the final answer; `issued_at` is when the copy was made.
+    pub fn record_answer(&mut self, now: Micros, request: u64, code: u8, issued_at: Option<Micros>) {
+        let dated = issued_at.map(|at| at as f64 / 1_000.0);
         self.record(now, || RecordedEvent::Final { request, code, dated });
     }
 
@@ -128,10 +138,17 @@
         });
     }
 
-    pub fn record_attempt_end(&mut self, now: Micros, attempt: u64, ran: bool) {
-        self.record(now, || RecordedEvent::Ended { attempt, status: String::new(), res: String::new(), ran });
+    /// An attempt ended; `executed` is whether it took effect at the origin.
+    pub fn record_attempt_end(&mut self, now: Micros, attempt: u64, executed: bool) {
+        self.record(now, || RecordedEvent::Ended {
+            attempt,
+            status: String::new(),
+            res: String::new(),
+            ran: executed,
+        });
     }
 
+    /// A router received an update of the endpoint list.
     pub fn record_endpoint_update(
         &mut self,
         now: Micros,
@@ -152,6 +169,7 @@
         });
     }
 
+    /// A router received a purge of the copies from before `stamp`.
     pub fn record_purge(&mut self, now: Micros, by: usize, object: u64, stamp: Micros) {
         let (object, stamp) = (Some(object_name(object)), stamp as f64 / 1_000.0);
         self.record(now, || RecordedEvent::Purged { router: router_name(by), object, group: None, stamp });
@@ -178,10 +196,12 @@
         self.record(now, || RecordedEvent::Crossed { to, id, token, passed });
     }
 
+    /// A proof that the request of a fencing token was never executed passed the link between two sites.
     pub fn record_proof_of_no_execution(&mut self, now: Micros, token: (u64, u64)) {
         self.record(now, || RecordedEvent::Proven { token });
     }
 
+    /// A server started cold.
     pub fn record_server_start(
         &mut self,
         now: Micros,
@@ -200,6 +220,7 @@
         self.record(now, || RecordedEvent::Started { node: server_name(plan, server), cold });
     }
 
+    /// A server crashed under overload.
     pub fn record_server_crash(&mut self, now: Micros, plan: &Plan, server: usize) {
         self.record(now, || RecordedEvent::Fell { node: server_name(plan, server) });
     }
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -270,6 +270,7 @@
 }
 
 impl Simulation {
+    /// Creates a simulation without a recording. Returns an error if the demand of the plan is invalid.
     pub fn new(plan: Plan) -> Result<Self, InvalidDemand> {
         Self::with_recorder(plan, Recorder::default())
     }
--- a/crates/model/src/simulation/sites.rs
+++ b/crates/model/src/simulation/sites.rs
@@ -1,5 +1,5 @@
 //! Two sites: each router runs the gateway that is shipped, and the link between the sites has a delay and a
-//! bandwidth, and can lose data or be cut.
+//! bandwidth, and can stop delivering or be cut.
 //!
 //! The first half of the locations is one site, the rest the other. Each router has a connection to its
 //! counterpart, and all connections share the link. Bodies are transferred as bytes. All serving, rejecting
--- a/crates/model/tests/simulation.rs
+++ b/crates/model/tests/simulation.rs
@@ -187,7 +187,7 @@
 }
 
 /// One of two sites is cut off from the hub at peak load; then the link between the sites is cut, and later
-/// loses data silently. Forwarded requests are served, nothing is executed twice, and the rules of links
+/// stops delivering without closing connections. Forwarded requests are served, nothing is executed twice, and the rules of links
 /// hold.
 #[test]
 fn sites_keep_the_rules_under_link_faults_at_peak_load() {
