--- a/crates/router/src/hierarchy_adapter/changes.rs
+++ b/crates/router/src/hierarchy_adapter/changes.rs
@@ -1,5 +1,5 @@
-//! Changes of the hierarchy: batches from the operator file, the journal, other routers and the control socket, plans,
-//! and snapshots of the hierarchy for other routers.
+//! Changes of the hierarchy: batches from the operator file, the journal, other routers and the control
+//! socket, plans, and snapshots of the hierarchy for other routers.
 
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, NodeSpec, PlanSpec};
 use linnethook_hierarchy::history::Snapshot;
@@ -10,16 +10,16 @@
 
 use super::{HierarchyAdapter, HierarchyError};
 
-/// Bounds the batches that wait for gossip; further ones reach other routers by snapshots.
+/// The number of batches that may be queued for gossip; other routers receive further ones in snapshots.
 const MAX_OUTGOING_BATCHES: usize = 1_024;
 
-/// Batches that were received here, until they are gossiped.
+/// Batches that this router received first, until they are gossiped.
 #[derive(Debug, Default)]
 pub(super) struct OutgoingBatches {
     batches: Vec<BatchSpec>,
 }
 
-/// The hierarchy as one router hands it to another. The order of fields is the format between routers.
+/// The hierarchy as one router sends it to another. The order of the fields is part of the wire format.
 #[derive(Debug, Serialize, Deserialize)]
 struct SnapshotMessage {
     snapshot: Snapshot,
@@ -30,8 +30,8 @@
 impl HierarchyAdapter {
     // The operator file.
 
-    /// Applies the nodes of the operator file at the start. The batch takes effect at time 0, so that it is the same at
-    /// all routers that read the same file.
+    /// Applies the nodes of the operator file at startup. The batch takes effect at time 0, so that all
+    /// routers with the same file create the same batch.
     pub(super) fn apply_initial_nodes(&mut self, now: Ms, nodes: &[NodeSpec]) -> Result<(), HierarchyError> {
         if nodes.is_empty() {
             return Ok(());
@@ -41,11 +41,11 @@
         self.receive_batch(now, batch)
     }
 
-    /// Applies the nodes of the operator file that was read again, as one batch. Returns the number of changes.
+    /// Applies the nodes of a reloaded operator file as one batch. Returns the number of changes.
     ///
     /// # Errors
     ///
-    /// The nodes make no valid hierarchy; it stays as it is.
+    /// The nodes do not form a valid hierarchy; the current one is unchanged.
     pub fn reload(&mut self, now: Ms, nodes: &[NodeSpec]) -> Result<usize, HierarchyError> {
         let changes = self.names.changes_to_reach(self.hierarchy.topology(), nodes);
         let count = changes.len();
@@ -57,13 +57,13 @@
         Ok(count)
     }
 
-    // Batches of others.
+    // Batches of other authors.
 
-    /// Applies a batch of the journal, or one that another router's control socket has written.
+    /// Applies a batch from the journal, or one that was created through another router's control socket.
     ///
     /// # Errors
     ///
-    /// The batch was not applied; it may be pending.
+    /// The batch was not applied; it may be pending until the batches that it depends on are received.
     pub fn apply_journal_batch(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), HierarchyError> {
         let batch = self.names.resolve_batch(spec);
         let result = self.receive_batch(now, batch);
@@ -75,11 +75,11 @@
     ///
     /// # Errors
     ///
-    /// The batch was not applied, and is not pending either.
+    /// The batch was not applied, and is not pending.
     pub fn apply_gossip_batch(&mut self, now: Ms, spec: &BatchSpec) -> Result<(), HierarchyError> {
         let batch_id = BatchId { author: AuthorId(spec.author), number: spec.number };
         let result = self.apply_journal_batch(now, spec);
-        // Gossip keeps no order: the batches that it waits for are still to come.
+        // Gossip does not preserve order: the batches that this one depends on may arrive later.
         if result.is_err() && self.is_pending(batch_id) {
             return Ok(());
         }
@@ -90,7 +90,7 @@
         self.hierarchy.history().pending().any(|(pending, _)| pending == batch_id)
     }
 
-    /// Removes and returns the batches that are to be gossiped.
+    /// Removes and returns the batches to be gossiped.
     pub fn drain_outgoing_batches(&mut self) -> Vec<BatchSpec> {
         let outgoing = self.outgoing_batches.as_mut();
         outgoing.map(|outgoing| std::mem::take(&mut outgoing.batches)).unwrap_or_default()
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Batches of the operator file are not gossiped: each router reads that file itself.
+    /// Queues a batch for gossip, unless it is from the operator file, which each router reads itself.
     fn queue_outgoing_batch(&mut self, batch: &ChangeBatch) {
         if batch.id.author == self.operator_file_author {
             return;
@@ -124,7 +124,7 @@
 
     // The control socket.
 
-    /// Forecasts what changes would do now. Nothing is changed.
+    /// Computes the effect that changes would have now, without applying them.
     ///
     /// # Errors
     ///
@@ -137,7 +137,7 @@
         Ok(plan?)
     }
 
-    /// Applies changes as a batch of this router's control socket, which is returned.
+    /// Applies changes as a batch of this router's control socket. Returns the batch.
     ///
     /// # Errors
     ///
@@ -151,12 +151,12 @@
         result.map(|()| spec)
     }
 
-    /// Rolls back a batch: its migrations at once, and its changes by a batch of their own. Returns the number of these
-    /// changes.
+    /// Rolls back a batch: its migrations at once, and its changes by a new batch that reverts them. Returns
+    /// the number of reverting changes.
     ///
     /// # Errors
     ///
-    /// The batch is not retained, or the changes that revert it were rejected.
+    /// The batch is not retained, or the reverting changes were rejected.
     pub fn roll_back(&mut self, now: Ms, author: u16, number: u64) -> Result<usize, HierarchyError> {
         let batch_id = BatchId { author: AuthorId(author), number };
         let changes = self.hierarchy.roll_back_batch(now, batch_id);
@@ -169,7 +169,8 @@
 
     // Snapshots.
 
-    /// Encodes the hierarchy with its place in the history, for a router that is too far behind for batches.
+    /// Encodes the hierarchy with its position in the history, for a router that is too far behind to catch
+    /// up by batches.
     pub fn encode_snapshot(&self) -> Vec<u8> {
         let message = SnapshotMessage {
             snapshot: self.hierarchy.snapshot(),
@@ -183,7 +184,8 @@
     ///
     /// # Errors
     ///
-    /// The snapshot can't be decoded or used, or is older than this router's hierarchy; nothing is then changed.
+    /// The snapshot can't be decoded, is invalid, or is older than this router's hierarchy, which is then
+    /// unchanged.
     pub fn restore_snapshot(&mut self, now: Ms, bytes: &[u8]) -> Result<(), HierarchyError> {
         let message: SnapshotMessage = postcard::from_bytes(bytes)?;
         let snapshot = message.snapshot;
--- a/crates/router/src/hierarchy_adapter/endpoints.rs
+++ b/crates/router/src/hierarchy_adapter/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, as the hierarchy needs it, and the sources of fills that the policy may choose from.
+//! Updates of the endpoint list for the hierarchy, and the fill sources that the policy may choose from.
 
 use linnethook_hierarchy::{EndpointPhase, FillSources, NodeId, Role, Source};
 
@@ -8,16 +8,16 @@
 use super::fills::{attempt_of, shield_ticket};
 use super::{FillDecision, HierarchyAdapter};
 
-/// A cache with the sources that it may be filled from now on.
+/// A cache whose fill sources have changed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ChangedFillSources {
     /// The cache.
     pub endpoint: EndpointKey,
-    /// The sources, also in the course of a migration.
+    /// Its sources from now on; during a migration also the previous ones.
     pub sources: FillSourceLists,
 }
 
-/// The node that an endpoint is.
+/// The id of an endpoint's node in the hierarchy.
 pub(super) fn node_id(endpoint: EndpointKey) -> NodeId {
     NodeId(endpoint.number())
 }
@@ -43,8 +43,8 @@
 }
 
 impl HierarchyAdapter {
-    /// Follows an update of the endpoint list. `is_local` says which entries are in this router's zone. Queued fills of
-    /// endpoints that may not be used any more are rejected.
+    /// Applies an update of the endpoint list. `is_local` is true for entries in this router's zone. Returns
+    /// the queued fills that are rejected, as their endpoints may no longer be used.
     pub fn update_endpoints(
         &mut self,
         now: Ms,
@@ -72,7 +72,7 @@
         rejected
     }
 
-    /// Rejects the queued fills of attempts at an endpoint.
+    /// Rejects the queued fills of the attempts at an endpoint.
     fn reject_queued_at(&mut self, endpoint: EndpointKey, rejected: &mut Vec<FillDecision>) {
         let queued = self.queued.iter().filter(|(_, fill)| fill.order.endpoint == endpoint);
         let attempts: Vec<AttemptKey> = queued.map(|(attempt, _)| *attempt).collect();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The caches whose fill sources have changed since the last call.
+    /// Returns the caches whose fill sources have changed since the last call.
     pub fn changed_fill_sources(&mut self, now: Ms) -> Vec<ChangedFillSources> {
         let changed = self.hierarchy.changed_fill_sources(now).into_iter();
         let published = changed.map(|(id, sources)| ChangedFillSources {
--- a/crates/router/src/hierarchy_adapter/error.rs
+++ b/crates/router/src/hierarchy_adapter/error.rs
@@ -1,20 +1,20 @@
-//! Why a change of the hierarchy was not applied.
+//! The errors of changes and snapshots of the hierarchy.
 
 use std::fmt;
 
 use linnethook_hierarchy::plan::PlanError;
 use linnethook_hierarchy::{BatchError, BatchId, BatchRejection};
 
-/// Why a change of the hierarchy was not applied, or a snapshot not restored. Commands print its text.
+/// Why a change of the hierarchy was not applied, or a snapshot not restored. Commands print the text.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HierarchyError {
-    /// A change of the batch, or the snapshot, breaks a rule of the hierarchy.
+    /// A change of the batch, or the snapshot, violates a constraint of the hierarchy.
     Rejected(BatchRejection),
-    /// The batch can't have a place in the history.
+    /// The batch can't be placed in the history.
     Invalid(BatchError),
-    /// The batch waits for that one, which has not been received.
+    /// The batch is pending, as this batch, which it depends on, has not been received.
     MissingBatch(BatchId),
-    /// There is no plan for the changes.
+    /// The effect of the changes can't be computed.
     Plan(PlanError),
     /// The batch to roll back is not retained, or was rejected.
     NotRetained,
@@ -35,13 +35,13 @@
             Self::Rejected(rejection) => rejection.fmt(f),
             Self::Invalid(error) => error.fmt(f),
             Self::MissingBatch(missing) => {
-                write!(f, "it waits for batch {} of author {}", missing.number, missing.author.0)
+                write!(f, "pending until batch {} of author {} is received", missing.number, missing.author.0)
             }
             Self::Plan(error) => error.fmt(f),
-            Self::NotRetained => f.write_str("no such batch is kept, or it was not applied"),
-            Self::SnapshotFormat(error) => error.fmt(f),
+            Self::NotRetained => f.write_str("no such batch is retained, or it was not applied"),
+            Self::SnapshotFormat(error) => write!(f, "snapshot can't be decoded: {error}"),
             Self::SnapshotOutdated { snapshot, own } => {
-                write!(f, "it is at version {snapshot}, this router at {own}")
+                write!(f, "snapshot is at version {snapshot}, older than version {own} of this router")
             }
         }
     }
--- a/crates/router/src/hierarchy_adapter/fills.rs
+++ b/crates/router/src/hierarchy_adapter/fills.rs
@@ -1,5 +1,5 @@
-//! What becomes of the fills that the policy has chosen: they are admitted, queued, cancelled or completed, and edges
-//! on which they loop are backed off.
+//! The fills that the policy has selected: they are admitted, queued, cancelled and completed, and edges on
+//! which fills loop are put in backoff.
 
 use linnethook_hierarchy::loop_detection;
 use linnethook_hierarchy::origin_shield::{self, Priority, QueuedDecision, ShieldDecision};
@@ -13,59 +13,60 @@
 use super::endpoints::node_id;
 use super::HierarchyAdapter;
 
-/// Marks a node of a fill's path that is asked for a cached copy alone.
+/// Marks a node of a fill's path from which only a cached copy is requested.
 const CACHED_ONLY_SUFFIX: &str = ":h";
 
-/// The bits of a shield's ticket that have the number of the attempt.
+/// The low bits of a shield's ticket, which hold the number of the attempt.
 const ATTEMPT_NUMBER_BITS: u32 = 8;
 
-/// What is known of the request that a fill is for.
+/// The properties of the request that a fill is for.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestProfile {
     /// The hash of the object.
     pub object: u64,
     /// The number of the object's part.
     pub part: u32,
-    /// Whether the class of the request is one of writes.
+    /// Whether the request's class is a class of writes.
     pub is_write: bool,
-    /// The size of the object in bytes, as far as known.
+    /// The size of the object in bytes, as far as it is known.
     pub size_bytes: f64,
-    /// How long an answer should take at most, in milliseconds.
+    /// The time within which the request should be answered, in milliseconds.
     pub latency_objective: Ms,
     /// When the request was received, in milliseconds.
     pub received_at: Ms,
 }
 
-/// What is to be done with an attempt now.
+/// The decision on an attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FillDecision {
-    /// It is sent; the path goes with its fill where nodes understand it.
+    /// Send it.
     Send {
         /// The attempt.
         order: AttemptOrder,
-        /// The nodes that its fill passes.
+        /// The nodes that its fill passes, sent with the fill; `None` if the nodes do not support it.
         fill_path: Option<FillPath>,
     },
-    /// It is not sent: it was cancelled, or its endpoint can no longer be used, while its fill was queued. A rejection
-    /// by the shield sends it for a cached copy alone.
+    /// Do not send it: it was cancelled, or its endpoint can no longer be used, while its fill was queued. An
+    /// attempt whose fill the shield rejects is sent all the same, for a cached copy only.
     Reject {
         /// The attempt.
         order: AttemptOrder,
-        /// Since when it was queued, in milliseconds.
+        /// When it was queued, in milliseconds.
         queued_at: Ms,
     },
 }
 
-/// How many fills there are.
+/// The numbers of fills.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FillCounts {
-    /// Fills that wait to be admitted.
+    /// Fills that are queued for admission.
     pub queued: usize,
-    /// Fills that were sent and have not ended.
+    /// Fills that were sent and have not completed.
     pub in_flight: usize,
 }
 
-/// The nodes of a fill; they are the same for a request that goes straight to a parent or the origin.
+/// The two nodes of a fill. Child and source are the same node if the request is sent directly to a parent or
+/// the origin.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FillRoute {
     child: NodeId,
@@ -77,11 +78,11 @@
 pub(super) struct InFlightFill {
     route: FillRoute,
     latency_objective: Ms,
-    /// It asks for cached copies alone, and has not passed the shield.
+    /// Whether it requests only cached copies, which do not pass the shield.
     is_cached_only: bool,
 }
 
-/// An attempt that waits for the admission of its fill.
+/// An attempt whose fill is queued for admission.
 #[derive(Debug)]
 pub(super) struct QueuedFill {
     pub(super) order: AttemptOrder,
@@ -89,12 +90,12 @@
     queued_at: Ms,
 }
 
-/// Packs an attempt into the shield's ticket, which is one number.
+/// Packs the key of an attempt into a ticket of the shield.
 pub(super) fn shield_ticket(attempt: AttemptKey) -> origin_shield::Ticket {
     attempt.ticket << ATTEMPT_NUMBER_BITS | u64::from(attempt.number)
 }
 
-/// The attempt of a fill at the shield.
+/// Unpacks the key of an attempt from a ticket of the shield.
 pub(super) fn attempt_of(ticket: origin_shield::Ticket) -> AttemptKey {
     AttemptKey {
         ticket: ticket >> ATTEMPT_NUMBER_BITS,
@@ -102,7 +103,7 @@
     }
 }
 
-/// What the end of an attempt says of its fill.
+/// The result of an attempt's fill, derived from the report of the attempt.
 fn fill_result(report: &AttemptReport) -> FillResult {
     match (report.end, report.cache_result) {
         (AttemptEnd::Answered, Some(CacheResult::FilledByParent)) => FillResult::ServedFromCache,
@@ -111,14 +112,14 @@
         (AttemptEnd::Answered, _) => FillResult::ServedFromUnknown,
         (AttemptEnd::Cancelled | AttemptEnd::NotExecuted, _)
         | (_, Some(CacheResult::NoCapacity | CacheResult::FillLoop)) => FillResult::Abandoned,
-        // It never reached the cache, or the cache rejected it: the source was not asked.
+        // The attempt did not reach the cache, or the cache rejected it: the source was not requested.
         (AttemptEnd::NotSent, _) | (AttemptEnd::Rejected, None) => FillResult::Abandoned,
         _ => FillResult::Failed,
     }
 }
 
-/// The longest time that a fill may be queued: half of what is left of the latency objective, so that there is time
-/// left to serve it.
+/// The longest time that a fill may be queued: half of the remaining latency objective, so that enough time
+/// remains to serve the request.
 fn max_queue_wait(now: Ms, profile: &RequestProfile) -> Ms {
     let remaining = profile.received_at + profile.latency_objective - now;
     (remaining / 2.0).max(0.0)
@@ -141,24 +142,24 @@
 impl HierarchyAdapter {
     // Admission.
 
-    /// Whether an attempt may have a cache fill.
+    /// Whether an attempt may cause a fill from a tier above the caches.
     pub fn may_fill(&self, order: &AttemptOrder) -> bool {
         !order.fill.only_if_cached && self.fill_route(order).is_some()
     }
 
-    /// Decides about an attempt; `None` if its fill is queued.
+    /// Decides on an attempt; returns `None` if its fill is queued.
     pub fn admit(
         &mut self,
         now: Ms,
         mut order: AttemptOrder,
         profile: RequestProfile,
     ) -> Option<FillDecision> {
-        // While the tiers above are constrained, a copy that can still be served is not revalidated.
+        // Copies that may be served as they are need no revalidation while the tiers above are constrained.
         order.fill.revalidate &= !self.hierarchy.is_constrained(now);
         let Some(route) = self.fill_route(&order) else {
             return Some(FillDecision::Send { order, fill_path: None });
         };
-        // A copy that the source has cached costs the tiers above nothing.
+        // Serving a copy that the source has cached adds no load to the tiers above.
         if order.fill.only_if_cached {
             return Some(self.send(now, order, profile, true));
         }
@@ -176,8 +177,9 @@
         }
     }
 
-    /// Admits an attempt without a fill: cached copies are served, also stale ones, by the cache and by its source.
-    /// Where there are none and the request is rejected, its Retry-After is `retry_after`, in milliseconds.
+    /// Admits an attempt without a fill: the cache and its source serve cached copies only, including stale
+    /// ones. If there are none and the request is rejected, its Retry-After is `retry_after`, in
+    /// milliseconds.
     pub fn admit_from_cache_only(
         &mut self,
         now: Ms,
@@ -216,13 +218,13 @@
         applied
     }
 
-    /// Who fills, and from where; `None` where the tiers above have no part in it.
+    /// The nodes of an attempt's fill; `None` if it does not involve a tier above the caches.
     fn fill_route(&self, order: &AttemptOrder) -> Option<FillRoute> {
         let topology = self.hierarchy.topology();
         let is_above_caches = |id: NodeId| topology.node(id).is_some_and(|node| node.role != Role::Cache);
         let child = node_id(order.endpoint);
-        // Without a source the request goes straight to a parent or the origin. A sibling as the source serves what it
-        // has cached, and asks no tier above.
+        // Without a source the request is sent directly to a parent or the origin. A sibling as the source
+        // serves only what it has cached, and requests nothing from the tiers above.
         let source = order.fill.source.map_or(child, node_id);
         is_above_caches(source).then_some(FillRoute { child, source })
     }
@@ -242,7 +244,7 @@
         FillDecision::Send { order, fill_path }
     }
 
-    /// The path that goes with a fill where nodes understand it.
+    /// The path that is sent with a fill; `None` if there is no source, or the nodes do not support it.
     fn fill_path(
         &self,
         now: Ms,
@@ -266,9 +268,9 @@
         text
     }
 
-    // Ends.
+    // Completion.
 
-    /// Records how an attempt ended. Queued fills that may go now, or are rejected, are returned.
+    /// Records the result of an attempt. Returns the queued fills that are now admitted or rejected.
     pub fn complete_attempt(&mut self, now: Ms, completed: &CompletedAttempt) -> Vec<FillDecision> {
         let report = &completed.report;
         let Some(fill) = self.in_flight.remove(&report.attempt) else { return Vec::new() };
@@ -284,8 +286,9 @@
         self.apply_queue_decisions(now, decisions)
     }
 
-    /// Excludes the edge on which a fill looped, for a while. If this router's hierarchy lacks that edge, the nodes
-    /// follow another version of it: then the source by which the fill got there is excluded.
+    /// Puts the edge on which a fill looped in backoff. If this router's hierarchy does not have that edge,
+    /// the nodes act on another version of it: the edge on which this router started the fill is then put in
+    /// backoff instead.
     fn back_off_looped_edge(&mut self, now: Ms, route: FillRoute, fill_loop: &FillLoop) {
         let FillLoop { from, to, version } = fill_loop;
         let (child, source) = (node_id(EndpointKey::of(from)), node_id(EndpointKey::of(to)));
@@ -293,10 +296,10 @@
         let edge = if is_known { FillRoute { child, source } } else { route };
         self.next_deadline = now;
         self.hierarchy.report_loop(now, edge.child, edge.source, *version);
-        log_line!(from, to, version, "hierarchy: a fill came round; an edge is held back for a while");
+        log_line!(from, to, version, "hierarchy: a fill loop was detected; an edge is in backoff");
     }
 
-    /// Cancels an attempt. If its fill is queued, it is rejected, and the attempt has ended.
+    /// Cancels an attempt. If its fill is queued, the fill is rejected and the attempt has ended.
     pub fn cancel_attempt(&mut self, attempt: AttemptKey) -> Option<FillDecision> {
         if self.queued.contains_key(&attempt) {
             self.hierarchy.cancel_fill(shield_ticket(attempt));
@@ -304,8 +307,8 @@
         self.reject_queued(attempt)
     }
 
-    /// Cancels the queued fills of a request that was cancelled, and returns their attempts. Settings that forbid to
-    /// cancel attempts do not matter here, as nothing was sent.
+    /// Cancels the queued fills of a cancelled request, and returns their attempts. The setting that forbids
+    /// cancelling attempts does not apply, as nothing was sent.
     pub fn cancel_request(&mut self, ticket: Ticket) -> Vec<AttemptOrder> {
         let mut attempts: Vec<AttemptKey> =
             self.queued.keys().copied().filter(|attempt| attempt.ticket == ticket).collect();
@@ -323,12 +326,13 @@
         Some(FillDecision::Reject { order, queued_at })
     }
 
-    /// Removes and returns the Retry-After of a request that ends, in milliseconds, if its fills were not admitted.
+    /// Removes and returns the Retry-After of a completed request, in milliseconds; `None` unless a fill of
+    /// it was not admitted.
     pub fn take_retry_after(&mut self, ticket: Ticket) -> Option<Ms> {
         self.retry_after.remove(&ticket)
     }
 
-    /// How many fills are queued and in flight.
+    /// The numbers of queued fills and fills in flight.
     pub fn fill_counts(&self) -> FillCounts {
         FillCounts { queued: self.queued.len(), in_flight: self.in_flight.len() }
     }
--- a/crates/router/src/hierarchy_adapter/mod.rs
+++ b/crates/router/src/hierarchy_adapter/mod.rs
@@ -1,13 +1,13 @@
-//! The router's side of the hierarchy: what the policy may choose from, and what becomes of the fills that it has
-//! chosen on their way to the sockets.
+//! Connects the router to the hierarchy of caches: the fill sources that the policy may choose from, and the
+//! admission of the fills that it has chosen before they are sent.
 //!
-//! - [`changes`]: batches of changes and where they come from, plans, and snapshots for other routers;
-//! - [`endpoints`]: the endpoint list, and the sources of fills that the policy may choose from;
-//! - [`fills`]: what is admitted, queued, cancelled and completed, and detected loops;
-//! - [`transitions`]: the stages of a rollout, for the log and for the audit log;
+//! - [`changes`]: batches of changes from all sources, plans, and snapshots for other routers;
+//! - [`endpoints`]: the endpoint list, and the fill sources that the policy may choose from;
+//! - [`fills`]: the admission, queueing, cancellation and completion of fills, and detected loops;
+//! - [`transitions`]: the stages of a rollout, for the log and the audit log;
 //! - [`error`]: why a change was not applied.
 //!
-//! No source is chosen here: the policy chooses, and the hierarchy decides what is admitted.
+//! No source is chosen here: the policy chooses it, and the hierarchy decides whether the fill is admitted.
 
 mod changes;
 mod endpoints;
@@ -34,44 +34,44 @@
 pub use fills::{FillCounts, FillDecision, RequestProfile};
 pub use transitions::EnteredStage;
 
-/// Marks the authors of control sockets: half of the numbers are for these.
-const CONTROL_SOCKET_AUTHOR: u16 = 0x8000;
+/// The bit that is set in the author ids of control sockets: half of the ids are reserved for these.
+const CONTROL_SOCKET_AUTHOR_BIT: u16 = 0x8000;
 
-/// The hierarchy, the names of its nodes, and the fills that wait or are in flight.
+/// The hierarchy, the names of its nodes, and the fills that are queued or in flight.
 pub struct HierarchyAdapter {
     hierarchy: Hierarchy,
     names: NameTable,
     /// The author of the operator file's batches.
     operator_file_author: AuthorId,
-    /// The author of the batches that come by the control socket.
+    /// The author of the batches that are created through the control socket.
     control_socket_author: AuthorId,
-    /// Whether nodes understand more than the platform's protocol.
+    /// Whether the nodes support fields beyond the platform's protocol.
     extended: bool,
     queued: HashMap<AttemptKey, QueuedFill>,
     in_flight: HashMap<AttemptKey, InFlightFill>,
-    /// The Retry-After of requests whose fills were not admitted, should they be rejected.
+    /// The Retry-After of requests whose fills were not admitted, for the case that the request is rejected.
     retry_after: HashMap<Ticket, Ms>,
     /// When [`tick`](Self::tick) is due.
     next_deadline: Ms,
-    /// `None` where there are no other routers.
+    /// `None` if gossip is disabled.
     outgoing_batches: Option<OutgoingBatches>,
-    /// `None` where there are no other routers.
+    /// `None` if gossip is disabled.
     entered_stages: Option<StageRecorder>,
 }
 
-/// The author of a router's control socket. It is another one at each start, since a start does not know how many
-/// batches the one before it has numbered.
+/// The author id of a router's control socket. It depends on the start time, as a restarted router does not
+/// know how many batches it numbered before the restart.
 fn control_socket_author(router: &str, started_at: Ms) -> AuthorId {
     let start_us = (started_at * 1_000.0) as u64;
-    AuthorId(CONTROL_SOCKET_AUTHOR | (xxh3_64_with_seed(router.as_bytes(), start_us) as u16))
+    AuthorId(CONTROL_SOCKET_AUTHOR_BIT | (xxh3_64_with_seed(router.as_bytes(), start_us) as u16))
 }
 
 impl HierarchyAdapter {
-    /// Starts with the nodes of the operator file.
+    /// Creates the hierarchy with the nodes of the operator file. `router` is this router's name.
     ///
     /// # Errors
     ///
-    /// The nodes make no valid hierarchy.
+    /// The nodes do not form a valid hierarchy.
     pub fn new(now: Ms, router: &str, settings: &HierarchySection) -> Result<Self, HierarchyError> {
         let mut adapter = Self {
             hierarchy: Hierarchy::new(settings.parameters),
@@ -90,7 +90,7 @@
         Ok(adapter)
     }
 
-    /// Records batches and stages for other routers and the audit log from now on.
+    /// Starts recording batches for gossip and rollout stages for the audit log.
     pub fn enable_gossip(&mut self) {
         self.outgoing_batches.get_or_insert_default();
         self.entered_stages.get_or_insert_default();
@@ -101,7 +101,7 @@
         HierarchyVersion { version: self.hierarchy.version(), digest: self.hierarchy.topology().digest() }
     }
 
-    /// The state of the hierarchy, for commands.
+    /// The state of the hierarchy, as commands show it.
     pub fn view(&self, now: Ms) -> HierarchyView {
         self.hierarchy.view(now)
     }
@@ -126,7 +126,7 @@
         self.next_deadline
     }
 
-    /// Follows the passing of time. Decisions on queued fills are returned.
+    /// Runs the work that is due, such as rollouts and queue timeouts. Returns the decisions on queued fills.
     pub fn tick(&mut self, now: Ms) -> Vec<FillDecision> {
         let outcome = self.hierarchy.tick(now);
         self.next_deadline = self.hierarchy.next_deadline(now);
--- a/crates/router/src/hierarchy_adapter/transitions.rs
+++ b/crates/router/src/hierarchy_adapter/transitions.rs
@@ -1,4 +1,4 @@
-//! The stages that migrations enter, for the log and for the audit log.
+//! The rollout stages that migrations enter, for the log and the audit log.
 
 use linnethook_hierarchy::rollout::{RolloutStage, StageTransition};
 
@@ -6,7 +6,7 @@
 
 use super::HierarchyAdapter;
 
-/// Bounds the stages that wait for the audit log; further ones are only logged.
+/// The number of stages that may be queued for the audit log; further ones are only logged.
 const MAX_ENTERED_STAGES: usize = 1_024;
 
 /// A stage that a migration has entered.
@@ -18,7 +18,7 @@
     pub stage: u8,
 }
 
-/// Stages that were entered, until the audit log takes them.
+/// Stages that were entered, until they are recorded in the audit log.
 #[derive(Debug, Default)]
 pub(super) struct StageRecorder {
     entered: Vec<EnteredStage>,
@@ -63,7 +63,7 @@
                 number = batch_id.number,
                 stage = %transition.stage,
                 for_good = transition.is_final,
-                "hierarchy: a change enters its next stage"
+                "hierarchy: a migration has entered its next stage"
             );
         }
     }
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -209,7 +209,7 @@
     fleet.node("south").set_upstream(&["centre"], 5);
     fleet.node("centre").set_upstream(&["south"], 4);
     let running = fleet.load("n0", &Load { rate: 80.0, ..patient() }).expect("clients");
-    fleet.logged("n0", "a fill came round").expect("logged");
+    fleet.logged("n0", "a fill loop was detected").expect("logged");
     until(&fleet, "n0", "an edge held back", |shown| shown["held_back"].as_u64() > Some(0));
     thread::sleep(Duration::from_millis(700));
     let ends = running.finish();
--- a/crates/router/tests/unit/hierarchy_adapter.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -1,5 +1,5 @@
-//! Unit tests of `src/hierarchy_adapter`, a part of its module: the snapshot that one router gives
-//! to another, and why changes are not applied.
+//! Unit tests of `src/hierarchy_adapter`, as a submodule of it: snapshots between routers, and the errors of
+//! changes that are not applied.
 
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec};
 use linnethook_operator_config::{EvaluationLimits, OperatorConfig};
@@ -16,30 +16,31 @@
 "#;
 
 fn adapter(text: &str) -> HierarchyAdapter {
-    let operator =
-        OperatorConfig::parse("operator.star", text, &EvaluationLimits::default()).expect("a good file");
-    HierarchyAdapter::new(1_000.0, "n0", &operator.hierarchy.expect("a hierarchy")).expect("a shape")
+    let operator = OperatorConfig::parse("operator.star", text, &EvaluationLimits::default())
+        .expect("valid operator file");
+    HierarchyAdapter::new(1_000.0, "n0", &operator.hierarchy.expect("hierarchy section"))
+        .expect("valid hierarchy")
 }
 
 #[test]
-fn a_snapshot_is_the_same_bytes_and_is_restored_in_full() {
+fn snapshot_format_is_stable_and_a_snapshot_is_restored_completely() {
     let snapshot = adapter(FILE).encode_snapshot();
     assert_golden("hierarchy_snapshot.txt", &format!("{}\n", hex(&snapshot)));
-    let mut late = adapter("hierarchy(author = 8)");
-    late.restore_snapshot(2_000.0, &snapshot).expect("it is newer");
-    assert_eq!(late.active_version(), adapter(FILE).active_version());
-    assert_eq!(late.encode_snapshot(), snapshot);
+    let mut outdated = adapter("hierarchy(author = 8)");
+    outdated.restore_snapshot(2_000.0, &snapshot).expect("newer snapshot");
+    assert_eq!(outdated.active_version(), adapter(FILE).active_version());
+    assert_eq!(outdated.encode_snapshot(), snapshot);
 }
 
-/// Commands and scripts read these texts.
+/// Commands print these texts, and scripts match them.
 #[test]
-fn each_reason_against_a_change_has_its_text() {
+fn each_error_of_a_change_or_snapshot_has_its_text() {
     let mut hierarchy = adapter(FILE);
-    let mut reasons = Vec::new();
+    let mut texts = Vec::new();
     let unknown = ChangeSpec::Remove { node: "nobody".to_string() };
-    reasons
-        .push(hierarchy.plan(2_000.0, std::slice::from_ref(&unknown)).expect_err("no such node").to_string());
-    reasons.push(hierarchy.roll_back(2_000.0, 9, 9).expect_err("no such batch").to_string());
+    let plan = hierarchy.plan(2_000.0, std::slice::from_ref(&unknown));
+    texts.push(plan.expect_err("unknown node").to_string());
+    texts.push(hierarchy.roll_back(2_000.0, 9, 9).expect_err("unknown batch").to_string());
     let batch = |number: u64, stamp: u64, changes: &[ChangeSpec]| BatchSpec {
         author: 9,
         number,
@@ -49,31 +50,32 @@
         changes: changes.to_vec(),
     };
     let mut receive = |batch: BatchSpec| {
-        hierarchy.apply_journal_batch(2_000.0, &batch).expect_err("it is not applied").to_string()
+        hierarchy.apply_journal_batch(2_000.0, &batch).expect_err("not applied").to_string()
     };
-    reasons.push(receive(batch(1, 5, &[unknown])));
-    reasons.push(receive(batch(3, 7, &[])));
-    reasons.push(receive(batch(2, 5, &[])));
-    reasons.push(receive(batch(0, 0, &[])));
-    let early = adapter("hierarchy(author = 8)").encode_snapshot();
-    reasons.push(hierarchy.restore_snapshot(2_000.0, &early).expect_err("it is older").to_string());
-    reasons.push(hierarchy.restore_snapshot(2_000.0, &[]).expect_err("no snapshot").to_string());
+    texts.push(receive(batch(1, 5, &[unknown])));
+    texts.push(receive(batch(3, 7, &[])));
+    texts.push(receive(batch(2, 5, &[])));
+    texts.push(receive(batch(0, 0, &[])));
+    let older = adapter("hierarchy(author = 8)").encode_snapshot();
+    texts.push(hierarchy.restore_snapshot(2_000.0, &older).expect_err("older snapshot").to_string());
+    texts.push(hierarchy.restore_snapshot(2_000.0, &[]).expect_err("empty snapshot").to_string());
     let expected = [
         "node CacheId(17775146599398579598) is not in the shape",
-        "no such batch is kept, or it was not applied",
+        "no such batch is retained, or it was not applied",
         "node CacheId(17775146599398579598) is not in the shape",
-        "it waits for batch 2 of author 9",
+        "pending until batch 2 of author 9 is received",
         "its stamp is not above that of batch Serial { author: Author(9), number: 1 }, on which it was planned",
         "batches are numbered from 1 on, a stamp is above 0, and figures are numbers",
-        "it is at version 0, this router at 5",
-        "Hit the end of buffer, expected more data",
+        "snapshot is at version 0, older than version 5 of this router",
+        "snapshot can't be decoded: Hit the end of buffer, expected more data",
     ];
-    assert_eq!(reasons, expected);
+    assert_eq!(texts, expected);
 }
 
-/// Gossip keeps no order: a batch that waits for an earlier one is no error there, and it is one elsewhere.
+/// Gossip does not preserve order: a batch that is pending until an earlier one is received is an error only
+/// if it does not come by gossip.
 #[test]
-fn a_gossiped_batch_may_wait_for_an_earlier_one() {
+fn a_gossiped_batch_may_arrive_before_an_earlier_one() {
     let later = BatchSpec {
         author: 9,
         number: 2,
@@ -82,6 +84,6 @@
         effective_at: 0.0,
         changes: Vec::new(),
     };
-    adapter(FILE).apply_gossip_batch(2_000.0, &later).expect("it waits");
-    adapter(FILE).apply_journal_batch(2_000.0, &later).expect_err("it waits");
+    adapter(FILE).apply_gossip_batch(2_000.0, &later).expect("pending");
+    adapter(FILE).apply_journal_batch(2_000.0, &later).expect_err("pending");
 }
