--- a/crates/router/src/audit_log/disk.rs
+++ b/crates/router/src/audit_log/disk.rs
@@ -1,4 +1,4 @@
-//! The audit log on disk: records are appended by a thread of their own, since a sync may take long.
+//! The audit log on disk. A separate thread appends the records, as a sync may block for long.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -12,17 +12,17 @@
 
 use crate::log::log_line;
 
-/// Records that may wait for the disk.
+/// The number of records that may be queued for the disk.
 const MAX_QUEUED_RECORDS: usize = 256;
 
-/// Why there is no audit log on disk.
+/// Why the audit log on disk can't be used.
 #[derive(Debug)]
 pub(super) enum DiskError {
     /// The directory can't be opened or is in use.
     Directory(io::Error),
     /// The log in the directory can't be opened.
     Log(io::Error),
-    /// The thread that writes can't be started.
+    /// The writer thread can't be started.
     Thread(io::Error),
 }
 
@@ -42,22 +42,22 @@
     }
 }
 
-/// The log in its directory, with all of its records.
+/// The log in its directory, with all its records.
 pub(super) struct DiskLog {
     files: LockedDirectory,
     log: RecordLog,
-    /// Encoded; the oldest first.
+    /// The encoded records, the oldest first.
     records: VecDeque<Vec<u8>>,
-    /// Bytes of an incomplete record at the end, which were removed.
+    /// The bytes of an incomplete record that were removed from the end when the log was opened.
     truncated_bytes: u64,
 }
 
 impl DiskLog {
-    /// Opens the log in a directory, which is created where it does not exist.
+    /// Opens the log in a directory, which is created if it does not exist.
     ///
     /// # Errors
     ///
-    /// A directory that can't be locked, and a log that can't be read.
+    /// The directory can't be locked, or the log in it can't be read.
     pub fn open(directory: &Path) -> Result<Self, DiskError> {
         let mut files = LockedDirectory::open(directory).map_err(DiskError::Directory)?;
         let opened = RecordLog::open(&mut files, RecordLogLimits::default()).map_err(DiskError::Log)?;
@@ -65,20 +65,20 @@
         Ok(Self { files, log, records: records.into(), truncated_bytes })
     }
 
-    /// The records of earlier starts, encoded.
+    /// The encoded records, including those of earlier incarnations, the oldest first.
     pub fn records(&self) -> impl Iterator<Item = &Vec<u8>> {
         self.records.iter()
     }
 
-    /// Bytes of an incomplete record at the end, which were removed.
+    /// The bytes of an incomplete record that were removed from the end when the log was opened.
     pub fn truncated_bytes(&self) -> u64 {
         self.truncated_bytes
     }
 
-    /// Stores what is queued until the queue is closed.
+    /// Stores the queued records until the queue is closed.
     fn append_queued(&mut self, queue: &Receiver<Vec<u8>>) -> Result<(), RecordLogError> {
         while let Ok(first) = queue.recv() {
-            // One sync covers all that was queued meanwhile.
+            // One sync covers all records that were queued during the previous one.
             let group: Vec<Vec<u8>> = std::iter::once(first).chain(queue.try_iter()).collect();
             for record in group {
                 self.append(record)?;
@@ -88,7 +88,7 @@
         Ok(())
     }
 
-    /// Appends a record; where the log is full, the older half of its records makes room.
+    /// Appends a record. If the log is full, the older half of its records is removed first.
     fn append(&mut self, record: Vec<u8>) -> Result<(), RecordLogError> {
         let added = self.log.add(&record);
         self.records.push_back(record);
@@ -100,38 +100,38 @@
     }
 }
 
-/// The queue was full, and the record is not stored.
+/// The queue to the disk is full, and the record was dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct QueueFull;
 
-/// The thread that writes, and the queue to it.
+/// The writer thread and its queue.
 pub(super) struct DiskWriter {
     queue: SyncSender<Vec<u8>>,
     thread: JoinHandle<()>,
 }
 
 impl DiskWriter {
-    /// Starts the thread. An error of the disk ends it, with a line in the log.
+    /// Starts the thread. It logs the first disk error and ends.
     ///
     /// # Errors
     ///
-    /// [`DiskError::Thread`].
+    /// [`DiskError::Thread`] if the thread can't be started.
     pub fn start(mut log: DiskLog) -> Result<Self, DiskError> {
         let (queue, queued) = sync_channel(MAX_QUEUED_RECORDS);
         let run = move || {
             if let Err(error) = log.append_queued(&queued) {
-                log_line!(always "audit: the log on disk ends here: {error}");
+                log_line!(always "audit: disk error, later records are not stored on disk: {error}");
             }
         };
         let thread = thread::Builder::new().name("audit".to_string()).spawn(run);
         Ok(Self { queue, thread: thread.map_err(DiskError::Thread)? })
     }
 
-    /// Queues an encoded record. After an error of the disk it is dropped.
+    /// Queues an encoded record. After a disk error the record is dropped without an error.
     ///
     /// # Errors
     ///
-    /// [`QueueFull`].
+    /// [`QueueFull`] if the queue is full; the record is dropped.
     pub fn enqueue(&self, record: Vec<u8>) -> Result<(), QueueFull> {
         match self.queue.try_send(record) {
             Err(TrySendError::Full(_)) => Err(QueueFull),
@@ -139,10 +139,10 @@
         }
     }
 
-    /// Waits until all that is queued is stored.
+    /// Closes the queue and waits until all queued records are stored.
     pub fn finish(self) {
         drop(self.queue);
-        // A panic of the thread was printed when it happened.
+        // If the thread panicked, the panic hook has printed the message already.
         let _ = self.thread.join();
     }
 }
--- a/crates/router/src/audit_log/mod.rs
+++ b/crates/router/src/audit_log/mod.rs
@@ -1,10 +1,10 @@
-//! The audit log of this router: what it does is recorded, replicated to other routers, written to disk where a
-//! directory is set, and returned on request. Replicas of other routers' logs are stored beside it.
+//! The audit log of this router: its actions are recorded, replicated to peers, written to disk if a
+//! directory is configured, and returned on request. Replicas of other routers' logs are stored beside it.
 //!
 //! - [`disk`]: the log on disk, and the thread that writes it.
 //!
-//! Nothing here blocks the event loop: records wait for the disk in a bounded queue, and those that do not fit are
-//! counted.
+//! Nothing here blocks the event loop: records for the disk go through a bounded queue, and records that do
+//! not fit are dropped and counted.
 
 mod disk;
 
@@ -26,12 +26,12 @@
 
 use disk::{DiskError, DiskLog, DiskWriter};
 
-/// Records that are sent to one router at a time.
+/// The number of records that are sent to a peer at a time.
 const MAX_RECORDS_PER_REPLY: usize = 64;
-/// Names of endpoints that are remembered.
+/// The number of endpoint names that are stored.
 const MAX_NODE_NAMES: usize = 65_536;
 
-/// A place in the audit log of a router, as messages name it.
+/// A position in the audit log of a router, as sent in messages.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 struct LogPosition {
     incarnation: u64,
@@ -49,35 +49,35 @@
     }
 }
 
-/// How much is stored.
+/// The sizes of the audit log and of the stored replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AuditLogSizes {
-    /// Records of the own log.
+    /// Records of this router's log.
     pub own_records: u64,
     pub replicas: ReplicaSizes,
-    /// Records of the own log that did not fit into the queue to the disk.
+    /// Records of this router's log that were dropped, as the queue to the disk was full.
     pub dropped_records: u64,
 }
 
-/// The own audit log with its replication, and the replicas of other routers' logs.
+/// This router's audit log with its replication, and the replicas of other routers' logs.
 pub struct AuditLogWriter {
     log: AuditLog,
     config: AuditLogConfig,
     replicas: LogReplicas,
-    /// Names of endpoints by their keys.
+    /// The names of endpoints, by their keys.
     node_names: HashMap<u64, String>,
     linked_peers: BTreeSet<String>,
-    /// The routers that replicate this log, with the last record that was sent to each.
+    /// The peers that store replicas of this log, with the number of the last record that was sent to each.
     replica_holders: BTreeMap<String, u64>,
     disk: Option<DiskWriter>,
-    /// The last record that was handed to the disk.
+    /// The number of the last record that was queued for the disk.
     last_queued: u64,
     dropped_records: u64,
 }
 
 impl AuditLogWriter {
-    /// The log of a router that has started with these versions. Where the directory can't be used, the log is stored in
-    /// memory only, with a line in the log.
+    /// Creates the log of a router that has started with these versions. If the directory can't be used, the
+    /// error is logged and the audit log is stored in memory only.
     pub fn new(
         now: Ms,
         at: Timestamp,
@@ -109,14 +109,14 @@
         }
     }
 
-    /// Applies a configuration that was read again.
+    /// Applies a reloaded configuration.
     pub fn set_config(&mut self, config: AuditLogConfig) {
         self.config = config;
         self.log.set_config(config);
         self.replicas.set_max_bytes(config.max_replica_bytes);
     }
 
-    /// Notes the name of an endpoint, for the records that mention its key.
+    /// Stores the name of an endpoint, for the records that refer to its key.
     pub fn add_node_name(&mut self, key: u64, name: &str) {
         if self.node_names.len() < MAX_NODE_NAMES {
             self.node_names.entry(key).or_insert_with(|| name.to_string());
@@ -128,12 +128,12 @@
         self.log.record_action(at, action);
     }
 
-    /// Records an attempt of a write.
+    /// Records the start of an attempt of a write.
     pub fn record_write_attempt(&mut self, attempt: WriteAttempt) {
         self.log.record_write_attempt(attempt);
     }
 
-    /// Records how an attempt of a write ended.
+    /// Records the outcome of an attempt of a write.
     pub fn record_write_outcome(&mut self, outcome: WriteOutcome) {
         self.log.record_write_outcome(outcome);
     }
@@ -143,13 +143,13 @@
         self.log.next_deadline()
     }
 
-    /// Whether a span is to be closed, or other routers are to store replicas.
+    /// Whether a span is due to be closed, or the links with peers, and so the replica holders, have changed.
     pub fn is_due(&self, now: Ms, versions: &ActiveVersions, linked_peers: &BTreeSet<String>) -> bool {
         self.log.is_due(now, versions) || self.linked_peers != *linked_peers
     }
 
-    /// Closes the spans that are due. The new records are queued for the disk, and returned as messages to the routers
-    /// that store replicas.
+    /// Closes the spans that are due. The new records are queued for the disk, and returned as messages to
+    /// the replica holders.
     pub fn tick(
         &mut self,
         now: Ms,
@@ -163,7 +163,8 @@
         self.store_new_records(linked_peers)
     }
 
-    /// Closes the log: nothing may be recorded afterwards. Returns once all is on disk.
+    /// Closes the log; nothing may be recorded afterwards. Blocks until all records are on disk. Returns the
+    /// last messages to the replica holders.
     pub fn finish(&mut self, now: Ms, at: Timestamp, linked_peers: &BTreeSet<String>) -> Vec<PeerMessage> {
         self.log.finish(now, at, |key| self.node_names.get(&key).cloned());
         let messages = self.store_new_records(linked_peers);
@@ -193,7 +194,7 @@
         self.last_queued = head;
     }
 
-    /// Messages with the records that the holders of replicas lack.
+    /// Messages with the records that the replica holders do not have yet.
     fn replicate(&mut self) -> Vec<PeerMessage> {
         let head = self.log.head().number;
         let holders = self.choose_replica_holders();
@@ -204,7 +205,8 @@
             if last_sent.is_some_and(|last_sent| last_sent >= head) {
                 continue;
             }
-            // A new holder is sent the newest record only: it requests those that it lacks.
+            // A new holder is sent only the newest record, and requests the earlier ones that it does not
+            // have.
             let first = last_sent.map_or(head, |last_sent| last_sent + 1);
             messages.extend(self.record_messages(&holder, first));
             self.replica_holders.insert(holder, head);
@@ -212,7 +214,8 @@
         messages
     }
 
-    /// The routers that store replicas: the same ones for as long as there are links with them.
+    /// The peers that store replicas, by a hash of both names: a holder stays the same while its link is up
+    /// and no better ranked peer connects.
     fn choose_replica_holders(&self) -> Vec<String> {
         let own_name = self.log.name();
         let mut holders: Vec<String> = self.linked_peers.iter().cloned().collect();
@@ -221,7 +224,7 @@
         holders
     }
 
-    /// Messages with the records of the own log from a number on, as many as may be sent at a time.
+    /// Messages with the records of this log from the number `first` on, [`MAX_RECORDS_PER_REPLY`] at most.
     fn record_messages<'a>(&'a self, to: &'a str, first: u64) -> impl Iterator<Item = PeerMessage> + 'a {
         let records = self.log.records_from(first).take(MAX_RECORDS_PER_REPLY);
         records.map(move |record| PeerMessage {
@@ -231,7 +234,7 @@
         })
     }
 
-    /// Handles a message of another router about its log or this one; the messages that answer it are returned.
+    /// Handles a message of a peer about its log or this one. Returns the replies.
     pub fn on_message(&mut self, from: &str, kind: PeerMessageKind, body: &[u8]) -> Vec<PeerMessage> {
         match kind {
             PeerMessageKind::AuditRecord => self.on_record(from, body).into_iter().collect(),
@@ -246,9 +249,9 @@
         }
     }
 
-    /// Stores a record of another router's log; the request for earlier records is returned where some are missing.
+    /// Stores a record of a peer's log. Returns a request for the earlier records if some are missing.
     fn on_record(&mut self, from: &str, body: &[u8]) -> Option<PeerMessage> {
-        // Only the owner of a log sends its records.
+        // A record is accepted only from the owner of its log.
         let record = ChainLink::decode(body).ok().filter(|record| record.name == from)?;
         let (incarnation, number) = (record.incarnation, record.number);
         match self.replicas.insert(record) {
@@ -257,7 +260,7 @@
                 Some(first_missing.message(from, PeerMessageKind::AuditRecordsRequest))
             }
             ReplicaOutcome::Forked => {
-                log_line!(peer = %from, incarnation, number, "audit: a log contradicts what its owner sent before");
+                log_line!(peer = %from, incarnation, number, "audit: a record contradicts an earlier one of the same log");
                 None
             }
             ReplicaOutcome::New | ReplicaOutcome::Known => None,
@@ -279,13 +282,14 @@
         messages
     }
 
-    /// Closes the current span, and returns all records that are stored here: the own log, also of earlier starts, and the replicas.
+    /// Closes the current span and returns all stored records: those of this router's log, including earlier
+    /// incarnations, and the replicas.
     pub fn all_records(&mut self, now: Ms, at: Timestamp) -> Vec<ChainLink> {
         self.log.close_span(now, at, |key| self.node_names.get(&key).cloned());
         self.log.records_from(1).chain(self.replicas.iter()).cloned().collect()
     }
 
-    /// How much is stored now.
+    /// The current sizes.
     pub fn sizes(&self) -> AuditLogSizes {
         AuditLogSizes {
             own_records: self.log.head().number,
@@ -295,7 +299,8 @@
     }
 }
 
-/// Opens the log on disk; its records of earlier starts are stored with the replicas.
+/// Opens the log on disk and starts its writer. The records of earlier incarnations are stored with the
+/// replicas.
 fn start_disk_writer(directory: &Path, replicas: &mut LogReplicas) -> Result<DiskWriter, DiskError> {
     let log = DiskLog::open(directory)?;
     let mut count = 0;
@@ -307,7 +312,7 @@
         count += 1;
     }
     log_line!(
-        always "audit: {}: {count} records were read, {} bytes at the end were incomplete",
+        always "audit: {}: {count} records read, {} bytes of an incomplete record removed",
         directory.display(), log.truncated_bytes()
     );
     DiskWriter::start(log)
--- a/crates/router/tests/unit/audit_disk.rs
+++ b/crates/router/tests/unit/audit_disk.rs
@@ -1,10 +1,10 @@
-//! Unit tests of `src/audit_log/disk.rs`, a part of its module.
+//! Unit tests of `src/audit_log/disk.rs`, as a submodule of it.
 
 use std::path::PathBuf;
 
 use super::*;
 
-/// A directory of its own for a test; removed at the end.
+/// A separate directory for a test, removed on drop.
 struct TestDirectory(PathBuf);
 
 impl TestDirectory {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn what_was_queued_before_the_end_is_read_at_the_next_start() {
+fn records_queued_before_finish_are_read_at_the_next_start() {
     let directory = TestDirectory::new("audit-queued");
     let log = DiskLog::open(&directory.0).expect("opened");
     assert_eq!(log.records().count(), 0);
@@ -38,11 +38,11 @@
 }
 
 #[test]
-fn an_error_has_the_text_of_its_cause() {
+fn the_error_of_a_locked_directory_has_the_text_of_its_cause() {
     let directory = TestDirectory::new("audit-locked");
     let _log = DiskLog::open(&directory.0).expect("opened");
-    let cause = LockedDirectory::open(&directory.0).map(|_| ()).expect_err("it is locked");
-    let error = DiskLog::open(&directory.0).map(|_| ()).expect_err("it is locked");
+    let cause = LockedDirectory::open(&directory.0).map(|_| ()).expect_err("locked");
+    let error = DiskLog::open(&directory.0).map(|_| ()).expect_err("locked");
     assert!(matches!(error, DiskError::Directory(_)), "{error:?}");
     assert_eq!(error.to_string(), cause.to_string());
 }
--- a/crates/router/tests/unit/audit_log.rs
+++ b/crates/router/tests/unit/audit_log.rs
@@ -1,4 +1,5 @@
-//! Unit tests of `src/audit_log/mod.rs`, a part of its module: what two routers send each other about their audit logs.
+//! Unit tests of `src/audit_log/mod.rs`, as a submodule of it: the messages between an owner and a replica
+//! holder.
 
 use linnethook_membership::versions::HierarchyVersion;
 
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn what_routers_send_each_other_about_audit_logs_is_the_same_bytes() {
+fn the_messages_between_owner_and_replica_holder_have_a_stable_format() {
     let (mut owner, mut holder) = (writer("r0"), writer("r1"));
     let linked = BTreeSet::from(["r1".to_string()]);
     owner.add_node_name(7, "cache-7");
@@ -58,8 +59,8 @@
     });
     let last = owner.finish(NOW + 6.0, timestamp(6), &linked);
     out += &lines(&last);
-    // A router with the last record only requests those before it.
-    let last = last.last().expect("records").clone();
+    // A holder that has only the last record requests the earlier ones.
+    let last = last.last().expect("at least one record").clone();
     assert_eq!(last.kind, PeerMessageKind::AuditRecord);
     let requests = holder.on_message("r0", PeerMessageKind::AuditRecord, &last.body);
     out += &lines(&requests);
