--- a/crates/router/src/audit_log/mod.rs
+++ b/crates/router/src/audit_log/mod.rs
@@ -260,7 +260,7 @@
                 Some(first_missing.message(from, PeerMessageKind::AuditRecordsRequest))
             }
             ReplicaOutcome::Forked => {
-                log_line!(peer = %from, incarnation, number, "audit: a record contradicts an earlier one of the same log");
+                log_line!(peer = %from, incarnation, number, "audit: record contradicts an earlier one");
                 None
             }
             ReplicaOutcome::New | ReplicaOutcome::Known => None,
--- a/crates/router/src/cluster/audit.rs
+++ b/crates/router/src/cluster/audit.rs
@@ -1,4 +1,4 @@
-//! What this router does, as its audit log records it.
+//! Recording of this router's actions in its audit log.
 
 use linnethook_audit::record::{AuditedAction, WriteAttempt, WriteOutcome};
 
@@ -8,14 +8,15 @@
 use super::ClusterAdapter;
 
 impl ClusterAdapter {
-    /// Records an action where there is an audit log.
+    /// Records an action if the audit log is enabled.
     pub(super) fn record_action(&mut self, now: Ms, action: AuditedAction) {
         if let Some(audit_log) = &mut self.audit_log {
             audit_log.record_action(self.membership.clock.next_timestamp(now), action);
         }
     }
 
-    /// An attempt was sent, with the request's id.
+    /// Records that an attempt was sent, and its fill if it has one. `request_id` is recorded for writes
+    /// only.
     pub fn record_attempt(&mut self, now: Ms, order: &AttemptOrder, request_id: &str, is_write: bool) {
         let Some(audit_log) = &mut self.audit_log else { return };
         let at = self.membership.clock.next_timestamp(now);
@@ -35,7 +36,7 @@
         }
     }
 
-    /// How an attempt of a write ended.
+    /// Records the outcome of an attempt of a write.
     pub fn record_write_outcome(&mut self, now: Ms, request_id: &str, attempt: u8, end: AttemptEnd) {
         let Some(audit_log) = &mut self.audit_log else { return };
         audit_log.record_write_outcome(WriteOutcome {
@@ -46,7 +47,7 @@
         });
     }
 
-    /// The final answer of a request.
+    /// Records the final answer of a request that was rejected or has failed.
     pub fn record_answer(&mut self, now: Ms, answer: FinalAnswer) {
         match answer {
             FinalAnswer::Rejected { .. } => self.record_action(now, AuditedAction::Refused),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Closes the spans that are due, and sends them to the routers that store replicas.
+    /// Closes the spans that are due, and sends them to the replica holders.
     pub(super) fn run_audit_log(&mut self, now: Ms) {
         let Some(audit_log) = &mut self.audit_log else { return };
         if !audit_log.is_due(now, &self.versions, &self.linked_peers) {
@@ -66,7 +67,8 @@
         self.send_all(messages);
     }
 
-    /// Writes the last record of the audit log, and has the status sent once more: the router left at the start of its drain.
+    /// Writes the last record of the audit log, and publishes the router's status once more; the departure
+    /// itself was announced at the start of the drain.
     pub fn end_audit_log(&mut self, now: Ms) {
         if let Some(audit_log) = &mut self.audit_log {
             let at = self.membership.clock.next_timestamp(now);
--- a/crates/router/src/cluster/batches.rs
+++ b/crates/router/src/cluster/batches.rs
@@ -1,4 +1,4 @@
-//! Batches of changes of the hierarchy, published and received.
+//! Publishing and receiving batches of hierarchy changes.
 
 use linnethook_audit::record::AuditedAction;
 use linnethook_hierarchy::change_spec::BatchSpec;
@@ -10,7 +10,7 @@
 use super::{ClusterAdapter, ClusterEffect};
 
 impl ClusterAdapter {
-    /// Publishes the batches that this router was the first to have.
+    /// Publishes the batches that this router received first.
     pub(super) fn publish_batches(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter) {
         for batch in hierarchy.drain_outgoing_batches() {
             let body = postcard::to_stdvec(&batch).unwrap_or_default();
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Records the stages of rollouts that were entered.
+    /// Records the rollout stages that were entered.
     pub(super) fn record_rollout_stages(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter) {
         for EnteredStage { target, stage } in hierarchy.drain_stage_transitions() {
             self.record_action(now, AuditedAction::RolloutStage { target, stage });
@@ -46,12 +46,12 @@
         let (author, number) = (batch.author, batch.number);
         let version_before = hierarchy.active_version();
         if let Err(reason) = hierarchy.apply_gossip_batch(now, &batch) {
-            log_line!(author, number, %reason, "fellows: a batch could not be applied");
+            log_line!(author, number, %reason, "fellows: a gossiped batch was not applied");
         }
         if hierarchy.active_version() != version_before {
             self.applied_from_gossip.batches += 1;
             self.record_action(now, AuditedAction::Batch { author, number, from_gossip: true });
-            log_line!(author, number, "fellows: a batch was received from another router first");
+            log_line!(author, number, "fellows: a gossiped batch was applied");
         }
         Some(ClusterEffect::HierarchyChanged)
     }
--- a/crates/router/src/cluster/commands.rs
+++ b/crates/router/src/cluster/commands.rs
@@ -1,4 +1,4 @@
-//! Requests of the control socket that concern the cluster.
+//! Control socket requests about the cluster.
 
 use std::fmt;
 
@@ -14,58 +14,61 @@
 use super::straggler::StragglerCheck;
 use super::{ClusterAdapter, GossipCounters, CHECK_INTERVAL};
 
-/// Why a request of the control socket is refused.
+/// Why a control socket request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Refusal {
+enum Rejection {
     NoCluster,
     NoStragglerCheck,
     NoAuditLog,
-    /// No query of that id was started here, or it is no longer remembered.
+    /// No query of that id was started at this router, or it has been discarded.
     UnknownQuery,
-    /// Queries go to locations, which no router of this cluster has.
+    /// Queries address locations, and this router has none.
     NoLocations,
     TooManyQueries,
-    /// Another part of the router handles the request.
-    NotOfTheCluster,
+    /// The request does not concern the cluster.
+    Unsupported,
 }
 
-impl Refusal {
-    /// Whether the membership was asked, which may have something to send all the same.
-    fn is_by_membership(self) -> bool {
+impl Rejection {
+    /// Whether the membership handled the request, and may have queued messages although it rejected it.
+    fn is_from_membership(self) -> bool {
         matches!(self, Self::NoLocations | Self::TooManyQueries)
     }
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Rejection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NoCluster => "there are no fellows: the operator file has no fellows()",
-            Self::NoStragglerCheck => "nobody is shut out: the operator file has no straggler()",
-            Self::NoAuditLog => "there is no account: the operator file has no audit()",
-            Self::UnknownQuery => "that was not asked here",
-            Self::NoLocations => "no router has a place here: fleet show names all there are",
-            Self::TooManyQueries => "too much was asked within half a minute",
-            Self::NotOfTheCluster => "a question of another part",
+            Self::NoCluster => "the cluster is not enabled: the operator file has no fellows()",
+            Self::NoStragglerCheck => "stragglers are not excluded: the operator file has no straggler()",
+            Self::NoAuditLog => "the audit log is not enabled: the operator file has no audit()",
+            Self::UnknownQuery => "unknown query: it was not started at this router, or was discarded",
+            Self::NoLocations => {
+                "this router has no location, so no site can be queried: fleet show lists all routers"
+            }
+            Self::TooManyQueries => "too many queries within half a minute",
+            Self::Unsupported => "not a request about the cluster",
         })
     }
 }
 
-impl std::error::Error for Refusal {}
+impl std::error::Error for Rejection {}
 
-/// The response to a request, and whether the cluster's timer is to run at once.
+/// The response to a request.
 pub struct ClusterReply {
     pub response: ControlResponse,
+    /// Whether the cluster's timer has to run at once, as messages may be queued.
     pub run_timer: bool,
 }
 
-/// Handles a request; `cluster` is `None` where the operator file has no `fellows()`.
+/// Handles a request; `cluster` is `None` if the operator file has no `fellows()`.
 pub fn reply(cluster: Option<&mut ClusterAdapter>, now: Ms, request: ControlRequest) -> ClusterReply {
     let may_send = matches!(request, ControlRequest::StartQuery(_) | ControlRequest::SetFloor(_));
     match handle(cluster, now, request) {
         Ok(response) => ClusterReply { response, run_timer: may_send },
-        Err(refusal) => ClusterReply {
-            response: ControlResponse::Refused(refusal.to_string()),
-            run_timer: refusal.is_by_membership(),
+        Err(rejection) => ClusterReply {
+            response: ControlResponse::Refused(rejection.to_string()),
+            run_timer: rejection.is_from_membership(),
         },
     }
 }
@@ -74,26 +77,26 @@
     cluster: Option<&mut ClusterAdapter>,
     now: Ms,
     request: ControlRequest,
-) -> Result<ControlResponse, Refusal> {
+) -> Result<ControlResponse, Rejection> {
     match request {
         ControlRequest::ShowFleet => {
-            let view = cluster.ok_or(Refusal::NoCluster)?.view(now);
+            let view = cluster.ok_or(Rejection::NoCluster)?.view(now);
             Ok(ControlResponse::Fleet(Box::new(view)))
         }
-        ControlRequest::StartQuery(target) => cluster.ok_or(Refusal::NoCluster)?.start_query(now, target),
+        ControlRequest::StartQuery(target) => cluster.ok_or(Rejection::NoCluster)?.start_query(now, target),
         ControlRequest::FetchQueryResult(id) => {
             let response = cluster.and_then(|cluster| cluster.query_result(id));
-            response.ok_or(Refusal::UnknownQuery)
+            response.ok_or(Rejection::UnknownQuery)
         }
         ControlRequest::SetFloor(version) => {
             let response = cluster.and_then(|cluster| cluster.set_floor(now, version));
-            response.ok_or(Refusal::NoStragglerCheck)
+            response.ok_or(Rejection::NoStragglerCheck)
         }
         ControlRequest::ListAuditRecords => {
             let response = cluster.and_then(|cluster| cluster.audit_records(now));
-            response.ok_or(Refusal::NoAuditLog)
+            response.ok_or(Rejection::NoAuditLog)
         }
-        _ => Err(Refusal::NotOfTheCluster),
+        _ => Err(Rejection::Unsupported),
     }
 }
 
@@ -137,12 +140,12 @@
         })
     }
 
-    /// Asks another site for its routers.
-    fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<ControlResponse, Refusal> {
+    /// Starts a query for the routers of a site.
+    fn start_query(&mut self, now: Ms, target: QueryTarget) -> Result<ControlResponse, Rejection> {
         let Some(id) = self.membership.start_query(now, target) else {
             return Err(match self.membership.location() {
-                None => Refusal::NoLocations,
-                Some(_) => Refusal::TooManyQueries,
+                None => Rejection::NoLocations,
+                Some(_) => Rejection::TooManyQueries,
             });
         };
         self.queries.add(id);
@@ -154,20 +157,20 @@
         Some(ControlResponse::QueryResult(query.answer.clone()))
     }
 
-    /// Sets the version of the hierarchy below which routers are excluded; 0 clears it. `None` where stragglers are not
-    /// excluded.
+    /// Sets the floor, the version of the hierarchy below which routers are excluded; 0 clears it. `None` if
+    /// stragglers are not excluded.
     fn set_floor(&mut self, now: Ms, version: u64) -> Option<ControlResponse> {
         self.straggler.as_ref()?;
         self.membership.set_floor(now, version);
         self.last_check = now - CHECK_INTERVAL;
-        log_line!(version, "straggler: the floor was set to {version} by people");
+        log_line!(version, "straggler: an operator has set the floor to version {version}");
         Some(ControlResponse::Done(match version {
-            0 => "the floor is taken back".to_string(),
-            _ => format!("nobody is to act on a version below {version}"),
+            0 => "the floor is cleared".to_string(),
+            _ => format!("the floor is set to version {version}"),
         }))
     }
 
-    /// All audit records that are stored here; `None` where there is no audit log.
+    /// All stored audit records; `None` if the audit log is not enabled.
     fn audit_records(&mut self, now: Ms) -> Option<ControlResponse> {
         let at = self.membership.clock.next_timestamp(now);
         self.audit_log.as_mut().map(|audit_log| ControlResponse::AuditRecords(audit_log.all_records(now, at)))
--- a/crates/router/src/cluster/effects.rs
+++ b/crates/router/src/cluster/effects.rs
@@ -1,4 +1,4 @@
-//! What the membership asks for: it is done here, but for what the router has to do.
+//! Executes the actions of the membership, and returns the effects that the router has to apply.
 
 use linnethook_gateway::gateway::{Gateway, PeerEntry};
 use linnethook_membership::actions::{ClusterAction, EncodedEntry};
@@ -13,18 +13,19 @@
 use super::membership_log::log_event;
 use super::ClusterAdapter;
 
-/// What is left to the router.
+/// An effect that the router has to apply.
 #[derive(Debug)]
 pub enum ClusterEffect {
-    /// A line of the endpoint list with what other routers report of it.
+    /// The entry of an endpoint, including the state that other routers report.
     EndpointChanged(EndpointEntry),
     Purge(PurgeEvent),
-    /// The sources of fills may have changed.
+    /// The fill sources may have changed.
     HierarchyChanged,
 }
 
 impl ClusterAdapter {
-    /// The next thing that the router is to do; `None` once the membership asks for nothing more.
+    /// Executes the actions of the membership up to the next one that has an effect for the router; `None` if
+    /// there is none.
     pub fn next_effect(
         &mut self,
         clock: &Clock,
@@ -95,7 +96,7 @@
     }
 }
 
-/// Entries of the membership as the gateway carries them.
+/// Converts entries of the membership to entries of the gateway.
 fn peer_entries(entries: Vec<EncodedEntry>) -> Vec<PeerEntry> {
     entries.into_iter().map(|EncodedEntry { key, value }| PeerEntry { key, value }).collect()
 }
--- a/crates/router/src/cluster/endpoint_overrides.rs
+++ b/crates/router/src/cluster/endpoint_overrides.rs
@@ -1,4 +1,5 @@
-//! The own endpoint list, and the caches in it that only other routers report as drained.
+//! The endpoint list of this router's journal, and the endpoints in it that only other routers report as
+//! drained.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +7,23 @@
 
 use crate::discovery::event::EndpointEntry;
 
-/// The own endpoint list, with what other routers' journals say of it.
+/// The endpoint list of this router's journal, overridden by later drains from other routers' journals.
 #[derive(Debug, Default)]
 pub(super) struct EndpointOverrides {
+    /// The entries of the endpoint list, by name.
     listed: BTreeMap<String, EndpointEntry>,
-    /// Endpoints that only other routers report as drained, with the position of the drain in the journal.
+    /// Endpoints that only other routers report as drained, with the journal position of the drain.
     drained: BTreeMap<String, u64>,
 }
 
 impl EndpointOverrides {
-    /// Removes what a complete list does not have.
+    /// Removes the entries that are not in a complete endpoint list.
     pub fn retain_listed(&mut self, complete_list: &[EndpointEntry]) {
         self.listed.retain(|name, _| complete_list.iter().any(|entry| entry.uid == *name));
     }
 
-    /// Stores a line of the own list. Whether the endpoint was ready before; a new one counts as ready.
+    /// Stores an entry of the endpoint list. Returns whether the endpoint was ready before; a new one counts
+    /// as ready.
     pub fn replace(&mut self, entry: &EndpointEntry) -> bool {
         let before = match entry.is_removed() {
             true => self.listed.remove(&entry.uid),
@@ -29,7 +32,8 @@
         before.is_none_or(|before| before.is_ready())
     }
 
-    /// Overrides a line of the own list at that position where another router's journal has a later drain of it.
+    /// Marks an entry at `journal_position` as draining if another router's journal has a later drain of the
+    /// endpoint.
     pub fn apply_to(&mut self, entry: &mut EndpointEntry, journal_position: u64) {
         let Some(drained_at) = self.drained.get(&entry.uid) else { return };
         if *drained_at <= journal_position {
@@ -39,16 +43,16 @@
         }
     }
 
-    /// Removes the overrides up to a position, which the own journal has reached. The lines that are no longer overridden
-    /// are returned.
+    /// Removes the overrides up to the position that this router's journal has reached. Returns the entries
+    /// that are no longer overridden.
     pub fn remove_up_to(&mut self, journal_position: u64) -> Vec<EndpointEntry> {
         let removed = self.drained.extract_if(.., |_, drained_at| *drained_at <= journal_position);
         let names: Vec<String> = removed.map(|(name, _)| name).collect();
         names.iter().filter_map(|name| self.listed.get(name).cloned()).collect()
     }
 
-    /// Applies what another router's journal says of a cache at a later position than the own one has reached. The line
-    /// that counts from now on is returned where that changes it.
+    /// Applies the state of a cache from another router's journal, at a later position than this router's
+    /// journal has reached. Returns the effective entry if it changes.
     pub fn apply_status(
         &mut self,
         name: &str,
@@ -57,7 +61,7 @@
     ) -> Option<EndpointEntry> {
         let listed = self.listed.get(name)?;
         if status.ready {
-            // One that was restarted is cold, which only the own journal can tell.
+            // A restarted cache is cold; its new start is accepted only from this router's journal.
             let same_process = status.started_at == listed.started_at();
             return (same_process && self.drained.remove(name).is_some()).then(|| listed.clone());
         }
@@ -70,7 +74,7 @@
         Some(drained)
     }
 
-    /// The endpoints that only other routers report as drained, with the positions of the drains in the journal.
+    /// The endpoints that only other routers report as drained, with the journal positions of the drains.
     pub fn drained(&self) -> impl Iterator<Item = (&String, u64)> {
         self.drained.iter().map(|(name, drained_at)| (name, *drained_at))
     }
--- a/crates/router/src/cluster/journal.rs
+++ b/crates/router/src/cluster/journal.rs
@@ -1,5 +1,5 @@
-//! Drains and purges: those of the own journal are published, those of other routers' journals are applied here until
-//! the own journal has them.
+//! Drains and purges: those in this router's journal are published, and those in other routers' journals are
+//! applied until this router's journal has reached their positions.
 
 use linnethook_audit::record::AuditedAction;
 use linnethook_membership::gossip::entry::{CacheStatus, EntryKey, Purge};
@@ -11,8 +11,8 @@
 use super::{ClusterAdapter, ClusterEffect};
 
 impl ClusterAdapter {
-    /// Publishes changes of the endpoint list of the own journal. Lines of which other routers know a later drain are
-    /// overridden in `update`.
+    /// Publishes changes of the endpoint list from this router's journal. Entries of which other routers
+    /// report a later drain are overridden in `update`.
     pub fn on_endpoint_update(&mut self, now: Ms, update: &mut EndpointUpdate, journal_position: u64) {
         if update.is_complete {
             self.endpoints.retain_listed(&update.entries);
@@ -43,13 +43,13 @@
             let action = AuditedAction::CacheRestored { cache, journal_position, from_gossip: false };
             self.record_action(now, action);
         }
-        // Caches that are ready all the time are not published.
+        // A cache that was ready before and still is needs no publication.
         if !status.ready || is_restored {
             self.membership.publish_cache(now, &entry.uid, status, journal_position);
         }
     }
 
-    /// Publishes a purge of the own journal to routers whose journal is silent.
+    /// Publishes a purge from this router's journal, for routers whose journal is silent.
     pub fn on_watch_event(&mut self, now: Ms, event: &WatchEvent) {
         let Some(purge) = &event.purge else { return };
         self.versions.purges_applied += 1;
@@ -61,14 +61,14 @@
         self.membership.publish_purge(now, &to_purge_key(purge), published);
     }
 
-    /// The own journal has reached a position: up to there it alone counts. Lines of the endpoint list that were overridden
-    /// by what lies before are returned.
+    /// Records the position that this router's journal has reached; up to there it overrides other routers'
+    /// journals. Returns the entries of the endpoint list that are no longer overridden.
     pub(super) fn on_journal_position(&mut self, journal_position: u64) -> Vec<EndpointEntry> {
         self.versions.journal_position = journal_position;
         self.endpoints.remove_up_to(journal_position)
     }
 
-    /// Applies the state of a cache by another router's journal.
+    /// Applies the state of a cache from another router's journal.
     pub(super) fn on_cache_changed(
         &mut self,
         now: Ms,
@@ -84,17 +84,17 @@
         if status.ready {
             let action = AuditedAction::CacheRestored { cache, journal_position, from_gossip: true };
             self.record_action(now, action);
-            log_line!(upstream = %name, journal_position, "fellows: a cache is back, by another router's journal");
+            log_line!(upstream = %name, journal_position, "fellows: cache restored by a peer's journal");
         } else {
             self.applied_from_gossip.drains += 1;
             self.versions.drains_applied += 1;
             self.record_action(now, AuditedAction::Drain { cache, journal_position, from_gossip: true });
-            log_line!(upstream = %name, journal_position, "fellows: a cache is drained, by another router's journal");
+            log_line!(upstream = %name, journal_position, "fellows: cache drained by a peer's journal");
         }
         Some(ClusterEffect::EndpointChanged(entry))
     }
 
-    /// Applies a purge of another router's journal.
+    /// Applies a purge from another router's journal.
     pub(super) fn on_purged(&mut self, now: Ms, key: EntryKey, purge: &Purge) -> Option<ClusterEffect> {
         let journal_position = purge.journal_position;
         if journal_position <= self.versions.journal_position {
@@ -108,7 +108,7 @@
             EntryKey::Group(group) => (None, group),
             _ => return None,
         };
-        log_line!(journal_position, "fellows: a purge, by another router's journal");
+        log_line!(journal_position, "fellows: purge applied from a peer's journal");
         Some(ClusterEffect::Purge(PurgeEvent { object, group, issued_at: purge.issued_at }))
     }
 }
--- a/crates/router/src/cluster/membership_log.rs
+++ b/crates/router/src/cluster/membership_log.rs
@@ -1,11 +1,11 @@
-//! Log lines about the membership.
+//! Log lines about membership events.
 
 use linnethook_membership::actions::ClusterEvent;
 use linnethook_membership::membership::MemberChange;
 
 use crate::log::log_line;
 
-/// Writes a change of the membership to the log.
+/// Logs a membership event.
 pub(super) fn log_event(event: &ClusterEvent) {
     match event {
         ClusterEvent::Member { name, incarnation, change } => {
@@ -15,30 +15,30 @@
         ClusterEvent::NameConflict { incarnation } => {
             log_line!(
                 incarnation = *incarnation,
-                "fellows: ANOTHER PROCESS HAS THIS ROUTER'S NAME; it started later, and is refused"
+                "fellows: ANOTHER PROCESS USES THIS ROUTER'S NAME; it started later, and is rejected"
             );
         }
         ClusterEvent::Refused { holder } => {
             log_line!(
                 holder = *holder,
-                "fellows: THIS ROUTER'S NAME IS TAKEN by an earlier start; it takes no part"
+                "fellows: THIS ROUTER'S NAME IS IN USE by an earlier process; this one does not join the cluster"
             );
         }
         ClusterEvent::Yielded { holder } => {
             log_line!(
                 holder = *holder,
-                "fellows: this process was frozen, and a later start holds its name; it takes no part"
+                "fellows: this process was frozen, and a later one has its name; this one leaves the cluster"
             );
         }
-        ClusterEvent::Frozen(ms) => log_line!(ms = *ms, "fellows: this process did nothing for {ms} ms"),
+        ClusterEvent::Frozen(ms) => log_line!(ms = *ms, "fellows: this process was frozen for {ms} ms"),
     }
 }
 
 fn describe(change: &MemberChange) -> String {
     match change {
-        MemberChange::Joined => "is there".to_string(),
-        MemberChange::Restarted(before) => format!("has started again, after start {before}"),
+        MemberChange::Joined => "has joined".to_string(),
+        MemberChange::Restarted(before) => format!("has restarted; its previous incarnation was {before}"),
         MemberChange::StateChanged(state) => format!("is {}", state.name()),
-        MemberChange::Forgotten => "is forgotten".to_string(),
+        MemberChange::Forgotten => "has been removed from the membership".to_string(),
     }
 }
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -1,16 +1,19 @@
-//! This router as a member of the cluster of routers: what it publishes to the others, and what it applies of theirs.
+//! This router as a member of the cluster of routers: what it publishes to its peers, and what it applies
+//! from them.
 //!
-//! - [`effects`]: what the membership asks for, and what is left of that for the router;
-//! - [`journal`]: drains and purges of the own journal, and those of the other routers' journals;
-//! - [`endpoint_overrides`]: caches that only other routers report as drained;
-//! - [`batches`], [`snapshot`]: changes of the hierarchy, and all of it where this router is too far behind;
-//! - [`audit`]: what is recorded in the audit log;
-//! - [`straggler`]: whether this router is behind the others, and what it then rejects;
-//! - [`commands`], [`queries`]: requests of the control socket, among them queries to other sites;
-//! - [`membership_log`]: log lines about the membership.
+//! - [`effects`]: the actions of the membership, and their effects for the router;
+//! - [`journal`]: drains and purges of this router's journal, and those of other routers' journals;
+//! - [`endpoint_overrides`]: endpoints that only other routers report as drained;
+//! - [`batches`], [`snapshot`]: changes of the hierarchy, and snapshots of it if this router is too far
+//!   behind;
+//! - [`audit`]: recording in the audit log;
+//! - [`straggler`]: whether this router is a straggler, and the requests that it then rejects;
+//! - [`commands`], [`queries`]: control socket requests, including queries to other sites;
+//! - [`membership_log`]: log lines about membership events.
 //!
-//! Drains, purges and batches that other routers know first are applied here too, by their positions in the journal. What
-//! the own journal says is newer or as new wins, and gossip makes no endpoint usable that the own list has draining.
+//! Drains, purges and batches that other routers received first are applied here too. Drains and purges are
+//! compared by their journal positions: this router's journal takes precedence up to the position that it has
+//! reached. And gossip never makes an endpoint usable that this router's endpoint list has as draining.
 
 mod audit;
 mod batches;
@@ -45,10 +48,10 @@
 pub use commands::reply;
 pub use effects::ClusterEffect;
 
-/// Milliseconds between two checks of the own versions and of stragglers.
+/// The interval of the checks of this router's versions and of stragglers, in milliseconds.
 const CHECK_INTERVAL: Ms = 200.0;
 
-/// What was applied here because other routers reported it first.
+/// The numbers of changes that were applied from gossip, as other routers received them first.
 #[derive(Debug, Clone, Copy, Default)]
 struct GossipCounters {
     drains: u64,
@@ -68,19 +71,20 @@
     applied_from_gossip: GossipCounters,
     audit_log: Option<AuditLogWriter>,
     straggler: Option<StragglerCheck>,
-    /// Routers with a link.
+    /// Peers with a link to this router.
     linked_peers: BTreeSet<String>,
     snapshot_transfer: SnapshotTransfer,
     queries: SiteQueries,
 }
 
-/// The routers whose majority settles a version of the hierarchy.
+/// The routers whose majority determines the version floor of the hierarchy.
 fn straggler_voters(section: &ClusterSection) -> &[String] {
     section.straggler.as_ref().map_or(&[], |straggler| &straggler.voters)
 }
 
 impl ClusterAdapter {
-    /// A router that has just started; the digests are those of its settings and of its operator file.
+    /// Creates the cluster adapter of a router that has just started; the digests are those of its settings
+    /// and of its operator file.
     pub fn new(
         now: Ms,
         name: &str,
@@ -94,7 +98,7 @@
             operator_digest,
             ..ActiveVersions::default()
         };
-        // In microseconds; the gateway has the same one.
+        // The start time in microseconds; the gateway uses the same incarnation.
         let incarnation = (now * 1_000.0) as u64;
         let membership = Cluster::new(now, section.parameters, name, incarnation, versions.clone());
         let mut membership = membership.with_location(now, section.place.clone());
@@ -117,14 +121,14 @@
         }
     }
 
-    /// Applies an operator file that was read again. An audit log or a straggler check that is added or removed, and any
-    /// other location, count from the next start; a removed one goes on until then.
+    /// Applies a reloaded operator file. Adding or removing the audit log or the straggler check, and
+    /// changing the location, take effect at the next start; until then a removed one stays active.
     pub fn reload(&mut self, section: &ClusterSection, operator_digest: u64) {
         self.versions.operator_digest = operator_digest;
         self.membership.set_config(section.parameters);
         self.membership.set_voters(straggler_voters(section));
         if self.membership.location() != section.place.as_ref() {
-            log_line!(always "fellows: a place counts from the next start on");
+            log_line!(always "fellows: the changed location takes effect at the next start");
         }
         self.snapshot_transfer.set_config(section.parameters.snapshot_transfer);
         self.membership.set_versions(&self.versions);
@@ -146,13 +150,14 @@
         deadline.max(now)
     }
 
-    /// Does what is due. Lines of the endpoint list are returned that other routers' reports no longer override.
+    /// Runs the work that is due. Returns the entries of the endpoint list that other routers' reports no
+    /// longer override.
     pub fn on_timer(
         &mut self,
         now: Ms,
         hierarchy: Option<&mut HierarchyAdapter>,
         journal_position: u64,
-        journal_silence_allowed_until: Ms,
+        journal_valid_until: Ms,
     ) -> Vec<EndpointEntry> {
         let check_due = now - self.last_check >= CHECK_INTERVAL;
         if let Some(hierarchy) = hierarchy {
@@ -167,25 +172,25 @@
         self.membership.set_versions(&self.versions);
         if check_due {
             self.last_check = now;
-            self.check_straggler(now, journal_silence_allowed_until);
+            self.check_straggler(now, journal_valid_until);
         }
         self.run_audit_log(now);
         self.membership.tick(now);
         restored
     }
 
-    /// The link to another router came up, or went down.
+    /// Records that the link to a peer came up or went down.
     pub fn set_link(&mut self, name: &str, incarnation: u64, up: bool) {
         self.membership.set_link(name, incarnation, up);
         self.linked_peers = self.membership.members().links().map(|(name, _)| name.clone()).collect();
     }
 
-    /// Another router has gossiped an entry.
+    /// Handles an entry that a peer has gossiped.
     pub fn on_entry(&mut self, now: Ms, from: &str, key: &[u8], entry: &[u8]) {
         self.membership.receive(now, from, key, entry);
     }
 
-    /// Tells the other routers that this one leaves.
+    /// Announces to the peers that this router leaves the cluster.
     pub fn leave(&mut self, now: Ms) {
         self.membership.leave(now);
     }
--- a/crates/router/src/cluster/snapshot.rs
+++ b/crates/router/src/cluster/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the hierarchy, for routers that are too far behind for batches.
+//! Snapshots of the hierarchy, for routers that are too far behind to catch up by batches.
 
 use linnethook_membership::snapshot_transfer::{split_snapshot, SnapshotRequest};
 use linnethook_membership::versions::HierarchyVersion;
@@ -11,9 +11,9 @@
 use super::{ClusterAdapter, ClusterEffect};
 
 impl ClusterAdapter {
-    /// Requests a snapshot where it is time for that.
+    /// Requests a snapshot if one is due.
     pub(super) fn request_snapshot(&mut self, now: Ms) {
-        // A router that is ahead though all entries are here has batches that are no longer gossiped.
+        // If a peer is ahead for longer than gossip takes, it has batches that are no longer gossiped.
         let request = self.snapshot_transfer.next_request(now, &self.membership.peers_ahead());
         if let Some(SnapshotRequest { peer, request_id }) = request {
             let body = postcard::to_stdvec(&request_id).unwrap_or_default();
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Sends the own hierarchy to a router that has requested it.
+    /// Sends this router's hierarchy to a peer that has requested it.
     pub(super) fn on_snapshot_request(
         &mut self,
         hierarchy: Option<&mut HierarchyAdapter>,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Takes in a part of a snapshot, which is adopted once it is complete.
+    /// Accepts a chunk of a snapshot, which is restored once it is complete.
     pub(super) fn on_snapshot_chunk(
         &mut self,
         now: Ms,
@@ -47,19 +47,22 @@
     ) -> Option<ClusterEffect> {
         let chunk = postcard::from_bytes(body).ok()?;
         let snapshot = self.snapshot_transfer.receive_chunk(now, from, &chunk)?;
-        self.adopt_snapshot(now, hierarchy?, from, &snapshot);
+        self.restore_snapshot(now, hierarchy?, from, &snapshot);
         Some(ClusterEffect::HierarchyChanged)
     }
 
-    fn adopt_snapshot(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter, from: &str, snapshot: &[u8]) {
+    fn restore_snapshot(&mut self, now: Ms, hierarchy: &mut HierarchyAdapter, from: &str, snapshot: &[u8]) {
         match hierarchy.restore_snapshot(now, snapshot) {
             Ok(()) => {
                 self.applied_from_gossip.snapshots += 1;
                 self.versions.hierarchy = hierarchy.active_version();
                 let HierarchyVersion { version, digest } = self.versions.hierarchy;
-                log_line!(version, "fellows: the hierarchy of {from} was adopted, with digest {digest:016x}");
+                log_line!(
+                    version,
+                    "fellows: restored the hierarchy from a snapshot of {from}, digest {digest:016x}"
+                );
             }
-            Err(reason) => log_line!(%reason, "fellows: the hierarchy of {from} was not adopted"),
+            Err(reason) => log_line!(%reason, "fellows: the snapshot of {from} was not restored"),
         }
     }
 }
--- a/crates/router/src/cluster/straggler.rs
+++ b/crates/router/src/cluster/straggler.rs
@@ -1,4 +1,4 @@
-//! Whether this router is behind the others, and what it then rejects.
+//! The check whether this router is a straggler, and the rejection of requests and fills while it is one.
 
 use linnethook_audit::record::AuditedAction;
 use linnethook_membership::cluster::Cluster;
@@ -13,18 +13,18 @@
 
 use super::ClusterAdapter;
 
-/// The check whether this router is a straggler.
+/// Checks whether this router is a straggler.
 pub(super) struct StragglerCheck {
     voters: Vec<String>,
     detector: StragglerDetector,
-    /// Since when no other router can be reached.
+    /// Since when no peer has been reachable; `None` while one is.
     isolated_since: Option<Ms>,
-    /// Requests and fills that were rejected because this router is one.
+    /// The number of requests and fills that were rejected because this router was a straggler.
     rejected: u64,
 }
 
 impl StragglerCheck {
-    /// A router that has just started, and reaches no other one yet.
+    /// Creates the check of a router that has just started and can reach no peer yet.
     pub fn new(now: Ms, section: &StragglerSection) -> Self {
         Self {
             voters: section.voters.clone(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Applies an operator file that was read again.
+    /// Applies a reloaded operator file.
     pub fn reload(&mut self, section: &StragglerSection) {
         self.voters.clone_from(&section.voters);
         self.detector.set_config(section.parameters);
@@ -45,12 +45,12 @@
         self.detector.state()
     }
 
-    /// Requests and fills that were rejected because this router is a straggler.
+    /// The number of requests and fills that were rejected because this router was a straggler.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 
-    /// Checks this router, which acts on `own_version`, and the others.
+    /// Checks this router, which acts on `own_version`, and enforces the floor for its peers.
     fn run(&mut self, now: Ms, membership: &mut Cluster, own_version: u64, journal_valid_until: Ms) {
         let floor = membership.floor(&self.voters);
         membership.enforce_floor(now, floor, self.detector.config().grace_period);
@@ -65,10 +65,12 @@
         }
     }
 
-    /// The Retry-After of what concerns an object, where this router must not handle it; `None` where it may.
+    /// Returns the Retry-After, in milliseconds, if a request or fill for an object is rejected; `None` if it
+    /// is admitted.
     fn reject(&mut self, now: Ms, object: u64) -> Option<Ms> {
         let admitted_ratio = self.detector.admitted_ratio(now);
-        // During the recovery ramp the same objects are admitted all the time.
+        // Admission depends on the object alone, so an object admitted during the recovery ramp stays
+        // admitted.
         if admitted_ratio >= 1.0 || unit_hash(object) < admitted_ratio {
             return None;
         }
@@ -77,43 +79,47 @@
     }
 }
 
-/// A number from 0 to 1, always the same for an object.
+/// Hashes an object to a number from 0 to 1, excluding 1.
 fn unit_hash(object: u64) -> f64 {
-    // As many bits as the mantissa has.
+    // The 53 bits that the mantissa of an `f64` can hold.
     (xxh3_64(&object.to_le_bytes()) >> 11) as f64 / ((1u64 << 53) as f64)
 }
 
-/// Writes the state that was entered to the log.
+/// Logs the state that was entered.
 fn log_state(state: StragglerState, version: u64, floor: u64) {
     match state {
         StragglerState::UpToDate => {
-            log_line!(version, floor, "straggler: this router is level with the fleet");
+            log_line!(version, floor, "straggler: this router is up to date");
         }
         StragglerState::Lagging(_) => {
-            log_line!(version, floor, "straggler: this router is at version {version}, below {floor}");
+            log_line!(
+                version,
+                floor,
+                "straggler: this router is at version {version}, below the floor {floor}"
+            );
         }
         StragglerState::Excluded(ExclusionReason::Behind) => {
             log_line!(
                 version,
                 floor,
-                "straggler: THIS ROUTER IS SHUT OUT: it is at version {version}, below {floor}"
+                "straggler: THIS ROUTER IS EXCLUDED: it is at version {version}, below the floor {floor}"
             );
         }
         StragglerState::Excluded(ExclusionReason::Isolated) => {
             log_line!(
                 version,
                 floor,
-                "straggler: THIS ROUTER IS SHUT OUT: it hears no fellow, and its journal is silent"
+                "straggler: THIS ROUTER IS EXCLUDED: no peer is reachable, and its journal is not up to date"
             );
         }
         StragglerState::Recovering(_) => {
-            log_line!(version, floor, "straggler: this router comes back");
+            log_line!(version, floor, "straggler: this router is recovering");
         }
     }
 }
 
 impl ClusterAdapter {
-    /// Checks whether this router, or another one, is behind.
+    /// Checks whether this router or one of its peers is a straggler.
     pub(super) fn check_straggler(&mut self, now: Ms, journal_valid_until: Ms) {
         if let Some(straggler) = &mut self.straggler {
             let own_version = self.versions.hierarchy.version;
@@ -121,8 +127,8 @@
         }
     }
 
-    /// The Retry-After of a request for an object, where this router is a straggler and must not handle it; `None` where
-    /// it may.
+    /// Returns the Retry-After, in milliseconds, if this router is a straggler and rejects a request or fill
+    /// for an object; `None` if it is admitted.
     pub fn reject_as_straggler(&mut self, now: Ms, object: u64) -> Option<Ms> {
         let retry_after = self.straggler.as_mut()?.reject(now, object)?;
         self.record_action(now, AuditedAction::RejectedAsStraggler);
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -52,7 +52,7 @@
         };
         rig.until(n, "r2 is back", back).expect("seen");
     }
-    rig.fleet.logged("r0", "r2 has started again").expect("logged");
+    rig.fleet.logged("r0", "r2 has restarted").expect("logged");
     clean(&mut rig);
 }
 
@@ -198,7 +198,7 @@
     pause(2_500);
     rig.wake(1).expect("awake");
     rig.until(1, "the drain from fellows", |shown| shown["drains"] == 1).expect("heard");
-    rig.fleet.logged("r1", "this process did nothing for").expect("it knows");
+    rig.fleet.logged("r1", "this process was frozen for").expect("it knows");
     rig.settle().expect("all of one mind");
     clean(&mut rig);
 }
@@ -209,8 +209,8 @@
     let mut rig = rig(3);
     let first = line(&rig.shown(0).expect("shown"), "r1").expect("known")["start"].clone();
     let duplicate = rig.start_duplicate(1).expect("a second r1");
-    rig.fleet.logged(&duplicate, "THIS ROUTER'S NAME IS TAKEN").expect("told there");
-    rig.fleet.logged("r1", "ANOTHER PROCESS HAS THIS ROUTER'S NAME").expect("and here");
+    rig.fleet.logged(&duplicate, "THIS ROUTER'S NAME IS IN USE").expect("told there");
+    rig.fleet.logged("r1", "ANOTHER PROCESS USES THIS ROUTER'S NAME").expect("and here");
     for n in [0, 2] {
         let known = |shown: &serde_json::Value| line(shown, "r1").is_some_and(|line| line["start"] == first);
         rig.until(n, "the first one", |shown| known(shown) && alive(shown) == 2).expect("seen");
@@ -228,7 +228,7 @@
     let duplicate = rig.start_duplicate(1).expect("a successor");
     rig.until(0, "the successor", |shown| has_state(shown, 1, "Alive")).expect("seen");
     rig.wake(1).expect("awake");
-    rig.fleet.logged("r1", "it takes no part").expect("it yields");
+    rig.fleet.logged("r1", "this one leaves the cluster").expect("it yields");
     assert_eq!(rig.fleet.asked(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"], "Takes");
     rig.until(2, "still the successor", |shown| has_state(shown, 1, "Alive")).expect("seen");
 }
