--- a/crates/router/src/cluster/membership_log.rs
+++ b/crates/router/src/cluster/membership_log.rs
@@ -21,7 +21,7 @@
         ClusterEvent::Refused { holder } => {
             log_line!(
                 holder = *holder,
-                "fellows: THIS ROUTER'S NAME IS IN USE by an earlier process; this one does not join the cluster"
+                "fellows: THIS ROUTER'S NAME IS IN USE by an earlier process; this one does not join"
             );
         }
         ClusterEvent::Yielded { holder } => {
--- a/crates/router/src/hierarchy_control.rs
+++ b/crates/router/src/hierarchy_control.rs
@@ -1,4 +1,4 @@
-//! Requests of the control socket that concern the hierarchy. The hierarchy judges what a change does.
+//! Control socket requests about the hierarchy, which itself validates the changes.
 
 use std::collections::BTreeMap;
 
@@ -10,11 +10,11 @@
 use crate::log::log_line;
 use crate::policy_adapter::Ms;
 
-/// Answers a request; `hierarchy` is `None` where the operator file has no `hierarchy()`.
+/// Handles a request; `hierarchy` is `None` if the operator file has no `hierarchy()`.
 pub fn reply(hierarchy: Option<&mut HierarchyAdapter>, now: Ms, request: ControlRequest) -> ControlResponse {
     let Some(hierarchy) = hierarchy else {
         return ControlResponse::Refused(
-            "the hierarchy is off: the operator file has no hierarchy()".to_string(),
+            "the hierarchy is not enabled: the operator file has no hierarchy()".to_string(),
         );
     };
     match request {
@@ -22,19 +22,19 @@
         ControlRequest::ListNodes => ControlResponse::Nodes(hierarchy.node_specs()),
         ControlRequest::PlanChanges(changes) => {
             let plan = hierarchy.plan(now, &changes);
-            plan.map_or_else(refuse, |plan| ControlResponse::Plan(Box::new(plan)))
+            plan.map_or_else(rejection, |plan| ControlResponse::Plan(Box::new(plan)))
         }
         ControlRequest::ApplyChanges(changes) => apply_changes(hierarchy, now, &changes),
         ControlRequest::ReceiveBatch(batch) => {
             let applied = hierarchy.apply_journal_batch(now, &batch);
-            applied.map_or_else(refuse, |()| ControlResponse::Done("heard".to_string()))
+            applied.map_or_else(rejection, |()| ControlResponse::Done("batch received".to_string()))
         }
         ControlRequest::RollBack { author, number } => roll_back(hierarchy, now, author, number),
-        _ => ControlResponse::Refused("a question of another part".to_string()),
+        _ => ControlResponse::Refused("not a request about the hierarchy".to_string()),
     }
 }
 
-fn refuse(error: HierarchyError) -> ControlResponse {
+fn rejection(error: HierarchyError) -> ControlResponse {
     ControlResponse::Refused(error.to_string())
 }
 
@@ -44,7 +44,7 @@
             log_line!(author = batch.author, number = batch.number, "hierarchy: a batch was applied");
             ControlResponse::Applied(batch)
         }
-        Err(error) => refuse(error),
+        Err(error) => rejection(error),
     }
 }
 
@@ -54,11 +54,11 @@
             log_line!(author, number, "hierarchy: a batch was rolled back");
             ControlResponse::Done(format!("batch {author}/{number} rolled back: {changes} changes"))
         }
-        Err(error) => refuse(error),
+        Err(error) => rejection(error),
     }
 }
 
-/// The state of the hierarchy as commands print it.
+/// The state of the hierarchy, as commands print it.
 fn hierarchy_view(hierarchy: &HierarchyAdapter, now: Ms) -> HierarchyView {
     let view = hierarchy.view(now);
     let FillCounts { queued, in_flight } = hierarchy.fill_counts();
@@ -100,7 +100,7 @@
     }
 }
 
-/// The counters of the origin shield, by the names that commands print.
+/// The counters of the origin shield, under the names that commands print.
 fn shield_counters(view: &hierarchy::HierarchyView) -> BTreeMap<String, u64> {
     let counters = &view.counters;
     let named = [
--- a/crates/router/src/operator_digest/cluster.rs
+++ b/crates/router/src/operator_digest/cluster.rs
@@ -1,4 +1,4 @@
-//! The `fellows()`, `audit()` and `straggler()` sections, as the digest has them.
+//! The input of the digest for the `fellows()`, `audit()` and `straggler()` sections.
 
 use linnethook_audit::audit_log::AuditLogConfig;
 use linnethook_membership::aggregation::tree::AggregationConfig;
--- a/crates/router/src/operator_digest/gateway.rs
+++ b/crates/router/src/operator_digest/gateway.rs
@@ -1,4 +1,4 @@
-//! The `gateway()` section and its sites, as the digest has them.
+//! The input of the digest for the `gateway()` section and its sites.
 
 use linnethook_gateway::gateway::GatewayConfig;
 use linnethook_gateway::heartbeat::HeartbeatConfig;
--- a/crates/router/src/operator_digest/hierarchy.rs
+++ b/crates/router/src/operator_digest/hierarchy.rs
@@ -1,4 +1,4 @@
-//! The `hierarchy()` section and its nodes, as the digest has them.
+//! The input of the digest for the `hierarchy()` section and its nodes.
 
 use linnethook_hierarchy::change_spec::{NodeSpec, SourceSpec};
 use linnethook_hierarchy::origin_shield::ShieldConfig;
--- a/crates/router/src/operator_digest/mod.rs
+++ b/crates/router/src/operator_digest/mod.rs
@@ -1,10 +1,12 @@
-//! A digest of the operator file, by which routers of a fleet tell whether they run with the same settings.
+//! A digest of the operator file, by which the routers of a fleet detect whether they run with the same
+//! settings.
 //!
 //! - [`hierarchy`], [`gateway`], [`cluster`]: the sections of the file.
 //!
-//! Other builds compare it with theirs, so its input is a format: the names written here are those of the format
-//! and stay as they are when a field of the program is renamed. Where a router listens and connects, and the
-//! folder of its audit log, are left out: they differ from router to router.
+//! Other builds compare the digest with theirs, so its input is a stable format: the names in these files
+//! belong to the format, and do not change when a field in the source is renamed. The addresses on which a
+//! router listens and to which it connects, and the directory of its audit log, are not included, as they
+//! differ from router to router.
 
 mod cluster;
 mod gateway;
@@ -20,12 +22,12 @@
 use gateway::{gateway_config, site_config};
 use hierarchy::{hierarchy_section, node_spec};
 
-/// The digest of all settings that routers of a fleet have in common.
+/// The digest of all settings that the routers of a fleet share.
 pub fn digest(operator: &OperatorConfig) -> u64 {
     xxh3_64(format!("{:?}", common_settings(operator)).as_bytes())
 }
 
-/// A value that is written as it stands.
+/// A text whose `Debug` output is the text itself, without quotes or escapes.
 struct Verbatim(String);
 
 impl Debug for Verbatim {
@@ -34,7 +36,7 @@
     }
 }
 
-/// `Name { field: value, ... }`.
+/// Formats `Name { field: value, ... }`, with the `Debug` output of the values.
 fn record(name: &str, fields: &[(&str, &dyn Debug)]) -> Verbatim {
     let fields: Vec<String> = fields.iter().map(|(field, value)| format!("{field}: {value:?}")).collect();
     Verbatim(format!("{name} {{ {} }}", fields.join(", ")))
--- a/crates/router/src/operator_parts.rs
+++ b/crates/router/src/operator_parts.rs
@@ -1,4 +1,4 @@
-//! The parts of a router that the operator file enables.
+//! The components of a router that the operator file enables.
 
 use std::path::Path;
 
@@ -21,7 +21,7 @@
 use crate::start_error::StartError;
 use crate::upstream::AttemptOrder;
 
-/// What the parts are started with.
+/// What the components are started with.
 pub struct PartsSetup<'a, W: EventHandler> {
     /// The time of the start.
     pub now: Ms,
@@ -29,39 +29,39 @@
     pub config: &'a Config,
     /// The limits of the transport, with those of links.
     pub limits: Limits,
-    /// Where buffers come from.
+    /// The pool that buffers are taken from.
     pub buffers: &'a BufferPool,
-    /// Descriptors for what has to go on.
+    /// The descriptors that are reserved for essential operations.
     pub reserve: &'a DescriptorReserve,
     /// The event loop.
     pub handle: &'a LoopHandle<'static, W>,
 }
 
-/// The parts that the operator file enables; each is `None` where the file has no section for it.
+/// The components that the operator file enables; each is `None` if the file has no section for it.
 pub struct OperatorParts<W: EventHandler> {
     /// The hierarchy of caches.
     pub hierarchy: Option<HierarchyAdapter>,
     /// The control socket.
     pub control: Option<ControlServer<W>>,
-    /// Other sites.
+    /// The links with other sites, and with the peers of the cluster.
     pub remote_sites: Option<RemoteSites<W>>,
-    /// Other routers; only beside `remote_sites`, whose links they share.
+    /// The cluster of routers. It requires `remote_sites`, whose links it shares.
     pub cluster: Option<ClusterAdapter>,
 }
 
 impl<W: EventHandler> Default for OperatorParts<W> {
-    /// Without an operator file there are none.
+    /// The components without an operator file: none.
     fn default() -> Self {
         Self { hierarchy: None, control: None, remote_sites: None, cluster: None }
     }
 }
 
 impl<W: EventHandler> OperatorParts<W> {
-    /// Starts what the operator file has.
+    /// Starts the components that the operator file enables.
     ///
     /// # Errors
     ///
-    /// Settings of the operator file that can't be used, and errors of the system.
+    /// Invalid settings in the operator file, and system errors.
     pub fn start(setup: &PartsSetup<'_, W>, operator: &OperatorConfig) -> Result<Self, StartError> {
         let PartsSetup { now, config, limits, .. } = *setup;
         let name = &config.file.name;
@@ -86,14 +86,14 @@
         Ok(parts)
     }
 
-    /// Applies what of the operator file may change at runtime: parameters of the cluster, and the nodes of the hierarchy.
-    /// Returns true where hierarchy and section both exist, even if the nodes were rejected: a pending rollout may have
-    /// changed the sources of fills.
+    /// Applies the settings of a reloaded operator file that can change at runtime: the parameters of the
+    /// cluster and the nodes of the hierarchy. Returns true if the hierarchy is enabled and has a section in
+    /// the file, even if the nodes were rejected: a pending rollout may have changed the fill sources.
     pub fn reload(&mut self, now: Ms, path: &Path, operator: &OperatorConfig) -> bool {
         let has_reloaded_cluster = self.reload_cluster(path, operator);
         let has_reloaded_hierarchy = self.reload_hierarchy(now, path, operator);
         if !has_reloaded_cluster && !has_reloaded_hierarchy {
-            log_line!(always "{}: read again; nothing in it can change while this runs", path.display());
+            log_line!(always "{}: reloaded; none of its settings can change at runtime", path.display());
         }
         has_reloaded_hierarchy
     }
@@ -102,7 +102,7 @@
         let section = operator.gateway.as_ref().and_then(|gateway| gateway.cluster.as_ref());
         let (Some(cluster), Some(section)) = (&mut self.cluster, section) else { return false };
         cluster.reload(section, operator_digest::digest(operator));
-        log_line!(always "{}: read again, the settings of fellows(...) hold", path.display());
+        log_line!(always "{}: reloaded; the parameters of fellows() were applied", path.display());
         true
     }
 
@@ -112,23 +112,23 @@
         };
         match hierarchy.reload(now, &section.nodes) {
             Ok(changes) => {
-                log_line!(always "{}: read again, {changes} changes of the hierarchy", path.display());
+                log_line!(always "{}: reloaded; {changes} changes of the hierarchy applied", path.display());
             }
-            Err(reason) => log_line!(always "{}: the hierarchy stays as it is: {reason}", path.display()),
+            Err(reason) => log_line!(always "{}: the hierarchy was not changed: {reason}", path.display()),
         }
         true
     }
 
     // ---- Requests.
 
-    /// Whether requests can go to other sites.
+    /// Whether requests can be forwarded to other sites.
     pub fn forwards_requests(&self) -> bool {
         self.remote_sites.as_ref().is_some_and(RemoteSites::forwards_requests)
     }
 
-    /// What is to be done with an attempt now; `None` where it waits for its fill.
+    /// Decides on an attempt; returns `None` if its fill is queued.
     pub fn admit(&mut self, now: Ms, order: AttemptOrder, profile: RequestProfile) -> Option<FillDecision> {
-        // A straggler starts no fills: cached copies are served.
+        // A straggler starts no fills; it serves cached copies only.
         let may_fill = !profile.is_write && order.fill.source.is_some();
         let cluster = self.cluster.as_mut().filter(|_| may_fill);
         let excluded = cluster.and_then(|cluster| cluster.reject_as_straggler(now, profile.object));
@@ -141,20 +141,20 @@
         }
     }
 
-    /// Cancels the fills that a request's attempts wait for; these attempts are returned.
+    /// Cancels the queued fills of a request, and returns their attempts.
     pub fn cancel_queued_fills(&mut self, ticket: Ticket) -> Vec<AttemptOrder> {
         let orders = self.hierarchy.as_mut().map(|hierarchy| hierarchy.cancel_request(ticket));
         orders.unwrap_or_default()
     }
 
-    /// The Retry-After that the hierarchy has for a rejected request; it is given once.
+    /// Removes and returns the Retry-After that the hierarchy has for a rejected request, in milliseconds.
     pub fn take_retry_after(&mut self, ticket: Ticket) -> Option<Ms> {
         self.hierarchy.as_mut().and_then(|hierarchy| hierarchy.take_retry_after(ticket))
     }
 
-    // ---- Other routers.
+    // ---- The cluster.
 
-    /// The next thing that the membership has for the router.
+    /// The next effect of the cluster that the router has to apply.
     pub fn next_cluster_effect(&mut self, clock: &Clock) -> Option<ClusterEffect> {
         let (Some(cluster), Some(remote_sites)) = (&mut self.cluster, &mut self.remote_sites) else {
             return None;
@@ -162,16 +162,22 @@
         cluster.next_effect(clock, &mut remote_sites.gateway, self.hierarchy.as_mut())
     }
 
-    /// Has the membership do what is due, at a position of the journal, whose silence is allowed until then. Lines of the
-    /// endpoint list that count again are returned.
-    pub fn on_cluster_timer(&mut self, now: Ms, position: u64, silence: Ms) -> Vec<EndpointEntry> {
+    /// Runs the cluster work that is due. `journal_position` is the position that this router's journal has
+    /// reached, and `journal_valid_until` the time until which it is considered up to date. Returns the
+    /// entries of the endpoint list that other routers' reports no longer override.
+    pub fn on_cluster_timer(
+        &mut self,
+        now: Ms,
+        journal_position: u64,
+        journal_valid_until: Ms,
+    ) -> Vec<EndpointEntry> {
         let Some(cluster) = &mut self.cluster else { return Vec::new() };
-        cluster.on_timer(now, self.hierarchy.as_mut(), position, silence)
+        cluster.on_timer(now, self.hierarchy.as_mut(), journal_position, journal_valid_until)
     }
 
     // ---- Timers.
 
-    /// When one of the parts has something to do next.
+    /// The earliest deadline of the components; `None` if there is none.
     pub fn next_deadline(&self, now: Ms) -> Option<Ms> {
         let deadlines = [
             self.hierarchy.as_ref().map(HierarchyAdapter::next_deadline),
--- a/crates/router/src/operator_reload.rs
+++ b/crates/router/src/operator_reload.rs
@@ -1,4 +1,4 @@
-//! The operator file at runtime: it is evaluated again by a child process, without blocking the event loop.
+//! Reloading of the operator file: a child process evaluates it, so that the event loop is not blocked.
 
 use std::fmt;
 use std::fs::File;
@@ -17,17 +17,17 @@
 use crate::event_handler::EventHandler;
 use crate::log::log_line;
 
-/// Bytes of one read.
+/// The size of one read, in bytes.
 const READ_BLOCK: usize = 65_536;
 
 /// Why an evaluation can't be started.
 #[derive(Debug)]
 pub enum EvaluationError {
-    /// The path of this program is not known.
+    /// The path of this program can't be determined.
     Program(CommandError),
     /// The child process can't be started.
     Process(io::Error),
-    /// Its output can't be waited for.
+    /// Its output can't be registered with the event loop.
     EventLoop(calloop::Error),
 }
 
@@ -51,14 +51,14 @@
     }
 }
 
-/// What a read of an evaluation's output came to.
+/// The progress of an evaluation after a read of its output.
 #[derive(Debug)]
 pub enum EvaluationProgress {
     /// No evaluation is in progress.
     Idle,
     /// More output follows.
     Running,
-    /// The output is complete: the configuration, or what is wrong with the file.
+    /// The output is complete: the configuration, or the error in the file.
     Finished(Result<Box<OperatorConfig>, OperatorError>),
 }
 
@@ -69,7 +69,7 @@
     bytes: Vec<u8>,
 }
 
-/// The operator file of a running router, with the evaluation in progress; there is one at a time.
+/// The operator file of a running router, and the evaluation in progress. There is at most one at a time.
 #[derive(Debug)]
 pub struct OperatorFile {
     path: PathBuf,
@@ -77,7 +77,7 @@
 }
 
 impl OperatorFile {
-    /// A file of which no evaluation is in progress.
+    /// Creates the file without an evaluation in progress.
     pub fn new(path: PathBuf) -> Self {
         Self { path, evaluation: None }
     }
@@ -87,7 +87,8 @@
         &self.path
     }
 
-    /// Starts a child process that evaluates the file, unless there is one. The handler is notified of its output.
+    /// Starts a child process that evaluates the file, unless one is running already. The handler is notified
+    /// when its output is readable. If the process can't be started, the error is logged.
     pub fn start_evaluation<W: EventHandler>(
         &mut self,
         handle: &LoopHandle<'static, W>,
@@ -97,7 +98,7 @@
             return;
         }
         if let Err(error) = self.spawn_evaluation(handle, reserve) {
-            log_line!(always "{}: not read: {error}", self.path.display());
+            log_line!(always "{}: not reloaded: {error}", self.path.display());
         }
     }
 
@@ -120,8 +121,8 @@
         Ok(())
     }
 
-    /// Reads once, which does not block where the output is readable; reading ends once
-    /// `max_bytes` are stored, which one read may pass by `READ_BLOCK`.
+    /// Reads once, which does not block if the output is readable. Reading ends once at least `max_bytes` are
+    /// stored; up to `READ_BLOCK` bytes more may be stored.
     pub fn read_output(&mut self, output: &File, max_bytes: usize) -> EvaluationProgress {
         let Some(mut evaluation) = self.evaluation.take() else { return EvaluationProgress::Idle };
         if evaluation.read(output, max_bytes) {
@@ -134,7 +135,7 @@
 }
 
 impl Evaluation {
-    /// Reads once; false where the output has ended, is too long, or can't be read.
+    /// Reads once. Returns false if the output has ended, is too long, or can't be read.
     fn read(&mut self, mut output: &File, max_bytes: usize) -> bool {
         let mut block = [0; READ_BLOCK];
         match output.read(&mut block) {
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Kills the child process, which may still run where its output was too long, and returns what it wrote.
+    /// Kills the child process, which may still be running if its output was too long, and returns its
+    /// output.
     fn finish(mut self) -> Vec<u8> {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/router/src/peer_message.rs
+++ b/crates/router/src/peer_message.rs
@@ -1,17 +1,18 @@
-//! Messages from router to router that the membership delivers without reading them.
+//! Messages between routers that the membership delivers without decoding them.
 
-/// What a message is; the number on the wire is given by [`Self::wire_tag`] alone.
+/// The kind of a message. Only [`Self::wire_tag`] determines its tag on the wire, not the order of the
+/// variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerMessageKind {
     /// A record of the sender's audit log.
     AuditRecord,
-    /// The records of the receiver's audit log from a position on are wanted.
+    /// A request for the records of the receiver's audit log from a position on.
     AuditRecordsRequest,
-    /// The sender has no record of its audit log before a position any more.
+    /// The first position from which the sender still has the records of its audit log.
     AuditLogStart,
-    /// A snapshot of the hierarchy is wanted.
+    /// A request for a snapshot of the hierarchy.
     SnapshotRequest,
-    /// A part of such a snapshot.
+    /// A chunk of a snapshot of the hierarchy.
     SnapshotChunk,
 }
 
@@ -24,7 +25,7 @@
         Self::SnapshotChunk,
     ];
 
-    /// The number of this kind on the wire.
+    /// The tag of this kind on the wire.
     pub fn wire_tag(self) -> u8 {
         match self {
             Self::AuditRecord => 0xf1,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// The kind with that number; `None` for one that this build does not know.
+    /// The kind with that tag; `None` if this build does not know the tag.
     pub fn from_wire_tag(tag: u8) -> Option<Self> {
         Self::ALL.into_iter().find(|kind| kind.wire_tag() == tag)
     }
@@ -47,7 +48,7 @@
     /// The receiver's name.
     pub to: String,
     pub kind: PeerMessageKind,
-    /// The encoded content, by the kind.
+    /// The encoded content, whose type depends on the kind.
     pub body: Vec<u8>,
 }
 
--- a/crates/router/tests/commands.rs
+++ b/crates/router/tests/commands.rs
@@ -137,8 +137,8 @@
     for (content, expected) in [
         (good.replace("hierarchy(", "hierarchy(wram = 3"), "not reloaded: "),
         (good.replace("(\"south\", 0)", "(\"cache-0\", 0)"), "fills would go round"),
-        (String::new(), "nothing in it can change"),
-        (good.replace("(\"south\", 0)", "(\"centre\", 0)"), "read again, 2 changes"),
+        (String::new(), "none of its settings can change at runtime"),
+        (good.replace("(\"south\", 0)", "(\"centre\", 0)"), "reloaded; 2 changes of the hierarchy applied"),
     ] {
         assert_eq!(ask(&fleet, &["nodes"]).1, before, "before {expected}");
         std::fs::write(&file, content).expect("written");
--- a/crates/router/tests/unit/hierarchy_adapter.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -73,7 +73,7 @@
 }
 
 /// Gossip does not preserve order: a batch that is pending until an earlier one is received is an error only
-/// if it does not come by gossip.
+/// if it was not gossiped.
 #[test]
 fn a_gossiped_batch_may_arrive_before_an_earlier_one() {
     let later = BatchSpec {
--- a/crates/router/tests/unit/operator_digest.rs
+++ b/crates/router/tests/unit/operator_digest.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `src/operator_digest/mod.rs`, a part of its module.
+//! Unit tests of `src/operator_digest/mod.rs`, as a submodule of it.
 
 use std::path::Path;
 
@@ -6,7 +6,7 @@
 
 use super::*;
 
-/// Every function of the operator file, with some settings that are not the defaults.
+/// Every function of the operator file, with some non-default settings.
 const EVERYTHING: &str = r#"
 control(path = "/run/linnethook/control.sock")
 log(format = "json", lines_per_second = 50)
@@ -23,12 +23,12 @@
 straggler(voters = ["router-1", "router-2"])
 "#;
 
-/// Every setting of every function, each with a value of its own.
+/// Every setting of every function, each with a distinct value.
 const EVERY_SETTING: &str =
     include_str!(concat!(env!("CARGO_MANIFEST_DIR"), "/../operator-config/tests/golden/everything.star"));
 
 fn read(text: &str) -> OperatorConfig {
-    OperatorConfig::parse("operator.star", text, &EvaluationLimits::default()).expect("a good file")
+    OperatorConfig::parse("operator.star", text, &EvaluationLimits::default()).expect("valid operator file")
 }
 
 const FILES: [&str; 6] = [
@@ -40,15 +40,16 @@
     EVERY_SETTING,
 ];
 
-/// The texts that 48f72c9 hashes, one a line. `LINNETHOOK_WRITE_GOLDEN=1` writes the file where it is missing.
+/// Compares the input of the digest with that of commit 48f72c9, one line per operator file.
+/// `LINNETHOOK_WRITE_GOLDEN=1` writes the golden file if it is missing.
 #[test]
-fn the_encoding_is_the_text_that_earlier_builds_hash() {
+fn the_input_of_the_digest_is_that_of_earlier_builds() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/operator_digest.txt");
     let texts = FILES.map(|text| format!("{:?}\n", common_settings(&read(text)))).concat();
     if !path.exists() && std::env::var_os("LINNETHOOK_WRITE_GOLDEN").is_some() {
-        std::fs::write(&path, &texts).expect("the fixture is written");
+        std::fs::write(&path, &texts).expect("golden file written");
     }
-    let expected = std::fs::read_to_string(&path).expect("the fixture is there");
+    let expected = std::fs::read_to_string(&path).expect("golden file");
     for (text, expected) in texts.lines().zip(expected.lines()) {
         assert_eq!(text, expected);
     }
@@ -56,6 +57,6 @@
 }
 
 #[test]
-fn the_digest_stays_the_one_of_earlier_builds() {
+fn the_digest_is_that_of_earlier_builds() {
     assert_eq!((digest(&read("")), digest(&read(EVERYTHING))), (6148655340337336403, 5062945332202053891));
 }
--- a/crates/router/tests/unit/peer_message.rs
+++ b/crates/router/tests/unit/peer_message.rs
@@ -1,22 +1,22 @@
-//! Unit tests of `src/peer_message.rs`, a part of its module.
+//! Unit tests of `src/peer_message.rs`, as a submodule of it.
 
 use super::*;
 
 #[test]
-fn the_kinds_of_audit_frames_stay() {
+fn the_tags_of_audit_messages_are_stable() {
     let tags =
         [PeerMessageKind::AuditRecord, PeerMessageKind::AuditRecordsRequest, PeerMessageKind::AuditLogStart];
     assert_eq!(tags.map(PeerMessageKind::wire_tag), [0xf1, 0xf2, 0xf3]);
 }
 
 #[test]
-fn the_kinds_of_frames_between_routers_stay() {
+fn the_tags_of_snapshot_messages_are_stable() {
     let tags = [PeerMessageKind::SnapshotRequest, PeerMessageKind::SnapshotChunk];
     assert_eq!(tags.map(PeerMessageKind::wire_tag), [0xf4, 0xf5]);
 }
 
 #[test]
-fn a_tag_is_read_as_the_kind_that_has_it() {
+fn a_tag_decodes_to_its_kind_and_an_unknown_tag_to_none() {
     for kind in PeerMessageKind::ALL {
         assert_eq!(PeerMessageKind::from_wire_tag(kind.wire_tag()), Some(kind));
     }
