--- a/crates/gateway/src/forwarding/config.rs
+++ b/crates/gateway/src/forwarding/config.rs
@@ -5,31 +5,32 @@
 /// Limits of requests between sites.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ForwardingConfig {
-    /// Attempts with tokens that may be open.
+    /// Maximum number of open attempts with tokens.
     pub max_attempts: usize,
-    /// Requests of other sites that may be here.
+    /// Maximum number of open requests from other sites.
     pub max_remote_requests: usize,
-    /// A retry needs at least so much time before the deadline, in milliseconds.
+    /// Minimum time left before the deadline for a retry, in milliseconds.
     pub min_retry_time: Ms,
-    /// How often a body that stopped is requested again.
+    /// Maximum number of retries of a request.
     pub max_retries: u32,
-    /// How long a body that stopped may wait for a connection, in milliseconds.
+    /// Maximum time that an interrupted request waits for a connection, in milliseconds.
     pub max_wait: Ms,
-    /// How many requests may wait so.
+    /// Maximum number of requests that wait for a connection.
     pub max_waiting: usize,
-    /// Bytes of bodies that may be buffered.
+    /// Maximum number of buffered bytes of response bodies.
     pub max_buffered_bytes: usize,
-    /// How many waiting requests resume at each check once a connection is back.
+    /// Maximum number of waiting requests that are resumed per check after a reconnect.
     pub max_resumed_per_check: usize,
-    /// Whether a body that stopped resumes where it stopped.
+    /// Whether an interrupted body is resumed instead of being requested again from the start.
     pub resumes_bodies: bool,
-    /// Whether the outcome of an uncertain attempt is queried; else it fails at once, as with a plain gateway.
+    /// Whether the outcome of an uncertain attempt is queried; otherwise it fails at once, as with a plain
+    /// gateway.
     pub queries_outcomes: bool,
-    /// The longest answer, in bytes.
+    /// Maximum length of an answer, in bytes.
     pub max_answer_bytes: u64,
-    /// How long an answer to another site may take to be written, in milliseconds.
+    /// Maximum time for writing an answer to another site, in milliseconds.
     pub answer_write_timeout: Ms,
-    /// When a rejected client may try again, in milliseconds, where nothing better is known.
+    /// Minimum time after which a rejected client may try again, in milliseconds.
     pub retry_after: Ms,
 }
 
