--- a/crates/testbed/src/bin/cold-start.rs
+++ b/crates/testbed/src/bin/cold-start.rs
@@ -1,7 +1,9 @@
-//! What many router processes together ask of a cache that comes back cold, from the stand-ins' record: the demand is more
-//! than all caches could do, a few routers get several times the mean, and all are told of the start at once.
+//! Measures the load that many router processes together put on a cache that restarts cold, from the
+//! recording. The demand exceeds the capacity of all caches, a few routers get several times the mean rate,
+//! and all are notified of the start at once.
 //!
-//! `cold-start [ROUTERS [ROUTER_PROGRAM]]`; 20 without a number, at most 30. Some 45 seconds.
+//! Usage: `cold-start [ROUTERS [ROUTER_PROGRAM]]`, with 20 routers by default and at most 30. Takes about 45
+//! seconds.
 
 use std::path::Path;
 use std::thread;
@@ -18,15 +20,15 @@
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
 const CACHES: usize = 4;
-/// Transfers that a cache sends at once. Each takes 0.4 s by these settings, so that it does ten requests a second; by
-/// the example's rule it bears 22 in the first three seconds.
-const ABLE: f64 = 4.0;
+/// Transfers that a cache sends concurrently. With these settings each takes 0.4 s, which gives ten requests
+/// per second; by [`COLD`] it can take 22 in the first three seconds.
+const CAPACITY: f64 = 4.0;
 const COLD: WarmUpCapacity =
     WarmUpCapacity { capacity: 10.0, from: 0.25, warm_in: 15_000.0, fall_multiple: 3.0, window: 3_000.0 };
-/// Requests a second of all routers.
+/// Requests per second of all routers together.
 const RATE: f64 = 60.0;
 
-/// Starts the servers, and routers of these names.
+/// Starts the servers, and routers with these names.
 fn start_fleet(program: &Path, names: &[String]) -> Result<ProcessCluster, Failure> {
     let mut fleet = ProcessCluster::new(program)?;
     fleet.add("origin", "hub", 20.0, CacheServerConfig::new(ServerRole::Origin))?;
@@ -36,7 +38,7 @@
         fleet.add(
             &format!("cache-{n}"),
             "shop",
-            ABLE,
+            CAPACITY,
             CacheServerConfig { cold, ..CacheServerConfig::new(ServerRole::Cache) },
         )?;
     }
@@ -55,10 +57,10 @@
 fn play(program: &Path, routers: usize) -> Result<bool, Failure> {
     let names: Vec<String> = (0..routers).map(|n| format!("n{n}")).collect();
     let mut fleet = start_fleet(program, &names)?;
-    // Every fifth one gets five times as many as each of the others.
+    // Every fifth router gets five times the rate of each other one.
     let shares: Vec<f64> = (0..routers).map(|n| if n.is_multiple_of(5) { 5.0 } else { 1.0 }).collect();
     let all: f64 = shares.iter().sum();
-    // At the first start of all no router is told of one: the caches are left to warm.
+    // Routers are not notified of the initial starts, so the caches first warm up without load.
     thread::sleep(Duration::from_millis(COLD.warm_in as u64));
     let mut loads = Vec::new();
     for ((name, share), seed) in names.iter().zip(&shares).zip(1..) {
@@ -73,23 +75,25 @@
     thread::sleep(Duration::from_millis(14_000));
     let ends: Vec<_> = loads.into_iter().map(|load| load.finish()).collect();
     let lines = fleet.record.lines();
-    let sum = sums(&lines, 7_000.0).into_iter().next_back().ok_or("the cache never started")?;
+    let sum =
+        sums(&lines, 7_000.0).into_iter().next_back().ok_or("the recording has no start of the cache")?;
     let in_windows =
         |from: f64| sum.arrivals.iter().filter(|at| (from..from + COLD.window).contains(*at)).count();
     let count = |list: fn(&linnethook_testbed::load::LoadResults) -> &Vec<u32>| {
         ends.iter().flat_map(list).map(|n| u64::from(*n)).sum::<u64>()
     };
-    println!("{routers} routers, {} asked, {} served", count(|e| &e.asked), count(|e| &e.served));
+    println!("{routers} routers, {} requests, {} served", count(|e| &e.asked), count(|e| &e.served));
     println!(
-        "after the start, by 3 s: {} {} {} {}",
+        "requests after the start, by 3 s: {} {} {} {}",
         in_windows(0.0),
         in_windows(3e3),
         in_windows(6e3),
         in_windows(9e3)
     );
     println!(
-        "{} windows, {} over N, {} over N + 2 root N + 2, broken: {}; worst {:.2} of the bound {:.0} at N {:.0}, {:.2} of \
-         N; it fell: {}",
+        "{} windows, {} over N, {} over N + 2 root N + 2, rule broken: {}; \
+             worst {:.2} of the bound {:.0} at N {:.0}, \
+         {:.2} of N; cache failed by overload: {}",
         sum.windows,
         sum.over_budget,
         sum.over,
@@ -102,7 +106,7 @@
     );
     let breaches = judge(&lines, &RuleBounds { slack: 150.0, ..RuleBounds::default() });
     let pushed = breaches.iter().filter(|breach| breach.rule == Rule::NoPush).count();
-    println!("breaches: {} in all, {pushed} of the rule on cold starts", breaches.len());
+    println!("breaches: {} in total, {pushed} of the rule on cold starts", breaches.len());
     breaches.iter().take(5).for_each(|breach| println!("  {breach}"));
     Ok(!sum.broken)
 }
@@ -114,6 +118,6 @@
     if play(&program, routers)? {
         Ok(())
     } else {
-        Err("the cold cache was pushed over by routers that knew of its start".into())
+        Err("routers that were notified of the cold cache's start overloaded it".into())
     }
 }
--- a/crates/testbed/src/bin/cuts.rs
+++ b/crates/testbed/src/bin/cuts.rs
@@ -1,7 +1,9 @@
-//! Plays days full of cuts between two sites in virtual time, with the gateway as it is, with one that fails all that
-//! is uncertain, and with one that never resumes a body; prints how requests ended and what the link carried.
+//! Simulates many cuts of the link between two sites in virtual time: with the default gateway, with one that
+//! fails all requests with an uncertain outcome, and with one that never resumes a body. Prints how requests
+//! ended and what the link carried.
 //!
-//! `cuts [SEEDS]`; 104 seeds are some 1,040 cuts and silences and 125,000 bookings, half a minute.
+//! Usage: `cuts [SEEDS]`. The default of 104 seeds gives about 1,040 cuts and silences and 125,000 bookings,
+//! and takes half a minute.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -25,7 +27,7 @@
 fn shares(tally: Tally) -> String {
     let part = |n: u64| n as f64 / tally.asked.max(1) as f64;
     format!(
-        "{} asked: served {:.4}, refused {:.4}, failed {:.4}, their gateway died {:.4}",
+        "{} requests: served {:.4}, rejected {:.4}, failed {:.4}, gateway restarted {:.4}",
         tally.asked,
         part(tally.served),
         part(tally.refused),
@@ -34,7 +36,7 @@
     )
 }
 
-/// Many seeds of one variant.
+/// Runs many seeds of one variant, and prints the sums.
 fn days(name: &str, seeds: u64, rules: GatewayConfig) {
     let begun = Instant::now();
     let (mut bookings, mut reads, mut breaches, mut twice) = (Tally::default(), Tally::default(), 0, 0);
@@ -61,34 +63,35 @@
     println!("  parts of videos: {}", shares(reads));
     println!("  ran twice: {twice}; breaches of any rule: {breaches}");
     println!(
-        "  bytes of bodies across: {:.1} MB, more than once or for nothing {:.4}",
+        "  bytes of bodies that crossed: {:.1} MB, of which again or without a client {:.4}",
         bodies as f64 / 1e6,
         again as f64 / bodies.max(1) as f64
     );
     println!(
-        "  the most at a time: {} connections, {} across, {} from there, {} tokens",
+        "  highest concurrent numbers: {} connections, {} forwarded requests, \
+             {} remote requests, {} remembered tokens",
         most[0], most[1], most[2], most[3]
     );
 }
 
-/// The median and the greatest of some times.
+/// Median and maximum of some times, as text.
 fn spread(mut all: Vec<Ms>) -> String {
     all.sort_by(f64::total_cmp);
     match all.last() {
         Some(most) => {
-            format!("{:.0} ms at the median, {most:.0} at the most of {}", all[all.len() / 2], all.len())
+            format!("{:.0} ms (median), {most:.0} ms (maximum of {})", all[all.len() / 2], all.len())
         }
         None => "never".to_string(),
     }
 }
 
-/// How soon each kind of failure is known, and what comes after it.
+/// Measures how soon each kind of link failure is detected, and the recovery after it.
 fn failures(seeds: u64) {
     let kinds: [(&str, SiteFault); 4] = [
         ("cut", SiteFault::Cut),
         ("silent in both directions", SiteFault::Silent { to: [true; 2] }),
-        ("silent towards the asker", SiteFault::Silent { to: [true, false] }),
-        ("silent towards the server", SiteFault::Silent { to: [false, true] }),
+        ("silent towards the requesting site", SiteFault::Silent { to: [true, false] }),
+        ("silent towards the serving site", SiteFault::Silent { to: [false, true] }),
     ];
     let (lost, back, ended) = (20_000.0, 23_000.0, 60_000.0);
     for (name, fault) in kinds {
@@ -126,19 +129,23 @@
             again.extend(well.map(|at| at - back));
         }
         peaks.sort_by(f64::total_cmp);
-        println!("{name}: known after {}", spread(known));
-        println!("  back at 0.95 of before {} after it is mended", spread(again));
+        println!("{name}: detected after {}", spread(known));
         println!(
-            "  sent across in the first second then, over the steady rate: {:.2} at the most",
+            "  time from the repair until the served share is at 0.95 of that before: {}",
+            spread(again)
+        );
+        println!(
+            "  highest rate of forwarded requests in the first second after the repair: \
+             {:.2} of the steady rate",
             peaks[peaks.len() - 1]
         );
     }
 }
 
-/// Parts of videos over a thin link that is cut each second.
+/// Simulates parts of videos over a slow link that is cut every second.
 fn videos(name: &str, rules: GatewayConfig, seeds: u64) {
     let mut rules = rules;
-    // Else hardly anything would cross.
+    // With the default share a flapping link would carry hardly any request.
     rules.routing.flapping_share = 1.0;
     let (mut reads, mut bodies, mut again) = (Tally::default(), 0, 0);
     for seed in 1..=seeds {
@@ -164,20 +171,24 @@
     }
     println!("videos, {name}: {}", shares(reads));
     println!(
-        "  {:.1} MB crossed, {:.4} of them more than once or for nothing",
+        "  {:.1} MB crossed, of which {:.4} again or without a client",
         bodies as f64 / 1e6,
         again as f64 / bodies.max(1) as f64
     );
 }
 
-/// A link that flaps for a minute: what is kept stays bounded, and home serves as if there were none.
+/// Simulates a link that flaps for a minute: state must stay bounded, and sites must serve as well as without
+/// the link.
 fn flapping() {
     let mut script = vec![(10.0, SiteFault::Store(1, false))];
     script.extend(
         (0..200).map(|n| (f64::from(n) * 300.0, if n % 2 == 0 { SiteFault::Cut } else { SiteFault::Mend })),
     );
     let out = Simulation::new(Scenario { script, bookings: 20.0, ..Scenario::default() }).run();
-    println!("flapping every 300 ms for a minute: {} notes, the most at a time {:?}", out.notes, out.most);
+    println!(
+        "flapping every 300 ms for a minute: {} log lines, highest concurrent numbers {:?}",
+        out.notes, out.most
+    );
     println!("  bookings: {}", shares(out.bookings));
     println!("  parts of videos: {}", shares(out.reads));
 }
@@ -185,11 +196,11 @@
 fn main() {
     let seeds = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(104);
     let rules = GatewayConfig::default();
-    let mut variants = BTreeMap::from([("1 as it is", rules)]);
+    let mut variants = BTreeMap::from([("1 default", rules)]);
     let mut plain = rules;
     plain.forwarding.queries_outcomes = false;
     plain.forwarding.resumes_bodies = false;
-    variants.insert("2 plain: what is uncertain is failed, nothing is resumed", plain);
+    variants.insert("2 uncertain outcomes fail, no resumption", plain);
     let mut anew = rules;
     anew.forwarding.resumes_bodies = false;
     variants.insert("3 without resumption", anew);
--- a/crates/testbed/src/bin/drive.rs
+++ b/crates/testbed/src/bin/drive.rs
@@ -1,7 +1,8 @@
-//! Sends a scripted run of requests through a router, one after another, and ends it: for counting instructions.
+//! Sends a fixed sequence of requests through a router, one after another, and stops it: for counting
+//! instructions.
 //!
-//! `drive ROUTER_PROGRAM [REQUESTS]`. The program may be a script that starts the router under a profiler:
-//! `exec valgrind --tool=callgrind --callgrind-out-file=/tmp/out.%p target/release/linnethook`.
+//! Usage: `drive ROUTER_PROGRAM [REQUESTS]`. The program may be a script that starts the router under a
+//! profiler: `exec valgrind --tool=callgrind --callgrind-out-file=/tmp/out.%p target/release/linnethook`.
 
 use std::io;
 use std::path::Path;
--- a/crates/testbed/src/bin/fleet-figures.rs
+++ b/crates/testbed/src/bin/fleet-figures.rs
@@ -1,9 +1,9 @@
-//! Fellow routers as processes, measured: how long until all know of a drain that one journal tells, until a killed
-//! router is suspected by all, what is said meanwhile, who is suspected wrongly while one is slow, and what a full cut
-//! costs in requests beside routers without fellows.
+//! Measures peer routers as processes: the time until all know of a drain that one journal has published, and
+//! until all suspect a killed router; the bytes per second while nothing changes; wrong suspicions while one
+//! router is slow; and the requests that a full cut costs, compared with routers without peers.
 //!
-//! `fleet-figures [--cut] [ROUTER_PROGRAM]`; without a program the one beside this is run. Some three minutes, and half a
-//! minute for the cut alone.
+//! Usage: `fleet-figures [--cut] [ROUTER_PROGRAM]`; the default program is `linnethook` in the folder of this
+//! binary. Takes about three minutes, or half a minute with `--cut`, which measures only the full cut.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -24,29 +24,30 @@
     format!("{:.0?} {:.0?} {:.0?}", at(50), at(99), at(100))
 }
 
-/// How long until each of some routers shows something, each asked by a thread of its own.
+/// Time until the output of `fleet show` fulfils a condition at each of some routers, each polled by its own
+/// thread.
 fn times(
-    rig: &Harness,
+    harness: &Harness,
     program: &Path,
     routers: &[usize],
     fits: impl Fn(&serde_json::Value) -> bool + Sync,
 ) -> Result<Vec<Duration>, Failure> {
     let begun = Instant::now();
-    let sockets: Vec<PathBuf> = routers.iter().map(|n| rig.fleet.socket(&name(*n))).collect();
+    let sockets: Vec<PathBuf> = routers.iter().map(|n| harness.fleet.socket(&name(*n))).collect();
     let until = |socket: &Path| -> Result<Duration, Failure> {
         while begun.elapsed() < Duration::from_secs(30) {
             let output = Command::new(program)
                 .args(["fleet", "show", "--format", "json", "--socket"])
                 .arg(socket)
                 .output()?;
-            // Asked before it was there: the answer is no older than that.
+            // Taken after the response arrived, so it is an upper bound.
             let at = begun.elapsed();
             if fits(&serde_json::from_slice(&output.stdout)?) {
                 return Ok(at);
             }
             thread::sleep(Duration::from_millis(5));
         }
-        Err("it never showed".into())
+        Err("the condition was not fulfilled within 30 s".into())
     };
     let until = &until;
     thread::scope(|scope| {
@@ -55,16 +56,17 @@
     })
 }
 
-fn bytes_sent(rig: &Harness, routers: usize) -> Result<u64, Failure> {
+fn bytes_sent(harness: &Harness, routers: usize) -> Result<u64, Failure> {
     let mut all = 0;
     for n in 0..routers {
-        all += rig.shown(n)?["fellows"]["counts"]["said_bytes"].as_u64().unwrap_or(0);
+        all += harness.shown(n)?["fellows"]["counts"]["said_bytes"].as_u64().unwrap_or(0);
     }
     Ok(all / routers as u64)
 }
 
 fn fleet(program: &PathBuf, routers: usize) -> Result<(), Failure> {
-    // All with all where they are few, else each with the next one and two others.
+    // Up to 8 routers are all linked with each other; in larger fleets each is linked with the next one and
+    // two others.
     let links = (routers > 8).then(|| {
         let mut links: Vec<(usize, usize)> = (0..routers)
             .flat_map(|a| [1, 3, 7].map(|by| (a.max((a + by) % routers), a.min((a + by) % routers))))
@@ -73,44 +75,44 @@
         links.dedup();
         links
     });
-    // As shipped, but for what the rig would wait for.
+    // Default settings of the cluster, except for the harness's own settings of the hierarchy and audit log.
     let plan = Plan { routers, links, cluster_settings: String::new(), rate: 10.0, ..Plan::default() };
-    let mut rig = Harness::start(program, plan)?;
-    rig.load_all()?;
+    let mut harness = Harness::start(program, plan)?;
+    harness.load_all()?;
     thread::sleep(Duration::from_secs(3));
-    let (before, since) = (bytes_sent(&rig, routers)?, Instant::now());
+    let (before, since) = (bytes_sent(&harness, routers)?, Instant::now());
     thread::sleep(Duration::from_secs(10));
-    let quiet = (bytes_sent(&rig, routers)? - before) as f64 / since.elapsed().as_secs_f64();
+    let quiet = (bytes_sent(&harness, routers)? - before) as f64 / since.elapsed().as_secs_f64();
     let all: Vec<usize> = (1..routers).collect();
     let mut drains = Vec::new();
     for n in 0..10u64 {
         let phase = if n % 2 == 0 { Phase::Draining } else { Phase::Ready };
-        rig.tell("cache-1", phase, &[0])?;
-        drains.extend(times(&rig, program, &all, |shown| {
+        harness.tell("cache-1", phase, &[0])?;
+        drains.extend(times(&harness, program, &all, |shown| {
             shown["barred"].as_array().is_some_and(|barred| barred.is_empty() != (n % 2 == 0))
         })?);
     }
     let last = routers - 1;
     if routers > 2 {
-        // Slow, with all its links: who is suspected?
+        // Slows all links of one router, and counts the suspicions that this causes.
         for n in 0..last {
-            rig.slow(last, n, 4_000.0);
+            harness.slow(last, n, 4_000.0);
         }
         thread::sleep(Duration::from_secs(8));
     }
     let mut error = 0;
     for n in 0..routers {
-        error += routers - 1 - alive(&rig.shown(n)?);
+        error += routers - 1 - alive(&harness.shown(n)?);
     }
-    rig.mend_all();
+    harness.mend_all();
     thread::sleep(Duration::from_secs(1));
-    rig.kill(last);
+    harness.kill(last);
     let others: Vec<usize> = (0..last).collect();
-    let seen = times(&rig, program, &others, |shown| {
+    let seen = times(&harness, program, &others, |shown| {
         line(shown, &name(last)).is_some_and(|l| l["standing"] == "Suspected")
     })?;
-    rig.end_loads();
-    let breaches = rig.breaches(&[]).len();
+    harness.end_loads();
+    let breaches = harness.breaches(&[]).len();
     println!(
         "| {routers} | {} | {} | {quiet:.0} | {error} | {breaches} |",
         quantiles(drains),
@@ -124,18 +126,18 @@
     format!("{} of {}", sum(|ends| &ends.served), sum(|ends| &ends.asked))
 }
 
-/// Each by itself for some seconds: with fellows that are cut off, and without any.
+/// Measures routers that are isolated for 10 s: once with peers that are cut off, and once without peers.
 fn cut(program: &PathBuf) -> Result<(), Failure> {
     let plan = Plan { rate: 100.0, straggler: Some("alone = 2".to_string()), ..Plan::default() };
-    let mut rig = Harness::start(program, plan.clone())?;
-    rig.split(1);
-    rig.split(2);
-    rig.until(0, "it is alone", |shown| alive(shown) == 0)?;
-    rig.load_all()?;
+    let mut harness = Harness::start(program, plan.clone())?;
+    harness.split(1);
+    harness.split(2);
+    harness.until(0, "no peer is alive", |shown| alive(shown) == 0)?;
+    harness.load_all()?;
     thread::sleep(Duration::from_secs(10));
-    rig.end_loads();
-    let with = share(&rig.ends);
-    drop(rig);
+    harness.end_loads();
+    let with = share(&harness.ends);
+    drop(harness);
     let mut fleet = ProcessCluster::two_hubs(program, 3, CacheServerConfig::new)?;
     let operator = operator_file(3, "south", &plan.hierarchy);
     let mut loads = Vec::new();
@@ -148,7 +150,10 @@
     }
     thread::sleep(Duration::from_secs(10));
     let ends: Vec<LoadResults> = loads.into_iter().map(|load| load.finish()).collect();
-    println!("a full cut for 10 s, three routers: {with} served with fellows, {} without any", share(&ends));
+    println!(
+        "a full cut for 10 s, three routers: {with} requests served with peers, {} without",
+        share(&ends)
+    );
     Ok(())
 }
 
@@ -159,7 +164,10 @@
     if arguments.iter().any(|status| status == "--cut") {
         return cut(&program);
     }
-    println!("| routers | a drain known, of one journal: median 99% last | a killed one suspected | bytes a second while quiet | suspected while one is slow | breaches |");
+    println!(
+        "| routers | drain of one journal known: median 99% last | killed router suspected | \
+bytes per second without changes | wrong suspicions with a slow router | breaches |"
+    );
     println!("| --- | --- | --- | --- | --- | --- |");
     for routers in [3, 8, 20] {
         fleet(&program, routers)?;
--- a/crates/testbed/src/bin/hub-move.rs
+++ b/crates/testbed/src/bin/hub-move.rs
@@ -1,8 +1,10 @@
-//! Moves a hub cache under load and prints what reached the origin, second by second: by stages with the shield, and
-//! beside it the plain flip, each with a fleet and a router of its own on loopback.
+//! Moves caches to another hub under load and prints the requests at the origin, second by second: once in
+//! stages with the shield, and once as an immediate switch, each with a fleet and a router of its own on
+//! loopback.
 //!
-//! `hub-move [--short] [ROUTER_PROGRAM]`; without a program the one beside this is run. `--short` takes half a minute
-//! and is for a look; the whole takes some three minutes.
+//! Usage: `hub-move [--short] [ROUTER_PROGRAM]`; the default program is `linnethook` in the folder of this
+//! binary. Takes about three minutes, and with `--short`, a smaller run for a quick impression, half a
+//! minute.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -17,7 +19,7 @@
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// How long each part takes, and how large the load is.
+/// Length of the phases in seconds, and size of the load.
 #[derive(Debug, Clone, Copy)]
 struct Scale {
     before: usize,
@@ -36,7 +38,7 @@
     settings: "announce = 1, warm = 8, settle = 6",
 };
 
-/// What one variant came to.
+/// Results of one variant.
 struct Outcome {
     name: &'static str,
     origin: Vec<u32>,
@@ -47,7 +49,7 @@
 }
 
 impl Outcome {
-    /// The worst mean of so many seconds in a row after the change, over the steady rate.
+    /// Highest mean over this many consecutive seconds after the change, as a multiple of the steady rate.
     fn worst(&self, scale: Scale, seconds: usize) -> f64 {
         let after = &self.origin[scale.before..];
         let sums = after.windows(seconds).map(|window| window.iter().sum::<u32>());
@@ -55,7 +57,8 @@
     }
 }
 
-/// Caches keep a fortieth of the objects each, parents two fifths: so some always have to come from the origin.
+/// Each cache stores a fortieth of the objects and each parent two fifths, so that some always come from the
+/// origin.
 fn server_config(scale: Scale) -> impl Fn(ServerRole) -> CacheServerConfig {
     move |kind| {
         let copies = match kind {
@@ -102,7 +105,7 @@
     let scale = if short { SHORT } else { FULL_SCALE };
     let program = router_program(arguments.first().map(Path::new))?;
     let variants =
-        [("by stages", "staged = True, shielded = True"), ("plain flip", "staged = False, shielded = False")];
+        [("in stages", "staged = True, shielded = True"), ("immediate", "staged = False, shielded = False")];
     println!("{scale:?}, begun at {:.0}", now());
     let threads: Vec<_> = variants
         .into_iter()
@@ -113,9 +116,9 @@
         .collect();
     let mut outcomes = Vec::new();
     for thread in threads {
-        outcomes.push(thread.join().map_err(|_| "a variant has failed")??);
+        outcomes.push(thread.join().map_err(|_| "the thread of a variant panicked")??);
     }
-    println!("requests at the origin by second; the hub cache moves at 0");
+    println!("requests at the origin by second; the caches move at 0");
     println!("{:>6} {:>10} {:>10}", "second", outcomes[0].name, outcomes[1].name);
     for second in scale.before.saturating_sub(10)..scale.before + scale.after {
         let at = second as i64 - scale.before as i64;
@@ -123,7 +126,8 @@
     }
     for outcome in &outcomes {
         println!(
-            "{}: steady {:.1} a second; worst second {:.2} times that, worst three {:.2}, worst ten {:.2}; served {:.4} \
+            "{}: steady {:.1} per second; worst second {:.2} times that, worst three {:.2}, worst ten {:.2}; \
+             served {:.4} \
              before and {:.4} after; {} breaches",
             outcome.name,
             outcome.steady,
--- a/crates/testbed/src/bin/link-speed.rs
+++ b/crates/testbed/src/bin/link-speed.rs
@@ -1,7 +1,8 @@
-//! How much one link carries, beside a plain copy of the same bytes through the same stand-in on loopback; what its
-//! frames add, the time that a request takes of a processor, and the memory of an open stream.
+//! Measures the throughput of one link, compared with a plain copy of the same bytes through the same proxy
+//! on loopback; also the overhead of its frames, the processor time of a request, and the memory of an open
+//! stream.
 //!
-//! `link-speed [MEGABYTES]`; 400 take some seconds.
+//! Usage: `link-speed [MEGABYTES]`; the default of 400 takes some seconds.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -16,7 +17,7 @@
 use linnethook_testbed::recording::{now, Recording};
 
 const PART: usize = 64 << 10;
-const OPEN: u64 = 32;
+const MAX_OPEN_REQUESTS: u64 = 32;
 
 fn gateway(site: &str, other: &str, dials: bool) -> Gateway {
     let mut rules = GatewayConfig::default();
@@ -40,7 +41,8 @@
     gateway
 }
 
-/// One end of the link on a socket of its own; `act` does what the gateway wants and tells when all is done.
+/// Runs one end of the link on a socket until the connection ends or `over` returns true; `act` carries out
+/// the actions of the gateway.
 fn drive(
     stream: &TcpStream,
     gateway: &mut Gateway,
@@ -87,12 +89,12 @@
     Ok((proxy, listener))
 }
 
-/// Seconds and processor seconds of this process so far.
-fn spent() -> f64 {
+/// Processor time of this process so far, in seconds.
+fn processor_seconds() -> f64 {
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields: Vec<f64> =
         text.rsplit(')').next().unwrap_or_default().split(' ').filter_map(|f| f.parse().ok()).collect();
-    // User and system time, in hundredths.
+    // User and system time, in hundredths of a second.
     fields.get(10..12).map_or(0.0, |times| times.iter().sum::<f64>() / 100.0)
 }
 
@@ -114,11 +116,11 @@
         got += stream.read(&mut block)?;
     }
     let took = begun.elapsed().as_secs_f64();
-    sender.join().map_err(|_| io::Error::other("the sender has failed"))??;
+    sender.join().map_err(|_| io::Error::other("the thread of the sender panicked"))??;
     Ok(got as f64 / took)
 }
 
-/// Serves parts to whoever connects first, until the connection ends.
+/// Serves parts on the first connection until it ends.
 fn serve_parts(listener: &TcpListener) -> io::Result<()> {
     let (stream, _) = listener.accept()?;
     let mut gateway = gateway("south", "north", false);
@@ -167,7 +169,7 @@
         Action::Answer(_, other) => Err(io::Error::other(format!("{other:?}"))),
         _ => Ok(()),
     };
-    // Answers that have come, counted by one closure and read by the other.
+    // Received answers, counted by one closure and read by the other.
     let counted = std::cell::Cell::new(0u64);
     let over = |gateway: &mut Gateway| {
         let at = now();
@@ -176,7 +178,7 @@
         }
         begun.get_or_insert_with(Instant::now);
         done = counted.get();
-        while asked < parts && asked - done < OPEN {
+        while asked < parts && asked - done < MAX_OPEN_REQUESTS {
             asked += 1;
             gateway.submit_request(at, asked, part_request(asked, at));
         }
@@ -195,13 +197,13 @@
     Ok((parts as f64 * PART as f64 / took, overhead))
 }
 
-/// Bytes of memory that this process holds.
+/// Resident memory of this process, in bytes.
 fn resident_bytes() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok()).unwrap_or(0.0) * 4096.0
 }
 
-/// Memory of an open stream that waits for its answer, at the asker.
+/// Memory of an open stream that waits for its answer, at the requesting side, in bytes.
 fn memory() -> f64 {
     use linnethook_gateway::codec::ForwardedRequest;
     use linnethook_gateway::session::{Session, SessionConfig};
@@ -231,15 +233,16 @@
 fn main() -> io::Result<()> {
     let megabytes: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(400);
     let bytes = megabytes << 20;
-    println!("an open stream takes {:.0} bytes at its asker", memory());
+    println!("an open stream takes {:.0} bytes at the requesting side", memory());
     for round in 1..=3 {
         let plain = plain(bytes)?;
-        let before = spent();
+        let before = processor_seconds();
         let (link, overhead) = link(bytes)?;
-        let cpu = (spent() - before) / (bytes / PART) as f64;
+        let cpu = (processor_seconds() - before) / (bytes / PART) as f64;
         println!(
-            "round {round}: plain copy {:.0} MB/s, the link {:.0} MB/s: {:.2} of it; {:.3}% more bytes; {:.0} us of processor a part of \
-             64 KB, the stand-in in the middle and both ends included",
+            "round {round}: plain copy {:.0} MB/s, the link {:.0} MB/s ({:.2} of it); {:.3}% more bytes; \
+             {:.0} us of processor \
+             time for a part of 64 KB, with the proxy and both ends",
             plain / 1e6,
             link / 1e6,
             link / plain,
--- a/crates/testbed/src/bin/process-faults.rs
+++ b/crates/testbed/src/bin/process-faults.rs
@@ -1,8 +1,9 @@
-//! Plays scripts of overlapping faults between processes, each from its seed: routers of the built program that are
-//! fellows, killed, frozen, cut off, slowed down and started again under load.
+//! Runs scripts of overlapping faults on peer routers of the built program, each script from its seed:
+//! processes are killed, suspended, cut off, slowed down and restarted under load.
 //!
-//! `process-faults FROM..TO [--jobs K] [--steps N] [ROUTER_PROGRAM]`; a line for each seed that fails, with its script,
-//! and one for all of them. `process-faults SEED` plays one and prints its script. Ends with 1 where any has failed.
+//! Usage: `process-faults FROM..TO [--jobs K] [--steps N] [ROUTER_PROGRAM]` prints each seed that fails, with
+//! its script, and a summary. `process-faults SEED` runs one seed and prints its script. The exit code is 1
+//! if any seed fails.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -27,8 +28,13 @@
     let mut arguments = std::env::args().skip(1);
     let mut seen = false;
     while let Some(status) = arguments.next() {
-        let mut number =
-            || arguments.next().ok_or("a number is missing")?.parse::<usize>().map_err(Failure::from);
+        let mut number = || {
+            arguments
+                .next()
+                .ok_or("--jobs and --steps need a number")?
+                .parse::<usize>()
+                .map_err(Failure::from)
+        };
         match status.as_str() {
             "--jobs" => wanted.jobs = number()?.max(1),
             "--steps" => wanted.steps = number()?,
@@ -97,8 +103,9 @@
     let at = |part: usize| times.get(times.len().saturating_sub(1) * part / 100).copied().unwrap_or_default();
     let failed = failed.into_inner();
     println!(
-        "{} scripts, {failed} failed; {} requests, {} served, {} refused, {} failed; {} drains and {} batches heard from \
-         fellows first; of one mind after the last fault: median {:.2?}, 99% {:.2?}, last {:.2?}",
+        "{} scripts, {failed} failed; {} requests, {} served, {} rejected, {} failed; \
+             {} drains and {} batches received by \
+         gossip first; converged after the last fault: median {:.2?}, 99% {:.2?}, last {:.2?}",
         all.len() as u64 + failed,
         sum(|played| u64::from(played.asked)),
         sum(|played| u64::from(played.served)),
--- a/crates/testbed/src/bin/starts.rs
+++ b/crates/testbed/src/bin/starts.rs
@@ -1,10 +1,12 @@
-//! What reaches the origin when routers are killed and start again within a change of the hierarchy: none of three,
-//! one of them, or all at once; with nodes that ask the old parent beside the new one, and with such as don't.
+//! Measures the requests at the origin when none, one or all of three routers are killed and restarted during
+//! a change of the hierarchy, with and without the extended protocol, by which caches also query the old
+//! parent.
 //!
-//! `starts [ROUTER_PROGRAM]`; without a program the one beside this is run. Some three minutes.
+//! Usage: `starts [ROUTER_PROGRAM]`; the default program is `linnethook` in the folder of this binary. Takes
+//! about three minutes.
 //!
-//! `starts ready [ROUTER_PROGRAM]`: how long 30 routers that start at once take until each says that it is ready, while
-//! discovery, caches or the machine's cores are out of order. Under a minute.
+//! `starts ready [ROUTER_PROGRAM]` measures how long 30 routers that start at once take until each reports
+//! ready, during an outage of discovery, with caches that hang or with busy cores. Takes under a minute.
 
 use std::path::Path;
 use std::thread;
@@ -21,7 +23,7 @@
 
 const ROUTERS: [&str; 3] = ["n0", "n1", "n2"];
 const OBJECTS: u64 = 4_000;
-/// Seconds before the change, from it to the kill, and from that to the end.
+/// Seconds before the change, from the change to the kill, and from the kill to the end.
 const TIMES: [u64; 3] = [12, 4, 14];
 
 fn server_config(kind: ServerRole) -> CacheServerConfig {
@@ -70,7 +72,7 @@
     thread::sleep(Duration::from_secs(TIMES[2]));
     let (mut asked, mut served) = (0, 0);
     for running in back.into_iter().chain(rest) {
-        // Of those that were not killed, what came after the kill.
+        // Of routers that were not killed, only requests after the kill count.
         let old = running.since < since + 1_000.0;
         let from = if old { (TIMES[0] + TIMES[1]) as usize } else { 0 };
         let ends = running.finish();
@@ -83,21 +85,21 @@
     let worst = origin[before + TIMES[1] as usize..].iter().max().copied().unwrap_or(0);
     let rules = RuleBounds { slack: 150.0, going_over: 70_000.0, ..RuleBounds::default() };
     println!(
-        "beside: {extended}, killed: {killed} | origin a second: {steady} before, {worst} in the worst after | \
+        "extended: {extended}, killed: {killed} | origin per second: {steady} before, worst {worst} after | \
          served after {served} of {asked} | breaches {}",
         judge(&fleet.record.lines(), &rules).len()
     );
     Ok(())
 }
 
-/// Processes of each case of `ready`.
+/// Number of processes in each case of `ready`.
 const AT_ONCE: usize = 30;
 
 fn ready(program: &Path) -> Result<(), Failure> {
     let cores = thread::available_parallelism().map_or(4, usize::from);
     let silent = StartScenario::new(Outage::Silent, AT_ONCE);
     let cases = [
-        ("discovery refuses", StartScenario::new(Outage::Refusing, AT_ONCE)),
+        ("discovery refuses connections", StartScenario::new(Outage::Refusing, AT_ONCE)),
         ("discovery is silent", silent),
         ("discovery trickles", StartScenario::new(Outage::Trickling, AT_ONCE)),
         ("silent, all caches hang", StartScenario { hung: true, ..silent }),
@@ -113,11 +115,14 @@
             "the same, one router alone",
             StartScenario { listed: 2_700, purges: 50_000, processes: 1, ..silent },
         ),
-        ("silent, twice as many busy threads as cores", StartScenario { busy: 2 * cores, ..silent }),
-        ("all of it", StartScenario { hung: true, listed: 1_000, purges: 5_000, busy: 2 * cores, ..silent }),
+        ("silent, two busy threads per core", StartScenario { busy: 2 * cores, ..silent }),
+        (
+            "silent, caches hang, 1,000 caches and 5,000 purges known, busy threads",
+            StartScenario { hung: true, listed: 1_000, purges: 5_000, busy: 2 * cores, ..silent },
+        ),
     ];
     println!(
-        "| {AT_ONCE} routers start at once | ready | median | 95% | worst | one's memory at the most, MB |\n\
+        "| {AT_ONCE} routers start at once | ready | median | 95% | worst | peak memory of one, MB |\n\
          | --- | --- | --- | --- | --- | --- |"
     );
     for (name, case) in cases {
--- a/crates/testbed/src/bin/two-sites.rs
+++ b/crates/testbed/src/bin/two-sites.rs
@@ -1,7 +1,9 @@
-//! Two sites on loopback, each with a gateway, caches, a parent and a store, and a link between them: the north loses
-//! its store and its caches, and the link is cut, goes silent and flaps under load; prints what a person sees of it.
+//! Two sites on loopback, each with a gateway, caches, a parent and a store, and a link between them. Under
+//! load the north loses its store and its caches, and the link is cut and goes silent. Prints a line of
+//! statistics for each second.
 //!
-//! `two-sites [ROUTER_PROGRAM]`; without a program the one beside this is run. Half a minute.
+//! Usage: `two-sites [ROUTER_PROGRAM]`; the default program is `linnethook` in the folder of this binary.
+//! Takes half a minute.
 
 use std::path::Path;
 use std::thread;
@@ -20,7 +22,7 @@
     let at = |list: &[u32]| list.get(second).copied().unwrap_or(0);
     let south = &status["sites"][0];
     format!(
-        "{second:>3} {:>6} {:>7} {:>8} {:>7} {crossed:>8} {:>9} {:>8} {:>9}  {what}",
+        "{second:>6} {:>6} {:>7} {:>8} {:>7} {crossed:>8} {:>9} {:>8} {:>9}  {what}",
         at(&ends.asked),
         at(&ends.served),
         at(&ends.refused),
@@ -31,7 +33,7 @@
     )
 }
 
-/// What befalls the sites in a second, and its name.
+/// Injects the fault of a second, if there is one, and returns its description.
 fn step(sites: &mut TwoSites, second: usize) -> Result<&'static str, Failure> {
     Ok(match second {
         3 => {
@@ -62,7 +64,7 @@
             for cache in ["north-cache-0", "north-cache-1"] {
                 sites.north.tell(cache, Phase::Ready)?;
             }
-            "the north has its store and its caches again"
+            "the north's store and caches recover"
         }
         _ => "",
     })
@@ -75,7 +77,7 @@
     sites.until_up()?;
     let load = Load { rate: 150.0, bookings: 0.2, clients: 8, ..Load::default() };
     let running = sites.north.load(NORTH, &load)?;
-    println!("second  asked  served  refused  failed  crossed  reached  may get  uncertain");
+    println!("second   sent  served rejected  failed  crossed reachable    share uncertain");
     let mut before = 0;
     for second in 0..32usize {
         let what = step(&mut sites, second)?;
@@ -89,7 +91,8 @@
     breaches.iter().take(5).for_each(|breach| println!("{breach}"));
     let sum = |list: &[u32]| list.iter().sum::<u32>();
     println!(
-        "{} asked, {} served, {} refused, {} failed; {} breaches of any rule; bookings that ran twice: {}",
+        "{} requests, {} served, {} rejected, {} failed; \
+             {} breaches of any rule; bookings that ran twice: {}",
         sum(&ends.asked),
         sum(&ends.served),
         sum(&ends.refused),
--- a/crates/testbed/src/cache_server/fill.rs
+++ b/crates/testbed/src/cache_server/fill.rs
@@ -1,4 +1,4 @@
-//! How a server finds an object: its copies, fills from a source, and requests that join a fill.
+//! How a server looks up an object: its copies, fills from a source, and requests that join a fill.
 
 use std::sync::PoisonError;
 use std::thread;
@@ -10,8 +10,8 @@
 use crate::server::{ask, CacheRequest};
 
 impl Inner {
-    /// Counts one that came in; false once it has fallen over.
-    pub(super) fn bears(&self) -> bool {
+    /// Counts a request; returns false if the server has failed by overload, or fails with this request.
+    pub(super) fn accepts_request(&self) -> bool {
         let cold = self.server_config.cold;
         let mut state = self.lock();
         if state.fallen {
@@ -35,13 +35,13 @@
         true
     }
 
-    pub(super) fn find(&self, ask: &CacheRequest) -> Found {
+    pub(super) fn look_up(&self, ask: &CacheRequest) -> Found {
         let text = |name: &str| ask.fields.get(name).map(String::as_str);
         let class = text("kind").unwrap_or_default();
         let key = (text("obj").unwrap_or_default().to_string(), part(ask));
         if self.server_config.kind == ServerRole::Origin {
             thread::sleep(self.server_config.latency);
-            return self.give_out(ask, class, &key);
+            return self.serve_as_origin(ask, class, &key);
         }
         let passed = match text("passed").map(FillPath::parse) {
             None => None,
@@ -49,7 +49,7 @@
             Some(Err(_)) => return Found::without("failed", "ORIGIN_ERR"),
         };
         if passed.as_ref().is_some_and(|passed| passed.version < self.lock().floor) {
-            // What is held would do; a fill on a shape that is gone would not.
+            // A cached copy is fine, but a fill on an outdated hierarchy is not allowed.
             let cached = self.cached_copy(&key, f64::INFINITY);
             return cached
                 .map_or_else(|| Found::without("absent", "NO_FILL"), |copy| Found::cached(copy, "HIT"));
@@ -77,7 +77,7 @@
             Ok(hops) => hops,
             Err(found) => return found,
         };
-        if !self.begin(&key) {
+        if !self.begin_fill(&key) {
             return match self.cached_copy(&key, oldest) {
                 Some(copy) => Found::cached(copy, "COLLAPSED"),
                 None => Found::without("full", "NO_FILL"),
@@ -89,12 +89,12 @@
         found
     }
 
-    /// A cache is told its source; a parent goes on by the way that it is told, or by its own idea.
+    /// Whether requests name the source. For a cache they do; a parent uses their path, or its own sources.
     fn source_is_given(&self) -> bool {
         self.server_config.kind == ServerRole::Cache
     }
 
-    /// Where a miss goes on to, or what is answered without a fill.
+    /// The sources for a miss, in order, or the response if there is no fill.
     fn hops(&self, ask: &CacheRequest, cached_only: bool) -> Result<Vec<String>, Found> {
         let text = |name: &str| ask.fields.get(name).map(String::as_str);
         Ok(match (self.source_is_given(), text("parent"), text("via")) {
@@ -108,7 +108,7 @@
         })
     }
 
-    /// The copy, if it is young enough.
+    /// The stored copy, if it is not older than `oldest` milliseconds.
     pub(super) fn cached_copy(&self, key: &Key, oldest: Ms) -> Option<Copy> {
         let mut state = self.lock();
         state.uses += 1;
@@ -120,8 +120,8 @@
         Some(copy)
     }
 
-    /// Whether this one is to fill; else another has, or has taken too long.
-    pub(super) fn begin(&self, key: &Key) -> bool {
+    /// Whether the caller has to fill. If not, it has waited for another fill, which has ended or timed out.
+    pub(super) fn begin_fill(&self, key: &Key) -> bool {
         let mut state = self.lock();
         if state.filling.insert(key.clone()) {
             return true;
@@ -132,7 +132,7 @@
         false
     }
 
-    pub(super) fn keep(&self, key: &Key, copy: &Copy) {
+    pub(super) fn store_copy(&self, key: &Key, copy: &Copy) {
         let mut state = self.lock();
         state.uses += 1;
         let used = state.uses;
@@ -142,7 +142,7 @@
             || state.order.len() > self.server_config.copies * 4
         {
             let Some((key, used)) = state.order.pop_front() else { break };
-            // Used again since: a later place in the order stands for it.
+            // Skips a key that was used again since: it has a later entry.
             if state.copies.get(&key).is_some_and(|copy| copy.used == used) {
                 state.copies.remove(&key);
             }
@@ -175,13 +175,13 @@
             }
             match passed {
                 Some(passed) => fields.push(format!("passed={passed}")),
-                // By its own idea, where nobody told it a way.
+                // A fill from its own source starts a new path.
                 None if !source_is_given => {
                     fields.push(format!("passed={}:{}", self.lock().version, self.name))
                 }
                 None => {}
             }
-            // The first source gets the way on that a cache was told; a parent hands on what is left of it.
+            // A cache forwards the path of the request to its source; a parent forwards the rest of the path.
             let via = match source_is_given {
                 true => asked.fields.get("via").cloned(),
                 false => Some(hops[n + 1..].join("+")).filter(|via| !via.is_empty()),
@@ -196,7 +196,7 @@
                 Ok((status, fields, body)) if status == "data" => {
                     let dated = fields.get("dated").and_then(|at| at.parse().ok()).unwrap_or(0.0);
                     let copy = Copy { body, dated, used: 0 };
-                    self.keep(key, &copy);
+                    self.store_copy(key, &copy);
                     let origin = fields.get("res").is_some_and(|res| res == "MISS_ORIGIN");
                     let res = if origin { "MISS_ORIGIN" } else { "MISS" };
                     let res = res.to_string();
@@ -218,14 +218,14 @@
         last
     }
 
-    /// The origin gives a copy out, or runs what is to be run there.
-    pub(super) fn give_out(&self, ask: &CacheRequest, class: &str, key: &Key) -> Found {
+    /// Responds as the origin: counts a run of a write, and issues a copy.
+    pub(super) fn serve_as_origin(&self, ask: &CacheRequest, class: &str, key: &Key) -> Found {
         if self.server_config.writes.iter().any(|write| write == class) {
             let mut state = self.lock();
             *state.runs.entry(ask.id.clone()).or_default() += 1;
         }
         let dated = now();
-        // What a client can tell the copy by.
+        // The start of the body identifies the copy: object, part and time.
         let mut body = format!("{} {} {dated} ", key.0, key.1).into_bytes();
         body.resize(body.len().max(self.server_config.size), b'.');
         let copy = Copy { body, dated, used: 0 };
--- a/crates/testbed/src/cache_server/front.rs
+++ b/crates/testbed/src/cache_server/front.rs
@@ -1,4 +1,4 @@
-//! Answers requests at one address of a server, with the faults of its script.
+//! Responds to requests at one address of a server, with the faults of its script.
 
 use std::sync::atomic::Ordering;
 use std::thread;
@@ -37,9 +37,9 @@
             inner.record.note(RecordedEvent::Ended { attempt, status, res, ran });
         };
         let fault = inner.script.next();
-        let bears = inner.bears();
+        let accepted = inner.accepts_request();
         match fault {
-            _ if !bears => {
+            _ if !accepted => {
                 ended("", "FALLEN", false);
                 return HandlerResponse::Reset;
             }
@@ -55,7 +55,7 @@
             Some(Fault::Slow(by)) => thread::sleep(Duration::from_secs_f64(by / 1000.0)),
             Some(Fault::Fail | Fault::Cut) | None => {}
         }
-        let found = inner.find(ask);
+        let found = inner.look_up(ask);
         let Found { status, res, copy, more, ran } = found;
         if fault == Some(Fault::Fail) {
             ended("failed", &res, ran);
--- a/crates/testbed/src/cache_server/mod.rs
+++ b/crates/testbed/src/cache_server/mod.rs
@@ -1,7 +1,9 @@
-//! One server: a cache, a parent or the origin. It keeps copies, lets them age, fills from the source that is
-//! named, joins fills that are under way, passes the way of a fill on, warms, and falls over when it is pushed.
+//! One server: a cache, a parent or the origin. It stores copies with an age limit, fills from the source
+//! that a request names, joins fills in progress, forwards the path of a fill, warms up, and fails when it is
+//! overloaded.
 //!
-//! Each router reaches it at an address of its own, so that a record tells who asked; nodes have one for themselves.
+//! It has a separate address for each router, so that the recording has the sender of each request, and one
+//! that is shared by the other nodes.
 
 mod fill;
 mod front;
@@ -18,39 +20,39 @@
 use crate::server::Server;
 use fill::{hints, part};
 
-/// What a server is in the hierarchy.
+/// Role of a server in the hierarchy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerRole {
-    /// Keeps copies for routers and fills from the source that they name.
+    /// Stores copies for routers and fills from the source that they name.
     Cache,
-    /// Keeps copies for caches and fills from its own source.
+    /// Stores copies for caches and fills from a source of its own.
     Parent,
-    /// Has each object and runs what is not idempotent.
+    /// Has all objects, and runs requests that are not idempotent.
     Origin,
 }
 
-/// How a node works.
+/// Configuration of a server.
 #[derive(Debug, Clone)]
 pub struct CacheServerConfig {
-    /// Its place in the hierarchy.
+    /// Its role in the hierarchy.
     pub kind: ServerRole,
-    /// Copies that it keeps; the one used longest ago goes first.
+    /// Most copies that it stores; the least recently used one is evicted first.
     pub copies: usize,
-    /// How long an answer of its own takes.
+    /// How long it takes to respond without a fill.
     pub latency: Duration,
-    /// How long a copy is fresh, by class; no class, or 0, is until it is purged.
+    /// How long a copy is fresh, by class; without an entry, or with 0, until it is purged.
     pub fresh: BTreeMap<String, Ms>,
-    /// Classes that run at the origin.
+    /// Classes of requests that the origin runs.
     pub writes: Vec<String>,
-    /// Where it goes on if it is told of no way: its own idea of the hierarchy.
+    /// Its own sources, for requests that give no path.
     pub upstream: Vec<String>,
-    /// Whether it goes the way that it is told; else always by its own idea.
+    /// Whether it follows the path in a request; if not, it always uses `upstream`.
     pub obeys: bool,
-    /// How long a fill may take.
+    /// Time-out of a fill.
     pub patience: Duration,
-    /// Bytes of an answer.
+    /// Bytes in the body of a response.
     pub size: usize,
-    /// What it can do after a start; it never falls over where the multiple is 0.
+    /// Its capacity after a start; with a multiple of 0 it never fails by overload.
     pub cold: WarmUpCapacity,
 }
 
@@ -73,7 +75,7 @@
     }
 }
 
-/// The addresses at which nodes reach each other.
+/// The addresses at which nodes reach each other, by name.
 #[derive(Debug, Clone, Default)]
 pub struct Directory(Arc<Mutex<HashMap<String, SocketAddr>>>);
 
@@ -99,18 +101,18 @@
 #[derive(Debug, Default)]
 struct State {
     copies: HashMap<Key, Copy>,
-    /// Keys in the order of their use, with those that were used again since.
+    /// Keys in the order of their uses; a key that was used again has a later entry too.
     order: VecDeque<(Key, u64)>,
     uses: u64,
     filling: HashSet<Key>,
     started: Ms,
     arrivals: VecDeque<Ms>,
     fallen: bool,
-    /// Fills on an older version than that are turned away.
+    /// Fills on an older version than this are rejected.
     floor: u64,
-    /// Where it goes on by itself; changes in service.
+    /// Its own sources; they can change while it runs.
     upstream: Vec<String>,
-    /// The version that goes with fills which it sends by itself.
+    /// The hierarchy version that it sends with fills to its own sources.
     version: u64,
     runs: HashMap<String, u32>,
 }
@@ -126,26 +128,26 @@
     attempts: Arc<AtomicU64>,
 }
 
-/// One address of a node: who asks there.
+/// One address of a server, and the router that uses it; `None` for the other nodes.
 struct Front {
     inner: Arc<Inner>,
     router: Option<String>,
 }
 
-/// A node with its servers.
+/// A server with its addresses.
 pub struct CacheServer {
     inner: Arc<Inner>,
     servers: Mutex<BTreeMap<String, (SocketAddr, Server)>>,
 }
 
-/// The name of the front at which nodes ask each other.
+/// The name of the address that nodes use among each other.
 const NODES: &str = "";
 
 impl CacheServer {
-    /// Starts a server and enters its address in the directory.
+    /// Starts a server and adds its address to the directory.
     ///
     /// # Errors
-    /// The address can not be listened at.
+    /// The address can't be bound.
     pub fn start(
         name: &str,
         server_config: CacheServerConfig,
@@ -183,10 +185,10 @@
         self.servers.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The address at which that router reaches it.
+    /// The address for a router; it starts to listen there at the first call.
     ///
     /// # Errors
-    /// The address can not be listened at.
+    /// The address can't be bound.
     pub fn front(&self, router: &str) -> io::Result<SocketAddr> {
         if let Some((address, _)) = self.servers().get(router) {
             return Ok(*address);
@@ -197,10 +199,10 @@
         Ok(address)
     }
 
-    /// Listens for that router at an address that another node had.
+    /// Listens for a router at an address that another server had.
     ///
     /// # Errors
-    /// The address can not be listened at.
+    /// The address can't be bound.
     pub fn front_at(&self, router: &str, address: SocketAddr) -> io::Result<()> {
         let server = self.serve(address, router)?;
         self.servers().insert(router.to_string(), (address, server));
@@ -217,12 +219,12 @@
         &self.inner.name
     }
 
-    /// The faults of this server.
+    /// The fault script of this server.
     pub fn script(&self) -> &Script {
         &self.inner.script
     }
 
-    /// Its process dies: connections are reset, and what it kept is gone.
+    /// Simulates the end of its process: connections are reset, and its copies are lost.
     pub fn kill(&self) {
         self.servers().values().for_each(|(_, server)| server.kill());
         let mut state = self.inner.lock();
@@ -230,10 +232,10 @@
         *state = State { upstream, version, ..State::default() };
     }
 
-    /// It starts again at its addresses, cold and empty.
+    /// Starts again at the same addresses, cold and without copies; returns the time.
     ///
     /// # Errors
-    /// The address can not be listened at.
+    /// The address can't be bound.
     pub fn start_again(&self) -> io::Result<Ms> {
         let started = now();
         {
@@ -247,52 +249,52 @@
         Ok(started)
     }
 
-    /// Fills on an older version than that are turned away from now on.
+    /// Rejects fills on an older version than this from now on.
     pub fn set_floor(&self, version: u64) {
         self.inner.lock().floor = version;
     }
 
-    /// Its own idea of where it goes on, with the version by which it has it.
+    /// Sets its own sources, and the hierarchy version that has them.
     pub fn set_upstream(&self, upstream: &[&str], version: u64) {
         let mut state = self.inner.lock();
         state.upstream = upstream.iter().map(|name| name.to_string()).collect();
         state.version = version;
     }
 
-    /// Drops copies from before a purge.
+    /// Drops the copies of an object that are older than a purge.
     pub fn purge(&self, object: &str, stamp: Ms) {
         self.inner.lock().copies.retain(|key, copy| key.0 != object || copy.dated >= stamp);
     }
 
-    /// Copies that it keeps.
+    /// Number of stored copies.
     pub fn copies(&self) -> usize {
         self.inner.lock().copies.len()
     }
 
-    /// Whether it fell over since its last start.
+    /// Whether it has failed by overload since its last start.
     pub fn has_fallen(&self) -> bool {
         self.inner.lock().fallen
     }
 
-    /// How often a harmful request ran here, by id: all that ran more than once.
+    /// Ids of the requests that ran here more than once.
     pub fn ran_twice(&self) -> Vec<String> {
         let state = self.inner.lock();
         state.runs.iter().filter(|(_, runs)| **runs > 1).map(|(id, _)| id.clone()).collect()
     }
 }
 
-/// What came of looking for an object.
+/// The result of a lookup.
 struct Found {
     status: &'static str,
     res: String,
     copy: Option<Copy>,
-    /// Further fields of the answer.
+    /// Further fields of the response.
     more: String,
     ran: bool,
 }
 
 impl Found {
-    /// A copy, with how it was found.
+    /// A stored copy, with the value of `res`.
     fn cached(copy: Copy, res: &str) -> Self {
         Self { status: "data", res: res.to_string(), copy: Some(copy), more: String::new(), ran: true }
     }
--- a/crates/testbed/src/checker/hierarchy.rs
+++ b/crates/testbed/src/checker/hierarchy.rs
@@ -16,7 +16,10 @@
                 let Some((floor, since)) = floors.get(router) else { continue };
                 let version = asked.version.unwrap_or(*floor);
                 if version < *floor && line.at > since + rules.slack {
-                    let what = format!("{router} had {} fill on version {version}, below {floor}", asked.at);
+                    let what = format!(
+                        "{router} requested a fill at {} on version {version}, below the floor {floor}",
+                        asked.at
+                    );
                     out.push(Breach { at: line.at, rule: Rule::NoOldVersion, what });
                 }
             }
@@ -35,15 +38,18 @@
                 let mut met = BTreeSet::new();
                 let twice = asked.passed.iter().find(|node| !met.insert(node.as_str()));
                 if let Some(node) = twice {
-                    let what = format!("a fill of {} passed {node} twice", asked.object);
+                    let what = format!("a fill of {} passed through {node} twice", asked.object);
                     out.push(Breach { at: line.at, rule: Rule::NoLoop, what });
                 } else if asked.passed.contains(&asked.at) {
                     round.insert(*attempt);
                 }
             }
-            // It came back, which only others could see; it must not have been let through.
+            // The fill returned to a node that it had passed. Only that node can detect this, and must reject
+            // it.
             RecordedEvent::Ended { attempt, res, .. } if round.remove(attempt) && res != "LOOP" => {
-                let what = format!("attempt {attempt} came back to its node, which took it: {res}");
+                let what = format!(
+                    "attempt {attempt} returned to a node that it had passed; expected LOOP, got {res:?}"
+                );
                 out.push(Breach { at: line.at, rule: Rule::NoLoop, what });
             }
             _ => {}
@@ -54,9 +60,9 @@
 
 pub(super) fn no_strange_edge(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
-    // A record may begin with later shapes: versions count, not times.
+    // A recording may have a later hierarchy first, so edges are looked up by version, not by time.
     let mut shapes = BTreeMap::<u64, BTreeSet<(&str, &str)>>::new();
-    // When an edge was last part of any shape that routers were told of.
+    // When an edge was last part of the newest published hierarchy.
     let mut last = BTreeMap::<(&str, &str), Ms>::new();
     let mut present = BTreeSet::new();
     for line in lines {
@@ -74,9 +80,12 @@
         let Some((_, edges)) = shapes.range(..=version).next_back() else { continue };
         let mut edge = |from: &str, to: &str| {
             let going_over = last.get(&(from, to)).is_some_and(|last| line.at <= last + rules.going_over);
-            // Who gives what it holds fills nothing: it may be asked beside the shape.
+            // A source that only serves a cached copy makes no fill, and may be outside the hierarchy.
             if !edges.contains(&(from, to)) && !going_over && !asked.cached_only {
-                let what = format!("a fill of {} used {from} to {to} at version {version}", asked.object);
+                let what = format!(
+                    "a fill of {} used the edge {from} to {to}, which is not in version {version}",
+                    asked.object
+                );
                 out.push(Breach { at: line.at, rule: Rule::NoStrangeEdge, what });
             }
         };
--- a/crates/testbed/src/checker/links.rs
+++ b/crates/testbed/src/checker/links.rs
@@ -1,4 +1,4 @@
-//! Rules of links between sites.
+//! Rules for links between sites.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 
 pub(super) fn no_overlap(lines: &[RecordEntry], _: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
-    // The attempt of each request that may run, by its token.
+    // For each request the token of the attempt that may still run.
     let mut open = BTreeMap::<&str, (u64, u64)>::new();
     let mut proven = BTreeSet::new();
     for line in lines {
@@ -16,7 +16,9 @@
             RecordedEvent::Crossed { id, token: Some(token), .. } => {
                 let before = open.insert(id, *token).filter(|before| before != token);
                 if let Some(before) = before.filter(|before| !proven.contains(before)) {
-                    let what = format!("request {id} crossed again while {before:?} may run");
+                    let what = format!(
+                        "request {id} crossed the link again while its attempt {before:?} may still run"
+                    );
                     out.push(Breach { at: line.at, rule: Rule::NoOverlap, what });
                 }
             }
@@ -32,7 +34,7 @@
         if let RecordedEvent::Crossed { to, id, passed, .. } = &line.what {
             let mut met = BTreeSet::new();
             if passed.contains(to) || !passed.iter().all(|site| met.insert(site)) {
-                let what = format!("request {id} crossed to {to}, having passed {passed:?}");
+                let what = format!("request {id} was forwarded to {to} after passing {passed:?}");
                 out.push(Breach { at: line.at, rule: Rule::NoReturn, what });
             }
         }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -1,7 +1,7 @@
-//! The judgement of a recording: the five rules, two of the hierarchy, two of links between sites, and, in a file of
-//! its own, that of aggregates.
+//! Checks a recording against the rules: five for routers, three for the hierarchy, two for links between
+//! sites, and the rule of aggregates, which is in [`crate::aggregates`].
 //!
-//! Reads what crossed the sockets and nothing else. Each rule is a pass of its own over the lines.
+//! Reads only the recorded traffic. Each rule is a separate pass over the entries.
 
 mod hierarchy;
 mod links;
@@ -15,7 +15,8 @@
 
 pub use crate::rules::{Breach, Rule, RuleBounds};
 
-/// Judges a record. Requests that are open at its end and in time are no breach.
+/// Checks a recording; returns the breaches by time. Requests that are open at its end and within their
+/// deadlines are not breaches.
 pub fn judge(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let passes = [
         one_answer,
@@ -35,22 +36,24 @@
     breaches
 }
 
-/// Requests whose clients left while they waited, and each time that one was sent on later than it may be.
+/// Requests whose clients disconnected while waiting, and attempts that were sent too late after that.
 #[derive(Debug, Default)]
 pub struct DisconnectedClients {
     /// Requests whose clients disconnected before an answer.
     pub cases: usize,
-    /// Attempts that were sent too late after that.
+    /// Attempts that were sent later than [`DISCONNECT_NOTICE`] after the disconnect.
     pub sent_on: Vec<Breach>,
-    /// Those among them that are late by the older figure as well.
+    /// Those of them that were also sent later than [`EARLIER_DISCONNECT_NOTICE`].
     pub sent_on_late: Vec<Breach>,
 }
 
-/// How long a router may take to hear that a client has left, and how long it might by the older figure.
+/// How long a router may take to notice that a client has disconnected, in milliseconds.
 const DISCONNECT_NOTICE: Ms = 100.0;
+/// An earlier value of that bound, for comparison.
 const EARLIER_DISCONNECT_NOTICE: Ms = 300.0;
 
-/// What became of requests whose clients left. Not a pass of `judge`: it is a share that is asked for.
+/// Attempts for requests whose clients disconnected. Not a pass of [`judge`]: the target is a share of such
+/// requests, not that there are none.
 pub fn disconnected_clients(lines: &[RecordEntry], rules: &RuleBounds) -> DisconnectedClients {
     let mut out = DisconnectedClients::default();
     let mut waiting = BTreeMap::<u64, (&str, &str)>::new();
@@ -72,8 +75,10 @@
                 let Some(since) = left.get(&(router, asked.id.as_str())) else { continue };
                 let late = line.at - since;
                 if late > DISCONNECT_NOTICE + rules.slack {
-                    let what =
-                        format!("{} sent to {} {late:.0} ms after its client left", asked.id, asked.at);
+                    let what = format!(
+                        "request {} was sent to {} {late:.0} ms after its client disconnected",
+                        asked.id, asked.at
+                    );
                     let breach = Breach { at: line.at, rule: Rule::NoneLeft, what };
                     out.sent_on_late
                         .extend((late > EARLIER_DISCONNECT_NOTICE + rules.slack).then(|| breach.clone()));
@@ -86,8 +91,8 @@
     out
 }
 
-/// A record as it is to be judged where processes stood still: what a router was told meanwhile counts from when it
-/// went on, and what it owed by then is owed so much later.
+/// Adjusts a recording for suspended processes: an event that was published to a router meanwhile counts from
+/// when it was resumed, and an answer that was due by then, or within `grace` after, has `grace` more time.
 pub fn with_pauses(lines: &[RecordEntry], grace: Ms) -> Vec<RecordEntry> {
     let mut spans = Vec::<(&str, Ms, Ms)>::new();
     for line in lines {
@@ -152,10 +157,10 @@
                 None if known.contains(request) => {
                     breach(
                         line.at,
-                        format!("request {request} got another answer, or one that nobody waited for"),
+                        format!("request {request} got a second answer, or one that no client waited for"),
                     );
                 }
-                None => breach(line.at, format!("request {request} was never asked")),
+                None => breach(line.at, format!("answer to request {request}, which was never sent")),
             },
             RecordedEvent::Released { request } => {
                 open.remove(request);
@@ -171,7 +176,7 @@
     out
 }
 
-/// An attempt at a harmful request: when it was out, and whether it ran.
+/// An attempt of a request that is not idempotent: its start and end, and whether it ran.
 #[derive(Debug, Clone)]
 struct Attempt {
     from: Ms,
@@ -193,16 +198,16 @@
                 harmful.insert(id, *request);
                 names.insert(*request, id);
             }
-            // Attempts of routers; nodes on the way to the origin pass the same one on.
+            // Only attempts of routers count; nodes on the path to the origin forward the same attempt.
             RecordedEvent::Asked { attempt, asked }
                 if asked.router.is_some() && harmful.contains_key(asked.id.as_str()) =>
             {
                 if refused.contains(asked.id.as_str()) {
-                    breach(line.at, format!("request {} had an attempt after it was refused", asked.id));
+                    breach(line.at, format!("request {} had an attempt after it was rejected", asked.id));
                 }
                 let all = attempts.entry(asked.id.as_str()).or_default();
                 if let Some(before) = all.iter().find(|before| before.to > line.at || before.ran) {
-                    let how = if before.ran { "after one that ran" } else { "beside one that is out" };
+                    let how = if before.ran { "after one that ran" } else { "while one was open" };
                     breach(line.at, format!("request {} had another attempt {how}", asked.id));
                 }
                 of.insert(*attempt, (asked.id.as_str(), all.len()));
@@ -219,7 +224,7 @@
                 refused.insert(id);
                 let may_have_run = |a: &Attempt| a.ran || (a.to > line.at && a.from <= line.at);
                 if attempts.get(id).is_some_and(|all| all.iter().any(may_have_run)) {
-                    breach(line.at, format!("request {id} was refused, and may have run"));
+                    breach(line.at, format!("request {id} was rejected, but may have run"));
                 }
             }
             _ => {}
@@ -230,7 +235,7 @@
 
 fn drains(lines: &[RecordEntry], rules: &RuleBounds) -> Vec<Breach> {
     let mut out = Vec::new();
-    // By router and node: since when it is told not to use it.
+    // By router and node: since when the router is notified not to use it.
     let mut barred = BTreeMap::<(&str, &str), Ms>::new();
     for line in lines {
         match &line.what {
@@ -248,8 +253,10 @@
                     let Some(since) = barred.get(&(router, node)) else { continue };
                     let late = line.at - since - rules.drain_grace - rules.slack;
                     if late > 0.0 {
-                        let what =
-                            format!("{router} named {node} {late:.0} ms too late, asking {}", asked.at);
+                        let what = format!(
+                            "{router} used {node} {late:.0} ms too late, in a request to {}",
+                            asked.at
+                        );
                         out.push(Breach { at: line.at, rule: Rule::Drains, what });
                     }
                 }
@@ -283,7 +290,7 @@
                     cold.capacity_at(age) * cold.fall_multiple * cold.window / 1000.0 * rules.push_slack;
                 if all.len() as f64 > bears {
                     let what = format!(
-                        "{} got {} in {:.0} ms, it bears {bears:.0}",
+                        "{} got {} requests in {:.0} ms; expected at most {bears:.0}",
                         asked.at,
                         all.len(),
                         cold.window
@@ -293,7 +300,7 @@
                 }
             }
             RecordedEvent::Fell { node } => {
-                let what = format!("{node} fell over");
+                let what = format!("{node} failed by overload");
                 out.push(Breach { at: line.at, rule: Rule::NoPush, what });
             }
             _ => {}
@@ -319,12 +326,13 @@
                 let meant = |(by, o, g, ..): &&(&str, Option<&str>, Option<u32>, Ms, Ms)| {
                     by == router && (o.is_some_and(|o| o == *object) || g.is_some_and(|g| g == *group))
                 };
-                // An attempt that was made within the grace may still bring the old copy.
+                // An attempt that was sent within the grace period may still return the old copy.
                 for (_, _, _, stamp, at) in notices.iter().filter(meant) {
                     let bound = at + rules.purge_grace + rules.slack;
                     if *since > bound && dated < stamp {
-                        let what =
-                            format!("request {request} got {object} of {dated:.0}, purged at {stamp:.0}");
+                        let what = format!(
+                            "request {request} got {object} from {dated:.0}, which was purged at {stamp:.0}"
+                        );
                         out.push(Breach { at: line.at, rule: Rule::Purges, what });
                     }
                 }
--- a/crates/testbed/src/cold_restart.rs
+++ b/crates/testbed/src/cold_restart.rs
@@ -1,7 +1,7 @@
-//! A discovery service that is out of order, and routers as processes that start at once beside it: how long each
-//! takes from its start to saying that it is ready.
+//! Routers as processes that start at once during an outage of discovery, and how long each takes from its
+//! start until it reports that it is ready.
 //!
-//! The times are those of the machine that it runs on: a test waits for the answers and judges no time.
+//! The times depend on the machine: a test waits for the responses and asserts no time.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,23 +16,23 @@
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
-/// Longer than any start that is waited for.
+/// Time-out for a start; longer than any start should take.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// How discovery is out of order.
+/// The kind of outage of discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outage {
-    /// Nobody listens at its address.
+    /// Connections are refused: nothing listens at its address.
     Refusing,
-    /// Connections come up, and nothing is ever said on them.
+    /// Connections are accepted, and nothing is ever sent on them.
     Silent,
-    /// An answer comes a byte at a time and never ends.
+    /// A response arrives a byte at a time and never ends.
     Trickling,
 }
 
-/// A discovery service that is out of order until it comes back at the same address.
+/// A discovery service with an outage, until it recovers at the same address.
 pub struct Discovery {
-    /// Where routers look for discovery.
+    /// The address that routers poll.
     pub address: SocketAddr,
     socket: Socket,
     over: Arc<AtomicBool>,
@@ -40,7 +40,7 @@
 }
 
 impl Discovery {
-    /// Takes an address and is out of order there.
+    /// Reserves an address, and simulates the outage there.
     ///
     /// # Errors
     /// A socket that fails.
@@ -65,7 +65,7 @@
         Ok(Self { address, socket, over, trickle })
     }
 
-    /// It is in order again, and knows these events.
+    /// Ends the outage: a journal service with these events listens at the same address.
     ///
     /// # Errors
     /// A socket that fails.
@@ -90,7 +90,7 @@
     }
 }
 
-/// Answers whoever comes, a byte at a time.
+/// Sends each connection a response, a byte every 20 ms.
 fn trickle(listener: &TcpListener, over: &AtomicBool) {
     let head = b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{\"pos\": ";
     let mut streams: Vec<(TcpStream, usize)> = Vec::new();
@@ -107,31 +107,31 @@
     }
 }
 
-/// What routers start into.
+/// The conditions under which routers start.
 #[derive(Debug, Clone, Copy)]
 pub struct StartScenario {
-    /// How discovery is out of order.
+    /// The kind of outage of discovery.
     pub outage: Outage,
-    /// Processes that start at once.
+    /// Number of processes that start at once.
     pub processes: usize,
-    /// Caches in the list that each finds in its configuration, and purges after it.
+    /// Servers in the endpoint list of each router's configuration.
     pub listed: usize,
-    /// Purges that each finds in its configuration.
+    /// Purges in each router's configuration.
     pub purges: usize,
-    /// No cache answers, and each router is asked for something before it is asked whether it is ready.
+    /// No cache responds, and each router gets requests before it is polled for readiness.
     pub hung: bool,
-    /// Threads that keep the machine's cores busy for as long as it lasts.
+    /// Threads that keep the machine's cores busy during the start.
     pub busy: usize,
 }
 
 impl StartScenario {
-    /// A small list, caches that answer, and nothing else to do.
+    /// A short endpoint list, caches that respond, and no other load.
     pub fn new(outage: Outage, processes: usize) -> Self {
         Self { outage, processes, listed: 4, purges: 0, hung: false, busy: 0 }
     }
 }
 
-/// Threads that spin until they are dropped, for a minute at the most.
+/// Threads that spin until they are dropped, for at most 60 s.
 struct Busy(Arc<AtomicBool>, Vec<JoinHandle<()>>);
 
 impl Busy {
@@ -160,7 +160,7 @@
     }
 }
 
-/// A process that ends with its owner.
+/// A process that is killed on drop.
 struct Process(Child);
 
 impl Drop for Process {
@@ -170,7 +170,7 @@
     }
 }
 
-/// A file that goes with its owner.
+/// A file that is removed on drop.
 struct Written(PathBuf);
 
 impl Drop for Written {
@@ -179,7 +179,7 @@
     }
 }
 
-/// The events that a router finds in its configuration.
+/// The events in a router's configuration: the endpoint list, then the purges.
 fn known(case: &StartScenario, address: SocketAddr) -> Value {
     let target = |n: usize| {
         let (uid, zone, model) = match n {
@@ -201,7 +201,7 @@
     json!({"pos": entries.len(), "entries": entries})
 }
 
-/// What routers start beside, and the configuration that they start from.
+/// The simulated services that routers connect to, and their configuration.
 struct Scene {
     _discovery: Discovery,
     _hung: TcpListener,
@@ -227,11 +227,11 @@
     }
 }
 
-/// Starts the routers, kills them and starts them again all at once. For each the time from its second start to its
-/// saying that it is ready; nothing for one that has not said so in 20 s.
+/// Starts the routers, kills them and starts them again all at once. Returns for each the time from its
+/// second start until it reports ready; `None` for one that does not within 20 s.
 ///
 /// # Errors
-/// Where a stand-in or the configuration can't be set up.
+/// A simulated service or the configuration can't be set up.
 pub fn restart(program: &Path, case: &StartScenario) -> io::Result<Vec<Option<Duration>>> {
     let scene = Scene::set(case)?;
     let asks = if case.hung { 8 } else { 0 };
@@ -240,10 +240,11 @@
     Ok(start_all(program, &scene.config.0, case.processes, asks))
 }
 
-/// The most memory in bytes that one router has had by the time it says that it is ready (`VmHWM` of the system).
+/// Peak memory of one router in bytes by the time it reports ready (`VmHWM` in `/proc`).
 ///
 /// # Errors
-/// Where a stand-in or the configuration can't be set up, the router does not start, or the system does not say.
+/// A simulated service or the configuration can't be set up, the router does not start, or `/proc` has no
+/// such value.
 pub fn peak_memory(program: &Path, case: &StartScenario) -> io::Result<u64> {
     let scene = Scene::set(case)?;
     let (process, _) = start(program, &scene.config.0, 0)?;
@@ -253,7 +254,7 @@
     kilobytes.map(|kilobytes| kilobytes * 1024).ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-/// All are up at the same time, and end together.
+/// Starts all processes concurrently, and kills them once the last one is ready or has failed.
 fn start_all(program: &Path, config: &Path, processes: usize, asks: u32) -> Vec<Option<Duration>> {
     let started: Vec<Option<(Process, Duration)>> = thread::scope(|scope| {
         let starts: Vec<_> =
@@ -300,7 +301,7 @@
     Err(io::ErrorKind::TimedOut.into())
 }
 
-/// Median, 95% and worst of times.
+/// Median, 95th percentile and maximum of times; `None` without any.
 pub fn spread(mut times: Vec<Duration>) -> Option<[Duration; 3]> {
     times.sort_unstable();
     let at = |part: f64| times.get(((times.len() as f64 * part).ceil() as usize).saturating_sub(1)).copied();
--- a/crates/testbed/src/cold_start.rs
+++ b/crates/testbed/src/cold_start.rs
@@ -1,33 +1,34 @@
-//! What servers that started cold were asked for by all routers together, read from a recording.
+//! The load that all routers together put on servers that started cold, from a recording.
 //!
-//! A node bears a budget of N requests within the rule's window: its multiple of what the node can do then. By chance
-//! all routers together may come to N + 2 x root of N + 2. Where a fall is put down to routers, it is to those that had
-//! been told of the start.
+//! A node can take a budget of N requests within the rule's window: the given multiple of its capacity at
+//! that time. As routers don't coordinate, all of them together may by chance reach N + 2 x root of N + 2. An
+//! overload is attributed only to routers that had been notified of the start.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::recording::{Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
 
-/// What one start of a node was asked for, over all windows that end as a request comes.
+/// The load on a node after one start, over all windows that end with a request.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ColdStartLoad {
     /// The server that started.
     pub node: String,
-    /// Windows that were looked at: one ends at each request.
+    /// Number of windows: one ends with each request.
     pub windows: u32,
-    /// Windows with more than N, and with more than N + 2 x root of N + 2.
+    /// Windows with more than N requests.
     pub over_budget: u32,
-    /// Windows with more than [`bound`].
+    /// Windows with more than [`bound`] requests, which is N + 2 x root of N + 2.
     pub over: u32,
-    /// The first of the latter came for over two thirds from routers that had been told.
+    /// Whether over two thirds of the requests in the first window above the bound came from notified
+    /// routers.
     pub broken: bool,
-    /// The most that a window had, as a multiple of that bound and of N; N where it came nearest to the bound.
+    /// Highest count of a window, as a multiple of the bound.
     pub worst: f64,
-    /// The most that a window had, as a multiple of N.
+    /// Highest count of a window, as a multiple of N.
     pub worst_budget: f64,
-    /// N in the window that came nearest to the bound.
+    /// N in the window with the highest multiple of the bound.
     pub budget: f64,
-    /// When each request came, after the start.
+    /// Arrival of each request, in milliseconds after the start.
     pub arrivals: Vec<Ms>,
 }
 
@@ -44,8 +45,9 @@
     sum: ColdStartLoad,
 }
 
-/// The account of each start in the record. Routers that are not told of one within `deemed` count as told then.
-pub fn sums(lines: &[RecordEntry], deemed: Ms) -> Vec<ColdStartLoad> {
+/// The load after each start in the recording. Routers that are not notified within `notification_bound`
+/// milliseconds count as notified from then on.
+pub fn sums(lines: &[RecordEntry], notification_bound: Ms) -> Vec<ColdStartLoad> {
     let mut running_starts = BTreeMap::<&str, Start>::new();
     let mut out = Vec::new();
     for line in lines {
@@ -65,7 +67,7 @@
                 if let Some(start) = running_starts.get_mut(asked.at.as_str()) {
                     let notified =
                         asked.router.as_ref().is_none_or(|router| start.notified.contains_key(router));
-                    start.count(line.at, notified || line.at - start.at > deemed);
+                    start.count(line.at, notified || line.at - start.at > notification_bound);
                 }
             }
             _ => {}
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -1,6 +1,8 @@
-//! A proxy on a link between two gateways: it passes bytes, and holds, delays, throttles or cuts them by script.
+//! A proxy on a link between two gateways: it forwards bytes, and can hold, delay or throttle them, or cut
+//! connections.
 //!
-//! It reads along by the published frames, and notes what concerns the rules; it never changes a byte.
+//! It decodes the frames that pass, and records what the rules need. It changes no byte, except that a test
+//! can have a chunk dropped or repeated.
 
 mod relay;
 mod two_sites;
@@ -18,22 +20,22 @@
 
 pub use two_sites::{TwoSites, NORTH, SOUTH};
 
-/// What befalls one direction.
+/// The conditions of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LinkConditions {
-    /// Nothing passes, and nothing is said of it.
+    /// Nothing passes, without an error to either end.
     pub silent: bool,
-    /// What each chunk waits for at the least.
+    /// Minimum delay of each chunk.
     pub delay: Duration,
-    /// Bytes a second; 0 is as many as come.
+    /// Bytes per second; 0 means unlimited.
     pub rate: f64,
-    /// After so many more bytes all connections are reset.
+    /// All connections are reset after this many more bytes.
     pub cut_after: Option<usize>,
-    /// What comes next is lost, or comes twice: once, and on the connection on which it comes.
+    /// Corrupts the next chunk that arrives, on whatever connection, and only that one.
     pub corruption: Option<Corruption>,
 }
 
-/// What befalls the bytes of a connection that no wire would do to it.
+/// Corruption of a byte stream that TCP would prevent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Corruption {
     /// The chunk is dropped.
@@ -42,18 +44,18 @@
     Repeated,
 }
 
-/// What passed, in each direction: towards the server first.
+/// What passed. Arrays are by direction: [`TO_ACCEPTOR`], then [`TO_DIALER`].
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Passed {
     /// All bytes.
     pub bytes: [u64; 2],
-    /// Bytes of bodies, and requests with and without a token.
+    /// Bytes of bodies.
     pub bodies: [u64; 2],
-    /// Requests.
+    /// Requests, with and without a token.
     pub opened: [u64; 2],
-    /// Connections that came up, both directions together.
+    /// Connections that were established.
     pub connections: u64,
-    /// Bytes of bodies by connection, both directions together.
+    /// Bytes of bodies by connection, sum of both directions.
     pub by_connection: BTreeMap<u64, u64>,
     /// Times at which requests passed, in Unix milliseconds.
     pub at: Vec<f64>,
@@ -62,22 +64,22 @@
 #[derive(Debug, Default)]
 struct State {
     conditions: [LinkConditions; 2],
-    /// Connections are reset, and new ones too.
+    /// Connections are reset, also new ones.
     cut: bool,
     target: Option<SocketAddr>,
     streams: BTreeMap<u64, [TcpStream; 2]>,
     passed: Passed,
 }
 
-/// One link; dropped, it is gone.
+/// A proxy for one link; it is closed on drop.
 pub struct FaultProxy {
-    /// Where dialers connect.
+    /// The address that dialers connect to.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     over: Arc<AtomicBool>,
 }
 
-/// Towards the one that is dialled, and towards the one that dials.
+/// The direction towards the end that is dialed.
 pub const TO_ACCEPTOR: usize = 0;
 /// The direction towards the end that dials.
 pub const TO_DIALER: usize = 1;
@@ -86,7 +88,7 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Who is at the ends, for the record: the site that dials and the one that is dialled.
+/// The ends of a link, for the recording.
 #[derive(Debug, Clone)]
 pub struct ProxyEnds {
     /// Names of the dialer and the acceptor.
@@ -96,7 +98,7 @@
 }
 
 impl FaultProxy {
-    /// Listens on a port that the system gives; nothing passes before a target is set.
+    /// Listens on a port that the system assigns; connections are closed until a target is set.
     ///
     /// # Errors
     /// A socket or a process that fails.
@@ -119,12 +121,12 @@
         Ok(Self { address, state, over })
     }
 
-    /// Where those that connect are passed on to.
+    /// Sets the address that connections are forwarded to.
     pub fn set_target(&self, target: SocketAddr) {
         lock(&self.state).target = Some(target);
     }
 
-    /// Whoever was there has gone: its port may be another's by now.
+    /// Removes the target after it has ended, as another process may reuse its port.
     pub fn clear_target(&self) {
         lock(&self.state).target = None;
     }
@@ -134,31 +136,31 @@
         lock(&self.state).conditions[direction] = conditions;
     }
 
-    /// Nothing passes in some directions any more.
+    /// Silences some directions.
     pub fn silence(&self, directions: &[usize]) {
         let mut state = lock(&self.state);
         directions.iter().for_each(|n| state.conditions[*n].silent = true);
     }
 
-    /// All connections are reset, and so are new ones.
+    /// Resets all connections, also new ones.
     pub fn cut(&self) {
         let mut state = lock(&self.state);
         state.cut = true;
         reset(&mut state);
     }
 
-    /// All passes as it should.
+    /// Clears all faults.
     pub fn mend(&self) {
         let mut state = lock(&self.state);
         (state.cut, state.conditions) = (false, [LinkConditions::default(); 2]);
     }
 
-    /// What has passed since the start.
+    /// What passed since the start.
     pub fn passed(&self) -> Passed {
         lock(&self.state).passed.clone()
     }
 
-    /// Connections that are up.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         lock(&self.state).streams.len()
     }
--- a/crates/testbed/src/fault_proxy/relay.rs
+++ b/crates/testbed/src/fault_proxy/relay.rs
@@ -1,4 +1,4 @@
-//! Relays the bytes of one connection, and reads along by the published frames.
+//! Relays the bytes of one connection, and decodes the frames in them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -16,12 +16,12 @@
 
 pub(super) fn join(
     n: u64,
-    dialler: TcpStream,
+    dialer: TcpStream,
     state: &Arc<Mutex<State>>,
     ends: &ProxyEnds,
     over: &Arc<AtomicBool>,
 ) -> io::Result<()> {
-    // A silent link takes nobody on.
+    // A silent link accepts no new connection.
     while lock(state).conditions.iter().any(|conditions| conditions.silent) {
         if over.load(Ordering::Acquire) {
             return Ok(());
@@ -32,18 +32,18 @@
     if lock(state).cut {
         return Ok(());
     }
-    let dialled = TcpStream::connect(target)?;
-    for stream in [&dialler, &dialled] {
+    let dialed = TcpStream::connect(target)?;
+    for stream in [&dialer, &dialed] {
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(Duration::from_millis(2)))?;
     }
     {
         let mut state = lock(state);
         state.passed.connections += 1;
-        state.streams.insert(n, [dialler.try_clone()?, dialled.try_clone()?]);
+        state.streams.insert(n, [dialer.try_clone()?, dialed.try_clone()?]);
     }
     let tokens = Arc::new(Mutex::new(BTreeMap::new()));
-    let both = [(dialler.try_clone()?, dialled.try_clone()?), (dialled, dialler)];
+    let both = [(dialer.try_clone()?, dialed.try_clone()?), (dialed, dialer)];
     let threads = both.into_iter().enumerate().map(|(direction, (from, to))| {
         let (state, over) = (state.clone(), over.clone());
         let watch = Watch {
@@ -62,7 +62,7 @@
     Ok(())
 }
 
-/// Bytes that are held between the ends at the most.
+/// Most bytes that are buffered in one direction.
 pub(super) const MAX_BUFFERED_BYTES: usize = 512 << 10;
 
 pub(super) fn pump(
@@ -92,7 +92,7 @@
         } else {
             thread::sleep(Duration::from_millis(1));
         }
-        // What came in after the conditions changed is held by the new ones.
+        // The conditions may have changed during the read.
         let conditions = lock(state).conditions[direction];
         let at = Instant::now();
         while !conditions.silent
@@ -116,7 +116,7 @@
                 return;
             }
         }
-        // An end is passed on too, once all before it has been; over a silent link it is not.
+        // The end of the stream is forwarded after all bytes before it, and not over a silent link.
         if ended && buffered.is_empty() && !conditions.silent {
             break;
         }
@@ -125,7 +125,8 @@
     let _ = from.shutdown(Shutdown::Both);
 }
 
-/// Shortens a chunk to what passes before the connections are reset; says whether they are to be reset after it.
+/// Truncates a chunk to what passes before the connections are reset; returns whether they must be reset
+/// after it.
 fn truncate_at_cut(chunk: &mut Vec<u8>, direction: usize, state: &Mutex<State>) -> bool {
     let mut state = lock(state);
     let Some(left) = state.conditions[direction].cut_after else { return false };
@@ -135,7 +136,7 @@
     over
 }
 
-/// Drops or repeats a chunk, once for each time that this was asked for.
+/// Drops or repeats a chunk if a corruption is set, and clears it.
 fn corrupt(chunk: &mut Vec<u8>, direction: usize, state: &Mutex<State>) {
     match lock(state).conditions[direction].corruption.take() {
         Some(Corruption::Lost) => chunk.clear(),
@@ -144,16 +145,16 @@
     }
 }
 
-/// By the side that opened it and its number: the token of a stream.
+/// The fencing token of each stream, by the direction of its request and its number.
 pub(super) type Tokens = Arc<Mutex<BTreeMap<(usize, u32), (u64, u64)>>>;
 
-/// Reads along in one direction.
+/// Decodes the frames of one direction.
 pub(super) struct Watch {
     connection: u64,
     direction: usize,
     ends: ProxyEnds,
     decoder: FrameDecoder,
-    /// What passes are no frames: it is not read any more.
+    /// The bytes can't be decoded as frames: decoding has ended.
     lost: bool,
     tokens: Tokens,
 }
--- a/crates/testbed/src/fault_proxy/two_sites.rs
+++ b/crates/testbed/src/fault_proxy/two_sites.rs
@@ -4,7 +4,7 @@
 
 use super::{FaultProxy, ProxyEnds};
 
-/// Two sites with a gateway each, `north` and `south`, and the link in their middle; the north dials.
+/// Two sites with a gateway each, `north` and `south`, and the link between them; the north dials.
 pub struct TwoSites {
     /// The site that dials.
     pub north: crate::process_cluster::ProcessCluster,
@@ -15,7 +15,7 @@
 }
 
 impl TwoSites {
-    /// Starts all; `settings` go into both gateways.
+    /// Starts both sites; `settings` are added to the `gateway(...)` of both.
     ///
     /// # Errors
     /// A socket or a process that fails.
@@ -38,7 +38,7 @@
         Ok(Self { north, south, proxy })
     }
 
-    /// The gateway of the south is killed and started again.
+    /// Kills the gateway of the south and starts it again.
     ///
     /// # Errors
     /// A socket or a process that fails.
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    /// A command to the gateway of a side.
+    /// Runs a `gateway` command of a router. Returns whether it succeeded, and its output or error text.
     ///
     /// # Errors
     /// A socket or a process that fails.
@@ -70,7 +70,7 @@
         }
     }
 
-    /// How a gateway stands.
+    /// The status of a gateway.
     ///
     /// # Errors
     /// A socket or a process that fails.
@@ -78,7 +78,7 @@
         self.fleet(router).asked(router, &["gateway", "status"])
     }
 
-    /// Waits until a gateway shows what is wanted; the time is only a bound.
+    /// Waits until the status of a gateway fulfils a condition, or times out.
     ///
     /// # Errors
     /// A socket or a process that fails.
@@ -91,7 +91,7 @@
         self.fleet(router).until(router, &["gateway", "status"], what, fits)
     }
 
-    /// Waits until both sides use the link.
+    /// Waits until both gateways report the other site as reachable.
     ///
     /// # Errors
     /// A socket or a process that fails.
@@ -103,13 +103,13 @@
     }
 }
 
-/// The routers' names.
+/// The router of the north.
 pub const NORTH: &str = "n0";
 
 /// The router of the south.
 pub const SOUTH: &str = "s0";
 
-/// The operator file of a gateway.
+/// The operator file of a gateway; `link` is its `link(...)` line, if any.
 pub(super) fn operator(site: &str, other: &str, settings: &str, link: &str) -> String {
     let comma = if settings.is_empty() { "" } else { ", " };
     format!(
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -1,4 +1,4 @@
-//! What befalls a server: faults by time or by count, in the order of a script.
+//! Faults of a server, by time or by request count, in the order of a script.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -7,30 +7,30 @@
 /// What a fault does to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Turned away as full.
+    /// The request is rejected with status `full`.
     Refuse,
-    /// Answered as failed, after it ran.
+    /// The request runs and is then answered with status `failed`.
     Fail,
-    /// The connection is reset without an answer.
+    /// The connection is reset without a response.
     Reset,
-    /// Nothing is ever said.
+    /// No response is ever sent.
     Silent,
-    /// The answer comes that much later.
+    /// The response is delayed by this many milliseconds.
     Slow(Ms),
-    /// The answer is cut in the middle, then the connection is reset.
+    /// Half of the response is sent, then the connection is reset.
     Cut,
 }
 
-/// When a fault is on.
+/// When a fault is active.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum When {
     /// From one time to another, in Unix milliseconds.
     Between(Ms, Ms),
-    /// For so many requests, after so many.
+    /// For a number of requests, after a number of others.
     Count {
-        /// Requests that pass before the fault is on.
+        /// Requests that pass before the fault becomes active.
         after: u64,
-        /// Requests that it befalls.
+        /// Requests that the fault affects.
         most: u64,
     },
 }
@@ -42,23 +42,23 @@
     seen: u64,
 }
 
-/// The script of one node. Clones share it.
+/// The fault script of one server. Clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct Script(Arc<Mutex<Vec<Scheduled>>>);
 
 impl Script {
-    /// Adds a fault; where several are on the one that was added first counts.
+    /// Adds a fault. Where several are active, the one that was added first takes effect.
     pub fn add(&self, fault: Fault, when: When) {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         all.push(Scheduled { fault, when, seen: 0 });
     }
 
-    /// Ends all faults.
+    /// Removes all faults.
     pub fn clear(&self) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).clear();
     }
 
-    /// The fault that befalls a request which comes in now: the first that is on.
+    /// The fault for a request that arrives now: the first active one. Counts the request.
     pub fn next(&self) -> Option<Fault> {
         let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let at = now();
--- a/crates/testbed/src/harness/error.rs
+++ b/crates/testbed/src/harness/error.rs
@@ -1,4 +1,4 @@
-//! What can fail in a run, beside the system: the rules, and the agreement of audit logs with the recording.
+//! Errors of a run: system errors, broken rules, and audit logs that disagree with the recording.
 
 use std::error::Error;
 use std::fmt;
@@ -9,29 +9,29 @@
 use super::Step;
 use crate::rules::Breach;
 
-/// How many breaches are told one by one.
+/// Number of breaches that an error text lists.
 const BREACHES_SHOWN: usize = 8;
 
-/// Why a run or its judgement failed.
+/// Why a run or the check of its recording failed.
 #[derive(Debug)]
 pub enum HarnessError {
-    /// A process, a control socket or a file failed, or a wait ran out.
+    /// A process, a control socket or a file failed, or a wait timed out.
     Io(io::Error),
-    /// A step of a script could not be done.
+    /// A step of a script failed.
     Step {
         /// The step.
         step: Step,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// Rules were broken, or requests that are not idempotent ran twice.
+    /// Rules were broken, or requests that are not idempotent ran more than once.
     RulesBroken {
         /// The breaches by time.
         breaches: Vec<Breach>,
         /// Requests that ran more than once at the origin.
         ran_twice: usize,
     },
-    /// A booking reached a server, and no audit log or gap has it.
+    /// A booking reached a server, and neither an audit log nor a gap of one covers it.
     NotAudited {
         /// The router that sent it.
         router: String,
@@ -57,16 +57,23 @@
             Self::Io(error) => error.fmt(f),
             Self::Step { step, source } => write!(f, "{step:?}: {source}"),
             Self::RulesBroken { breaches, ran_twice } => {
-                writeln!(f, "{} breaches, {ran_twice} ran twice", breaches.len())?;
+                writeln!(
+                    f,
+                    "{} breaches of rules; {ran_twice} non-idempotent requests ran more than once",
+                    breaches.len()
+                )?;
                 breaches.iter().take(BREACHES_SHOWN).try_for_each(|breach| writeln!(f, "{breach}"))
             }
             Self::NotAudited { router, id, at } => {
-                write!(f, "{router}'s booking {id} at {at:.0} is in no account and no gap")
+                write!(
+                    f,
+                    "booking {id} of {router}, received at {at:.0}, is in no audit log and no known gap"
+                )
             }
             Self::NotReceived { router, id } => {
-                write!(f, "{router}'s account has booking {id}, which no node saw")
+                write!(f, "the audit log of {router} has booking {id}, which no server received")
             }
-            Self::AuditLogs(finding) => write!(f, "the accounts do not hold together: {finding:?}"),
+            Self::AuditLogs(finding) => write!(f, "audit logs are inconsistent: {finding:?}"),
         }
     }
 }
--- a/crates/testbed/src/harness/events.rs
+++ b/crates/testbed/src/harness/events.rs
@@ -1,4 +1,4 @@
-//! What the journal publishes, and what routers show.
+//! Events of the journal, and waiting for what routers show.
 
 use std::cell::Cell;
 use std::io;
@@ -11,20 +11,20 @@
 use crate::recording::{now, LocationSummary, Ms, Phase, RecordedEvent};
 
 impl Harness {
-    /// The journal tells of a node. It is silent for all but these routers; who hears of it hears first of all that
-    /// was silent before.
+    /// Publishes a node's phase to these routers only. They first get all earlier events that were withheld
+    /// from them.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn tell(&mut self, node: &str, phase: Phase, routers: &[usize]) -> io::Result<()> {
         self.events.push(JournalEvent::Node(node.to_string(), phase));
         self.catch_up(routers)
     }
 
-    /// The same with a purge; nodes drop their copies at once.
+    /// Publishes a purge to these routers only; servers drop their copies at once.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn purge(&mut self, object: &str, routers: &[usize]) -> io::Result<()> {
         let stamp = crate::recording::now().floor();
         self.events.push(JournalEvent::Purge(object.to_string(), stamp));
@@ -33,11 +33,12 @@
         Ok(())
     }
 
-    /// The journal tells one router that a cache drains, and others are to heed it within so long: from then on the
-    /// record has it as if their own journals had told them.
+    /// Publishes to router `by` only that a cache drains. The others have to learn of it by gossip `within`
+    /// that time: the recording has the event for them at that time, as if their own journals had published
+    /// it.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn tell_for(&mut self, node: &str, by: usize, others: &[usize], within: Duration) -> io::Result<()> {
         self.tell(node, Phase::Draining, &[by])?;
         let due = now() + within.as_secs_f64() * 1_000.0;
@@ -48,10 +49,11 @@
         Ok(())
     }
 
-    /// The same with a purge; nodes keep their old copies.
+    /// Publishes a purge to router `by` only, with the same bound for the others; servers keep their old
+    /// copies.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn purge_for(
         &mut self,
         object: &str,
@@ -70,10 +72,11 @@
         Ok(())
     }
 
-    /// Nobody is to act on a version below this one, says a router; 0 takes that back.
+    /// Raises the floor to a version at a router; version 0 clears the floor. `bound` is how long a router
+    /// may stay below it.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn raise(&self, n: usize, version: u64, bound: Duration) -> io::Result<()> {
         match version {
             0 => self.fleet.asked(&name(n), &["fleet", "floor", "clear"])?,
@@ -84,7 +87,7 @@
         Ok(())
     }
 
-    /// Bytes that have crossed the links between those below `left` and the others, both ways.
+    /// Bytes that crossed the links between routers below `left` and the others, in both directions.
     pub fn bytes_across(&self, left: usize) -> u64 {
         let across = self.proxies.iter().filter(|((a, b), _)| (*a < left) != (*b < left));
         across.map(|(_, proxy)| proxy.passed().bytes.iter().sum::<u64>()).sum()
@@ -93,16 +96,17 @@
     /// The journals of these routers tell all that they were silent about.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn catch_up(&mut self, routers: &[usize]) -> io::Result<()> {
         let all = self.events.len();
         routers.iter().try_for_each(|n| self.deliver_events(*n, all))
     }
 
-    /// A router's journal tells it what it was silent about, up to so many events of all.
+    /// Delivers to a router the events that were withheld from it, up to the first `upto` events of the
+    /// journal.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn deliver_events(&mut self, n: usize, upto: usize) -> io::Result<()> {
         for event in &self.events[self.events_delivered[n].min(upto)..upto] {
             match event {
@@ -114,10 +118,10 @@
         Ok(())
     }
 
-    /// How a router sees the fleet.
+    /// Returns and records the output of `fleet show` at a router.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn shown(&self, n: usize) -> io::Result<Value> {
         let since = now();
         let shown = self.fleet.asked(&name(n), &["fleet", "show"])?;
@@ -125,10 +129,10 @@
         Ok(shown)
     }
 
-    /// Waits until `fleet show` of a router is as wanted; each answer is recorded.
+    /// Waits until the output of `fleet show` at a router fulfils a condition; each output is recorded.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn until(&self, n: usize, what: &str, fits: impl Fn(&Value) -> bool) -> io::Result<Value> {
         let since = Cell::new(now());
         let noted = |shown: &Value| {
@@ -137,14 +141,14 @@
             fits(shown)
         };
         let seen = self.fleet.until(&name(n), &["fleet", "show"], &format!("r{n}: {what}"), noted);
-        // What the record has to say of it.
+        // Broken rules in the recording often explain the time-out.
         seen.map_err(|error| match self.check(&[]) {
             Ok(()) => error,
             Err(broken) => io::Error::new(error.kind(), format!("{error}\n{broken}")),
         })
     }
 
-    /// For the record: what a router shows of places.
+    /// Records the location summaries that a router shows.
     pub(super) fn note_shown(&self, n: usize, since: Ms, shown: &Value) {
         let places: Vec<LocationSummary> =
             shown["fellows"]["places"].as_array().into_iter().flatten().map(shown_place).collect();
@@ -154,20 +158,21 @@
         }
     }
 
-    /// All routers that run.
+    /// Routers with a running process.
     pub fn up(&self) -> Vec<usize> {
         (0..self.plan.routers).filter(|n| self.is_up(*n)).collect()
     }
 
-    /// Waits until all that run see each other alive, and then until their hierarchies have the same digest.
+    /// Waits until all running routers see each other alive, and then until their hierarchies have the same
+    /// digest.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn settle(&self) -> io::Result<()> {
         let up = self.up();
         for n in &up {
             let others = self.known(*n, &up) - 1;
-            self.until(*n, "all are alive", |shown| alive(shown) == others)?;
+            self.until(*n, "all known peers are alive", |shown| alive(shown) == others)?;
         }
         let end = Instant::now() + Duration::from_secs(20);
         loop {
@@ -179,26 +184,26 @@
                 return Ok(());
             }
             if Instant::now() > end {
-                let why = format!("hierarchies differ: {digests:?}");
+                let why = format!("hierarchy digests still differ after 20 s: {digests:?}");
                 return Err(io::Error::new(io::ErrorKind::TimedOut, why));
             }
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Has changes of the hierarchy take effect at a router, as an operator does.
+    /// Applies changes of the hierarchy at a router with the operator's command; returns the batch.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn apply(&self, n: usize, changes: &str) -> io::Result<Value> {
         let file = self.fleet.write_file(&format!("changes-{n}.star"), changes)?;
         self.fleet.asked(&name(n), &["hierarchy", "apply", &file.display().to_string()])
     }
 
-    /// A router's operator has a cache fill by the other parent.
+    /// Applies a change at a router that makes a cache fill from the parent `centre`.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn move_cache(&mut self, n: usize, cache: usize) -> io::Result<()> {
         let cache = format!("cache-{cache}");
         let batch =
@@ -208,7 +213,7 @@
         Ok(())
     }
 
-    /// The journal of a router can't be reached, or can again.
+    /// Makes the journal of a router unreachable, or reachable again.
     pub fn silence_journal(&self, n: usize, silent: bool) {
         if let Some(proxy) = self.journals.get(&n) {
             match silent {
--- a/crates/testbed/src/harness/faults.rs
+++ b/crates/testbed/src/harness/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of processes and links, and their ends.
+//! Injects and clears faults of processes and links.
 
 use std::io;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::recording::{LinkState, RecordedEvent};
 
 impl Harness {
-    /// Kills a router's process outright; its clients end with it.
+    /// Kills a router's process (SIGKILL) and ends its load.
     pub fn kill(&mut self, n: usize) {
         self.fleet.kill_router(&name(n));
         self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
@@ -18,10 +18,10 @@
         self.end_load(n);
     }
 
-    /// Asks a router to end, and waits for it.
+    /// Stops a router's process gracefully and ends its load.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn stop(&mut self, n: usize) -> io::Result<()> {
         self.fleet.stop_router(&name(n))?;
         self.fleet.record.note(RecordedEvent::Ceased { router: name(n) });
@@ -30,10 +30,10 @@
         Ok(())
     }
 
-    /// Starts a router's process again, with what its own journal has.
+    /// Restarts a router's process with the events of its own journal.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn start_again(&mut self, n: usize) -> io::Result<()> {
         self.ran(n);
         self.fleet.start_again(&name(n))?;
@@ -41,40 +41,40 @@
         self.point_links_at(n)
     }
 
-    /// For the record: a process that runs from now on, or one that has just come up.
+    /// Records that a router's process runs, before it starts or once it is up.
     pub(super) fn ran(&self, n: usize) {
         if let Some(place) = self.plan.places.get(n) {
             self.fleet.record.note(RecordedEvent::Ran { router: name(n), place: place.clone() });
         }
     }
 
-    /// For the record: what becomes of what each of two says to the other.
+    /// Records the state of both directions of a link: from `a` to `b`, and from `b` to `a`.
     pub(super) fn linked(&self, a: usize, b: usize, states: [LinkState; 2]) {
         for ((from, to), state) in [(a, b), (b, a)].into_iter().zip(states) {
             self.fleet.record.note(RecordedEvent::Linked { from: name(from), to: name(to), state });
         }
     }
 
-    /// Stops a router's process from running (SIGSTOP).
+    /// Suspends a router's process (SIGSTOP).
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn freeze(&self, n: usize) -> io::Result<()> {
         self.fleet.record.note(RecordedEvent::Paused { router: name(n) });
         self.fleet.signal(&name(n), Signal::SIGSTOP)
     }
 
-    /// Lets a frozen process go on (SIGCONT).
+    /// Resumes a suspended process (SIGCONT).
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn wake(&self, n: usize) -> io::Result<()> {
         self.fleet.signal(&name(n), Signal::SIGCONT)?;
         self.fleet.record.note(RecordedEvent::Woken { router: name(n) });
         Ok(())
     }
 
-    /// Whether a router has a process, frozen or not.
+    /// Whether a router has a process, suspended or not.
     pub fn is_up(&self, n: usize) -> bool {
         self.fleet.process_id(&name(n)).is_some()
     }
@@ -87,12 +87,12 @@
         }
     }
 
-    /// Nothing passes from the one to the other any more; what comes back does.
+    /// Blocks a link in one direction; the opposite direction still passes.
     pub fn block_direction(&self, from: usize, to: usize) {
         self.conditions(from, to, LinkConditions { silent: true, ..LinkConditions::default() });
     }
 
-    /// Resets the connections of a link, and new ones too.
+    /// Resets the connections of a link, also new ones.
     pub fn cut(&self, a: usize, b: usize) {
         if let Some((proxy, _)) = self.proxy(a, b) {
             proxy.cut();
@@ -100,21 +100,21 @@
         }
     }
 
-    /// Bytes a second in each direction.
+    /// Limits a link to a rate in bytes per second, in each direction.
     pub fn slow(&self, a: usize, b: usize, rate: f64) {
         let conditions = LinkConditions { rate, ..LinkConditions::default() };
         self.conditions(a, b, conditions);
         self.conditions(b, a, conditions);
     }
 
-    /// Delays what passes a link, in each direction.
+    /// Delays what passes over a link, in each direction.
     pub fn delay(&self, a: usize, b: usize, delay: Duration) {
         let conditions = LinkConditions { delay, ..LinkConditions::default() };
         self.conditions(a, b, conditions);
         self.conditions(b, a, conditions);
     }
 
-    /// What is said next from the one to the other is lost, or comes twice, on a connection that stays up.
+    /// Drops or repeats the next chunk in one direction, on a connection that stays up.
     pub fn corrupt(&self, from: usize, to: usize, corruption: Corruption) {
         self.conditions(
             from,
@@ -123,7 +123,7 @@
         );
     }
 
-    /// Ends all faults of a link.
+    /// Clears all faults of a link.
     pub fn mend(&self, a: usize, b: usize) {
         if let Some((proxy, _)) = self.proxy(a, b) {
             proxy.mend();
@@ -131,27 +131,27 @@
         }
     }
 
-    /// Ends the faults of all links.
+    /// Clears the faults of all links.
     pub fn mend_all(&self) {
         self.links().into_iter().for_each(|(a, b)| self.mend(a, b));
     }
 
-    /// Cuts a router off from all other routers.
+    /// Cuts all links of a router.
     pub fn cut_off(&self, n: usize) {
         let of = self.links().into_iter().filter(|(a, b)| *a == n || *b == n);
         of.for_each(|(a, b)| self.cut(a, b));
     }
 
-    /// The same, and waits until it sees that.
+    /// Cuts all links of a router, and waits until it shows no peer alive.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn isolate(&self, n: usize) -> io::Result<()> {
         self.cut_off(n);
-        self.until(n, "it is alone", |shown| alive(shown) == 0).map(drop)
+        self.until(n, "no peer is alive", |shown| alive(shown) == 0).map(drop)
     }
 
-    /// Cuts all links between those below `left` and the others.
+    /// Cuts all links between routers below `left` and the others.
     pub fn split(&self, left: usize) {
         let across = self.links().into_iter().filter(|(a, b)| (*a < left) != (*b < left));
         across.for_each(|(a, b)| self.cut(a, b));
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -1,22 +1,23 @@
-//! A cluster of router processes under the control of a test: routers of the built program, a proxy on each link, journals
-//! that may be silent, load, and faults between them by hand or by a script from a seed.
+//! A cluster of router processes under the control of a test: routers of the built program, a proxy on each
+//! link, journals that can be silenced, load, and faults that are injected one by one or by a script from a
+//! seed.
 //!
-//! - `plan`: what a harness is made of;
-//! - `events`: what the journals publish, and waits for what routers show;
+//! - `plan`: the routers, links, caches and settings of a harness;
+//! - `events`: events of the journals, and waiting for what routers show;
 //! - `faults`: processes and links that fail;
 //! - `script`: schedules of faults from a seed;
-//! - `verification`: recordings and audit logs compared;
-//! - `turn`: how many harnesses run at a time.
+//! - `verification`: checks of the recording and of the audit logs;
+//! - `permit`: limits how many harnesses run concurrently.
 //!
-//! A seed is always the same script; when what happens within it is the system's. The record is what crossed the
-//! sockets, and is judged by the checker.
+//! A seed always gives the same script; the timing within a run depends on the system. The recording has what
+//! crossed the sockets, and the checker judges it.
 
 mod error;
 mod events;
 mod faults;
+mod permit;
 mod plan;
 mod script;
-mod turn;
 mod verification;
 
 use std::collections::BTreeMap;
@@ -31,35 +32,36 @@
 use crate::load::{Load, LoadResults, RunningLoad};
 use crate::process_cluster::ProcessCluster;
 use crate::recording::{LinkState, LocationSummary, Phase};
-use turn::Turn;
+use permit::HarnessPermit;
 
 pub use error::HarnessError;
 pub use plan::Plan;
 pub use script::{script, Played, Script, Step};
 
-/// Where the caches stand.
+/// Zone of the caches.
 const ZONE: &str = "shop";
 
-/// A cluster of routers that know each other, with links, journals, load and faults under the control of a test.
+/// A cluster of routers that are peers, with links, journals, load and faults under the control of a test.
 pub struct Harness {
     /// The processes and servers.
     pub fleet: ProcessCluster,
-    /// What it was made by.
+    /// The plan that it was started from.
     pub plan: Plan,
-    /// A site name of its own: where a port is reused, routers of two harnesses must not join one cluster.
+    /// A site name of its own, so that routers of two harnesses don't join one cluster where a port is
+    /// reused.
     site: String,
     proxies: BTreeMap<(usize, usize), FaultProxy>,
     /// The proxy between each router and its journal, by router.
     journals: BTreeMap<usize, FaultProxy>,
     loads: BTreeMap<usize, RunningLoad>,
-    /// Loads that have ended, one after another.
+    /// Results of the loads that have ended, in that order.
     pub ends: Vec<LoadResults>,
     seeds: u64,
-    /// What the one journal has told, and how far it has told it to each router.
+    /// All events of the journal, and how many of them each router has got.
     events: Vec<JournalEvent>,
     events_delivered: Vec<usize>,
-    /// The last to go: all processes have ended by then.
-    _turn: Turn,
+    /// Last field, so that it is dropped after all processes have ended.
+    _permit: HarnessPermit,
 }
 
 /// An event of the journal.
@@ -101,25 +103,25 @@
 }
 
 impl Harness {
-    /// Starts all, and waits until all know of each other.
+    /// Starts all servers and routers, and waits until the routers see each other alive.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn start(program: impl Into<PathBuf>, plan: Plan) -> io::Result<Self> {
         Self::start_with(program, plan, |_, text| text)
     }
 
-    /// The same; `change` has the last word on each router's operator file.
+    /// Like [`Self::start`]; `change` can replace the text of each router's operator file.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn start_with(
         program: impl Into<PathBuf>,
         plan: Plan,
         change: impl Fn(usize, String) -> String,
     ) -> io::Result<Self> {
         static COUNT: AtomicU32 = AtomicU32::new(0);
-        let turn = Turn::take(plan.at_once);
+        let permit = HarnessPermit::acquire(plan.at_once);
         let site = format!("shop-{}-{}", std::process::id(), COUNT.fetch_add(1, Ordering::Relaxed));
         let mut fleet = ProcessCluster::two_hubs(program, plan.caches, CacheServerConfig::new)?;
         let caches: Vec<String> = (0..plan.caches).map(|n| format!("cache-{n}")).collect();
@@ -144,7 +146,7 @@
             seeds: 0,
             events: Vec::new(),
             events_delivered: Vec::new(),
-            _turn: turn,
+            _permit: permit,
         };
         harness.events_delivered = vec![0; harness.plan.routers];
         for (n, program) in &harness.plan.programs {
@@ -169,12 +171,12 @@
         harness.links().into_iter().for_each(|(a, b)| harness.linked(a, b, [LinkState::Open; 2]));
         for n in 0..harness.plan.routers {
             let others = harness.known(n, &(0..harness.plan.routers).collect::<Vec<_>>()) - 1;
-            harness.until(n, "all know of each other", |shown| alive(shown) == others)?;
+            harness.until(n, "all peers are alive", |shown| alive(shown) == others)?;
         }
         Ok(harness)
     }
 
-    /// Of these routers, how many a router knows one by one: all, or those of its site.
+    /// How many of these routers a router knows individually: all, or those of its site.
     fn known(&self, n: usize, of: &[usize]) -> usize {
         let place = |n: usize| self.plan.places.get(n);
         of.iter().filter(|other| place(**other) == place(n)).count()
@@ -184,7 +186,7 @@
         self.proxies.iter().filter(move |((from, _), _)| *from == n).map(|((_, to), proxy)| (*to, proxy))
     }
 
-    /// Links to a router that has just started lead to where it listens now.
+    /// Points the proxies of links to a router at the address where it listens since its last start.
     fn point_links_at(&self, n: usize) -> io::Result<()> {
         let address = self.fleet.links(&name(n)).ok_or(io::ErrorKind::NotFound)?;
         let here = self.proxies.iter().filter(|((_, to), _)| *to == n);
@@ -197,21 +199,22 @@
         here.for_each(|(_, proxy)| proxy.clear_target());
     }
 
-    /// The link between two, and the direction in it that leads from the first to the second.
+    /// The proxy between two routers, and its direction from the first to the second.
     pub fn proxy(&self, from: usize, to: usize) -> Option<(&FaultProxy, usize)> {
         let there = self.proxies.get(&(from, to)).map(|proxy| (proxy, TO_ACCEPTOR));
         there.or_else(|| self.proxies.get(&(to, from)).map(|proxy| (proxy, TO_DIALER)))
     }
 
-    /// Links by their two routers, the dialer first.
+    /// All links as pairs of routers, the dialer first.
     pub fn links(&self) -> Vec<(usize, usize)> {
         self.proxies.keys().copied().collect()
     }
 
-    /// A second process under a router's name, with links of its own to the others.
+    /// Starts a second process under a router's name, with links of its own to the others; returns the key of
+    /// that process.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn start_duplicate(&mut self, of: usize) -> io::Result<String> {
         let key = format!("{}-twin", name(of));
         let others: Vec<usize> = (0..self.plan.routers).filter(|n| *n != of).collect();
@@ -223,10 +226,10 @@
 
     // ---- Load.
 
-    /// Clients of a router, until it is killed or the load ends.
+    /// Starts clients of a router; they run until it is killed or the load ends.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn load(&mut self, n: usize) -> io::Result<()> {
         self.seeds += 1;
         let Plan { rate, objects, .. } = self.plan;
@@ -239,7 +242,7 @@
     /// Starts clients of all routers.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn load_all(&mut self) -> io::Result<()> {
         (0..self.plan.routers).try_for_each(|n| self.load(n))
     }
@@ -250,14 +253,14 @@
         }
     }
 
-    /// No new requests; what is out is answered.
+    /// Ends all loads: no new requests are sent, and open ones are waited for.
     pub fn end_loads(&mut self) {
         let all: Vec<usize> = self.loads.keys().copied().collect();
         all.into_iter().for_each(|n| self.end_load(n));
     }
 }
 
-/// A place as a whole, as `fleet show` has it.
+/// Parses the summary of a location in the output of `fleet show`.
 fn shown_place(line: &Value) -> LocationSummary {
     let count = |field: &str| line[field].as_u64().unwrap_or(0);
     let stragglers = line["stragglers"].as_array().into_iter().flatten();
@@ -272,13 +275,13 @@
     }
 }
 
-/// Fellows that a router takes for alive.
+/// Number of peers that a router shows as alive.
 pub fn alive(shown: &Value) -> usize {
     let others = shown["fellows"]["others"].as_array();
     others.map_or(0, |others| others.iter().filter(|line| line["standing"] == "Alive").count())
 }
 
-/// A fellow's line, as a router has it.
+/// The entry of a peer in the output of `fleet show`.
 pub fn line<'a>(shown: &'a Value, name: &str) -> Option<&'a Value> {
     shown["fellows"]["others"].as_array()?.iter().find(|line| line["name"] == name)
 }
--- a/crates/testbed/src/harness/turn.rs
+++ b/crates/testbed/src/harness/permit.rs
@@ -1,15 +1,15 @@
-//! Limits how many harnesses of a process run at a time.
+//! Limits how many harnesses of a process run concurrently.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 
-/// The number of harnesses that run, and who waits for a turn.
+/// The number of running harnesses, and the condition variable for those that wait.
 pub(super) static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-/// A harness's turn; it ends with the harness.
-pub(super) struct Turn;
+/// A permit for one running harness, returned on drop.
+pub(super) struct HarnessPermit;
 
-impl Turn {
-    pub(super) fn take(most: usize) -> Self {
+impl HarnessPermit {
+    pub(super) fn acquire(most: usize) -> Self {
         let (running, over) = &RUNNING;
         let running = running.lock().unwrap_or_else(PoisonError::into_inner);
         let full = |running: &mut usize| most > 0 && *running >= most;
@@ -19,7 +19,7 @@
     }
 }
 
-impl Drop for Turn {
+impl Drop for HarnessPermit {
     fn drop(&mut self) {
         let (running, over) = &RUNNING;
         *running.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
--- a/crates/testbed/src/harness/plan.rs
+++ b/crates/testbed/src/harness/plan.rs
@@ -1,18 +1,18 @@
-//! What a harness is made of.
+//! The plan of a harness: its routers, links, caches and settings.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
 use crate::rules::AggregateBounds;
 
-/// How a harness is made.
+/// The routers, links, caches and settings of a harness.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Routers, named r0 and on.
+    /// Number of routers; they are named r0, r1, ...
     pub routers: usize,
-    /// Pairs of routers, the dialer first; `None`: each dials all with lower numbers.
+    /// Pairs of routers, the dialer first; with `None` each router dials all those with lower numbers.
     pub links: Option<Vec<(usize, usize)>>,
-    /// Caches, named cache-0 and on.
+    /// Number of caches; they are named cache-0, cache-1, ...
     pub caches: usize,
     /// The parameters inside `hierarchy(...)`.
     pub hierarchy: String,
@@ -20,19 +20,20 @@
     pub gateway: String,
     /// The parameters inside `fellows(...)`.
     pub cluster_settings: String,
-    /// Where each router stands in the tree of the fleet; without any the fleet is flat.
+    /// The location of each router in the tree of the fleet; without any the fleet is flat.
     pub places: Vec<String>,
     /// The parameters inside `audit(...)`; `None` writes no such section.
     pub audit: Option<String>,
     /// The parameters inside `straggler(...)`; `None` writes no such section.
     pub straggler: Option<String>,
-    /// By router: a program other than the one of all, such as an earlier build.
+    /// Routers that run another program than the default one, such as an earlier build.
     pub programs: BTreeMap<usize, PathBuf>,
     /// Requests a second at each router.
     pub rate: f64,
-    /// Objects that clients ask for.
+    /// Number of objects that clients request.
     pub objects: u64,
-    /// Harnesses of this process that may run at a time; 0 is any number. A machine that is overloaded breaks times by itself.
+    /// Harnesses of this process that may run concurrently; 0 means no limit. An overloaded machine breaks
+    /// time bounds by itself.
     pub at_once: usize,
 }
 
@@ -59,7 +60,7 @@
 }
 
 impl Plan {
-    /// How late counts of places may be, by the settings of the cluster.
+    /// How stale location summaries may be, from the settings of the cluster.
     pub fn aggregate_bounds(&self) -> AggregateBounds {
         let set = |name: &str| {
             let mut pairs = self.cluster_settings.split(',').filter_map(|pair| pair.split_once('='));
@@ -70,7 +71,8 @@
         AggregateBounds {
             suspect: set("suspect").unwrap_or(bounds.suspect),
             relied_on: set("renew").map_or(bounds.relied_on, |renew| renew * 3.0),
-            // News is gathered for three times as long at the most, and leaves with the next bundle.
+            // Facts are gathered for at most three times `gather`, and are sent with the next bundle, up to
+            // 200 ms later.
             by_level: set("gather").map_or(bounds.by_level, |gather| gather * 3.0 + 200.0),
             moves: set("moves").unwrap_or(bounds.moves),
             ..bounds
--- a/crates/testbed/src/harness/script.rs
+++ b/crates/testbed/src/harness/script.rs
@@ -1,4 +1,4 @@
-//! Scripts of overlapping faults from seeds, and how they are played.
+//! Generates scripts of overlapping faults from seeds, and runs them.
 
 use std::io;
 use std::thread;
@@ -14,16 +14,16 @@
 use crate::fault_proxy::Corruption;
 use crate::recording::{Phase, RecordedEvent};
 
-/// One fault, or its end, or something that is told meanwhile.
+/// One fault, the end of one, or an event that is published meanwhile.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Step {
     /// A router's process is killed.
     Kill(usize),
-    /// A router's process starts again, with load.
+    /// A router's process is restarted, with load.
     StartAgain(usize),
-    /// A router's process stands still.
+    /// A router's process is suspended.
     Freeze(usize),
-    /// A frozen process goes on.
+    /// A suspended process is resumed.
     Wake(usize),
     /// A link is reset.
     Cut(usize, usize),
@@ -35,22 +35,24 @@
     Delay(usize, usize),
     /// A chunk from the first router to the second is lost.
     Lose(usize, usize),
-    /// A chunk from the first router to the second comes twice.
+    /// A chunk from the first router to the second is delivered twice.
     Repeat(usize, usize),
-    /// All faults of a link end.
+    /// All faults of a link are cleared.
     Mend(usize, usize),
-    /// A router's operator has a cache fill by another parent.
+    /// A batch applied at a router (the first number) makes a cache (the second) fill from the parent
+    /// `centre`.
     Batch(usize, usize),
-    /// The journals of the lower half (`false`) or the higher half (`true`) of the routers publish that a cache drains.
+    /// The journals of the lower half (`false`) or the higher half (`true`) of the routers publish that a
+    /// cache drains.
     Drain(usize, bool),
     /// All journals publish that a cache is ready again.
     Back(usize),
 }
 
-/// A script: pauses in milliseconds and what comes after each.
+/// A script: pauses in milliseconds, each with the step that follows it.
 pub type Script = Vec<(u64, Step)>;
 
-/// The script of a seed: some kinds of faults are left out by each, so that rare mixes come up.
+/// The script of a seed. Each seed leaves out some kinds of faults, so that rare combinations occur.
 pub fn script(seed: u64, routers: usize, caches: usize, steps: usize) -> Script {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let kinds: Vec<usize> = (0..11).filter(|_| chance.random::<f64>() < 0.6).collect();
@@ -100,7 +102,7 @@
     script
 }
 
-/// What a script came to.
+/// Results of a script.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Played {
     /// Requests of clients.
@@ -111,11 +113,11 @@
     pub refused: u32,
     /// Requests that failed.
     pub failed: u32,
-    /// Drains that came by gossip first, summed over all routers.
+    /// Drains that arrived by gossip before the journal published them, summed over all routers.
     pub drains: u64,
-    /// Batches that came by gossip first.
+    /// Batches that arrived by gossip first, summed over all routers.
     pub batches: u64,
-    /// From the end of the faults until all were of one mind.
+    /// Time from the end of the faults until all routers had the same hierarchy and saw each other alive.
     pub settled_in: Duration,
 }
 
@@ -136,7 +138,7 @@
             Step::Lose(a, b) => self.corrupt(a, b, Corruption::Lost),
             Step::Repeat(a, b) => self.corrupt(a, b, Corruption::Repeated),
             Step::Mend(a, b) => self.mend(a, b),
-            // One that overtakes another may be refused: that is for the hierarchy to say.
+            // The hierarchy may reject a batch that overtakes another; that is allowed.
             Step::Batch(n, cache) => _ = self.move_cache(n, cache),
             Step::Drain(cache, high) => {
                 let half = self.plan.routers / 2;
@@ -153,11 +155,12 @@
         Ok(())
     }
 
-    /// Plays a script under load, ends all its faults, and waits until all are of one mind. A cache that is drained
-    /// then by some journals only must have been left alone by all.
+    /// Runs a script under load, clears all its faults, and waits until the routers agree. A cache that only
+    /// some journals have drained by then must not be used by any router.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out, or what the judgement of the run finds.
+    /// A process, a control socket or a file that fails, a wait that times out, or a finding of the checks of
+    /// the run.
     pub fn play(&mut self, script: &Script) -> Result<Played, HarnessError> {
         self.load_all()?;
         let mut drained = None;
@@ -187,8 +190,8 @@
                     let barred = shown["barred"].as_array();
                     barred.is_some_and(|all| all.iter().any(|line| line[0] == cache.as_str()))
                 };
-                self.until(n, "the drain is heard from fellows", by_gossip)?;
-                // From now on it counts as told.
+                self.until(n, "the drain arrives from a peer by gossip", by_gossip)?;
+                // From now on the router counts as notified.
                 let (router, node, phase) = (name(n), cache.clone(), Phase::Draining);
                 self.fleet.record.note(RecordedEvent::Listed { router, node, phase });
             }
@@ -214,7 +217,8 @@
         if let Some(finding) = findings.find(|finding| !matches!(finding, Finding::Gap { .. })) {
             return Err(HarnessError::AuditLogs(Box::new(finding.clone())));
         }
-        // Halves that change the hierarchy apart from each other have versions that no record can tell apart.
+        // Two partitions that change the hierarchy independently can use the same version number for
+        // different hierarchies, which the recording can't distinguish.
         self.check(&[Rule::NoStrangeEdge])?;
         Ok(played)
     }
--- a/crates/testbed/src/harness/verification.rs
+++ b/crates/testbed/src/harness/verification.rs
@@ -1,4 +1,4 @@
-//! The judgement of a run: its recording against the rules, and the audit logs against its recording.
+//! Checks of a run: its recording against the rules, and the audit logs against its recording.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -14,10 +14,10 @@
 use crate::recording::{now, RecordedEvent};
 
 impl Harness {
-    /// What all routers that run keep of their own and of others' accounts.
+    /// The audit logs that the running routers store, their own and replicas of others', verified together.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn accounts(&self) -> io::Result<VerifiedLogs> {
         let mut links = Vec::new();
         for n in self.up() {
@@ -34,11 +34,12 @@
         Ok(VerifiedLogs::new(links))
     }
 
-    /// Whether the accounts and the record tell the same: each booking that reached a node is in some account or in a gap
-    /// that is named, and no account has one that no node saw, unless its end says that it may not have got there.
+    /// Checks the audit logs against the recording: each booking that reached a server is in some audit log
+    /// or in a reported gap, and no audit log has an attempt that no server received, unless its outcome
+    /// leaves open whether it arrived.
     ///
     /// # Errors
-    /// The first booking that the one has and the other lacks.
+    /// The first booking that only one of the two has.
     pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), HarnessError> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
@@ -65,7 +66,7 @@
         for line in &lines {
             let RecordedEvent::Asked { asked, .. } = &line.what else { continue };
             let Some(router) = asked.router.as_deref().filter(|_| asked.class == "booking") else { continue };
-            // A second process of a name is not told apart here.
+            // A second process under the same name counts as that router.
             let router = router.trim_end_matches("-twin");
             seen.insert((router, &asked.id));
             let in_gap = |finding: &Finding| match finding {
@@ -76,7 +77,8 @@
                 }
                 _ => false,
             };
-            // Killed before anybody that still runs heard of its start: nothing is known of it, and that is said.
+            // The router was killed before any router that still runs learned of its start: no log covers
+            // that time.
             let before = known_from.get(router).is_none_or(|from| line.at <= from.ms as f64 + 50.0);
             let known = before || recorded.contains(&(router.to_string(), asked.id.clone()));
             if !known && !accounts.findings.iter().any(in_gap) {
@@ -96,18 +98,18 @@
         RuleBounds { slack: 500.0, going_over: 7_000.0, aggregates, ..RuleBounds::default() }
     }
 
-    /// Waits until all that has changed is known everywhere by its bound, and has each router that runs show places: what
-    /// they show then is judged as it is.
+    /// Waits until all changes must be known everywhere by their bounds, then records the location summaries
+    /// of each running router, so that the checker compares them exactly.
     ///
     /// # Errors
-    /// A process, a control socket or a file that fails, or a wait that runs out.
+    /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn look(&self) -> io::Result<()> {
         let due = quiet_from(&self.fleet.record.lines(), &self.rules());
         thread::sleep(Duration::from_secs_f64((due - now()).max(0.0) / 1_000.0 + 0.01));
         self.up().into_iter().try_for_each(|n| self.shown(n).map(drop))
     }
 
-    /// The rules that were broken, but for those that are not asked for.
+    /// Breaches of all rules except those in `but`.
     pub fn breaches(&self, but: &[Rule]) -> Vec<Breach> {
         let rules = self.rules();
         let lines = with_pauses(&self.fleet.record.lines(), 2_000.0);
@@ -116,7 +118,7 @@
         breaches
     }
 
-    /// No rule is broken.
+    /// Checks that no rule is broken except those in `but`, and that no booking ran twice at the origin.
     ///
     /// # Errors
     /// [`HarnessError::RulesBroken`] with all breaches.
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,22 +1,24 @@
-//! Everything that a router talks to, for tests and measurements on loopback: servers, discovery, links and clients with
-//! faults by script, and the checker that judges what crossed the sockets.
+//! Everything that a router talks to, for tests and measurements on loopback: servers, discovery, links and
+//! clients with scripted faults, and the checker that judges the recorded traffic.
 //!
-//! - [`recording`]: what crossed the sockets, with times, written by the testbed and not by the router;
+//! - [`recording`]: timestamped events of the traffic, recorded by the testbed and not by the router;
 //! - [`rules`]: the rules, their bounds, and breaches of them;
-//! - [`checker`]: judges a recording by the rules, without trusting the program;
-//! - [`aggregates`]: its rule of what routers show of locations;
-//! - [`cold_start`]: what servers that warm up were asked for by all routers together, from a recording;
-//! - [`faults`]: what befalls a server, by time or by count;
-//! - [`server`], [`cache_server`]: caches, parents and the origin on sockets, with copies, fills and overload;
+//! - [`checker`]: checks a recording against the rules, without relying on anything that the router reports;
+//! - [`aggregates`]: the checker's rule on the location summaries that routers show;
+//! - [`cold_start`]: the load that all routers together put on servers that warm up, from a recording;
+//! - [`faults`]: faults of a server, by time or by count;
+//! - [`server`], [`cache_server`]: caches, parents and the origin on sockets, with copies, fills and
+//!   overload;
 //! - [`process_cluster`]: servers with their journal services, and routers as processes;
-//! - [`load`]: clients that ask in an open loop;
+//! - [`load`]: clients that send requests in an open loop;
 //! - [`fault_proxy`]: a proxy on a link that delays, throttles, drops or cuts, and two sites around one;
-//! - [`cold_restart`]: routers that start at once while discovery is out of order, and when each says that it is ready;
+//! - [`cold_restart`]: routers that start at once during an outage of discovery, and when each reports ready;
 //! - [`harness`]: routers of one cluster as processes, with links, faults and scripts between them;
-//! - [`scale`]: many routers, real processes beside hollow ones, measured by router;
+//! - [`scale`]: many routers, real processes next to hollow ones, with measurements for each router;
 //! - [`two_sites`]: two gateways and the link between them, in virtual time.
 //!
-//! All sockets are on ports that the system gives. Times are those of the machine: nothing here measures speed by itself.
+//! All sockets use ports that the system assigns. Times are wall-clock times of the machine: the testbed
+//! itself makes no statement about speed.
 
 #![warn(
     missing_docs,
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,6 +1,7 @@
-//! Clients of a router: requests at random times in an open loop, each noted before it is written.
+//! Clients of a router: requests at random times in an open loop, each recorded before it is sent.
 //!
-//! A client that waits for an answer holds none of the others back: the next request goes out at its time.
+//! Requests don't wait for earlier answers: each is sent at its time, up to [`MAX_OPEN_REQUESTS`] per
+//! connection.
 
 use std::collections::HashMap;
 use std::io;
@@ -17,24 +18,24 @@
 
 use crate::recording::{now, Ms, RecordedEvent, Recording};
 
-/// What clients ask for.
+/// The requests that clients send.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// The same seed asks for the same objects at the same times.
+    /// The same seed gives the same objects at the same times.
     pub seed: u64,
-    /// Requests a second, of all clients together.
+    /// Requests per second, of all clients together.
     pub rate: f64,
-    /// Connections; the rate is divided among them.
+    /// Number of connections; the rate is divided among them.
     pub clients: usize,
-    /// Objects, and how uneven their popularity is (Zipf's exponent).
+    /// Number of objects.
     pub objects: u64,
-    /// Zipf's exponent.
+    /// Exponent of the Zipf distribution of their popularity.
     pub skew: f64,
-    /// The part of requests that are bookings.
+    /// Share of requests that are bookings, 0 to 1.
     pub bookings: f64,
-    /// The class of the others.
+    /// Class of the other requests.
     pub class: String,
-    /// How long a client waits.
+    /// How long a client waits, in milliseconds.
     pub wait: Ms,
 }
 
@@ -53,7 +54,7 @@
     }
 }
 
-/// How requests ended, by second since the start of the load.
+/// How requests ended, by the second in which they were sent, since the start of the load.
 #[derive(Debug, Clone, Default)]
 pub struct LoadResults {
     /// Requests.
@@ -74,30 +75,30 @@
         list[second] += 1;
     }
 
-    /// The share of requests served among those of some seconds.
+    /// Share of the requests of some seconds that were served.
     pub fn served_share(&self, seconds: std::ops::Range<usize>) -> f64 {
         let sum = |list: &[u32]| f64::from(list.iter().skip(seconds.start).take(seconds.len()).sum::<u32>());
         sum(&self.served) / sum(&self.asked).max(1.0)
     }
 }
 
-/// Clients under way.
+/// Running clients.
 pub struct RunningLoad {
     threads: Vec<JoinHandle<()>>,
     stop: Arc<AtomicBool>,
-    /// How requests have ended by now.
+    /// How requests have ended so far.
     pub ends: Arc<Mutex<LoadResults>>,
     /// When the load began.
     pub since: Ms,
 }
 
 impl RunningLoad {
-    /// A copy of how requests have ended by now.
+    /// A copy of how requests have ended so far.
     pub fn ends(&self) -> LoadResults {
         self.ends.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// No new requests; waits until those that are out are answered or past their time.
+    /// Stops sending requests, and waits until the open ones are answered or past their deadlines.
     pub fn finish(self) -> LoadResults {
         self.stop.store(true, Ordering::Release);
         for thread in self.threads {
@@ -107,12 +108,12 @@
     }
 }
 
-/// Names of requests: never the same twice in a fleet.
+/// Source of request numbers, unique in a fleet.
 #[derive(Debug, Clone, Default)]
 pub struct RequestNumbers(Arc<AtomicU64>);
 
 impl RequestNumbers {
-    /// A number that was not given out before.
+    /// The next unused number.
     pub fn next(&self) -> u64 {
         self.0.fetch_add(1, Ordering::Relaxed) + 1
     }
@@ -133,7 +134,7 @@
         (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(LoadResults::default())), now());
     let mut threads = Vec::new();
     for n in 0..load.clients.max(1) {
-        let one = One {
+        let connection = ClientConnection {
             load: Load { rate: load.rate / load.clients.max(1) as f64, ..load.clone() },
             router: router.to_string(),
             record: record.clone(),
@@ -146,18 +147,18 @@
         };
         let client = Client::connect(address)?;
         let reading = Client { stream: client.stream.try_clone()? };
-        let reader = one.clone();
+        let reader = connection.clone();
         threads.push(thread::spawn(move || reader.read(reading)));
-        threads.push(thread::spawn(move || one.write(client, n as u64)));
+        threads.push(thread::spawn(move || connection.write(client, n as u64)));
     }
     Ok(RunningLoad { threads, stop, ends, since })
 }
 
-/// By stream: the request, until when its client waits, and the second in which it was asked.
-type Open = HashMap<u32, (u64, Ms, usize)>;
+/// Open requests by stream: the request's number, its deadline, and the second in which it was sent.
+type OpenRequests = HashMap<u32, (u64, Ms, usize)>;
 
 #[derive(Clone)]
-struct One {
+struct ClientConnection {
     load: Load,
     router: String,
     record: Recording,
@@ -165,22 +166,22 @@
     stop: Arc<AtomicBool>,
     ends: Arc<Mutex<LoadResults>>,
     since: Ms,
-    open: Arc<Mutex<Open>>,
-    /// The router has gone: nothing that is asked of it is owed.
+    open: Arc<Mutex<OpenRequests>>,
+    /// The connection has ended: no answer is expected any more.
     disconnected: Arc<AtomicBool>,
 }
 
-/// A client has at most that many requests open; beyond it the next one is not asked at all.
-const OPEN: usize = 30;
+/// Most open requests of a connection; a request beyond that is skipped.
+const MAX_OPEN_REQUESTS: usize = 30;
 
-impl One {
+impl ClientConnection {
     fn second(&self, at: Ms) -> usize {
         ((at - self.since) / 1000.0).max(0.0) as usize
     }
 
     fn write(&self, mut client: Client, n: u64) {
-        let mut chance = Pcg64Mcg::seed_from_u64(self.load.seed.wrapping_mul(1_000).wrapping_add(n));
-        let (Ok(gap), Ok(popular), Ok(even)) = (
+        let mut random = Pcg64Mcg::seed_from_u64(self.load.seed.wrapping_mul(1_000).wrapping_add(n));
+        let (Ok(gap), Ok(popularity), Ok(uniform)) = (
             Exp::new(self.load.rate.max(1e-6)),
             Zipf::new(self.load.objects.max(1) as f64, self.load.skew),
             Uniform::new(0.0, 1.0),
@@ -191,7 +192,7 @@
         let mut at = 0.0;
         let mut stream = 0;
         while !self.stop.load(Ordering::Acquire) {
-            at += gap.sample(&mut chance);
+            at += gap.sample(&mut random);
             let due = Duration::from_secs_f64(at);
             while let Some(left) = due.checked_sub(begun.elapsed()).filter(|left| !left.is_zero()) {
                 if self.stop.load(Ordering::Acquire) {
@@ -199,9 +200,9 @@
                 }
                 thread::sleep(left.min(Duration::from_millis(50)));
             }
-            let object = popular.sample(&mut chance) as u64;
-            let booking = even.sample(&mut chance) < self.load.bookings;
-            if self.open.lock().unwrap_or_else(PoisonError::into_inner).len() >= OPEN {
+            let object = popularity.sample(&mut random) as u64;
+            let booking = uniform.sample(&mut random) < self.load.bookings;
+            if self.open.lock().unwrap_or_else(PoisonError::into_inner).len() >= MAX_OPEN_REQUESTS {
                 continue;
             }
             stream += 1;
@@ -213,7 +214,7 @@
 
     fn ask(&self, client: &mut Client, stream: u32, object: u64, booking: bool) -> io::Result<()> {
         let request = self.numbers.next();
-        // Objects are told apart by hash everywhere: neighbours must not be alike.
+        // Objects are identified by hash in all components, so consecutive numbers must give unrelated ids.
         let object = format!("{:016x}", xxhash_rust::xxh3::xxh3_64(&object.to_le_bytes()));
         let (id, wait) = (format!("{request:016x}"), format!("{}", self.load.wait));
         let class = if booking { "booking" } else { self.load.class.as_str() };
@@ -249,7 +250,7 @@
                     idle = 0;
                     let known =
                         self.open.lock().unwrap_or_else(PoisonError::into_inner).remove(&frame.stream);
-                    // One that is not known is noted too: the checker must see it.
+                    // An answer to an unknown stream is recorded too, so that the checker reports it.
                     let (request, _, second) = known.unwrap_or((u64::MAX, 0.0, 0));
                     self.record.note(RecordedEvent::Final {
                         request,
@@ -285,7 +286,7 @@
     }
 }
 
-/// When the origin gave out a copy, as it stands in its body.
+/// When the origin issued a copy, from the start of its body.
 fn dated(body: &[u8]) -> Option<Ms> {
     let start = String::from_utf8_lossy(&body[..body.len().min(120)]).into_owned();
     start.split(' ').nth(2).and_then(|at| at.parse().ok())
--- a/crates/testbed/src/process_cluster/commands.rs
+++ b/crates/testbed/src/process_cluster/commands.rs
@@ -1,4 +1,4 @@
-//! Files, logs and control sockets of routers, and the commands that are run on them.
+//! Files, logs and control sockets of routers, and commands on those sockets.
 
 use std::io;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 use super::{wait, ProcessCluster, PATIENCE};
 
 impl ProcessCluster {
-    /// The next line of a router's log with that in it.
+    /// Waits for the next line of a router's log that contains `part`, and returns it.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -20,12 +20,12 @@
         wait(&process.ok_or(io::ErrorKind::NotFound)?.log, part)
     }
 
-    /// The process of a router, to be signalled.
+    /// The process id of a router; `None` if it does not run.
     pub fn process_id(&self, router: &str) -> Option<u32> {
         self.routers.get(router)?.process.as_ref().map(|process| process.child.id())
     }
 
-    /// The control socket that an operator file names as `SOCKET`.
+    /// The control socket of a router; it replaces `SOCKET` in operator files.
     pub fn socket(&self, router: &str) -> PathBuf {
         self.folder.join(format!("{router}.sock"))
     }
@@ -35,7 +35,7 @@
         self.folder.join(format!("{router}.star"))
     }
 
-    /// A file of the fleet's folder.
+    /// Writes a file into the cluster's folder; returns its path.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -44,7 +44,7 @@
         std::fs::write(&path, text).map(|()| path)
     }
 
-    /// Runs a command of the program.
+    /// Runs a command of the default program.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -52,7 +52,7 @@
         Command::new(&self.program).args(arguments).stdin(Stdio::null()).output()
     }
 
-    /// What a command says of a router, as JSON.
+    /// Runs a command on the control socket of a router; returns its output as JSON.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Waits until a command says what is wanted; the time is only a bound.
+    /// Repeats a command until its output fulfils a condition, or 20 s have passed; returns that output.
+    /// `what` names the condition in the error.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -83,7 +84,10 @@
                 return Ok(shown);
             }
             if Instant::now() > end {
-                return Err(io::Error::new(io::ErrorKind::TimedOut, format!("{what}: {shown}")));
+                return Err(io::Error::new(
+                    io::ErrorKind::TimedOut,
+                    format!("{what}: not fulfilled within {PATIENCE:?}; last output: {shown}"),
+                ));
             }
             thread::sleep(Duration::from_millis(20));
         }
--- a/crates/testbed/src/process_cluster/configuration.rs
+++ b/crates/testbed/src/process_cluster/configuration.rs
@@ -6,11 +6,11 @@
 use linnethook_hierarchy::change_spec::{BatchSpec, ChangeSpec, SourceSpec};
 use serde_json::{json, Value};
 
-/// How long clients wait, in milliseconds, where nothing is to be late.
+/// Deadline of requests, in milliseconds, for tests without time limits.
 pub const UNHURRIED: f64 = 30_000.0;
 
-/// Has a router want no answer sooner than a machine with other work can bring it. For tests whose claim is not on time:
-/// what comes late is refused for good reason, whosever doing it was, and a slow core makes anything late.
+/// Sets long objectives, deadlines and connect time-outs in a router's configuration. For tests that don't
+/// check times: on a busy machine any response may be late, and late requests are rejected.
 pub fn unhurried(config: &mut Value) {
     if let Some(grades) = config["settings"]["grades"].as_array_mut() {
         for grade in grades {
@@ -21,8 +21,9 @@
     config["settings"]["allowed"]["connect-timeout"] = json!(UNHURRIED / 2.0);
 }
 
-/// The same, where a cache is not taken to hang before seconds have passed: by the flow that links are told to have, in
-/// kB/s, a router reckons when an answer is overdue. The thinner it is, the less is asked of nodes that start cold.
+/// Like [`unhurried`], with a link flow in kB/s, from which a router computes when a response is overdue.
+/// With a low flow a cache counts as hung only after seconds; a lower one also gives nodes that start cold
+/// fewer requests.
 pub fn unhurried_by_flow(flow: u32) -> impl Fn(&mut Value) {
     move |config| {
         unhurried(config);
@@ -30,7 +31,8 @@
     }
 }
 
-/// An operator file for [`super::ProcessCluster::two_hubs`]: all caches fill by `parent`, and else from the origin.
+/// An operator file for [`super::ProcessCluster::two_hubs`]: all caches fill from `parent`, with the origin
+/// as fallback.
 pub fn operator_file(caches: usize, parent: &str, settings: &str) -> String {
     format!(
         r#"control(path = "SOCKET")
@@ -44,14 +46,14 @@
     )
 }
 
-/// Sources with ranks 0 and, for the last one, 9.
+/// Sources with ascending ranks from 0, and rank 9 for the last of several.
 pub fn sources(names: &[&str]) -> Vec<SourceSpec> {
     let last = names.len().saturating_sub(1);
     let rank = |n: usize| if n == last && n > 0 { 9 } else { n as u16 };
     names.iter().enumerate().map(|(n, name)| SourceSpec { name: name.to_string(), rank: rank(n) }).collect()
 }
 
-/// A batch that gives nodes other sources.
+/// A batch that gives each listed node new sources, in effect from now on.
 pub fn reroute(
     author: u16,
     number: u64,
@@ -74,7 +76,8 @@
     }
 }
 
-/// Where the router's program is, for the programs of this package: given, or beside the one that runs.
+/// The router's program for the binaries of this package: the given one, or `linnethook` in the folder of the
+/// running binary.
 ///
 /// # Errors
 /// A process, a socket or a file that fails, or a name that does not exist.
--- a/crates/testbed/src/process_cluster/events.rs
+++ b/crates/testbed/src/process_cluster/events.rs
@@ -1,4 +1,4 @@
-//! What the journals publish to routers.
+//! Events that the journals publish to routers.
 
 use std::io;
 use std::thread;
@@ -16,7 +16,7 @@
         self.routers.keys().cloned().collect()
     }
 
-    /// Tells all routers of a node.
+    /// Publishes a server's phase to all routers.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -39,7 +39,8 @@
         Ok(())
     }
 
-    /// Tells a router of a node of another site, for whose router `bound` it is to hold from now on.
+    /// Publishes to a router the phase of a node of another site. The recording has it for `bound`, a router
+    /// of that site, which has to act on it from now on.
     pub fn tell_foreign(&self, router: &str, node: &str, phase: Phase, bound: &str) {
         let state = if phase == Phase::Ready { "Ready" } else { "Terminating" };
         let target = json!({"uid": node, "endpoint": "127.0.0.1:1", "az": "elsewhere", "model": "box",
@@ -49,7 +50,7 @@
         self.routers[router].journal.publish(event);
     }
 
-    /// A node starts again, cold, and all routers are told.
+    /// Restarts a server, cold, and notifies all routers.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -59,7 +60,7 @@
         self.tell(node, Phase::Ready)
     }
 
-    /// A node dies, and another one that starts now gets its addresses; routers are told of both.
+    /// Kills a server, starts a new one at its addresses, and notifies all routers of both.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -75,7 +76,7 @@
         self.tell(new, Phase::Ready)
     }
 
-    /// Tells all routers of a purge; nodes drop their old copies after `drop_after`.
+    /// Publishes a purge to all routers; servers drop their old copies after `drop_after`.
     pub fn purge(&self, object: &str, drop_after: Duration) {
         let stamp = crate::recording::now().floor();
         for router in self.routers() {
@@ -88,7 +89,7 @@
         self.nodes.values().for_each(|listed| listed.node.purge(object, stamp));
     }
 
-    /// Tells one router alone of a purge.
+    /// Publishes a purge to one router.
     pub fn tell_purge(&self, router: &str, object: &str, stamp: f64) {
         let what = RecordedEvent::Purged {
             router: router.to_string(),
@@ -100,12 +101,12 @@
         self.routers[router].journal.publish(json!({"expire": {"name": object, "stamp": stamp}}));
     }
 
-    /// All nodes drop what they hold of an object from before.
+    /// Has all servers drop their copies of an object from before `stamp`.
     pub fn drop_copies(&self, object: &str, stamp: f64) {
         self.nodes.values().for_each(|listed| listed.node.purge(object, stamp));
     }
 
-    /// Puts a batch into a router's journal.
+    /// Publishes a batch to one router.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -114,7 +115,8 @@
         Ok(())
     }
 
-    /// Notes which edges may be used from a version on, for the checker: those of before, and what changes.
+    /// Records for the checker which edges may be used from a version on: the earlier ones, with the sources
+    /// of the listed nodes replaced.
     pub fn note_shape(&mut self, version: u64, lists: &[(&str, &[&str])]) {
         for (node, sources) in lists {
             self.edges.insert(node.to_string(), sources.iter().map(|source| source.to_string()).collect());
--- a/crates/testbed/src/process_cluster/mod.rs
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -28,10 +28,15 @@
     operator_file, reroute, router_program, sources, unhurried, unhurried_by_flow, UNHURRIED,
 };
 
-/// Longer than anything that is waited for.
+/// Time-out of waits; longer than anything should take.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A node as the list of caches has it.
+/// Text before the address of a gateway in the router's log.
+const GATEWAY_ADDRESS_MARKER: &str = "listening for links at ";
+/// The same text in earlier builds, which tests of rolling upgrades run.
+const EARLIER_GATEWAY_ADDRESS_MARKER: &str = "links come in at ";
+
+/// A server and its entry in the endpoint list.
 struct Listed {
     node: CacheServer,
     zone: String,
@@ -39,21 +44,21 @@
     started: f64,
 }
 
-/// All of a fleet.
+/// Servers, routers and their journals.
 pub struct ProcessCluster {
-    /// What crossed the sockets.
+    /// The recorded traffic.
     pub record: Recording,
-    /// Numbers of requests of all clients.
+    /// The source of request numbers for all clients.
     pub numbers: RequestNumbers,
     program: PathBuf,
-    /// By router: a program that is not `program`, such as another build.
+    /// Routers with another program than `program`, such as another build.
     programs: BTreeMap<String, PathBuf>,
     folder: PathBuf,
     directory: Directory,
     attempts: Arc<AtomicU64>,
     nodes: BTreeMap<String, Listed>,
     routers: BTreeMap<String, Router>,
-    /// The edges of each version of the shape.
+    /// The sources of each node in the newest recorded hierarchy.
     edges: BTreeMap<String, Vec<String>>,
 }
 
@@ -67,7 +72,7 @@
 struct Process {
     child: Child,
     address: SocketAddr,
-    /// Where gateways of other sites reach it.
+    /// Address for gateways of other sites, if it has a gateway.
     links: Option<SocketAddr>,
     log: Receiver<String>,
 }
@@ -87,14 +92,14 @@
 }
 
 impl ProcessCluster {
-    /// An empty fleet for routers that run `program`.
+    /// A cluster without servers and routers; routers run `program`.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
     pub fn new(program: impl Into<PathBuf>) -> io::Result<Self> {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let n = COUNT.fetch_add(1, Ordering::Relaxed);
-        // Short: a control socket's path must fit into its address.
+        // The path is short because the address of a Unix socket has a length limit.
         let folder = std::env::temp_dir().join(format!("lh-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder)?;
         Ok(Self {
@@ -111,7 +116,7 @@
         })
     }
 
-    /// Two hubs with a parent each, caches of one location, and the origin: all fill by `south`.
+    /// The parents of two hubs, `south` and `centre`, caches in one zone, and the origin.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -131,7 +136,8 @@
         Ok(fleet)
     }
 
-    /// A site of its own beside others: caches, a parent and an origin named after it, on the same record.
+    /// A site with caches, a parent and an origin that have its name as prefix. It shares the recording of
+    /// `beside`.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -162,7 +168,7 @@
         Ok(fleet)
     }
 
-    /// Starts a server that routers which start later find in their endpoint lists.
+    /// Starts a server; routers that start later have it in their endpoint lists.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -178,7 +184,7 @@
         Ok(())
     }
 
-    /// A server by its name, which has to exist.
+    /// A server by its name. Panics if it does not exist.
     pub fn node(&self, name: &str) -> &CacheServer {
         &self.nodes[name].node
     }
@@ -188,7 +194,7 @@
         self.nodes.keys().cloned().collect()
     }
 
-    /// The line of the list that tells a router of a node.
+    /// The entry of a server in the endpoint list of a router.
     fn line(&self, router: &str, name: &str, phase: Phase) -> io::Result<Value> {
         let listed = &self.nodes[name];
         let kind = match (name, listed.zone.as_str()) {
@@ -206,7 +212,8 @@
             "pod_group": 0, "state": state, "capacity_hint": listed.capacity, "boot_ms": listed.started}))
     }
 
-    /// Starts a router with an operator file, if there is one; `patch` changes its configuration.
+    /// Starts a router, with an operator file if there is one; `patch` changes its configuration. Returns the
+    /// address for clients.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -237,7 +244,7 @@
         self.start_again(name)
     }
 
-    /// Has a router run another program from its next start on; without one, the program of all.
+    /// Sets the program of a router from its next start on; `None` is the default program.
     pub fn set_program(&mut self, router: &str, program: Option<PathBuf>) {
         match program {
             Some(program) => self.programs.insert(router.to_string(), program),
@@ -245,7 +252,7 @@
         };
     }
 
-    /// Starts a router's process, with the journal's events up to now.
+    /// Starts or restarts a router's process, with the journal's events so far in its configuration.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -274,7 +281,7 @@
         let mut process = Process { child, address: ([127, 0, 0, 1], 0).into(), links: None, log };
         let address = loop {
             let line = wait(&process.log, "")?;
-            if let Some(links) = address_after(&line, "listening for links at ") {
+            if let Some(links) = gateway_address(&line) {
                 process.links = Some(links);
             } else if let Some(address) = address_after(&line, " listens on ") {
                 break address;
@@ -285,14 +292,14 @@
         Ok(address)
     }
 
-    /// A router is killed outright; what it held is owed no more.
+    /// Kills a router's process (SIGKILL).
     pub fn kill_router(&mut self, name: &str) {
         if let Some(router) = self.routers.get_mut(name) {
             router.process = None;
         }
     }
 
-    /// A router is asked to end, and is waited for.
+    /// Ends a router's process with SIGTERM, and waits for its end.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
@@ -316,18 +323,16 @@
         Ok(())
     }
 
-    /// Where clients reach a router.
+    /// Address of a router for clients.
     pub fn address(&self, router: &str) -> Option<SocketAddr> {
         self.routers.get(router)?.process.as_ref().map(|process| process.address)
     }
 
-    /// Where gateways of other sites reach a router.
+    /// Address of a router for gateways of other sites.
     pub fn links(&self, router: &str) -> Option<SocketAddr> {
         self.routers.get(router)?.process.as_ref()?.links
     }
 
-    // ---- What routers are told.
-
     /// Starts clients of a router.
     ///
     /// # Errors
@@ -338,7 +343,13 @@
     }
 }
 
-/// The address behind some words of a line: as text it ends the line; in a JSON object more follows.
+/// The address of the gateway in a log line, if the line has it.
+fn gateway_address(line: &str) -> Option<SocketAddr> {
+    address_after(line, GATEWAY_ADDRESS_MARKER)
+        .or_else(|| address_after(line, EARLIER_GATEWAY_ADDRESS_MARKER))
+}
+
+/// The address after a marker in a log line. In a text line it is last; in a JSON line more follows.
 fn address_after(line: &str, marker: &str) -> Option<SocketAddr> {
     let rest = line.split(marker).nth(1)?;
     let end = rest.find(|c: char| !(c.is_ascii_digit() || c == '.' || c == ':')).unwrap_or(rest.len());
@@ -348,7 +359,7 @@
 fn wait(log: &Receiver<String>, part: &str) -> io::Result<String> {
     loop {
         let line = log.recv_timeout(PATIENCE).map_err(|_| {
-            io::Error::new(io::ErrorKind::TimedOut, format!("nothing was logged with {part:?} in it"))
+            io::Error::new(io::ErrorKind::TimedOut, format!("no log line with {part:?} within {PATIENCE:?}"))
         })?;
         if line.contains(part) {
             return Ok(line);
--- a/crates/testbed/src/recording.rs
+++ b/crates/testbed/src/recording.rs
@@ -1,4 +1,4 @@
-//! The recording: what crossed the sockets, each with its time, in the order in which it was noted.
+//! The recording: timestamped events of the traffic, in the order in which they were recorded.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -8,29 +8,29 @@
 /// Unix milliseconds.
 pub type Ms = f64;
 
-/// The time now, by the clock that all parts share.
+/// The current time of the system clock, which all components of the testbed use.
 pub fn now() -> Ms {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs_f64() * 1000.0
 }
 
-/// What a router was told of a node.
+/// The state of a server, as a router was notified of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     /// It may be used.
     Ready,
-    /// It is to get nothing new.
+    /// It must get no new requests.
     Draining,
-    /// It does not exist any more.
+    /// It no longer exists.
     #[serde(rename = "Gone")]
     Removed,
 }
 
-/// A request as it reached a node.
+/// A request as it reached a server.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Asked {
     /// The server.
     pub at: String,
-    /// Which request; nodes pass it on with their fills.
+    /// The request's id; servers pass it on with their fills.
     pub id: String,
     /// The request's class.
     pub class: String,
@@ -38,53 +38,53 @@
     pub object: String,
     /// The part of the object.
     pub part: u32,
-    /// Where a miss is to be filled from, and where that goes on.
+    /// The source that a miss is filled from.
     pub source: Option<String>,
-    /// Further sources behind it.
+    /// The sources upstream of `source`.
     pub via: Vec<String>,
-    /// Only a cached copy is wanted from the source.
+    /// The source may only serve a cached copy, and must not fill.
     #[serde(rename = "only_held")]
     pub cached_only: bool,
-    /// The nodes that the fill has passed, and the version of the shape; from nodes and extended routers only.
+    /// The nodes that the fill has passed; only nodes and extended routers send them, with `version`.
     pub passed: Vec<String>,
-    /// The version of the hierarchy that the fill is made on.
+    /// The version of the hierarchy that the fill is based on.
     pub version: Option<u64>,
-    /// The router that it comes from by itself; `None` where a node asks.
+    /// The router that sent it directly; `None` where a node sent it.
     pub router: Option<String>,
 }
 
-/// What happened.
+/// An event of a recording.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum RecordedEvent {
-    /// A request came in whole at a node; the number is the attempt's own.
+    /// A request arrived completely at a node. The attempt number is unique in the recording.
     Asked {
         /// The attempt's number.
         attempt: u64,
         /// The request.
         asked: Asked,
     },
-    /// It ended there: with an answer, or given up. `ran` tells whether it took effect.
+    /// The attempt ended there, with or without a response.
     Ended {
         /// The attempt's number.
         attempt: u64,
-        /// The status of the reply; empty where there was none.
+        /// The status of the response; empty where there was none.
         #[serde(rename = "word")]
         status: String,
-        /// Where the answer came from, or why there was none.
+        /// Where the response came from, or why there was none.
         res: String,
-        /// Whether it took effect.
+        /// Whether the request took effect.
         ran: bool,
     },
-    /// An event was put into the journal service of a router.
+    /// A server's phase was published to a router by its journal service.
     Listed {
         /// The router that is notified.
         router: String,
-        /// The server that the event is about.
+        /// The server.
         node: String,
-        /// What the server is from now on.
+        /// The server's phase from now on.
         phase: Phase,
     },
-    /// A purge was put into the journal service of a router.
+    /// A purge was published to a router by its journal service.
     Purged {
         /// The router that is notified.
         router: String,
@@ -92,129 +92,128 @@
         object: Option<String>,
         /// The group that is purged.
         group: Option<u32>,
-        /// Copies from before this time are out of date.
+        /// Copies that the origin issued before this time are out of date.
         stamp: Ms,
     },
-    /// The edges that may be used from this version on, by the batches that a router was given.
+    /// The edges that may be used from this version on, from the batches that were published.
     Shape {
         /// The version of the hierarchy.
         version: u64,
         /// Node and source of each edge.
         edges: Vec<(String, String)>,
     },
-    /// A client's request: by when it wants its answer, and whether a second run would be harm.
+    /// A client sent a request.
     Requested {
         /// The request's number.
         request: u64,
-        /// The id that attempts bear.
+        /// The id that its attempts have.
         id: String,
         /// The object.
         object: String,
         /// The group of the object.
         group: u32,
-        /// When the client stops waiting.
+        /// Time at which the client stops waiting.
         deadline: Ms,
         /// Whether it is not idempotent.
         harmful: bool,
-        /// The router that is asked.
+        /// The router that the request was sent to.
         router: String,
     },
-    /// A final answer to it; `dated` is when the origin gave out the copy.
+    /// A client received the answer to a request.
     Final {
         /// The request's number.
         request: u64,
         /// 1 is served, 2 rejected, all others failed.
         code: u8,
-        /// When the origin gave out the copy.
+        /// When the origin issued the copy.
         dated: Option<Ms>,
     },
-    /// The client does not wait any more, or its router was killed.
+    /// The client no longer waits for the answer, or its router was killed.
     Released {
         /// The request's number.
         request: u64,
     },
-    /// A node started, able to do so much.
+    /// A node started, with this capacity.
     Started {
         /// The server.
         node: String,
-        /// What it can do from its start on.
+        /// Its capacity from its start on.
         cold: WarmUpCapacity,
     },
-    /// It fell over.
+    /// A server failed by overload.
     Fell {
         /// The server.
         node: String,
     },
-    /// A request passed a link between two sites whole, on its way to `to`; with its token where it has one.
+    /// A request crossed a link between two sites completely.
     Crossed {
-        /// The site that it goes to.
+        /// The site that it was sent to.
         to: String,
-        /// The id that attempts bear.
+        /// The id that its attempts have.
         id: String,
-        /// Epoch and number of its fencing token.
+        /// Epoch and number of its fencing token, if it has one.
         token: Option<(u64, u64)>,
         /// Sites that it has passed.
         passed: Vec<String>,
     },
-    /// A router's process stands still, or goes on.
+    /// A router's process was suspended.
     Paused {
-        /// The router that stands still.
+        /// The suspended router.
         router: String,
     },
-    /// A router's process that stood still goes on.
+    /// A router's suspended process was resumed.
     Woken {
-        /// The router that goes on.
+        /// The resumed router.
         router: String,
     },
-    /// From now on a router must not have anything filled on an older version.
+    /// From now on a router must not request fills on an older version.
     Floored {
         /// The router.
         router: String,
         /// The oldest version that it may use.
         version: u64,
     },
-    /// The proof that an attempt with that token never ran passed the link.
+    /// The proof that the attempt with this token never ran crossed the link.
     Proven {
         /// Epoch and number of the fencing token.
         token: (u64, u64),
     },
-    /// A router's process runs from now on, or does not any more.
+    /// A router's process started.
     Ran {
         /// The router.
         router: String,
         /// Its location in the tree of the fleet.
         place: String,
     },
-    /// A router's process does not run any more.
+    /// A router's process ended.
     Ceased {
         /// The router.
         router: String,
     },
-    /// What one router says to the other over their link from now on.
+    /// The state of a link changed in one direction.
     Linked {
         /// The router that sends.
         from: String,
         /// The router that receives.
         to: String,
-        /// What becomes of what is sent.
+        /// The state from now on.
         #[serde(rename = "way")]
         state: LinkState,
     },
-    /// Nobody is to act on an older version from now on, wherever it was said first, nor stay below it for longer than
-    /// that.
+    /// The floor was raised at some router: no router may act on an older version after `bound`.
     Raised {
         /// The floor.
         version: u64,
         /// How long a router may stay below it.
         bound: Ms,
     },
-    /// What a router showed of places, asked at `since`, and how many routers it counts in all.
+    /// A router showed its location summaries.
     Shown {
-        /// The router that was asked.
+        /// The router that was queried.
         router: String,
-        /// When it was asked.
+        /// When it was queried.
         since: Ms,
-        /// Routers that it counts in all.
+        /// The total number of routers that it counts.
         #[serde(rename = "whole")]
         fleet_size: Option<u64>,
         /// The locations that it shows.
@@ -222,53 +221,53 @@
     },
 }
 
-/// What becomes of what is said over a link in one direction.
+/// State of a link in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkState {
-    /// All passes.
+    /// All messages pass.
     Open,
-    /// Nothing passes.
+    /// No message passes.
     Closed,
-    /// Some of it passes, later or in part.
+    /// Messages pass late or in part.
     Uneven,
 }
 
-/// A place as a whole, as a router shows it.
+/// The summary of a location, as a router shows it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LocationSummary {
     /// The location.
     pub place: String,
-    /// Whether it is still heard of.
+    /// Whether the summary is still renewed.
     pub fresh: bool,
     /// Routers that are shown as alive.
     pub alive: u64,
-    /// All routers that are counted, however they stand.
+    /// All routers that are counted, in any state.
     pub counted: u64,
-    /// The oldest version of the hierarchy.
+    /// The oldest version of the hierarchy that a router there acts on.
     pub oldest: Option<u64>,
-    /// Names of stragglers, as far as there is room.
+    /// Names of stragglers, up to the maximum length of the list.
     pub stragglers: Vec<String>,
-    /// Stragglers in all.
+    /// Total number of stragglers.
     pub behind: u64,
 }
 
-/// What a node bears after its start, in requests a second.
+/// Capacity of a node while it warms up after its start, and the load at which it fails.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct WarmUpCapacity {
-    /// Requests a second once it is warm.
+    /// Requests per second once it is warm.
     pub capacity: f64,
-    /// The part of it with which it starts, and when it has all of it.
+    /// Share of `capacity` that it has at its start.
     pub from: f64,
-    /// How long it warms up.
+    /// How long it takes to reach the full capacity, in milliseconds.
     pub warm_in: Ms,
-    /// More than so many times what it can do, over that long, and it falls over.
+    /// Multiple of the current capacity, over `window`, above which it fails; 0 means that it never fails.
     pub fall_multiple: f64,
-    /// The window that the multiple is counted over.
+    /// The window in which requests are counted, in milliseconds.
     pub window: Ms,
 }
 
 impl WarmUpCapacity {
-    /// What it can do so long after its start, a second.
+    /// Capacity in requests per second, `age` milliseconds after its start.
     pub fn capacity_at(&self, age: Ms) -> f64 {
         let warmed = if self.warm_in > 0.0 { (age / self.warm_in).clamp(0.0, 1.0) } else { 1.0 };
         self.capacity * (self.from + (1.0 - self.from) * warmed)
@@ -284,17 +283,17 @@
     pub what: RecordedEvent,
 }
 
-/// The record that all stand-ins of a fleet write.
+/// The shared recording that all simulated components of a fleet write to.
 #[derive(Debug, Clone, Default)]
 pub struct Recording(Arc<Mutex<Vec<RecordEntry>>>);
 
 impl Recording {
     fn lines_mut(&self) -> MutexGuard<'_, Vec<RecordEntry>> {
-        // A thread that panicked has noted whole lines or none.
+        // An entry is pushed in one step, so a thread that panicked left no partial entry.
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records an event now, and says at what time.
+    /// Records an event with the current time, and returns that time.
     pub fn note(&self, what: RecordedEvent) -> Ms {
         let mut lines = self.lines_mut();
         let at = now();
@@ -302,29 +301,29 @@
         at
     }
 
-    /// Notes something at a time of a clock of its own.
+    /// Records an event with a given time, such as one in virtual time.
     pub fn note_at(&self, at: Ms, what: RecordedEvent) {
         self.lines_mut().push(RecordEntry { at, what });
     }
 
-    /// A copy of all lines, by time.
+    /// A copy of all entries, sorted by time.
     pub fn lines(&self) -> Vec<RecordEntry> {
         let mut lines = self.lines_mut().clone();
         lines.sort_by(|a, b| a.at.total_cmp(&b.at));
         lines
     }
 
-    /// Entries by now.
+    /// Number of entries so far.
     pub fn len(&self) -> usize {
         self.lines_mut().len()
     }
 
-    /// Whether nothing was recorded yet.
+    /// Whether there is no entry yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Requests that reached a node, by second since `from`.
+    /// Number of requests that reached a node, for each second since `from`.
     pub fn by_second(&self, node: &str, from: Ms, seconds: usize) -> Vec<u32> {
         let mut counts = vec![0; seconds];
         for line in self.lines_mut().iter() {
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -1,23 +1,23 @@
-//! The rules that a recording is judged by, their bounds, and how a breach is told.
+//! The rules that a recording is checked against, their bounds, and how a breach is reported.
 
 use std::fmt;
 
 use crate::recording::Ms;
 
-/// The figures of the rules.
+/// Bounds of the rules.
 #[derive(Debug, Clone, Copy)]
 pub struct RuleBounds {
-    /// How long a router may go on using an endpoint that drains.
+    /// How long a router may continue to use an endpoint that drains.
     pub drain_grace: Ms,
-    /// How long a router may go on serving what was purged.
+    /// How long a router may continue to serve a copy that was purged.
     pub purge_grace: Ms,
-    /// What sockets and threads may add to any time.
+    /// Tolerance that is added to every time bound, for sockets and thread scheduling.
     pub slack: Ms,
-    /// For how long a child that goes over to other sources may still use the old ones.
+    /// How long a child that migrates to other sources may still use the old ones.
     pub going_over: Ms,
-    /// By how much a node's own count of what it bears may be passed by chance.
+    /// Factor by which random bursts may exceed the number of requests that a node can take.
     pub push_slack: f64,
-    /// How late counts of places may be.
+    /// How stale the location summaries of routers may be.
     pub aggregates: AggregateBounds,
 }
 
@@ -34,43 +34,44 @@
     }
 }
 
-/// A rule that was broken, by whom and when.
+/// A rule that was broken, and when.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Breach {
     /// When it was broken.
     pub at: Ms,
     /// The rule.
     pub rule: Rule,
-    /// What happened, for the report.
+    /// What happened and which component caused it, for the report.
     pub what: String,
 }
 
 /// The rules. Their names are printed with breaches.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request has one final answer, in time.
+    /// Each request has exactly one final answer, within its deadline.
     OneAnswer,
-    /// No request that is not idempotent may run twice, or after it was rejected.
+    /// A request that is not idempotent runs at most once, and never after it was rejected.
     NoSecondEffect,
-    /// An endpoint that drains gets nothing new after the grace.
+    /// An endpoint that drains gets no new requests after the grace period.
     Drains,
-    /// A server that warms up is not asked for more than it can do.
+    /// A server that warms up is not sent more requests than it can take.
     NoPush,
-    /// No copy from before a purge is served after the grace.
+    /// No copy from before a purge is served after the grace period.
     Purges,
-    /// No fill passes a node twice.
+    /// No fill passes through a node twice.
     NoLoop,
-    /// No fill uses an edge that the shape has not got at its version.
+    /// No fill uses an edge that the hierarchy does not have at the fill's version.
     NoStrangeEdge,
-    /// No harmful request has a second attempt across a link before the first is proven not to have run.
+    /// No request that is not idempotent has a second attempt across a link before the first one is proven
+    /// not to have run.
     NoOverlap,
-    /// No request crosses back to a site that it has passed.
+    /// No request is forwarded back to a site that it has already passed.
     NoReturn,
-    /// No fill on a version below the floor, after its bound.
+    /// No fill uses a version below the floor after the floor's bound.
     NoOldVersion,
-    /// No request is sent on for a client that has left (`leavers`).
+    /// No attempt is sent for a client that has disconnected; see [`crate::checker::disconnected_clients`].
     NoneLeft,
-    /// What is shown of a place as a whole agrees with what ran in it.
+    /// The summary that a router shows of a location agrees with the routers that ran there.
     Aggregates,
 }
 
@@ -80,18 +81,19 @@
     }
 }
 
-/// How late a fleet with places may be, by its settings. All in milliseconds.
+/// How stale the location summaries of a fleet may be, from its settings. All in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AggregateBounds {
-    /// How long a router that can't be reached counts in its site.
+    /// How long an unreachable router is still counted in its site.
     pub suspect: Ms,
-    /// How long a summary that nobody renews is relied on: three times `renew`.
+    /// How long a summary that is not renewed remains valid: three times `renew`.
     pub relied_on: Ms,
-    /// What each level adds until news of a part is told of the whole.
+    /// Delay that each level of the location tree adds until a change in one part appears in the summary.
     pub by_level: Ms,
-    /// That a place went over to another hierarchy as a whole is told so often at the most, by level.
+    /// Shortest interval, at each level, between reports that a location has moved to another hierarchy
+    /// version.
     pub moves: Ms,
-    /// How long a link may take to come up again, or to be found silent.
+    /// How long a link may take to reconnect, or to be detected as silent.
     pub links: Ms,
 }
 
