--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -1,15 +1,15 @@
-//! Faults of a scale run, and when routers notice them.
+//! Injects the faults of a scale run, and measures when routers notice them.
 
 use std::time::Instant;
 
 use super::places::name;
-use super::{Failure, Fault, Form, Harness, ASKED, PAUSE, SLOW};
+use super::{Failure, Fault, Form, Harness, POLLED_ROUTERS, POLL_INTERVAL, SLOW_LINK_RATE};
 use crate::fault_proxy::{FaultProxy, LinkConditions, TO_ACCEPTOR, TO_DIALER};
 use crate::harness::{alive, line};
 
 impl<'a> Harness<'a> {
-    /// The middles that a fault befalls.
-    pub(super) fn befallen(&self, fault: Fault) -> impl Iterator<Item = &FaultProxy> {
+    /// The proxies of the links that a fault affects.
+    pub(super) fn affected_proxies(&self, fault: Fault) -> impl Iterator<Item = &FaultProxy> {
         let those = move |(from, to): (usize, usize)| match fault {
             Fault::ZoneCut | Fault::RegionsApart => self.places.crosses(from, to),
             Fault::SlowMember => from == 0 || to == 0,
@@ -18,26 +18,26 @@
         self.places.proxies.iter().filter(move |(ends, _)| those(**ends)).map(|(_, proxy)| proxy)
     }
 
-    pub(super) fn strike(&mut self, fault: Fault) -> Result<(), Failure> {
+    pub(super) fn inject(&mut self, fault: Fault) -> Result<(), Failure> {
         let last = self.places.processes.len() - 1;
         match fault {
             Fault::ControlKilled => self.journal.kill(true),
             Fault::Rack | Fault::ZoneStart => {
                 self.processes.kill(last);
-                self.disturbed.extend(&self.places.apart);
+                self.disturbed.extend(&self.places.isolated);
                 if fault == Fault::ZoneStart {
-                    self.begin(last)?;
+                    self.start_process(last)?;
                 }
             }
             Fault::ZoneCut | Fault::RegionsApart => {
-                self.befallen(fault).for_each(FaultProxy::cut);
+                self.affected_proxies(fault).for_each(FaultProxy::cut);
                 if fault == Fault::RegionsApart {
-                    self.journal.silence(&self.places.apart, true);
+                    self.journal.silence(&self.places.isolated, true);
                 }
             }
             Fault::SlowMember => {
-                let conditions = LinkConditions { rate: SLOW, ..LinkConditions::default() };
-                self.befallen(fault).for_each(|proxy| {
+                let conditions = LinkConditions { rate: SLOW_LINK_RATE, ..LinkConditions::default() };
+                self.affected_proxies(fault).for_each(|proxy| {
                     [TO_ACCEPTOR, TO_DIALER]
                         .into_iter()
                         .for_each(|direction| proxy.conditions(direction, conditions));
@@ -47,29 +47,32 @@
         Ok(())
     }
 
-    pub(super) fn mend(&self, fault: Fault) {
+    pub(super) fn clear(&self, fault: Fault) {
         match fault {
             Fault::ControlKilled => self.journal.kill(false),
             Fault::Rack | Fault::ZoneStart => {}
             Fault::ZoneCut | Fault::RegionsApart | Fault::SlowMember => {
-                self.befallen(fault).for_each(FaultProxy::mend);
-                self.journal.silence(&self.places.apart, false);
+                self.affected_proxies(fault).for_each(FaultProxy::mend);
+                self.journal.silence(&self.places.isolated, false);
             }
         }
     }
 
-    /// Who is asked for a view of the others: some of each form that run all the while.
-    pub(super) fn asked(&self) -> Vec<usize> {
+    /// The routers whose views of the others are polled: [`POLLED_ROUTERS`] of each form that run all the
+    /// time.
+    pub(super) fn polled_routers(&self) -> Vec<usize> {
         let of = |form| {
             let those = (0..self.places.forms.len()).filter(move |n| self.places.forms[*n] == form);
-            those.filter(|n| !self.places.apart.contains(n) && !self.disturbed.contains(n)).take(ASKED)
+            those
+                .filter(|n| !self.places.isolated.contains(n) && !self.disturbed.contains(n))
+                .take(POLLED_ROUTERS)
         };
         of(Form::Real).chain(of(Form::Hollow)).collect()
     }
 
-    /// Whether somebody who is asked has yet to notice a fault's end, or a fault that does not end. What nobody has
-    /// noticed by its end is not waited for.
-    pub(super) fn notices(&self, fault: Fault, ended: bool) -> bool {
+    /// Whether the polled routers have yet to notice the end of a fault, or a fault that does not end. A
+    /// fault that was not noticed before it ended is not waited for.
+    pub(super) fn awaits_notice(&self, fault: Fault, ended: bool) -> bool {
         match fault {
             Fault::Rack => self.noticed.is_empty(),
             Fault::ZoneStart => self.recovered.is_empty(),
@@ -80,34 +83,35 @@
         }
     }
 
-    /// Looks whether those that are asked miss all whom a fault has cut off, and whether they see all again.
-    pub(super) fn notice(
+    /// Polls the routers: do they miss all routers that a fault has cut off, and do they see all again?
+    pub(super) fn poll_views(
         &mut self,
         fault: Fault,
         began: Option<(Instant, f64)>,
         ended: Option<Instant>,
     ) -> Result<(), Failure> {
-        let Some((began, stamp)) = began.filter(|_| self.notices(fault, ended.is_some())) else {
+        let Some((began, stamp)) = began.filter(|_| self.awaits_notice(fault, ended.is_some())) else {
             return Ok(());
         };
-        if self.asked.is_some_and(|asked| asked.elapsed() < PAUSE) {
+        if self.polled_at.is_some_and(|at| at.elapsed() < POLL_INTERVAL) {
             return Ok(());
         }
-        let (mut seen, mut starts_anew) = (Vec::new(), true);
-        for n in self.asked() {
+        let (mut seen, mut all_restarted) = (Vec::new(), true);
+        for n in self.polled_routers() {
             let at = Instant::now();
             let shown = self.command(n, &["fleet", "show"])?;
-            // A zone that starts again may never have been missed: its routers are there once these starts are.
-            let anew = |n: &usize| {
+            // The others may never miss a zone that restarts: its routers are back once their new start times
+            // are shown.
+            let restarted = |n: &usize| {
                 let start = line(&shown, &name(*n)).and_then(|line| line["start"].as_u64());
                 start.is_some_and(|start| start as f64 / 1_000.0 >= stamp)
             };
-            starts_anew &= self.places.apart.iter().all(anew);
+            all_restarted &= self.places.isolated.iter().all(restarted);
             seen.push((n, at, alive(&shown)));
         }
-        self.asked = Some(Instant::now());
+        self.polled_at = Some(Instant::now());
         let others = self.places.forms.len() - 1;
-        let here = others - self.places.apart.len();
+        let here = others - self.places.isolated.len();
         let since = |from: Instant| {
             move |(n, at, _): &(usize, Instant, usize)| (*n, at.saturating_duration_since(from).as_secs_f64())
         };
@@ -115,7 +119,7 @@
             self.noticed = seen.iter().map(since(began)).collect();
         }
         let mended = match fault {
-            Fault::ZoneStart => Some(began).filter(|_| starts_anew),
+            Fault::ZoneStart => Some(began).filter(|_| all_restarted),
             Fault::ZoneCut | Fault::RegionsApart => ended.filter(|_| !self.noticed.is_empty()),
             Fault::Rack | Fault::ControlKilled | Fault::SlowMember => None,
         };
--- a/crates/testbed/src/scale/journal.rs
+++ b/crates/testbed/src/scale/journal.rs
@@ -1,7 +1,9 @@
-//! A simulated discovery service: one log of events, told to every router by long polls on an address of its own.
+//! A simulated discovery service: one log of events, which each router reads by long polls at an address of
+//! its own.
 //!
-//! What each router has taken in, and when, is seen from its polls alone: the next poll names the number it has
-//! reached. Simulated: one machine that gathers what is new for [`GATHER`], so that a page carries what fell into it.
+//! Which events each router has applied, and when, is known only from its polls: a poll has the number of the
+//! last applied event. New events are gathered for [`GATHER`], as on a real machine, and then sent in one
+//! page.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,45 +13,45 @@
 
 use serde_json::{json, Value};
 
-/// How long what is new is gathered before polls that wait are answered.
+/// How long new events are gathered before waiting polls are answered.
 pub const GATHER: Duration = Duration::from_millis(50);
-/// Events in one page at the most: routers take pages of up to 8 MB.
-const PAGE: usize = 20_000;
-/// The threads of polls hold little.
-const STACK: usize = 128 << 10;
+/// Most events in one page: routers accept pages of up to 8 MB.
+const MAX_PAGE_EVENTS: usize = 20_000;
+/// Stack size of the threads, which need little; there are several for each router.
+const STACK_BYTES: usize = 128 << 10;
 
-/// What one router asked and was told.
+/// Polls of one router, and what they transferred.
 #[derive(Debug, Clone, Default)]
 pub struct Meter {
     pub polls: u64,
-    /// Bytes that it has said and heard.
+    /// Bytes of the router's requests.
     pub bytes_sent: u64,
     pub bytes_received: u64,
-    /// The number that its last poll named.
+    /// The event number of its last poll.
     pub reached: usize,
-    /// How long each event took to be taken in, in milliseconds, from when it was told.
+    /// Milliseconds from the publication of each event until the router had applied it.
     pub delays: Vec<f64>,
-    /// When it first polled in this start.
+    /// Its first poll since its last start.
     pub first: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
-struct Polled {
+struct RouterPolls {
     meter: Meter,
-    /// Its polls are not answered, and nothing is said of it.
+    /// Its polls get no response, and its connections stay open.
     silent: bool,
     stream: Option<TcpStream>,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    /// Events as they stand in a page, and when each was told.
+    /// Events as JSON texts, and when each was published.
     events: Vec<(Box<str>, Instant)>,
-    /// How far pages go: what was gathered.
+    /// Number of events that pages may contain.
     shown: usize,
-    dead: bool,
+    killed: bool,
     over: bool,
-    routers: Vec<Polled>,
+    routers: Vec<RouterPolls>,
 }
 
 type Shared = Arc<(Mutex<State>, Condvar)>;
@@ -58,34 +60,34 @@
     shared.0.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The service; dropped, it is gone.
+/// The service; it ends on drop.
 pub struct Journal {
     shared: Shared,
     addresses: Vec<SocketAddr>,
 }
 
 impl Journal {
-    /// Listens for each router at its address; `known` is what they find in their configurations.
+    /// Listens for each router at its address; `known` are the events in the routers' configurations.
     pub fn start(addresses: Vec<SocketAddr>, known: Vec<Value>) -> io::Result<Self> {
         let shared: Shared = Arc::default();
-        lock(&shared).routers.resize_with(addresses.len(), Polled::default);
+        lock(&shared).routers.resize_with(addresses.len(), RouterPolls::default);
         for (n, address) in addresses.iter().enumerate() {
             let listener = TcpListener::bind(address)?;
             let shared = shared.clone();
-            thread::Builder::new().stack_size(STACK).spawn(move || accept(n, &listener, &shared))?;
+            thread::Builder::new().stack_size(STACK_BYTES).spawn(move || accept(n, &listener, &shared))?;
         }
         let journal = Self { shared, addresses };
         let at = Instant::now();
-        known.into_iter().for_each(|event| journal.tell(event, at));
-        journal.show();
+        known.into_iter().for_each(|event| journal.publish(event, at));
+        journal.show_all();
         let shared = journal.shared.clone();
-        thread::Builder::new().stack_size(STACK).spawn(move || loop {
+        thread::Builder::new().stack_size(STACK_BYTES).spawn(move || loop {
             thread::sleep(GATHER);
             let mut state = lock(&shared);
             if state.over {
                 return;
             }
-            if state.shown < state.events.len() && !state.dead {
+            if state.shown < state.events.len() && !state.killed {
                 state.shown = state.events.len();
                 drop(state);
                 shared.1.notify_all();
@@ -94,14 +96,14 @@
         Ok(journal)
     }
 
-    /// Adds an event, which counts as told at that time.
-    pub fn tell(&self, mut event: Value, at: Instant) {
+    /// Adds an event with its time of publication.
+    pub fn publish(&self, mut event: Value, at: Instant) {
         let mut state = lock(&self.shared);
         event["pos"] = json!(state.events.len() + 1);
         state.events.push((event.to_string().into(), at));
     }
 
-    fn show(&self) {
+    fn show_all(&self) {
         let mut state = lock(&self.shared);
         state.shown = state.events.len();
     }
@@ -118,11 +120,11 @@
         (count, page(&state, 0, count))
     }
 
-    /// It is killed: all connections are reset, and new ones too; or it is back, with all that it had.
-    pub fn kill(&self, dead: bool) {
+    /// Kills the service (all connections are reset, also new ones), or restores it with all its events.
+    pub fn kill(&self, killed: bool) {
         let mut state = lock(&self.shared);
-        state.dead = dead;
-        if dead {
+        state.killed = killed;
+        if killed {
             let streams = state.routers.iter_mut().filter_map(|router| router.stream.take());
             streams.for_each(|stream| _ = stream.shutdown(Shutdown::Both));
         }
@@ -130,7 +132,7 @@
         self.shared.1.notify_all();
     }
 
-    /// Some routers' polls are held without a word, or answered again.
+    /// Leaves the polls of some routers without a response, or answers them again.
     pub fn silence(&self, routers: &[usize], silent: bool) {
         let mut state = lock(&self.shared);
         routers.iter().for_each(|n| state.routers[*n].silent = silent);
@@ -138,15 +140,15 @@
         self.shared.1.notify_all();
     }
 
-    /// A router starts again with all up to a number: what lies before was not told to this start.
-    pub fn begins(&self, router: usize, number: usize) {
+    /// Records that a router starts with all events up to a number in its configuration.
+    pub fn router_starts(&self, router: usize, number: usize) {
         let mut state = lock(&self.shared);
         let meter = &mut state.routers[router].meter;
         (meter.reached, meter.first) = (number, None);
     }
 
-    /// From here on delays are taken anew.
-    pub fn forget_delays(&self) {
+    /// Clears the measured delays of all routers.
+    pub fn clear_delays(&self) {
         lock(&self.shared).routers.iter_mut().for_each(|router| router.meter.delays.clear());
     }
 
@@ -170,21 +172,21 @@
         if state.over {
             return;
         }
-        if state.dead {
+        if state.killed {
             continue;
         }
         state.routers[n].stream = stream.try_clone().ok();
         drop(state);
         let shared = shared.clone();
-        let talks = move || _ = talk(n, &stream, &shared);
-        if thread::Builder::new().stack_size(STACK).spawn(talks).is_err() {
+        let serve = move || _ = serve_connection(n, &stream, &shared);
+        if thread::Builder::new().stack_size(STACK_BYTES).spawn(serve).is_err() {
             return;
         }
     }
 }
 
 /// Answers the polls of one connection until it ends.
-fn talk(n: usize, stream: &TcpStream, shared: &Shared) -> Option<()> {
+fn serve_connection(n: usize, stream: &TcpStream, shared: &Shared) -> Option<()> {
     stream.set_nodelay(true).ok()?;
     let mut input = BufReader::new(stream);
     let mut line = String::new();
@@ -200,24 +202,24 @@
         }
         let (tail, wait) = asked?;
         let mut state = lock(shared);
-        bytes_received(&mut state, n, tail, bytes);
+        record_poll(&mut state, n, tail, bytes);
         let wait = Duration::from_millis(wait.min(5_000));
-        let quiet = |state: &mut State| !state.dead && (state.shown <= tail || state.routers[n].silent);
+        let quiet = |state: &mut State| !state.killed && (state.shown <= tail || state.routers[n].silent);
         let waited = shared.1.wait_timeout_while(state, wait, quiet);
         (state, _) = waited.unwrap_or_else(PoisonError::into_inner);
-        if state.dead || state.over {
+        if state.killed || state.over {
             let _ = stream.shutdown(Shutdown::Both);
             return None;
         }
         if state.routers[n].silent {
-            // Whoever waits for it gives up by itself; what it asks then is held as well.
-            let silent = |state: &mut State| !state.dead && state.routers[n].silent;
+            // The router's poll times out, and its next one gets no response either.
+            let silent = |state: &mut State| !state.killed && state.routers[n].silent;
             drop(shared.1.wait_while(state, silent));
             let _ = stream.shutdown(Shutdown::Both);
             return None;
         }
-        let upto = state.shown.min(tail + PAGE).max(tail);
-        let page = page(&state, tail, upto);
+        let up_to = state.shown.min(tail + MAX_PAGE_EVENTS).max(tail);
+        let page = page(&state, tail, up_to);
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{page}", page.len());
         state.routers[n].meter.bytes_received += answer.len() as u64;
         drop(state);
@@ -226,15 +228,15 @@
     }
 }
 
-/// The number and the wait that the first line of a poll has.
+/// The event number and the wait in the request line of a poll.
 fn poll(line: &str) -> Option<(usize, u64)> {
     let query = line.split_whitespace().nth(1)?.split_once('?')?.1;
     let value = |name: &str| query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     Some((value("tail")?.parse().ok()?, value("max_wait")?.parse::<f64>().ok()? as u64))
 }
 
-/// A router's poll names what it has taken in.
-fn bytes_received(state: &mut State, n: usize, tail: usize, bytes: usize) {
+/// Updates a router's meter for a poll, which has the number of the last event that the router has applied.
+fn record_poll(state: &mut State, n: usize, tail: usize, bytes: usize) {
     let at = Instant::now();
     let State { events, routers, .. } = state;
     let meter = &mut routers[n].meter;
@@ -248,9 +250,9 @@
     meter.reached = meter.reached.max(tail);
 }
 
-fn page(state: &State, from: usize, upto: usize) -> String {
-    let entries = state.events.get(from..upto).unwrap_or_default();
-    let mut page = format!("{{\"pos\":{upto},\"entries\":[");
+fn page(state: &State, from: usize, up_to: usize) -> String {
+    let entries = state.events.get(from..up_to).unwrap_or_default();
+    let mut page = format!("{{\"pos\":{up_to},\"entries\":[");
     for (n, (event, _)) in entries.iter().enumerate() {
         if n > 0 {
             page.push(',');
--- a/crates/testbed/src/scale/places.rs
+++ b/crates/testbed/src/scale/places.rs
@@ -1,7 +1,8 @@
-//! Who is where: addresses, processes, who dials whom, and the files that routers start from.
+//! The layout of a run: addresses, processes, links between routers, and the files that routers start from.
 //!
-//! Each router has an address on loopback that is its own for the whole run, so that it is found there again after a
-//! restart. Links that are looked at, or that a fault befalls, lead through a middle; all others lead straight there.
+//! Each router has a loopback address of its own for the entire run, so that the others reach it there again
+//! after a restart. Links that are measured, or that a fault affects, go through a proxy; all others are
+//! direct.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -17,35 +18,37 @@
 use crate::fault_proxy::{FaultProxy, ProxyEnds};
 use crate::recording::Recording;
 
-/// Ports below those that the system gives away: links, and each router's view of discovery.
+/// Port for links; both ports are below those that the system assigns.
 const LINKS: u16 = 7_400;
+/// Port of the discovery service's address for each router.
 const JOURNAL: u16 = 7_401;
-/// Links between the two sides of a cut.
+/// Number of links between the two sides of a cut.
 const BRIDGES: usize = 8;
-/// Routers of a site, sites of a zone and zones of a region, where routers have places; planned are 22, 4.8 and 4.
+/// Routers of a site, where routers have locations; the planned average is 22.
 pub const SITE: usize = 20;
-/// Racks and zones that a site is divided by.
+/// Sites of a zone, and zones of a region; the planned averages are 4.8 and 4.
 pub const PARTS: usize = 4;
-/// Caches of the list; no requests come, so nobody is asked.
+/// Caches in the endpoint list; without clients they get no requests.
 const CACHES: usize = 8;
 
-/// Where all routers of a run are.
+/// Addresses, processes, links and files of all routers of a run.
 pub struct Places {
     pub folder: PathBuf,
     site: String,
-    /// The second number of all addresses of this run.
+    /// The second octet of all addresses of this run.
     net: u8,
-    placed: bool,
+    with_locations: bool,
     pub forms: Vec<Form>,
-    /// By process: its routers.
+    /// The routers of each process.
     pub processes: Vec<Vec<usize>>,
-    /// Who dials whom, and the middles in between where there are any.
+    /// Links as pairs of routers, the dialer first.
     pub dials: BTreeSet<(usize, usize)>,
+    /// Proxies of those links that have one.
     pub proxies: BTreeMap<(usize, usize), FaultProxy>,
-    /// Routers whose links all lead through middles.
+    /// Routers whose links all have proxies.
     pub watched: Vec<usize>,
-    /// The smaller side of a cut, or those that a fault befalls at once.
-    pub apart: Vec<usize>,
+    /// The smaller side of a cut, or the routers that a fault affects at once.
+    pub isolated: Vec<usize>,
 }
 
 pub fn name(n: usize) -> String {
@@ -61,13 +64,13 @@
 impl Places {
     pub fn new(plan: &Plan) -> Result<Self, Failure> {
         let all = plan.real + plan.hollow;
-        let mut chance = Pcg64Mcg::seed_from_u64(plan.seed);
+        let mut random = Pcg64Mcg::seed_from_u64(plan.seed);
         let forms: Vec<Form> =
             (0..all).map(|n| if n < plan.real { Form::Real } else { Form::Hollow }).collect();
         let mut processes: Vec<Vec<usize>> = (0..plan.real).map(|n| vec![n]).collect();
         let hollow: Vec<usize> = (plan.real..all).collect();
         processes.extend(hollow.chunks(plan.hollow_per_process.max(1)).map(<[usize]>::to_vec));
-        let apart: Vec<usize> = match plan.fault {
+        let isolated: Vec<usize> = match plan.fault {
             Some(Fault::Rack | Fault::ZoneStart | Fault::ZoneCut) => {
                 processes.last().cloned().unwrap_or_default()
             }
@@ -77,29 +80,29 @@
         };
         let cut = matches!(plan.fault, Some(Fault::ZoneCut | Fault::RegionsApart));
         let dials = match plan.places {
-            true => by_place(&mut chance, all).into_iter().enumerate().flat_map(up).collect(),
-            false => dials(all, plan.dials, if cut { &apart } else { &[] }, &mut chance),
+            true => by_place(&mut random, all).into_iter().enumerate().flat_map(links_upwards).collect(),
+            false => dials(all, plan.dials, if cut { &isolated } else { &[] }, &mut random),
         };
         let first = |form| forms.iter().position(|f| *f == form);
         let watched: Vec<usize> = [Form::Real, Form::Hollow].into_iter().filter_map(first).collect();
-        // Two runs at a time must not meet.
+        // Concurrent runs must not share addresses, sites or folders.
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let run = std::process::id().wrapping_mul(8) + COUNT.fetch_add(1, Ordering::Relaxed);
         let (net, site) = (16 + (run % 200) as u8, format!("scale-{run}"));
-        // Short: a control socket's path must fit into its address.
+        // The path is short because the address of a Unix socket has a length limit.
         let folder = std::env::temp_dir().join(format!("lhs-{run}"));
         std::fs::create_dir_all(&folder)?;
         let mut places = Self {
             folder,
             site,
             net,
-            placed: plan.places,
+            with_locations: plan.places,
             forms,
             processes,
             dials,
             proxies: BTreeMap::new(),
             watched,
-            apart,
+            isolated,
         };
         let record = Recording::default();
         for (from, to) in places.dials.clone() {
@@ -114,9 +117,9 @@
         Ok(places)
     }
 
-    /// Whether the ends stand on two sides of a cut.
+    /// Whether two routers are on different sides of a cut.
     pub fn crosses(&self, from: usize, to: usize) -> bool {
-        self.apart.contains(&from) != self.apart.contains(&to)
+        self.isolated.contains(&from) != self.isolated.contains(&to)
     }
 
     fn place(&self, n: usize, port: u16) -> SocketAddr {
@@ -124,12 +127,12 @@
         (ip, port).into()
     }
 
-    /// Where links to a router come in.
+    /// Address of a router for links.
     pub fn address(&self, n: usize) -> SocketAddr {
         self.place(n, LINKS)
     }
 
-    /// Where a router polls.
+    /// Addresses of the discovery service, one for each router.
     pub fn journals(&self) -> Vec<SocketAddr> {
         (0..self.forms.len()).map(|n| self.place(n, JOURNAL)).collect()
     }
@@ -142,9 +145,10 @@
         self.folder.join(format!("{}.sock", name(n)))
     }
 
-    /// Writes the operator file of a router; it is the same for all but for where each listens and connects.
+    /// Writes the operator file of a router. The files differ only in locations, and in the addresses where
+    /// routers listen and connect.
     pub fn write_operator(&self, n: usize) -> Result<(), Failure> {
-        let cluster_settings = match self.placed {
+        let cluster_settings = match self.with_locations {
             true => format!("place = \"{}\"", place(n / SITE)),
             false => String::new(),
         };
@@ -168,7 +172,7 @@
         Ok(())
     }
 
-    /// Writes the configuration of a router that starts with these events.
+    /// Writes the configuration of a router, with the events that it starts with.
     pub fn write_config(&self, n: usize, known: &str) -> Result<(), Failure> {
         let mut config: Value = serde_json::from_str(include_str!("../../../../examples/config.json"))?;
         config["name"] = json!(name(n));
@@ -181,7 +185,8 @@
         Ok(())
     }
 
-    /// A file of changes that lets a cache fill by one parent or the other.
+    /// Writes a file with a change that makes a cache fill from one parent or the other, alternately by
+    /// `number`.
     pub fn write_changes(&self, number: usize) -> Result<PathBuf, Failure> {
         let path = self.folder.join("changes.star");
         let cache = number % CACHES;
@@ -192,7 +197,7 @@
     }
 }
 
-/// The list of caches that all routers find in their configurations.
+/// The endpoint list in the configurations of all routers.
 pub fn list() -> Value {
     let line = |uid: &str, az: &str, model: &str, capacity: f64| {
         json!({"uid": uid, "endpoint": "127.0.0.1:9", "az": az, "model": model, "pod_group": 0,
@@ -204,7 +209,7 @@
     json!({"hosts": {"rev": 1, "all": true, "targets": targets}})
 }
 
-/// Links two, at both ends.
+/// Adds a link between two different routers, in both directions.
 pub fn join(links: &mut [BTreeSet<usize>], a: usize, b: usize) {
     if a != b {
         links[a].insert(b);
@@ -212,21 +217,21 @@
     }
 }
 
-/// The place of a site, by its number.
+/// The location of a site, by its number.
 pub fn place(site: usize) -> String {
     let zone = site / PARTS;
     format!("r{:02}/z{zone:03}/s{site:04}", zone / PARTS)
 }
 
-/// Each pair once, by its lower number.
-fn up((a, others): (usize, BTreeSet<usize>)) -> impl Iterator<Item = (usize, usize)> {
+/// Pairs with the higher-numbered ends of a router's links, so that each link is listed once.
+fn links_upwards((a, others): (usize, BTreeSet<usize>)) -> impl Iterator<Item = (usize, usize)> {
     others.into_iter().filter(move |b| a < *b).map(move |b| (a, b))
 }
 
-/// Who is linked with whom in a fleet with places, by router: in a site each dials the next and every second one the one
-/// opposite; for each level around it two of a site's routers dial the next part of that level, and one a site of it by
-/// chance.
-pub fn by_place(chance: &mut Pcg64Mcg, n: usize) -> Vec<BTreeSet<usize>> {
+/// The links of a fleet with locations, by router. Within a site each router is linked with the next one, and
+/// every second one with the one opposite. Each site has links to the next site of its zone (two), the next
+/// zone and the next region, and at each of these levels one to a random site.
+pub fn by_place(random: &mut Pcg64Mcg, n: usize) -> Vec<BTreeSet<usize>> {
     let mut links = vec![BTreeSet::new(); n];
     let sites = n.div_ceil(SITE);
     let within = |site: usize, at: usize| {
@@ -241,10 +246,10 @@
                 join(&mut links, within(site, at), within(site, at + size / 2));
             }
         }
-        let mut doors = 0;
-        let mut door = |links: &mut Vec<BTreeSet<usize>>, other: usize| {
-            doors += 1;
-            join(links, within(site, doors), within(other, doors + SITE / 2));
+        let mut outer_links = 0;
+        let mut link_to = |links: &mut Vec<BTreeSet<usize>>, other: usize| {
+            outer_links += 1;
+            join(links, within(site, outer_links), within(other, outer_links + SITE / 2));
         };
         for step in [1, PARTS, PARTS * PARTS] {
             let (first, end) = match step {
@@ -254,26 +259,27 @@
             };
             let (first, end) = (first.min(sites), end.min(sites));
             let next = first + (site - first + step) % (end - first);
-            door(&mut links, next);
+            link_to(&mut links, next);
             if step == 1 {
-                door(&mut links, next);
+                link_to(&mut links, next);
             }
-            door(&mut links, chance.random_range(first..end));
+            link_to(&mut links, random.random_range(first..end));
         }
     }
     links
 }
 
-/// Each dials the next one and others by chance; with a cut, others of its own side, and a few bridges lead across.
-fn dials(all: usize, most: usize, apart: &[usize], chance: &mut Pcg64Mcg) -> BTreeSet<(usize, usize)> {
-    let (inside, outside): (Vec<usize>, Vec<usize>) = (0..all).partition(|n| apart.contains(n));
+/// The links of a fleet without locations: each router dials the next one and random others; with a cut only
+/// routers of its own side, and [`BRIDGES`] links lead across.
+fn dials(all: usize, most: usize, isolated: &[usize], random: &mut Pcg64Mcg) -> BTreeSet<(usize, usize)> {
+    let (inside, outside): (Vec<usize>, Vec<usize>) = (0..all).partition(|n| isolated.contains(n));
     let mut pairs = BTreeSet::new();
     let mut add =
         |from: usize, to: usize| from != to && !pairs.contains(&(to, from)) && pairs.insert((from, to));
     for side in [&inside, &outside] {
         for (at, from) in side.iter().enumerate() {
             let mut others = side.clone();
-            others.shuffle(chance);
+            others.shuffle(random);
             others.insert(0, side[(at + 1) % side.len()]);
             let mut left = most;
             for to in others {
@@ -286,8 +292,8 @@
     }
     if !inside.is_empty() && !outside.is_empty() {
         for _ in 0..BRIDGES {
-            let pick = |side: &[usize], chance: &mut Pcg64Mcg| side[chance.random_range(0..side.len())];
-            add(pick(&inside, chance), pick(&outside, chance));
+            let pick = |side: &[usize], random: &mut Pcg64Mcg| side[random.random_range(0..side.len())];
+            add(pick(&inside, random), pick(&outside, random));
         }
     }
     pairs
--- a/crates/testbed/src/scale/plan.rs
+++ b/crates/testbed/src/scale/plan.rs
@@ -1,23 +1,23 @@
-//! What a scale run plays, its bounds, and its rows.
+//! The plan of a scale run, its limits, and its rows.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Why a run came to nothing.
+/// Why a run failed.
 pub type Failure = Box<dyn std::error::Error + Send + Sync>;
 
-/// What befalls the fleet in the middle of a run.
+/// The fault during a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Fault {
-    /// The control machine is killed, and comes back.
+    /// The discovery service is killed, and recovers.
     ControlKilled,
     /// All routers of a hollow process are killed at once.
     Rack,
-    /// A zone is cut from all others, and comes back.
+    /// A zone is cut off from all others, and reconnects.
     ZoneCut,
-    /// Two halves lose each other, and meet again.
+    /// All links between two halves of the fleet are cut, and one half also loses discovery; both recover.
     RegionsApart,
     /// One router's links are slow.
     SlowMember,
@@ -28,49 +28,50 @@
 /// Which kind of process a router runs in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Form {
-    /// A process with one router and clients.
+    /// A process with one router, which accepts clients.
     Real,
     /// A process with many routers and no clients.
     Hollow,
 }
 
-/// A run of the scale rig.
+/// The plan of a scale run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
-    /// Processes with one router, and routers that share processes, this many to each.
+    /// Real routers, each in a process of its own.
     pub real: usize,
     /// Hollow routers.
     pub hollow: usize,
-    /// Hollow routers in a process.
+    /// Hollow routers in each process.
     pub hollow_per_process: usize,
-    /// How long is measured, in seconds.
+    /// Length of the measured load, in seconds.
     pub seconds: f64,
-    /// Purges a second.
+    /// Purges per second.
     pub purges_per_s: f64,
-    /// Changes of the hierarchy a second.
+    /// Changes of the hierarchy per second.
     pub changes_per_s: f64,
-    /// Restarts of real routers a second.
+    /// Restarts of real routers per second.
     pub restarts_per_s: f64,
     /// The fault in the middle half of the run.
     pub fault: Option<Fault>,
-    /// The seed of links, purges and restarts.
+    /// The seed for links, purges and restarts.
     pub seed: u64,
     /// The built router.
     pub program: PathBuf,
-    /// Fellows that each router dials.
+    /// Peers that each router dials; not used with locations.
     pub dials: usize,
-    /// Routers have places, and what is known beyond a site is summed up; else all tell all. Links follow from the places.
+    /// Routers have locations: links follow from them, and facts are summarized beyond a site. Otherwise all
+    /// facts spread to all routers.
     pub places: bool,
 }
 
-/// A row: one measure over the routers of one form.
+/// A row: the distribution of one measure over the routers of one form.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
     /// The form of the routers.
     pub form: Form,
-    /// Routers in all, of both forms.
+    /// Number of routers of both forms together.
     pub routers: usize,
-    /// What is measured; the module lists the measures.
+    /// The measure; the documentation of the module lists them.
     pub measure: String,
     /// Its unit.
     pub unit: String,
@@ -82,23 +83,23 @@
     pub worst: f64,
 }
 
-/// Bounds of a run: processes, routers, how long all of it may take, and memory in bytes.
-pub const PROCESSES: usize = 200;
+/// Most processes of a run.
+pub const MAX_PROCESSES: usize = 200;
 
-/// Routers of a run at the most.
-pub const ROUTERS: usize = 2_000;
+/// Most routers of a run.
+pub const MAX_ROUTERS: usize = 2_000;
 
-/// How long a run may take.
-pub const LONGEST: Duration = Duration::from_secs(590);
+/// Longest duration of a run.
+pub const MAX_DURATION: Duration = Duration::from_secs(590);
 
-/// Memory of all routers at the most, in bytes.
-pub const MEMORY: f64 = 12e9;
+/// Most memory of all routers together, in bytes.
+pub const MAX_MEMORY_BYTES: f64 = 12e9;
 
-/// Of the machine's cores the routers may take this part, over so long.
-pub const MOST_CORES: f64 = 0.75;
+/// Largest share of the machine's cores that the routers may use.
+pub const MAX_CORE_SHARE: f64 = 0.75;
 
-/// Bytes a second on the links of a slow member.
-pub const SLOW: f64 = 2_000.0;
+/// Rate of the links of a slow member, in bytes per second.
+pub const SLOW_LINK_RATE: f64 = 2_000.0;
 
 pub(super) fn check(plan: &Plan) -> Result<(), Failure> {
     let routers = plan.real + plan.hollow;
@@ -106,8 +107,11 @@
     let rates = [plan.purges_per_s, plan.changes_per_s, plan.restarts_per_s];
     let needs_hollow = matches!(plan.fault, Some(Fault::Rack | Fault::ZoneStart | Fault::ZoneCut));
     let problems = [
-        (!(2..=ROUTERS).contains(&routers), format!("expected 2 to {ROUTERS} routers, got {routers}")),
-        (processes > PROCESSES, format!("expected up to {PROCESSES} processes, got {processes}")),
+        (
+            !(2..=MAX_ROUTERS).contains(&routers),
+            format!("expected 2 to {MAX_ROUTERS} routers, got {routers}"),
+        ),
+        (processes > MAX_PROCESSES, format!("expected up to {MAX_PROCESSES} processes, got {processes}")),
         (
             plan.hollow > 0 && !(1..=256).contains(&plan.hollow_per_process),
             format!("expected 1 to 256 hollow routers in a process, got {}", plan.hollow_per_process),
@@ -120,10 +124,10 @@
         (!(1..=16).contains(&plan.dials), format!("expected 1 to 16 dials, got {}", plan.dials)),
         (
             needs_hollow && (plan.hollow == 0 || processes < 2),
-            "this fault needs a hollow process beside others".to_string(),
+            "this fault needs a hollow process and at least one other process".to_string(),
         ),
-        (plan.places && plan.fault.is_some(), "faults are played where all tell all".to_string()),
-        (plan.restarts_per_s > 0.0 && plan.real < 2, "restarts need two real routers".to_string()),
+        (plan.places && plan.fault.is_some(), "faults are not supported with locations".to_string()),
+        (plan.restarts_per_s > 0.0 && plan.real < 2, "restarts need at least two real routers".to_string()),
     ];
     match problems.into_iter().find(|(is, _)| *is) {
         Some((_, why)) => Err(why.into()),
--- a/crates/testbed/src/scale/process.rs
+++ b/crates/testbed/src/scale/process.rs
@@ -1,5 +1,5 @@
-//! The processes of a run: they are started, signalled, asked for their counters, and ended by their ids, also
-//! where the run itself is killed.
+//! The processes of a run: starts, signals, counters, and their end by process id, also when the run itself
+//! is killed.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io::{self, BufRead, BufReader, Write};
@@ -15,10 +15,10 @@
 use super::places::{name, Places};
 use super::{Failure, Form};
 
-/// The counters of a router, by their names.
+/// The counters of a router, by name.
 pub type Counters = HashMap<String, u64>;
 
-/// What the log of a process had.
+/// A relevant line in the log of a process, or its end.
 enum ProcessMessage {
     Listens,
     Counters(Counters),
@@ -26,15 +26,15 @@
     Ended(Vec<String>),
 }
 
-struct RunningLoad {
+struct RunningProcess {
     child: Child,
     members: Vec<usize>,
-    /// Its starts are numbered: what an earlier one says late does not count.
+    /// The number of this start: late messages of an earlier start are ignored.
     start: u64,
 }
 
-/// Kills what is left of a run that was killed itself: a shell that reads ids until its input ends, and outlives what
-/// is sent to all of the run at once.
+/// Kills the remaining processes of a run that was killed itself: a shell that reads process ids until its
+/// input ends, and ignores signals that are sent to the entire process group.
 struct Guard(Child);
 
 const GUARD: &str = "trap '' HUP INT TERM; p=''; while read -r s i; do case $s in +) p=\"$p $i\";; \
@@ -48,7 +48,7 @@
         command.spawn().map(Self)
     }
 
-    fn say(&mut self, sign: char, id: u32) -> io::Result<()> {
+    fn send(&mut self, sign: char, id: u32) -> io::Result<()> {
         let input = self.0.stdin.as_mut().ok_or(io::ErrorKind::BrokenPipe)?;
         writeln!(input, "{sign} {id}")?;
         input.flush()
@@ -65,21 +65,21 @@
 /// All processes of a run, by their numbers.
 pub struct Processes {
     program: PathBuf,
-    running: BTreeMap<usize, RunningLoad>,
+    running: BTreeMap<usize, RunningProcess>,
     guard: Guard,
     starts: u64,
     sender: Sender<(u64, usize, ProcessMessage)>,
-    bytes_received: Receiver<(u64, usize, ProcessMessage)>,
+    messages: Receiver<(u64, usize, ProcessMessage)>,
 }
 
 impl Processes {
     pub fn new(program: &Path) -> io::Result<Self> {
-        let (sender, bytes_received) = channel();
+        let (sender, messages) = channel();
         let (program, running) = (program.to_path_buf(), BTreeMap::new());
-        Ok(Self { program, running, guard: Guard::start()?, starts: 0, sender, bytes_received })
+        Ok(Self { program, running, guard: Guard::start()?, starts: 0, sender, messages })
     }
 
-    /// Starts a process with the files that its routers have; when it was started comes back.
+    /// Starts a process with the files of its routers; returns the time of the start.
     pub fn start(&mut self, places: &Places, process: usize) -> Result<Instant, Failure> {
         let members = places.processes[process].clone();
         let mut command = Command::new(&self.program);
@@ -94,62 +94,62 @@
         let at = Instant::now();
         let mut child = command.spawn()?;
         self.starts += 1;
-        self.guard.say('+', child.id())?;
+        self.guard.send('+', child.id())?;
         let log = child.stderr.take();
-        self.running.insert(process, RunningLoad { child, members: members.clone(), start: self.starts });
+        self.running.insert(process, RunningProcess { child, members: members.clone(), start: self.starts });
         let (start, sender) = (self.starts, self.sender.clone());
         let log = log.ok_or("a process without a log")?;
         thread::Builder::new().stack_size(128 << 10).spawn(move || read(log, start, &members, &sender))?;
         Ok(at)
     }
 
-    /// Ends a process outright.
+    /// Kills a process.
     pub fn kill(&mut self, process: usize) {
         if let Some(mut running) = self.running.remove(&process) {
             let _ = running.child.kill();
             let _ = running.child.wait();
-            let _ = self.guard.say('-', running.child.id());
+            let _ = self.guard.send('-', running.child.id());
         }
     }
 
-    /// All routers that run.
+    /// All running routers.
     pub fn routers(&self) -> Vec<usize> {
         self.running.values().flat_map(|running| running.members.iter().copied()).collect()
     }
 
-    /// Waits until those routers listen.
+    /// Waits until these routers listen.
     pub fn until_up(&mut self, routers: &[usize], until: Instant) -> Result<(), Failure> {
-        let mut left = routers.to_vec();
-        while !left.is_empty() {
-            let what = format!("{} routers do not start", left.len());
+        let mut missing = routers.to_vec();
+        while !missing.is_empty() {
+            let what = format!("waiting for {} routers to start", missing.len());
             if let (router, ProcessMessage::Listens) = self.next(until, &what)? {
-                left.retain(|n| *n != router);
+                missing.retain(|n| *n != router);
             }
         }
         Ok(())
     }
 
-    /// What a process that still runs has said.
+    /// The next message of a running process; `what` says what is waited for.
     fn next(&mut self, until: Instant, what: &str) -> Result<(usize, ProcessMessage), Failure> {
         loop {
             let wait = until.saturating_duration_since(Instant::now());
-            let (start, router, bytes_received) = match self.bytes_received.recv_timeout(wait) {
-                Ok(bytes_received) => bytes_received,
+            let (start, router, message) = match self.messages.recv_timeout(wait) {
+                Ok(message) => message,
                 Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => {
-                    return Err(format!("no more time: {what}").into());
+                    return Err(format!("timed out: {what}").into());
                 }
             };
             if !self.running.values().any(|running| running.start == start) {
                 continue;
             }
-            if let ProcessMessage::Ended(lines) = bytes_received {
+            if let ProcessMessage::Ended(lines) = message {
                 return Err(format!("the process of {} has ended: {lines:?}", name(router)).into());
             }
-            return Ok((router, bytes_received));
+            return Ok((router, message));
         }
     }
 
-    /// The counters of all routers that run.
+    /// The counters of all running routers.
     pub fn counters(&mut self, until: Instant) -> Result<BTreeMap<usize, Counters>, Failure> {
         let wanted = self.routers().len();
         for running in self.running.values() {
@@ -157,7 +157,7 @@
         }
         let mut all = BTreeMap::new();
         while all.len() < wanted {
-            let what = format!("{} routers tell no counters", wanted - all.len());
+            let what = format!("waiting for the counters of {} routers", wanted - all.len());
             if let (router, ProcessMessage::Counters(counters)) = self.next(until, &what)? {
                 all.insert(router, counters);
             }
@@ -165,8 +165,8 @@
         Ok(all)
     }
 
-    /// Processor time by router since its start, in seconds: that of its thread, and a share of what others of the
-    /// process took.
+    /// Processor time of each router since its start, in seconds: that of its own thread, and a share of that
+    /// of the process's other threads.
     pub fn processor(&self) -> io::Result<BTreeMap<usize, f64>> {
         let mut all = BTreeMap::new();
         for running in self.running.values() {
@@ -175,13 +175,13 @@
             for task in std::fs::read_dir(tasks)? {
                 let task = task?.path();
                 let read = |file: &str| std::fs::read_to_string(task.join(file));
-                let (Ok(called), Ok(stat)) = (read("comm"), read("schedstat")) else { continue };
-                let spent = stat.split_whitespace().next().and_then(|ns| ns.parse::<f64>().ok());
-                let spent = spent.ok_or(io::ErrorKind::InvalidData)? / 1e9;
-                let called = called.trim();
-                match running.members.iter().find(|n| name(**n) == called) {
-                    Some(router) => _ = own.insert(*router, spent),
-                    None => shared += spent,
+                let (Ok(thread_name), Ok(stat)) = (read("comm"), read("schedstat")) else { continue };
+                let processor_time = stat.split_whitespace().next().and_then(|ns| ns.parse::<f64>().ok());
+                let processor_time = processor_time.ok_or(io::ErrorKind::InvalidData)? / 1e9;
+                let thread_name = thread_name.trim();
+                match running.members.iter().find(|n| name(**n) == thread_name) {
+                    Some(router) => _ = own.insert(*router, processor_time),
+                    None => shared += processor_time,
                 }
             }
             let share = shared / running.members.len() as f64;
@@ -190,7 +190,7 @@
         Ok(all)
     }
 
-    /// Resident memory by router, in bytes: that of its process, divided by those in it.
+    /// Resident memory of each router, in bytes: that of its process, divided by the number of its routers.
     pub fn memory(&self) -> io::Result<BTreeMap<usize, f64>> {
         let mut all = BTreeMap::new();
         for running in self.running.values() {
@@ -206,7 +206,7 @@
 
 impl Drop for Processes {
     fn drop(&mut self) {
-        // All at once, then each is waited for.
+        // Signals all processes before it waits for each.
         self.running.values_mut().for_each(|running| _ = running.child.kill());
         let all: Vec<usize> = self.running.keys().copied().collect();
         all.into_iter().for_each(|process| self.kill(process));
@@ -218,22 +218,22 @@
     kill(Pid::from_raw(id), signal).map_err(io::Error::from)
 }
 
-/// Reads a log to its end and passes on what counts.
+/// Reads a log to its end, and sends the relevant lines as messages.
 fn read(log: ChildStderr, start: u64, members: &[usize], to: &Sender<(u64, usize, ProcessMessage)>) {
     let mut last = Vec::new();
     for line in BufReader::new(log).lines().map_while(Result::ok) {
-        // Lines of a process with several routers have the name of each.
+        // In the log of a process with several routers each line has the name of its router.
         let router = match members {
             [router] => Some(*router),
             _ => members.iter().copied().find(|n| line.starts_with(&format!("linnethook: {}: ", name(*n)))),
         };
-        let bytes_received = match line.split_once("counters ") {
+        let message = match line.split_once("counters ") {
             Some((_, counters)) => Some(ProcessMessage::Counters(numbers(counters))),
             None if line.contains(" listens on ") => Some(ProcessMessage::Listens),
             None => None,
         };
-        if let (Some(router), Some(bytes_received)) = (router, bytes_received) {
-            if to.send((start, router, bytes_received)).is_err() {
+        if let (Some(router), Some(message)) = (router, message) {
+            if to.send((start, router, message)).is_err() {
                 return;
             }
         }
@@ -245,7 +245,7 @@
     let _ = to.send((start, members[0], ProcessMessage::Ended(last)));
 }
 
-/// `name=count` for each.
+/// Parses counters in the form `name=count name=count`.
 fn numbers(line: &str) -> Counters {
     let pair = |pair: &str| {
         let (name, count) = pair.split_once('=')?;
@@ -254,5 +254,5 @@
     line.split_whitespace().filter_map(pair).collect()
 }
 
-/// How long anything may take that a process is asked for.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Time-out for commands and counters.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/testbed/src/scale/purges.rs
+++ b/crates/testbed/src/scale/purges.rs
@@ -1,4 +1,4 @@
-//! Purges that discovery publishes at a steady rate.
+//! Purges that the discovery service publishes at a steady rate.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -12,21 +12,21 @@
 use super::journal::Journal;
 use super::Failure;
 
-/// Purges that discovery tells at a steady rate, by a thread of their own; dropped, they end.
+/// A thread that publishes purges at a steady rate; it ends on drop.
 pub(super) struct Purges {
     over: Arc<AtomicBool>,
-    teller: Option<thread::JoinHandle<()>>,
+    publisher: Option<thread::JoinHandle<()>>,
 }
 
 impl Purges {
     pub(super) fn start(journal: &Arc<Journal>, rate: f64, seed: u64) -> Result<Self, Failure> {
         let over = Arc::new(AtomicBool::new(false));
         let (done, journal) = (over.clone(), journal.clone());
-        let teller = move || {
+        let publisher = move || {
             let begun = Instant::now();
             let mut objects = Pcg64Mcg::seed_from_u64(seed);
             for n in 1u64.. {
-                // Without any there is nothing to wait for.
+                // With a rate of 0 no purge is ever due.
                 let due = if rate > 0.0 { n as f64 / rate } else { f64::INFINITY };
                 while begun.elapsed().as_secs_f64() < due {
                     if done.load(Ordering::Acquire) {
@@ -36,17 +36,17 @@
                 }
                 let object = format!("{:016x}", objects.random::<u64>());
                 let event = json!({"expire": {"name": object, "stamp": crate::recording::now().floor()}});
-                journal.tell(event, begun + Duration::from_secs_f64(due));
+                journal.publish(event, begun + Duration::from_secs_f64(due));
             }
         };
-        let teller = Some(thread::Builder::new().spawn(teller)?);
-        Ok(Self { over, teller })
+        let publisher = Some(thread::Builder::new().spawn(publisher)?);
+        Ok(Self { over, publisher })
     }
 }
 
 impl Drop for Purges {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Release);
-        self.teller.take().map(thread::JoinHandle::join);
+        self.publisher.take().map(thread::JoinHandle::join);
     }
 }
--- a/crates/testbed/src/scale/rows.rs
+++ b/crates/testbed/src/scale/rows.rs
@@ -1,16 +1,16 @@
-//! The rows of a scale run, from the counts before and after its load.
+//! The rows of a scale run, from the counters before and after its load.
 
 use std::time::Instant;
 
 use super::journal::Meter;
-use super::{count, Failure, Fault, Form, Harness, Look, Sample, Window};
+use super::{count, CounterSnapshot, Failure, Fault, Form, Harness, Sample, Window};
 
-/// Counters of the program for bytes on links, out and in.
+/// The program's counters of bytes on links, sent and received.
 const LINK_BYTES: [&str; 2] = ["link_bytes_out", "link_bytes_in"];
-/// Counters of the program for bytes on polls of discovery, out and in.
+/// The program's counters of bytes on polls of discovery, sent and received.
 const JOURNAL_BYTES: [&str; 2] = ["journal_bytes_out", "journal_bytes_in"];
 
-impl Look {
+impl CounterSnapshot {
     /// The sum of some counters of a router.
     fn sum(&self, n: usize, names: &[&str]) -> f64 {
         self.counters.get(&n).map_or(0.0, |all| names.iter().map(|name| count(all, name) as f64).sum())
@@ -20,9 +20,9 @@
 impl Harness<'_> {
     /// The rows of a run.
     pub(super) fn rows(&mut self, window: &Window) -> Result<Vec<Sample>, Failure> {
-        let last = self.look()?;
+        let last = self.snapshot()?;
         let [changes, missing] = self.changes(&window.changes)?;
-        let [before, after] = &window.looks;
+        let [before, after] = &window.snapshots;
         let seconds = (after.at - before.at).as_secs_f64();
         let mut rows = Rows { forms: &self.places.forms, rows: Vec::new() };
         let steady: Vec<usize> = (0..rows.forms.len()).filter(|n| !self.disturbed.contains(n)).collect();
@@ -39,9 +39,12 @@
         rows.add("fact bytes", "B/s", &rate(&["fellow_bytes"]));
         let polled = steady.iter().map(|n| (*n, (after.meters[*n].polls - before.meters[*n].polls) as f64));
         rows.add("polls", "1/s", &polled.map(|(n, polls)| (n, polls / seconds)).collect::<Vec<_>>());
-        let spent = |n: &usize| Some((*n, after.processor.get(n)? - before.processor.get(n)?));
-        let spent = steady.iter().filter_map(spent).map(|(n, spent)| (n, spent / seconds * 100.0));
-        rows.add("processor", "% of a core", &spent.collect::<Vec<_>>());
+        let processor_time = |n: &usize| Some((*n, after.processor.get(n)? - before.processor.get(n)?));
+        let processor_time = steady
+            .iter()
+            .filter_map(processor_time)
+            .map(|(n, processor_time)| (n, processor_time / seconds * 100.0));
+        rows.add("processor", "% of a core", &processor_time.collect::<Vec<_>>());
         let memory = window.memory.iter().map(|(n, bytes)| (*n, bytes / 1e6));
         rows.add("memory", "MB", &memory.collect::<Vec<_>>());
         self.add_journal_delays(&mut rows, &last, &steady, window);
@@ -60,11 +63,11 @@
         Ok(rows.rows)
     }
 
-    fn add_journal_delays(&self, rows: &mut Rows, last: &Look, steady: &[usize], window: &Window) {
+    fn add_journal_delays(&self, rows: &mut Rows, last: &CounterSnapshot, steady: &[usize], window: &Window) {
         let delays = last.meters.iter().enumerate();
         let delays = delays.flat_map(|(n, meter)| meter.delays.iter().map(move |delay| (n, *delay)));
         rows.add("journal delay", "ms", &delays.collect::<Vec<_>>());
-        // Those that ran all the while have a delay for every event.
+        // Routers that ran all the time have a delay for every event.
         let event_count = window.events.1 - window.events.0;
         for form in [Form::Real, Form::Hollow] {
             let meters = steady.iter().filter(|n| self.places.forms[**n] == form).map(|n| &last.meters[*n]);
@@ -76,19 +79,19 @@
         }
     }
 
-    fn add_starts(&self, rows: &mut Rows, last: &Look) {
+    fn add_starts(&self, rows: &mut Rows, last: &CounterSnapshot) {
         let ready = |(n, begun): &(usize, Instant)| {
             let first = last.meters[*n].first.filter(|first| first >= begun)?;
             Some((*n, (first - *begun).as_secs_f64() * 1_000.0))
         };
-        // Of the start of a zone, or of single ones, once the others have long been there.
+        // Starts during the load, of a zone or of single routers, take precedence over the initial ones.
         let later = self.starts.get(self.places.forms.len()..).unwrap_or_default();
         let starts = if later.is_empty() { &self.starts[..] } else { later };
         rows.add("ready", "ms", &starts.iter().filter_map(ready).collect::<Vec<_>>());
     }
 
-    /// The program's bytes over those that were counted outside of it.
-    fn add_counted_outside(&self, rows: &mut Rows, last: &Look, steady: &[usize]) {
+    /// Ratios of the program's byte counts to those of the proxies and of the simulated discovery service.
+    fn add_counted_outside(&self, rows: &mut Rows, last: &CounterSnapshot, steady: &[usize]) {
         let through = |n: &usize| {
             let (before, after) = last.passed.get(n).filter(|(before, _)| *before > 0)?;
             let counted = last.sum(*n, &LINK_BYTES);
@@ -107,14 +110,14 @@
     }
 }
 
-/// Rows as they are collected.
+/// Collects rows.
 pub(super) struct Rows<'a> {
     forms: &'a [Form],
     rows: Vec<Sample>,
 }
 
 impl Rows<'_> {
-    /// A row for each form that has values.
+    /// Adds a row for each form that has values.
     pub(super) fn add(&mut self, measure: &str, unit: &str, values: &[(usize, f64)]) {
         for form in [Form::Real, Form::Hollow] {
             let own = values.iter().filter(|(n, _)| self.forms[*n] == form);
--- a/crates/testbed/src/server.rs
+++ b/crates/testbed/src/server.rs
@@ -1,6 +1,6 @@
-//! The sockets of a server: RESP arrays in, answers out, a thread for each connection.
+//! The sockets of a server: reads RESP arrays and writes responses, with a thread for each connection.
 //!
-//! A server can be killed (connections reset, nobody listens) and started again at its address.
+//! A server can be killed (connections end, nothing listens) and started again at its address.
 
 use std::collections::HashMap;
 use std::io::{self, BufReader, Write};
@@ -13,66 +13,66 @@
 use linnethook_quickstart::cache::{array, encode, fields, Answer};
 use socket2::{Domain, Socket, Type};
 
-/// One request, as it came in.
+/// A request as it was received.
 #[derive(Debug, Clone)]
 pub struct CacheRequest {
     /// The request's id.
     pub id: String,
-    /// The fields of its head.
+    /// Its header fields.
     pub fields: HashMap<String, String>,
     /// Its body.
     pub body: Vec<u8>,
 }
 
-/// What is done about it.
+/// How a server responds to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HandlerResponse {
-    /// The answer in full.
+    /// The complete response.
     Answer(Answer),
-    /// Nothing, for as long as the connection lasts.
+    /// No response; the connection stays open.
     Nothing,
-    /// The connection ends without an answer.
+    /// The connection ends without a response.
     Reset,
-    /// A part of the answer, then the end.
+    /// The first half of the response, then the end of the connection.
     Half(Answer),
 }
 
-/// Whoever answers; it may take its time, it has a thread of its own.
+/// Handles requests; it may block, as each connection has a thread of its own.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// What is done about a request.
-    fn answer(&self, ask: &CacheRequest) -> HandlerResponse;
+    /// Responds to a request.
+    fn answer(&self, request: &CacheRequest) -> HandlerResponse;
 }
 
 type Connections = Arc<Mutex<HashMap<u64, TcpStream>>>;
 
-/// A server at its address.
+/// A server that listens at an address; it is killed on drop.
 pub struct Server {
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
     connections: Connections,
     down: Arc<AtomicBool>,
-    /// Its address, once it was killed.
+    /// Reserves its address after it was killed.
     _reserved: Arc<Mutex<Option<Socket>>>,
 }
 
 impl Server {
-    /// Listens, on a port that the system gives where none is said.
+    /// Listens at an address; with port 0 the system assigns one.
     ///
     /// # Errors
-    /// The socket fails or its answer is late.
-    pub fn start(address: SocketAddr, answers: Arc<dyn RequestHandler>) -> io::Result<Self> {
+    /// The address can't be bound.
+    pub fn start(address: SocketAddr, handler: Arc<dyn RequestHandler>) -> io::Result<Self> {
         let listener = listen(address)?;
         let address = listener.local_addr()?;
         let (connections, down) = (Connections::default(), Arc::new(AtomicBool::new(false)));
         let (all, over) = (connections.clone(), down.clone());
         let reserved = Arc::new(Mutex::new(None));
-        let keeps = reserved.clone();
+        let shared_reservation = reserved.clone();
         thread::spawn(move || {
             let count = AtomicU64::new(0);
             for stream in listener.incoming() {
                 if over.load(Ordering::Acquire) {
                     drop(listener);
-                    *keeps.lock().unwrap_or_else(PoisonError::into_inner) = keep(address);
+                    *shared_reservation.lock().unwrap_or_else(PoisonError::into_inner) = reserve(address);
                     return;
                 }
                 let Ok(stream) = stream else { continue };
@@ -80,9 +80,9 @@
                 if let Ok(copy) = stream.try_clone() {
                     all.lock().unwrap_or_else(PoisonError::into_inner).insert(n, copy);
                 }
-                let (answers, all) = (answers.clone(), all.clone());
+                let (handler, all) = (handler.clone(), all.clone());
                 thread::spawn(move || {
-                    let _ = talk(&stream, &*answers);
+                    let _ = serve_connection(&stream, &*handler);
                     let _ = stream.shutdown(Shutdown::Both);
                     all.lock().unwrap_or_else(PoisonError::into_inner).remove(&n);
                 });
@@ -91,12 +91,12 @@
         Ok(Self { address, connections, down, _reserved: reserved })
     }
 
-    /// Nobody listens any more, and all connections end.
+    /// Stops listening and ends all connections.
     pub fn kill(&self) {
         if self.down.swap(true, Ordering::AcqRel) {
             return;
         }
-        // Wakes the listener, which then sees that it is over.
+        // Wakes the listener's thread, which then sees that the server is down.
         drop(TcpStream::connect(self.address));
         let mut all = self.connections.lock().unwrap_or_else(PoisonError::into_inner);
         for (_, stream) in all.drain() {
@@ -111,16 +111,16 @@
     }
 }
 
-/// Holds the address of one that was killed without listening, so that the system gives it to nobody else: who still
-/// calls there is to meet a closed door, and not the server of another fleet.
-fn keep(address: SocketAddr) -> Option<Socket> {
+/// Binds the address of a killed server without listening, so that the system does not reassign it: clients
+/// that still connect there must be refused, and not reach the server of another fleet.
+fn reserve(address: SocketAddr) -> Option<Socket> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None).ok()?;
     socket.set_reuse_address(true).ok()?;
     socket.bind(&address.into()).ok()?;
     Some(socket)
 }
 
-/// Binds; one that was killed at that address may need a moment to let go of it.
+/// Binds an address, with retries for 2 s: a server that was killed there may take a moment to release it.
 fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     for _ in 0..200 {
         match TcpListener::bind(address) {
@@ -133,7 +133,7 @@
     TcpListener::bind(address)
 }
 
-fn talk(stream: &TcpStream, answers: &dyn RequestHandler) -> io::Result<()> {
+fn serve_connection(stream: &TcpStream, handler: &dyn RequestHandler) -> io::Result<()> {
     let mut input = BufReader::new(stream);
     let mut output = stream;
     stream.set_nodelay(true)?;
@@ -145,7 +145,7 @@
             "ASK" => {
                 let fields = fields(&text().unwrap_or_default());
                 let ask = CacheRequest { id, fields, body: parts.next().unwrap_or_default() };
-                match answers.answer(&ask) {
+                match handler.answer(&ask) {
                     HandlerResponse::Answer(answer) => output.write_all(&encode(&ask.id, &answer))?,
                     HandlerResponse::Nothing => {}
                     HandlerResponse::Reset => return Ok(()),
@@ -163,20 +163,20 @@
     }
 }
 
-/// Asks a node and waits for its answer: word, fields, body.
+/// Sends a request to a server and waits for its response: status, fields, body.
 ///
 /// # Errors
-/// The socket fails or its answer is late.
+/// The socket fails, or a connection or the response takes longer than `timeout`.
 pub fn ask(
     address: SocketAddr,
     id: &str,
     fields_text: &str,
     body: &[u8],
-    patience: Duration,
+    timeout: Duration,
 ) -> io::Result<(String, HashMap<String, String>, Vec<u8>)> {
-    let stream = TcpStream::connect_timeout(&address, patience)?;
+    let stream = TcpStream::connect_timeout(&address, timeout)?;
     stream.set_nodelay(true)?;
-    stream.set_read_timeout(Some(patience))?;
+    stream.set_read_timeout(Some(timeout))?;
     let mut out = b"*4\r\n$3\r\nASK\r\n".to_vec();
     for part in [id.as_bytes(), fields_text.as_bytes(), body] {
         out.extend(format!("${}\r\n", part.len()).bytes());
--- a/crates/testbed/src/two_sites/link.rs
+++ b/crates/testbed/src/two_sites/link.rs
@@ -36,7 +36,7 @@
         wire.open[n] = false;
         wire.pipes[1 - n].ended = true;
         wire.pipes[n].in_flight.clear();
-        // What is on its way may still arrive, or is lost with the connection.
+        // Bytes in flight may still arrive, or are lost with the connection.
         if !late {
             wire.pipes[1 - n].in_flight.clear();
         }
@@ -61,7 +61,7 @@
             pipe.bytes += bytes.len();
             pipe.busy = pipe.busy.max(self.now) + bytes.len() as Ms / self.play.carries;
             let arrives = pipe.busy + delay;
-            // In their order, whatever the jitter.
+            // Jitter must not reorder bytes.
             let arrives = pipe.in_flight.back().map_or(arrives, |(at, _)| arrives.max(*at));
             pipe.in_flight.push_back((arrives, bytes.to_vec()));
         }
@@ -82,7 +82,7 @@
                         self.sides[to].gateway.receive(now, conn, &bytes);
                         self.carry_out(to);
                     }
-                    // There is room again for the other end.
+                    // The sender has free capacity in the pipe again.
                     self.write(1 - to, conn);
                 }
                 let over = self.wires.get(&conn).is_some_and(|wire| {
@@ -135,7 +135,7 @@
         Some(bytes)
     }
 
-    /// The middle reads along, and notes what concerns the rules.
+    /// Decodes the frames that arrive, and records what the rules need.
     pub(super) fn watch(&mut self, conn: ConnectionId, to: usize, bytes: &[u8]) {
         self.out.crossed += bytes.len() as u64;
         let Some(wire) = self.wires.get_mut(&conn) else { return };
@@ -159,7 +159,7 @@
                     count(&mut self.out.opened[1 - to], self.now);
                 }
                 Message::OutcomeReport(token, AttemptOutcome::NeverRan) => {
-                    // Told to the sender of the token, which is at the end that it goes to.
+                    // The report goes to the issuer of the token, which is the receiving side.
                     let token = (token.epoch * 10 + to as u64, token.number);
                     self.record.note_at(self.now, RecordedEvent::Proven { token });
                 }
--- a/crates/testbed/src/two_sites/mod.rs
+++ b/crates/testbed/src/two_sites/mod.rs
@@ -1,8 +1,9 @@
-//! Two sites in virtual time: the shipped gateway core at each, stores that count each run, and a link between
-//! them that delays, throttles, goes silent in one or both directions, is cut, and lets late bytes through.
+//! Two sites in virtual time: the production gateway core at each, stores that count runs, and a link between
+//! them that can delay, throttle, go silent in one or both directions, be cut, and deliver bytes late.
 //!
-//! One seed, one run, to the byte. What is simulated: sockets, caches, stores and clients; what is real: every
-//! decision of the gateways. The record is what crossed the link and reached the stores; the gateways write none of it.
+//! A seed determines a run to the byte. Simulated are sockets, caches, stores and clients; all decisions of
+//! the gateways are real. The recording has what crossed the link and reached the stores; the gateways write
+//! none of it.
 
 mod link;
 mod requests;
@@ -30,9 +31,9 @@
     since: Ms,
     deadline: Ms,
     passed: Vec<String>,
-    /// Asked of this side by its own client.
+    /// Sent by a client of this side, not forwarded by the other site.
     own: bool,
-    /// Served where it was asked, in the end.
+    /// Served by this side, not forwarded.
     home: bool,
 }
 
@@ -48,12 +49,12 @@
 /// One direction of a connection.
 #[derive(Debug, Default)]
 struct Pipe {
-    /// Bytes under way: when they may arrive.
+    /// Chunks in flight, each with its time of arrival.
     in_flight: VecDeque<(Ms, Vec<u8>)>,
     bytes: usize,
-    /// When the last byte will have left.
+    /// When the last byte will have been sent.
     busy: Ms,
-    /// What the middle has understood.
+    /// Decodes the frames that arrive, for the recording.
     decoder: FrameDecoder,
     ended: bool,
 }
@@ -63,26 +64,28 @@
     dialer: (usize, usize),
     /// Towards side 0 and side 1.
     pipes: [Pipe; 2],
-    /// Tokens by the stream and the side that opened it.
+    /// Fencing tokens by the side that opened the stream, and its number.
     tokens: BTreeMap<(usize, u32), (u64, u64)>,
-    /// Whether each end still has it, and has been told that it is up.
+    /// Whether each end still has the connection open.
     open: [bool; 2],
+    /// Whether each end has been notified that it is open.
     announced: [bool; 2],
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SimulationEvent {
     Arrival(usize, bool),
-    /// A run at a site ends: side, its start, ticket, and the attempt at the store.
+    /// A local run ends: side, epoch of its gateway, ticket, and attempt (0 if the site's servers were
+    /// unreachable).
     Done(usize, u64, Ticket, u64),
     SiteFault(usize),
 }
 
-/// What fits between the ends of a connection.
+/// Most bytes in flight in one direction of a connection.
 const IN_PIPE: usize = 256 << 10;
 const NAMES: [&str; 2] = ["north", "south"];
 
-/// Two sites.
+/// The simulation of two sites.
 pub struct Simulation {
     play: Scenario,
     now: Ms,
@@ -100,7 +103,7 @@
     attempts: u64,
     next_id: u64,
     out: Outcome,
-    /// Bytes of bodies that crossed and reached a client.
+    /// Bytes of bodies that crossed the link and reached a client.
     useful: u64,
 }
 
@@ -113,7 +116,7 @@
 }
 
 impl Simulation {
-    /// Sets up both sites and plans the faults of the script.
+    /// Sets up both sites, and schedules the faults of the script.
     pub fn new(play: Scenario) -> Self {
         let chance = Pcg64Mcg::seed_from_u64(play.seed);
         let mut world = Self {
@@ -178,7 +181,8 @@
         }
     }
 
-    /// Plays it to its end, and some seconds on, so that all that is owed is answered.
+    /// Runs to the end of the scenario, and then for the waiting time of clients plus 1 s, so that all
+    /// requests are answered.
     pub fn run(mut self) -> Outcome {
         let end = self.play.length + self.play.wait + 1_000.0;
         while self.now < end {
@@ -229,6 +233,4 @@
             SimulationEvent::SiteFault(n) => self.apply_fault(self.play.script[n].1),
         }
     }
-
-    // ---- The link.
 }
--- a/crates/testbed/src/two_sites/requests.rs
+++ b/crates/testbed/src/two_sites/requests.rs
@@ -110,7 +110,7 @@
         }
     }
 
-    /// A site serves a request, or its store runs it.
+    /// Starts to serve a request locally: the caches serve a read, the store runs a booking.
     pub(super) fn serve(&mut self, n: usize, ticket: Ticket) {
         let Some(asker) = self.sides[n].askers.get_mut(&ticket) else { return };
         asker.home = true;
@@ -121,7 +121,7 @@
         let took = match (capacity_at, asker.booking) {
             (true, true) => self.chance.random_range(20.0..120.0),
             (true, false) => self.chance.random_range(5.0..60.0),
-            // It could not be reached, which is soon known.
+            // The server is unreachable, which the site notices after 30 ms.
             (false, _) => 30.0,
         };
         if capacity_at && asker.booking {
@@ -191,7 +191,7 @@
         }
         let code = match reply {
             Reply::Served { body, .. } => {
-                assert_eq!(body.len(), asker.size, "a body that is not whole");
+                assert_eq!(body.len(), asker.size, "length of the body");
                 if !asker.home {
                     self.useful += asker.size as u64;
                 }
--- a/crates/testbed/src/two_sites/scenario.rs
+++ b/crates/testbed/src/two_sites/scenario.rs
@@ -1,4 +1,4 @@
-//! What is simulated, by which faults, and what came of it.
+//! The scenario of a simulation, its faults, and its results.
 
 use linnethook_gateway::gateway::GatewayConfig;
 use rand::{RngExt, SeedableRng};
@@ -6,53 +6,53 @@
 
 use crate::recording::{Ms, RecordEntry};
 
-/// What befalls the link or a site, from a time on.
+/// A fault of the link or a site, from a time on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SiteFault {
-    /// Connections are reset; new ones fail until it is mended.
+    /// Connections are reset; new ones fail until [`SiteFault::Mend`].
     Cut,
-    /// Nothing passes towards these sides any more, and nothing is said of it.
+    /// Nothing passes towards these sides, without an error to either end.
     Silent {
         /// The sides that nothing passes towards.
         to: [bool; 2],
     },
-    /// So many times the delay.
+    /// The delay is multiplied by this factor.
     Slow(f64),
-    /// All faults of the link end.
+    /// All faults of the link are cleared.
     Mend,
-    /// The gateway of a side dies and starts again; its clients are gone with it.
+    /// The gateway of a side restarts; its clients disconnect.
     Restart(usize),
-    /// The store of a side can't be reached, or can again.
+    /// The store of a side becomes reachable (`true`) or unreachable.
     Store(usize, bool),
-    /// The caches of a side are gone, or back.
+    /// The caches of a side become available (`true`) or unavailable.
     Caches(usize, bool),
 }
 
-/// A script: blows by their times.
+/// A script: faults with their times.
 pub type Script = Vec<(Ms, SiteFault)>;
 
-/// What is played.
+/// The scenario of a simulation.
 #[derive(Debug, Clone)]
 pub struct Scenario {
-    /// The same seed is the same run.
+    /// The same seed gives the same run.
     pub seed: u64,
-    /// How long clients ask.
+    /// How long clients send requests, in milliseconds.
     pub length: Ms,
-    /// Bookings and parts of videos a second, at each side.
+    /// Bookings per second, at each side.
     pub bookings: f64,
-    /// Parts of videos a second.
+    /// Parts of videos per second, at each side.
     pub reads: f64,
-    /// Bytes of a part, at the least and the most.
+    /// Smallest and largest size of a part, in bytes.
     pub sizes: (usize, usize),
-    /// One way, and how much it varies.
+    /// Delay of the link in one direction, in milliseconds.
     pub delay: Ms,
-    /// How much the delay varies.
+    /// Largest random addition to the delay, in milliseconds.
     pub jitter: Ms,
-    /// Bytes a millisecond, in each direction.
+    /// Bytes per millisecond, in each direction.
     pub carries: f64,
-    /// How long a client waits, and within what it wants its answer.
+    /// How long a client waits for its answer, in milliseconds.
     pub wait: Ms,
-    /// The latency objective of requests.
+    /// The latency objective of requests, in milliseconds.
     pub aim: Ms,
     /// The settings of both gateways.
     pub rules: GatewayConfig,
@@ -90,45 +90,45 @@
     pub refused: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Their gateway died.
+    /// Requests whose gateway restarted.
     pub released: u64,
 }
 
-/// What came of a play.
+/// Results of a simulation.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     /// How bookings ended.
     pub bookings: Tally,
     /// How parts of videos ended.
     pub reads: Tally,
-    /// What crossed the link and reached the stores.
+    /// The recording: what crossed the link and reached the stores.
     pub lines: Vec<RecordEntry>,
-    /// Runs of each booking that ran more than once.
+    /// Bookings that ran more than once, with the number of runs.
     pub ran_twice: Vec<(u64, u32)>,
-    /// Bytes that crossed, and those of bodies that crossed more than once or for nothing.
+    /// Bytes that crossed the link.
     pub crossed: u64,
-    /// Bytes of bodies that crossed.
+    /// Bytes of bodies that crossed the link.
     pub bodies: u64,
-    /// Bytes of bodies that crossed more than once or for nothing.
+    /// Bytes of bodies that crossed the link again or reached no client.
     pub bodies_again: u64,
-    /// Requests that crossed, by 100 ms, from each side; those served, by the 100 ms in which they were asked.
+    /// Requests that crossed the link from each side, by 100 ms.
     pub opened: [Vec<u32>; 2],
-    /// Requests, by 100 ms.
+    /// Requests of clients, by 100 ms.
     pub asked: Vec<u32>,
-    /// Requests that were served, by the 100 ms in which they were asked.
+    /// Requests that were served, by the 100 ms in which they were sent.
     pub served: Vec<u32>,
-    /// When a gateway said that its last connection is down, and that one is up.
+    /// When a gateway logged that its last connection is down.
     pub downs: Vec<Ms>,
-    /// When a gateway said that a connection is up.
+    /// When a gateway logged that a connection is up.
     pub ups: Vec<Ms>,
     /// Log lines of both gateways.
     pub notes: u64,
-    /// The most that was kept at a time: connections, requests across and from there, tokens remembered.
+    /// Highest concurrent numbers: connections, forwarded requests, remote requests, remembered tokens.
     pub most: [u64; 4],
 }
 
-/// A script of so many cuts and silences, with stores and caches that go and come back and gateways that restart, so
-/// that there always is something that has to cross.
+/// A script with `cuts` cuts, silences or slow phases of the link and some restarts of gateways. Stores and
+/// caches of the two sides fail in turn, so that some requests always have to cross the link.
 pub fn bad_day(seed: u64, length: Ms, cuts: usize) -> Script {
     let mut chance = Pcg64Mcg::seed_from_u64(seed);
     let mut script: Script = Vec::new();
@@ -152,7 +152,7 @@
             ));
         }
     }
-    // One side's store, then the other's; its caches at times.
+    // The stores of the two sides fail in turn, and the caches of that side for a part of the time.
     let (mut at, mut side) = (500.0, 0);
     while at < length {
         let lasts = chance.random_range(0.1..0.3) * length.min(20_000.0);
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,4 +1,4 @@
-//! The checker catches a broken record: one for each rule, beside a record that keeps it.
+//! For each rule the checker detects recordings that break it, and accepts one that follows it.
 
 use linnethook_testbed::checker::{disconnected_clients, judge, Breach, Rule, RuleBounds};
 use linnethook_testbed::recording::{Asked, Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
@@ -34,7 +34,7 @@
     )
 }
 
-/// A fill that node asks of node, having passed some.
+/// A fill that a node requests from `node`, after it has passed some nodes.
 fn fill(at: Ms, attempt: u64, node: &str, passed: &[&str], version: u64) -> RecordEntry {
     let passed = passed.iter().map(|name| name.to_string()).collect();
     let object = "o".to_string();
@@ -65,7 +65,8 @@
     line(at, RecordedEvent::Purged { router, object, group: None, stamp: at })
 }
 
-/// Requests a second that a node of ten bears when it has just started: 3 in half a second.
+/// The start of a node with a capacity of ten requests per second. At first it can take 10 x 0.3 x 2 x 0.5 s
+/// = 3 in the window.
 fn cold(at: Ms) -> RecordEntry {
     let cold =
         WarmUpCapacity { capacity: 10.0, from: 0.3, warm_in: 10_000.0, fall_multiple: 2.0, window: 500.0 };
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn each_rule_is_seen_fulfilled_and_broken() {
+fn each_rule_accepts_and_detects() {
     let late = line(9_000.0, RecordedEvent::Released { request: 99 });
     let source = |at: Ms, named: Asked| line(at, RecordedEvent::Asked { attempt: 1, asked: named });
     let router = Some(ROUTER.to_string());
@@ -83,7 +84,7 @@
     let booking =
         |more: Vec<RecordEntry>| [vec![requested(0.0, 1, true), asked(10.0, 1, "o", "id1")], more].concat();
     let edges = [("a", "p"), ("p", "o")];
-    // What is kept, what is broken, and how many breaches that makes.
+    // Each rule with a recording that follows it, and recordings with exactly one breach each.
     let table: Vec<(Rule, Vec<RecordEntry>, Vec<Vec<RecordEntry>>)> = vec![
         (
             Rule::OneAnswer,
@@ -197,33 +198,34 @@
     ];
     let rules = RuleBounds { going_over: 1_000.0, ..RuleBounds::default() };
     for (rule, fulfilled, broken) in table {
-        assert_eq!(judge(&fulfilled, &rules), [], "{rule:?} is kept");
+        assert_eq!(judge(&fulfilled, &rules), [], "a recording that follows {rule:?}");
         for (n, record) in broken.iter().enumerate() {
             let found: Vec<Rule> = judge(record, &rules).iter().map(|breach: &Breach| breach.rule).collect();
-            assert_eq!(found, [rule], "the broken record {n} of {rule:?}");
+            assert_eq!(found, [rule], "recording {n} that breaks {rule:?}");
         }
     }
 }
 
-/// Only what is sent on by the router whose client left, later than it takes to hear of that, counts.
+/// Only attempts of the router whose client disconnected count, and only after the time that it may take to
+/// notice that.
 #[test]
-fn a_request_that_is_sent_on_after_its_client_left_is_caught() {
+fn an_attempt_after_the_client_disconnected_is_detected() {
     let released = |at, request| line(at, RecordedEvent::Released { request });
     let fulfilled = [
         requested(0.0, 1, false),
         asked(10.0, 1, "a", "id1"),
         released(100.0, 1),
-        // In the time that it takes to hear of it.
+        // Within the time that the router may take to notice.
         asked(249.0, 2, "b", "id1"),
         requested(0.0, 2, false),
         answered(50.0, 2, 1, None),
-        // It had its answer: nobody left while waiting.
+        // The client had its answer, so it did not disconnect while waiting.
         released(60.0, 2),
         asked(900.0, 3, "b", "id2"),
     ];
     let seen = disconnected_clients(&fulfilled, &RuleBounds::default());
     assert_eq!((seen.cases, seen.sent_on.len(), seen.sent_on_late.len()), (1, 0, 0));
-    // Late by the figure, and by the older one as well; a first attempt, and a further one.
+    // Later than the bound, and later than the earlier bound; each with a first and with a further attempt.
     for (at, late) in [(251.0, 0), (449.0, 0), (460.0, 1)] {
         let first = [requested(0.0, 1, false), released(100.0, 1), asked(at, 1, "a", "id1")];
         let further =
--- a/crates/testbed/tests/cold_start.rs
+++ b/crates/testbed/tests/cold_start.rs
@@ -1,9 +1,10 @@
-//! The account of cold starts: what is over N by chance, what is over the bound, and who it came from.
+//! Load on cold starts: counts above N that chance explains, counts above the bound, and which routers caused
+//! them.
 
 use linnethook_testbed::cold_start::{bound, sums};
 use linnethook_testbed::recording::{Asked, Ms, Phase, RecordEntry, RecordedEvent, WarmUpCapacity};
 
-/// It bears 20 x 0.25 x 3 x 3 s = 45 at first.
+/// At first it can take 20 x 0.25 x 3 x 3 s = 45 requests in the window.
 const COLD: WarmUpCapacity =
     WarmUpCapacity { capacity: 20.0, from: 0.25, warm_in: 15_000.0, fall_multiple: 3.0, window: 3_000.0 };
 
@@ -21,7 +22,7 @@
     RecordEntry { at, what: RecordedEvent::Asked { attempt: 1, asked } }
 }
 
-/// So many requests at once after the start; every `n`th one is from a router that was told of it.
+/// `count` requests at once after the start; every `n`th one is from a router that was notified of it.
 fn record(count: u32, n: u32) -> Vec<RecordEntry> {
     let mut lines = vec![started(1_000.0), notified(1_010.0, "told")];
     let from = |k: u32| if k.is_multiple_of(n) { "told" } else { "untold" };
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn chance_is_tolerated_and_more_than_that_is_over() {
+fn counts_within_chance_are_tolerated_and_higher_ones_are_over() {
     assert!((bound(45.0) - 60.4).abs() < 0.1);
     let by_chance = &sums(&record(60, 1), 7_000.0)[0];
     assert_eq!((by_chance.windows, by_chance.over_budget, by_chance.over), (60, 15, 0));
@@ -43,7 +44,7 @@
 fn requests_of_routers_that_were_not_notified_break_nothing() {
     let over = &sums(&record(70, 2), 7_000.0)[0];
     assert!(over.over > 0 && !over.broken);
-    // Seven seconds later all count as told; by then it bears 2.4 times as much.
+    // After seven seconds all routers count as notified; by then the node can take 2.4 times as much.
     let mut lines = vec![started(0.0)];
     lines.extend((0..150).map(|_| asked(7_010.0, "untold")));
     let late = &sums(&lines, 7_000.0)[0];
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn each_start_has_an_account_of_its_own_and_windows_end() {
+fn each_start_is_counted_separately_and_windows_end() {
     let mut lines = record(40, 1);
     lines.extend((0..40).map(|_| asked(4_100.0, "told")));
     lines.push(started(5_000.0));
--- a/crates/testbed/tests/recording.rs
+++ b/crates/testbed/tests/recording.rs
@@ -1,4 +1,5 @@
-//! The text of a recording keeps its names: experiments write it out, and earlier files can still be read.
+//! The serialized form of a recording does not change: experiments store it, and must be able to read earlier
+//! files.
 
 use linnethook_testbed::recording::{
     Asked, LinkState, LocationSummary, Phase, RecordEntry, RecordedEvent, WarmUpCapacity,
@@ -6,7 +7,7 @@
 
 const GOLDEN: &str = include_str!("golden/recording.jsonl");
 
-/// One of each kind of event, at rising times.
+/// One event of each kind and state, at ascending times.
 fn recording() -> Vec<RecordEntry> {
     let text = |text: &str| text.to_string();
     let asked = Asked {
@@ -79,14 +80,16 @@
 }
 
 #[test]
-fn recorded_events_are_written_as_before() {
-    let lines: Vec<String> =
-        recording().iter().map(|line| serde_json::to_string(line).expect("plain data")).collect();
+fn events_are_written_in_the_stored_format() {
+    let lines: Vec<String> = recording()
+        .iter()
+        .map(|line| serde_json::to_string(line).expect("an event that can be serialized"))
+        .collect();
     assert_eq!(lines.join("\n"), GOLDEN.trim_end());
 }
 
 #[test]
-fn recorded_events_are_read_as_before() {
+fn events_are_read_from_the_stored_format() {
     let read: Vec<RecordEntry> =
         GOLDEN.lines().map(|line| serde_json::from_str(line).expect("a line of a recording")).collect();
     assert_eq!(read, recording());
--- a/crates/testbed/tests/two_sites.rs
+++ b/crates/testbed/tests/two_sites.rs
@@ -1,5 +1,5 @@
-//! Two gateways in virtual time under seeded scripts of cuts, silences, restarts and lost stores: every rule is judged
-//! by what crossed the link and reached the stores.
+//! Two gateways in virtual time under seeded scripts of cuts, silences, restarts and store failures: the
+//! checker judges what crossed the link and reached the stores.
 
 use linnethook_testbed::checker::{judge, Breach, RuleBounds};
 use linnethook_testbed::two_sites::{bad_day, Outcome, Scenario, Simulation, SiteFault};
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn no_booking_runs_twice_and_each_has_one_answer_whatever_befalls_the_link() {
+fn each_booking_runs_at_most_once_and_has_one_answer_under_link_faults() {
     let mut sum = [0u64; 4];
     for seed in 1..=12 {
         let script = bad_day(seed, 20_000.0, 20);
@@ -31,9 +31,9 @@
     assert!(sum[0] > sum[2] * 10, "{sum:?}");
 }
 
-/// The same script twice gives the same record, to the byte.
+/// Two runs of the same script give identical recordings.
 #[test]
-fn one_seed_is_one_run() {
+fn a_seed_determines_the_run() {
     let play = Scenario { length: 8_000.0, script: bad_day(3, 8_000.0, 8), ..Scenario::default() };
     let one = Simulation::new(play.clone()).run();
     let other = Simulation::new(play).run();
@@ -41,9 +41,10 @@
     assert!(one.lines.len() > 500);
 }
 
-/// A plain day without any blow: nothing crosses, and home serves all.
+/// Without faults no request crosses the link, and each site serves all its own requests. Without the caches
+/// and the store of one site, over 80% of the reads are still served.
 #[test]
-fn home_serves_while_it_can() {
+fn a_site_serves_its_own_requests_while_it_can() {
     let out = Simulation::new(Scenario { length: 5_000.0, ..Scenario::default() }).run();
     assert_eq!(out.opened.iter().map(Vec::len).sum::<usize>(), 0);
     assert_eq!((out.bookings.served, out.reads.served), (out.bookings.asked, out.reads.asked));
@@ -54,14 +55,15 @@
     assert!(breaches(&out).is_empty());
 }
 
-/// Answers that are longer than the other site takes: each is left by itself, the connection and all else on it go on.
+/// An answer that is longer than the other site accepts is aborted alone: the connection and its other
+/// streams continue.
 #[test]
-fn an_answer_that_is_too_long_ends_nothing_else() {
+fn an_answer_that_is_too_long_aborts_only_its_own_stream() {
     let script = vec![(1_000.0, SiteFault::Caches(0, false)), (1_000.0, SiteFault::Store(0, false))];
     let play = Scenario { length: 15_000.0, sizes: (100_000, 400_000), script, ..Scenario::default() };
     let outcome = Simulation::new(play).run();
     println!("{:?} {:?}, down at {:?}", outcome.reads, outcome.bookings, outcome.downs);
-    assert!(outcome.downs.is_empty(), "the connection broke: {:?}", outcome.downs);
+    assert!(outcome.downs.is_empty(), "the connection was closed at {:?}", outcome.downs);
     assert!(outcome.reads.served > 100 && outcome.reads.refused > 20, "{:?}", outcome.reads);
     assert_eq!(outcome.bookings.failed, 0);
     assert!(outcome.ran_twice.is_empty());
--- a/examples/quickstart/src/bin/quickstart-client.rs
+++ b/examples/quickstart/src/bin/quickstart-client.rs
@@ -1,4 +1,4 @@
-//! Asks a router for an object: `quickstart-client ADDRESS CLASS OBJECT`, where OBJECT is hexadecimal.
+//! Requests an object from a router: `quickstart-client ADDRESS CLASS OBJECT`, where OBJECT is hexadecimal.
 
 use linnethook_quickstart::Client;
 
--- a/examples/quickstart/src/bin/quickstart-servers.rs
+++ b/examples/quickstart/src/bin/quickstart-servers.rs
@@ -1,6 +1,7 @@
 //! Two caches, their parent, the origin and the journal service, at the addresses of `examples/config.json`.
 //!
-//! The caches hold whatever they were asked for before; what they lack "fills" at once.
+//! A server has a copy of each object that was requested from it before. It simulates a fill of others at
+//! once.
 
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
@@ -14,7 +15,7 @@
 fn main() -> Result<(), Failure> {
     let path = std::env::args().nth(1).unwrap_or("examples/config.json".to_string());
     let config: Value = serde_json::from_str(&std::fs::read_to_string(path)?)?;
-    let address = config["journal"].as_str().ok_or("no journal in the configuration")?;
+    let address = config["journal"].as_str().ok_or("the configuration has no text `journal`")?;
     let known = config["known"]["entries"].as_array().cloned().unwrap_or_default();
     let mut caches = Vec::new();
     for host in known.iter().flat_map(|event| event["hosts"]["targets"].as_array()).flatten() {
--- a/examples/quickstart/src/cache.rs
+++ b/examples/quickstart/src/cache.rs
@@ -1,4 +1,4 @@
-//! A cache, a parent or an origin: RESP arrays in, RESP arrays out.
+//! A server that acts as a cache, a parent or an origin: requests and responses are RESP arrays.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// What happened on a connection; connections are numbered from 1.
+/// An event on a connection; connections are numbered from 1.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CacheEvent {
     Opened { connection: usize },
@@ -16,7 +16,7 @@
     Closed { connection: usize },
 }
 
-/// An answer to a request: status, fields as `name=value,...` or `-`, and body.
+/// A response to a request: status, fields as `name=value,...` or `-`, and body.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     pub status: &'static str,
@@ -25,38 +25,39 @@
 }
 
 impl Answer {
-    /// A cached copy.
+    /// A response with a cached copy.
     pub fn data(body: impl Into<Vec<u8>>) -> Self {
         Self { status: "data", fields: "res=HIT,first=0".to_string(), body: body.into() }
     }
 
-    /// An answer without fields or body.
+    /// A response without fields or body.
     pub fn with_status(status: &'static str) -> Self {
         Self { status, fields: "-".to_string(), body: Vec::new() }
     }
 }
 
-/// Answers a request by its id, fields and body; `None` leaves it open, to be answered later.
+/// Returns the response to a request with this id, fields and body; `None` leaves the request open, for
+/// [`Cache::answer`].
 pub type RequestHandler = Arc<dyn Fn(&str, &HashMap<String, String>, &[u8]) -> Option<Answer> + Send + Sync>;
 
 type Connections = Arc<Mutex<HashMap<usize, TcpStream>>>;
 
-/// A server that speaks the protocol of caches.
+/// A server for the protocol between routers and caches.
 pub struct Cache {
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
-    /// What happens on the connections, in its order.
+    /// Events of all connections, in order.
     pub events: Receiver<CacheEvent>,
     connections: Connections,
 }
 
 impl Cache {
-    /// Listens, and answers as `handler` says.
+    /// Listens at an address, and responds with what `handler` returns.
     pub fn start(address: impl ToSocketAddrs, handler: RequestHandler) -> io::Result<Self> {
         Self::serve(TcpListener::bind(address)?, handler)
     }
 
-    /// Takes what comes to a listener.
+    /// Serves the connections of a listener.
     pub fn serve(listener: TcpListener, handler: RequestHandler) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let (sender, events) = channel();
@@ -80,24 +81,27 @@
         Ok(Self { address, events, connections })
     }
 
-    /// Answers a request that was left open.
+    /// Responds to a request that was left open.
     pub fn answer(&self, connection: usize, id: &str, answer: &Answer) -> io::Result<()> {
         let stream = self.stream(connection)?;
         (&stream).write_all(&encode(id, answer))
     }
 
-    /// Writes bytes as they are.
+    /// Writes raw bytes to a connection.
     pub fn write(&self, connection: usize, bytes: &[u8]) -> io::Result<()> {
         (&self.stream(connection)?).write_all(bytes)
     }
 
-    /// Ends a connection from this side.
+    /// Closes a connection.
     pub fn close(&self, connection: usize) -> io::Result<()> {
         self.stream(connection)?.shutdown(Shutdown::Both)
     }
 
     fn stream(&self, connection: usize) -> io::Result<TcpStream> {
-        let all = self.connections.lock().map_err(|_| io::Error::other("a thread has failed"))?;
+        let all = self
+            .connections
+            .lock()
+            .map_err(|_| io::Error::other("a thread panicked while it held the connections"))?;
         all.get(&connection).ok_or(io::ErrorKind::NotConnected.into()).and_then(TcpStream::try_clone)
     }
 }
@@ -133,13 +137,13 @@
     }
 }
 
-/// The fields in `name=value,name=value`.
+/// Parses fields in the form `name=value,name=value`.
 pub fn fields(text: &str) -> HashMap<String, String> {
     let pairs = text.split(',').filter_map(|pair| pair.split_once('='));
     pairs.map(|(name, value)| (name.to_string(), value.to_string())).collect()
 }
 
-/// The strings of the next message.
+/// Reads the next RESP array of bulk strings.
 pub fn array(input: &mut impl BufRead) -> io::Result<Vec<Vec<u8>>> {
     let count = number(input, '*')?;
     (0..count)
@@ -161,7 +165,7 @@
     digits.ok_or(io::ErrorKind::InvalidData.into())
 }
 
-/// The bytes of an answer.
+/// Encodes a response.
 pub fn encode(id: &str, answer: &Answer) -> Vec<u8> {
     let mut out = b"*4\r\n".to_vec();
     for part in [id.as_bytes(), answer.status.as_bytes(), answer.fields.as_bytes(), &answer.body] {
--- a/examples/quickstart/src/client.rs
+++ b/examples/quickstart/src/client.rs
@@ -1,46 +1,50 @@
-//! A client: frames out, frames in.
+//! A client of a router's binary frame protocol.
 
 use std::io::{self, Read, Write};
 use std::net::{TcpStream, ToSocketAddrs};
 use std::time::Duration;
 
-/// What came in.
+/// A received frame.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Frame {
+    /// Frame type: 66 is an answer, 81 the reply to a readiness query.
     pub kind: u8,
     pub stream: u32,
+    /// In an answer 1 is served, 2 rejected, other values failed; in a readiness reply 1 is ready.
     pub code: u8,
     pub fields: Vec<(String, String)>,
     pub body: Vec<u8>,
 }
 
+/// A connection to a router.
 pub struct Client {
     pub stream: TcpStream,
 }
 
 impl Client {
+    /// Connects, with a time-out of 20 s for reads.
     pub fn connect(address: impl ToSocketAddrs) -> io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(Duration::from_secs(20)))?;
         Ok(Self { stream })
     }
 
-    /// Sends a request.
+    /// Sends a request on a stream.
     pub fn ask(&mut self, stream: u32, fields: &[(&str, &str)], body: &[u8]) -> io::Result<()> {
         self.stream.write_all(&request(stream, fields, body))
     }
 
-    /// Nobody waits for that stream any more.
+    /// Cancels the request of a stream.
     pub fn give_up(&mut self, stream: u32) -> io::Result<()> {
         self.stream.write_all(&frame(67, stream, &[]))
     }
 
-    /// Asks whether the router is ready.
+    /// Queries whether the router is ready.
     pub fn ask_ready(&mut self, stream: u32) -> io::Result<()> {
         self.stream.write_all(&frame(80, stream, &[0]))
     }
 
-    /// The next frame.
+    /// Reads the next frame.
     pub fn read(&mut self) -> io::Result<Frame> {
         let mut head = [0; 9];
         self.stream.read_exact(&mut head)?;
@@ -62,7 +66,7 @@
     }
 }
 
-/// The bytes of a request.
+/// Encodes a request.
 pub fn request(stream: u32, fields: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut payload = vec![fields.len() as u8];
     for (name, value) in fields {
--- a/examples/quickstart/src/journal.rs
+++ b/examples/quickstart/src/journal.rs
@@ -1,4 +1,4 @@
-//! The journal service: numbered events over HTTP, by long polls.
+//! The journal service: serves numbered events over HTTP to long polls.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, ToSocketAddrs};
@@ -12,7 +12,7 @@
 #[derive(Default)]
 struct JournalState {
     events: Vec<Value>,
-    /// Polls whose connection is closed instead of answered.
+    /// Number of polls to close without a response.
     polls_to_drop: usize,
 }
 
@@ -20,20 +20,20 @@
 
 /// A journal service.
 pub struct Journal {
-    /// Where it listens.
+    /// The address that it listens at.
     pub address: SocketAddr,
-    /// The number from which each poll asked.
+    /// The event number in each received poll: the client has all events up to it.
     pub polls: Receiver<u64>,
     state: Shared,
 }
 
 impl Journal {
-    /// Listens; the first events are those that routers find in their configuration.
+    /// Listens at an address; `known` are the first events, which routers have in their configurations.
     pub fn start(address: impl ToSocketAddrs, known: Vec<Value>) -> io::Result<Self> {
         Self::serve(TcpListener::bind(address)?, known)
     }
 
-    /// Takes what comes to a listener.
+    /// Serves the connections of a listener.
     pub fn serve(listener: TcpListener, known: Vec<Value>) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let state: Shared = Arc::default();
@@ -50,7 +50,7 @@
         Ok(journal)
     }
 
-    /// Adds an event, which gets the next number.
+    /// Appends an event with the next number.
     pub fn publish(&self, mut event: Value) {
         let (state, changed) = &*self.state;
         if let Ok(mut state) = state.lock() {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Closes the connection of the open poll, or of the next one, without an answer.
+    /// Closes the connection of the open poll, or of the next one, without a response.
     pub fn drop_poll(&self) {
         let (state, changed) = &*self.state;
         if let Ok(mut state) = state.lock() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// All events up to now, in the form that a configuration holds.
+    /// All events so far, in the form of the configuration's `known`.
     pub fn known(&self) -> Value {
         let events = self.state.0.lock().map(|state| state.events.clone()).unwrap_or_default();
         json!({"pos": events.len(), "entries": events})
--- a/examples/quickstart/src/lib.rs
+++ b/examples/quickstart/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small servers for what a router talks to (caches, the journal service) and a client.
+//! Small servers for the services that a router uses (caches, the journal service), and a client.
 //!
-//! They are plain threads on blocking sockets, small enough to be read in one go. They serve the example
-//! programs beside this file and the router's tests, and are no yardstick for speed.
+//! They use plain threads and blocking sockets, so that the code is short. The example programs of this
+//! package and the router's tests use them; they are not meant for measurements of speed.
 
 pub mod cache;
 pub mod client;
