--- a/crates/model/examples/day.rs
+++ b/crates/model/examples/day.rs
@@ -39,7 +39,8 @@
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let peak = text.lines().find(|line| line.starts_with("VmHWM")).unwrap_or_default().to_string();
     println!(
-        "{} caches, {} routers, {:.0} requests/s for {:.0} s: {requests} requests, {:.4} in time, {:.1} fills/s from the origin",
+        "{} caches, {} routers, {:.0} requests/s for {:.0} s: {requests} requests, {:.4} in time, \
+         {:.1} fills/s from the origin",
         plan.locations * plan.caches,
         plan.locations * plan.routers,
         plan.rate,
--- a/crates/model/src/cold/clients.rs
+++ b/crates/model/src/cold/clients.rs
@@ -100,10 +100,10 @@
 
 /// The index that a number from 0 up to 1 selects, by weight.
 fn weighted_index(at: f64, weights: &[f64]) -> usize {
-    let mut left = at * weights.iter().sum::<f64>();
-    let falls = |weight: &f64| {
-        left -= weight;
-        left < 0.0
+    let mut remaining = at * weights.iter().sum::<f64>();
+    let is_selected = |weight: &f64| {
+        remaining -= weight;
+        remaining < 0.0
     };
-    weights.iter().position(falls).unwrap_or(0)
+    weights.iter().position(is_selected).unwrap_or(0)
 }
--- a/crates/model/src/cold/deployments.rs
+++ b/crates/model/src/cold/deployments.rs
@@ -56,7 +56,8 @@
     };
     let grade = |aim: u32, stretch: u32, deadline: u32| {
         let (effect, worth) = ("read_like", 1);
-        json!({"objective": aim, "aim-stretch": stretch, "deadline": deadline, "effect": effect, "worth": worth})
+        json!({"objective": aim, "aim-stretch": stretch, "deadline": deadline,
+            "effect": effect, "worth": worth})
     };
     let ferry = json!({
         "allowed": {"max-attempts": 3, "parallel-tries": true, "max-retry-after": 300},
--- a/crates/model/src/plan.rs
+++ b/crates/model/src/plan.rs
@@ -21,7 +21,7 @@
     pub announcement: f64,
     /// Duration from the first migrated objects to all of them.
     pub ramp_duration: f64,
-    /// How long the former source is still asked for cached copies after a migration.
+    /// How long the former source is still queried for cached copies after a migration.
     pub settling_time: f64,
     /// The number of parents, from the first, that are home parents of the locations in turn; the others are
     /// spare.
--- a/crates/model/src/queue.rs
+++ b/crates/model/src/queue.rs
@@ -3,7 +3,7 @@
 //! A discrete-event simulation takes events in order of time and adds none before the current time, which is
 //! what a radix heap requires (Ahuja, Mehlhorn, Orlin and Tarjan 1990). An event is in the bucket of the
 //! highest bit in which its time differs from the current time, and moves to lower buckets as time advances,
-//! at most 64 times and together with its whole bucket. Events at the same time are taken in the order in
+//! at most 64 times and together with its entire bucket. Events at the same time are taken in the order in
 //! which they were added. Time never goes back.
 
 use crate::Micros;
--- a/crates/model/src/simulation/origin.rs
+++ b/crates/model/src/simulation/origin.rs
@@ -110,10 +110,14 @@
     pub(super) fn revalidate(&mut self, now: Micros, cache: usize, source: usize, key: u64) {
         let health = self.servers[self.plan.origin()].health;
         let through_parent = self.servers[source].endpoint.role == PARENT;
-        let available = health.up && !health.fails_fast && !health.silent && !health.stalled;
-        let busy = through_parent && self.servers[source].origin_fetches.contains_key(&key);
-        let open = self.servers[source].health.up && self.servers_connected(cache, source);
-        if !available || busy || !open || self.servers[cache].revalidations.contains(&key) {
+        let origin_available = health.up && !health.fails_fast && !health.silent && !health.stalled;
+        let already_requested = through_parent && self.servers[source].origin_fetches.contains_key(&key);
+        let source_reachable = self.servers[source].health.up && self.servers_connected(cache, source);
+        if !origin_available
+            || already_requested
+            || !source_reachable
+            || self.servers[cache].revalidations.contains(&key)
+        {
             return;
         }
         Statistics::count(&mut self.statistics.origin_requests, (now / 1_000_000) as usize);
@@ -214,8 +218,8 @@
     /// A parent crashed: the attempts that wait at it fail, but the origin completes its requests.
     pub(super) fn fail_waiters_of_parent(&mut self, now: Micros, parent: usize) {
         self.servers[parent].origin_fetches.clear();
-        let of_it = self.origin_work.values_mut().filter(|work| work.parent == Some(parent));
-        let waiting: Vec<Number> = of_it.flat_map(|work| std::mem::take(&mut work.waiting)).collect();
+        let own_work = self.origin_work.values_mut().filter(|work| work.parent == Some(parent));
+        let waiting: Vec<Number> = own_work.flat_map(|work| std::mem::take(&mut work.waiting)).collect();
         for number in waiting {
             if let Some(attempt) = self.attempts.get_mut(&number) {
                 attempt.cache_status = Some(CacheStatus::SourceUnreachable);
--- a/crates/model/tests/reference_results.rs
+++ b/crates/model/tests/reference_results.rs
@@ -54,7 +54,8 @@
                 let rate = (bandwidth / reference.len() as f64).min(max_rate);
                 reference.iter_mut().for_each(|(_, remaining)| *remaining -= rate * (at - now) as f64);
                 now = at;
-                let n = reference.iter().position(|(known, _)| *known == completed).expect("the transfer is in progress");
+                let n = reference.iter().position(|(known, _)| *known == completed);
+                let n = n.expect("the transfer is in progress");
                 let (_, remaining) = reference.remove(n);
                 // Times are integers: a transfer may complete up to a microsecond late.
                 prop_assert!(remaining.abs() <= max_rate + 1e-3, "{remaining}");
--- a/crates/model/tests/simulation.rs
+++ b/crates/model/tests/simulation.rs
@@ -187,8 +187,8 @@
 }
 
 /// One of two sites is cut off from the hub at peak load; then the link between the sites is cut, and later
-/// stops delivering without closing connections. Forwarded requests are served, nothing is executed twice, and the rules of links
-/// hold.
+/// stops delivering without closing connections. Forwarded requests are served, nothing is executed twice, and
+/// the rules of links hold.
 #[test]
 fn sites_keep_the_rules_under_link_faults_at_peak_load() {
     let faults = vec![
