--- a/crates/router/tests/client_departures.rs
+++ b/crates/router/tests/client_departures.rs
@@ -1,7 +1,8 @@
-//! A client that has left: nothing begins for it more than 0.1 s later, whatever the router is at then.
+//! Clients that disconnect: the router begins no attempt for them more than 0.1 s later, whatever it is doing
+//! then.
 //!
-//! `docs/endings.md` is the page to these tests. Where a loop that is busy is meant, the process stands still for a
-//! while, so that what comes in meanwhile is found in one turn and in the order in which it came.
+//! `docs/endings.md` describes these cases. The tests for a busy event loop stop the process for a while, so
+//! that all that arrives meanwhile is read in one turn of the loop and in order of arrival.
 
 mod common;
 
@@ -11,9 +12,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use common::shut::*;
-use common::timed::{serve, Heeds};
-use common::{asked, asked_either, asks, cache, echo, fleet_of, holding, left_over, Fields, Late, Router};
+use common::pending_connections::*;
+use common::timestamped_server::{serve, RequestHandler};
+use common::{
+    cache, count_unread_requests, echo, fleet_of, manual, next_request, next_request_at_either,
+    unread_requests, Fields, PendingListener, Router,
+};
 use linnethook_quickstart::{Answer, Cache, Client, Journal};
 use linnethook_testbed::cache_server::CacheServerConfig;
 use linnethook_testbed::checker::{disconnected_clients, DisconnectedClients, RuleBounds};
@@ -25,226 +29,244 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::{json, Value};
 
-fn no_cancel(config: &mut Value) {
+fn forbid_cancel(config: &mut Value) {
     config["settings"]["allowed"]["may-cancel"] = json!(false);
 }
 
-/// The process stands still until it is told to go on; what it has sent by now has arrived.
-fn stand_still(router: &Router) {
+/// Stops the process, and waits until what it has sent so far has arrived.
+fn pause_process(router: &Router) {
     router.signal(Signal::SIGSTOP);
     thread::sleep(Duration::from_millis(200));
 }
 
-fn go_on(router: &Router) {
+/// Lets the process run again, and gives it time to handle what has arrived.
+fn resume_process(router: &Router) {
     router.signal(Signal::SIGCONT);
     thread::sleep(Duration::from_millis(600));
 }
 
-/// Requests that reached any of them and nobody has looked at.
-fn left_over_at(caches: &[&Cache]) -> usize {
-    caches.iter().map(|cache| left_over(cache)).sum()
+/// How many requests at these servers the test has not read yet.
+fn count_unread_requests_at(caches: &[&Cache]) -> usize {
+    caches.iter().map(|cache| count_unread_requests(cache)).sum()
 }
 
-// ---- Who is held back.
+// ---- Clients that the router reads no further because their answers are unread.
 
-/// A fleet whose `cache-a` has its door shut, and whose `cache-b` gives long answers.
-fn long_answers(change: impl Fn(&mut Value)) -> Shut {
-    shut_with(cache(|_, _, _| Some(Answer::data(vec![7; 240_000]))), change)
+/// A fleet in which connections to `cache-a` stay pending, and `cache-b` gives long answers.
+fn long_answer_fleet(change: impl Fn(&mut Value)) -> PendingFleet {
+    pending_fleet_with(cache(|_, _, _| Some(Answer::data(vec![7; 240_000]))), change)
 }
 
-/// What a client gives up in words is heard, though it takes none of its answers and is held back for that: also where
-/// these words lie behind further requests.
+/// The cancel frame of a client that reads none of its answers takes effect, also behind further requests:
+/// the router limits what it accepts from such a client, but still reads its cancellations.
 #[test]
-fn what_is_given_up_behind_unread_answers_is_not_sent() {
-    for behind in [0, 20] {
-        let mut fleet = long_answers(|_| ());
-        let mut client = fleet.waiting();
-        small_buffer(&client);
-        hoard(&fleet.router, &mut client, 3);
-        for stream in 0..behind {
-            client.ask(40 + stream, &small(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
+fn requests_cancelled_behind_unread_answers_are_not_sent() {
+    for requests_before in [0, 20] {
+        let mut fleet = long_answer_fleet(|_| ());
+        let mut client = fleet.client_with_pending_request();
+        shrink_receive_buffer(&client);
+        leave_answers_unread(&fleet.router, &mut client, 3);
+        for stream in 0..requests_before {
+            client.ask(40 + stream, &small_object(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
         }
         client.give_up(1).expect("sent");
-        assert!(fleet.remaining_requests().is_empty(), "behind {behind} requests");
+        assert!(fleet.remaining_requests().is_empty(), "behind {requests_before} requests");
     }
 }
 
-/// The end of a client that is held back is heard, though it has asked for more before it.
+/// The router notices the disconnect of a client with unread answers, also behind further requests of that
+/// client.
 #[test]
-fn what_a_client_waited_for_is_not_sent_once_it_has_ended_behind_unread_requests() {
-    for manner in ["an orderly end", "one direction", "a reset"] {
-        let mut fleet = long_answers(|_| ());
-        let mut client = fleet.waiting();
-        small_buffer(&client);
-        hoard(&fleet.router, &mut client, 3);
+fn pending_requests_are_not_sent_once_their_client_has_disconnected_behind_unread_requests() {
+    for how in [Disconnect::Close, Disconnect::HalfClose, Disconnect::Reset] {
+        let mut fleet = long_answer_fleet(|_| ());
+        let mut client = fleet.client_with_pending_request();
+        shrink_receive_buffer(&client);
+        leave_answers_unread(&fleet.router, &mut client, 3);
         for stream in 0..20 {
-            client.ask(40 + stream, &small(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
+            client.ask(40 + stream, &small_object(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
         }
-        let _client = leave(client, manner, &[]);
-        assert!(fleet.remaining_requests().is_empty(), "{manner}");
+        let _client = disconnect(client, how, &[]);
+        assert!(fleet.remaining_requests().is_empty(), "{how:?}");
     }
 }
 
-/// Where buffers are crowded nobody is read on, whoever is to blame; what is given up is heard all the same.
+/// While the buffers are nearly full the router reads requests of no client, whichever of them fills the
+/// buffers; cancellations and disconnects still take effect.
 #[test]
-fn what_is_given_up_while_buffers_are_crowded_is_not_sent() {
-    for manner in MANNERS {
-        let mut fleet = long_answers(|config| config["limits"]["memory_mb"] = json!(8));
-        let client = fleet.waiting();
+fn requests_abandoned_while_buffers_are_nearly_full_are_not_sent() {
+    for how in DISCONNECTS {
+        let mut fleet = long_answer_fleet(|config| config["limits"]["memory_mb"] = json!(8));
+        let client = fleet.client_with_pending_request();
         let mut others = [fleet.router.client(), fleet.router.client(), fleet.router.client()];
         for (other, first) in others.iter_mut().zip([100, 200, 300]) {
-            small_buffer(other);
-            ask_much(other, first);
+            shrink_receive_buffer(other);
+            send_small_requests(other, first);
         }
         let buffers =
             |counters: &str| counters.split("buffers=").nth(1)?.split(' ').next()?.parse::<u32>().ok();
-        counted(&fleet.router, |counters| buffers(counters.trim_end()).is_some_and(|buffers| buffers >= 256));
-        let _client = leave(client, manner, &[1]);
-        assert!(fleet.remaining_requests().is_empty(), "{manner}");
+        wait_for_counters(&fleet.router, |counters| {
+            buffers(counters.trim_end()).is_some_and(|buffers| buffers >= 256)
+        });
+        let _client = disconnect(client, how, &[1]);
+        assert!(fleet.remaining_requests().is_empty(), "{how:?}");
     }
 }
 
-/// What a client that is held back has asked for meanwhile is answered once it takes its answers, each once, but for
-/// what it has given up.
+/// Requests that a client sends while its answers are unread are answered once it reads them: each once,
+/// except for those that it has cancelled.
 #[test]
-fn what_is_read_ahead_is_answered_once_its_client_takes_its_answers() {
-    let mut fleet = long_answers(|_| ());
-    let mut client = fleet.waiting();
-    hoard(&fleet.router, &mut client, 3);
+fn requests_read_ahead_are_answered_once_their_client_reads_its_answers() {
+    let mut fleet = long_answer_fleet(|_| ());
+    let mut client = fleet.client_with_pending_request();
+    leave_answers_unread(&fleet.router, &mut client, 3);
     for stream in 40..46 {
-        client.ask(stream, &small(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
+        client.ask(stream, &small_object(&format!("{stream:016x}")), &[7; 2_000]).expect("sent");
     }
     client.give_up(42).expect("sent");
     client.give_up(1).expect("sent");
     client.ask_ready(50).expect("sent");
     let mut answered = Vec::new();
-    while answered.len() < 31 + 5 + 1 {
+    while answered.len() < SMALL_REQUESTS as usize + 5 + 1 {
         let frame = client.read().expect("an answer");
         answered.push((frame.kind, frame.stream));
     }
     answered.sort_unstable();
-    let wanted = (3..34).chain([40, 41, 43, 44, 45]).map(|stream| (66, stream)).chain([(81, 50)]);
-    assert_eq!(answered, wanted.collect::<Vec<(u8, u32)>>());
+    let expected =
+        (3..3 + SMALL_REQUESTS).chain([40, 41, 43, 44, 45]).map(|stream| (66, stream)).chain([(81, 50)]);
+    assert_eq!(answered, expected.collect::<Vec<(u8, u32)>>());
     assert!(fleet.remaining_requests().is_empty());
 }
 
-// ---- A loop that is busy.
+// ---- A busy event loop.
 
-/// The answer that makes a further attempt due and the client's leaving come in the same turn, in this order.
+/// The response that requires a retry and the client's disconnect are read in one turn of the loop, in this
+/// order.
 #[test]
-fn no_further_attempt_begins_where_the_answer_and_the_leaving_come_in_one_turn() {
-    for manner in MANNERS {
-        let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn no_retry_begins_where_the_response_and_the_disconnect_arrive_in_one_turn() {
+    for how in DISCONNECTS {
+        let fleet = fleet_of(manual(), manual(), echo("origin"));
         let mut client = fleet.router.client();
-        client.ask(1, &video("00000000000000e1", OF_A), b"").expect("sent");
-        let (connection, id, ..) = asked(&fleet.a);
-        stand_still(&fleet.router);
+        client.ask(1, &video("00000000000000e1", OBJECT_OF_A), b"").expect("sent");
+        let (connection, id, ..) = next_request(&fleet.a);
+        pause_process(&fleet.router);
         fleet.a.answer(connection, &id, &Answer::with_status("full")).expect("answered");
         thread::sleep(Duration::from_millis(20));
-        let _client = leave(client, manner, &[1]);
+        let _client = disconnect(client, how, &[1]);
         thread::sleep(Duration::from_millis(200));
-        go_on(&fleet.router);
-        let others = [&fleet.a, &fleet.b, &fleet.parent, &fleet.origin];
-        assert_eq!(left_over_at(&others), 0, "{manner}");
+        resume_process(&fleet.router);
+        let servers = [&fleet.a, &fleet.b, &fleet.parent, &fleet.origin];
+        assert_eq!(count_unread_requests_at(&servers), 0, "{how:?}");
     }
 }
 
-/// The same for many clients that leave in one burst, by all ways.
+/// The same for many clients that disconnect in one burst, by every kind of disconnect.
 #[test]
-fn no_further_attempt_begins_for_any_of_many_that_leave_in_one_burst() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn no_retry_begins_for_any_of_many_clients_that_disconnect_in_one_burst() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut clients: Vec<Client> = (0..200).map(|_| fleet.router.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         let (id, object) = (format!("{n:016x}"), format!("{:016x}", n * 7 + 1));
         client.ask(1, &video(&id, &object), b"").expect("sent");
         client.ask_ready(2).expect("sent");
     }
-    // Some are refused at once: too many for caches of that size.
+    // Some are rejected at once: the caches have no capacity for so many.
     for client in &mut clients {
         while client.read().expect("an answer").kind != 81 {}
     }
-    // All that was sent has come: a router that is stopped while it writes one has that arrive when it goes on.
+    // Wait until all attempts have arrived: one that the router is writing when it is stopped would arrive
+    // later.
     let sent = || fleet.router.counters().0["sent"] as usize;
-    let mut out = Vec::new();
-    while out.len() < sent() {
-        let (cache, _, connection, id) = asked_either(&fleet.a, &fleet.b);
-        out.push((cache, connection, id));
+    let mut open = Vec::new();
+    while open.len() < sent() {
+        let (cache, _, connection, id) = next_request_at_either(&fleet.a, &fleet.b);
+        open.push((cache, connection, id));
     }
-    assert!(out.len() >= 20, "{} are out", out.len());
-    stand_still(&fleet.router);
+    assert!(open.len() >= 20, "{} attempts are open", open.len());
+    pause_process(&fleet.router);
     for cache in [&fleet.a, &fleet.b] {
-        out.extend(asks(cache).into_iter().map(|(connection, id)| (cache, connection, id)));
+        open.extend(unread_requests(cache).into_iter().map(|(connection, id)| (cache, connection, id)));
     }
-    for (cache, connection, id) in &out {
+    for (cache, connection, id) in &open {
         cache.answer(*connection, id, &Answer::with_status("full")).expect("answered");
     }
     thread::sleep(Duration::from_millis(20));
-    let clients_left: Vec<_> =
-        clients.into_iter().zip(MANNERS.iter().cycle()).map(|(c, manner)| leave(c, manner, &[1])).collect();
+    let disconnected: Vec<_> = clients
+        .into_iter()
+        .zip(DISCONNECTS.into_iter().cycle())
+        .map(|(client, how)| disconnect(client, how, &[1]))
+        .collect();
     thread::sleep(Duration::from_millis(200));
-    go_on(&fleet.router);
-    let sent = left_over_at(&[&fleet.a, &fleet.b, &fleet.parent, &fleet.origin]);
-    assert_eq!(sent, 0, "of {}", out.len());
-    drop(clients_left);
+    resume_process(&fleet.router);
+    let sent = count_unread_requests_at(&[&fleet.a, &fleet.b, &fleet.parent, &fleet.origin]);
+    assert_eq!(sent, 0, "of {}", open.len());
+    drop(disconnected);
 }
 
-/// A connection that comes up, and the leaving of the client whose request waits for it, come in one turn.
+/// A connection is established and the client whose request waits for it disconnects, both in one turn of the
+/// loop.
 #[test]
-fn nothing_is_sent_where_the_connection_and_the_leaving_come_in_one_turn() {
-    for manner in MANNERS {
-        let mut fleet = shut(no_cancel);
-        let client = fleet.waiting();
+fn nothing_is_sent_where_the_connection_and_the_disconnect_arrive_in_one_turn() {
+    for how in DISCONNECTS {
+        let mut fleet = pending_fleet(forbid_cancel);
+        let client = fleet.client_with_pending_request();
         fleet.router.signal(Signal::SIGSTOP);
-        let a = fleet.open();
-        // A connect that got no answer is tried again by the system a second later.
+        let a = fleet.accept_connections();
+        // The system retransmits an unanswered SYN after a second.
         thread::sleep(Duration::from_millis(1_500));
-        let _client = leave(client, manner, &[1]);
+        let _client = disconnect(client, how, &[1]);
         thread::sleep(Duration::from_millis(200));
-        go_on(&fleet.router);
-        assert_eq!(left_over_at(&[&a, &fleet.b, &fleet.parent, &fleet.origin]), 0, "{manner}");
+        resume_process(&fleet.router);
+        assert_eq!(count_unread_requests_at(&[&a, &fleet.b, &fleet.parent, &fleet.origin]), 0, "{how:?}");
     }
 }
 
-/// The time for a further attempt, or for giving the present one up, is over in the turn in which the leaving comes.
+/// A retry becomes due, or an attempt times out, in the same turn of the loop in which the client
+/// disconnects.
 #[test]
-fn no_retry_is_fired_in_the_turn_in_which_the_leaving_comes() {
-    for manner in MANNERS {
+fn no_retry_begins_in_the_turn_in_which_the_client_disconnects() {
+    for how in DISCONNECTS {
         for full in [true, false] {
-            let origin = if full { cache(|_, _, _| Some(Answer::with_status("full"))) } else { holding() };
-            let fleet = fleet_of(holding(), echo("b"), origin);
+            let origin = if full { cache(|_, _, _| Some(Answer::with_status("full"))) } else { manual() };
+            let fleet = fleet_of(manual(), echo("b"), origin);
             let mut client = fleet.router.client();
-            // A booking is tried again after a pause; a read that nobody answers, when its time is over.
+            // A booking is retried after a pause; a read without an answer, when its attempt times out.
             if full {
                 client.ask(1, &booking("00000000000000b1", "3000"), b"pay").expect("sent");
-                asked(&fleet.origin);
+                next_request(&fleet.origin);
             } else {
-                let fields =
-                    [("c", "video"), ("i", "00000000000000e1"), ("o", OF_A), ("d", "400"), ("m", "20")];
+                let fields = [
+                    ("c", "video"),
+                    ("i", "00000000000000e1"),
+                    ("o", OBJECT_OF_A),
+                    ("d", "400"),
+                    ("m", "20"),
+                ];
                 client.ask(1, &fields, b"").expect("sent");
-                asked(&fleet.a);
+                next_request(&fleet.a);
             }
-            stand_still(&fleet.router);
-            let all = [&fleet.a, &fleet.b, &fleet.parent, &fleet.origin];
-            left_over_at(&all);
-            let _client = leave(client, manner, &[1]);
+            pause_process(&fleet.router);
+            let servers = [&fleet.a, &fleet.b, &fleet.parent, &fleet.origin];
+            count_unread_requests_at(&servers);
+            let _client = disconnect(client, how, &[1]);
             thread::sleep(Duration::from_millis(200));
-            go_on(&fleet.router);
-            assert_eq!(left_over_at(&all), 0, "{manner}, full: {full}");
+            resume_process(&fleet.router);
+            assert_eq!(count_unread_requests_at(&servers), 0, "{how:?}, full: {full}");
         }
     }
 }
 
 // ---- The shield.
 
-/// A fill that waits at the shield ends with its client, also where nothing may be called off: it does not wait out its
-/// time there, in the place of others.
+/// A fill that is queued at the shield ends when its client cancels, also where attempts may not be
+/// cancelled. It must not stay queued until it times out, where it takes capacity from other fills.
 #[test]
-fn a_fill_that_waits_at_the_shield_ends_with_its_client() {
+fn a_fill_queued_at_the_shield_ends_when_its_client_cancels() {
     let mut fleet = ProcessCluster::two_hubs(env!("CARGO_BIN_EXE_linnethook"), 1, CacheServerConfig::new)
         .expect("a fleet");
     fleet.node("cache-0").script().add(Fault::Silent, When::Count { after: 0, most: 1_000 });
     let operator = operator_file(1, "south", "extended = True");
-    let address = fleet.start_router("n0", Some(&operator), no_cancel).expect("a router");
+    let address = fleet.start_router("n0", Some(&operator), forbid_cancel).expect("a router");
     let mut clients = [0, 1].map(|_| Client::connect(address).expect("a connection"));
     for (n, client) in clients.iter_mut().enumerate() {
         for stream in 1..=4 {
@@ -258,78 +280,79 @@
     }
     (1..=4).for_each(|stream| clients[1].give_up(stream).expect("sent"));
     let shown = ["hierarchy", "show"];
-    fleet.until("n0", &shown, "none waits", |shown| shown["waiting_fills"] == 0).expect("shown");
+    fleet.until("n0", &shown, "no queued fill", |shown| shown["waiting_fills"] == 0).expect("shown");
     let counts = fleet.asked("n0", &shown).expect("shown")["counts"].clone();
     let count = |name: &str| counts[name].as_u64().expect("a number");
     assert_eq!(count("waited"), 4, "{counts}");
-    // A machine that stands still may let one of them wait out its time.
+    // On a stalled machine one of them may time out first.
     assert!(count("over_time") < 4, "{counts}");
 }
 
-// ---- As a share, under load.
+// ---- Under load.
 
-/// The longest time for which this machine let a thread sleep beyond what it asked for.
-struct Pulse {
-    over: Arc<AtomicBool>,
-    worst: Arc<AtomicU64>,
+/// Measures by how much this machine oversleeps a thread at the most.
+struct OversleepProbe {
+    stop: Arc<AtomicBool>,
+    worst_ms: Arc<AtomicU64>,
 }
 
-impl Pulse {
+impl OversleepProbe {
     fn start() -> Self {
-        let pulse = Self { over: Arc::default(), worst: Arc::default() };
-        let (over, worst) = (pulse.over.clone(), pulse.worst.clone());
+        let probe = Self { stop: Arc::default(), worst_ms: Arc::default() };
+        let (stop, worst_ms) = (probe.stop.clone(), probe.worst_ms.clone());
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
-                let begun = Instant::now();
+            while !stop.load(Ordering::Relaxed) {
+                let started = Instant::now();
                 thread::sleep(Duration::from_millis(5));
-                let late = begun.elapsed().saturating_sub(Duration::from_millis(5));
-                worst.fetch_max(late.as_millis() as u64, Ordering::Relaxed);
+                let late = started.elapsed().saturating_sub(Duration::from_millis(5));
+                worst_ms.fetch_max(late.as_millis() as u64, Ordering::Relaxed);
             }
         });
-        pulse
+        probe
     }
 
-    fn end(&self) -> f64 {
-        self.over.store(true, Ordering::Relaxed);
-        self.worst.load(Ordering::Relaxed) as f64
+    /// The worst delay so far, in milliseconds.
+    fn finish(&self) -> f64 {
+        self.stop.store(true, Ordering::Relaxed);
+        self.worst_ms.load(Ordering::Relaxed) as f64
     }
 }
 
-/// What a stand-in does about each request in turn, and the record of when all that reached it came to this machine.
-fn noting(
+/// Records each request of a server with its arrival time, and answers by the request's number.
+fn recording_handler(
     record: &Recording,
-    at: &'static str,
+    server: &'static str,
     answer: impl Fn(u64) -> Option<Answer> + Send + Sync + 'static,
-) -> Heeds {
+) -> RequestHandler {
     let (record, count) = (record.clone(), AtomicU64::new(0));
     Arc::new(move |arrived_at, id: &str, fields: &Fields| {
         let attempt = count.fetch_add(1, Ordering::Relaxed);
         let (id, object, router) = (id.to_string(), fields["obj"].clone(), Some("n0".to_string()));
-        let asked = Asked { at: at.to_string(), id, object, router, ..Asked::default() };
+        let asked = Asked { at: server.to_string(), id, object, router, ..Asked::default() };
         record.note_at(arrived_at, RecordedEvent::Asked { attempt, asked });
         answer(attempt)
     })
 }
 
-/// What one client does next.
+/// What a client does next.
 #[derive(Debug, Clone, Copy)]
-enum Does {
-    Asks,
-    Leaves,
+enum Action {
+    Request,
+    Disconnect,
 }
 
-/// One client, and which of its requests are open.
-struct Visitor {
+/// A client with its open requests, as stream and number.
+struct LoadClient {
     client: Option<Client>,
     open: Vec<(u32, u64)>,
-    last: u32,
+    last_stream: u32,
 }
 
-impl Visitor {
-    fn ask(&mut self, record: &Recording, request: u64, chance: &mut Pcg64Mcg) {
+impl LoadClient {
+    fn ask(&mut self, record: &Recording, request: u64, random: &mut Pcg64Mcg) {
         let Some(client) = &mut self.client else { return };
-        self.last += 1;
-        let (id, object) = (format!("{request:016x}"), format!("{:016x}", chance.random_range(1..500u64)));
+        self.last_stream += 1;
+        let (id, object) = (format!("{request:016x}"), format!("{:016x}", random.random_range(1..500u64)));
         let deadline = now() + 3_000.0;
         let harmful = request.is_multiple_of(3);
         let (router, asked) = ("n0".to_string(), object.clone());
@@ -344,106 +367,113 @@
         });
         let class = if harmful { "booking" } else { "video" };
         let fields = [("c", class), ("i", id.as_str()), ("o", object.as_str()), ("d", "3000"), ("m", "20")];
-        client.ask(self.last, &fields, b"").expect("sent");
-        self.open.push((self.last, request));
+        client.ask(self.last_stream, &fields, b"").expect("sent");
+        self.open.push((self.last_stream, request));
     }
 
-    /// Leaves, and what stays of its connection.
-    fn leave(&mut self, record: &Recording, manner: &str) -> Option<Client> {
+    /// Records the answers so far and disconnects; returns what keeps its connection open, if anything.
+    fn disconnect(&mut self, record: &Recording, how: Disconnect) -> Option<Client> {
         let mut client = self.client.take()?;
-        client.stream.set_nonblocking(true).expect("no waiting");
-        // What has been answered by now is not waited for.
+        client.stream.set_nonblocking(true).expect("non-blocking");
+        // Answers that have arrived do not count as abandoned.
         while let Ok(frame) = client.read() {
             if let Some(n) = self.open.iter().position(|(stream, _)| *stream == frame.stream) {
                 let (_, request) = self.open.swap_remove(n);
                 record.note(RecordedEvent::Final { request, code: frame.code, dated: None });
             }
         }
-        client.stream.set_nonblocking(false).expect("waiting again");
+        client.stream.set_nonblocking(false).expect("blocking");
         for (_, request) in &self.open {
             record.note(RecordedEvent::Released { request: *request });
         }
         let streams: Vec<u32> = self.open.iter().map(|(stream, _)| *stream).collect();
-        leave(client, manner, &streams)
+        disconnect(client, how, &streams)
     }
 }
 
-/// 200 clients with hung and full caches, a connect that comes up late, and bookings that are tried again all the
-/// time; half of them leave one by one, the others in one burst. Where it is `busy`, a page of purges comes just then.
-fn evening(seed: u64, busy: bool, may_cancel: bool) -> (DisconnectedClients, RuleBounds) {
-    let (record, door) = (Recording::default(), Late::new());
+/// 200 clients with hung and full caches, connections that are established late, and bookings that are
+/// retried all the time. Half of the clients disconnect one by one, the others in one burst; if `busy`, with
+/// many purges just before it.
+fn disconnects_under_load(seed: u64, busy: bool, may_cancel: bool) -> (DisconnectedClients, RuleBounds) {
+    let (record, pending) = (Recording::default(), PendingListener::new());
     let hung = |n: u64| match n % 3 {
         0 => None,
         1 => Some(Answer::with_status("full")),
         _ => Some(Answer::data(vec![7; 60_000])),
     };
     let listener = || TcpListener::bind("127.0.0.1:0").expect("an address");
-    let b = serve(listener(), noting(&record, "cache-b", hung));
-    let parent = serve(listener(), noting(&record, "parent", |_| Some(Answer::with_status("absent"))));
-    let origin = serve(listener(), noting(&record, "origin", |_| Some(Answer::with_status("full"))));
-    let targets = all(door.address, b, parent, origin);
-    let known = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
-    let journal = Journal::start("127.0.0.1:0", known).expect("the journal listens");
+    let b = serve(listener(), recording_handler(&record, "cache-b", hung));
+    let parent =
+        serve(listener(), recording_handler(&record, "parent", |_| Some(Answer::with_status("absent"))));
+    let origin =
+        serve(listener(), recording_handler(&record, "origin", |_| Some(Answer::with_status("full"))));
+    let targets = ready_endpoints(pending.address, b, parent, origin);
+    let events = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
+    let journal = Journal::start("127.0.0.1:0", events).expect("the journal listens");
     let change = |config: &mut Value| config["settings"]["allowed"]["may-cancel"] = json!(may_cancel);
     let router = Router::start_with(&journal, change, None, None);
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let mut visitors: Vec<Visitor> =
-        (0..200).map(|_| Visitor { client: Some(router.client()), open: Vec::new(), last: 0 }).collect();
-    let mut script: Vec<(u64, usize, Does)> = Vec::new();
-    for n in 0..visitors.len() {
-        script.extend((0..4).map(|_| (chance.random_range(0..800u64), n, Does::Asks)));
-        let at = if n % 2 == 0 { 850 } else { chance.random_range(50..1_200u64) };
-        script.push((at, n, Does::Leaves));
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
+    let mut clients: Vec<LoadClient> = (0..200)
+        .map(|_| LoadClient { client: Some(router.client()), open: Vec::new(), last_stream: 0 })
+        .collect();
+    let mut script: Vec<(u64, usize, Action)> = Vec::new();
+    for n in 0..clients.len() {
+        script.extend((0..4).map(|_| (random.random_range(0..800u64), n, Action::Request)));
+        let at = if n % 2 == 0 { 850 } else { random.random_range(50..1_200u64) };
+        script.push((at, n, Action::Disconnect));
     }
     script.sort_by_key(|(at, ..)| *at);
-    let (pulse, begun) = (Pulse::start(), Instant::now());
-    let (mut door, mut busy) = (Some(door), busy);
-    let (mut request, mut clients_left) = (0, Vec::new());
-    for (at, n, does) in script {
-        while begun.elapsed() < Duration::from_millis(at) {
+    let (probe, started) = (OversleepProbe::start(), Instant::now());
+    let (mut pending, mut purges_due) = (Some(pending), busy);
+    let (mut request, mut disconnected) = (0, Vec::new());
+    for (at, n, action) in script {
+        while started.elapsed() < Duration::from_millis(at) {
             thread::sleep(Duration::from_millis(1));
         }
         if at >= 500 {
-            door.take().map(|door| serve(door.opened(), noting(&record, "cache-a", hung)));
+            pending
+                .take()
+                .map(|pending| serve(pending.into_listener(), recording_handler(&record, "cache-a", hung)));
         }
-        if busy && at >= 840 {
-            busy = false;
+        if purges_due && at >= 840 {
+            purges_due = false;
             (0..20_000u32).for_each(|n| {
                 journal.publish(json!({"expire": {"name": format!("{n:016x}"), "stamp": 1}}));
             });
         }
-        match does {
-            Does::Asks => {
+        match action {
+            Action::Request => {
                 request += 1;
-                visitors[n].ask(&record, request, &mut chance);
+                clients[n].ask(&record, request, &mut random);
             }
-            Does::Leaves => clients_left.push(visitors[n].leave(&record, MANNERS[(n / 2) % 4])),
+            Action::Disconnect => disconnected.push(clients[n].disconnect(&record, DISCONNECTS[(n / 2) % 4])),
         }
     }
     thread::sleep(Duration::from_millis(2_500));
-    let rules = RuleBounds { slack: 50.0 + pulse.end(), ..RuleBounds::default() };
-    drop(clients_left);
+    let rules = RuleBounds { slack: 50.0 + probe.finish(), ..RuleBounds::default() };
+    drop(disconnected);
     (disconnected_clients(&record.lines(), &rules), rules)
 }
 
-/// Of the requests whose clients left while they waited, none is sent on: not even later than the 0.1 s.
+/// No request whose client disconnects while it is queued is sent to a cache more than 0.1 s later.
 #[test]
-fn of_many_that_leave_under_load_nothing_is_sent_on() {
-    let mut worst = Vec::new();
+fn no_request_is_sent_for_any_of_many_clients_that_disconnect_under_load() {
+    let mut breaches = Vec::new();
     for (seed, busy, may_cancel) in [(1, false, true), (2, false, false), (3, true, true), (4, true, false)] {
-        let (seen, rules) = evening(seed, busy, may_cancel);
+        let (found, rules) = disconnects_under_load(seed, busy, may_cancel);
         println!(
-            "seed {seed} busy {busy} may cancel {may_cancel}: {} left waiting, {} sent on after 0.1 s, \
+            "seed {seed} busy {busy} may cancel {may_cancel}: {} abandoned, {} sent after 0.1 s, \
              {} after 0.3 s; slack {:.0} ms",
-            seen.cases,
-            seen.sent_on.len(),
-            seen.sent_on_late.len(),
+            found.cases,
+            found.sent_on.len(),
+            found.sent_on_late.len(),
             rules.slack
         );
-        seen.sent_on.iter().take(5).for_each(|breach| println!("    {breach}"));
-        // Whether a request has its answer when its client leaves goes by how fast this machine is.
-        assert!(seen.cases >= 20, "{}", seen.cases);
-        worst.extend(seen.sent_on);
+        found.sent_on.iter().take(5).for_each(|breach| println!("    {breach}"));
+        // How many requests are answered before their client disconnects depends on the speed of this
+        // machine.
+        assert!(found.cases >= 20, "{}", found.cases);
+        breaches.extend(found.sent_on);
     }
-    assert!(worst.is_empty(), "{} sent on", worst.len());
+    assert!(breaches.is_empty(), "{} requests sent", breaches.len());
 }
--- a/crates/router/tests/command_output.rs
+++ b/crates/router/tests/command_output.rs
@@ -1,4 +1,5 @@
-//! What the commands that ask a router, or read audit logs, send and print: in golden text, with their exit codes.
+//! The requests and the output of the commands that query a router or read audit logs, as golden texts with
+//! the exit codes.
 
 #[path = "unit/golden.rs"]
 mod golden;
@@ -22,7 +23,7 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 const CONTROL_BYTES: &str = include_str!("golden/control_bytes.txt");
 
-/// A directory of one test.
+/// A temporary directory of one test.
 struct Directory(PathBuf);
 
 impl Directory {
@@ -36,7 +37,7 @@
         self.0.join(name)
     }
 
-    /// The exit code and the output of the program, with the directory's path taken out.
+    /// The exit code and the output of the program, with the directory's path replaced by `DIRECTORY`.
     fn run(&self, arguments: &[&str]) -> String {
         let mut command = Command::new(PROGRAM);
         command.args(arguments).stdin(Stdio::null()).current_dir(&self.0);
@@ -56,7 +57,7 @@
     }
 }
 
-/// The bytes of a message in the fixture of the control socket; of several with one name the first.
+/// The bytes of a message in the fixture of the control socket; the first one if several have that name.
 fn message(name: &str) -> Vec<u8> {
     let prefix = format!("answer {name}: ");
     let line = CONTROL_BYTES.lines().find_map(|line| line.strip_prefix(&prefix));
@@ -70,7 +71,8 @@
     [&(bytes.len() as u32).to_be_bytes()[..], bytes].concat()
 }
 
-/// A router that answers one connection after another with these bytes; returns the requests, in hexadecimal.
+/// A router's control socket that gives one of these responses to each connection in turn; returns the
+/// requests in hexadecimal.
 fn serve(socket: &Path, responses: Vec<Vec<u8>>) -> thread::JoinHandle<Vec<String>> {
     let listener = UnixListener::bind(socket).expect("a socket");
     thread::spawn(move || {
@@ -90,16 +92,16 @@
     })
 }
 
-/// Ends a server; what it was asked.
+/// Stops a server and returns its requests.
 fn requests(socket: &Path, server: thread::JoinHandle<Vec<String>>) -> String {
-    // The command may have asked less than there are responses for.
+    // Unblocks the server if the command has sent fewer requests than there are responses.
     let _ = UnixStream::connect(socket);
     let requests = server.join().expect("the server has ended");
-    std::fs::remove_file(socket).expect("the socket is there");
+    std::fs::remove_file(socket).expect("the socket exists");
     format!("requests: {}\n", requests.join(" "))
 }
 
-/// Runs a command in text and in JSON against a router that gives these responses.
+/// Runs a command with text and with JSON output against a router that gives these responses.
 fn session(directory: &Directory, arguments: &[&str], responses: &[Vec<u8>]) -> String {
     let mut out = String::new();
     for format in ["text", "json"] {
@@ -113,7 +115,7 @@
 }
 
 #[test]
-fn commands_send_and_print_the_same() {
+fn commands_send_and_print_the_same_bytes() {
     let directory = Directory::new("control");
     std::fs::write(directory.path("changes.star"), "remove(\"nobody\")").expect("written");
     let cases: &[(&[&str], &[&str])] = &[
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn responses_that_cannot_be_used_are_reported_by_the_same_text() {
+fn invalid_responses_are_reported_with_the_same_text() {
     let directory = Directory::new("responses");
     let cases = [
         ("no response", Vec::new()),
@@ -174,7 +176,7 @@
 }
 
 #[test]
-fn a_batch_is_passed_on_to_each_router() {
+fn a_batch_is_sent_to_each_router() {
     let directory = Directory::new("several");
     std::fs::write(directory.path("changes.star"), "remove(\"nobody\")").expect("written");
     let mut out = String::new();
@@ -223,7 +225,7 @@
     }
 }
 
-/// Actions of every kind, with nodes of known and of unknown names.
+/// Actions of every kind, at nodes with and without a known name.
 fn every_action() -> Vec<AuditedAction> {
     let mut actions = vec![
         AuditedAction::Attempt { target: 3 },
@@ -264,7 +266,7 @@
     (1..).zip(records).map(link).collect()
 }
 
-/// Logs of two routers that hold together.
+/// Complete and consistent logs of two routers.
 fn complete_logs() -> Vec<ChainLink> {
     let fill = || vec![AuditedAction::Fill { child: 3, source: 4 }];
     let mut second = span(2_000, 3_000, 5, every_action());
@@ -287,8 +289,8 @@
     [chain("r0", 1_000, r0), chain("r1", 1_100, r1)].concat()
 }
 
-/// The same with a record that is missing, one of an unknown version, two for one place, one that does not follow, and a
-/// log without an end.
+/// The same with a missing record, a record of an unknown version, two records with one number, a broken hash
+/// chain, and a log without an end.
 fn faulty_logs() -> Vec<ChainLink> {
     let started = |ms: u64| Record::Started { at: at(ms), wall_clock: ms as f64 };
     let spans = |from: u64| (0..4).map(move |n| span(from + n * 10, from + n * 10 + 10, 4, Vec::new()));
@@ -313,7 +315,7 @@
 }
 
 #[test]
-fn audit_commands_print_the_same() {
+fn audit_commands_print_the_same_text() {
     let directory = Directory::new("audit");
     let cases: &[&[&str]] = &[
         &["who", "4"],
@@ -341,7 +343,7 @@
         let content = write_file(&links);
         std::fs::write(directory.path(name), &content).expect("written");
         for arguments in cases {
-            // The spans of one version are enough in JSON, which is long.
+            // JSON output is long: the spans of one version are enough.
             let is_long = arguments[0] == "who" && arguments[1] != "journal:70005";
             let formats = if is_long { &["text"][..] } else { &["text", "json"] };
             for format in formats {
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -1,8 +1,8 @@
-//! The router as a process, between stand-ins for all that it talks to.
+//! The router as a process, with servers of the test in place of everything that it connects to.
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
-pub mod shut;
-pub mod timed;
+pub mod pending_connections;
+pub mod timestamped_server;
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, ErrorKind, Read};
@@ -22,8 +22,8 @@
 use serde_json::{json, Value};
 use socket2::{Domain, Socket, Type};
 
-/// Longer than anything that is waited for; a test that needs it has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any event of a test takes; a test that reaches it has failed.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub type Fields = HashMap<String, String>;
 
@@ -40,18 +40,18 @@
     pub address: SocketAddr,
     child: Child,
     log: Receiver<String>,
-    /// After the next line nobody reads it any more.
+    /// Set once the log's reader is to exit after the next line.
     log_closed: Arc<AtomicBool>,
     config: PathBuf,
     settings: Value,
 }
 
-/// A stand-in that answers as `answer` says.
+/// A cache or origin whose answers come from a function; `None` leaves a request unanswered.
 pub fn cache(answer: impl Fn(&str, &Fields, &[u8]) -> Option<Answer> + Send + Sync + 'static) -> Cache {
-    Cache::start("127.0.0.1:0", Arc::new(answer)).expect("a stand-in listens")
+    Cache::start("127.0.0.1:0", Arc::new(answer)).expect("the server listens")
 }
 
-/// One that answers everything at once: what was asked, and by whom.
+/// A server that answers each request at once, with its own name and what was requested.
 pub fn echo(name: &'static str) -> Cache {
     cache(move |id, fields, body| {
         let mut out = format!("{name} {id} {} {} ", fields["obj"], fields["seg"]).into_bytes();
@@ -60,12 +60,13 @@
     })
 }
 
-/// One that leaves everything open.
-pub fn holding() -> Cache {
+/// A server whose requests stay open until the test answers them.
+pub fn manual() -> Cache {
     cache(|_, _, _| None)
 }
 
-pub fn host(uid: &str, address: SocketAddr, state: &str) -> Value {
+/// One entry of the endpoint list.
+pub fn endpoint(uid: &str, address: SocketAddr, state: &str) -> Value {
     let (zone, kind) = match uid {
         "cache-a" | "cache-b" => ("shop", "box"),
         "parent" => ("hub", "hub-box"),
@@ -75,8 +76,8 @@
            "state": state, "capacity_hint": 8, "boot_ms": 0})
 }
 
-/// An address at which nobody listens; it stays taken as long as the socket lives.
-pub fn nobody() -> (Socket, SocketAddr) {
+/// An address without a listener; it stays bound as long as the socket lives.
+pub fn unused_address() -> (Socket, SocketAddr) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
     socket.bind(&any.into()).expect("an address");
@@ -88,83 +89,81 @@
     fleet_of(echo("a"), echo("b"), echo("origin"))
 }
 
-/// A fleet whose router may open few descriptors, with caches that leave everything open.
-pub fn narrow_fleet(sockets: usize) -> Fleet {
-    fleet_with(holding(), holding(), echo("origin"), sockets)
+/// A fleet whose router may open few sockets, with caches that the test answers for.
+pub fn fleet_with_socket_limit(sockets: usize) -> Fleet {
+    start_fleet(manual(), manual(), echo("origin"), sockets, None)
 }
 
-pub fn narrow_fleet_of(sockets: usize, a: Cache, b: Cache) -> Fleet {
-    fleet_with(a, b, echo("origin"), sockets)
+/// The same with other caches.
+pub fn fleet_with_socket_limit_of(sockets: usize, a: Cache, b: Cache) -> Fleet {
+    start_fleet(a, b, echo("origin"), sockets, None)
 }
 
 pub fn fleet_of(a: Cache, b: Cache, origin: Cache) -> Fleet {
-    fleet_with(a, b, origin, 1024)
+    start_fleet(a, b, origin, 1024, None)
 }
 
 /// A fleet whose router has an operator file.
-pub fn operated_fleet(operator: &str) -> Fleet {
-    fleet_by(echo("a"), echo("b"), echo("origin"), 1024, Some(operator))
+pub fn fleet_with_operator_file(operator: &str) -> Fleet {
+    start_fleet(echo("a"), echo("b"), echo("origin"), 1024, Some(operator))
 }
 
-/// A fleet whose router is given fewer descriptors than its configuration says, once it runs.
-pub fn short_fleet(descriptors: u64) -> Fleet {
+/// A fleet whose router gets fewer descriptors than its configuration allows, from after its start.
+pub fn fleet_with_descriptor_limit(descriptors: u64) -> Fleet {
     let fleet = fleet();
     fleet.router.lower_descriptors(descriptors);
     fleet
 }
 
-fn fleet_with(a: Cache, b: Cache, origin: Cache, sockets: usize) -> Fleet {
-    fleet_by(a, b, origin, sockets, None)
-}
-
-fn fleet_by(a: Cache, b: Cache, origin: Cache, sockets: usize, operator: Option<&str>) -> Fleet {
+fn start_fleet(a: Cache, b: Cache, origin: Cache, sockets: usize, operator: Option<&str>) -> Fleet {
     let parent = echo("parent");
     let targets = [
-        host("cache-a", a.address, "Ready"),
-        host("cache-b", b.address, "Ready"),
-        host("parent", parent.address, "Ready"),
-        host("origin", origin.address, "Ready"),
+        endpoint("cache-a", a.address, "Ready"),
+        endpoint("cache-b", b.address, "Ready"),
+        endpoint("parent", parent.address, "Ready"),
+        endpoint("origin", origin.address, "Ready"),
     ];
-    let known = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
-    let journal = Journal::start("127.0.0.1:0", known).expect("the journal listens");
+    let events = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
+    let journal = Journal::start("127.0.0.1:0", events).expect("the journal listens");
     let router = Router::start(&journal, sockets, operator, None);
     Fleet { a, b, parent, origin, journal, router }
 }
 
-/// An address whose door is shut: connections to it begin and do not come up, until it is opened.
-pub struct Late {
+/// A listener with a full backlog: connections to it stay pending until it accepts them.
+pub struct PendingListener {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// What takes the one place that there is before the door.
-    _waiting: TcpStream,
+    /// The connection that fills the backlog.
+    _first: TcpStream,
 }
 
-impl Late {
+impl PendingListener {
     pub fn new() -> Self {
         let listener = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
         listener.bind(&any.into()).expect("an address");
         listener.listen(0).expect("it listens");
         let listener = TcpListener::from(listener);
-        let address = listener.local_addr().expect("its address");
-        let _waiting = TcpStream::connect(address).expect("the first one finds a place");
-        Self { address, listener, _waiting }
+        let address = listener.local_addr().expect("a bound address");
+        let _first = TcpStream::connect(address).expect("the first connection is established");
+        Self { address, listener, _first }
     }
 
-    /// Takes in whoever waits, and whoever comes; its first connection is that of nobody.
+    /// Accepts the pending connections and all later ones. The first of them is the one that filled the
+    /// backlog.
     ///
-    /// From here on there is room before the door. Where the place is taken again and again, the system tells both sides
-    /// different things: a connection is up for who has made it and takes what is written, which is told to this side up
-    /// to seconds later, or never. A request would seem to have been sent when it came in.
-    pub fn open(
+    /// The backlog is large from here on. While it overflows, the two ends of a connection differ: the
+    /// connecting end has it established and can write, and the listening end gets those bytes up to seconds
+    /// later, or never. A request would appear to have been sent when it arrived.
+    pub fn accept_connections(
         self,
         answer: impl Fn(&str, &Fields, &[u8]) -> Option<Answer> + Send + Sync + 'static,
     ) -> Cache {
-        Cache::serve(self.opened(), Arc::new(answer)).expect("a stand-in listens")
+        Cache::serve(self.into_listener(), Arc::new(answer)).expect("the server listens")
     }
 
-    /// Its listener, with room for whoever comes.
-    pub fn opened(self) -> TcpListener {
+    /// The listener, with a large backlog.
+    pub fn into_listener(self) -> TcpListener {
         let listener = Socket::from(self.listener);
         listener.listen(1_024).expect("it listens");
         listener.into()
@@ -177,7 +176,7 @@
         Self::start_with(journal, sockets, operator, descriptors)
     }
 
-    /// Starts one whose configuration is the example's, changed.
+    /// Starts a router whose configuration is the example's with changes. `descriptors` is its system limit.
     pub fn start_with(
         journal: &Journal,
         change: impl FnOnce(&mut Value),
@@ -188,7 +187,7 @@
             .unwrap_or_else(|log_lines| panic!("{log_lines:?}"))
     }
 
-    /// The same, or what one that does not start has said.
+    /// The same; if the router exits before it listens, its log lines.
     pub fn try_start(
         journal: &Journal,
         change: impl FnOnce(&mut Value),
@@ -208,9 +207,9 @@
         let program = env!("CARGO_BIN_EXE_linnethook");
         let mut command = match descriptors {
             None => Command::new(program),
-            Some(most) => {
+            Some(limit) => {
                 let mut shell = Command::new("sh");
-                shell.args(["-c", &format!("ulimit -n {most} && exec {program}")]);
+                shell.args(["-c", &format!("ulimit -n {limit} && exec {program}")]);
                 shell
             }
         };
@@ -225,7 +224,7 @@
             .stderr(Stdio::piped())
             .spawn()
             .expect("the router starts");
-        let stderr = child.stderr.take().expect("its log");
+        let stderr = child.stderr.take().expect("the router's standard error");
         let (sender, log) = channel();
         let log_closed = Arc::new(AtomicBool::new(false));
         let closed = log_closed.clone();
@@ -240,10 +239,12 @@
         });
         let mut log_lines = Vec::new();
         let address = loop {
-            match log.recv_timeout(PATIENCE) {
+            match log.recv_timeout(TEST_TIMEOUT) {
                 Ok(line) if line.contains("listens on") => break line,
                 Ok(line) => log_lines.push(line),
-                Err(RecvTimeoutError::Timeout) => panic!("it neither starts nor ends"),
+                Err(RecvTimeoutError::Timeout) => {
+                    panic!("the router neither listens nor exits: {log_lines:?}")
+                }
                 Err(RecvTimeoutError::Disconnected) => {
                     assert_eq!(child.wait().ok().and_then(|end| end.code()), Some(1), "{log_lines:?}");
                     let _ = std::fs::remove_file(path);
@@ -253,7 +254,7 @@
         };
         let address = address.rsplit(' ').next().and_then(|address| address.parse().ok());
         Ok(Self {
-            address: address.expect("its address"),
+            address: address.expect("a bound address"),
             child,
             log,
             log_closed,
@@ -274,20 +275,20 @@
         kill(self.process_id(), signal).expect("a signal is sent");
     }
 
-    /// Has the system give it no more descriptors than that from here on; those that it has it keeps.
-    pub fn lower_descriptors(&self, most: u64) {
+    /// Lowers the system's descriptor limit of the running process; open descriptors stay open.
+    pub fn lower_descriptors(&self, limit: u64) {
         let maximum = getrlimit(Resource::Nofile).maximum;
         let id = rustix::process::Pid::from_raw(self.process_id().as_raw());
-        let limit = Rlimit { current: Some(most), maximum };
+        let limit = Rlimit { current: Some(limit), maximum };
         prlimit(id, Resource::Nofile, limit).expect("the limit is set");
     }
 
-    /// The counters as it prints them, and the lines of the log before them.
+    /// The counters as the router prints them, and the log lines before them.
     pub fn counters(&self) -> (HashMap<String, u64>, Vec<String>) {
         self.signal(Signal::SIGUSR1);
         let mut before = Vec::new();
         let line = loop {
-            let line = self.log.recv_timeout(PATIENCE).expect("a line of the log");
+            let line = self.log.recv_timeout(TEST_TIMEOUT).expect("a line of the log");
             if line.contains(" held_clients=") {
                 break line;
             }
@@ -297,13 +298,13 @@
         (pairs.filter_map(|(name, count)| Some((name.to_string(), count.parse().ok()?))).collect(), before)
     }
 
-    /// The line of the counters as it prints it.
+    /// The log line of the counters.
     pub fn counters_line(&self) -> String {
         self.signal(Signal::SIGUSR1);
-        self.logged(" held_clients=")
+        self.wait_for_log(" held_clients=")
     }
 
-    /// Writes the configuration anew, with another journal, and has it read.
+    /// Rewrites the configuration with another journal, and has the router reload it.
     pub fn reload(&mut self, journal: SocketAddr) {
         self.settings["journal"] = json!(journal.to_string());
         let text = self.settings.to_string();
@@ -315,26 +316,26 @@
         self.signal(Signal::SIGHUP);
     }
 
-    /// Writes the operator file anew and has it read.
+    /// Rewrites the operator file and has the router reload it.
     pub fn rewrite_operator(&mut self, text: &str) {
         std::fs::write(self.config.with_extension("star"), text).expect("an operator file is written");
         self.signal(Signal::SIGHUP);
     }
 
-    /// The next line of the log with that in it.
-    pub fn logged(&self, part: &str) -> String {
+    /// Waits for the next log line that contains a text.
+    pub fn wait_for_log(&self, part: &str) -> String {
         wait(&self.log, |line: &String| line.contains(part))
     }
 
-    /// Whoever read the log is gone.
+    /// Closes the reading end of the log.
     pub fn close_log(&mut self) {
         self.log_closed.store(true, Ordering::Relaxed);
         self.signal(Signal::SIGUSR1);
-        let _ = self.logged("counters");
+        let _ = self.wait_for_log("counters");
     }
 
-    pub fn ended(&mut self) -> ExitStatus {
-        self.child.wait().expect("the router ends")
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        self.child.wait().expect("the router exits")
     }
 }
 
@@ -347,75 +348,75 @@
     }
 }
 
-/// Waits for what fits, and passes over all before it.
-pub fn wait<T>(from: &Receiver<T>, fits: impl Fn(&T) -> bool) -> T {
+/// Waits for an item that matches, and skips all before it.
+pub fn wait<T>(from: &Receiver<T>, matches: impl Fn(&T) -> bool) -> T {
     loop {
-        let next = from.recv_timeout(PATIENCE).expect("it comes in time");
-        if fits(&next) {
+        let next = from.recv_timeout(TEST_TIMEOUT).expect("a matching item within the time-out");
+        if matches(&next) {
             return next;
         }
     }
 }
 
-/// The next request that a stand-in was sent.
-pub fn asked(cache: &Cache) -> (usize, String, Fields, Vec<u8>) {
+/// Waits for the next request at a server: its connection, id, fields and body.
+pub fn next_request(cache: &Cache) -> (usize, String, Fields, Vec<u8>) {
     match wait(&cache.events, |event| matches!(event, CacheEvent::Request { .. })) {
         CacheEvent::Request { connection, id, fields, body } => (connection, id, fields, body),
         other => panic!("not a request: {other:?}"),
     }
 }
 
-/// Idle clients that fill whatever they are given: all come at once, each asks whether the router is ready and has
-/// nothing more to say, and who is closed comes again.
-pub struct Crowd {
-    over: Arc<AtomicBool>,
+/// Idle clients that use up all connections that the router allows: all connect at once, each asks whether
+/// the router is ready and then stays idle, and one whose connection is closed reconnects.
+pub struct IdleClients {
+    stop: Arc<AtomicBool>,
     thread: Option<thread::JoinHandle<()>>,
 }
 
-impl Crowd {
+impl IdleClients {
     pub fn start(address: SocketAddr, count: usize) -> Self {
-        let over = Arc::new(AtomicBool::new(false));
-        let ends = over.clone();
-        let come = move || {
+        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = stop.clone();
+        let connect = move || {
             let mut client = Client::connect(address).ok()?;
             client.ask_ready(1).ok()?;
             client.stream.set_nonblocking(true).ok()?;
             Some(client)
         };
-        // Those that come first are there before anything else is done.
-        let mut clients: Vec<Option<Client>> = (0..count).map(|_| come()).collect();
+        // All have connected once when this function returns.
+        let mut clients: Vec<Option<Client>> = (0..count).map(|_| connect()).collect();
         let thread = thread::spawn(move || {
             let mut block = [0; 256];
-            while !ends.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 for client in &mut clients {
-                    let has_left =
+                    let is_closed =
                         client.as_mut().is_none_or(|client| match client.stream.read(&mut block) {
                             Ok(n) => n == 0,
                             Err(error) => error.kind() != ErrorKind::WouldBlock,
                         });
-                    if has_left {
-                        *client = come();
+                    if is_closed {
+                        *client = connect();
                     }
                 }
                 thread::sleep(Duration::from_millis(5));
             }
         });
-        Self { over, thread: Some(thread) }
+        Self { stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleClients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// The next request that either was sent, and whether the first one was.
-pub fn asked_either<'a>(a: &'a Cache, b: &'a Cache) -> (&'a Cache, &'a Cache, usize, String) {
-    let until = std::time::Instant::now() + PATIENCE;
+/// Waits for the next request at either of two servers: its server, the other one, its connection and its id.
+pub fn next_request_at_either<'a>(a: &'a Cache, b: &'a Cache) -> (&'a Cache, &'a Cache, usize, String) {
+    let until = std::time::Instant::now() + TEST_TIMEOUT;
     while std::time::Instant::now() < until {
         for (one, other) in [(a, b), (b, a)] {
             if let Ok(CacheEvent::Request { connection, id, .. }) = one.events.try_recv() {
@@ -424,19 +425,19 @@
         }
         thread::yield_now();
     }
-    panic!("nobody was asked in time")
+    panic!("no request arrived within {TEST_TIMEOUT:?}")
 }
 
-/// The requests that a stand-in was sent and nobody has looked at, by connection and id.
-pub fn asks(cache: &Cache) -> Vec<(usize, String)> {
-    let ask = |event| match event {
+/// The requests at a server that the test has not read yet, by connection and id.
+pub fn unread_requests(cache: &Cache) -> Vec<(usize, String)> {
+    let request = |event| match event {
         CacheEvent::Request { connection, id, .. } => Some((connection, id)),
         _ => None,
     };
-    cache.events.try_iter().filter_map(ask).collect()
+    cache.events.try_iter().filter_map(request).collect()
 }
 
-/// Requests that a stand-in was sent and nobody has looked at.
-pub fn left_over(cache: &Cache) -> usize {
+/// How many requests at a server the test has not read yet.
+pub fn count_unread_requests(cache: &Cache) -> usize {
     cache.events.try_iter().filter(|event| matches!(event, CacheEvent::Request { .. })).count()
 }
--- a/crates/router/tests/endings.rs
+++ b/crates/router/tests/endings.rs
@@ -1,6 +1,7 @@
-//! What ends while something is owed: each crossing is made to happen by order, on the built program.
+//! Connections, endpoints, clients and processes that end while an answer is outstanding. Each race is
+//! produced on purpose, with the built program.
 //!
-//! `docs/endings.md` is the page to these tests.
+//! `docs/endings.md` describes these cases.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-use common::shut::*;
+use common::pending_connections::*;
 use common::*;
 use linnethook_quickstart::client::request;
 use linnethook_quickstart::{Answer, Cache, CacheEvent, Client, Journal};
@@ -17,260 +18,269 @@
 use socket2::SockRef;
 
 const SERVED: u8 = 1;
-const REFUSED: u8 = 2;
+const REJECTED: u8 = 2;
 const FAILED: u8 = 3;
 
-/// The tests below stand on it.
+/// The tests below depend on it.
 #[test]
-fn the_owners_are_those_that_these_tests_name() {
+fn objects_have_the_owners_that_these_tests_assume() {
     let fleet = fleet();
     let mut client = fleet.router.client();
-    for (stream, object, owner) in [(1, OF_A, "a "), (2, OF_B, "b ")] {
+    for (stream, object, owner) in [(1, OBJECT_OF_A, "a "), (2, OBJECT_OF_B, "b ")] {
         client.ask(stream, &video(&format!("{stream:016x}"), object), b"").expect("sent");
         let body = client.read().expect("an answer").body;
         assert!(body.starts_with(owner.as_bytes()), "{}", String::from_utf8_lossy(&body));
     }
 }
 
-// ---- What waits for a connection.
+// ---- Requests that wait for a connection.
 
-/// What waits for a cache that has gone, by a complete list or by its line, is sent elsewhere at once.
+/// A request that waits for a cache is sent elsewhere at once when the cache is removed, by a complete
+/// endpoint list or by an update of its entry.
 #[test]
-fn what_waits_for_a_cache_that_is_listed_no_more_is_not_sent_there() {
+fn a_request_that_waits_for_a_removed_cache_is_not_sent_there() {
     for complete in [true, false] {
-        let mut fleet = shut(|_| ());
-        let mut client = fleet.waiting();
-        let mut targets = fleet.hosts();
+        let mut fleet = pending_fleet(|_| ());
+        let mut client = fleet.client_with_pending_request();
+        let mut targets = fleet.endpoints();
         if complete {
             targets.remove(0);
         } else {
-            targets = vec![host("cache-a", fleet.at_the_door, "Gone")];
+            targets = vec![endpoint("cache-a", fleet.a_address, "Gone")];
         }
-        fleet.tell(json!({"hosts": {"rev": 2, "all": complete, "targets": targets}}));
+        fleet.publish(json!({"hosts": {"rev": 2, "all": complete, "targets": targets}}));
         assert!(fleet.remaining_requests().is_empty(), "complete: {complete}");
         assert!(client.read().expect("an answer").body.starts_with(b"b "));
     }
 }
 
-/// Another process answers at its address by now: what waits for the one before is not for it.
+/// After a restart another process listens at the cache's address: requests that wait for the earlier process
+/// are not for it.
 #[test]
-fn what_waits_for_a_cache_that_has_started_anew_is_not_sent_to_the_old_connection() {
-    let mut fleet = shut(|_| ());
-    let mut client = fleet.waiting();
-    let mut line = host("cache-a", fleet.at_the_door, "Ready");
-    line["boot_ms"] = json!(1_000);
-    fleet.tell(json!({"hosts": {"rev": 2, "all": false, "targets": [line]}}));
+fn a_request_that_waits_for_a_restarted_cache_is_not_sent_on_the_old_connection() {
+    let mut fleet = pending_fleet(|_| ());
+    let mut client = fleet.client_with_pending_request();
+    let mut entry = endpoint("cache-a", fleet.a_address, "Ready");
+    entry["boot_ms"] = json!(1_000);
+    fleet.publish(json!({"hosts": {"rev": 2, "all": false, "targets": [entry]}}));
     assert!(fleet.remaining_requests().is_empty());
     assert!(client.read().expect("an answer").body.starts_with(b"b "));
 }
 
-/// What waits for a connection and would be filled from a parent that has gone is not sent with that source.
+/// An attempt that waits for a connection is not sent with a fill source that has been removed meanwhile.
 #[test]
 fn a_queued_attempt_with_a_removed_source_is_replaced() {
-    let mut fleet = shut(|_| ());
-    let mut client = fleet.waiting();
-    let mut targets = fleet.hosts();
+    let mut fleet = pending_fleet(|_| ());
+    let mut client = fleet.client_with_pending_request();
+    let mut targets = fleet.endpoints();
     targets.remove(2);
-    fleet.tell(json!({"hosts": {"rev": 2, "all": true, "targets": targets}}));
+    fleet.publish(json!({"hosts": {"rev": 2, "all": true, "targets": targets}}));
     assert!(fleet.remaining_requests().is_empty());
     assert!(client.read().expect("an answer").body.starts_with(b"b "));
-    let (_, _, fields, _) = asked(&fleet.b);
+    let (_, _, fields, _) = next_request(&fleet.b);
     assert_eq!(fields["parent"], "origin");
 }
 
-/// A purge that is told while a request waits for its connection binds it as well.
+/// A purge that arrives while a request waits for its connection applies to that request too.
 #[test]
-fn what_waits_across_a_purge_accepts_no_copy_from_before_it() {
+fn a_request_that_waits_during_a_purge_accepts_no_older_copy() {
     for by_group in [false, true] {
-        let mut fleet = shut(|_| ());
-        let mut client = fleet.waiting();
-        let named = if by_group { json!({"set": 17, "stamp": 1}) } else { json!({"name": OF_A, "stamp": 1}) };
-        // Somebody else's purge takes nothing back.
-        fleet.tell(json!({"expire": {"set": 3, "stamp": 1}}));
+        let mut fleet = pending_fleet(|_| ());
+        let mut client = fleet.client_with_pending_request();
+        let purge =
+            if by_group { json!({"set": 17, "stamp": 1}) } else { json!({"name": OBJECT_OF_A, "stamp": 1}) };
+        // A purge of other objects does not affect the request.
+        fleet.publish(json!({"expire": {"set": 3, "stamp": 1}}));
         let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock");
-        let mut named = named;
-        named["stamp"] = json!(now.as_millis() as u64);
-        fleet.tell(json!({"expire": named}));
+        let mut purge = purge;
+        purge["stamp"] = json!(now.as_millis() as u64);
+        fleet.publish(json!({"expire": purge}));
         assert!(fleet.remaining_requests().is_empty(), "by group: {by_group}");
         assert!(client.read().expect("an answer").body.starts_with(b"b "));
-        let (_, _, fields, _) = asked(&fleet.b);
+        let (_, _, fields, _) = next_request(&fleet.b);
         assert!(fields.contains_key("accept"), "{fields:?}");
     }
 }
 
-/// However a client leaves, and whether or not attempts may be called off: what it waited for is not sent.
+/// The pending request of a client is not sent after any kind of disconnect, whether or not attempts may be
+/// cancelled.
 #[test]
-fn what_a_client_waited_for_is_not_sent_once_it_has_left() {
+fn a_pending_request_is_not_sent_once_its_client_has_disconnected() {
     for may_cancel in [true, false] {
-        for manner in MANNERS {
-            let mut fleet = shut(|config| config["settings"]["allowed"]["may-cancel"] = json!(may_cancel));
-            let client = fleet.waiting();
-            let _client = leave(client, manner, &[1]);
-            assert!(fleet.remaining_requests().is_empty(), "{manner}, may cancel: {may_cancel}");
+        for how in DISCONNECTS {
+            let mut fleet =
+                pending_fleet(|config| config["settings"]["allowed"]["may-cancel"] = json!(may_cancel));
+            let client = fleet.client_with_pending_request();
+            let _client = disconnect(client, how, &[1]);
+            assert!(fleet.remaining_requests().is_empty(), "{how:?}, may cancel: {may_cancel}");
         }
     }
 }
 
-/// A burst of leavers in one go, each on a connection of its own.
+/// Many clients disconnect at once, each on its own connection.
 #[test]
-fn what_many_clients_waited_for_is_not_sent_once_they_have_left_together() {
-    let mut fleet = shut(|config| config["settings"]["allowed"]["may-cancel"] = json!(false));
-    let clients: Vec<Client> = (0..40).map(|_| fleet.waiting()).collect();
+fn pending_requests_are_not_sent_once_their_clients_have_disconnected_together() {
+    let mut fleet = pending_fleet(|config| config["settings"]["allowed"]["may-cancel"] = json!(false));
+    let clients: Vec<Client> = (0..40).map(|_| fleet.client_with_pending_request()).collect();
     drop(clients);
     assert!(fleet.remaining_requests().is_empty());
 }
 
-/// A client that does not take its answers is not read for a while; its end is noticed all the same.
+/// The router stops reading requests of a client with unread answers, but still notices its disconnect.
 #[test]
-fn what_a_client_waited_for_is_not_sent_once_it_has_left_with_its_answers_unread() {
-    let mut fleet = shut_with(cache(|_, _, _| Some(Answer::data(vec![7; 240_000]))), |_| ());
-    let mut client = fleet.waiting();
-    small_buffer(&client);
-    hoard(&fleet.router, &mut client, 3);
+fn a_pending_request_is_not_sent_once_its_client_has_disconnected_with_unread_answers() {
+    let mut fleet = pending_fleet_with(cache(|_, _, _| Some(Answer::data(vec![7; 240_000]))), |_| ());
+    let mut client = fleet.client_with_pending_request();
+    shrink_receive_buffer(&client);
+    leave_answers_unread(&fleet.router, &mut client, 3);
     client.stream.shutdown(Shutdown::Write).expect("closed");
     assert!(fleet.remaining_requests().is_empty());
 }
 
-// ---- What is out at a cache.
+// ---- Attempts that are open at a cache.
 
-/// The cache here takes connections and reads nothing of them.
+/// The cache accepts connections and reads nothing from them.
 ///
-/// Where connections are shared, a request that is given up while its connection takes nothing can't be called off
-/// there: it would be made whole, or run, when the cache goes on. What shares the connection ends with it, at once.
+/// On a shared connection whose send buffer is full, an abandoned request can't be cancelled: the cache would
+/// receive the rest of it, and could run it, once it reads again. So the router closes the connection, which
+/// ends the other attempts on it at once.
 #[test]
-fn what_can_not_be_called_off_on_a_full_connection_ends_with_it() {
+fn a_shared_connection_that_cannot_send_a_cancellation_is_closed() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("it listens");
     SockRef::from(&listener).set_recv_buffer_size(4_096).expect("a small buffer");
     let address = listener.local_addr().expect("its address");
     let (b, parent, origin) = (echo("b"), echo("parent"), echo("origin"));
-    let mut targets = all(address, b.address, parent.address, origin.address);
-    // Large enough to be sent all of this at once.
+    let mut targets = ready_endpoints(address, b.address, parent.address, origin.address);
+    // Capacity for all of these requests at once.
     targets[0]["capacity_hint"] = json!(1_000);
-    let known = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
-    let journal = Journal::start("127.0.0.1:0", known).expect("the journal listens");
+    let events = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
+    let journal = Journal::start("127.0.0.1:0", events).expect("the journal listens");
     let change = |config: &mut Value| {
-        patient(config);
-        // Eight connections to one cache, and sixteen clients.
+        extend_timeouts(config);
+        // This allows eight connections to one cache, and sixteen clients.
         config["limits"]["sockets"] = json!(64);
         config["settings"]["grades"][0]["deadline"] = json!(60_000);
     };
     let router = Router::start_with(&journal, change, None, None);
-    // Of such a size that nothing is overdue for as long as the test may last.
+    // The expected duration is so long that no attempt is overdue during the test.
     let ask = |client: &mut Client, stream: u32, n: u32| {
         let id = format!("{n:016x}");
-        let fields = [("c", "video"), ("i", id.as_str()), ("o", OF_A), ("d", "60000"), ("m", "100000")];
+        let fields =
+            [("c", "video"), ("i", id.as_str()), ("o", OBJECT_OF_A), ("d", "60000"), ("m", "100000")];
         client.ask(stream, &fields, &[7; 48_000]).expect("sent");
     };
-    let assert_served = |client: &mut Client| {
+    let assert_ready = |client: &mut Client| {
         client.ask_ready(1_000).expect("sent");
         assert_eq!(client.read().expect("an answer").kind, 81, "nothing is answered before");
     };
     let mut first = router.client();
     (1..=8).for_each(|stream| ask(&mut first, stream, stream));
-    assert_served(&mut first);
+    assert_ready(&mut first);
     let mut clients: Vec<Client> = (0..15).map(|_| router.client()).collect();
     for (n, client) in (1..).zip(&mut clients) {
         (1..=30).for_each(|stream| ask(client, stream, n * 100 + stream));
-        assert_served(client);
+        assert_ready(client);
     }
-    // It says something, so that it is not taken for a machine that is cut off.
+    // One response, so that the router does not take the cache for unreachable.
     let accepted: Vec<_> = (0..8).map(|_| listener.accept().expect("a connection").0).collect();
     (&accepted[0]).write_all(b"*4\r\n$4\r\nffff\r\n$6\r\nabsent\r\n$1\r\n-\r\n$0\r\n\r\n").expect("sent");
-    assert_served(&mut first);
-    // All but the first on each connection are given up. What stays is answered at once.
+    assert_ready(&mut first);
+    // All but the first request on each connection are cancelled. The remaining ones are answered at once.
     for client in &mut clients {
         (1..=30).for_each(|stream| client.give_up(stream).expect("sent"));
     }
     let mut answered: Vec<u32> = Vec::new();
     while answered.len() < 8 {
         let answer = first.read().expect("an answer");
-        // Further tries are few: some are told that asking again does no harm.
-        assert!([SERVED, REFUSED].contains(&answer.code), "{answer:?}");
+        // The retry budget is small: some are rejected, which tells the client that it may retry safely.
+        assert!([SERVED, REJECTED].contains(&answer.code), "{answer:?}");
         answered.push(answer.stream);
     }
     answered.sort_unstable();
     assert_eq!(answered, (1..=8).collect::<Vec<u32>>());
 }
 
-/// An id comes again with a further attempt: a second answer to the first one must not be taken for its answer.
+/// A retry has the id of the attempt before it: a second response to the first attempt must not count for the
+/// retry.
 #[test]
-fn a_second_answer_to_an_attempt_does_not_answer_the_next_one_of_the_same_id() {
-    let fleet = fleet_of(echo("a"), echo("b"), holding());
+fn a_second_response_to_an_attempt_does_not_answer_its_retry() {
+    let fleet = fleet_of(echo("a"), echo("b"), manual());
     let mut client = fleet.router.client();
     client.ask(1, &booking("00000000000000b1", "3000"), b"pay").expect("sent");
-    let (first, id, ..) = asked(&fleet.origin);
+    let (first, id, ..) = next_request(&fleet.origin);
     fleet.origin.answer(first, &id, &Answer::with_status("full")).expect("answered");
-    let (second, again, ..) = asked(&fleet.origin);
+    let (second, again, ..) = next_request(&fleet.origin);
     assert_eq!(again, id);
     fleet.origin.answer(first, &id, &Answer::with_status("full")).expect("answered");
-    // Whatever comes of that comes before this, which is asked on the same connection.
+    // Any effect of that response precedes this answer, which is on the same client connection.
     client.ask_ready(2).expect("sent");
     assert_eq!(client.read().expect("an answer").stream, 2);
     std::thread::sleep(Duration::from_millis(300));
-    assert_eq!(left_over(&fleet.origin), 0, "a booking is tried again while it runs");
+    assert_eq!(count_unread_requests(&fleet.origin), 0, "a booking is retried while it runs");
     fleet.origin.answer(second, &id, &Answer::data("booked")).expect("answered");
     let answer = client.read().expect("an answer");
     assert_eq!((answer.code, answer.body.as_slice()), (SERVED, &b"booked"[..]));
 }
 
-/// An answer that nobody asked for and that never ends must not stand before those that are asked for.
+/// An unsolicited response that never ends must not block the connection for later requests.
 #[test]
-fn an_answer_that_never_ends_behind_another_one_spoils_nothing_else() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn an_unsolicited_endless_response_blocks_no_later_request() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
-    client.ask(1, &video("00000000000000e1", OF_A), b"").expect("sent");
-    let (first, id, ..) = asked(&fleet.a);
-    let complete_reply = b"$4\r\ndata\r\n$15\r\nres=HIT,first=0\r\n$3\r\none\r\n";
+    client.ask(1, &video("00000000000000e1", OBJECT_OF_A), b"").expect("sent");
+    let (first, id, ..) = next_request(&fleet.a);
+    let complete_response = b"$4\r\ndata\r\n$15\r\nres=HIT,first=0\r\n$3\r\none\r\n";
     let mut bytes = format!("*4\r\n${}\r\n{id}\r\n", id.len()).into_bytes();
-    bytes.extend(complete_reply);
+    bytes.extend(complete_response);
     bytes.extend(b"*4\r\n$16\r\n0000");
     fleet.a.write(first, &bytes).expect("written");
     assert_eq!(client.read().expect("an answer").body, b"one");
-    client.ask(2, &video("00000000000000e2", OF_A), b"").expect("sent");
-    let (second, id, ..) = asked(&fleet.a);
+    client.ask(2, &video("00000000000000e2", OBJECT_OF_A), b"").expect("sent");
+    let (second, id, ..) = next_request(&fleet.a);
     fleet.a.answer(second, &id, &Answer::data("two")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"two");
     assert_ne!(first, second);
 }
 
-/// An answer that never ends holds up what shares its connection, and only for as long as its own time lasts; what
-/// is asked elsewhere is answered, and its room is given back.
+/// An endless response delays only the attempts on its own connection, and only until its own deadline.
+/// Requests on other connections are answered, and its buffers are released.
 #[test]
-fn an_answer_that_never_ends_costs_nobody_else_an_answer() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn an_endless_response_costs_no_other_request_its_answer() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &booking("00000000000000b1", "900"), b"").expect("sent");
-    client.ask(2, &video("00000000000000e1", OF_A), b"").expect("sent");
-    let (endless, id, ..) = asked(&fleet.a);
+    client.ask(2, &video("00000000000000e1", OBJECT_OF_A), b"").expect("sent");
+    let (endless, id, ..) = next_request(&fleet.a);
     fleet
         .a
         .write(endless, format!("*4\r\n${}\r\n{id}\r\n$4\r\ndata\r\n$200000\r\n", id.len()).as_bytes())
         .expect("written");
-    assert_eq!(client.read().expect("an answer").stream, 1, "it is answered beside it");
-    client.ask(3, &video("00000000000000e2", OF_A), b"").expect("sent");
-    let (beside, other, ..) = asked(&fleet.a);
-    assert_ne!(beside, endless);
-    fleet.a.answer(beside, &other, &Answer::data("beside")).expect("answered");
-    assert_eq!(client.read().expect("an answer").body, b"beside");
+    assert_eq!(client.read().expect("an answer").stream, 1, "the booking is answered meanwhile");
+    client.ask(3, &video("00000000000000e2", OBJECT_OF_A), b"").expect("sent");
+    let (parallel, other, ..) = next_request(&fleet.a);
+    assert_ne!(parallel, endless);
+    fleet.a.answer(parallel, &other, &Answer::data("parallel")).expect("answered");
+    assert_eq!(client.read().expect("an answer").body, b"parallel");
     client.give_up(2).expect("sent");
     wait(&fleet.a.events, |event| *event == CacheEvent::Closed { connection: endless });
     fleet.router.signal(Signal::SIGUSR1);
-    let line = fleet.router.logged("counters");
+    let line = fleet.router.wait_for_log("counters");
     assert!(line.contains("open=0 out=0 buffers=0"), "{line}");
 }
 
-// ---- What is read later than it came.
+// ---- Requests that are read later than they arrive.
 
-/// More than is read in one turn lies before the question: it is read in a later turn, and answered in that.
+/// More bytes than the router reads in one turn of its loop precede a readiness query: the query is read in a
+/// later turn, and answered in that turn.
 #[test]
-fn what_is_asked_behind_more_than_one_turn_reads_is_answered_at_once() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn a_query_behind_more_than_one_turn_of_input_is_answered_at_once() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask_ready(1).expect("sent");
     assert_eq!(client.read().expect("an answer").kind, 81);
     fleet.router.signal(Signal::SIGSTOP);
     for stream in 2..=9 {
-        client.ask(stream, &video(&format!("{stream:016x}"), OF_A), &[7; 48_000]).expect("sent");
+        client.ask(stream, &video(&format!("{stream:016x}"), OBJECT_OF_A), &[7; 48_000]).expect("sent");
     }
     client.ask_ready(10).expect("sent");
     fleet.router.signal(Signal::SIGCONT);
@@ -278,11 +288,12 @@
     assert_eq!((answer.kind, answer.stream, answer.code), (81, 10, SERVED));
 }
 
-// ---- The end of the router.
+// ---- Shutdown of the router.
 
-/// A request has come in part when all else is answered and its time is over.
+/// At SIGTERM a request that has arrived in part may still be completed, and is answered, also after all
+/// others are.
 #[test]
-fn at_sigterm_who_has_begun_to_ask_may_end_it_and_is_answered() {
+fn at_sigterm_a_partly_received_request_may_be_completed_and_is_answered() {
     let mut fleet = fleet();
     let mut client = fleet.router.client();
     let bytes = request(1, &booking("00000000000000b1", "900"), b"pay");
@@ -291,31 +302,30 @@
     assert_eq!(client.read().expect("a frame").kind, 90);
     std::thread::sleep(Duration::from_millis(700));
     client.stream.write_all(half).expect("sent");
-    // It goes on for a second in any case.
+    // The router runs for another second in any case.
     std::thread::sleep(Duration::from_millis(600));
     client.stream.write_all(rest).expect("sent");
     let answer = client.read().expect("an answer");
     assert_eq!((answer.stream, answer.code), (1, SERVED));
-    assert_eq!(fleet.router.ended().code(), Some(0));
+    assert_eq!(fleet.router.wait_for_exit().code(), Some(0));
 }
 
-/// A router that was told to end, with little time for it.
-struct Ending {
-    /// The fleet that it stands in.
-    _fleet: [Cache; 3],
+/// A router that got SIGTERM, with short deadlines.
+struct ShutdownFixture {
+    _servers: [Cache; 3],
     _journal: Journal,
     router: Router,
-    /// One of its requests is open at the origin.
+    /// A client with a request that is open at the origin.
     open: Client,
-    /// It has asked nothing yet but whether the router is ready.
-    half: Client,
+    /// A client that has only asked whether the router is ready.
+    partial: Client,
 }
 
-fn ending() -> Ending {
-    let (door, b, parent, origin) = (Late::new(), echo("b"), echo("parent"), holding());
-    let targets = all(door.address, b.address, parent.address, origin.address);
-    let known = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
-    let journal = Journal::start("127.0.0.1:0", known).expect("the journal listens");
+fn begin_shutdown() -> ShutdownFixture {
+    let (pending, b, parent, origin) = (PendingListener::new(), echo("b"), echo("parent"), manual());
+    let targets = ready_endpoints(pending.address, b.address, parent.address, origin.address);
+    let events = vec![json!({"hosts": {"rev": 1, "all": true, "targets": targets}})];
+    let journal = Journal::start("127.0.0.1:0", events).expect("the journal listens");
     let short = |config: &mut Value| {
         for class in 0..3 {
             config["settings"]["grades"][class]["deadline"] = json!(200);
@@ -324,62 +334,65 @@
     let router = Router::start_with(&journal, short, None, None);
     let mut open = router.client();
     open.ask(1, &booking("00000000000000b1", "60000"), b"pay").expect("sent");
-    asked(&origin);
-    let mut half = router.client();
-    half.ask_ready(1).expect("sent");
-    assert_eq!(half.read().expect("an answer").kind, 81);
+    next_request(&origin);
+    let mut partial = router.client();
+    partial.ask_ready(1).expect("sent");
+    assert_eq!(partial.read().expect("an answer").kind, 81);
     router.signal(Signal::SIGTERM);
-    assert_eq!(half.read().expect("a frame").kind, 90);
-    Ending { _fleet: [b, parent, origin], _journal: journal, router, open, half }
+    assert_eq!(partial.read().expect("a frame").kind, 90);
+    ShutdownFixture { _servers: [b, parent, origin], _journal: journal, router, open, partial }
 }
 
-/// What has come in part when the time is over is told so, beside the answer to what is still open.
+/// At the end of the grace period a client with a partly received request gets an error, and open requests
+/// get their answer.
 #[test]
-fn at_the_end_half_a_message_is_reported_and_what_is_open_is_answered() {
-    let mut ending = ending();
-    let (router, open, half) = (&mut ending.router, &mut ending.open, &mut ending.half);
-    half.stream.write_all(&request(2, &booking("00000000000000b2", "900"), b"pay")[..20]).expect("sent");
+fn at_the_end_a_partial_request_is_reported_and_open_requests_are_answered() {
+    let mut shutdown = begin_shutdown();
+    let ShutdownFixture { router, open, partial, .. } = &mut shutdown;
+    partial.stream.write_all(&request(2, &booking("00000000000000b2", "900"), b"pay")[..20]).expect("sent");
     assert_eq!(open.read().expect("a frame").kind, 90);
     let answer = open.read().expect("an answer");
     assert_eq!((answer.stream, answer.code), (1, FAILED), "it may have run");
     assert!(open.read().is_err(), "nothing comes after it");
-    let error = half.read().expect("an error");
+    let error = partial.read().expect("an error");
     assert_eq!((error.kind, error.stream, error.code), (66, 0, FAILED));
-    assert_eq!(router.ended().code(), Some(0));
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
-/// What comes whole when all that was open has been given up is turned away, and not left without an answer.
+/// A request that is completed after all open requests have been given up is rejected, rather than left
+/// unanswered.
 #[test]
-fn what_comes_in_the_last_turns_is_turned_away() {
-    let mut ending = ending();
-    let (router, open, half) = (&mut ending.router, &mut ending.open, &mut ending.half);
+fn a_request_completed_in_the_last_turns_is_rejected() {
+    let mut shutdown = begin_shutdown();
+    let ShutdownFixture { router, open, partial, .. } = &mut shutdown;
     let bytes = request(2, &booking("00000000000000b2", "900"), b"pay");
-    let (begun, rest) = bytes.split_at(20);
-    half.stream.write_all(begun).expect("sent");
+    let (start, rest) = bytes.split_at(20);
+    partial.stream.write_all(start).expect("sent");
     assert_eq!(open.read().expect("a frame").kind, 90);
-    // With this answer the last turns begin.
+    // After this answer only the last turns of the loop follow.
     assert_eq!(open.read().expect("an answer").code, FAILED);
-    half.stream.write_all(rest).expect("sent");
-    let answer = half.read().expect("an answer");
-    assert_eq!((answer.stream, answer.code), (2, REFUSED));
-    assert_eq!(router.ended().code(), Some(0));
+    partial.stream.write_all(rest).expect("sent");
+    let answer = partial.read().expect("an answer");
+    assert_eq!((answer.stream, answer.code), (2, REJECTED));
+    assert_eq!(router.wait_for_exit().code(), Some(0));
 }
 
 // ---- The journal.
 
-/// A connect to the journal that does not come up is no answer that is held back.
+/// A connection to the journal that is never established must not be mistaken for a long poll: the router
+/// retries soon.
 #[test]
-fn a_journal_that_does_not_come_up_is_called_again_soon_and_nothing_is_lost() {
+fn a_journal_that_cannot_be_reached_is_polled_again_soon_and_nothing_is_lost() {
     let mut fleet = fleet();
     wait(&fleet.journal.polls, |tail| *tail == 1);
-    let door = Late::new();
-    fleet.router.reload(door.address);
-    assert!(fleet.router.logged("poll from 1 lost").ends_with("not up in time"));
-    // Two reloads shortly after each other: the last one counts.
-    let known = fleet.journal.known()["entries"].as_array().cloned().unwrap_or_default();
-    let moved = Journal::start("127.0.0.1:0", known).expect("the journal listens");
-    fleet.router.reload(door.address);
-    fleet.router.logged("reloaded");
+    let pending = PendingListener::new();
+    fleet.router.reload(pending.address);
+    assert!(fleet.router.wait_for_log("poll from 1 lost").ends_with("not up in time"));
+    // Of two reloads in quick succession the last one counts.
+    let events = fleet.journal.known()["entries"].as_array().cloned().unwrap_or_default();
+    let moved = Journal::start("127.0.0.1:0", events).expect("the journal listens");
+    fleet.router.reload(pending.address);
+    fleet.router.wait_for_log("reloaded");
     fleet.router.reload(moved.address);
     assert_eq!(wait(&moved.polls, |_| true), 1);
     moved.publish(json!({"expire": {"set": 4, "stamp": 1}}));
--- a/crates/router/tests/golden.rs
+++ b/crates/router/tests/golden.rs
@@ -1,4 +1,5 @@
-//! What the process prints, in golden text: its counters, and what it says of bad input, with the exit codes.
+//! The output of the program as golden texts: the names of its counters, its help, and its errors on invalid
+//! input with the exit codes.
 
 mod common;
 #[path = "unit/golden.rs"]
@@ -8,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-use common::{fleet, operated_fleet, Fleet};
+use common::{fleet, fleet_with_operator_file, Fleet};
 use golden::assert_golden;
 use serde_json::{json, Value};
 
@@ -16,13 +17,13 @@
 const EXAMPLE: &str = include_str!("../../../examples/config.json");
 const EVERY_SETTING: &str = include_str!("golden/config_every_setting.json");
 
-/// A folder of one test.
-struct Folder(PathBuf);
+/// A temporary directory of one test.
+struct Directory(PathBuf);
 
-impl Folder {
+impl Directory {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("linnethook-golden-{}-{name}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("a directory");
         Self(path)
     }
 
@@ -32,7 +33,7 @@
         path
     }
 
-    /// The exit code and the output of the program, with the folder's path taken out.
+    /// The exit code and the output of the program, with the directory's path replaced by `FOLDER`.
     fn run(&self, arguments: &[&str], config: Option<&Path>) -> String {
         let mut command = Command::new(PROGRAM);
         command.args(arguments).stdin(Stdio::null()).current_dir(&self.0);
@@ -47,7 +48,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for Directory {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
@@ -61,8 +62,8 @@
 }
 
 #[test]
-fn bad_configurations_are_refused_by_the_same_text() {
-    let folder = Folder::new("config");
+fn invalid_configurations_are_rejected_with_the_same_text() {
+    let directory = Directory::new("config");
     let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
     let port = occupied.local_addr().expect("its address").port();
     let cases = [
@@ -80,26 +81,26 @@
         ("no such kind", example(|config| config["settings"]["family-info"]["store-kind"] = json!(9))),
         ("no list", example(|config| config["known"] = json!({"pos": 1}))),
     ];
-    let mut out = format!("LB_CONFIG is not set: {}", folder.run(&[], None));
-    out += &format!("no such file: {}", folder.run(&[], Some(Path::new("nowhere.json"))));
-    for (what, text) in &cases {
-        let path = folder.write("config.json", text);
-        out += &format!("{what}: {}", folder.run(&[], Some(&path)));
+    let mut out = format!("LB_CONFIG is not set: {}", directory.run(&[], None));
+    out += &format!("no such file: {}", directory.run(&[], Some(Path::new("nowhere.json"))));
+    for (case, text) in &cases {
+        let path = directory.write("config.json", text);
+        out += &format!("{case}: {}", directory.run(&[], Some(&path)));
     }
     assert_golden("bad_configurations.txt", &out.replace(&port.to_string(), "PORT"));
 }
 
 #[test]
-fn bad_commands_and_operator_files_are_refused_by_the_same_text() {
-    let folder = Folder::new("commands");
-    let good = folder.write("config.json", &example(|_| ()));
-    folder.write("bad.star", "hierarchy(warm = \"soon\")");
-    folder.write("unknown.star", "hierarchy(wram = 3)");
-    folder.write("syntax.star", "hierarchy(");
-    folder.write("links.star", "gateway(site = \"a\", listen = \"nowhere\")");
-    folder.write("socket.star", "control(path = \"/nowhere/x.sock\")");
-    folder.write("changes.star", "remove(\"nobody\")");
-    folder.write("not.audit", "no account");
+fn invalid_commands_and_operator_files_are_rejected_with_the_same_text() {
+    let directory = Directory::new("commands");
+    let good = directory.write("config.json", &example(|_| ()));
+    directory.write("bad.star", "hierarchy(warm = \"soon\")");
+    directory.write("unknown.star", "hierarchy(wram = 3)");
+    directory.write("syntax.star", "hierarchy(");
+    directory.write("links.star", "gateway(site = \"a\", listen = \"nowhere\")");
+    directory.write("socket.star", "control(path = \"/nowhere/x.sock\")");
+    directory.write("changes.star", "remove(\"nobody\")");
+    directory.write("not.audit", "no account");
     let cases: &[&[&str]] = &[
         &["fly"],
         &["--fly"],
@@ -128,13 +129,13 @@
         &["hollow", "nowhere.json"],
     ];
     let run =
-        |arguments: &&[&str]| format!("{}: {}", arguments.join(" "), folder.run(arguments, Some(&good)));
+        |arguments: &&[&str]| format!("{}: {}", arguments.join(" "), directory.run(arguments, Some(&good)));
     assert_golden("bad_commands.txt", &cases.iter().map(run).collect::<String>());
 }
 
 #[test]
 fn the_help_texts_are_the_same() {
-    let folder = Folder::new("help");
+    let directory = Directory::new("help");
     let cases: &[&[&str]] = &[
         &["--help"],
         &["run", "--help"],
@@ -148,31 +149,30 @@
         &["audit", "--help"],
         &["settings"],
     ];
-    let run = |arguments: &&[&str]| format!("{}: {}", arguments.join(" "), folder.run(arguments, None));
+    let run = |arguments: &&[&str]| format!("{}: {}", arguments.join(" "), directory.run(arguments, None));
     assert_golden("help.txt", &cases.iter().map(run).collect::<String>());
 }
 
-/// The names of the counters in their order, without their values.
-fn names(fleet: &Fleet) -> String {
+/// The names of the counters in order, one a line.
+fn counter_names(fleet: &Fleet) -> String {
     let line = fleet.router.counters_line();
-    let arguments =
-        line.split_whitespace().map(|field| field.split_once('=').map_or(field, |(name, _)| name));
-    arguments.collect::<Vec<_>>().join("\n") + "\n"
+    let names = line.split_whitespace().map(|field| field.split_once('=').map_or(field, |(name, _)| name));
+    names.collect::<Vec<_>>().join("\n") + "\n"
 }
 
 #[test]
 fn the_counters_have_the_same_names_in_the_same_order() {
-    let plain = names(&fleet());
+    let default_names = counter_names(&fleet());
     let operator = "gateway(site = \"north\", listen = \"127.0.0.1:0\")\nfellows()\nwatch(tells = \"hit\")\n";
-    let all = names(&operated_fleet(operator));
-    assert_golden("counters.txt", &format!("{plain}\n{all}"));
+    let all_names = counter_names(&fleet_with_operator_file(operator));
+    assert_golden("counters.txt", &format!("{default_names}\n{all_names}"));
 }
 
 #[test]
-fn a_configuration_with_every_setting_is_accepted_at_the_start_and_again() {
+fn a_configuration_with_every_setting_is_accepted_at_a_start_and_at_a_reload() {
     let mut fleet = fleet();
     fleet.router.reload_text(EVERY_SETTING);
-    fleet.router.logged("reloaded: the journal is at 127.0.0.1:9");
+    fleet.router.wait_for_log("reloaded: the journal is at 127.0.0.1:9");
     let every: Value = serde_json::from_str(EVERY_SETTING).expect("JSON");
     let router = common::Router::start_with(&fleet.journal, |config| *config = every, None, None);
     fleet.router = router;
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -1,4 +1,5 @@
-//! The router on sockets, between stand-ins: one test for each thing that only sockets can get wrong.
+//! The router on sockets, with servers of the test as caches and origin: each test covers a fault that only
+//! shows on sockets.
 
 mod common;
 
@@ -13,7 +14,7 @@
 use serde_json::json;
 
 const SERVED: u8 = 1;
-const REFUSED: u8 = 2;
+const REJECTED: u8 = 2;
 const FAILED: u8 = 3;
 
 fn video<'a>(id: &'a str, object: &'a str) -> [(&'a str, &'a str); 7] {
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn a_read_goes_to_its_owner_filled_from_the_parent_and_its_parts_are_passed_on_unchanged() {
+fn a_read_goes_to_its_owner_to_be_filled_from_the_parent_with_its_fields_unchanged() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     client.ask(7, &video("9b1f03aa5c7e2d41", "7f3a9c21e0b4d655"), b"a body").expect("sent");
@@ -35,7 +36,7 @@
     let body = String::from_utf8_lossy(&answer.body).into_owned();
     assert!(body.ends_with(" 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 3 a body"), "{body}");
     let owner = if body.starts_with("a ") { &fleet.a } else { &fleet.b };
-    let (_, _, fields, _) = asked(owner);
+    let (_, _, fields, _) = next_request(owner);
     assert_eq!((fields["kind"].as_str(), fields["parent"].as_str()), ("video", "parent"));
     assert_eq!(fields["shelf"], "1");
     assert!(fields["ms"].parse::<u32>().is_ok_and(|ms| ms > 0 && ms <= 3000), "{}", fields["ms"]);
@@ -72,17 +73,18 @@
     }
 }
 
-/// Ids come again with a request that crossed a close; streams do not on their connection.
+/// A client that resends a request after its connection was closed uses the same id; stream numbers are
+/// unique within a connection.
 #[test]
 fn the_same_id_twice_at_once_is_two_requests() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     let fields = video("00000000000000ee", "00000000000000aa");
     client.ask(1, &fields, b"one").expect("sent");
-    let (cache, _, first, id) = asked_either(&fleet.a, &fleet.b);
+    let (cache, _, first, id) = next_request_at_either(&fleet.a, &fleet.b);
     client.ask(2, &fields, b"two").expect("sent");
-    let (second, _, _, body) = asked(cache);
-    assert_ne!(first, second, "their answers could not be told apart on one connection");
+    let (second, _, _, body) = next_request(cache);
+    assert_ne!(first, second, "on one connection the responses could not be distinguished");
     assert_eq!(body, b"two");
     cache.answer(second, &id, &Answer::data("to two")).expect("answered");
     let answer = client.read().expect("an answer");
@@ -92,86 +94,86 @@
     assert_eq!((answer.stream, answer.body.as_slice()), (1, &b"to one"[..]));
 }
 
-/// A machine that is cut off reads no `QUIT`: only the end of its connection gives up what is open there,
-/// and two copies must not be out at once.
+/// A cache that is cut off reads no `QUIT`: only closing the connection abandons the attempt there, and two
+/// attempts of one request must not be open at once.
 #[test]
-fn what_a_silent_cache_holds_is_given_up_by_closing_before_it_is_tried_elsewhere() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn an_attempt_at_a_silent_cache_is_abandoned_by_closing_before_it_is_retried_elsewhere() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (silent, other, connection, id) = asked_either(&fleet.a, &fleet.b);
-    let (again, same, ..) = asked(other);
+    let (silent, other, connection, id) = next_request_at_either(&fleet.a, &fleet.b);
+    let (again, same, ..) = next_request(other);
     assert_eq!(same, id);
     let end = wait(&silent.events, |event| !matches!(event, CacheEvent::Opened { .. }));
     assert_eq!(end, CacheEvent::Closed { connection });
-    other.answer(again, &id, &Answer::data("late but whole")).expect("answered");
+    other.answer(again, &id, &Answer::data("late but complete")).expect("answered");
     let answer = client.read().expect("an answer");
-    assert_eq!((answer.code, answer.body.as_slice()), (SERVED, &b"late but whole"[..]));
+    assert_eq!((answer.code, answer.body.as_slice()), (SERVED, &b"late but complete"[..]));
 }
 
-/// Where no more connections may be opened, attempts share them: one that is given up must not take the others
-/// along, and its late answer is nobody's.
+/// At the connection limit attempts share connections: cancelling one must not end the others, and its late
+/// response is dropped.
 #[test]
-fn on_a_shared_connection_one_is_given_up_alone_and_its_late_answer_is_dropped() {
-    let fleet = narrow_fleet(48);
+fn on_a_shared_connection_one_attempt_is_cancelled_alone_and_its_late_response_is_dropped() {
+    let fleet = fleet_with_socket_limit(48);
     let mut client = fleet.router.client();
     for stream in 1..=12 {
         client.ask(stream, &video(&format!("{stream:016x}"), "00000000000000aa"), b"").expect("sent");
     }
-    let (cache, _, first, first_id) = asked_either(&fleet.a, &fleet.b);
-    let mut asks = vec![(first, first_id)];
-    asks.extend((1..12).map(|_| {
-        let (connection, id, ..) = asked(cache);
+    let (cache, _, first, first_id) = next_request_at_either(&fleet.a, &fleet.b);
+    let mut attempts = vec![(first, first_id)];
+    attempts.extend((1..12).map(|_| {
+        let (connection, id, ..) = next_request(cache);
         (connection, id)
     }));
     let shares = |(connection, id): &&(usize, String)| {
-        asks.iter().any(|(other, other_id)| other == connection && other_id != id)
+        attempts.iter().any(|(other, other_id)| other == connection && other_id != id)
     };
-    let (shared, given_up) = asks.iter().find(shares).cloned().expect("a shared connection");
-    let other = |(connection, id): &&(usize, String)| *connection == shared && *id != given_up;
-    let (_, other_id) = asks.iter().find(other).cloned().expect("what shares it");
+    let (shared, cancelled) = attempts.iter().find(shares).cloned().expect("a shared connection");
+    let other = |(connection, id): &&(usize, String)| *connection == shared && *id != cancelled;
+    let (_, other_id) = attempts.iter().find(other).cloned().expect("another attempt on it");
     let (alone, alone_id) =
-        asks.iter().find(|(connection, _)| *connection != shared).cloned().expect("another");
-    cache.answer(alone, &alone_id, &Answer::data("heard")).expect("answered");
-    assert_eq!(client.read().expect("an answer").body, b"heard");
-    client.give_up(u32::from_str_radix(&given_up, 16).expect("a stream")).expect("sent");
+        attempts.iter().find(|(connection, _)| *connection != shared).cloned().expect("another connection");
+    cache.answer(alone, &alone_id, &Answer::data("first")).expect("answered");
+    assert_eq!(client.read().expect("an answer").body, b"first");
+    client.give_up(u32::from_str_radix(&cancelled, 16).expect("a stream")).expect("sent");
     let quit = wait(&cache.events, |event| !matches!(event, CacheEvent::Opened { .. }));
-    assert_eq!(quit, CacheEvent::Cancel { connection: shared, id: given_up.clone() });
-    cache.answer(shared, &given_up, &Answer::data("late")).expect("answered");
-    cache.answer(shared, &other_id, &Answer::data("kept")).expect("answered");
+    assert_eq!(quit, CacheEvent::Cancel { connection: shared, id: cancelled.clone() });
+    cache.answer(shared, &cancelled, &Answer::data("late")).expect("answered");
+    cache.answer(shared, &other_id, &Answer::data("completed")).expect("answered");
     let answer = client.read().expect("an answer");
-    assert_eq!((format!("{:016x}", answer.stream), answer.body), (other_id, b"kept".to_vec()));
+    assert_eq!((format!("{:016x}", answer.stream), answer.body), (other_id, b"completed".to_vec()));
 }
 
 #[test]
-fn a_read_whose_cache_dies_is_tried_elsewhere() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn a_read_whose_cache_fails_is_retried_elsewhere() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (dead, other, connection, id) = asked_either(&fleet.a, &fleet.b);
-    dead.close(connection).expect("closed");
-    let (again, same, ..) = asked(other);
+    let (failed, other, connection, id) = next_request_at_either(&fleet.a, &fleet.b);
+    failed.close(connection).expect("closed");
+    let (again, same, ..) = next_request(other);
     assert_eq!(same, id);
     other.answer(again, &id, &Answer::data("from the other")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"from the other");
 }
 
 #[test]
-fn a_request_given_up_is_given_up_at_the_cache_and_gets_no_answer() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn a_cancelled_request_is_cancelled_at_the_cache_and_gets_no_answer() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (cache, _, connection, _) = asked_either(&fleet.a, &fleet.b);
+    let (cache, _, connection, _) = next_request_at_either(&fleet.a, &fleet.b);
     client.give_up(1).expect("sent");
     wait(&cache.events, |event| *event == CacheEvent::Closed { connection });
-    // The next answer on the connection is that of the next question.
+    // The next answer on the connection belongs to the next request.
     client.ask_ready(2).expect("sent");
     let next = client.read().expect("an answer");
     assert_eq!((next.kind, next.stream, next.code), (81, 2, SERVED));
 }
 
 #[test]
-fn a_request_given_up_in_the_same_breath_is_not_answered() {
+fn a_request_that_is_sent_together_with_its_cancellation_is_not_answered() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     let mut bytes = request(1, &video("00000000000000e1", "00000000000000aa"), b"");
@@ -181,30 +183,30 @@
     assert_eq!(client.read().expect("an answer").stream, 2);
 }
 
-/// It may have run: neither a further attempt nor a refusal is allowed.
+/// The write may have run: the router may neither retry nor reject it.
 #[test]
-fn a_write_whose_connection_ends_has_failed() {
-    let fleet = fleet_of(echo("a"), echo("b"), holding());
+fn a_write_whose_connection_is_closed_fails() {
+    let fleet = fleet_of(echo("a"), echo("b"), manual());
     let mut client = fleet.router.client();
     client.ask(1, &booking("00000000000000b1"), b"pay").expect("sent");
-    let (connection, ..) = asked(&fleet.origin);
+    let (connection, ..) = next_request(&fleet.origin);
     fleet.origin.close(connection).expect("closed");
     assert_eq!(client.read().expect("an answer").code, FAILED);
-    assert_eq!(left_over(&fleet.origin), 0);
+    assert_eq!(count_unread_requests(&fleet.origin), 0);
 }
 
 /// A refused connection proves that nothing ran.
 #[test]
-fn a_write_that_reached_nobody_is_refused() {
+fn a_write_that_reached_no_server_is_rejected() {
     let fleet = fleet();
-    let (_occupied, nobody) = nobody();
+    let (_socket, unused) = unused_address();
     fleet.journal.publish(json!({"hosts": {"rev": 2, "all": false,
-        "targets": [host("origin", nobody, "Ready")]}}));
+        "targets": [endpoint("origin", unused, "Ready")]}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
     let mut client = fleet.router.client();
     client.ask(1, &booking("00000000000000b1"), b"pay").expect("sent");
-    assert_eq!(client.read().expect("an answer").code, REFUSED);
-    assert_eq!(left_over(&fleet.origin), 0);
+    assert_eq!(client.read().expect("an answer").code, REJECTED);
+    assert_eq!(count_unread_requests(&fleet.origin), 0);
 }
 
 #[test]
@@ -214,24 +216,24 @@
     client.ask(1, &booking("00000000000000b1"), b"pay").expect("sent");
     let answer = client.read().expect("an answer");
     assert_eq!((answer.code, answer.body.starts_with(b"origin ")), (SERVED, true));
-    assert_eq!(left_over(&fleet.origin), 1);
+    assert_eq!(count_unread_requests(&fleet.origin), 1);
 }
 
-/// Without it caches can't tell a repeat, and a keyed request would have its effect twice.
+/// Without the idempotency key caches can't recognise a repeated request, which would then take effect twice.
 #[test]
-fn the_token_of_a_keyed_request_goes_along() {
+fn the_idempotency_key_of_a_request_is_forwarded() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     let mut fields = booking("00000000000000b1").to_vec();
     fields.push(("k", "5d41402a"));
     client.ask(1, &fields, b"pay").expect("sent");
     assert_eq!(client.read().expect("an answer").code, SERVED);
-    let (_, _, fields, _) = asked(&fleet.origin);
+    let (_, _, fields, _) = next_request(&fleet.origin);
     assert_eq!(fields.get("token").map(String::as_str), Some("5d41402a"));
 }
 
 #[test]
-fn a_current_copy_is_reported_only_to_the_client_that_has_it() {
+fn a_copy_is_reported_as_current_only_to_the_client_that_has_it() {
     let unchanged = || {
         cache(|_, fields, _| {
             let digest = if fields.contains_key("got") { "digest=4be0c1,res=HIT" } else { "res=HIT" };
@@ -256,16 +258,19 @@
 }
 
 #[test]
-fn a_copy_that_no_cache_names_is_not_reported_as_current() {
-    let unnamed =
+fn a_copy_whose_digest_no_cache_states_is_not_reported_as_current() {
+    let without_digest =
         || cache(|_, _, _| Some(Answer { status: "unchanged", fields: "res=HIT".into(), body: Vec::new() }));
-    let fleet = fleet_of(unnamed(), unnamed(), echo("origin"));
+    let fleet = fleet_of(without_digest(), without_digest(), echo("origin"));
     let mut client = fleet.router.client();
     let mut fields = video("00000000000000e1", "00000000000000aa").to_vec();
     fields.push(("known", "4be0c1"));
     client.ask(1, &fields, b"").expect("sent");
     let answer = client.read().expect("an answer");
-    assert!(answer.fields.is_empty() && !answer.body.is_empty(), "the bytes, from elsewhere: {answer:?}");
+    assert!(
+        answer.fields.is_empty() && !answer.body.is_empty(),
+        "expected the body, from another server: {answer:?}"
+    );
 }
 
 #[test]
@@ -286,14 +291,16 @@
     assert_eq!(client.read().expect("an answer").code, SERVED);
 }
 
-/// Whoever does nothing is owed a close within 3 s, and must not hold the place of one with something to ask.
+/// A connection without a request is closed within 3 s, and must not take the capacity that a client with a
+/// request needs.
 #[test]
 fn silent_connections_are_notified_and_closed_in_time() {
-    let fleet = narrow_fleet_of(64, echo("a"), echo("b"));
+    let fleet = fleet_with_socket_limit_of(64, echo("a"), echo("b"));
     let start = std::time::Instant::now();
     let mut silent: Vec<Client> = (0..60).map(|_| fleet.router.client()).collect();
-    let mut half = fleet.router.client();
-    half.stream
+    let mut partial = fleet.router.client();
+    partial
+        .stream
         .write_all(&request(1, &video("00000000000000e1", "00000000000000aa"), b"")[..40])
         .expect("sent");
     for stream in 1..=3 {
@@ -301,15 +308,15 @@
         client.ask(stream, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
         assert_eq!(client.read().expect("an answer").code, SERVED);
     }
-    let error = silent.iter_mut().chain([&mut half]).filter_map(|client| client.read().ok()).count();
-    assert!(error > 0, "those not closed to make room are told why");
-    // 2 s by the limits; some more, as tests run beside each other.
+    let error = silent.iter_mut().chain([&mut partial]).filter_map(|client| client.read().ok()).count();
+    assert!(error > 0, "connections that are not closed to make room get an error");
+    // 2 s by the limits, and some slack since tests run in parallel.
     assert!(start.elapsed().as_millis() < 5_000, "{:?}", start.elapsed());
 }
 
-/// A router with room for one client, whose place is taken by one that is idle for long enough to lose it.
-fn one_place() -> (Fleet, Client) {
-    let fleet = narrow_fleet_of(34, echo("a"), echo("b"));
+/// A router with capacity for one client, and a client that has been idle for long enough to be displaced.
+fn fleet_for_one_client() -> (Fleet, Client) {
+    let fleet = fleet_with_socket_limit_of(34, echo("a"), echo("b"));
     let mut client = fleet.router.client();
     client.ask_ready(1).expect("sent");
     assert_eq!(client.read().expect("an answer").kind, 81);
@@ -317,10 +324,10 @@
     (fleet, client)
 }
 
-/// A close while a request lies unread would leave it without an answer.
+/// Closing the connection with a request unread would leave that request without an answer.
 #[test]
-fn a_request_that_has_arrived_keeps_its_client_the_place_that_another_wants() {
-    let (fleet, mut client) = one_place();
+fn a_client_whose_request_has_arrived_is_not_displaced_by_another() {
+    let (fleet, mut client) = fleet_for_one_client();
     fleet.router.signal(Signal::SIGSTOP);
     let mut other = fleet.router.client();
     other.ask_ready(1).expect("sent");
@@ -328,26 +335,26 @@
     fleet.router.signal(Signal::SIGCONT);
     let answer = client.read().expect("an answer");
     assert_eq!((answer.stream, answer.code), (2, SERVED));
-    assert_eq!(other.read().expect("an answer").kind, 81, "its turn comes");
+    assert_eq!(other.read().expect("an answer").kind, 81, "the other client is served next");
 }
 
-/// Whoever can't be accepted waits; nobody is accepted only to be closed.
+/// Clients that can't be accepted wait in the backlog; none is accepted only to be closed.
 #[test]
-fn where_descriptors_run_out_all_clients_are_answered_in_their_turn() {
-    let fleet = short_fleet(20);
+fn when_descriptors_run_out_all_clients_are_answered_one_after_another() {
+    let fleet = fleet_with_descriptor_limit(20);
     let mut clients: Vec<Client> = (0..24).map(|_| fleet.router.client()).collect();
     for client in &mut clients {
         client.ask_ready(1).expect("sent");
     }
-    assert!(fleet.router.logged("accept: ").contains("os error 24"));
+    assert!(fleet.router.wait_for_log("accept: ").contains("os error 24"));
     for client in &mut clients {
         assert_eq!(client.read().expect("an answer").kind, 81);
     }
 }
 
 #[test]
-fn half_a_message_whose_client_is_displaced_is_reported() {
-    let (fleet, mut client) = one_place();
+fn a_client_that_is_displaced_with_a_partial_message_gets_an_error() {
+    let (fleet, mut client) = fleet_for_one_client();
     let bytes = request(2, &video("00000000000000e1", "00000000000000aa"), b"");
     client.stream.write_all(&bytes[..40]).expect("sent");
     std::thread::sleep(std::time::Duration::from_millis(200));
@@ -358,9 +365,9 @@
     assert_eq!(other.read().expect("an answer").kind, 81);
 }
 
-/// A client that asks once and keeps its connection for good must not keep its place.
+/// A client that sends one request and then stays connected must not take capacity forever.
 #[test]
-fn a_connection_that_is_idle_for_good_is_closed() {
+fn a_connection_that_stays_idle_is_closed() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
@@ -370,9 +377,9 @@
     assert!((4_000..10_000).contains(&start.elapsed().as_millis()), "{:?}", start.elapsed());
 }
 
-/// What caches can't use they answer with an error, which would count against them.
+/// A cache answers an invalid request with an error, which the router would count as a fault of the cache.
 #[test]
-fn requests_that_cannot_be_used_fail_before_they_cost_a_cache_anything() {
+fn invalid_requests_fail_without_reaching_a_cache() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     let cases = [
@@ -408,11 +415,11 @@
     }
     client.ask(90, &booking("00000000000000b1"), &[7; 48_001]).expect("sent");
     assert_eq!(client.read().expect("an answer").code, FAILED);
-    assert_eq!([&fleet.a, &fleet.b, &fleet.origin].map(left_over), [0, 0, 0]);
+    assert_eq!([&fleet.a, &fleet.b, &fleet.origin].map(count_unread_requests), [0, 0, 0]);
 }
 
 #[test]
-fn the_same_again_and_again_ends_the_connection() {
+fn repeated_invalid_requests_end_the_connection() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     let mut answers = Vec::new();
@@ -426,33 +433,33 @@
     assert!(answers.len() < 50 && answers.iter().all(|&code| code == FAILED), "{answers:?}");
 }
 
-/// Caches tell requests by their ids alone.
+/// Caches distinguish requests by their ids alone.
 #[test]
 fn the_id_of_an_open_request_is_rejected_for_another_object() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (cache, _, connection, id) = asked_either(&fleet.a, &fleet.b);
+    let (cache, _, connection, id) = next_request_at_either(&fleet.a, &fleet.b);
     let mut other = fleet.router.client();
     other.ask(1, &video("00000000000000e1", "00000000000000ab"), b"").expect("sent");
     assert_eq!(other.read().expect("an answer").code, FAILED);
     cache.answer(connection, &id, &Answer::data("the first")).expect("answered");
     assert_eq!(client.read().expect("an answer").body, b"the first");
-    assert_eq!(left_over(&fleet.a) + left_over(&fleet.b), 0);
+    assert_eq!(count_unread_requests(&fleet.a) + count_unread_requests(&fleet.b), 0);
 }
 
 #[test]
 fn requests_cancelled_at_once_or_over_the_limit_reach_no_cache() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
-    let ask = |stream: u32| request(stream, &video(&format!("{stream:016x}"), "00000000000000aa"), b"");
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
+    let send = |stream: u32| request(stream, &video(&format!("{stream:016x}"), "00000000000000aa"), b"");
     let mut client = fleet.router.client();
-    let back = |stream: u32| [&[0, 0, 0, 5, 67][..], &stream.to_be_bytes()].concat();
-    let bytes: Vec<u8> = (1..=30).flat_map(ask).chain((1..=30).flat_map(back)).collect();
+    let cancel = |stream: u32| [&[0, 0, 0, 5, 67][..], &stream.to_be_bytes()].concat();
+    let bytes: Vec<u8> = (1..=30).flat_map(send).chain((1..=30).flat_map(cancel)).collect();
     client.stream.write_all(&bytes).expect("sent");
     client.ask_ready(31).expect("sent");
     assert_eq!(client.read().expect("an answer").kind, 81);
     let mut client = fleet.router.client();
-    let bytes: Vec<u8> = (1..=60).flat_map(ask).collect();
+    let bytes: Vec<u8> = (1..=60).flat_map(send).collect();
     client.stream.write_all(&bytes).expect("sent");
     for stream in 1..=32 {
         let answer = client.read().expect("an answer");
@@ -461,17 +468,18 @@
     let error = client.read().expect("an error");
     assert_eq!((error.kind, error.stream), (66, 0));
     assert!(client.read().is_err(), "the connection has ended");
-    assert_eq!(left_over(&fleet.a) + left_over(&fleet.b), 0);
+    assert_eq!(count_unread_requests(&fleet.a) + count_unread_requests(&fleet.b), 0);
 }
 
-/// Without their answers the requests on a connection that is broken off would be lost.
+/// Before the router closes a connection over an error it answers the open requests on it, which would be
+/// lost otherwise.
 #[test]
-fn what_is_open_on_a_connection_that_is_broken_off_has_its_final_answer_first() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn open_requests_are_answered_before_their_connection_is_closed_over_an_error() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (cache, _, connection, _) = asked_either(&fleet.a, &fleet.b);
-    // One that can't be used and one that can, in the same breath as a frame that can't be read.
+    let (cache, _, connection, _) = next_request_at_either(&fleet.a, &fleet.b);
+    // An invalid request and a valid one, in one write with a malformed frame.
     let mut bytes = request(2, &[("c", "video")], b"");
     bytes.extend(request(3, &video("00000000000000e3", "00000000000000ab"), b""));
     bytes.extend([0xff; 9]);
@@ -480,11 +488,11 @@
         std::iter::from_fn(|| client.read().ok()).map(|f| (f.stream, f.code)).collect();
     assert_eq!(frames, [(1, FAILED), (2, FAILED), (3, FAILED), (0, FAILED)]);
     wait(&cache.events, |event| *event == CacheEvent::Closed { connection });
-    assert_eq!(left_over(&fleet.a) + left_over(&fleet.b), 0);
+    assert_eq!(count_unread_requests(&fleet.a) + count_unread_requests(&fleet.b), 0);
 }
 
 #[test]
-fn two_requests_under_one_number_end_the_connection_also_when_the_first_is_answered() {
+fn a_stream_number_that_is_used_twice_ends_the_connection_also_after_its_answer() {
     let fleet = fleet();
     let mut client = fleet.router.client();
     for (stream, served) in [(2, true), (1, true), (2, false)] {
@@ -494,7 +502,7 @@
     }
 }
 
-/// Closing with input unread would reset the connection and take the error along.
+/// Closing with input unread would reset the connection, and the client would not get the error.
 #[test]
 fn the_error_arrives_also_while_the_client_is_still_sending() {
     let fleet = fleet();
@@ -506,17 +514,17 @@
     assert_eq!((error.kind, error.stream), (66, 0));
 }
 
-/// Each replaced cache used to leave a line for good.
+/// The state of replaced caches was never removed once, so that it grew with each replacement.
 #[test]
-fn the_state_of_replaced_caches_ends_with_them() {
+fn the_state_of_replaced_caches_is_removed() {
     let fleet = fleet();
     for rev in 0..300u32 {
-        let line = |rev: u32, state: &str| {
-            let mut host = host("cache-b", fleet.b.address, state);
-            host["uid"] = json!(format!("spare-{rev}"));
-            host
+        let entry = |rev: u32, state: &str| {
+            let mut entry = endpoint("cache-b", fleet.b.address, state);
+            entry["uid"] = json!(format!("spare-{rev}"));
+            entry
         };
-        let targets = [line(rev, "Ready"), line(rev.wrapping_sub(1), "Gone")];
+        let targets = [entry(rev, "Ready"), entry(rev.wrapping_sub(1), "Gone")];
         fleet.journal.publish(json!({"hosts": {"rev": rev + 2, "all": false, "targets": targets}}));
     }
     wait(&fleet.journal.polls, |tail| *tail == 301);
@@ -524,26 +532,27 @@
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     assert_eq!(client.read().expect("an answer").code, SERVED);
     fleet.router.signal(Signal::SIGUSR1);
-    let line = fleet.router.logged("counters");
+    let line = fleet.router.wait_for_log("counters");
     assert!(line.contains(" held_caches=5 "), "{line}");
 }
 
-/// What one client does not read must hold up nobody else, and is not read for without end.
+/// Unread answers of one client must not delay other clients, and the router stops reading requests of that
+/// client.
 #[test]
-fn a_client_that_does_not_read_holds_up_nobody() {
+fn a_client_that_does_not_read_delays_no_other_client() {
     let long = || cache(|_, _, _| Some(Answer::data(vec![7; 240_000])));
     let fleet = fleet_of(long(), long(), echo("origin"));
-    let mut lazy = fleet.router.client();
+    let mut unread = fleet.router.client();
     for stream in 1..=32 {
-        lazy.ask(stream, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
+        unread.ask(stream, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
     }
     let mut client = fleet.router.client();
     for stream in 1..=4 {
         client.ask(stream, &video("00000000000000e2", "00000000000000ab"), b"").expect("sent");
         let answer = client.read().expect("an answer");
-        assert!(answer.code == REFUSED || answer.body.len() == 240_000);
+        assert!(answer.code == REJECTED || answer.body.len() == 240_000);
     }
-    let mut answers: Vec<u32> = (1..=32).map(|_| lazy.read().expect("an answer").stream).collect();
+    let mut answers: Vec<u32> = (1..=32).map(|_| unread.read().expect("an answer").stream).collect();
     answers.sort_unstable();
     assert_eq!(answers, (1..=32).collect::<Vec<u32>>());
 }
@@ -559,20 +568,23 @@
 }
 
 #[test]
-fn nothing_goes_to_a_cache_that_drains_and_none_is_filled_from_it() {
+fn a_draining_cache_gets_no_requests_and_a_draining_parent_no_fills() {
     let fleet = fleet();
-    fleet.journal.publish(json!({"hosts": {"rev": 2, "all": false, "targets": [
-        host("cache-a", fleet.a.address, "Terminating"), host("parent", fleet.parent.address, "Terminating")]}}));
+    let draining = [
+        endpoint("cache-a", fleet.a.address, "Terminating"),
+        endpoint("parent", fleet.parent.address, "Terminating"),
+    ];
+    fleet.journal.publish(json!({"hosts": {"rev": 2, "all": false, "targets": draining}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
     let mut client = fleet.router.client();
     for stream in 1..=20 {
         let object = format!("{stream:016x}");
         client.ask(stream, &video("00000000000000e1", &object), b"").expect("sent");
         assert_eq!(client.read().expect("an answer").code, SERVED);
-        let (_, _, fields, _) = asked(&fleet.b);
+        let (_, _, fields, _) = next_request(&fleet.b);
         assert_ne!(fields.get("parent").map(String::as_str), Some("parent"));
     }
-    assert_eq!(left_over(&fleet.a), 0);
+    assert_eq!(count_unread_requests(&fleet.a), 0);
 }
 
 #[test]
@@ -591,7 +603,7 @@
     {
         Some(CacheEvent::Request { connection, id, fields, .. }) => (connection, id, fields),
         _ => {
-            let (connection, id, fields, _) = asked(&fleet.b);
+            let (connection, id, fields, _) = next_request(&fleet.b);
             (connection, id, fields)
         }
     };
@@ -601,64 +613,65 @@
 }
 
 #[test]
-fn at_sigterm_it_finishes_what_it_has_and_what_still_comes() {
-    let mut fleet = fleet_of(holding(), holding(), echo("origin"));
+fn at_sigterm_open_and_new_requests_are_answered_before_the_exit() {
+    let mut fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask_ready(1).expect("sent");
     assert_eq!(client.read().expect("an answer").code, SERVED);
     client.ask(2, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (cache, _, connection, id) = asked_either(&fleet.a, &fleet.b);
+    let (cache, _, connection, id) = next_request_at_either(&fleet.a, &fleet.b);
     fleet.router.signal(Signal::SIGTERM);
     let error = client.read().expect("a frame");
     assert_eq!((error.kind, error.stream), (90, 0));
     let mut late = fleet.router.client();
     assert_eq!(late.read().expect("a frame").kind, 90);
     late.ask_ready(1).expect("sent");
-    assert_ne!(late.read().expect("an answer").code, SERVED, "it is not ready any more");
+    assert_ne!(late.read().expect("an answer").code, SERVED, "no longer ready");
     late.ask(2, &booking("00000000000000b1"), b"").expect("sent");
     assert_eq!(late.read().expect("an answer").code, SERVED);
-    cache.answer(connection, &id, &Answer::data("kept")).expect("answered");
+    cache.answer(connection, &id, &Answer::data("completed")).expect("answered");
     let answer = client.read().expect("an answer");
-    assert_eq!((answer.code, answer.body.as_slice()), (SERVED, &b"kept"[..]));
-    let end = fleet.router.ended();
+    assert_eq!((answer.code, answer.body.as_slice()), (SERVED, &b"completed"[..]));
+    let end = fleet.router.wait_for_exit();
     assert_eq!((end.code(), end.signal()), (Some(0), None));
-    assert!(fleet.router.logged("counters").contains("served=2 "));
+    assert!(fleet.router.wait_for_log("counters").contains("served=2 "));
 }
 
-/// Whoever waits for a place when all else is answered is taken in and answered before the end.
+/// A client that waits to be accepted when all requests are answered is accepted and answered before the
+/// exit.
 #[test]
-fn at_sigterm_whoever_still_waits_for_a_place_is_answered_before_it_ends() {
-    let mut fleet = narrow_fleet(34);
+fn at_sigterm_a_client_that_waits_to_be_accepted_is_answered_before_the_exit() {
+    let mut fleet = fleet_with_socket_limit(34);
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (cache, _, connection, id) = asked_either(&fleet.a, &fleet.b);
+    let (cache, _, connection, id) = next_request_at_either(&fleet.a, &fleet.b);
     fleet.router.signal(Signal::SIGTERM);
     assert_eq!(client.read().expect("a frame").kind, 90);
     let mut late = fleet.router.client();
     late.ask_ready(1).expect("sent");
-    // It goes on for a second in any case.
+    // The router runs for another second in any case.
     std::thread::sleep(std::time::Duration::from_millis(1_200));
-    cache.answer(connection, &id, &Answer::data("kept")).expect("answered");
-    assert_eq!(client.read().expect("an answer").body, b"kept");
+    cache.answer(connection, &id, &Answer::data("completed")).expect("answered");
+    assert_eq!(client.read().expect("an answer").body, b"completed");
     let kinds: Vec<u8> = std::iter::from_fn(|| late.read().ok()).map(|frame| frame.kind).collect();
     assert_eq!(kinds, [90, 81]);
-    assert_eq!(fleet.router.ended().code(), Some(0));
+    assert_eq!(fleet.router.wait_for_exit().code(), Some(0));
 }
 
-/// A second journal that has told the same events as the first one.
+/// A second journal with the same events as the first one.
 fn moved_journal(fleet: &Fleet) -> Journal {
-    let known = fleet.journal.known()["entries"].as_array().cloned().unwrap_or_default();
-    Journal::start("127.0.0.1:0", known).expect("the journal listens")
+    let events = fleet.journal.known()["entries"].as_array().cloned().unwrap_or_default();
+    Journal::start("127.0.0.1:0", events).expect("the journal listens")
 }
 
 #[test]
-fn at_sighup_it_goes_over_to_the_new_journal_from_the_last_number_and_loses_nothing() {
-    let mut fleet = fleet_of(holding(), holding(), echo("origin"));
+fn at_sighup_the_new_journal_is_polled_from_the_last_position_and_nothing_is_lost() {
+    let mut fleet = fleet_of(manual(), manual(), echo("origin"));
     fleet.journal.publish(json!({"expire": {"set": 3, "stamp": 1}}));
     wait(&fleet.journal.polls, |tail| *tail == 2);
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (cache, _, connection, id) = asked_either(&fleet.a, &fleet.b);
+    let (cache, _, connection, id) = next_request_at_either(&fleet.a, &fleet.b);
     for _ in 0..2 {
         let moved = moved_journal(&fleet);
         fleet.router.reload(moved.address);
@@ -667,17 +680,20 @@
     }
     fleet.journal.publish(json!({"expire": {"set": 4, "stamp": 1}}));
     assert_eq!(wait(&fleet.journal.polls, |_| true), 3);
-    cache.answer(connection, &id, &Answer::data("kept")).expect("answered");
-    assert_eq!(client.read().expect("an answer").body, b"kept");
+    cache.answer(connection, &id, &Answer::data("completed")).expect("answered");
+    assert_eq!(client.read().expect("an answer").body, b"completed");
 }
 
 #[test]
-fn a_configuration_that_cannot_be_read_changes_nothing() {
+fn an_invalid_configuration_changes_nothing_at_a_reload() {
     let mut fleet = fleet();
     wait(&fleet.journal.polls, |tail| *tail == 1);
     for text in ["", "{\"name\": \"half", "{}"] {
         fleet.router.reload_text(text);
-        assert!(fleet.router.logged("not reloaded").ends_with(|c: char| c.is_ascii_digit()), "one line");
+        assert!(
+            fleet.router.wait_for_log("not reloaded").ends_with(|c: char| c.is_ascii_digit()),
+            "one line"
+        );
     }
     fleet.journal.publish(json!({"expire": {"set": 3, "stamp": 1}}));
     assert_eq!(wait(&fleet.journal.polls, |tail| *tail > 1), 2);
@@ -686,10 +702,11 @@
     assert_eq!(wait(&moved.polls, |_| true), 2);
 }
 
-/// The platform kills soon after the longest wait: what would still be open then is answered before.
+/// The platform kills the process soon after the longest deadline: requests that are still open are answered
+/// before.
 #[test]
-fn after_sigterm_what_stays_open_is_answered_before_the_platform_kills() {
-    let mut fleet = fleet_of(echo("a"), echo("b"), holding());
+fn after_sigterm_open_requests_are_answered_before_the_platform_kills_the_process() {
+    let mut fleet = fleet_of(echo("a"), echo("b"), manual());
     let mut client = fleet.router.client();
     client
         .ask(
@@ -698,13 +715,13 @@
             b"",
         )
         .expect("sent");
-    asked(&fleet.origin);
+    next_request(&fleet.origin);
     let start = std::time::Instant::now();
     fleet.router.signal(Signal::SIGTERM);
     assert_eq!(client.read().expect("a frame").kind, 90);
     assert_eq!(client.read().expect("an answer").code, FAILED);
-    assert_eq!(fleet.router.ended().code(), Some(0));
-    // 3.45 s by the limits; some more, as tests run beside each other.
+    assert_eq!(fleet.router.wait_for_exit().code(), Some(0));
+    // 3.45 s by the limits, and some slack since tests run in parallel.
     assert!(start.elapsed().as_millis() < 5_000, "{:?}", start.elapsed());
 }
 
@@ -715,14 +732,14 @@
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"abc").expect("sent");
     client.read().expect("an answer");
     fleet.router.signal(Signal::SIGUSR1);
-    let line = fleet.router.logged("counters");
+    let line = fleet.router.wait_for_log("counters");
     assert!(line.contains("taken_in=1 taken_in_bytes=3") && line.contains("served=1 "), "{line}");
     assert!(line.ends_with("open=0 out=0 buffers=0"), "{line}");
 }
 
-/// A line that can't be written must not end the router.
+/// A log line that can't be written must not end the router.
 #[test]
-fn it_serves_on_when_nobody_reads_its_log() {
+fn the_router_continues_to_serve_after_its_log_is_closed() {
     let mut fleet = fleet();
     fleet.router.close_log();
     for _ in 0..3 {
@@ -737,21 +754,21 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_requests_along() {
-    let fleet = fleet_of(holding(), holding(), echo("origin"));
+fn the_requests_of_a_client_that_disconnects_are_cancelled() {
+    let fleet = fleet_of(manual(), manual(), echo("origin"));
     let mut client = fleet.router.client();
     client.ask(1, &video("00000000000000e1", "00000000000000aa"), b"").expect("sent");
-    let (cache, _, connection, _) = asked_either(&fleet.a, &fleet.b);
+    let (cache, _, connection, _) = next_request_at_either(&fleet.a, &fleet.b);
     client.stream.shutdown(Shutdown::Both).expect("closed");
     wait(&cache.events, |event| *event == CacheEvent::Closed { connection });
 }
 
-/// A figure that is missing, nothing, very small, very large or no figure at all: either the router says in one line
-/// what is wrong, with the way to it, or it answers what it is asked, within the client's time.
+/// A number that is missing, zero, negative, very small, very large or no number at all: the router either
+/// exits with one log line that names the setting, or answers requests within the client's deadline.
 #[test]
-fn settings_out_of_the_ordinary_are_refused_in_one_line_or_served() {
+fn extreme_settings_are_rejected_in_one_line_or_requests_are_served() {
     let values = [json!(null), json!(0), json!(-1), json!(1e-9), json!(1), json!(1e15), json!("much")];
-    let places: [&[&str]; 12] = [
+    let paths: [&[&str]; 12] = [
         &["grades", "0", "deadline"],
         &["grades", "0", "objective"],
         &["grades", "0", "aim-stretch"],
@@ -766,8 +783,8 @@
         &["rules", "drain-grace"],
     ];
     let fleet = fleet();
-    let (mut refused, mut answered) = (0, 0);
-    for path in places {
+    let (mut rejected, mut answered) = (0, 0);
+    for path in paths {
         for value in &values {
             let change = |config: &mut serde_json::Value| {
                 let mut at = &mut config["settings"];
@@ -787,7 +804,7 @@
                 Err(log_lines) => {
                     assert_eq!(log_lines.len(), 1, "{path:?} {value}: {log_lines:?}");
                     assert!(log_lines[0].contains(path[path.len() - 1]), "{path:?} {value}: {log_lines:?}");
-                    refused += 1;
+                    rejected += 1;
                 }
                 Ok(router) => {
                     let mut client = router.client();
@@ -801,5 +818,5 @@
             }
         }
     }
-    assert!(refused > 10 && answered > 10, "{refused} refused, {answered} answered");
+    assert!(rejected > 10 && answered > 10, "{rejected} rejected, {answered} answered");
 }
