--- a/crates/router/tests/endings.rs
+++ b/crates/router/tests/endings.rs
@@ -387,7 +387,7 @@
     wait(&fleet.journal.polls, |tail| *tail == 1);
     let pending = PendingListener::new();
     fleet.router.reload(pending.address);
-    assert!(fleet.router.wait_for_log("poll from 1 lost").ends_with("not up in time"));
+    assert!(fleet.router.wait_for_log("poll from position 1 failed").ends_with("connect timed out"));
     // Of two reloads in quick succession the last one counts.
     let events = fleet.journal.known()["entries"].as_array().cloned().unwrap_or_default();
     let moved = Journal::start("127.0.0.1:0", events).expect("the journal listens");
