--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -54,7 +54,7 @@
         };
         harness.until(n, "r2 has rejoined", has_rejoined).expect("shown");
     }
-    harness.fleet.logged("r0", "r2 has started again").expect("logged");
+    harness.fleet.logged("r0", "r2 has restarted").expect("logged");
     finish(&mut harness);
 }
 
@@ -217,7 +217,7 @@
     pause(2_500);
     harness.wake(1).expect("resumed");
     harness.until(1, "the drain from peers", |shown| shown["drains"] == 1).expect("received");
-    harness.fleet.logged("r1", "this process did nothing for").expect("it has noticed the pause");
+    harness.fleet.logged("r1", "this process was frozen for").expect("it has noticed the pause");
     harness.settle().expect("all act on the same hierarchy");
     finish(&mut harness);
 }
@@ -228,8 +228,8 @@
     let mut harness = start_harness(3);
     let incarnation = line(&harness.shown(0).expect("shown"), "r1").expect("known")["start"].clone();
     let duplicate = harness.start_duplicate(1).expect("a second r1");
-    harness.fleet.logged(&duplicate, "THIS ROUTER'S NAME IS TAKEN").expect("logged by the second");
-    harness.fleet.logged("r1", "ANOTHER PROCESS HAS THIS ROUTER'S NAME").expect("logged by the first");
+    harness.fleet.logged(&duplicate, "THIS ROUTER'S NAME IS IN USE").expect("logged by the second");
+    harness.fleet.logged("r1", "ANOTHER PROCESS USES THIS ROUTER'S NAME").expect("logged by the first");
     for n in [0, 2] {
         let known =
             |shown: &serde_json::Value| line(shown, "r1").is_some_and(|line| line["start"] == incarnation);
@@ -248,7 +248,7 @@
     let duplicate = harness.start_duplicate(1).expect("a successor");
     harness.until(0, "the successor is alive", |shown| has_state(shown, 1, "Alive")).expect("shown");
     harness.wake(1).expect("resumed");
-    harness.fleet.logged("r1", "it takes no part").expect("it has yielded");
+    harness.fleet.logged("r1", "this one leaves the cluster").expect("it has yielded");
     assert_eq!(
         harness.fleet.asked(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"],
         "Takes"
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -217,7 +217,7 @@
     fleet.node("south").set_upstream(&["centre"], 5);
     fleet.node("centre").set_upstream(&["south"], 4);
     let running = fleet.load("n0", &Load { rate: 80.0, ..patient_load() }).expect("clients");
-    fleet.logged("n0", "a fill came round").expect("logged");
+    fleet.logged("n0", "a fill loop was detected").expect("logged");
     until(&fleet, "n0", "an excluded edge", |shown| shown["held_back"].as_u64() > Some(0));
     thread::sleep(Duration::from_millis(700));
     let ends = running.finish();
