--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,15 +1,16 @@
-//! Owns the comparison of variants: differences by seed, with intervals by bootstrap.
+//! Comparison of variants: paired differences by seed, with bootstrap confidence intervals.
 //!
-//! Must never compare rows of different seeds or points: a day is hard or easy for all variants alike.
+//! Only rows of the same seed and point are compared, because a seed is equally hard or easy for all
+//! variants.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use statrs::statistics::Statistics;
 
-use crate::faults::rounded;
+use crate::faults::format_number;
 use crate::rows::Row;
 
-/// A mean with the interval that holds it nineteen times in twenty.
+/// A mean with its 95 % confidence interval.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
     pub mean: f64,
@@ -17,23 +18,27 @@
     pub high: f64,
 }
 
-/// Draws of the bootstrap.
-const DRAWS: usize = 4_000;
+/// Number of bootstrap resamples.
+const RESAMPLES: usize = 4_000;
 
-/// The mean of some values, and its interval; nothing of nothing.
+/// The mean of values with its interval; `None` without values.
 pub fn estimate(all: &[f64], seed: u64) -> Option<Estimate> {
     if all.is_empty() {
         return None;
     }
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut draw =
-        || (0..all.len()).map(|_| all[chance.random_range(0..all.len())]).sum::<f64>() / all.len() as f64;
-    let mut means: Vec<f64> = (0..DRAWS).map(|_| draw()).collect();
+        || (0..all.len()).map(|_| all[random.random_range(0..all.len())]).sum::<f64>() / all.len() as f64;
+    let mut means: Vec<f64> = (0..RESAMPLES).map(|_| draw()).collect();
     means.sort_by(f64::total_cmp);
-    Some(Estimate { mean: all.iter().mean(), low: means[DRAWS / 40], high: means[DRAWS - 1 - DRAWS / 40] })
+    Some(Estimate {
+        mean: all.iter().mean(),
+        low: means[RESAMPLES / 40],
+        high: means[RESAMPLES - 1 - RESAMPLES / 40],
+    })
 }
 
-/// The mean difference of pairs.
+/// The mean difference of pairs, first minus second; `None` without pairs.
 pub fn difference(pairs: &[(f64, f64)], seed: u64) -> Option<Estimate> {
     estimate(&pairs.iter().map(|(one, other)| one - other).collect::<Vec<_>>(), seed)
 }
@@ -43,7 +48,7 @@
     rows.iter().filter(move |row| row.variant == variant && row.point == point)
 }
 
-/// A figure's mean over seeds, with its interval.
+/// The mean of a figure over seeds, with its interval.
 pub fn figure(
     rows: &[Row],
     variant: &str,
@@ -53,7 +58,7 @@
     estimate(&of(rows, variant, point).map(figure).collect::<Vec<_>>(), 1)
 }
 
-/// A variant's figure against the first one's, by seed.
+/// The difference of a figure between a variant and the first one, paired by seed.
 pub fn against(
     rows: &[Row],
     (variant, first): (&str, &str),
@@ -77,19 +82,20 @@
     out
 }
 
-/// The variants in the order in which they come.
+/// The variants, in order of first occurrence.
 pub fn variants(rows: &[Row]) -> Vec<&str> {
     distinct(rows.iter().map(|row| row.variant.as_str()))
 }
 
-/// The values of the setting that is swept.
+/// The values of the swept parameter, in order of first occurrence.
 pub fn points(rows: &[Row]) -> Vec<Option<f64>> {
     distinct(rows.iter().map(|row| row.point))
 }
 
-/// A figure of the table: its head, its digits, and how it is had.
+/// A column of the table: its heading, its decimal places, and the figure of a row.
 type Column = (&'static str, usize, fn(&Row) -> f64);
 
+/// The columns of the table.
 pub const COLUMNS: &[Column] = &[
     ("in time", 4, |row| row.in_time),
     ("late", 4, |row| row.late),
@@ -104,7 +110,7 @@
     ("fell", 1, |row| row.fell as f64),
 ];
 
-/// A table for people.
+/// A readable table: one line for each point and variant.
 pub fn table(rows: &[Row], setting: Option<&str>) -> String {
     let names = variants(rows);
     let Some(first) = names.first().copied() else { return "no rows\n".to_string() };
@@ -115,7 +121,7 @@
     out += if judged { "  breaches\n" } else { "\n" };
     for point in points(rows) {
         if let Some(value) = point {
-            out += &format!("{} = {}\n", setting.unwrap_or("at"), rounded(value));
+            out += &format!("{} = {}\n", setting.unwrap_or("at"), format_number(value));
         }
         for name in &names {
             if of(rows, name, point).next().is_none() {
@@ -139,7 +145,7 @@
     out
 }
 
-/// Each variant beside itself by an earlier build, seed by seed.
+/// Each variant compared with the same variant of an earlier build, paired by seed.
 pub fn with_before(before: &[Row], now: &[Row], setting: Option<&str>) -> String {
     let named = |rows: &[Row], what: &str| -> Vec<Row> {
         let name = |row: &Row| Row { variant: format!("{}, {what}", row.variant), ..row.clone() };
@@ -147,10 +153,10 @@
     };
     let mut out = String::new();
     for variant in variants(now) {
-        let mine = |rows: &[Row]| -> Vec<Row> {
+        let of_variant = |rows: &[Row]| -> Vec<Row> {
             rows.iter().filter(|row| row.variant == variant).cloned().collect()
         };
-        let pair = [named(&mine(before), "before"), named(&mine(now), "now")].concat();
+        let pair = [named(&of_variant(before), "before"), named(&of_variant(now), "now")].concat();
         out += &table(&pair, setting);
     }
     out
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,6 +1,6 @@
-//! Owns the file of an experiment, in Starlark: a fleet, a load, faults, the variants that are compared, a sweep, seeds.
+//! Experiment files in Starlark: a fleet, a load, faults, the variants to compare, a sweep, and seeds.
 //!
-//! Must never run anything: it gives a whole, checked experiment or one error with its place.
+//! Reading a file runs nothing: it returns a complete, validated experiment, or one error with its position.
 
 use std::cell::RefCell;
 
@@ -17,10 +17,10 @@
 use starlark::values::Value;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::faults::{Needs, KINDS};
-use crate::settings::{all, find, FLEET, LOAD, SITES, TIERS};
+use crate::faults::{RequiredArguments, FAULT_KINDS};
+use crate::settings::{all, find, DEMAND, FLEET, HIERARCHY, SITES};
 
-/// A plan under a name.
+/// A plan with a name.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Variant {
     pub name: String,
@@ -32,7 +32,7 @@
 pub struct Sweep {
     pub setting: String,
     pub values: Vec<f64>,
-    /// Settings that grow with it, in the same proportion.
+    /// Parameters that are scaled in the same proportion.
     pub with: Vec<String>,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Troubles drawn from each run's seed.
+/// Faults drawn at random from the seed of each run: their number, and the seconds between which they begin.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BadDays {
     pub troubles: usize,
@@ -57,33 +57,33 @@
     pub to: f64,
 }
 
-/// What is played.
+/// A validated experiment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Experiment {
     pub title: String,
     pub plan: Plan,
-    /// The first is what the others are compared with.
+    /// The first one is the baseline of comparisons.
     pub variants: Vec<Variant>,
     pub sweep: Option<Sweep>,
     pub bad_days: Option<BadDays>,
-    /// Whether the record of each run is judged.
+    /// Whether the record of each run is checked against the rules.
     pub judged: bool,
-    /// The first seed, and how many.
+    /// The first seed, and the number of seeds.
     pub first: u64,
     pub seeds: u64,
 }
 
-/// One run of it.
+/// One run of an experiment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Case {
     pub variant: String,
-    /// The value of the setting that is swept.
+    /// The value of the swept parameter.
     pub point: Option<f64>,
     pub plan: Plan,
 }
 
 impl Experiment {
-    /// All runs: by point, within one by variant, within that by seed.
+    /// All runs, ordered by point, then variant, then seed.
     pub fn cases(&self) -> Vec<Case> {
         let points: Vec<Option<f64>> = match &self.sweep {
             Some(sweep) => sweep.values.iter().copied().map(Some).collect(),
@@ -107,14 +107,15 @@
         cases
     }
 
-    /// What tells this experiment from another: all its plans.
-    pub fn mark(&self) -> String {
+    /// A hash of all plans, which identifies the experiment.
+    pub fn digest(&self) -> String {
         let of = (&self.variants, &self.sweep, &self.bad_days, self.judged);
         format!("{:016x}", xxh3_64(format!("{of:?}").as_bytes()))
     }
 }
 
-pub const WAYS: &[(&str, RoutingPolicy)] = &[
+/// The routing policies under the names that files give them.
+pub const ROUTING_POLICIES: &[(&str, RoutingPolicy)] = &[
     ("shipped", RoutingPolicy::Shipped),
     ("random", RoutingPolicy::Random),
     ("least in flight", RoutingPolicy::LeastInFlight),
@@ -129,13 +130,13 @@
 fn collect(put: impl FnOnce(&mut Experiment) -> anyhow::Result<()>) -> anyhow::Result<NoneType> {
     COLLECTED.with_borrow_mut(|experiment| match experiment {
         Some(experiment) => put(experiment).map(|()| NoneType),
-        None => Err(anyhow::anyhow!("a call outside of a file")),
+        None => Err(anyhow::anyhow!("called outside of an experiment file")),
     })
 }
 
 type Given<'v> = SmallMap<String, Value<'v>>;
 
-/// What all variants have in common is said before the first of them.
+/// Checks that a function for all variants is called before the first of them is defined.
 fn common(function: &'static str, experiment: &Experiment) -> anyhow::Result<()> {
     match experiment.variants.is_empty() {
         true => Ok(()),
@@ -149,7 +150,7 @@
 
 #[starlark_module]
 fn functions(builder: &mut GlobalsBuilder) {
-    /// What the experiment is called.
+    /// The title of the experiment.
     fn title(text: &str) -> anyhow::Result<NoneType> {
         let text: String = text.chars().take(200).collect();
         collect(|experiment| {
@@ -158,7 +159,7 @@
         })
     }
 
-    /// The fleet.
+    /// The servers, routers and links of the fleet.
     fn fleet<'v>(#[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("fleet()", given);
         collect(|experiment| {
@@ -167,13 +168,13 @@
         })
     }
 
-    /// The hierarchy that all routers have.
+    /// The hierarchy configured on all routers.
     fn hierarchy<'v>(#[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("hierarchy()", given);
         collect(|experiment| {
             common("hierarchy()", experiment)?;
             experiment.plan.hierarchy.get_or_insert_default();
-            arguments.parameters(TIERS, &mut experiment.plan).and_then(|()| arguments.finish())
+            arguments.parameters(HIERARCHY, &mut experiment.plan).and_then(|()| arguments.finish())
         })
     }
 
@@ -187,16 +188,16 @@
         })
     }
 
-    /// What is asked for.
+    /// The requests of clients.
     fn demand<'v>(#[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("demand()", given);
         collect(|experiment| {
             common("demand()", experiment)?;
-            arguments.parameters(LOAD, &mut experiment.plan).and_then(|()| arguments.finish())
+            arguments.parameters(DEMAND, &mut experiment.plan).and_then(|()| arguments.finish())
         })
     }
 
-    /// From one second to another so large a part of all asks for one object.
+    /// Between two seconds, a share of all requests is for one object.
     fn crowd<'v>(#[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("crowd()", given);
         let mut number = |name: &'static str, range, kind| {
@@ -206,7 +207,7 @@
             number("from_second", 0.0..=1e5, NumberKind::Real)?,
             number("to_second", 0.0..=1e5, NumberKind::Real)?,
         );
-        let (object, part) = (
+        let (object, share) = (
             number("object", 0.0..=1e12, NumberKind::Integer)? as u64,
             number("part", 0.0..=1.0, NumberKind::Real)?,
         );
@@ -218,49 +219,50 @@
                 from,
                 to,
                 object,
-                share: part,
+                share,
             });
             Ok(())
         })
     }
 
-    /// What befalls the fleet at a second.
+    /// A fault at a second of the run.
     fn fault<'v>(#[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("fault()", given);
         let missing = |what: &str| missing("fault()", what);
         let at = arguments.number("at", 0.0..=1e5, NumberKind::Real)?.ok_or_else(|| missing("at"))?;
-        let kinds: Vec<(&str, _)> = KINDS.iter().map(|kind| (kind.word, *kind)).collect();
+        let kinds: Vec<(&str, _)> = FAULT_KINDS.iter().map(|kind| (kind.name, *kind)).collect();
         let kind = arguments.one_of("kind", &kinds)?.ok_or_else(|| missing("kind"))?;
-        let mut place = |name: &'static str| {
-            let place =
+        let mut target = |name: &'static str| {
+            let target =
                 arguments.number(name, 0.0..=1e6, NumberKind::Integer)?.ok_or_else(|| missing(name))?;
-            anyhow::Ok(place as usize)
+            anyhow::Ok(target as usize)
         };
-        let place = match kind.needs {
-            Needs::Server | Needs::ServerAnd(..) => place("server")?,
-            Needs::Location => place("location")?,
-            Needs::Parents => place("parent")?,
-            Needs::Number(..) | Needs::Nothing => 0,
+        let target = match kind.required {
+            RequiredArguments::Server | RequiredArguments::ServerAnd(..) => target("server")?,
+            RequiredArguments::Location => target("location")?,
+            RequiredArguments::Parents => target("parent")?,
+            RequiredArguments::Number(..) | RequiredArguments::Nothing => 0,
         };
-        let number = match kind.needs {
-            Needs::Number(name, least, most) | Needs::ServerAnd(name, least, most) => {
+        let number = match kind.required {
+            RequiredArguments::Number(name, least, most)
+            | RequiredArguments::ServerAnd(name, least, most) => {
                 let range = f64::from(least)..=f64::from(most);
                 arguments.number(name, range, NumberKind::Real)?.ok_or_else(|| missing(name))?
             }
-            Needs::Parents => {
+            RequiredArguments::Parents => {
                 arguments.number("to", 0.0..=1e6, NumberKind::Integer)?.ok_or_else(|| missing("to"))?
             }
-            Needs::Server | Needs::Location | Needs::Nothing => 0.0,
+            RequiredArguments::Server | RequiredArguments::Location | RequiredArguments::Nothing => 0.0,
         };
         arguments.finish()?;
         collect(|experiment| {
             common("fault()", experiment)?;
-            experiment.plan.faults.push((at, (kind.make)(place, number)));
+            experiment.plan.faults.push((at, (kind.construct)(target, number)));
             Ok(())
         })
     }
 
-    /// Troubles drawn from each run's seed.
+    /// Faults drawn at random from the seed of each run.
     fn bad_day<'v>(#[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("bad_day()", given);
         let troubles =
@@ -277,33 +279,34 @@
         })
     }
 
-    /// A way to decide, and what else differs, under a name.
+    /// A routing policy and the parameters that differ, under a name.
     fn variant<'v>(name: &str, #[starlark(kwargs)] given: Given<'v>) -> anyhow::Result<NoneType> {
         let mut arguments = Arguments::new("variant()", given);
         let bound = arguments.number("bound", 1.0..=100.0, NumberKind::Real)?;
-        let way = arguments.one_of("way", WAYS)?.unwrap_or(RoutingPolicy::Shipped);
-        let way = match (way, bound) {
+        let policy = arguments.one_of("way", ROUTING_POLICIES)?.unwrap_or(RoutingPolicy::Shipped);
+        let policy = match (policy, bound) {
             (RoutingPolicy::BoundedHash(_), Some(bound)) => RoutingPolicy::BoundedHash(bound),
             (_, Some(_)) => return Err(anyhow::anyhow!("variant(): bound is for \"bounded hash\" alone")),
-            (way, None) => way,
+            (policy, None) => policy,
         };
         let name = name.to_string();
         collect(|experiment| {
             if experiment.variants.iter().any(|known| known.name == name) {
                 return Err(anyhow::anyhow!("variant(): {name:?} is a variant already"));
             }
-            let mut plan = Plan { routing_policy: way, ..experiment.plan.clone() };
+            let mut plan = Plan { routing_policy: policy, ..experiment.plan.clone() };
             arguments.parameters(FLEET, &mut plan)?;
-            arguments.parameters(TIERS, &mut plan)?;
+            arguments.parameters(HIERARCHY, &mut plan)?;
             arguments.parameters(SITES, &mut plan)?;
-            arguments.parameters(LOAD, &mut plan)?;
+            arguments.parameters(DEMAND, &mut plan)?;
             arguments.finish()?;
             experiment.variants.push(Variant { name, plan });
             Ok(())
         })
     }
 
-    /// One setting at several values, `also` with others that grow in proportion: each variant is played with each.
+    /// Runs each variant with several values of a parameter; the parameters in `also` are scaled in
+    /// proportion.
     fn sweep<'v>(
         setting: &str,
         values: Value<'v>,
@@ -339,7 +342,7 @@
         })
     }
 
-    /// How many seeds each variant is played with, from 1 on.
+    /// The number of seeds of each variant, beginning with 1.
     fn seeds(count: i32) -> anyhow::Result<NoneType> {
         if !(1..=100_000).contains(&count) {
             return Err(anyhow::anyhow!("seeds(): expected a whole number from 1 to 100000, got {count}"));
@@ -350,7 +353,7 @@
         })
     }
 
-    /// One seed and no other.
+    /// A single seed.
     fn seed(number: i32) -> anyhow::Result<NoneType> {
         let number = u64::try_from(number).map_err(|_| anyhow::anyhow!("seed(): expected 0 or more"))?;
         collect(|experiment| {
@@ -359,7 +362,7 @@
         })
     }
 
-    /// The record of each run is judged by the rules.
+    /// Checks the record of each run against the rules.
     fn judge() -> anyhow::Result<NoneType> {
         collect(|experiment| {
             experiment.judged = true;
@@ -368,7 +371,10 @@
     }
 }
 
-/// Reads a file's text.
+/// Reads an experiment from the text of a file.
+///
+/// # Errors
+/// The first error of the file, with its position where there is one.
 pub fn read(file: &str, text: &str) -> Result<Experiment, ConfigError> {
     let globals = GlobalsBuilder::standard().with(functions).build();
     let title = file.rsplit('/').next().unwrap_or(file).trim_end_matches(".star").to_string();
@@ -385,13 +391,13 @@
     let outcome = run_script(&globals, file, text, &EvaluationLimits::default());
     let experiment = COLLECTED.take();
     outcome?;
-    let wrong = |message: &str| ConfigError::of_file(file, message);
-    let mut experiment = experiment.ok_or_else(|| wrong("nothing was collected"))?;
+    let error = |message: &str| ConfigError::of_file(file, message);
+    let mut experiment = experiment.ok_or_else(|| error("nothing was collected"))?;
     if experiment.variants.is_empty() {
         let all = RoutingPolicy::ALL.into_iter();
-        let variant = |way: RoutingPolicy| Variant {
-            name: way.name().to_string(),
-            plan: Plan { routing_policy: way, ..experiment.plan.clone() },
+        let variant = |policy: RoutingPolicy| Variant {
+            name: policy.name().to_string(),
+            plan: Plan { routing_policy: policy, ..experiment.plan.clone() },
         };
         experiment.variants = all.map(variant).collect();
     }
@@ -399,7 +405,7 @@
         let servers = plan.servers();
         let server = |(_, fault): &(f64, Fault)| fault.server().filter(|n| *n >= servers);
         if let Some(n) = plan.faults.iter().find_map(server) {
-            return Err(wrong(&format!("fault(): server: expected 0 to {}, got {n}", servers - 1)));
+            return Err(error(&format!("fault(): server: expected 0 to {}, got {n}", servers - 1)));
         }
         let location = |(_, fault): &(f64, Fault)| match fault {
             Fault::Partition(n, _) if *n >= plan.locations => Some(*n),
@@ -407,20 +413,20 @@
         };
         if let Some(n) = plan.faults.iter().find_map(location) {
             let what = format!("fault(): location: expected 0 to {}, got {n}", plan.locations - 1);
-            return Err(wrong(&what));
+            return Err(error(&what));
         }
         let parent = |(_, fault): &(f64, Fault)| match fault {
             Fault::Move(one, other) => Some(*one.max(other)).filter(|n| *n >= plan.parents),
             _ => None,
         };
         if let Some(n) = plan.faults.iter().find_map(parent) {
-            return Err(wrong(&format!("fault(): parent: there are {}, got {n}", plan.parents)));
+            return Err(error(&format!("fault(): parent: there are {}, got {n}", plan.parents)));
         }
         if plan.sites.is_some() && plan.locations < 2 {
-            return Err(wrong("sites(): expected two locations or more"));
+            return Err(error("sites(): expected two locations or more"));
         }
         if plan.spare_caches >= plan.caches {
-            return Err(wrong(&format!("fleet(): spare: expected less than caches, {}", plan.caches)));
+            return Err(error(&format!("fleet(): spare: expected less than caches, {}", plan.caches)));
         }
     }
     Ok(experiment)
--- a/crates/lab/src/faults.rs
+++ b/crates/lab/src/faults.rs
@@ -1,71 +1,83 @@
-//! Owns the words for faults: one table by which a file names them, and by which they are written down again.
+//! The names of faults: one table, used to read faults from experiment files and to write them back.
 //!
-//! Must never know what a fault does.
+//! The effects of a fault are implemented by the model.
 
 use linnethook_model::plan::{Fault, LinkFault};
 
-/// What a kind of fault needs beside its time.
+/// The arguments that a kind of fault requires in addition to its time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Needs {
+pub enum RequiredArguments {
     Nothing,
     Server,
     Location,
-    /// A parent, counted among the parents, and another.
+    /// A parent, by its index among the parents, and another parent.
     Parents,
-    /// A number, under a name of its own.
+    /// A number: the name of its argument, its minimum and its maximum.
     Number(&'static str, u32, u32),
+    /// A server and a number.
     ServerAnd(&'static str, u32, u32),
 }
 
-/// A kind of fault.
+/// A kind of fault under its name in experiment files.
 #[derive(Debug, Clone, Copy)]
-pub struct Kind {
-    pub word: &'static str,
-    pub needs: Needs,
-    /// From a server or location and a number.
-    pub make: fn(usize, f64) -> Fault,
+pub struct FaultKind {
+    pub name: &'static str,
+    pub required: RequiredArguments,
+    /// Constructs the fault from the index of a server, location or parent, and a number.
+    pub construct: fn(usize, f64) -> Fault,
 }
 
-impl PartialEq for Kind {
+impl PartialEq for FaultKind {
     fn eq(&self, other: &Self) -> bool {
-        self.word == other.word
+        self.name == other.name
     }
 }
 
-const fn kind(word: &'static str, needs: Needs, make: fn(usize, f64) -> Fault) -> Kind {
-    Kind { word, needs, make }
+const fn kind(
+    name: &'static str,
+    required: RequiredArguments,
+    construct: fn(usize, f64) -> Fault,
+) -> FaultKind {
+    FaultKind { name, required, construct }
 }
 
-pub const KINDS: &[Kind] = &[
-    kind("die", Needs::Server, |n, _| Fault::Crash(n)),
-    kind("start", Needs::Server, |n, _| Fault::Start(n)),
-    kind("silent", Needs::Server, |n, _| Fault::Silent(n, true)),
-    kind("heard", Needs::Server, |n, _| Fault::Silent(n, false)),
-    kind("stall", Needs::Server, |n, _| Fault::Stall(n, true)),
-    kind("go on", Needs::Server, |n, _| Fault::Stall(n, false)),
-    kind("fail", Needs::Server, |n, _| Fault::FailFast(n, true)),
-    kind("work", Needs::Server, |n, _| Fault::FailFast(n, false)),
-    kind("slow", Needs::ServerAnd("times", 0, 10_000), Fault::Slow),
-    kind("age", Needs::ServerAnd("by", 0, 10_000), Fault::Degrade),
-    kind("drain", Needs::Server, |n, _| Fault::Drain(n)),
-    kind("cut", Needs::Location, |n, _| Fault::Partition(n, true)),
-    kind("mend", Needs::Location, |n, _| Fault::Partition(n, false)),
-    kind("link cut", Needs::Nothing, |_, _| Fault::Link(LinkFault::Cut)),
-    kind("link silent", Needs::Nothing, |_, _| Fault::Link(LinkFault::Silent)),
-    kind("link slow", Needs::Number("times", 0, 10_000), |_, times| Fault::Link(LinkFault::Slow(times))),
-    kind("link mended", Needs::Nothing, |_, _| Fault::Link(LinkFault::Restore)),
-    kind("list late", Needs::Number("late", 0, 1_000_000), |_, late| Fault::EndpointUpdateDelay(late)),
-    kind("move", Needs::Parents, |n, to| Fault::Move(n, to as usize)),
-    kind("reports late", Needs::Number("late", 1, 1_000_000), |_, late| Fault::LoadReportInterval(late)),
-    kind("rate", Needs::Number("times", 0, 1_000), |_, times| Fault::Rate(times)),
-    kind("purge", Needs::Number("count", 1, 10_000), |_, count| Fault::Purge(count as u32)),
+/// All kinds of faults.
+pub const FAULT_KINDS: &[FaultKind] = &[
+    kind("die", RequiredArguments::Server, |n, _| Fault::Crash(n)),
+    kind("start", RequiredArguments::Server, |n, _| Fault::Start(n)),
+    kind("silent", RequiredArguments::Server, |n, _| Fault::Silent(n, true)),
+    kind("heard", RequiredArguments::Server, |n, _| Fault::Silent(n, false)),
+    kind("stall", RequiredArguments::Server, |n, _| Fault::Stall(n, true)),
+    kind("go on", RequiredArguments::Server, |n, _| Fault::Stall(n, false)),
+    kind("fail", RequiredArguments::Server, |n, _| Fault::FailFast(n, true)),
+    kind("work", RequiredArguments::Server, |n, _| Fault::FailFast(n, false)),
+    kind("slow", RequiredArguments::ServerAnd("times", 0, 10_000), Fault::Slow),
+    kind("age", RequiredArguments::ServerAnd("by", 0, 10_000), Fault::Degrade),
+    kind("drain", RequiredArguments::Server, |n, _| Fault::Drain(n)),
+    kind("cut", RequiredArguments::Location, |n, _| Fault::Partition(n, true)),
+    kind("mend", RequiredArguments::Location, |n, _| Fault::Partition(n, false)),
+    kind("link cut", RequiredArguments::Nothing, |_, _| Fault::Link(LinkFault::Cut)),
+    kind("link silent", RequiredArguments::Nothing, |_, _| Fault::Link(LinkFault::Silent)),
+    kind("link slow", RequiredArguments::Number("times", 0, 10_000), |_, times| {
+        Fault::Link(LinkFault::Slow(times))
+    }),
+    kind("link mended", RequiredArguments::Nothing, |_, _| Fault::Link(LinkFault::Restore)),
+    kind("list late", RequiredArguments::Number("late", 0, 1_000_000), |_, late| {
+        Fault::EndpointUpdateDelay(late)
+    }),
+    kind("move", RequiredArguments::Parents, |n, to| Fault::Move(n, to as usize)),
+    kind("reports late", RequiredArguments::Number("late", 1, 1_000_000), |_, late| {
+        Fault::LoadReportInterval(late)
+    }),
+    kind("rate", RequiredArguments::Number("times", 0, 1_000), |_, times| Fault::Rate(times)),
+    kind("purge", RequiredArguments::Number("count", 1, 10_000), |_, count| Fault::Purge(count as u32)),
 ];
 
-/// An argument of a fault under its name.
-pub type Argument<T> = Option<(&'static str, T)>;
+/// An argument of a fault, with its name.
+pub type NamedArgument<T> = Option<(&'static str, T)>;
 
-/// A fault as a file names it: its kind, what it befalls, and its number.
-pub fn parts(fault: &Fault) -> (&'static str, Argument<usize>, Argument<f64>) {
+/// A fault as written in a file: the name of its kind, the index of its target, and its number.
+pub fn arguments(fault: &Fault) -> (&'static str, NamedArgument<usize>, NamedArgument<f64>) {
     let server = |n: &usize| Some(("server", *n));
     let location = |n: &usize| Some(("location", *n));
     match fault {
@@ -90,16 +102,16 @@
     }
 }
 
-/// For people: `die 3`, `slow 10 times 30`.
-pub fn told(fault: &Fault) -> String {
-    let (word, place, number) = parts(fault);
-    let place = place.map_or(String::new(), |(_, n)| format!(" {n}"));
-    let number = number.map_or(String::new(), |(name, value)| format!(", {name} {}", rounded(value)));
-    format!("{word}{place}{number}")
+/// A readable description, such as `die 3` or `slow 10, times 30`.
+pub fn description(fault: &Fault) -> String {
+    let (kind, target, number) = arguments(fault);
+    let target = target.map_or(String::new(), |(_, n)| format!(" {n}"));
+    let number = number.map_or(String::new(), |(name, value)| format!(", {name} {}", format_number(value)));
+    format!("{kind}{target}{number}")
 }
 
-/// A number with no more digits than it takes to say it again.
-pub fn rounded(value: f64) -> String {
+/// Formats a number with at most four decimal places, without trailing zeros.
+pub fn format_number(value: f64) -> String {
     let text = format!("{value:.4}");
     let text = if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.') } else { &text };
     text.to_string()
--- a/crates/lab/src/hunt.rs
+++ b/crates/lab/src/hunt.rs
@@ -1,6 +1,7 @@
-//! Owns the hunt: bad days by seed, the worst of them or one that breaks a rule, shrunk to the fewest troubles that do it.
+//! Searches runs with random faults for the worst one, or for one that breaks a rule, and shrinks it to few
+//! faults.
 //!
-//! Must never call a day bad for anything but what was judged or measured; what it prints can be played again.
+//! A run is rated by its breaches and measurements alone; the script that is printed reproduces the run.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -10,59 +11,61 @@
 use linnethook_model::simulation::Simulation;
 use linnethook_testbed::checker::Rule;
 
-/// What is looked for.
+/// What a hunt searches for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Prey {
-    /// A day on which a rule is broken.
+pub enum HuntTarget {
+    /// A run in which a rule is broken.
     Rule,
-    /// The day on which the least is served in time.
+    /// The run with the lowest share served in time.
     Worst,
 }
 
-/// A day that was played.
+/// The result of a run whose record was checked.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Day {
+pub struct CheckedRun {
     pub plan: Plan,
-    pub share: f64,
-    /// Rules that were broken, each once.
-    pub broken: Vec<Rule>,
+    /// The share of requests served in time.
+    pub in_time_share: f64,
+    /// The broken rules, sorted, each once.
+    pub broken_rules: Vec<Rule>,
 }
 
-/// Plays a day and has it judged.
-pub fn played(plan: Plan) -> Result<Day, String> {
-    let (seen, breaches) = Simulation::run_checked(plan.clone()).map_err(|wrong| wrong.0)?;
-    let mut broken: Vec<Rule> = breaches.iter().map(|breach| breach.rule).collect();
-    broken.sort_unstable();
-    broken.dedup();
-    Ok(Day { plan, share: seen.in_time_share(), broken })
+/// Runs a plan and checks its record against the rules.
+pub fn run_checked(plan: Plan) -> Result<CheckedRun, String> {
+    let (statistics, breaches) = Simulation::run_checked(plan.clone()).map_err(|error| error.0)?;
+    let mut broken_rules: Vec<Rule> = breaches.iter().map(|breach| breach.rule).collect();
+    broken_rules.sort_unstable();
+    broken_rules.dedup();
+    Ok(CheckedRun { plan, in_time_share: statistics.in_time_share(), broken_rules })
 }
 
-/// What is hunted for, and how.
+/// The target of a search, the seeds to try, and the number of faults of each run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Hunt {
-    pub prey: Prey,
+    pub target: HuntTarget,
     pub first: u64,
     pub last: u64,
-    pub troubles: usize,
+    pub faults_per_run: usize,
     pub jobs: usize,
 }
 
 impl Hunt {
-    /// Whether the first day is more of what is looked for than the second.
-    fn better(&self, one: &Day, other: &Day) -> bool {
-        match self.prey {
-            Prey::Rule => {
-                (one.broken.len(), -one.share, other.plan.seed)
-                    > (other.broken.len(), -other.share, one.plan.seed)
+    /// Whether the first run matches the target better than the second; equal ones are ordered by seed.
+    fn better(&self, one: &CheckedRun, other: &CheckedRun) -> bool {
+        match self.target {
+            HuntTarget::Rule => {
+                (one.broken_rules.len(), -one.in_time_share, other.plan.seed)
+                    > (other.broken_rules.len(), -other.in_time_share, one.plan.seed)
             }
-            Prey::Worst => (one.share, one.plan.seed) < (other.share, other.plan.seed),
+            HuntTarget::Worst => (one.in_time_share, one.plan.seed) < (other.in_time_share, other.plan.seed),
         }
     }
 
-    /// Plays all seeds; the best catch, and how many days broke a rule. A hunt for rules with no catch has none.
-    pub fn run(&self, plan: &Plan, stop: &AtomicBool) -> Result<(Option<Day>, usize), String> {
-        let (next, broke) = (AtomicUsize::new(0), AtomicUsize::new(0));
-        let best: Mutex<Option<Day>> = Mutex::new(None);
+    /// Runs all seeds; returns the best match, and the number of runs that broke a rule. A search for a
+    /// broken rule returns no run where none breaks one.
+    pub fn run(&self, plan: &Plan, stop: &AtomicBool) -> Result<(Option<CheckedRun>, usize), String> {
+        let (next, breaching_runs) = (AtomicUsize::new(0), AtomicUsize::new(0));
+        let best: Mutex<Option<CheckedRun>> = Mutex::new(None);
         let within = plan.seconds * 0.2..plan.seconds * 0.7;
         let work = || -> Result<(), String> {
             while !stop.load(Ordering::Acquire) {
@@ -71,14 +74,16 @@
                     break;
                 }
                 let mut faults = plan.faults.clone();
-                faults.extend(plan.random_faults(seed, self.troubles, within.clone()));
-                // What is printed has so many digits: no day may hang on more.
-                faults.iter_mut().for_each(|(at, fault)| (*at, *fault) = (rounded(*at), plain(*fault)));
-                let day = played(Plan { seed, faults, ..plan.clone() })?;
-                broke.fetch_add(usize::from(!day.broken.is_empty()), Ordering::Relaxed);
+                faults.extend(plan.random_faults(seed, self.faults_per_run, within.clone()));
+                // Rounded to the digits of the printed script, so that the script reproduces the run.
+                faults
+                    .iter_mut()
+                    .for_each(|(at, fault)| (*at, *fault) = (rounded(*at), round_arguments(*fault)));
+                let run = run_checked(Plan { seed, faults, ..plan.clone() })?;
+                breaching_runs.fetch_add(usize::from(!run.broken_rules.is_empty()), Ordering::Relaxed);
                 let mut best = best.lock().unwrap_or_else(PoisonError::into_inner);
-                if best.as_ref().is_none_or(|known| self.better(&day, known)) {
-                    *best = Some(day);
+                if best.as_ref().is_none_or(|known| self.better(&run, known)) {
+                    *best = Some(run);
                 }
             }
             Ok(())
@@ -87,43 +92,45 @@
             let threads: Vec<_> = (0..self.jobs.max(1)).map(|_| scope.spawn(work)).collect();
             threads
                 .into_iter()
-                .try_for_each(|t| t.join().unwrap_or_else(|_| Err("a run has failed".to_string())))
+                .try_for_each(|t| t.join().unwrap_or_else(|_| Err("a run panicked".to_string())))
         })?;
         let best = best.into_inner().unwrap_or_else(PoisonError::into_inner);
-        let caught = best.filter(|day| self.prey == Prey::Worst || !day.broken.is_empty());
-        Ok((caught, broke.into_inner()))
+        let found = best.filter(|run| self.target == HuntTarget::Worst || !run.broken_rules.is_empty());
+        Ok((found, breaching_runs.into_inner()))
     }
 
-    /// Leaves out troubles for as long as the day stays as bad; how many days that took.
+    /// Removes faults while the run stays as bad; returns the shrunk run and the number of runs that it took.
     ///
-    /// Halves first, then quarters, and so on to single ones (delta debugging, Zeller and Hildebrandt 2002).
-    pub fn shrink(&self, caught: Day) -> Result<(Day, usize), String> {
-        let quiet = played(Plan { faults: Vec::new(), ..caught.plan.clone() })?;
-        // Of a worst day nine tenths of what it lost must stay lost.
-        let most = quiet.share - (quiet.share - caught.share) * 0.9;
-        let wanted = caught.broken.clone();
-        let as_bad = |day: &Day| match self.prey {
-            Prey::Rule => wanted.iter().any(|rule| day.broken.contains(rule)),
-            Prey::Worst => day.share <= most,
+    /// Removes halves first, then quarters, down to single faults (delta debugging, Zeller and Hildebrandt
+    /// 2002).
+    pub fn shrink(&self, found: CheckedRun) -> Result<(CheckedRun, usize), String> {
+        let without_faults = run_checked(Plan { faults: Vec::new(), ..found.plan.clone() })?;
+        // A shrunk worst run must keep nine tenths of the loss against a run without faults.
+        let share_limit =
+            without_faults.in_time_share - (without_faults.in_time_share - found.in_time_share) * 0.9;
+        let wanted_rules = found.broken_rules.clone();
+        let as_bad = |run: &CheckedRun| match self.target {
+            HuntTarget::Rule => wanted_rules.iter().any(|rule| run.broken_rules.contains(rule)),
+            HuntTarget::Worst => run.in_time_share <= share_limit,
         };
-        let (mut best, mut days) = (caught, 1);
-        let mut piece = best.plan.faults.len().div_ceil(2);
-        while piece > 0 {
+        let (mut best, mut runs) = (found, 1);
+        let mut chunk = best.plan.faults.len().div_ceil(2);
+        while chunk > 0 {
             let mut at = 0;
             while at < best.plan.faults.len() {
                 let mut faults = best.plan.faults.clone();
-                faults.drain(at..(at + piece).min(faults.len()));
-                let day = played(Plan { faults, ..best.plan.clone() })?;
-                days += 1;
-                if as_bad(&day) {
-                    best = day;
+                faults.drain(at..(at + chunk).min(faults.len()));
+                let run = run_checked(Plan { faults, ..best.plan.clone() })?;
+                runs += 1;
+                if as_bad(&run) {
+                    best = run;
                 } else {
-                    at += piece;
+                    at += chunk;
                 }
             }
-            piece = if piece == 1 { 0 } else { piece.div_ceil(2) };
+            chunk = if chunk == 1 { 0 } else { chunk.div_ceil(2) };
         }
-        Ok((best, days))
+        Ok((best, runs))
     }
 }
 
@@ -131,7 +138,7 @@
     (value * 1e3).round() / 1e3
 }
 
-fn plain(fault: Fault) -> Fault {
+fn round_arguments(fault: Fault) -> Fault {
     match fault {
         Fault::Slow(n, times) => Fault::Slow(n, rounded(times)),
         Fault::Degrade(n, by) => Fault::Degrade(n, rounded(by)),
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,12 +1,14 @@
 //! Experiments on the model of the fleet.
 //!
-//! - [`experiment`]: the file, in Starlark, checked; [`settings`] and [`faults`]: its words;
-//! - [`play`]: every variant with every seed, on several threads; [`rows`]: the file that they go to;
-//! - [`compare`]: differences by seed with intervals;
-//! - [`hunt`]: the worst day, or one that breaks a rule, shrunk to a short script;
-//! - [`load`]: an open loop on real routers; [`sockets`]: a plan's day on stand-ins and routers;
-//! - [`scale`]: what a router costs as the fleet grows, in virtual time and on sockets, with slopes;
-//! - [`plot`], [`report`]: pictures as SVG, and a page that holds them.
+//! - [`experiment`]: reads and validates an experiment file in Starlark; [`settings`] and [`faults`]: the
+//!   parameters and fault kinds that it may use;
+//! - [`play`]: runs every variant with every seed on several threads; [`rows`]: the file of results;
+//! - [`compare`]: paired differences by seed, with confidence intervals;
+//! - [`hunt`]: searches for the worst run, or one that breaks a rule, and shrinks it to a short script;
+//! - [`load`]: an open-loop load on real routers; [`sockets`]: a plan run on cache servers of the testbed
+//!   and routers;
+//! - [`scale`]: the cost of a router as the fleet grows, in virtual time and on sockets, with slopes;
+//! - [`plot`], [`report`]: charts as SVG, and an HTML page that contains them.
 
 pub mod compare;
 pub mod experiment;
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -1,6 +1,6 @@
-//! Owns the runs: cases on several threads, each row handed on as soon as it is there.
+//! Runs cases on several threads; each row is passed on as soon as its run has finished.
 //!
-//! A row depends on its case alone: however many threads there are, the rows are the same.
+//! A row depends on its case alone, so the rows are the same with any number of threads.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
@@ -11,17 +11,20 @@
 use crate::experiment::Case;
 use crate::rows::Row;
 
-/// Plays one case.
+/// Runs one case; with `judged`, its record is checked against the rules.
 pub fn row(case: &Case, judged: bool) -> Result<Row, String> {
     if !judged {
-        let seen = Simulation::new(case.plan.clone()).map_err(|wrong| wrong.0)?.run();
-        return Ok(Row::new(case, &seen, None));
+        let statistics = Simulation::new(case.plan.clone()).map_err(|error| error.0)?.run();
+        return Ok(Row::new(case, &statistics, None));
     }
-    let (seen, breaches) = Simulation::run_checked(case.plan.clone()).map_err(|wrong| wrong.0)?;
-    Ok(Row::new(case, &seen, Some(breaches.len() as u64)))
+    let (statistics, breaches) = Simulation::run_checked(case.plan.clone()).map_err(|error| error.0)?;
+    Ok(Row::new(case, &statistics, Some(breaches.len() as u64)))
 }
 
-/// Plays cases until all are played or it is to stop; `each` gets the rows one by one, in any order, and may end it.
+/// Runs cases until all have finished or `stop` is set; `each` gets the rows one by one, in any order.
+///
+/// # Errors
+/// The first error of a run or of `each`, which stops the other runs.
 pub fn play(
     cases: &[Case],
     judged: bool,
@@ -35,13 +38,13 @@
         while !stop.load(Ordering::Acquire) {
             let Some(case) = cases.get(next.fetch_add(1, Ordering::Relaxed)) else { break };
             let row = row(case, judged)?;
-            let told = (each.lock().unwrap_or_else(PoisonError::into_inner))(row);
-            told.inspect_err(|_| stop.store(true, Ordering::Release))?;
+            let accepted = (each.lock().unwrap_or_else(PoisonError::into_inner))(row);
+            accepted.inspect_err(|_| stop.store(true, Ordering::Release))?;
         }
         Ok(())
     };
     thread::scope(|scope| {
         let threads: Vec<_> = (0..jobs.max(1)).map(|_| scope.spawn(work)).collect();
-        threads.into_iter().try_for_each(|t| t.join().unwrap_or_else(|_| Err("a run has failed".to_string())))
+        threads.into_iter().try_for_each(|t| t.join().unwrap_or_else(|_| Err("a run panicked".to_string())))
     })
 }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,6 +1,6 @@
-//! Owns the pictures: lines with their intervals as SVG, faults marked, the legend beside them.
+//! Charts as SVG: lines with intervals, marked faults and a legend.
 //!
-//! Must never compute a figure: it draws what it is given.
+//! Drawing computes no figures: rows are averaged by [`crate::compare`].
 
 use plotters::coord::ranged1d::{AsRangedCoord, Ranged, ValueFormatter};
 use plotters::prelude::{
@@ -9,31 +9,31 @@
 };
 
 use crate::compare::{against, figure, of, points, variants, Estimate};
-use crate::faults::rounded;
+use crate::faults::format_number;
 use crate::rows::{Header, Row, QUANTILES};
 
-type Failed = Box<dyn std::error::Error>;
+type DrawError = Box<dyn std::error::Error>;
 
-/// x, y, and where the interval of y is known that.
+/// x, y, and the interval of y where it is known.
 pub type Point = (f64, f64, Option<(f64, f64)>);
 
-/// A line under a name.
+/// A line with its name in the legend.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Series {
     pub name: String,
     pub points: Vec<Point>,
 }
 
-/// A picture.
+/// A line chart.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Picture {
     pub title: String,
     pub x: String,
     pub y: String,
     pub series: Vec<Series>,
-    /// Something that happened at an x.
+    /// Events, such as faults, that are marked at a value of x.
     pub marks: Vec<(f64, String)>,
-    /// Whether x and y are drawn by their logarithm.
+    /// Whether the x axis and the y axis are logarithmic.
     pub log: (bool, bool),
 }
 
@@ -41,8 +41,8 @@
 const LEGEND: u32 = 190;
 
 impl Picture {
-    /// As SVG.
-    pub fn svg(&self) -> Result<String, Failed> {
+    /// Renders the chart as SVG.
+    pub fn svg(&self) -> Result<String, DrawError> {
         let mut text = String::new();
         {
             let area = SVGBackend::with_string(&mut text, SIZE).into_drawing_area();
@@ -83,7 +83,7 @@
         Ok(text)
     }
 
-    /// From the least to the most, never empty; for a logarithm above zero.
+    /// Minimum and maximum, never equal; on a logarithmic axis of positive values alone.
     fn range(&self, of: impl Fn(&Point) -> f64, log: bool) -> (f64, f64) {
         let all = self.series.iter().flat_map(|series| &series.points).map(of);
         let all: Vec<f64> = all.filter(|value| value.is_finite() && (!log || *value > 0.0)).collect();
@@ -103,7 +103,7 @@
         area: &plotters::drawing::DrawingArea<SVGBackend<'a>, plotters::coord::Shift>,
         x: X,
         y: Y,
-    ) -> Result<(), Failed>
+    ) -> Result<(), DrawError>
     where
         X: AsRangedCoord<Value = f64>,
         Y: AsRangedCoord<Value = f64>,
@@ -117,7 +117,7 @@
             .x_label_area_size(40)
             .y_label_area_size(62)
             .build_cartesian_2d(x, y)?;
-        let short = |value: &f64| rounded(*value);
+        let short = |value: &f64| format_number(*value);
         chart
             .configure_mesh()
             .x_desc(&self.x)
@@ -154,16 +154,16 @@
     Palette99::pick(n).to_rgba()
 }
 
-/// The mean over seeds of what a row has by second.
+/// The mean over seeds of a row's values by second.
 fn by_second(
     rows: &[Row],
     variant: &str,
     point: Option<f64>,
     get: impl Fn(&Row) -> Vec<f64>,
-    most: usize,
+    limit: usize,
 ) -> Vec<Point> {
     let all: Vec<Vec<f64>> = of(rows, variant, point).map(get).collect();
-    let longest = all.iter().map(Vec::len).max().unwrap_or(0).min(most);
+    let longest = all.iter().map(Vec::len).max().unwrap_or(0).min(limit);
     let at = |n: usize| {
         let values: Vec<f64> = all.iter().filter_map(|list| list.get(n).copied()).collect();
         (n as f64, values.iter().sum::<f64>() / values.len().max(1) as f64, None)
@@ -171,14 +171,14 @@
     (0..longest).map(at).collect()
 }
 
-fn named(title: &str, setting: Option<&str>, point: Option<f64>) -> String {
+fn title_with_point(title: &str, setting: Option<&str>, point: Option<f64>) -> String {
     match (setting, point) {
-        (Some(setting), Some(point)) => format!("{title}, {setting} = {}", rounded(point)),
+        (Some(setting), Some(point)) => format!("{title}, {setting} = {}", format_number(point)),
         _ => title.to_string(),
     }
 }
 
-/// What there is to see in a file of rows: pictures for each point of a sweep, and figures over the sweep.
+/// The charts of a file of rows: those for each point of a sweep, and those over the sweep.
 pub fn pictures(header: &Header, rows: &[Row]) -> Vec<Picture> {
     let names = variants(rows);
     let setting = header.setting.as_deref();
@@ -191,35 +191,35 @@
         let each = |get: &dyn Fn(&str) -> Vec<Point>| -> Vec<Series> {
             names.iter().map(|name| Series { name: name.to_string(), points: get(name) }).collect()
         };
-        let part = |row: &Row| row.by_second.iter().map(|part| f64::from(*part)).collect();
+        let share = |row: &Row| row.by_second.iter().map(|share| f64::from(*share)).collect();
         out.push(Picture {
-            title: named("served in time, by the second in which it was asked", setting, point),
+            title: title_with_point("served in time, by second of the first request", setting, point),
             x: "second".to_string(),
-            y: "part".to_string(),
-            series: each(&|name| by_second(rows, name, point, part, seconds)),
+            y: "share".to_string(),
+            series: each(&|name| by_second(rows, name, point, share, seconds)),
             marks: header.faults.clone(),
             log: (false, false),
         });
         let origin = |row: &Row| row.origin_by_second.iter().map(|n| f64::from(*n)).collect();
         out.push(Picture {
-            title: named("requests that reached the origin", setting, point),
+            title: title_with_point("requests that reached the origin", setting, point),
             x: "second".to_string(),
-            y: "a second".to_string(),
+            y: "requests a second".to_string(),
             series: each(&|name| by_second(rows, name, point, origin, seconds)),
             marks: header.faults.clone(),
             log: (false, false),
         });
-        // The nines of the quantile: 0.9 is one, 0.99 two; the most stands for four.
+        // The nines of the quantile: 1 for 0.9, 2 for 0.99; the maximum is drawn at 4.
         let nines = |q: f64| if q >= 1.0 { 4.0 } else { -(1.0 - q).log10() };
         let latency = |name: &str| {
             let all: Vec<&Row> = of(rows, name, point).filter(|row| !row.took.is_empty()).collect();
             let mean = |n: usize| all.iter().map(|row| row.took[n]).sum::<f64>() / all.len().max(1) as f64;
-            let kept = QUANTILES.iter().enumerate().filter(|_| !all.is_empty());
-            kept.map(|(n, q)| (nines(*q), mean(n), None)).collect()
+            let quantiles = QUANTILES.iter().enumerate().filter(|_| !all.is_empty());
+            quantiles.map(|(n, q)| (nines(*q), mean(n), None)).collect()
         };
         out.push(Picture {
-            title: named("how long served requests took", setting, point),
-            x: "nines of the quantile (1 = 0.9, 2 = 0.99, 4 = the most)".to_string(),
+            title: title_with_point("latency of served requests", setting, point),
+            x: "nines of the quantile (1 = 0.9, 2 = 0.99, 4 = the maximum)".to_string(),
             y: "milliseconds".to_string(),
             series: each(&latency),
             marks: Vec::new(),
@@ -229,7 +229,7 @@
     out
 }
 
-/// Figures over the values of the setting that is swept.
+/// Charts over the values of the swept parameter.
 fn over_sweep(header: &Header, rows: &[Row]) -> Vec<Picture> {
     let names = variants(rows);
     let setting = header.setting.clone().unwrap_or_default();
@@ -263,19 +263,23 @@
         picture(title, y, lines.collect())
     };
     let mut out = vec![
-        over("served in time", "part", |row| row.in_time),
-        over("the origin's worst second", "requests a second", |row| f64::from(row.origin_most)),
-        over("99 in 100 took at most", "milliseconds", |row| row.took_at(0.99)),
+        over("served in time", "share", |row| row.in_time),
+        over("peak load of the origin", "requests a second", |row| f64::from(row.origin_most)),
+        over("99th percentile of the latency", "milliseconds", |row| row.took_at(0.99)),
     ];
     if rows.iter().any(|row| row.back.is_some()) {
-        out.push(over("from the last fault until service is back, or the end", "seconds", |row| {
+        out.push(over("time to recover after the last fault, or to the end", "seconds", |row| {
             row.back.unwrap_or(0.0)
         }));
     }
     if let Some((first, others)) = names.split_first().filter(|(_, others)| !others.is_empty()) {
         let against = |name: &str, point| against(rows, (name, first), point, |row| row.in_time);
         let lines = others.iter().map(|name| line(name, &against)).collect();
-        out.push(picture(&format!("served in time, against {first}, by seed"), "difference", lines));
+        out.push(picture(
+            &format!("served in time, compared with {first}, paired by seed"),
+            "difference",
+            lines,
+        ));
     }
     out
 }
--- a/crates/lab/src/rows.rs
+++ b/crates/lab/src/rows.rs
@@ -1,7 +1,8 @@
-//! Owns the file of rows: one line of JSON that says what was played and by which build, then one for each run.
+//! The file of rows: a header line of JSON with the experiment and the build, then one line for each run.
 //!
-//! Rows of another build or another experiment are refused: a file holds one comparison. Must never lose a row that it
-//! has taken: each is written and flushed whole, and what a kill cut off is left out when it is read.
+//! Rows of another build or another experiment are rejected: a file contains one comparison. An accepted row
+//! is never lost: each is written as one complete line, and a last line truncated by a kill is skipped when
+//! the file is read.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, BufRead, BufReader, Write};
@@ -14,26 +15,26 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::experiment::{Case, Experiment};
-use crate::faults::told;
+use crate::faults::description;
 
-/// What a file of rows is about.
+/// The header of a file of rows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Header {
     pub title: String,
-    /// Which program played it, by the hash of its file, and which experiment, by that of its plans.
+    /// The hash of the executable, and the hash of the experiment's plans.
     pub build: String,
     pub experiment: String,
     pub seconds: f64,
     pub variants: Vec<String>,
     pub setting: Option<String>,
-    /// Faults by second, for people.
+    /// Readable descriptions of the faults, with their times in seconds.
     pub faults: Vec<(f64, String)>,
 }
 
-/// Quantiles of the latencies that a row keeps.
+/// The quantiles of the latencies that a row contains.
 pub const QUANTILES: [f64; 10] = [0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999, 1.0];
 
-/// What one run came to.
+/// The results of one run; shares are of first requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub variant: String,
@@ -44,57 +45,58 @@
     pub late: f64,
     pub refused: f64,
     pub failed: f64,
-    /// Milliseconds that served requests took, at the quantiles above.
+    /// Latencies of served requests in milliseconds, at [`QUANTILES`].
     pub took: Vec<f64>,
-    /// Requests a second that reached the origin, in the mean and in the worst second.
+    /// Requests per second that reached the origin: the mean, and the maximum of any second.
     pub origin: f64,
     pub origin_most: u32,
-    /// Repeats by clients for each request, and requests that the origin worked for in vain.
+    /// Client retries per request, and requests whose work at the origin was wasted.
     pub repeats: f64,
     pub in_vain: u64,
+    /// Crashes of servers.
     pub fell: u64,
-    /// Seconds from the last fault until as much is served in time as before the first; where that is not seen again, to the
-    /// end.
+    /// Seconds from the last fault until the share served in time has recovered to its level before the
+    /// first fault; to the end of the run where it does not recover.
     pub back: Option<f64>,
-    /// Rules that were broken, where the run was judged.
+    /// Breaches found by the checker, where the run was checked.
     pub breaches: Option<u64>,
-    /// By second: the part served in time, and requests that reached the origin.
+    /// By second: the share served in time, and requests that reached the origin.
     pub by_second: Vec<f32>,
     pub origin_by_second: Vec<u32>,
 }
 
 impl Row {
-    pub fn new(case: &Case, seen: &Statistics, breaches: Option<u64>) -> Self {
+    pub fn new(case: &Case, statistics: &Statistics, breaches: Option<u64>) -> Self {
         let Plan { seed, seconds, .. } = case.plan;
         let sum = |list: &[u32]| list.iter().map(|n| u64::from(*n)).sum::<u64>();
-        let asked = sum(&seen.requests);
+        let asked = sum(&statistics.requests);
         let part = |list: &[u32]| sum(list) as f64 / asked.max(1) as f64;
         let second = |(n, asked): (usize, &u32)| {
-            seen.in_time.get(n).copied().unwrap_or(0) as f32 / (*asked).max(1) as f32
+            statistics.in_time.get(n).copied().unwrap_or(0) as f32 / (*asked).max(1) as f32
         };
         Self {
             variant: case.variant.clone(),
             point: case.point,
             seed,
             asked,
-            in_time: part(&seen.in_time),
-            late: part(&seen.late),
-            refused: part(&seen.rejected),
-            failed: part(&seen.failed),
-            took: quantiles(seen.latencies_ms.iter().map(|ms| f64::from(*ms))),
-            origin: sum(&seen.origin_requests) as f64 / seconds,
-            origin_most: seen.origin_requests.iter().copied().max().unwrap_or(0),
-            repeats: part(&seen.client_retries),
-            in_vain: seen.wasted_origin_work,
-            fell: seen.crashes,
-            back: back(&case.plan, seen),
+            in_time: part(&statistics.in_time),
+            late: part(&statistics.late),
+            refused: part(&statistics.rejected),
+            failed: part(&statistics.failed),
+            took: quantiles(statistics.latencies_ms.iter().map(|ms| f64::from(*ms))),
+            origin: sum(&statistics.origin_requests) as f64 / seconds,
+            origin_most: statistics.origin_requests.iter().copied().max().unwrap_or(0),
+            repeats: part(&statistics.client_retries),
+            in_vain: statistics.wasted_origin_work,
+            fell: statistics.crashes,
+            back: recovery_seconds(&case.plan, statistics),
             breaches,
-            by_second: seen.requests.iter().enumerate().map(second).collect(),
-            origin_by_second: seen.origin_requests.clone(),
+            by_second: statistics.requests.iter().enumerate().map(second).collect(),
+            origin_by_second: statistics.origin_requests.clone(),
         }
     }
 
-    /// Milliseconds at a quantile that is kept.
+    /// The latency in milliseconds at one of [`QUANTILES`]; 0 for any other quantile.
     pub fn took_at(&self, quantile: f64) -> f64 {
         QUANTILES.iter().position(|q| *q == quantile).and_then(|n| self.took.get(n)).copied().unwrap_or(0.0)
     }
@@ -104,21 +106,21 @@
     }
 }
 
-/// Service counts as back once three seconds in a row have so much of what it was.
-const BACK: f64 = 0.95;
+/// Service has recovered once three consecutive seconds reach this ratio of the level before the first fault.
+const RECOVERY_RATIO: f64 = 0.95;
 
-fn back(plan: &Plan, seen: &Statistics) -> Option<f64> {
+fn recovery_seconds(plan: &Plan, statistics: &Statistics) -> Option<f64> {
     let first = plan.faults.iter().map(|(at, _)| *at).reduce(f64::min)?;
     let last = plan.faults.iter().map(|(at, _)| *at).reduce(f64::max)?;
     let (before, from, end) = (first.floor() as usize, last.ceil() as usize, plan.seconds.floor() as usize);
-    // What comes in at the very beginning finds empty caches.
-    let wanted = seen.in_time_share_between(before / 2, before) * BACK;
-    let served = |second: &usize| seen.in_time_share_between(*second, second + 3) >= wanted;
+    // The first half is excluded, because caches are empty at the start.
+    let wanted = statistics.in_time_share_between(before / 2, before) * RECOVERY_RATIO;
+    let served = |second: &usize| statistics.in_time_share_between(*second, second + 3) >= wanted;
     let found = (from..end.saturating_sub(2)).find(served).unwrap_or(end);
     Some((found as f64 - last).max(0.0))
 }
 
-/// Latencies in milliseconds at the quantiles that are kept, to three digits; none where there are none.
+/// Latencies in milliseconds at [`QUANTILES`], to three significant digits; empty without latencies.
 pub fn quantiles(took: impl Iterator<Item = f64>) -> Vec<f64> {
     let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3) else { return Vec::new() };
     took.for_each(|ms| histogram.saturating_record((ms * 1_000.0).max(1.0) as u64));
@@ -128,7 +130,7 @@
     }
 }
 
-/// Which program this is.
+/// The hash of this executable.
 pub fn build() -> io::Result<String> {
     Ok(format!("{:016x}", xxh3_64(&std::fs::read(std::env::current_exe()?)?)))
 }
@@ -138,47 +140,51 @@
         Ok(Self {
             title: experiment.title.clone(),
             build: build()?,
-            experiment: experiment.mark(),
+            experiment: experiment.digest(),
             seconds: experiment.plan.seconds,
             variants: experiment.variants.iter().map(|variant| variant.name.clone()).collect(),
             setting: experiment.sweep.as_ref().map(|sweep| sweep.setting.clone()),
-            faults: experiment.plan.faults.iter().map(|(at, fault)| (*at, told(fault))).collect(),
+            faults: experiment.plan.faults.iter().map(|(at, fault)| (*at, description(fault))).collect(),
         })
     }
 }
 
-/// Reads a file of rows; a last line that was cut off is left out.
+/// Reads a file of rows; a truncated last line is skipped.
 pub fn read(path: &Path) -> Result<(Header, Vec<Row>), String> {
-    let wrong = |line: usize, what: &str| format!("{}:{line}: {what}", path.display());
+    let error = |line: usize, what: &str| format!("{}:{line}: {what}", path.display());
     let file = File::open(path).map_err(|why| format!("{}: {why}", path.display()))?;
     let lines: Result<Vec<String>, io::Error> = BufReader::new(file).lines().collect();
     let lines = lines.map_err(|why| format!("{}: {why}", path.display()))?;
-    let first = lines.first().ok_or_else(|| wrong(1, "expected what was played, got an empty file"))?;
-    let header: Header = serde_json::from_str(first).map_err(|why| wrong(1, &why.to_string()))?;
+    let first = lines.first().ok_or_else(|| error(1, "expected a header, got an empty file"))?;
+    let header: Header = serde_json::from_str(first).map_err(|why| error(1, &why.to_string()))?;
     let mut rows: Vec<Row> = Vec::new();
     for (n, line) in lines.iter().enumerate().skip(1) {
         match serde_json::from_str(line) {
             Ok(row) => rows.push(row),
             Err(_) if n + 1 == lines.len() => {}
-            Err(why) => return Err(wrong(n + 1, &why.to_string())),
+            Err(why) => return Err(error(n + 1, &why.to_string())),
         }
     }
-    // As the experiment names them, in whatever order they were played.
-    let place = |row: &Row| header.variants.iter().position(|name| *name == row.variant);
+    // In the order of the experiment, independent of the order in which runs finished.
+    let position = |row: &Row| header.variants.iter().position(|name| *name == row.variant);
     rows.sort_by(|a, b| {
         let points = a.point.unwrap_or(0.0).total_cmp(&b.point.unwrap_or(0.0));
-        points.then(place(a).cmp(&place(b))).then(a.seed.cmp(&b.seed))
+        points.then(position(a).cmp(&position(b))).then(a.seed.cmp(&b.seed))
     });
     Ok((header, rows))
 }
 
-/// A file of rows that is being written.
+/// A file of rows open for appending.
 pub struct Rows {
     file: File,
 }
 
 impl Rows {
-    /// Begins a file, or goes on with one of the same experiment and build; with the rows that it has.
+    /// Creates a file, or opens one of the same experiment and build for appending; returns its existing
+    /// rows too.
+    ///
+    /// # Errors
+    /// A file of another build or experiment, and I/O errors.
     pub fn open(path: &Path, header: &Header) -> Result<(Self, Vec<Row>), String> {
         let failed = |why: io::Error| format!("{}: {why}", path.display());
         if !path.exists() {
@@ -187,21 +193,23 @@
             rows.line(header)?;
             return Ok((rows, Vec::new()));
         }
-        let (known, rows) = read(path)?;
-        for (what, here, there) in
-            [("build", &header.build, &known.build), ("experiment", &header.experiment, &known.experiment)]
-        {
+        let (existing, rows) = read(path)?;
+        for (what, here, there) in [
+            ("build", &header.build, &existing.build),
+            ("experiment", &header.experiment, &existing.experiment),
+        ] {
             if here != there {
-                let told = format!("{}: rows of another {what} ({there}, this is {here})", path.display());
-                return Err(format!("{told}: give another file"));
+                let mismatch =
+                    format!("{}: rows of another {what} ({there}, this is {here})", path.display());
+                return Err(format!("{mismatch}: use another file"));
             }
         }
-        // Written anew, whole lines only, before it is gone on with.
-        let beside = path.with_extension("part");
-        let mut whole = Self { file: File::create(&beside).map_err(failed)? };
-        whole.line(header)?;
-        rows.iter().try_for_each(|row| whole.add(row))?;
-        std::fs::rename(&beside, path).map_err(failed)?;
+        // Rewritten with complete lines only, before rows are appended.
+        let temporary = path.with_extension("part");
+        let mut rewritten = Self { file: File::create(&temporary).map_err(failed)? };
+        rewritten.line(header)?;
+        rows.iter().try_for_each(|row| rewritten.add(row))?;
+        std::fs::rename(&temporary, path).map_err(failed)?;
         let file = OpenOptions::new().append(true).open(path).map_err(failed)?;
         Ok((Self { file }, rows))
     }
@@ -217,15 +225,15 @@
     }
 }
 
-/// The cases that have no row yet.
-pub fn left(cases: &[Case], rows: &[Row]) -> Vec<Case> {
+/// The cases without a row.
+pub fn remaining(cases: &[Case], rows: &[Row]) -> Vec<Case> {
     cases.iter().filter(|case| !rows.iter().any(|row| row.is(case))).cloned().collect()
 }
 
 /// Rows in the order of their cases.
 pub fn sorted(cases: &[Case], rows: Vec<Row>) -> Vec<Row> {
-    let place = |row: &Row| cases.iter().position(|case| row.is(case)).unwrap_or(usize::MAX);
-    let mut rows: Vec<(usize, Row)> = rows.into_iter().map(|row| (place(&row), row)).collect();
-    rows.sort_by_key(|(place, _)| *place);
+    let position = |row: &Row| cases.iter().position(|case| row.is(case)).unwrap_or(usize::MAX);
+    let mut rows: Vec<(usize, Row)> = rows.into_iter().map(|row| (position(&row), row)).collect();
+    rows.sort_by_key(|(position, _)| *position);
     rows.into_iter().map(|(_, row)| row).collect()
 }
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,11 +1,11 @@
-//! Experiments: what is read, what is wrong is said with its place, rows do not depend on threads, files are gone on with,
-//! hunts shrink what they find, and pictures hold what they should.
+//! Experiments: files are read, or rejected with a position; rows do not depend on threads; files of rows
+//! are continued; hunts shrink the run that they find; the page contains all charts.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
 use linnethook_lab::compare::{difference, table};
 use linnethook_lab::experiment::{read, Experiment};
-use linnethook_lab::hunt::{played, Hunt, Prey};
+use linnethook_lab::hunt::{run_checked, Hunt, HuntTarget};
 use linnethook_lab::play::play;
 use linnethook_lab::rows::{self, Header, Row, Rows};
 use linnethook_lab::{report, settings};
@@ -49,16 +49,17 @@
     assert!(text.lines().count() == 7 && text.contains("rate = 30") && text.contains("breaches"), "{text}");
     let header = Header::new(&experiment).expect("a header");
     let page = report::html(&header, &one).expect("a page");
-    // Five pictures over the sweep, three for each of its points.
+    // Five charts over the sweep, three for each of its two points.
     assert_eq!(page.matches("<svg").count(), 11);
     for part in ["a small &lt;one&gt;", "die 0", "shipped", "nines", "rate = 60"] {
         assert!(page.contains(part), "{part}");
     }
 }
 
-/// Stopped after some runs, gone on with; a torn last line is left out, rows of another build or experiment are refused.
+/// A stopped experiment is continued from its file: a truncated last line is skipped, and rows of another
+/// build or experiment are rejected.
 #[test]
-fn a_file_of_rows_is_gone_on_with_or_refused() {
+fn a_file_of_rows_is_continued_or_rejected() {
     let path = std::env::temp_dir().join(format!("linnethook-rows-{}.jsonl", std::process::id()));
     let _ = std::fs::remove_file(&path);
     let experiment = read("small.star", SMALL).expect("a good file");
@@ -74,20 +75,20 @@
     })
     .expect("stopped");
     let text = std::fs::read_to_string(&path).expect("rows");
-    std::fs::write(&path, &text[..text.len() - 20]).expect("torn");
-    let (mut file, known) = Rows::open(&path, &header).expect("gone on with");
-    let left = rows::left(&cases, &known);
-    assert_eq!((known.len(), left.len()), (2, 6));
-    play(&left, true, 2, &AtomicBool::new(false), |row| file.add(&row)).expect("played");
-    let (again, all) = rows::read(&path).expect("a whole file");
-    assert_eq!((&again, rows::sorted(&cases, all)), (&header, rows_of(&experiment, 4)));
+    std::fs::write(&path, &text[..text.len() - 20]).expect("truncated");
+    let (mut file, known) = Rows::open(&path, &header).expect("an existing file");
+    let remaining = rows::remaining(&cases, &known);
+    assert_eq!((known.len(), remaining.len()), (2, 6));
+    play(&remaining, true, 2, &AtomicBool::new(false), |row| file.add(&row)).expect("played");
+    let (reread, all) = rows::read(&path).expect("a complete file");
+    assert_eq!((&reread, rows::sorted(&cases, all)), (&header, rows_of(&experiment, 4)));
     let changed = read("small.star", &SMALL.replace("again = 0", "again = 1")).expect("another");
     let other_build = Header { build: "0".to_string(), ..header.clone() };
     for (header, what) in
         [(Header::new(&changed).expect("a header"), "another experiment"), (other_build, "another build")]
     {
-        let refused = Rows::open(&path, &header).err().expect(what);
-        assert!(refused.contains(what), "{refused}");
+        let rejection = Rows::open(&path, &header).err().expect(what);
+        assert!(rejection.contains(what), "{rejection}");
     }
     std::fs::write(&path, "{}\nnonsense\n").expect("written");
     assert!(rows::read(&path).is_err_and(|why| why.contains(":1: ")), "a bad first line");
@@ -95,7 +96,7 @@
 }
 
 #[test]
-fn what_is_wrong_is_said_with_its_place() {
+fn errors_name_their_position() {
     for (text, expected) in [
         ("fleet(cashes = 3)", "x.star:1:1: fleet(): there is no setting \"cashes\"; expected one of "),
         (
@@ -120,17 +121,17 @@
         ("def f(): f()\nf()", "x.star:"),
         ("fleet(", "x.star:1:"),
     ] {
-        let wrong = read("x.star", text).expect_err(text).to_string();
-        assert!(wrong.contains(expected), "{wrong}\nexpected {expected}");
+        let error = read("x.star", text).expect_err(text).to_string();
+        assert!(error.contains(expected), "{error}\nexpected {expected}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A plan that is written down is read as the same plan.
+    /// A plan written as a file is read back as the same plan.
     #[test]
-    fn a_plan_is_read_as_it_was_written(seed in 0u64..10_000, troubles in 1usize..12, rate in 1u32..5_000) {
+    fn a_plan_is_read_back_from_its_file(seed in 0u64..10_000, troubles in 1usize..12, rate in 1u32..5_000) {
         let plan = Plan { seed, rate: f64::from(rate), retry_failed_requests: true, spare_caches: 1, ..Plan::default() };
         let mut faults = plan.random_faults(seed, troubles, 2.0..20.0);
         for (at, fault) in &mut faults {
@@ -141,45 +142,46 @@
             }
         }
         let plan = Plan { faults, routing_policy: RoutingPolicy::ALL[seed as usize % 5], ..plan };
-        let experiment = read("w.star", &settings::written(&plan, "a day\nof two lines")).expect("a good file");
+        let experiment = read("w.star", &settings::write_plan(&plan, "a plan\nwith a comment of two lines")).expect("a good file");
         prop_assert_eq!(&experiment.cases()[0].plan, &plan);
     }
 }
 
-/// A plain way breaks a rule where old copies are purged: the hunt finds a day, and leaves what does it.
+/// The hash baseline ignores purges: the hunt finds a run that breaks the rule, and shrinks its faults to
+/// one purge.
 #[test]
 fn a_hunt_finds_a_broken_rule_and_shrinks_it() {
     let plan = Plan { routing_policy: RoutingPolicy::Hash, seconds: 10.0, rate: 80.0, ..Plan::default() };
-    let hunt = Hunt { prey: Prey::Rule, first: 1, last: 16, troubles: 8, jobs: 4 };
-    let (caught, broke) = hunt.run(&plan, &AtomicBool::new(false)).expect("hunted");
-    let caught = caught.expect("a plain way has no purges");
-    let before = caught.plan.faults.len();
-    let (day, days) = hunt.shrink(caught).expect("shrunk");
-    println!("{broke} of 16; {before} faults to {:?} in {days} days", day.plan.faults);
-    assert!(matches!(day.plan.faults.as_slice(), [(_, Fault::Purge(_))]), "{:?}", day.plan.faults);
-    assert_eq!(day.broken, [Rule::Purges]);
-    let again = read("w.star", &settings::written(&day.plan, "")).expect("a good file");
-    assert_eq!(played(again.cases()[0].plan.clone()).expect("played"), day);
-    // The worst day of the module breaks nothing, and what is left of it is as bad.
-    let hunt = Hunt { prey: Prey::Worst, last: 8, ..hunt };
+    let hunt = Hunt { target: HuntTarget::Rule, first: 1, last: 16, faults_per_run: 8, jobs: 4 };
+    let (found, breaching_runs) = hunt.run(&plan, &AtomicBool::new(false)).expect("hunted");
+    let found = found.expect("the hash baseline ignores purges");
+    let before = found.plan.faults.len();
+    let (run, runs) = hunt.shrink(found).expect("shrunk");
+    println!("{breaching_runs} of 16; {before} faults to {:?} in {runs} runs", run.plan.faults);
+    assert!(matches!(run.plan.faults.as_slice(), [(_, Fault::Purge(_))]), "{:?}", run.plan.faults);
+    assert_eq!(run.broken_rules, [Rule::Purges]);
+    let reread = read("w.star", &settings::write_plan(&run.plan, "")).expect("a good file");
+    assert_eq!(run_checked(reread.cases()[0].plan.clone()).expect("played"), run);
+    // The worst run of the shipped policy breaks no rule, and shrinking adds no faults.
+    let hunt = Hunt { target: HuntTarget::Worst, last: 8, ..hunt };
     let (worst, _) = hunt
         .run(&Plan { routing_policy: RoutingPolicy::Shipped, ..plan }, &AtomicBool::new(false))
         .expect("hunted");
-    let worst = worst.expect("there is always a worst one");
+    let worst = worst.expect("there is always a worst run");
     let (shrunk, _) = hunt.shrink(worst.clone()).expect("shrunk");
     println!(
         "worst {:.3} with {} faults, {:.3} with {}",
-        worst.share,
+        worst.in_time_share,
         worst.plan.faults.len(),
-        shrunk.share,
+        shrunk.in_time_share,
         shrunk.plan.faults.len()
     );
-    assert!(worst.broken.is_empty() && shrunk.plan.faults.len() <= worst.plan.faults.len());
+    assert!(worst.broken_rules.is_empty() && shrunk.plan.faults.len() <= worst.plan.faults.len());
 }
 
-/// The interval holds the true mean, and is as wide as it has to be.
+/// The interval contains the true mean of the paired differences, and is narrow but not empty.
 #[test]
-fn intervals_are_by_pairs() {
+fn intervals_are_of_paired_differences() {
     let pairs: Vec<(f64, f64)> =
         (0..40).map(|n| (f64::from(n) + 1.0 + f64::from(n % 5) * 0.1, f64::from(n))).collect();
     let found = difference(&pairs, 1).expect("pairs");
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -1,4 +1,5 @@
-//! The open loop against a server that keeps everybody waiting: requests go out all the same, and what they waited is told.
+//! Open-loop load against a server that delays all answers: requests are sent all the same, and latencies
+//! include the wait.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,17 +10,17 @@
 use linnethook_lab::sockets;
 use linnethook_model::plan::{Fault, HierarchyPlan, Plan};
 
-/// So many requests before the first is answered.
-const KEPT: usize = 50;
+/// The number of requests after which the server answers.
+const DELAYED_REQUESTS: usize = 50;
 
 fn frame(code: u8, stream: &[u8]) -> Vec<u8> {
     let payload = [code, 0];
     [&((payload.len() + 5) as u32).to_be_bytes()[..], &[66], stream, &payload].concat()
 }
 
-/// Answers nothing until it has had `KEPT` requests, then all at once: each tenth is refused. Then it leaves.
+/// Answers in batches of `DELAYED_REQUESTS` requests, of which every tenth is rejected.
 fn serve(mut stream: TcpStream) {
-    let mut waiting = Vec::new();
+    let mut pending = Vec::new();
     let mut head = [0; 9];
     while stream.read_exact(&mut head).is_ok() {
         let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
@@ -27,11 +28,11 @@
         if stream.read_exact(&mut payload).is_err() {
             return;
         }
-        waiting.push(head[5..9].to_vec());
-        if waiting.len() < KEPT {
+        pending.push(head[5..9].to_vec());
+        if pending.len() < DELAYED_REQUESTS {
             continue;
         }
-        for (n, of) in waiting.drain(..).enumerate() {
+        for (n, of) in pending.drain(..).enumerate() {
             let code = if n % 10 == 9 { 2 } else { 1 };
             if stream.write_all(&frame(code, &of)).is_err() {
                 return;
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn waiting_is_not_left_out_of_the_latencies() {
+fn latencies_include_the_wait_for_delayed_answers() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -62,26 +63,28 @@
         record: Default::default(),
         numbers: Default::default(),
     };
-    let seen = clients.drive(&AtomicBool::new(false)).expect("driven");
+    let statistics = clients.drive(&AtomicBool::new(false)).expect("driven");
     let sum = |list: &[u32]| list.iter().sum::<u32>() as usize;
-    let ends = [&seen.in_time, &seen.late, &seen.rejected, &seen.failed].map(|list| sum(list));
-    println!("{} asked, {ends:?}, {} repeats", sum(&seen.requests), sum(&seen.client_retries));
-    assert_eq!(sum(&seen.requests), ends.iter().sum::<usize>(), "each has one end");
-    assert!(sum(&seen.requests) > KEPT && sum(&seen.client_retries) >= 5);
-    // At 100 a second the first of fifty has waited for half a second; most of those answered have waited long.
-    let longest = seen.latencies_ms.iter().copied().fold(0.0, f32::max);
-    let long = seen.latencies_ms.iter().filter(|took| **took > 100.0).count();
+    let ends = [&statistics.in_time, &statistics.late, &statistics.rejected, &statistics.failed]
+        .map(|list| sum(list));
+    println!("{} requests, {ends:?}, {} retries", sum(&statistics.requests), sum(&statistics.client_retries));
+    assert_eq!(sum(&statistics.requests), ends.iter().sum::<usize>(), "each request ends once");
+    assert!(sum(&statistics.requests) > DELAYED_REQUESTS && sum(&statistics.client_retries) >= 5);
+    // At 100 requests a second, the first of fifty waits for half a second, and most answered ones for over
+    // 100 ms.
+    let longest = statistics.latencies_ms.iter().copied().fold(0.0, f32::max);
+    let long = statistics.latencies_ms.iter().filter(|latency| **latency > 100.0).count();
     assert!(
-        longest > 300.0 && long * 2 > seen.latencies_ms.len(),
+        longest > 300.0 && long * 2 > statistics.latencies_ms.len(),
         "{longest} {long} of {}",
-        seen.latencies_ms.len()
+        statistics.latencies_ms.len()
     );
-    // What was never answered has failed.
+    // Requests without an answer have failed.
     assert!(ends[3] > 0);
 }
 
 #[test]
-fn what_there_is_not_on_sockets_is_an_error_before_anything_starts() {
+fn unsupported_plans_are_rejected_before_anything_starts() {
     let good = Plan { locations: 1, faults: vec![(1.0, Fault::Crash(0))], ..Plan::default() };
     assert_eq!(sockets::check(&good), Ok(()));
     let fault = |fault| Plan { faults: vec![(1.0, fault)], ..good.clone() };
@@ -93,7 +96,7 @@
         (fault(Fault::Partition(0, true)), "cut 0"),
         (fault(Fault::Slow(0, 3.0)), "slow 0, times 3"),
     ] {
-        let wrong = sockets::check(&plan).expect_err(expected);
-        assert!(wrong.contains(expected), "{wrong}");
+        let error = sockets::check(&plan).expect_err(expected);
+        assert!(error.contains(expected), "{error}");
     }
 }
