--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -288,9 +288,9 @@
     std::fs::create_dir_all(folder).map_err(other)?;
     for (n, picture) in pictures.iter().enumerate() {
         let title = picture.title.to_lowercase();
-        let title_words: Vec<&str> = title.split(|c: char| !c.is_ascii_alphanumeric()).collect();
-        let title_words: Vec<&str> = title_words.into_iter().filter(|w| !w.is_empty()).take(6).collect();
-        let name = format!("{:02}-{}.svg", n + 1, title_words.join("-"));
+        let title_parts: Vec<&str> = title.split(|c: char| !c.is_ascii_alphanumeric()).collect();
+        let title_parts: Vec<&str> = title_parts.into_iter().filter(|w| !w.is_empty()).take(6).collect();
+        let name = format!("{:02}-{}.svg", n + 1, title_parts.join("-"));
         std::fs::write(folder.join(name), picture.svg().map_err(other)?).map_err(other)?;
     }
     Ok(())
@@ -316,7 +316,7 @@
         draw(folder, &page::pictures(&found.rows))?;
     }
     let mut text = page::medians(&found.rows) + &page::slopes(&slopes);
-    found.left_out.iter().for_each(|what| text += &format!("\nleft out: {what}"));
+    found.skipped.iter().for_each(|what| text += &format!("\nskipped: {what}"));
     Ok(text + "\n")
 }
 
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -1,11 +1,12 @@
-//! Owns a fleet of the shipped fellows core in virtual time, large and lean: what each router says and hears, keeps and
-//! takes of the processor, and when what one knows is known by all.
+//! A large fleet of the shipped membership core in virtual time: traffic, memory and CPU time of each
+//! router, and the delay until what one router knows is known by all.
 //!
-//! Time goes in steps; within one, routers don't hear each other, so that they can be played by several threads with the
-//! same result. What is simulated: links, their delay and loss, the journal that tells, and who fails. Bytes are those of
-//! the gateway's frames, as its codec writes them, without the pulse of links and without headers of packets. Routers
-//! that tell all begin with all statements known, as in a fleet that has stood for long; those with places stand for a
-//! while first. One seed, one run, but for times of the processor.
+//! Time advances in steps. Within a step routers exchange nothing, so that several threads can run them with
+//! the same result. Simulated are links with their delay and loss, the delay of the journal, and faults.
+//! Bytes are those of the gateway's frames as written by its codec, without the heartbeats of links and
+//! without packet headers. Routers that inform all others start with all router statuses known, as in a
+//! fleet that has run for long; routers with locations run for a warm-up time first. Results depend on the
+//! seed alone, except for CPU times.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -29,59 +30,61 @@
 
 use super::row::Form;
 
-/// Milliseconds.
+/// Milliseconds of virtual time.
 pub type Ms = f64;
 
-/// The fleet's clock begins here, so that starts and stamps are above zero.
+/// Start of the virtual clock, so that start times and timestamps are positive.
 const EPOCH: Ms = 1_000_000.0;
-/// Fleets of fewer routers are played by one thread: a step is over before others have begun.
-const SHARED: usize = 128;
-/// How long until a new link is up.
-const DIALLED: Ms = 50.0;
-/// How long a fleet with places stands before it is measured: it begins with nobody known.
-const SETTLED: Ms = 40_000.0;
-/// How long a restarted process is away.
-const AWAY: Ms = 1_000.0;
-/// Bytes of a change of configuration: a batch that moves one cache, as `linnethook-hierarchy` writes it.
-pub const CHANGE: usize = 96;
-
-/// What befalls the fleet, from the first third of the measured time to the second.
+/// Fleets of fewer routers run on one thread, because a step is shorter than the start of other threads.
+const MIN_ROUTERS_FOR_THREADS: usize = 128;
+/// Time to establish a link.
+const LINK_SETUP: Ms = 50.0;
+/// How long a fleet with locations runs before it is measured: its routers start without knowledge of others.
+const WARM_UP: Ms = 40_000.0;
+/// Downtime of a restarted process.
+const RESTART_DOWNTIME: Ms = 1_000.0;
+/// Bytes of a configuration change: a batch that moves one cache, as encoded by `linnethook-hierarchy`.
+pub const CHANGE_BYTES: usize = 96;
+
+/// A fault of the fleet, from one third to two thirds of the measured time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
-    /// The journal is silent at all routers but one.
-    Silent,
-    /// So many neighbours die at once, and stay away.
+pub enum FleetFault {
+    /// The journal is silent at all routers except one.
+    JournalSilent,
+    /// This many neighbouring routers crash at once, and do not restart.
     Rack(usize),
-    /// So many neighbours are cut from all others, and come back.
-    Cut(usize),
-    /// One router's links are slower by so many milliseconds.
+    /// This many neighbouring routers are partitioned from all others, and reconnect.
+    Partition(usize),
+    /// The links of one router are slower by this many milliseconds.
     Slow(u32),
-    /// So many neighbours start again at once.
+    /// This many neighbouring routers restart at once.
     Restart(usize),
-    /// One part in a hundred of what is said is lost once, and comes 200 ms later.
+    /// One frame in a hundred is lost once, and arrives 200 ms later by retransmission.
     Loss,
 }
 
-/// What is played.
+/// The parameters of a simulated fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Setup {
     pub routers: usize,
     pub form: Form,
-    /// Fellows that each dials, where they tell all.
+    /// Peers to which each router opens links, in a fleet without locations.
     pub dials: usize,
     pub seconds: f64,
-    /// In all the fleet, by second.
+    /// Rates per second in the entire fleet.
     pub purges: f64,
     pub changes: f64,
     pub restarts: f64,
-    pub trouble: Option<Trouble>,
+    pub fleet_fault: Option<FleetFault>,
     pub seed: u64,
-    /// Length of a step, the delay of a link, and the most by which the journal tells later, in milliseconds.
+    /// Length of a simulation step.
     pub step: Ms,
+    /// Delay of a link.
     pub delay: Ms,
+    /// Maximum delay of the journal.
     pub journal: Ms,
-    /// Whether bytes are held to the shipped pace; else what there is to say is said.
-    pub paced: bool,
+    /// Whether the shipped rate limit applies; otherwise routers send without a limit.
+    pub rate_limited: bool,
     pub jobs: usize,
 }
 
@@ -95,184 +98,193 @@
             purges: 0.0,
             changes: 0.0,
             restarts: 0.0,
-            trouble: None,
+            fleet_fault: None,
             seed: 1,
             step: 10.0,
             delay: 10.0,
             journal: 200.0,
-            paced: true,
+            rate_limited: true,
             jobs: 2,
         }
     }
 }
 
 impl Setup {
-    fn rules(&self) -> MembershipConfig {
-        let mut rules = MembershipConfig::default();
-        if !self.paced {
-            rules.bundle_bytes = 64 << 20;
-            (rules.rate_limit.bytes_per_second, rules.rate_limit.burst_seconds) = (1e15, 1.0);
+    fn config(&self) -> MembershipConfig {
+        let mut config = MembershipConfig::default();
+        if !self.rate_limited {
+            config.bundle_bytes = 64 << 20;
+            (config.rate_limit.bytes_per_second, config.rate_limit.burst_seconds) = (1e15, 1.0);
         }
-        rules
+        config
     }
 }
 
-/// What one router came to.
+/// The counters of one router.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Meter {
-    /// Bytes and frames out and in, over all links.
-    pub said: u64,
-    pub heard: u64,
-    pub out: u64,
-    pub into: u64,
-    /// Facts heard, and turns of the core's own timer.
-    pub facts: u64,
+pub struct RouterCounters {
+    /// Bytes and frames over all links.
+    pub bytes_sent: u64,
+    pub bytes_received: u64,
+    pub frames_sent: u64,
+    pub frames_received: u64,
+    pub facts_received: u64,
+    /// Ticks of the core's own timer.
     pub ticks: u64,
-    pub hearing: Duration,
-    pub ticking: Duration,
+    /// CPU time to receive facts and journal entries.
+    pub receive_time: Duration,
+    /// CPU time of ticks.
+    pub tick_time: Duration,
 }
 
-impl Meter {
+impl RouterCounters {
     fn since(&self, before: &Self) -> Self {
         Self {
-            said: self.said - before.said,
-            heard: self.heard - before.heard,
-            out: self.out - before.out,
-            into: self.into - before.into,
-            facts: self.facts - before.facts,
+            bytes_sent: self.bytes_sent - before.bytes_sent,
+            bytes_received: self.bytes_received - before.bytes_received,
+            frames_sent: self.frames_sent - before.frames_sent,
+            frames_received: self.frames_received - before.frames_received,
+            facts_received: self.facts_received - before.facts_received,
             ticks: self.ticks - before.ticks,
-            hearing: self.hearing - before.hearing,
-            ticking: self.ticking - before.ticking,
+            receive_time: self.receive_time - before.receive_time,
+            tick_time: self.tick_time - before.tick_time,
         }
     }
 }
 
-/// What a run came to.
+/// The results of a simulated fleet.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
-    /// By router, over the measured seconds; those that were away at some time are left out.
-    pub meters: Vec<Meter>,
-    /// Facts and bytes of them at the end, and facts for which there was no room.
-    pub kept: Vec<(usize, usize)>,
-    pub full: Vec<u64>,
-    /// Facts that wait to be said at the end: a fleet that keeps up has few.
-    pub pending: Vec<usize>,
-    /// By purge and by change: milliseconds until all that were there knew of it; infinite where some never did.
+pub struct FleetResults {
+    /// By router, over the measured seconds, without routers that were down at some time.
+    pub counters: Vec<RouterCounters>,
+    /// By router: the number of stored facts and their bytes at the end.
+    pub stored_facts: Vec<(usize, usize)>,
+    /// By router: facts rejected by a full table.
+    pub rejected_facts: Vec<u64>,
+    /// By router: facts that are queued for sending at the end; few in a fleet that keeps up.
+    pub pending_facts: Vec<usize>,
+    /// By purge and by change: milliseconds until all running routers knew it; infinite where one never did.
     pub purges: Vec<f64>,
     pub changes: Vec<f64>,
-    /// Milliseconds from its link up until a router that restarted knew all statements that there are.
+    /// By restart: milliseconds from the links being up until the router knew the statuses of all others.
     pub joined: Vec<f64>,
-    /// Bytes that such a one was told in its first seconds.
+    /// By restart: bytes that the router received in its first 2 s.
     pub caught_up: Vec<u64>,
-    /// Where a part was cut off: what its coming back came to.
-    pub met: Option<Meeting>,
-    /// How far what a router knows of another one's journal is behind what that one has reached, in purges, over all
-    /// pairs: the median, the 99th of a hundred, the most.
-    pub behind: Option<(f64, f64, f64)>,
+    /// The recovery from a partition, if there was one.
+    pub partition_recovery: Option<PartitionRecovery>,
+    /// How far a router's knowledge of another one's journal position lags behind that position, in purges,
+    /// over all pairs of routers: the median, the 99th percentile and the maximum.
+    pub journal_lag: Option<(f64, f64, f64)>,
 }
 
-/// What came of a part's coming back.
+/// The recovery from a partition.
 #[derive(Debug, Clone, Default)]
-pub struct Meeting {
-    /// Milliseconds until all knew all that was told before, infinite where they never did, and the bytes that each said
-    /// and heard meanwhile.
-    pub known: f64,
-    pub until_then: Vec<u64>,
-    /// Bytes that each said and heard within the first minute.
-    pub minute: Vec<u64>,
+pub struct PartitionRecovery {
+    /// Milliseconds until all routers knew all earlier purges and changes; infinite where they never did.
+    pub convergence_ms: f64,
+    /// Bytes that each router sent and received until then.
+    pub bytes_until_converged: Vec<u64>,
+    /// Bytes that each router sent and received within the first minute.
+    pub bytes_in_first_minute: Vec<u64>,
 }
 
-/// Links of a fleet without places: the next one, so that all hang together, and some by chance.
-fn by_chance(chance: &mut Pcg64Mcg, n: usize, dials: usize) -> Vec<BTreeSet<usize>> {
+/// Links of a fleet without locations: to the next router, so that all are connected, and to random ones.
+fn random_links(random: &mut Pcg64Mcg, n: usize, dials: usize) -> Vec<BTreeSet<usize>> {
     let mut links = vec![BTreeSet::new(); n];
     for a in 0..n {
         for dial in 0..dials {
-            let b = if dial == 0 { (a + 1) % n } else { chance.random_range(0..n) };
+            let b = if dial == 0 { (a + 1) % n } else { random.random_range(0..n) };
             join(&mut links, a, b);
         }
     }
     links
 }
 
-fn place(site: usize) -> Option<Location> {
+fn site_location(site: usize) -> Option<Location> {
     Location::parse(&sockets::place(site)).ok()
 }
 
-/// One frame's facts, and its length on a link.
+/// The facts of one frame, and its length on a link.
 struct Frame {
-    said: Vec<EncodedEntry>,
+    facts: Vec<EncodedEntry>,
     bytes: usize,
 }
 
-struct Letter {
+/// A frame in transit to a router.
+struct Delivery {
     at: Ms,
     from: usize,
-    /// The start of the receiver that it is meant for, and of the sender.
+    /// The start time of the intended receiver, and that of the sender.
     starts: (u64, u64),
     frame: Arc<Frame>,
 }
 
-enum To {
+enum Recipient {
     All,
     One(usize),
 }
 
 struct Node {
     core: Option<Cluster>,
-    place: Option<Location>,
+    location: Option<Location>,
     name: String,
     start: u64,
     links: Vec<usize>,
-    inbox: Vec<Letter>,
-    outbox: Vec<(To, Arc<Frame>)>,
+    inbox: Vec<Delivery>,
+    outbox: Vec<(Recipient, Arc<Frame>)>,
     due: Ms,
-    acts: ActiveVersions,
-    meter: Meter,
-    /// By purge and by change: when it was known here, in milliseconds since the beginning; -1 before.
+    versions: ActiveVersions,
+    counters: RouterCounters,
+    /// By purge and by change: when this router learned of it, in milliseconds since [`EPOCH`]; -1 before.
     purges: Vec<f32>,
     changes: Vec<f32>,
-    /// It was away at some time.
-    away: bool,
-    /// Since when it is back, how much it had heard then, and when it knew all.
-    back: Option<(Ms, u64)>,
+    /// Whether it was down at some time.
+    was_down: bool,
+    /// The time of its last restart, and the bytes received until then.
+    restarted: Option<(Ms, u64)>,
+    /// Milliseconds from that restart until it knew the statuses of all others.
     joined: Option<f64>,
+    /// Bytes received in the first 2 s after that restart.
     caught_up: Option<u64>,
 }
 
-/// Something that happens at a time.
+/// A scheduled event.
 enum Event {
     Purge(u32),
     Change(u32),
     Restart(usize),
-    Up(usize),
-    Begins,
-    Ends,
+    Started(usize),
+    FaultBegins,
+    FaultEnds,
 }
 
+/// A simulated fleet.
 pub struct Fleet {
     setup: Setup,
     nodes: Vec<Node>,
     now: Ms,
-    chance: Pcg64Mcg,
-    /// Those that are cut from the others, and the slow one.
-    apart: BTreeSet<usize>,
+    random: Pcg64Mcg,
+    /// Routers that are partitioned from the others.
+    partitioned: BTreeSet<usize>,
+    /// The router with slow links.
     slow: Option<usize>,
     lossy: bool,
     silent: bool,
-    met: Option<Met>,
+    recovery: Option<RecoveryMeasurement>,
 }
 
-/// A part that was cut off is back.
-struct Met {
+/// The measurement of a recovery from a partition.
+struct RecoveryMeasurement {
+    /// When the partition ended.
     at: Ms,
-    /// Bytes that each had said and heard by then.
-    before: Vec<u64>,
-    /// Purges and changes told before.
-    told: [usize; 2],
-    came_to: Meeting,
+    /// Bytes that each router had sent and received by then.
+    bytes_before: Vec<u64>,
+    /// Numbers of purges and of changes issued before.
+    issued_before: [usize; 2],
+    result: PartitionRecovery,
 }
 
-/// Resident memory of this process in bytes; 0 where the system does not tell.
+/// Resident memory of this process in bytes; 0 where the system does not report it.
 pub fn resident() -> f64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = text.split(' ').nth(1).and_then(|pages| pages.parse::<f64>().ok());
@@ -288,93 +300,95 @@
     Some(u64::from_str_radix(name, 16).ok()?.wrapping_mul(inverse) as usize)
 }
 
-/// The factor that undoes the one of `purge_key`.
+/// The multiplicative inverse of the factor in `purge_key`, modulo 2^64.
 fn inverse() -> u64 {
     let factor = 0x9e37_79b9_7f4a_7c15u64;
     (0..6).fold(factor, |inverse, _| inverse.wrapping_mul(2u64.wrapping_sub(factor.wrapping_mul(inverse))))
 }
 
 impl Frame {
-    /// Facts as they travel: the bytes of the gateway's own frame.
-    fn new(said: Vec<EncodedEntry>, alone: bool) -> Self {
-        let facts: Vec<Fact> = said
+    /// Encodes facts with the gateway's codec: as direct facts for one recipient, otherwise as a state
+    /// update.
+    fn new(entries: Vec<EncodedEntry>, direct: bool) -> Self {
+        let facts: Vec<Fact> = entries
             .iter()
             .cloned()
             .map(|entry| Fact::new(FactKey::PeerEntry(entry.key), FactValue::PeerEntry(entry.value)))
             .collect();
-        let word = match alone {
+        let message = match direct {
             true => Message::DirectFacts(facts),
             false => {
                 Message::StateUpdate(StateUpdate { epoch: 1 << 50, since: 1 << 14, version: 1 << 14, facts })
             }
         };
         let mut bytes = BytesMut::new();
-        write_message(&mut bytes, 0, &word);
-        Self { said, bytes: bytes.len() }
+        write_message(&mut bytes, 0, &message);
+        Self { facts: entries, bytes: bytes.len() }
     }
 }
 
 impl Node {
-    fn say(&mut self, to: To, said: Vec<EncodedEntry>) {
-        let alone = matches!(to, To::One(_));
-        self.outbox.push((to, Arc::new(Frame::new(said, alone))));
+    fn send(&mut self, to: Recipient, facts: Vec<EncodedEntry>) {
+        let direct = matches!(to, Recipient::One(_));
+        self.outbox.push((to, Arc::new(Frame::new(facts, direct))));
     }
 
-    /// One step: what came in by now is heard, and what is due is done.
-    fn step(&mut self, now: Ms, inverse: u64, begun: Ms) {
+    /// One step: receives the frames that have arrived, and runs a tick if one is due.
+    fn step(&mut self, now: Ms, inverse: u64, epoch: Ms) {
         if self.core.is_none() {
             self.inbox.clear();
             return;
         }
-        let (ready, later): (Vec<Letter>, Vec<Letter>) =
-            std::mem::take(&mut self.inbox).into_iter().partition(|letter| letter.at <= now);
+        let (ready, later): (Vec<Delivery>, Vec<Delivery>) =
+            std::mem::take(&mut self.inbox).into_iter().partition(|delivery| delivery.at <= now);
         self.inbox = later;
         let Some(core) = &mut self.core else { return };
         let began = Instant::now();
-        for letter in &ready {
-            if letter.starts.0 != self.start {
+        for delivery in &ready {
+            if delivery.starts.0 != self.start {
                 continue;
             }
-            self.meter.into += 1;
-            self.meter.heard += letter.frame.bytes as u64;
-            self.meter.facts += letter.frame.said.len() as u64;
-            let from = format!("r{}", letter.from);
-            letter.frame.said.iter().for_each(|entry| core.receive(now, &from, &entry.key, &entry.value));
+            self.counters.frames_received += 1;
+            self.counters.bytes_received += delivery.frame.bytes as u64;
+            self.counters.facts_received += delivery.frame.facts.len() as u64;
+            let from = format!("r{}", delivery.from);
+            delivery.frame.facts.iter().for_each(|entry| core.receive(now, &from, &entry.key, &entry.value));
         }
         if !ready.is_empty() {
-            self.meter.hearing += began.elapsed();
+            self.counters.receive_time += began.elapsed();
         }
         if !ready.is_empty() || now >= self.due {
             let began = Instant::now();
             core.tick(now);
             self.due = core.next_deadline(now);
-            self.meter.ticking += began.elapsed();
-            self.meter.ticks += 1;
+            self.counters.tick_time += began.elapsed();
+            self.counters.ticks += 1;
         }
-        self.carry_out(now, inverse, begun);
+        self.perform_actions(now, inverse, epoch);
     }
 
-    fn carry_out(&mut self, now: Ms, inverse: u64, begun: Ms) {
+    fn perform_actions(&mut self, now: Ms, inverse: u64, epoch: Ms) {
         while let Some(action) = self.core.as_mut().and_then(Cluster::next_action) {
             match action {
-                ClusterAction::Broadcast(said) => self.say(To::All, said),
-                ClusterAction::SendTo(name, said) => {
+                ClusterAction::Broadcast(facts) => self.send(Recipient::All, facts),
+                ClusterAction::SendTo(name, facts) => {
                     if let Ok(to) = name[1..].parse() {
-                        self.say(To::One(to), said);
+                        self.send(Recipient::One(to), facts);
                     }
                 }
                 ClusterAction::Purged { key, purge }
-                    if purge.journal_position > self.acts.journal_position =>
+                    if purge.journal_position > self.versions.journal_position =>
                 {
-                    // As the router does: heeded by a fellow's word, until the own journal has come so far.
-                    self.acts.purges_applied += 1;
+                    // As in the router: a purge received from a peer applies until the own journal has
+                    // reached it.
+                    self.versions.purges_applied += 1;
                     if let Some(known) = number_of(&key, inverse).and_then(|n| self.purges.get_mut(n)) {
                         if *known < 0.0 {
-                            *known = (now - begun) as f32;
+                            *known = (now - epoch) as f32;
                         }
                     }
                     if let Some(core) = &mut self.core {
-                        core.set_versions(&self.acts);
+                        core.set_versions(&self.versions);
                         self.due = core.next_deadline(now);
                     }
                 }
@@ -382,7 +396,7 @@
                     let number = body.first_chunk().map(|bytes| u32::from_le_bytes(*bytes) as usize);
                     if let Some(known) = number.and_then(|n| self.changes.get_mut(n)) {
                         if *known < 0.0 {
-                            *known = (now - begun) as f32;
+                            *known = (now - epoch) as f32;
                         }
                     }
                 }
@@ -391,38 +405,39 @@
         }
     }
 
-    /// The own journal tells of a purge.
-    fn told(&mut self, now: Ms, number: u32, stamp: Ms, begun: Ms) {
+    /// Receives a purge from the own journal.
+    fn receive_from_journal(&mut self, now: Ms, number: u32, stamp: Ms, epoch: Ms) {
         let Some(core) = &mut self.core else { return };
         let began = Instant::now();
-        self.acts.purges_applied += 1;
-        self.acts.journal_position = self.acts.journal_position.max(u64::from(number) + 1);
+        self.versions.purges_applied += 1;
+        self.versions.journal_position = self.versions.journal_position.max(u64::from(number) + 1);
         core.publish_purge(
             now,
             &purge_key(number),
             Purge { issued_at: stamp, journal_position: u64::from(number) + 1 },
         );
-        core.set_versions(&self.acts);
+        core.set_versions(&self.versions);
         self.due = core.next_deadline(now);
-        self.meter.hearing += began.elapsed();
+        self.counters.receive_time += began.elapsed();
         let known = &mut self.purges[number as usize];
         if *known < 0.0 {
-            *known = (now - begun) as f32;
+            *known = (now - epoch) as f32;
         }
     }
 }
 
 impl Fleet {
-    /// A fleet in which all know of all.
+    /// Constructs a fleet: without locations all routers know all others; with locations they know none.
     pub fn new(setup: Setup) -> Self {
-        let mut chance = Pcg64Mcg::seed_from_u64(setup.seed);
+        let mut random = Pcg64Mcg::seed_from_u64(setup.seed);
         let n = setup.routers;
         let links = match setup.form {
-            Form::Flat => by_chance(&mut chance, n, setup.dials),
-            Form::Summary => by_place(&mut chance, n),
+            Form::Flat => random_links(&mut random, n, setup.dials),
+            Form::Summary => by_place(&mut random, n),
         };
-        let place = |node: usize| (setup.form == Form::Summary).then(|| place(node / SITE)).flatten();
-        let acts = ActiveVersions {
+        let location =
+            |node: usize| (setup.form == Form::Summary).then(|| site_location(node / SITE)).flatten();
+        let versions = ActiveVersions {
             build: env!("CARGO_PKG_VERSION").to_string(),
             settings_digest: 1 << 60,
             ..ActiveVersions::default()
@@ -433,30 +448,31 @@
             .map(|node| {
                 let links = links[node].iter().map(|other| (name(*other), start(*other))).collect();
                 let statement =
-                    RouterStatus { versions: acts.clone(), links, leaving: false, location: None };
+                    RouterStatus { versions: versions.clone(), links, leaving: false, location: None };
                 let entry = statement
                     .encode(Revision::new(start(node), 2), MembershipConfig::default().status_version);
                 EncodedEntry::new(EntryKey::Router(name(node)).encode(), entry.encode())
             })
             .collect();
-        // All that is known at the beginning is said before any link is there to carry it, and nothing is saved up then.
-        let mut loud = MembershipConfig { bundle_bytes: usize::MAX, ..MembershipConfig::default() };
-        (loud.rate_limit.bytes_per_second, loud.rate_limit.burst_seconds) = (1e15, 1.0);
-        let mut spent = loud;
-        (spent.rate_limit.bytes_per_second, spent.rate_limit.burst_seconds) = (1.0, 1.0);
-        let rules = setup.rules();
+        // The initial knowledge is sent during construction, where its actions are discarded, and no budget
+        // of the rate limit is left over.
+        let mut unlimited = MembershipConfig { bundle_bytes: usize::MAX, ..MembershipConfig::default() };
+        (unlimited.rate_limit.bytes_per_second, unlimited.rate_limit.burst_seconds) = (1e15, 1.0);
+        let mut exhausted = unlimited;
+        (exhausted.rate_limit.bytes_per_second, exhausted.rate_limit.burst_seconds) = (1.0, 1.0);
+        let config = setup.config();
         let mut nodes: Vec<Node> = Vec::with_capacity(n);
-        let phases: Vec<f64> = (0..n).map(|_| chance.random_range(0.0..5_000.0)).collect();
+        let phases: Vec<f64> = (0..n).map(|_| random.random_range(0.0..5_000.0)).collect();
         let cold = |node: usize| {
-            let now = EPOCH - SETTLED;
-            let core = Cluster::new(now, rules, &name(node), start(node), acts.clone());
-            let mut core = core.with_location(now, place(node));
+            let now = EPOCH - WARM_UP;
+            let core = Cluster::new(now, config, &name(node), start(node), versions.clone());
+            let mut core = core.with_location(now, location(node));
             links[node].iter().for_each(|other| core.set_link(&name(*other), start(*other), true));
             core
         };
         let warm = |node: usize| {
-            let now = EPOCH - phases[node] - 2.0 * rules.flush_interval;
-            let mut core = Cluster::new(now, loud, &name(node), start(node), ActiveVersions::default());
+            let now = EPOCH - phases[node] - 2.0 * config.flush_interval;
+            let mut core = Cluster::new(now, unlimited, &name(node), start(node), ActiveVersions::default());
             for other in &links[node] {
                 core.set_link(&name(*other), start(*other), true);
             }
@@ -466,40 +482,40 @@
                 }
             }
             core.tick(now);
-            core.set_config(spent);
-            core.set_versions(&acts);
-            core.tick(EPOCH - rules.flush_interval);
+            core.set_config(exhausted);
+            core.set_versions(&versions);
+            core.tick(EPOCH - config.flush_interval);
             while core.next_action().is_some() {}
-            core.set_config(rules);
+            core.set_config(config);
             core.counters = ClusterCounters::default();
             core
         };
         let make = |node: usize| {
-            let (core, begun) = match setup.form {
+            let (core, started_at) = match setup.form {
                 Form::Flat => (warm(node), EPOCH),
-                Form::Summary => (cold(node), EPOCH - SETTLED),
+                Form::Summary => (cold(node), EPOCH - WARM_UP),
             };
             Node {
                 core: Some(core),
-                place: place(node),
+                location: location(node),
                 name: name(node),
                 start: start(node),
                 links: links[node].iter().copied().collect(),
                 inbox: Vec::new(),
                 outbox: Vec::new(),
-                due: begun + phases[node] % 100.0,
-                acts: acts.clone(),
-                meter: Meter::default(),
+                due: started_at + phases[node] % 100.0,
+                versions: versions.clone(),
+                counters: RouterCounters::default(),
                 purges: Vec::new(),
                 changes: Vec::new(),
-                away: false,
-                back: None,
+                was_down: false,
+                restarted: None,
                 joined: None,
                 caught_up: None,
             }
         };
         let jobs = setup.jobs.clamp(1, 8);
-        let made = thread::scope(|scope| {
+        let groups = thread::scope(|scope| {
             let each = n.div_ceil(jobs);
             let make = &make;
             let parts: Vec<_> = (0..jobs)
@@ -510,17 +526,17 @@
                 .collect();
             parts.into_iter().filter_map(|part| part.join().ok()).collect::<Vec<_>>()
         });
-        made.into_iter().for_each(|part| nodes.extend(part));
-        let (apart, slow) = (BTreeSet::new(), None);
-        let now = if setup.form == Form::Summary { EPOCH - SETTLED } else { EPOCH };
-        Self { setup, nodes, now, chance, apart, slow, lossy: false, silent: false, met: None }
+        groups.into_iter().for_each(|part| nodes.extend(part));
+        let (partitioned, slow) = (BTreeSet::new(), None);
+        let now = if setup.form == Form::Summary { EPOCH - WARM_UP } else { EPOCH };
+        Self { setup, nodes, now, random, partitioned, slow, lossy: false, silent: false, recovery: None }
     }
 
-    /// Plays it; no longer than that by the real clock.
-    pub fn run(mut self, most: Duration) -> Option<Seen> {
+    /// Runs the fleet; `None` if that takes longer than the limit in real time.
+    pub fn run(mut self, time_limit: Duration) -> Option<FleetResults> {
         let (setup, began) = (self.setup, Instant::now());
         let end = EPOCH + setup.seconds * 1_000.0;
-        // What is told late in the run is given the time to be known.
+        // Purges and changes late in the run have this much time to reach all routers.
         let last = end + 6_000.0;
         let mut events = self.events();
         let (purges, changes) = (
@@ -532,38 +548,38 @@
             node.changes = vec![-1.0; changes];
         }
         let mut issued = (vec![0.0; purges], vec![0.0; changes]);
-        // What the own journal tells whom when: by time, and which purge.
+        // Deliveries of journal entries: the time, the router and the purge.
         let mut journal: Vec<(Ms, usize, u32)> = Vec::new();
         events.reverse();
-        let mut before = vec![Meter::default(); self.nodes.len()];
-        let mut meters = None;
+        let mut before = vec![RouterCounters::default(); self.nodes.len()];
+        let mut counters = None;
         let mut pending = None;
-        let mut behind = None;
+        let mut journal_lag = None;
         while self.now < last {
-            if began.elapsed() > most {
+            if began.elapsed() > time_limit {
                 return None;
             }
             if self.now < EPOCH && self.now + setup.step >= EPOCH {
-                before = self.nodes.iter().map(|node| node.meter).collect();
+                before = self.nodes.iter().map(|node| node.counters).collect();
             }
             self.now += setup.step;
             let now = self.now;
             while events.last().is_some_and(|(at, _)| *at <= now) {
                 let Some((at, event)) = events.pop() else { break };
-                self.happen(event, at, &mut events, &mut journal, &mut issued);
+                self.apply_event(event, at, &mut events, &mut journal, &mut issued);
             }
             let due: Vec<(Ms, usize, u32)> = journal.extract_if(.., |(at, ..)| *at <= now).collect();
             for (_, node, number) in due {
                 let stamp = issued.0[number as usize] + EPOCH;
-                self.nodes[node].told(now, number, stamp, EPOCH);
+                self.nodes[node].receive_from_journal(now, number, stamp, EPOCH);
             }
             self.step();
-            self.meet();
+            self.measure_recovery();
             let settled = purges + changes == 0
                 || self.now >= end && self.nodes.iter().all(|node| node.core.is_none() || node.knows_all());
-            if self.now >= end && meters.is_none() {
-                let since = |(node, before): (&Node, &Meter)| node.meter.since(before);
-                meters = Some(self.nodes.iter().zip(&before).map(since).collect::<Vec<_>>());
+            if self.now >= end && counters.is_none() {
+                let since = |(node, before): (&Node, &RouterCounters)| node.counters.since(before);
+                counters = Some(self.nodes.iter().zip(&before).map(since).collect::<Vec<_>>());
                 pending = Some(
                     self.nodes
                         .iter()
@@ -571,23 +587,24 @@
                         .map(|core| core.view(now).pending)
                         .collect::<Vec<_>>(),
                 );
-                behind = self.behind();
+                journal_lag = self.journal_lag();
             }
             if self.now >= end && settled {
                 break;
             }
         }
-        let seen = self.seen(&meters.unwrap_or_default(), pending.unwrap_or_default(), &issued);
-        Some(Seen { behind, ..seen })
+        let results = self.results(&counters.unwrap_or_default(), pending.unwrap_or_default(), &issued);
+        Some(FleetResults { journal_lag, ..results })
     }
 
-    fn behind(&self) -> Option<(f64, f64, f64)> {
+    /// See [`FleetResults::journal_lag`]; `None` without pairs.
+    fn journal_lag(&self) -> Option<(f64, f64, f64)> {
         let mut all: Vec<u32> = Vec::new();
         for core in self.nodes.iter().filter_map(|node| node.core.as_ref()) {
             for (name, member) in core.members().iter() {
                 let other = name[1..].parse().ok().and_then(|n: usize| self.nodes.get(n));
                 let reached =
-                    other.filter(|other| other.core.is_some()).map(|other| other.acts.journal_position);
+                    other.filter(|other| other.core.is_some()).map(|other| other.versions.journal_position);
                 all.extend(
                     reached
                         .map(|number| number.saturating_sub(member.status.versions.journal_position) as u32),
@@ -606,27 +623,27 @@
         for (rate, what) in [(setup.purges, 0), (setup.changes, 1), (setup.restarts, 2)] {
             let count = (rate * setup.seconds).round() as u32;
             for n in 0..count {
-                // Evenly, with a little chance, so that the load is the one that is asked for.
-                let at = EPOCH + (f64::from(n) + self.chance.random::<f64>()) / f64::from(count) * span;
+                // Evenly with random jitter, so that the load matches the configured rate.
+                let at = EPOCH + (f64::from(n) + self.random.random::<f64>()) / f64::from(count) * span;
                 events.push((
                     at,
                     match what {
                         0 => Event::Purge(n),
                         1 => Event::Change(n),
-                        _ => Event::Restart(self.chance.random_range(0..setup.routers)),
+                        _ => Event::Restart(self.random.random_range(0..setup.routers)),
                     },
                 ));
             }
         }
-        if setup.trouble.is_some() {
-            events.push((EPOCH + span / 3.0, Event::Begins));
-            events.push((EPOCH + span * 2.0 / 3.0, Event::Ends));
+        if setup.fleet_fault.is_some() {
+            events.push((EPOCH + span / 3.0, Event::FaultBegins));
+            events.push((EPOCH + span * 2.0 / 3.0, Event::FaultEnds));
         }
         events.sort_by(|(a, _), (b, _)| a.total_cmp(b));
         events
     }
 
-    fn happen(
+    fn apply_event(
         &mut self,
         event: Event,
         at: Ms,
@@ -637,96 +654,106 @@
         match event {
             Event::Purge(number) => {
                 issued.0[number as usize] = at - EPOCH;
-                // Who is cut off from it is told by its journal once that speaks again.
-                let again = EPOCH + self.setup.seconds * 1_000.0 * 2.0 / 3.0;
+                // Routers without a journal receive the purge when the journal has recovered.
+                let recovered_at = EPOCH + self.setup.seconds * 1_000.0 * 2.0 / 3.0;
                 for node in 0..self.nodes.len() {
-                    let late = self.chance.random_range(0.0..self.setup.journal.max(0.001));
-                    let silent = self.silent && node > 0 || self.apart.contains(&node);
-                    journal.push((if silent { at.max(again) } else { at } + late, node, number));
+                    let late = self.random.random_range(0.0..self.setup.journal.max(0.001));
+                    let silent = self.silent && node > 0 || self.partitioned.contains(&node);
+                    journal.push((if silent { at.max(recovered_at) } else { at } + late, node, number));
                 }
             }
             Event::Change(number) => {
                 issued.1[number as usize] = at - EPOCH;
                 let all = self.nodes.len();
-                let first = self.chance.random_range(0..all);
+                let first = self.random.random_range(0..all);
                 let runs = |n: &usize| self.nodes[*n].core.is_some();
                 let author = (0..all).map(|n| (first + n) % all).find(runs).unwrap_or(first);
                 let now = self.now;
                 let node = &mut self.nodes[author];
                 if let Some(core) = &mut node.core {
                     let mut body = number.to_le_bytes().to_vec();
-                    body.resize(CHANGE, 0);
+                    body.resize(CHANGE_BYTES, 0);
                     core.publish_batch(now, 7, u64::from(number) + 1, u64::from(number) + 1, body);
                     node.due = core.next_deadline(now);
                 }
                 node.changes[number as usize] = (now - EPOCH) as f32;
             }
-            Event::Restart(node) => self.restart(node, AWAY, events),
-            Event::Up(node) => self.come_up(node),
-            Event::Begins => match self.setup.trouble {
-                Some(Trouble::Silent) => self.silent = true,
-                Some(Trouble::Rack(count)) => (0..count).for_each(|n| self.die(n)),
-                Some(Trouble::Cut(count)) => {
-                    self.apart = (0..count).collect();
-                    self.sever(false);
+            Event::Restart(node) => self.restart(node, RESTART_DOWNTIME, events),
+            Event::Started(node) => self.start_router(node),
+            Event::FaultBegins => match self.setup.fleet_fault {
+                Some(FleetFault::JournalSilent) => self.silent = true,
+                Some(FleetFault::Rack(count)) => (0..count).for_each(|n| self.stop_router(n)),
+                Some(FleetFault::Partition(count)) => {
+                    self.partitioned = (0..count).collect();
+                    self.set_partition_links(false);
                 }
-                Some(Trouble::Slow(_)) => self.slow = Some(0),
-                Some(Trouble::Restart(count)) => {
-                    (0..count).for_each(|n| self.restart(n, AWAY, events));
+                Some(FleetFault::Slow(_)) => self.slow = Some(0),
+                Some(FleetFault::Restart(count)) => {
+                    (0..count).for_each(|n| self.restart(n, RESTART_DOWNTIME, events));
                 }
-                Some(Trouble::Loss) => self.lossy = true,
+                Some(FleetFault::Loss) => self.lossy = true,
                 None => {}
             },
-            Event::Ends => {
+            Event::FaultEnds => {
                 self.silent = false;
                 self.slow = None;
                 self.lossy = false;
-                if matches!(self.setup.trouble, Some(Trouble::Cut(_))) {
-                    self.sever(true);
-                    self.apart.clear();
-                    let told = [&issued.0, &issued.1].map(|times| {
+                if matches!(self.setup.fleet_fault, Some(FleetFault::Partition(_))) {
+                    self.set_partition_links(true);
+                    self.partitioned.clear();
+                    let issued_before = [&issued.0, &issued.1].map(|times| {
                         times.iter().filter(|time| (f64::EPSILON..=at - EPOCH).contains(*time)).count()
                     });
-                    let (at, before) = (self.now, self.passed());
-                    let came_to = Meeting { known: f64::INFINITY, ..Meeting::default() };
-                    self.met = Some(Met { at, before, told, came_to });
+                    let (at, bytes_before) = (self.now, self.bytes_transferred());
+                    let result =
+                        PartitionRecovery { convergence_ms: f64::INFINITY, ..PartitionRecovery::default() };
+                    self.recovery = Some(RecoveryMeasurement { at, bytes_before, issued_before, result });
                 }
             }
         }
     }
 
-    /// What each has said and heard.
-    fn passed(&self) -> Vec<u64> {
-        self.nodes.iter().map(|node| node.meter.said + node.meter.heard).collect()
+    /// Bytes that each router has sent and received.
+    fn bytes_transferred(&self) -> Vec<u64> {
+        self.nodes.iter().map(|node| node.counters.bytes_sent + node.counters.bytes_received).collect()
     }
 
-    /// Looks ten times a second whether all know what was told before a part came back.
-    fn meet(&mut self) {
-        let Some(mut met) = self.met.take() else { return };
-        let after = self.now - met.at;
+    /// Checks every ten steps, by default ten times a second, whether all routers know what was issued
+    /// before the partition ended.
+    fn measure_recovery(&mut self) {
+        let Some(mut recovery) = self.recovery.take() else { return };
+        let after = self.now - recovery.at;
         if ((after / self.setup.step).round() as u64).is_multiple_of(10) {
-            let passed = || self.passed().iter().zip(&met.before).map(|(now, then)| now - then).collect();
-            if met.came_to.known.is_infinite() {
-                let [purges, changes] = met.told;
+            let transferred = || {
+                self.bytes_transferred()
+                    .iter()
+                    .zip(&recovery.bytes_before)
+                    .map(|(now, then)| now - then)
+                    .collect()
+            };
+            if recovery.result.convergence_ms.is_infinite() {
+                let [purges, changes] = recovery.issued_before;
                 let mut own = self.nodes.iter().filter(|node| node.core.is_some());
                 let first = |times: &[f32], count: usize| times[..count].iter().all(|at| *at >= 0.0);
                 if own.all(|node| first(&node.purges, purges) && first(&node.changes, changes)) {
-                    (met.came_to.known, met.came_to.until_then) = (after, passed());
+                    (recovery.result.convergence_ms, recovery.result.bytes_until_converged) =
+                        (after, transferred());
                 }
             }
-            if met.came_to.minute.is_empty() && after >= 60_000.0 {
-                met.came_to.minute = passed();
+            if recovery.result.bytes_in_first_minute.is_empty() && after >= 60_000.0 {
+                recovery.result.bytes_in_first_minute = transferred();
             }
         }
-        self.met = Some(met);
+        self.recovery = Some(recovery);
     }
 
-    /// Links between those apart and the others go, or come back; found at once, for what is measured is what follows.
-    fn sever(&mut self, up: bool) {
-        let apart = self.apart.clone();
-        for a in apart.iter().copied() {
+    /// Closes or restores the links between the partitioned routers and the others. Both ends notice at
+    /// once, because the measurement covers what follows.
+    fn set_partition_links(&mut self, up: bool) {
+        let partitioned = self.partitioned.clone();
+        for a in partitioned.iter().copied() {
             for b in self.nodes[a].links.clone() {
-                if !apart.contains(&b) {
+                if !partitioned.contains(&b) {
                     self.link(a, b, up);
                     self.link(b, a, up);
                 }
@@ -734,7 +761,7 @@
         }
     }
 
-    /// At one end: the link with another is up, or gone.
+    /// Marks a link as up or down at one of its ends.
     fn link(&mut self, at: usize, other: usize, up: bool) {
         let (name, start) = (self.nodes[other].name.clone(), self.nodes[other].start);
         let now = self.now;
@@ -742,58 +769,60 @@
         core.set_link(&name, start, up);
         let due = core.next_deadline(now);
         if up {
-            // As the gateway does: who connects is told all that there is, once, in pieces.
+            // As in the gateway: a new peer receives the complete table once, in chunks.
             let known = core.table().iter();
             let all: Vec<EncodedEntry> =
                 known.map(|(key, entry)| EncodedEntry::new(key.clone(), entry.encode())).collect();
-            for piece in all.chunks(1_024) {
-                self.nodes[at].say(To::One(other), piece.to_vec());
+            for chunk in all.chunks(1_024) {
+                self.nodes[at].send(Recipient::One(other), chunk.to_vec());
             }
         }
         self.nodes[at].due = due;
     }
 
-    fn die(&mut self, node: usize) {
+    fn stop_router(&mut self, node: usize) {
         self.nodes[node].core = None;
-        self.nodes[node].away = true;
+        self.nodes[node].was_down = true;
         self.nodes[node].inbox.clear();
         for other in self.nodes[node].links.clone() {
             self.link(other, node, false);
         }
     }
 
-    fn restart(&mut self, node: usize, away: Ms, events: &mut Vec<(Ms, Event)>) {
+    fn restart(&mut self, node: usize, downtime: Ms, events: &mut Vec<(Ms, Event)>) {
         if self.nodes[node].core.is_none() {
             return;
         }
-        self.die(node);
-        let at = self.now + away + DIALLED;
-        let place = events.partition_point(|(other, _)| *other > at);
-        events.insert(place, (at, Event::Up(node)));
+        self.stop_router(node);
+        let at = self.now + downtime + LINK_SETUP;
+        let position = events.partition_point(|(other, _)| *other > at);
+        events.insert(position, (at, Event::Started(node)));
     }
 
-    fn come_up(&mut self, n: usize) {
+    fn start_router(&mut self, n: usize) {
         let now = self.now;
         let node = &mut self.nodes[n];
         node.start = (now * 1_000.0) as u64 + n as u64 % 1_000;
-        node.acts.purges_applied = 0;
-        let core = Cluster::new(now, self.setup.rules(), &node.name, node.start, node.acts.clone());
-        node.core = Some(core.with_location(now, node.place.clone()));
-        node.back = Some((now, node.meter.heard));
+        node.versions.purges_applied = 0;
+        let core = Cluster::new(now, self.setup.config(), &node.name, node.start, node.versions.clone());
+        node.core = Some(core.with_location(now, node.location.clone()));
+        node.restarted = Some((now, node.counters.bytes_received));
         node.joined = None;
         node.due = now;
         for other in self.nodes[n].links.clone() {
-            if self.nodes[other].core.is_some() && self.apart.contains(&other) == self.apart.contains(&n) {
+            if self.nodes[other].core.is_some()
+                && self.partitioned.contains(&other) == self.partitioned.contains(&n)
+            {
                 self.link(n, other, true);
                 self.link(other, n, true);
             }
         }
     }
 
-    /// Every router plays the step, then what they say is on its way.
+    /// Runs one step of every router, then sends their frames.
     fn step(&mut self) {
         let (now, inverse) = (self.now, inverse());
-        let jobs = if self.nodes.len() < SHARED { 1 } else { self.setup.jobs.clamp(1, 8) };
+        let jobs = if self.nodes.len() < MIN_ROUTERS_FOR_THREADS { 1 } else { self.setup.jobs.clamp(1, 8) };
         if jobs == 1 {
             self.nodes.iter_mut().for_each(|node| node.step(now, inverse, EPOCH));
         } else {
@@ -810,90 +839,99 @@
         for from in 0..self.nodes.len() {
             for (to, frame) in std::mem::take(&mut self.nodes[from].outbox) {
                 let to = match to {
-                    To::All => self.nodes[from].links.clone(),
-                    To::One(to) => vec![to],
+                    Recipient::All => self.nodes[from].links.clone(),
+                    Recipient::One(to) => vec![to],
                 };
                 for to in to {
-                    self.post(from, to, starts[to], &frame);
+                    self.send_frame(from, to, starts[to], &frame);
                 }
             }
-            self.look_back(from, running);
+            self.measure_restart(from, running);
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, start: Option<u64>, frame: &Arc<Frame>) {
+    fn send_frame(&mut self, from: usize, to: usize, start: Option<u64>, frame: &Arc<Frame>) {
         let Some(start) = start else { return };
-        if self.apart.contains(&from) != self.apart.contains(&to) {
+        if self.partitioned.contains(&from) != self.partitioned.contains(&to) {
             return;
         }
         let node = &mut self.nodes[from];
-        node.meter.said += frame.bytes as u64;
-        node.meter.out += 1;
+        node.counters.bytes_sent += frame.bytes as u64;
+        node.counters.frames_sent += 1;
         let mut at = self.now + self.setup.delay;
-        if let Some(Trouble::Slow(by)) = self.setup.trouble {
+        if let Some(FleetFault::Slow(by)) = self.setup.fleet_fault {
             if self.slow == Some(from) || self.slow == Some(to) {
                 at += f64::from(by);
             }
         }
-        if self.lossy && self.chance.random_bool(0.01) {
+        if self.lossy && self.random.random_bool(0.01) {
             at += 200.0;
         }
         let starts = (start, node.start);
-        // In order, as on one connection.
-        let last =
-            self.nodes[to].inbox.iter().rev().find(|letter| letter.from == from).map(|letter| letter.at);
+        // Frames arrive in order, as on one connection.
+        let last = self.nodes[to]
+            .inbox
+            .iter()
+            .rev()
+            .find(|delivery| delivery.from == from)
+            .map(|delivery| delivery.at);
         let at = at.max(last.unwrap_or(0.0));
-        self.nodes[to].inbox.push(Letter { at, from, starts, frame: frame.clone() });
+        self.nodes[to].inbox.push(Delivery { at, from, starts, frame: frame.clone() });
     }
 
-    /// Whether one that came back knows all by now, and what it took.
-    fn look_back(&mut self, n: usize, running: usize) {
+    /// Measures when a restarted router has caught up, and the bytes that it received.
+    fn measure_restart(&mut self, n: usize, running: usize) {
         let now = self.now;
         let node = &mut self.nodes[n];
-        let (Some((since, heard)), Some(core)) = (node.back, &node.core) else { return };
-        let wanted = if node.place.is_some() { node.links.len().min(SITE) } else { running };
+        let (Some((since, received_before)), Some(core)) = (node.restarted, &node.core) else { return };
+        let wanted = if node.location.is_some() { node.links.len().min(SITE) } else { running };
         if node.joined.is_none() && core.members().iter().count() + 1 >= wanted {
             node.joined = Some(now - since);
         }
         if now - since >= 2_000.0 && node.caught_up.is_none() {
-            node.caught_up = Some(node.meter.heard - heard);
+            node.caught_up = Some(node.counters.bytes_received - received_before);
         }
     }
 
-    fn seen(&self, meters: &[Meter], pending: Vec<usize>, issued: &(Vec<Ms>, Vec<Ms>)) -> Seen {
+    fn results(
+        &self,
+        counters: &[RouterCounters],
+        pending: Vec<usize>,
+        issued: &(Vec<Ms>, Vec<Ms>),
+    ) -> FleetResults {
         let here: Vec<(usize, &Node)> =
-            self.nodes.iter().enumerate().filter(|(_, node)| !node.away && node.core.is_some()).collect();
+            self.nodes.iter().enumerate().filter(|(_, node)| !node.was_down && node.core.is_some()).collect();
         let late = |list: &[Ms], known: fn(&Node) -> &Vec<f32>| -> Vec<f64> {
             let of = |n: usize| {
                 let worst = here.iter().map(|(_, node)| f64::from(known(node)[n]));
-                // Whoever never knew makes it infinite.
+                // Infinite if one of the routers never learned of it.
                 worst.map(|at| if at < 0.0 { f64::INFINITY } else { at - list[n] }).fold(0.0, f64::max)
             };
             (0..list.len()).map(of).collect()
         };
         let cores = || here.iter().filter_map(|(_, node)| node.core.as_ref());
-        Seen {
-            meters: here.iter().filter_map(|(n, _)| meters.get(*n).copied()).collect(),
-            kept: cores().map(|core| (core.table().len(), core.table().bytes())).collect(),
-            full: cores().map(|core| core.counters.entries_rejected).collect(),
-            pending,
+        FleetResults {
+            counters: here.iter().filter_map(|(n, _)| counters.get(*n).copied()).collect(),
+            stored_facts: cores().map(|core| (core.table().len(), core.table().bytes())).collect(),
+            rejected_facts: cores().map(|core| core.counters.entries_rejected).collect(),
+            pending_facts: pending,
             purges: late(&issued.0, |node| &node.purges),
             changes: late(&issued.1, |node| &node.changes),
             joined: self
                 .nodes
                 .iter()
-                .filter(|node| node.back.is_some())
+                .filter(|node| node.restarted.is_some())
                 .map(|node| node.joined.unwrap_or(f64::INFINITY))
                 .collect(),
             caught_up: self.nodes.iter().filter_map(|node| node.caught_up).collect(),
-            met: self.met.as_ref().map(|met| met.came_to.clone()),
-            behind: None,
+            partition_recovery: self.recovery.as_ref().map(|recovery| recovery.result.clone()),
+            journal_lag: None,
         }
     }
 }
 
 impl Node {
     fn knows_all(&self) -> bool {
-        self.away || self.purges.iter().chain(&self.changes).all(|at| *at >= 0.0)
+        self.was_down || self.purges.iter().chain(&self.changes).all(|at| *at >= 0.0)
     }
 }
--- a/crates/lab/src/scale/page.rs
+++ b/crates/lab/src/scale/page.rs
@@ -1,6 +1,4 @@
-//! Owns the tables and pictures of a scale run.
-//!
-//! Must never compute a figure: it writes what rows and slopes have.
+//! Tables and charts of a scale run, from the values of its rows and slopes.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +8,7 @@
 /// The planned number of routers.
 pub const PLANNED: f64 = 16_000.0;
 
-/// A figure to three digits.
+/// Formats a figure with three to four significant digits; `never` where it is not finite.
 pub fn short(value: f64) -> String {
     let size = value.abs();
     match () {
@@ -36,21 +34,21 @@
     }
 }
 
-fn shown(form: Form, told: &Load) -> String {
+fn load_and_form(form: Form, load: &Load) -> String {
     match form {
-        Form::Flat => load(told),
-        Form::Summary => format!("{}, summed up", load(told)),
+        Form::Flat => load_name(load),
+        Form::Summary => format!("{}, summed up", load_name(load)),
     }
 }
 
-fn load(load: &Load) -> String {
+fn load_name(load: &Load) -> String {
     match load.fault.as_str() {
         "" => format!("{} purges/s", load.purges),
         fault => format!("{} purges/s, {fault}", load.purges),
     }
 }
 
-/// The medians by size: a line for each measure, half and load.
+/// A table of the medians by size: a line for each measure, half and load.
 pub fn medians(rows: &[Row]) -> String {
     let mut out = String::new();
     let mut kinds: Vec<(Half, &str)> = Vec::new();
@@ -67,16 +65,18 @@
         out += &format!("| --- | --- | --- |{}\n", " --- |".repeat(sizes.len()));
         let mut lines: Vec<(&str, String)> = Vec::new();
         for row in &here {
-            let line = (row.measure.as_str(), shown(row.form, &row.load));
+            let line = (row.measure.as_str(), load_and_form(row.form, &row.load));
             if !lines.contains(&line) {
                 lines.push(line);
             }
         }
         lines.sort_by_key(|(measure, _)| here.iter().position(|row| row.measure == *measure));
-        for (measure, told) in lines {
+        for (measure, load_name) in lines {
             let of = |size: &u64| {
                 let fits = |row: &&&Row| {
-                    row.measure == measure && shown(row.form, &row.load) == told && row.size as u64 == *size
+                    row.measure == measure
+                        && load_and_form(row.form, &row.load) == load_name
+                        && row.size as u64 == *size
                 };
                 match here.iter().find(fits) {
                     Some(row) => row.median.map_or("never".to_string(), short),
@@ -85,13 +85,13 @@
             };
             let unit = here.iter().find(|row| row.measure == measure).map_or("", |row| row.unit.as_str());
             let cells: Vec<String> = sizes.iter().map(of).collect();
-            out += &format!("| {measure} | {told} | {unit} | {} |\n", cells.join(" | "));
+            out += &format!("| {measure} | {load_name} | {unit} | {} |\n", cells.join(" | "));
         }
     }
     out
 }
 
-/// The slopes, and what they come to at the planned size.
+/// A table of the slopes, extrapolated to the planned size.
 pub fn slopes(slopes: &[Slope]) -> String {
     let mut out = "\n| measure | where | load | sizes | slope (19 in 20) | exponent (19 in 20) | growth | at 16,000: line, power | run |\n".to_string();
     out += "| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n";
@@ -110,7 +110,7 @@
             "| {} | {} | {} | {} to {} {} | {} {} ({} to {}) | {exponent} | {} | {planned} | {} |\n",
             slope.measure,
             half(slope.half),
-            shown(slope.form, &slope.load),
+            load_and_form(slope.form, &slope.load),
             fit.from,
             fit.to,
             slope.of,
@@ -125,7 +125,7 @@
     out
 }
 
-/// One picture for each measure against routers: a line for each half and load.
+/// A chart over the number of routers for each measure: a line for each half and load.
 pub fn pictures(rows: &[Row]) -> Vec<Picture> {
     let mut measures: Vec<(&str, &str)> = Vec::new();
     for row in rows.iter().filter(|row| row.of == "routers" && row.load.fault.is_empty()) {
@@ -140,7 +140,7 @@
         for row in rows.iter().filter(here) {
             let name = match row.half {
                 Half::Alone => half(row.half).to_string(),
-                _ => format!("{}, {}", half(row.half), shown(row.form, &row.load)),
+                _ => format!("{}, {}", half(row.half), load_and_form(row.form, &row.load)),
             };
             let point = row.median.map(|median| (row.size, median, row.worst.map(|worst| (median, worst))));
             let Some(point) = point.filter(|(_, median, _)| *median > 0.0) else { continue };
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -1,7 +1,8 @@
-//! Owns the parts by themselves: one member of a fleet of any size, the decision module, a page of the journal, the
-//! hierarchy, the account, and a link. Each is the shipped code, called as the router calls it.
+//! Measurements of components on their own: one member of a fleet of any size, the decision module, a page
+//! of the journal, the hierarchy, the audit log, and a link. Each is the shipped code, called as the router
+//! calls it.
 //!
-//! Bytes and counts follow from the arguments; times are those of this machine and of this moment.
+//! Bytes and counts depend on the arguments alone; times depend on the machine and its load.
 
 use std::time::Instant;
 
@@ -31,36 +32,36 @@
 
 use super::fleet::resident;
 
-/// A measure of a part: its name, its unit, what it is against and at which size, and the value.
+/// A measure of a component: its name, its unit, what its size counts, the size, and the value.
 pub type Measured = (&'static str, &'static str, &'static str, f64, f64);
 
 fn micros(began: Instant, of: usize) -> f64 {
     began.elapsed().as_secs_f64() * 1e6 / of.max(1) as f64
 }
 
-/// Facts that a member hears in a tenth of a second where every link says as much as its pace lets through: 32 KB a
-/// second over all links, in statements of some 115 bytes.
-const HEARD: usize = 29;
+/// Facts that a member receives per tick of 0.1 s if all links use their rate limit: 32 KB a second over all
+/// links, in router statuses of some 115 bytes.
+const FACTS_PER_TICK: usize = 29;
 
-/// One member that knows so many others, each with six links: what it keeps, and what its work costs.
-/// It comes back too: as long as all of them are kept, each is seen in the growth of this process.
+/// Memory and CPU time of one member in a fleet of this many routers, each with about six links. The member
+/// is returned too: while all members are alive, the memory of each is visible in the growth of this process.
 pub fn member(seed: u64, routers: usize) -> (Vec<Measured>, Cluster) {
     let of = "routers";
     let size = routers as f64;
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
     let name = |n: usize| format!("r{n}");
     let begin = 1e12;
     let start = |n: usize| 1_000_000_000_000_000 + n as u64;
     let mut links = vec![Vec::new(); routers];
     for a in 0..routers {
-        for b in [(a + 1) % routers, chance.random_range(0..routers), chance.random_range(0..routers)] {
+        for b in [(a + 1) % routers, random.random_range(0..routers), random.random_range(0..routers)] {
             if a != b && !links[a].contains(&b) {
                 links[a].push(b);
                 links[b].push(a);
             }
         }
     }
-    let acts = |journal| ActiveVersions {
+    let versions = |journal| ActiveVersions {
         build: "0.1.0".to_string(),
         settings_digest: 1 << 60,
         journal_position: journal,
@@ -68,19 +69,20 @@
     };
     let entry = |n: usize, number: u64| {
         let links = links[n].iter().map(|other| (name(*other), start(*other))).collect();
-        let statement = RouterStatus { versions: acts(number), links, leaving: false, location: None };
+        let statement = RouterStatus { versions: versions(number), links, leaving: false, location: None };
         statement.encode(Revision::new(start(n), number), MembershipConfig::default().status_version).encode()
     };
     let bounds = MembershipConfig::default().table_limits;
     let before = resident();
-    // Wide bounds, so that the cost of each is seen; what the shipped ones leave out is told beside it.
+    // Large limits, so that every member is measured; the number above the shipped limit is a measure of its
+    // own.
     let wide = TableLimits { entries: 1 << 20, total_bytes: 1 << 30, ..bounds };
     let mut core = Cluster::new(
         begin,
         MembershipConfig { table_limits: wide, ..MembershipConfig::default() },
         "r0",
         start(0),
-        acts(0),
+        versions(0),
     );
     links[0].iter().for_each(|other| core.set_link(&name(*other), start(*other), true));
     let keys: Vec<Vec<u8>> = (0..routers).map(|n| EntryKey::Router(name(n)).encode()).collect();
@@ -92,25 +94,26 @@
     }
     core.tick(begin);
     let memory = (resident() - before).max(0.0);
-    // What waits to be said is said, at the pace, before anything is measured: one step of a day.
+    // One tick of 100 ms for each turn: facts are received, then the member ticks with a changed status of
+    // its own.
     let mut now = begin;
     let turns = 20;
-    let (mut hearing, mut ticking) = (0.0, 0.0);
+    let (mut receive_time, mut tick_time) = (0.0, 0.0);
     let mut number = 1;
     for turn in 0..turns {
         now += 100.0;
         number += 1;
-        let said: Vec<(usize, Vec<u8>)> = (0..HEARD)
-            .map(|n| 1 + (turn * HEARD + n) % (routers - 1).max(1))
+        let received: Vec<(usize, Vec<u8>)> = (0..FACTS_PER_TICK)
+            .map(|n| 1 + (turn * FACTS_PER_TICK + n) % (routers - 1).max(1))
             .map(|n| (n, entry(n, number)))
             .collect();
         let began = Instant::now();
-        said.iter().for_each(|(n, entry)| core.receive(now, "r1", &keys[*n], entry));
-        hearing += began.elapsed().as_secs_f64();
-        core.set_versions(&acts(number));
+        received.iter().for_each(|(n, entry)| core.receive(now, "r1", &keys[*n], entry));
+        receive_time += began.elapsed().as_secs_f64();
+        core.set_versions(&versions(number));
         let began = Instant::now();
         core.tick(now);
-        ticking += began.elapsed().as_secs_f64();
+        tick_time += began.elapsed().as_secs_f64();
         while core.next_action().is_some() {}
     }
     let began = Instant::now();
@@ -119,15 +122,15 @@
         core.tick(now);
     }
     let idle = micros(began, turns);
-    let turn = (hearing + ticking) / turns as f64;
+    let turn = (receive_time + tick_time) / turns as f64;
     let left_out = (routers - 1).saturating_sub(bounds.entries) as f64;
     let measured = vec![
         ("facts of members kept", "facts", of, size, core.table().len() as f64),
         ("bytes of facts", "bytes", of, size, core.table().bytes() as f64),
         ("bytes of a statement", "bytes", of, size, bytes as f64 / (size - 1.0).max(1.0)),
         ("memory of a member", "bytes", of, size, memory),
-        ("a fact heard", "us", of, size, hearing * 1e6 / (turns * HEARD) as f64),
-        ("a turn after a change", "us", of, size, ticking * 1e6 / turns as f64),
+        ("a fact heard", "us", of, size, receive_time * 1e6 / (turns * FACTS_PER_TICK) as f64),
+        ("a turn after a change", "us", of, size, tick_time * 1e6 / turns as f64),
         ("a turn without one", "us", of, size, idle),
         ("core of a member under way", "%", of, size, turn * 10.0 * 100.0),
         ("members left out by the bound of facts", "members", of, size, left_out),
@@ -178,8 +181,8 @@
     }
 }
 
-/// The decision module with so many caches in its list, four of them at its own site, two parents and an origin.
-/// It comes back too, as a member does.
+/// CPU time and memory of the decision module with this many caches in its endpoint list, four of them at
+/// its own site, two parents and an origin. The policy is returned too, for the same reason as in [`member`].
 pub fn decisions(seed: u64, caches: usize) -> (Vec<Measured>, Policy) {
     let (of, size) = ("caches listed", caches as f64);
     let line = |n: usize| {
@@ -200,7 +203,7 @@
         }
     };
     let members: Vec<Endpoint> = (0..caches + 3).map(line).collect();
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
     let before = resident();
     let mut policy = Policy::new(settings(), seed);
     let mut timers: Vec<(f64, u32)> = Vec::new();
@@ -219,7 +222,7 @@
         events.extend(timers.extract_if(.., |(at, _)| *at <= now).map(|(_, token)| Event::Timer(token)));
         events.push(Event::Request(Request {
             id: RequestId(n),
-            object: ObjectId(chance.random_range(0..100_000)),
+            object: ObjectId(random.random_range(0..100_000)),
             part: 0,
             group: 5,
             class: 0,
@@ -239,7 +242,7 @@
                 Action::Forward { request, endpoint: cache, .. }
                 | Action::ForwardWithFill { request, endpoint: cache, .. } => {
                     let note =
-                        if chance.random_bool(0.9) { CacheStatus::Hit } else { CacheStatus::FilledByParent };
+                        if random.random_bool(0.9) { CacheStatus::Hit } else { CacheStatus::FilledByParent };
                     let outcome = AttemptOutcome {
                         attempt: linnethook::interface::AttemptId { request, number: 0 },
                         endpoint: cache,
@@ -272,8 +275,8 @@
     (measured, policy)
 }
 
-/// A page of the journal with so many purges, as the protocol writes them, and reading it as JSON.
-pub fn page(purges: usize) -> Vec<Measured> {
+/// Bytes of a page of the journal with this many purges in its wire format, and the time to parse it as JSON.
+pub fn journal_page(purges: usize) -> Vec<Measured> {
     let (of, size) = ("purges in a page", purges as f64);
     let line = |n: usize| {
         let name = (n as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
@@ -289,7 +292,8 @@
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n",
         page.len()
     );
-    let ask = "GET /journal?tail=2000000&max_wait=5000 HTTP/1.1\r\nHost: 10.1.0.9:8080\r\nAccept: application/json\r\n\r\n";
+    let poll = "GET /journal?tail=2000000&max_wait=5000 HTTP/1.1\r\nHost: 10.1.0.9:8080\r\n\
+                Accept: application/json\r\n\r\n";
     let began = Instant::now();
     let turns = 20;
     for _ in 0..turns {
@@ -298,15 +302,16 @@
     }
     vec![
         ("watch, a page in", "bytes", of, size, (head.len() + page.len()) as f64),
-        ("watch, a poll out", "bytes", of, size, ask.len() as f64),
+        ("watch, a poll out", "bytes", of, size, poll.len() as f64),
         ("watch, reading a page", "us", of, size, micros(began, turns)),
     ]
 }
 
-/// A hierarchy of so many nodes below two parents and the origin: a change, and the whole for one that lacks it.
+/// A hierarchy of this many nodes below two parents and the origin: the cost of a change, and the bytes of a
+/// snapshot and of a batch.
 pub fn hierarchy(nodes: usize) -> Vec<Measured> {
     let (of, size) = ("nodes", nodes as f64);
-    let mut whole = Hierarchy::new(linnethook_hierarchy::HierarchyConfig::default());
+    let mut hierarchy = Hierarchy::new(linnethook_hierarchy::HierarchyConfig::default());
     let node = |id: u64, role, tier| Node {
         id: NodeId(id),
         role,
@@ -325,19 +330,19 @@
         (4..nodes as u64 + 4).map(|id| Change::Add { node: node(id, Role::Cache, 0), sources: parents() }),
     );
     let now = 1e12;
-    let batch = whole.draft_batch(AuthorId(7), now, changes);
-    whole.receive_batch(now, batch);
+    let batch = hierarchy.draft_batch(AuthorId(7), now, changes);
+    hierarchy.receive_batch(now, batch);
     let turns = 50u64;
     let began = Instant::now();
     for n in 0..turns {
         let sources = vec![Source::new(NodeId(2 + n % 2), 0), Source::new(NodeId(3 - n % 2), 1)];
         let node = NodeId(4 + n % nodes as u64);
-        let batch = whole.draft_batch(AuthorId(7), now, vec![Change::Rerank { node, sources }]);
-        whole.receive_batch(now, batch);
-        whole.tick(now + n as f64);
+        let batch = hierarchy.draft_batch(AuthorId(7), now, vec![Change::Rerank { node, sources }]);
+        hierarchy.receive_batch(now, batch);
+        hierarchy.tick(now + n as f64);
     }
-    let hear = micros(began, turns as usize);
-    let snapshot = postcard::to_stdvec(&whole.snapshot()).map_or(0, |bytes| bytes.len());
+    let change_us = micros(began, turns as usize);
+    let snapshot = postcard::to_stdvec(&hierarchy.snapshot()).map_or(0, |bytes| bytes.len());
     let names = |name: &str, rank| SourceSpec { name: name.to_string(), rank };
     let spec = BatchSpec {
         author: 7_000,
@@ -350,32 +355,33 @@
             sources: vec![names("p-0012ab34", 0), names("p-0012ab35", 1)],
         }],
     };
-    let told = postcard::to_stdvec(&spec).map_or(0, |bytes| bytes.len());
+    let batch_bytes = postcard::to_stdvec(&spec).map_or(0, |bytes| bytes.len());
     vec![
-        ("hierarchy, a change", "us", of, size, hear),
+        ("hierarchy, a change", "us", of, size, change_us),
         ("hierarchy, the whole", "bytes", of, size, snapshot as f64),
-        ("hierarchy, a batch of one change", "bytes", of, size, told as f64),
+        ("hierarchy, a batch of one change", "bytes", of, size, batch_bytes as f64),
     ]
 }
 
-/// The account of a router with 1,000 requests a second over four caches, while the journal goes on so many times a second.
-pub fn account(purges: f64) -> Vec<Measured> {
+/// The audit log of a router with 1,000 requests a second over four caches, and this many purges a second
+/// from the journal.
+pub fn audit_log(purges: f64) -> Vec<Measured> {
     let (of, size) = ("purges by second", purges);
     let begin = 1e12;
     let mut clock = HybridClock::default();
-    let acts = |journal| ActiveVersions {
+    let versions = |journal| ActiveVersions {
         build: "0.1.0".to_string(),
         settings_digest: 1 << 60,
         journal_position: journal,
         ..ActiveVersions::default()
     };
-    let mut account = AuditLog::new(
+    let mut audit_log = AuditLog::new(
         begin,
         clock.next_timestamp(begin),
         AuditLogConfig::default(),
         "router-0042",
         1_764_576_000_123_456,
-        acts(0),
+        versions(0),
     );
     let names = |id: u64| Some(format!("s-{id:08x}"));
     let seconds = 20;
@@ -386,31 +392,31 @@
     for ms in 0..seconds * 1_000u64 {
         let now = begin + ms as f64;
         let began = Instant::now();
-        account.record_action(clock.next_timestamp(now), AuditedAction::Attempt { target: ms % 4 + 1 });
+        audit_log.record_action(clock.next_timestamp(now), AuditedAction::Attempt { target: ms % 4 + 1 });
         if ms % 10 == 0 {
-            account.record_action(
+            audit_log.record_action(
                 clock.next_timestamp(now),
                 AuditedAction::Fill { child: ms % 4 + 1, source: 9 + ms % 2 },
             );
         }
-        let told = (purges * (ms + 1) as f64 / 1_000.0) as u64;
-        for number in journal + 1..=told {
-            account.record_action(
+        let target_position = (purges * (ms + 1) as f64 / 1_000.0) as u64;
+        for number in journal + 1..=target_position {
+            audit_log.record_action(
                 clock.next_timestamp(now),
                 AuditedAction::Purge { journal_position: number, from_gossip: false },
             );
         }
-        journal = told;
-        // The router looks at what it acts on when it ticks its fleet: ten times a second where there is news.
+        journal = target_position;
+        // The router records its versions when it ticks its cluster: ten times a second while facts change.
         if ms % 100 == 99 {
-            account.set_versions(now, clock.next_timestamp(now), &acts(journal), names);
-            account.tick(now, clock.next_timestamp(now), names);
+            audit_log.set_versions(now, clock.next_timestamp(now), &versions(journal), names);
+            audit_log.tick(now, clock.next_timestamp(now), names);
         }
         spent += began.elapsed().as_secs_f64();
         if ms % 100 == 99 {
-            let new: Vec<usize> = account.records_from(highest).map(|link| link.encode().len()).collect();
+            let new: Vec<usize> = audit_log.records_from(highest).map(|link| link.encode().len()).collect();
             wrote += new.iter().sum::<usize>();
-            highest = account.head().number + 1;
+            highest = audit_log.head().number + 1;
         }
     }
     vec![
@@ -418,12 +424,13 @@
         ("account, told to two fellows by second", "bytes/s", of, size, 2.0 * wrote as f64 / seconds as f64),
         ("account, links by second", "links/s", of, size, highest as f64 / seconds as f64),
         ("account, core", "%", of, size, spent / seconds as f64 * 100.0),
-        ("account, kept", "bytes", of, size, account.bytes() as f64),
+        ("account, kept", "bytes", of, size, audit_log.bytes() as f64),
     ]
 }
 
-/// One link between two that say nothing but that they are there, for ten seconds: at one end.
-fn pulse() -> Option<(f64, f64, f64)> {
+/// An idle link for ten seconds, with heartbeats alone; at one end: bytes/s, frames/s, and CPU time in
+/// percent.
+fn idle_link() -> Option<(f64, f64, f64)> {
     let begin = 1e12;
     let mut ends =
         [Session::new(begin, SessionConfig::default()), Session::new(begin, SessionConfig::default())];
@@ -450,14 +457,14 @@
             let mut out = BytesMut::new();
             ends[at].take_output(1 << 20, &mut out);
             ends[at].mark_written(out.len());
-            let mut heard = Vec::new();
-            ends[1 - at].receive(now, &out, &mut heard).ok()?;
+            let mut received = Vec::new();
+            ends[1 - at].receive(now, &out, &mut received).ok()?;
             bytes += out.len();
             frames += 1;
         }
     }
     let spent = began.elapsed().as_secs_f64() / 2.0;
-    // Both directions cross each end once.
+    // Both directions cross each end once, so the sum is the traffic in and out at one end.
     Some((
         bytes as f64 / f64::from(seconds),
         f64::from(frames) / f64::from(seconds),
@@ -465,12 +472,12 @@
     ))
 }
 
-/// So many quiet links at one router, and what a purge is between sites.
+/// This many idle links at one router, and the bytes of a purge between sites.
 pub fn links(links: usize) -> Vec<Measured> {
     let (of, size) = ("links", links as f64);
     let (mut bytes, mut writes, mut core) = (0.0, 0.0, 0.0);
     for _ in 0..links {
-        let Some((more, frames, spent)) = pulse() else { return Vec::new() };
+        let Some((more, frames, spent)) = idle_link() else { return Vec::new() };
         (bytes, writes, core) = (bytes + more, writes + frames, core + spent);
     }
     let fact = |n: usize| {
--- a/tests/withdrawn_words.rs
+++ b/tests/withdrawn_words.rs
@@ -14,6 +14,7 @@
     "crates/audit",
     "crates/gateway",
     "crates/hierarchy",
+    "crates/lab",
     "crates/membership",
     "crates/model",
     "crates/operator-config",
