--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -161,8 +161,8 @@
             let node = name(plan, server);
             match phase {
                 None => fleet.node(&node).kill(),
-                Some(Phase::Ready) => fleet.restart(&node).map_err(text)?,
-                Some(phase) => fleet.tell(&node, phase).map_err(text)?,
+                Some(Phase::Ready) => fleet.restart_server(&node).map_err(text)?,
+                Some(phase) => fleet.publish_phase(&node, phase).map_err(text)?,
             }
         }
         driven.join().unwrap_or_else(|_| Err("the load has failed".to_string()))
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -270,7 +270,7 @@
             purge_grace: PURGE_GRACE,
             // The way to a server and back, and no more: there are no threads here.
             slack: plan.far * 2.0 + 1.0,
-            going_over: plan.tiers.map_or(0.0, |tiers| tiers.longest() + plan.list_late + plan.wait),
+            migration_grace: plan.tiers.map_or(0.0, |tiers| tiers.longest() + plan.list_late + plan.wait),
             ..RuleBounds::default()
         };
         let (seen, lines) = Self::noted(plan)?;
--- a/crates/router/tests/audit.rs
+++ b/crates/router/tests/audit.rs
@@ -32,11 +32,11 @@
 }
 
 fn floor(rig: &Harness, n: usize, arguments: &[&str]) {
-    rig.fleet.asked(&name(n), &[&["fleet", "floor"], arguments].concat()).expect("done");
+    rig.fleet.query(&name(n), &[&["fleet", "floor"], arguments].concat()).expect("done");
 }
 
 fn version(rig: &Harness, n: usize) -> u64 {
-    rig.fleet.asked(&name(n), &["hierarchy", "show"]).expect("shown")["version"].as_u64().expect("a version")
+    rig.fleet.query(&name(n), &["hierarchy", "show"]).expect("shown")["version"].as_u64().expect("a version")
 }
 
 /// Bookings of all, one by one, and who acted on which version and when: by the accounts alone, and as the nodes saw it.
@@ -47,14 +47,14 @@
     pause(800);
     rig.move_cache(1, 0).expect("applied");
     rig.settle().expect("all have it");
-    rig.tell("cache-1", Phase::Draining, &[0]).expect("told");
+    rig.publish_phase("cache-1", Phase::Draining, &[0]).expect("told");
     for n in [1, 2] {
         rig.until(n, "the drain", |shown| shown["drains"] == 1).expect("heard");
     }
     pause(500);
     rig.end_loads();
-    let accounts = rig.accounts().expect("accounts");
-    rig.accounted(&accounts).expect("the same as the record");
+    let accounts = rig.audit_logs().expect("accounts");
+    rig.check_audit_logs(&accounts).expect("the same as the record");
     let (done, text) = audit(&rig, &[0, 1, 2], &["settled", "2"]);
     assert!(done && text.lines().filter(|l| l.contains("ms after the first")).count() == 3, "{text}");
     let (done, text) = audit(&rig, &[0, 1, 2], &["heeded", "2"]);
@@ -87,13 +87,13 @@
     pause(2_500);
     rig.kill(2);
     pause(300);
-    rig.start_again(2).expect("it starts");
+    rig.restart_router(2).expect("it starts");
     rig.load(2).expect("load");
     pause(1_200);
     rig.stop(1).expect("it ends");
     rig.end_loads();
-    let accounts = rig.accounts().expect("accounts");
-    rig.accounted(&accounts).expect("the same as the record, but for gaps");
+    let accounts = rig.audit_logs().expect("accounts");
+    rig.check_audit_logs(&accounts).expect("the same as the record, but for gaps");
     let gaps: Vec<&Finding> = accounts.findings.iter().collect();
     let of = |who: &str| {
         let mine = gaps.iter().filter(|f| matches!(f, Finding::Gap { name, .. } if name == who));
@@ -126,12 +126,12 @@
     let log = folder.join("promises");
     let bytes = std::fs::read(&log).expect("a log");
     std::fs::write(&log, &bytes[..bytes.len() - 3]).expect("torn");
-    rig.start_again(0).expect("it starts");
+    rig.restart_router(0).expect("it starts");
     rig.load(0).expect("load");
     pause(900);
     rig.end_loads();
-    let accounts = rig.accounts().expect("accounts");
-    rig.accounted(&accounts).expect("the same as the record, but for gaps");
+    let accounts = rig.audit_logs().expect("accounts");
+    rig.check_audit_logs(&accounts).expect("the same as the record, but for gaps");
     let starts = accounts.incarnations().filter(|log| log.name == "r0").count();
     assert_eq!(starts, 2, "the start before is there too");
     std::fs::remove_dir_all(&folder).expect("removed");
@@ -153,7 +153,7 @@
     pause(1_200);
     let shown = rig.shown(2).expect("shown");
     assert!(shown["state"] == "Well" && shown["shut_out"] == 0, "a cut alone shuts nobody out: {shown}");
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.until(2, "the floor and the batch", |shown| shown["fellows"]["floor"] == 2 && shown["batches"] == 1)
         .expect("heard");
     rig.until(0, "r2 counts again", |shown| line(shown, "r2").is_some_and(|l| l["straggler"] == false))
@@ -201,7 +201,7 @@
     assert!(shut_out > Some(0));
     // It is a fact: a router that starts again meanwhile hears of it from its fellows.
     rig.kill(2);
-    rig.start_again(2).expect("it starts");
+    rig.restart_router(2).expect("it starts");
     rig.load(2).expect("load");
     rig.until(2, "the floor outlasts a restart", out).expect("heard");
     for n in 0..3 {
@@ -214,8 +214,8 @@
     pause(700);
     rig.end_loads();
     rig.check(&[Rule::NoOldVersion]).expect("no rule is broken");
-    let accounts = rig.accounts().expect("accounts");
-    rig.accounted(&accounts).expect("the same as the record");
+    let accounts = rig.audit_logs().expect("accounts");
+    rig.check_audit_logs(&accounts).expect("the same as the record");
     let (_, text) = audit(&rig, &[0], &["who", "1"]);
     assert!(text.contains("not executed as a straggler"), "{text}");
 }
@@ -247,7 +247,7 @@
     assert_eq!(begun.count(), 0);
     rig.silence_journal(0, false);
     rig.until(0, "its journal alone will do", |shown| shown["state"] == "Well").expect("seen");
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.settle().expect("all of one mind");
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken");
@@ -264,7 +264,7 @@
         rig.until(n, "settled", |shown| shown["fellows"]["floor"] == 2).expect("two of three act on it");
     }
     assert_eq!(rig.shown(2).expect("shown")["fellows"]["floor"], 1, "the minority settles nothing");
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.until(2, "settled", |shown| shown["fellows"]["floor"] == 2).expect("heard");
     rig.settle().expect("all of one mind");
     rig.check(&[]).expect("no rule is broken");
@@ -279,17 +279,17 @@
     rig.fleet.node("origin").script().add(linnethook_testbed::faults::Fault::Slow(400.0), slow);
     rig.load_all().expect("load");
     pause(1_500);
-    rig.freeze(1).expect("frozen");
-    rig.tell("cache-0", Phase::Draining, &[0, 2]).expect("told");
+    rig.suspend(1).expect("frozen");
+    rig.publish_phase("cache-0", Phase::Draining, &[0, 2]).expect("told");
     pause(10_000);
-    rig.wake(1).expect("awake");
+    rig.resume(1).expect("awake");
     rig.until(1, "the drain", |shown| shown["drains"] == 1).expect("heard");
     rig.settle().expect("all of one mind");
     pause(500);
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken, and nothing ran twice");
-    let accounts = rig.accounts().expect("accounts");
-    rig.accounted(&accounts).expect("the same as the record");
+    let accounts = rig.audit_logs().expect("accounts");
+    rig.check_audit_logs(&accounts).expect("the same as the record");
 }
 
 /// The folder of an account is rolled back to what it was: what fellows keep is more, contradicts nothing, and fills
@@ -308,11 +308,11 @@
     pause(1_500);
     rig.stop(0).expect("it ends");
     std::fs::write(folder.join("promises"), before).expect("rolled back");
-    rig.start_again(0).expect("it starts");
+    rig.restart_router(0).expect("it starts");
     pause(300);
     rig.end_loads();
-    let accounts = rig.accounts().expect("accounts");
-    rig.accounted(&accounts).expect("the same as the record");
+    let accounts = rig.audit_logs().expect("accounts");
+    rig.check_audit_logs(&accounts).expect("the same as the record");
     let only_gaps = accounts.findings.iter().all(|finding| matches!(finding, Finding::Gap { .. }));
     assert!(only_gaps, "{:?}", accounts.findings);
     let first = accounts.incarnations().find(|log| log.name == "r0").expect("the first start").log;
@@ -335,7 +335,7 @@
     rig.fleet.until("r0", &["hierarchy", "show"], "warming", warming).expect("it begins");
     floor(&rig, 0, &["set", "2"]);
     pause(600);
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.until(2, "the batch", |shown| shown["batches"] == 1).expect("heard");
     rig.until(2, "it is level", |shown| shown["state"] == "Well").expect("seen");
     rig.settle().expect("all of one mind");
--- a/crates/router/tests/client_departures.rs
+++ b/crates/router/tests/client_departures.rs
@@ -259,7 +259,7 @@
     (1..=4).for_each(|stream| clients[1].give_up(stream).expect("sent"));
     let shown = ["hierarchy", "show"];
     fleet.until("n0", &shown, "none waits", |shown| shown["waiting_fills"] == 0).expect("shown");
-    let counts = fleet.asked("n0", &shown).expect("shown")["counts"].clone();
+    let counts = fleet.query("n0", &shown).expect("shown")["counts"].clone();
     let count = |name: &str| counts[name].as_u64().expect("a number");
     assert_eq!(count("waited"), 4, "{counts}");
     // A machine that stands still may let one of them wait out its time.
@@ -436,14 +436,14 @@
             "seed {seed} busy {busy} may cancel {may_cancel}: {} left waiting, {} sent on after 0.1 s, \
              {} after 0.3 s; slack {:.0} ms",
             seen.cases,
-            seen.sent_on.len(),
-            seen.sent_on_late.len(),
+            seen.late_attempts.len(),
+            seen.late_by_earlier_bound.len(),
             rules.slack
         );
-        seen.sent_on.iter().take(5).for_each(|breach| println!("    {breach}"));
+        seen.late_attempts.iter().take(5).for_each(|breach| println!("    {breach}"));
         // Whether a request has its answer when its client leaves goes by how fast this machine is.
         assert!(seen.cases >= 20, "{}", seen.cases);
-        worst.extend(seen.sent_on);
+        worst.extend(seen.late_attempts);
     }
     assert!(worst.is_empty(), "{} sent on", worst.len());
 }
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -44,7 +44,7 @@
         rig.until(n, "r2 is suspected", |shown| has_state(shown, 2, "Suspected") && alive(shown) == 2)
             .expect("seen");
     }
-    rig.start_again(2).expect("it starts");
+    rig.restart_router(2).expect("it starts");
     rig.load(2).expect("load");
     for n in [0, 1, 3] {
         let back = |shown: &serde_json::Value| {
@@ -62,7 +62,7 @@
     let mut rig = rig(3);
     rig.load_all().expect("load");
     pause(500);
-    rig.tell("cache-1", Phase::Draining, &[0]).expect("told");
+    rig.publish_phase("cache-1", Phase::Draining, &[0]).expect("told");
     for n in [1, 2] {
         let barred = |shown: &serde_json::Value| shown["barred"][0][0] == "cache-1" && shown["drains"] == 1;
         rig.until(n, "the drain", barred).expect("heard");
@@ -102,7 +102,7 @@
     let mut rig = rig(3);
     rig.load_all().expect("load");
     for phase in [Phase::Draining, Phase::Ready, Phase::Draining] {
-        rig.tell("cache-1", phase, &[0]).expect("told");
+        rig.publish_phase("cache-1", phase, &[0]).expect("told");
     }
     let barred = |shown: &serde_json::Value| shown["barred"][0] == serde_json::json!(["cache-1", 4]);
     rig.until(1, "the newest word", barred).expect("heard");
@@ -131,13 +131,13 @@
     let cluster_settings = format!("{}, purges = 10", plan.cluster_settings);
     let mut rig = Harness::start(PROGRAM, Plan { cluster_settings, ..plan }).expect("a fleet");
     rig.load_all().expect("load");
-    rig.tell("cache-1", Phase::Draining, &[0]).expect("told");
+    rig.publish_phase("cache-1", Phase::Draining, &[0]).expect("told");
     rig.until(1, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("heard");
     rig.isolate(1).expect("cut off");
-    rig.tell("cache-1", Phase::Ready, &[1]).expect("told");
+    rig.publish_phase("cache-1", Phase::Ready, &[1]).expect("told");
     rig.until(1, "its journal", |shown| shown["fellows"]["me"]["acts"]["journal"] == 3).expect("heard");
     rig.until(1, "that it is back ends", |shown| shown["fellows"]["facts"] == 2).expect("it ends");
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.until(1, "it hears its fellow", |shown| alive(shown) == 1 && shown["fellows"]["facts"] == 3)
         .expect("heard");
     pause(500);
@@ -152,12 +152,12 @@
     let mut rig = rig(4);
     rig.load_all().expect("load");
     rig.isolate(3).expect("cut off");
-    rig.tell("cache-0", Phase::Draining, &[0, 1, 2]).expect("told");
+    rig.publish_phase("cache-0", Phase::Draining, &[0, 1, 2]).expect("told");
     rig.move_cache(1, 1).expect("applied");
     rig.until(0, "r3 is suspected", |shown| has_state(shown, 3, "Suspected")).expect("seen");
     let shown = rig.shown(3).expect("shown");
     assert!(shown["drains"] == 0 && shown["batches"] == 0, "{shown}");
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.settle().expect("all of one mind");
     let caught_up = |shown: &serde_json::Value| shown["drains"] == 1 && shown["batches"] == 1;
     rig.until(3, "it has caught up", caught_up).expect("heard");
@@ -182,7 +182,7 @@
     rig.block_direction(0, 2);
     rig.until(0, "r2 is out of reach", |shown| has_state(shown, 2, "Suspected")).expect("seen");
     rig.until(2, "and all others are for it", |shown| alive(shown) == 0).expect("seen");
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.settle().expect("all of one mind");
     clean(&mut rig);
 }
@@ -192,11 +192,11 @@
     let mut rig = rig(3);
     rig.load_all().expect("load");
     pause(500);
-    rig.freeze(1).expect("frozen");
+    rig.suspend(1).expect("frozen");
     rig.until(0, "suspected", |shown| has_state(shown, 1, "Suspected")).expect("seen");
-    rig.tell("cache-0", Phase::Draining, &[0, 2]).expect("told");
+    rig.publish_phase("cache-0", Phase::Draining, &[0, 2]).expect("told");
     pause(2_500);
-    rig.wake(1).expect("awake");
+    rig.resume(1).expect("awake");
     rig.until(1, "the drain from fellows", |shown| shown["drains"] == 1).expect("heard");
     rig.fleet.logged("r1", "this process did nothing for").expect("it knows");
     rig.settle().expect("all of one mind");
@@ -215,7 +215,7 @@
         let known = |shown: &serde_json::Value| line(shown, "r1").is_some_and(|line| line["start"] == first);
         rig.until(n, "the first one", |shown| known(shown) && alive(shown) == 2).expect("seen");
     }
-    let part = rig.fleet.asked(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"].clone();
+    let part = rig.fleet.query(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"].clone();
     assert_eq!(part["Refused"], first);
 }
 
@@ -223,13 +223,13 @@
 #[test]
 fn a_frozen_process_that_wakes_leaves_its_name_to_its_successor() {
     let mut rig = rig(3);
-    rig.freeze(1).expect("frozen");
+    rig.suspend(1).expect("frozen");
     rig.until(0, "suspected", |shown| has_state(shown, 1, "Suspected")).expect("seen");
     let duplicate = rig.start_duplicate(1).expect("a successor");
     rig.until(0, "the successor", |shown| has_state(shown, 1, "Alive")).expect("seen");
-    rig.wake(1).expect("awake");
+    rig.resume(1).expect("awake");
     rig.fleet.logged("r1", "it takes no part").expect("it yields");
-    assert_eq!(rig.fleet.asked(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"], "Takes");
+    assert_eq!(rig.fleet.query(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"], "Takes");
     rig.until(2, "still the successor", |shown| has_state(shown, 1, "Alive")).expect("seen");
 }
 
@@ -239,22 +239,22 @@
 fn slow_lossy_and_repeating_links_hold_nobody_up() {
     let mut rig = rig(3);
     rig.load_all().expect("load");
-    rig.slow(2, 0, 600.0);
-    rig.slow(2, 1, 600.0);
+    rig.limit_rate(2, 0, 600.0);
+    rig.limit_rate(2, 1, 600.0);
     for n in 0..40 {
         let cache = format!("cache-{}", n % 3);
         let phase = if (n / 3) % 2 == 0 { Phase::Draining } else { Phase::Ready };
-        rig.tell(&cache, phase, &[0, 1]).expect("told");
+        rig.publish_phase(&cache, phase, &[0, 1]).expect("told");
     }
     let upto = |shown: &serde_json::Value| line(shown, "r1").is_some_and(|l| l["acts"]["journal"] == 41);
     rig.until(0, "r1's number", upto).expect("the fast ones are not held up");
-    rig.mend_all();
+    rig.clear_all_faults();
     for corruption in [Corruption::Lost, Corruption::Repeated] {
         rig.corrupt(1, 0, corruption);
         rig.corrupt(0, 2, corruption);
         pause(300);
     }
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.settle().expect("all of one mind");
     rig.until(2, "r1's number", upto).expect("and the slow one in the end");
     rig.end_loads();
@@ -272,7 +272,7 @@
         rig.kill(n);
     }
     for n in [1, 2, 3] {
-        rig.start_again(n).expect("it starts");
+        rig.restart_router(n).expect("it starts");
         rig.load(n).expect("load");
     }
     rig.settle().expect("all have it again");
@@ -280,7 +280,7 @@
         rig.stop(n).expect("it ends");
         let other = (n + 1) % 5;
         rig.until(other, "it has left", |shown| has_state(shown, n, "Left")).expect("seen");
-        rig.start_again(n).expect("it starts");
+        rig.restart_router(n).expect("it starts");
         rig.load(n).expect("load");
         rig.until(other, "it is back", |shown| has_state(shown, n, "Alive")).expect("seen");
     }
@@ -297,12 +297,12 @@
     rig.until(3, "half", |shown| alive(shown) == 1).expect("seen");
     rig.move_cache(0, 0).expect("applied");
     rig.move_cache(3, 1).expect("applied");
-    let version = |n: usize| rig.fleet.asked(&name(n), &["hierarchy", "show"]).expect("shown");
+    let version = |n: usize| rig.fleet.query(&name(n), &["hierarchy", "show"]).expect("shown");
     assert_ne!(version(0)["digest"], version(3)["digest"]);
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.settle().expect("one shape");
     for n in 0..4 {
-        let nodes = rig.fleet.asked(&name(n), &["hierarchy", "nodes"]).expect("nodes");
+        let nodes = rig.fleet.query(&name(n), &["hierarchy", "nodes"]).expect("nodes");
         let to_centre = nodes
             .as_array()
             .map_or(0, |nodes| nodes.iter().filter(|node| node["sources"][0]["name"] == "centre").count());
@@ -316,8 +316,8 @@
 fn a_snapshot_is_adopted_in_full_however_often_its_receiver_is_killed() {
     let mut rig = rig(3);
     rig.load_all().expect("load");
-    rig.slow(2, 0, 30_000.0);
-    rig.slow(2, 1, 30_000.0);
+    rig.limit_rate(2, 0, 30_000.0);
+    rig.limit_rate(2, 1, 30_000.0);
     let long = "for n in range(1000):\n    \
                 add(\"spare-with-a-name-that-is-as-long-as-names-may-be-here-%d\" % n, role = \"parent\", site = \"hub\", capacity = 1, sources = [\"origin\"])\n";
     rig.apply(0, long).expect("applied");
@@ -325,17 +325,17 @@
     for wait in [100, 600, 1_100, 1_700] {
         pause(wait);
         rig.kill(2);
-        rig.start_again(2).expect("it starts");
+        rig.restart_router(2).expect("it starts");
         rig.load(2).expect("load");
-        let nodes = rig.fleet.asked("r2", &["hierarchy", "show"]).expect("shown")["nodes"].as_u64();
+        let nodes = rig.fleet.query("r2", &["hierarchy", "show"]).expect("shown")["nodes"].as_u64();
         assert!(nodes == Some(6) || nodes == Some(1_006), "all of it or nothing: {nodes:?}");
     }
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.settle().expect("all have it");
     // What follows is heard as ever.
     rig.move_cache(2, 0).expect("applied");
     rig.settle().expect("all have it");
-    assert_eq!(rig.fleet.asked("r0", &["hierarchy", "show"]).expect("shown")["version"], 3);
+    assert_eq!(rig.fleet.query("r0", &["hierarchy", "show"]).expect("shown")["version"], 3);
     clean(&mut rig);
 }
 
@@ -348,10 +348,10 @@
         rig.move_cache(0, 0).expect("applied");
         pause(wait);
         rig.kill(0);
-        rig.start_again(0).expect("it starts");
+        rig.restart_router(0).expect("it starts");
         rig.move_cache(0, 1).expect("applied");
         rig.settle().expect("one shape");
-        let nodes = rig.fleet.asked("r2", &["hierarchy", "nodes"]).expect("nodes");
+        let nodes = rig.fleet.query("r2", &["hierarchy", "nodes"]).expect("nodes");
         let moved =
             nodes.as_array().into_iter().flatten().filter(|node| node["sources"][0]["name"] == "centre");
         let moved: Vec<&str> = moved.filter_map(|node| node["name"].as_str()).collect();
@@ -367,7 +367,7 @@
         _ => text,
     };
     let mut rig = Harness::start_with(PROGRAM, Plan::default(), old).expect("a fleet");
-    rig.tell("cache-1", Phase::Draining, &[0, 1, 2]).expect("told");
+    rig.publish_phase("cache-1", Phase::Draining, &[0, 1, 2]).expect("told");
     let drains = |who: &'static str, drains: u64| {
         move |shown: &serde_json::Value| {
             line(shown, who).is_some_and(|l| l["acts"]["drains"] == drains && l["acts"]["journal"] == 2)
@@ -412,7 +412,7 @@
             let routers = 3 + seed as usize % 3;
             let mut rig = rig(routers);
             let script = script(seed, routers, 3, 14);
-            if let Err(why) = rig.play(&script) {
+            if let Err(why) = rig.run_script(&script) {
                 panic!("seed {seed}, {routers} routers: {why}\n{script:?}");
             }
         }
--- a/crates/router/tests/gateway.rs
+++ b/crates/router/tests/gateway.rs
@@ -119,7 +119,7 @@
 /// The north's caches are gone, by its own list.
 fn without_caches(sites: &TwoSites) {
     for cache in ["north-cache-0", "north-cache-1"] {
-        sites.north.tell(cache, Phase::Removed).expect("told");
+        sites.north.publish_phase(cache, Phase::Removed).expect("told");
     }
     sites.until(NORTH, "no caches", |status| status["caches"] == 0).expect("told");
 }
@@ -207,7 +207,7 @@
         while begun.elapsed() < Duration::from_millis(back) && (is_complete || !answer.is_finished()) {
             thread::sleep(Duration::from_millis(5));
         }
-        sites.proxy.mend();
+        sites.proxy.clear_faults();
         let (code, body, took) = answer.join().expect("an answer");
         // On the connections after that one; what it had under way may still have passed to nobody.
         let passed = sites.proxy.passed().by_connection;
@@ -290,15 +290,15 @@
         }
         if sender {
             sites.north.kill_router(NORTH);
-            sites.north.start_again(NORTH).expect("started again");
+            sites.north.restart_router(NORTH).expect("started again");
         }
         let answer = if back < u64::MAX {
             thread::sleep(Duration::from_millis(back));
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
             one.answer()
         } else {
             let answer = one.answer();
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
             answer
         };
         sites.until_up().expect("the link is up again");
@@ -348,20 +348,20 @@
     until("both caches of the south are used", || {
         ["south-cache-0", "south-cache-1"].iter().all(|cache| asked_since(cache, begun) > 3)
     });
-    sites.north.tell_foreign(NORTH, "south-cache-0", Phase::Draining, SOUTH);
+    sites.north.publish_foreign_phase(NORTH, "south-cache-0", Phase::Draining, SOUTH);
     thread::sleep(Duration::from_millis(900));
     let drained = now() - 500.0;
     assert_eq!(asked_since("south-cache-0", drained), 0);
     assert!(asked_since("south-cache-1", drained) > 5, "the other one goes on");
-    sites.north.tell_foreign(NORTH, "south-cache-0", Phase::Ready, SOUTH);
+    sites.north.publish_foreign_phase(NORTH, "south-cache-0", Phase::Ready, SOUTH);
     let back = now();
     until("it is used again", || asked_since("south-cache-0", back) > 3);
     // During a cut: nothing crosses before it is known.
     sites.proxy.cut();
-    sites.north.tell_foreign(NORTH, "south-cache-1", Phase::Draining, SOUTH);
+    sites.north.publish_foreign_phase(NORTH, "south-cache-1", Phase::Draining, SOUTH);
     thread::sleep(Duration::from_millis(400));
     let mended = now();
-    sites.proxy.mend();
+    sites.proxy.clear_faults();
     sites.until_up().expect("the link is up");
     thread::sleep(Duration::from_millis(500));
     assert_eq!(asked_since("south-cache-1", mended), 0);
@@ -378,7 +378,7 @@
     sites.proxy.cut();
     purge(20..41);
     thread::sleep(Duration::from_millis(300));
-    sites.proxy.mend();
+    sites.proxy.clear_faults();
     sites.until_up().expect("the link is up");
     thread::sleep(Duration::from_millis(2_000));
     let ends = running.finish();
@@ -400,9 +400,9 @@
     pause();
     sites.south.node("south-origin").kill();
     pause();
-    sites.north.restart("north-origin").expect("started again");
+    sites.north.restart_server("north-origin").expect("started again");
     pause();
-    sites.south.restart("south-origin").expect("started again");
+    sites.south.restart_server("south-origin").expect("started again");
     pause();
     let (north, south) = (north.finish(), south.finish());
     let asked: u32 = north.asked.iter().chain(&south.asked).sum();
@@ -518,12 +518,12 @@
         if n % 2 == 0 {
             sites.proxy.cut();
         } else {
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
         }
         thread::sleep(Duration::from_millis(300));
         most = most.max(descriptors());
     }
-    sites.proxy.mend();
+    sites.proxy.clear_faults();
     sites.until_up().expect("the link is up");
     let ends = running.finish();
     assert!(ends.served_share(0..100) > 0.99, "{ends:?}");
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -11,7 +11,8 @@
 use linnethook_testbed::faults::{Fault, When};
 use linnethook_testbed::load::Load;
 use linnethook_testbed::process_cluster::{
-    operator_file, reroute, sources, unhurried, unhurried_by_flow, ProcessCluster, UNHURRIED,
+    operator_file, reroute, sources, use_long_deadlines, use_long_deadlines_and_flow, ProcessCluster,
+    LONG_DEADLINE_MS,
 };
 use linnethook_testbed::recording::{now, Asked, Phase, RecordedEvent, WarmUpCapacity};
 use rand::{RngExt, SeedableRng};
@@ -28,7 +29,7 @@
     settings: &str,
     server_config: impl Fn(ServerRole) -> CacheServerConfig,
 ) -> ProcessCluster {
-    fleet_by(routers, settings, server_config, unhurried_by_flow(10))
+    fleet_by(routers, settings, server_config, use_long_deadlines_and_flow(10))
 }
 
 /// One whose nodes start cold.
@@ -37,7 +38,7 @@
     settings: &str,
     server_config: impl Fn(ServerRole) -> CacheServerConfig,
 ) -> ProcessCluster {
-    fleet_by(routers, settings, server_config, unhurried)
+    fleet_by(routers, settings, server_config, use_long_deadlines)
 }
 
 fn fleet_by(
@@ -48,10 +49,10 @@
 ) -> ProcessCluster {
     let mut fleet = ProcessCluster::two_hubs(PROGRAM, 3, server_config).expect("a fleet");
     let operator = operator_file(3, "south", settings);
-    fleet.note_shape(1, &[("south", &["origin"]), ("centre", &["origin"])]);
+    fleet.record_hierarchy(1, &[("south", &["origin"]), ("centre", &["origin"])]);
     let caches: Vec<String> = (0..3).map(|n| format!("cache-{n}")).collect();
     let lists: Vec<(&str, &[&str])> = caches.iter().map(|c| (c.as_str(), &["south", "origin"][..])).collect();
-    fleet.note_shape(1, &lists);
+    fleet.record_hierarchy(1, &lists);
     for router in routers {
         fleet.start_router(router, Some(&operator), &change).expect("a router");
     }
@@ -60,7 +61,7 @@
 
 /// Clients that wait as long as their router is given to answer: nothing here is judged by how soon it comes.
 fn patient() -> Load {
-    Load { wait: UNHURRIED, ..Load::default() }
+    Load { wait: LONG_DEADLINE_MS, ..Load::default() }
 }
 
 fn ask(fleet: &ProcessCluster, router: &str, arguments: &[&str]) -> (i32, String) {
@@ -74,7 +75,7 @@
 const SHOW: [&str; 2] = ["hierarchy", "show"];
 
 fn show(fleet: &ProcessCluster, router: &str) -> serde_json::Value {
-    fleet.asked(router, &SHOW).expect("shown")
+    fleet.query(router, &SHOW).expect("shown")
 }
 
 /// Waits until a router shows what is wanted; the time is only a bound.
@@ -94,7 +95,7 @@
 /// No breach of any rule; some are not asked for where a test breaks them by its stand-ins.
 fn clean_but(fleet: &ProcessCluster, expected: &[Rule]) {
     // As long as the stages of `QUICK` take, with all the time that they may stand still.
-    let rules = RuleBounds { slack: 150.0, going_over: 7_000.0, ..RuleBounds::default() };
+    let rules = RuleBounds { slack: 150.0, migration_grace: 7_000.0, ..RuleBounds::default() };
     let mut breaches: Vec<Breach> = judge(&fleet.record.lines(), &rules);
     breaches.retain(|breach| !expected.contains(&breach.rule));
     assert!(breaches.is_empty(), "{}", breaches.iter().take(8).map(|b| format!("{b}\n")).collect::<String>());
@@ -131,9 +132,9 @@
     let lists: Vec<(&str, &[&str])> =
         lists.iter().map(|(node, list)| (node.as_str(), list.as_slice())).collect();
     let batch = reroute(author, number, stamp, basis, &lists);
-    fleet.note_shape(stamp, &lists);
+    fleet.record_hierarchy(stamp, &lists);
     for router in routers {
-        fleet.tell_batch(router, &batch).expect("told");
+        fleet.publish_batch(router, &batch).expect("told");
     }
 }
 
@@ -204,7 +205,7 @@
 /// the router leaves the way by which it got there.
 #[test]
 fn a_loop_that_only_others_see_is_turned_away_and_left() {
-    let own = |kind| CacheServerConfig { obeys: false, ..CacheServerConfig::new(kind) };
+    let own = |kind| CacheServerConfig { follows_path: false, ..CacheServerConfig::new(kind) };
     let fleet = fleet(&["n0"], QUICK, own);
     fleet.node("south").set_upstream(&["centre"], 5);
     fleet.node("centre").set_upstream(&["south"], 4);
@@ -232,17 +233,17 @@
     thread::sleep(Duration::from_millis(500));
     change(&mut fleet, 9, 1, 2, &[(1, 1)], &caches_to("centre"), &["n0"]);
     until(&fleet, "n0", "warming", |shown| shown["moves"][0]["stage"] == "warming");
-    fleet.tell("centre", Phase::Draining).expect("told");
+    fleet.publish_phase("centre", Phase::Draining).expect("told");
     until(&fleet, "n0", "rolled back", |shown| shown["moves"][0]["stage"] == "rolledback(lost)");
     thread::sleep(Duration::from_millis(400));
     fleet.node("centre").kill();
-    fleet.tell("centre", Phase::Removed).expect("told");
+    fleet.publish_phase("centre", Phase::Removed).expect("told");
     thread::sleep(Duration::from_millis(600));
-    fleet.restart("centre").expect("it starts again at its address");
+    fleet.restart_server("centre").expect("it starts again at its address");
     until(&fleet, "n0", "warming again", |shown| shown["moves"][0]["stage"] == "warming");
     // Now the old one dies: there is nothing to go back to.
     fleet.node("south").kill();
-    fleet.tell("south", Phase::Removed).expect("told");
+    fleet.publish_phase("south", Phase::Removed).expect("told");
     until(&fleet, "n0", "all by the new one", |shown| {
         shown["moves"].as_array().is_some_and(|moves| moves.iter().all(|m| m["part"] == 1.0))
     });
@@ -270,7 +271,7 @@
     let mut fleet = cold_fleet(&["n0"], QUICK, server_config);
     thread::sleep(Duration::from_millis(4_200));
     fleet.node("centre").kill();
-    fleet.restart("centre").expect("it starts cold");
+    fleet.restart_server("centre").expect("it starts cold");
     let running = fleet.load("n0", &Load { rate: 50.0, objects: 300, ..patient() }).expect("clients");
     thread::sleep(Duration::from_millis(600));
     let slow = When::Between(now(), now() + 2_500.0);
@@ -313,7 +314,7 @@
     let mut fleet = fleet_by(&["n0"], QUICK, CacheServerConfig::new, |_| {});
     let running = fleet.load("n0", &Load { rate: 100.0, objects: 600, ..Load::default() }).expect("clients");
     thread::sleep(Duration::from_millis(600));
-    fleet.succeed("south", "north", CacheServerConfig::new(ServerRole::Parent)).expect("a successor");
+    fleet.replace_server("south", "north", CacheServerConfig::new(ServerRole::Parent)).expect("a successor");
     thread::sleep(Duration::from_millis(500));
     let strange = |fleet: &ProcessCluster| asks(fleet).iter().filter(|(_, a)| a.at == "north").count();
     assert_eq!(strange(&fleet), 0, "the shape does not have it yet");
@@ -332,8 +333,8 @@
         lists.iter().map(|(node, list)| (node.as_str(), list.as_slice())).collect();
     let mut batch = reroute(9, 1, 2, &[(1, 1)], &lists);
     batch.changes.insert(0, ChangeSpec::Add(spec));
-    fleet.note_shape(2, &[&lists[..], &[("north", &["origin"])]].concat());
-    fleet.tell_batch("n0", &batch).expect("told");
+    fleet.record_hierarchy(2, &[&lists[..], &[("north", &["origin"])]].concat());
+    fleet.publish_batch("n0", &batch).expect("told");
     until(&fleet, "n0", "all by the new one", |shown| {
         shown["version"] == 2
             && shown["moves"].as_array().is_some_and(|moves| moves.iter().all(|m| m["part"] == 1.0))
@@ -360,13 +361,13 @@
     // A batch that was planned on the shape from before the change: overtaken, and refused as a whole.
     let late = reroute(10, 1, 3, &[(1, 1)], &[("cache-0", &["origin"])]);
     for router in ["n0", "n1"] {
-        fleet.tell_batch(router, &late).expect("told");
-        fleet.tell_batch(router, &late).expect("told again");
+        fleet.publish_batch(router, &late).expect("told");
+        fleet.publish_batch(router, &late).expect("told again");
         fleet.logged(router, "was changed by batch").expect("logged");
     }
     let digest = show(&fleet, "n0")["digest"].clone();
     fleet.kill_router("n1");
-    fleet.start_again("n1").expect("it starts again");
+    fleet.restart_router("n1").expect("it starts again");
     let shown = until(&fleet, "n1", "the same shape", |shown| shown["digest"] == digest);
     assert_eq!(shown["version"], 3);
     thread::sleep(Duration::from_millis(500));
--- a/crates/router/tests/places.rs
+++ b/crates/router/tests/places.rs
@@ -74,7 +74,7 @@
     rig.until(5, "r2 speaks for what is left", |shown| north(shown, 2, 3)).expect("seen");
     rig.until(3, "and so it is in the zone", |shown| is_summarized(shown, "south/z1/a", 2, 1)).expect("seen");
     for n in [0, 1] {
-        rig.start_again(n).expect("it starts");
+        rig.restart_router(n).expect("it starts");
         rig.load(n).expect("load");
     }
     rig.until(5, "r0 speaks again", |shown| north(shown, 0, 5)).expect("seen");
@@ -90,9 +90,9 @@
     let mut rig = rig();
     rig.load_all().expect("load");
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
-    rig.freeze(0).expect("frozen");
+    rig.suspend(0).expect("frozen");
     rig.until(5, "r1 speaks", |shown| north(shown, 1, 4)).expect("seen");
-    rig.wake(0).expect("awake");
+    rig.resume(0).expect("awake");
     rig.until(5, "r0 speaks again", |shown| north(shown, 0, 5)).expect("seen");
     // What it says to its site is lost: for the others of its site it is not there, whoever else hears it.
     rig.block_direction(0, 1);
@@ -100,10 +100,10 @@
     rig.until(1, "r0 is out of reach", |shown| alive(shown) == 1).expect("seen");
     // Both speak, each for its part; the one that counts more goes on.
     rig.until(3, "r1 speaks for the site", |shown| is_summarized(shown, "south/z1/a", 1, 2)).expect("seen");
-    rig.mend_all();
+    rig.clear_all_faults();
     rig.until(5, "r0 speaks again", |shown| north(shown, 0, 5)).expect("seen");
     rig.settle().expect("all of one mind");
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken");
 }
@@ -121,7 +121,7 @@
             && is_summarized(shown, "north", 5, 2)
     };
     rig.until(6, "the south is not heard of", apart).expect("seen");
-    rig.tell("cache-1", Phase::Draining, &[0]).expect("told");
+    rig.publish_phase("cache-1", Phase::Draining, &[0]).expect("told");
     rig.move_cache(2, 0).expect("applied");
     for n in [1, 2, 3, 4] {
         rig.until(n, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("heard");
@@ -130,7 +130,7 @@
     }
     let shown = rig.shown(5).expect("shown");
     assert!(shown["drains"] == 0 && shown["batches"] == 0, "{shown}");
-    rig.mend_all();
+    rig.clear_all_faults();
     for n in [5, 6] {
         let caught_up = |shown: &Value| shown["drains"] == 1 && shown["batches"] == 1;
         rig.until(n, "it has caught up", caught_up).expect("heard");
@@ -168,7 +168,7 @@
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
     rig.until(1, "it sees its site", |shown| alive(shown) == 2 && shown["whole"].is_null()).expect("seen");
     // It hears what is for all, and passes it on.
-    rig.tell("cache-1", Phase::Draining, &[1]).expect("told");
+    rig.publish_phase("cache-1", Phase::Draining, &[1]).expect("told");
     for n in [0, 2, 3, 4, 5, 6] {
         rig.until(n, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("heard");
         let (router, node) = (name(n), "cache-1".to_string());
@@ -183,10 +183,10 @@
 fn detail_from_elsewhere_comes_from_the_site_that_has_it() {
     let rig = rig();
     rig.until(5, "all are counted", |shown| north(shown, 0, 5)).expect("seen");
-    let one = rig.fleet.asked("r6", &["fleet", "show", "r1"]).expect("answered");
+    let one = rig.fleet.query("r6", &["fleet", "show", "r1"]).expect("answered");
     assert!(one[0] == "south/z1/a" && one[1].as_array().is_some_and(|lines| lines.len() == 1), "{one}");
     assert!(one[1][0]["name"] == "r1" && one[1][0]["standing"] == "Alive", "{one}");
-    let site = rig.fleet.asked("r0", &["fleet", "show", "--site", "north/z2/c"]).expect("answered");
+    let site = rig.fleet.query("r0", &["fleet", "show", "--site", "north/z2/c"]).expect("answered");
     let names: Vec<&str> =
         site[1].as_array().into_iter().flatten().filter_map(|line| line["name"].as_str()).collect();
     assert_eq!(names, ["r5", "r6"]);
@@ -220,17 +220,17 @@
     // The one that is gone is known by name in its site, and whoever asks for it elsewhere hears so.
     let is_missing = |shown: &Value| line(shown, "r0").is_some_and(|line| line["standing"] != "Alive");
     rig.until(1, "r0 is missing", is_missing).expect("seen");
-    let detail = rig.fleet.asked("r6", &["fleet", "show", "r0"]).expect("answered");
+    let detail = rig.fleet.query("r6", &["fleet", "show", "r0"]).expect("answered");
     assert!(detail[0] == "south/z1/a" && detail[1][0]["name"] == "r0", "{detail}");
     assert!(detail[1][0]["standing"] != "Alive", "{detail}");
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     for n in [0, 3, 5] {
-        rig.start_again(n).expect("it starts");
+        rig.restart_router(n).expect("it starts");
         rig.load(n).expect("load");
     }
     rig.until(6, "they speak again", |shown| north(shown, 0, 5)).expect("seen");
     rig.until(2, "in the zone too", |shown| is_summarized(shown, "south/z1/b", 3, 2)).expect("seen");
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken");
 }
@@ -244,9 +244,9 @@
     (0..5).for_each(|n| rig.kill(n));
     let lost = |shown: &Value| place(shown, "south").is_some_and(|line| line["fresh"] == false);
     rig.until(5, "the south is not heard of", lost).expect("seen");
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     for n in 0..5 {
-        rig.start_again(n).expect("it starts");
+        rig.restart_router(n).expect("it starts");
         rig.load(n).expect("load");
     }
     for n in [5, 6] {
@@ -258,7 +258,7 @@
         };
         rig.until(n, "the zone", zone).expect("seen");
     }
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken");
 }
@@ -274,13 +274,13 @@
         |of: &'static str| move |shown: &Value| place(shown, of).is_some_and(|line| line["fresh"] == false);
     rig.until(5, "the south is not heard of", unheard("south")).expect("seen");
     rig.until(0, "the north is not heard of", unheard("north")).expect("seen");
-    rig.tell_for("cache-1", 0, &[1, 2, 3, 4], WITHIN).expect("told");
-    rig.tell_for("cache-2", 6, &[5], WITHIN).expect("told");
+    rig.publish_drain_to_one("cache-1", 0, &[1, 2, 3, 4], WITHIN).expect("told");
+    rig.publish_drain_to_one("cache-2", 6, &[5], WITHIN).expect("told");
     rig.move_cache(0, 0).expect("applied");
     rig.kill(4);
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     let before = (rig.bytes_across(5), Instant::now());
-    rig.mend_all();
+    rig.clear_all_faults();
     for n in [5, 6] {
         rig.until(n, "it has caught up", |shown| shown["batches"] == 1 && north(shown, 0, 4)).expect("heard");
     }
@@ -294,7 +294,7 @@
     }
     rig.settle().expect("one hierarchy");
     let after = (rig.bytes_across(5), Instant::now());
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     // What crosses by itself, the pulse above all, does so on.
     let by_itself = (rig.bytes_across(5) - after.0) as f64 / after.1.elapsed().as_secs_f64();
     let (bytes, took) = (after.0 - before.0, (after.1 - before.1).as_secs_f64());
@@ -325,8 +325,8 @@
     for n in [0, 2, 3] {
         rig.until(n, "all are counted", all).expect("seen");
     }
-    rig.tell_for("cache-1", 3, &[0, 1, 2], WITHIN).expect("told");
-    rig.purge_for("an-object", 3, &[0, 1, 2], WITHIN).expect("told");
+    rig.publish_drain_to_one("cache-1", 3, &[0, 1, 2], WITHIN).expect("told");
+    rig.publish_purge_to_one("an-object", 3, &[0, 1, 2], WITHIN).expect("told");
     for n in [0, 1, 2] {
         rig.until(n, "both", |shown| shown["drains"] == 1 && shown["purges"] == 1).expect("heard");
     }
@@ -336,12 +336,12 @@
     rig.kill(1);
     let apart = |shown: &Value| is_summarized(shown, "south/a", 0, 1) && alive(shown) == 0;
     rig.until(0, "it is alone", apart).expect("seen");
-    rig.start_again(1).expect("it starts");
+    rig.restart_router(1).expect("it starts");
     rig.load(1).expect("load");
     for n in [0, 2, 3] {
         rig.until(n, "all are counted again", all).expect("seen");
     }
-    rig.look().expect("shown");
+    rig.show_after_changes().expect("shown");
     rig.end_loads();
     rig.check(&[]).expect("no rule is broken");
 }
@@ -368,23 +368,23 @@
     rig.isolate(1).expect("cut off");
     rig.move_cache(0, 0).expect("applied");
     rig.until(6, "the batch", |shown| shown["batches"] == 1).expect("heard");
-    rig.raise(5, 2, bound).expect("set");
+    rig.set_floor(5, 2, bound).expect("set");
     for n in [3, 5, 6] {
         rig.until(n, "r1 is named", named("south", &["r1"])).expect("seen");
     }
     pause(1_000);
     rig.shown(5).expect("shown");
     pause(500);
-    rig.mend_all();
+    rig.clear_all_faults();
     for n in [3, 5, 6] {
         rig.until(n, "nobody is behind", named("south", &[])).expect("seen");
     }
-    rig.raise(5, 99, bound).expect("set");
+    rig.set_floor(5, 99, bound).expect("set");
     for n in [0, 3, 5, 6] {
         rig.until(n, "all are named", named("south", &["r0", "r1", "r2", "r3", "r4"])).expect("seen");
     }
     rig.until(0, "the north too", named("north", &["r5", "r6"])).expect("seen");
-    rig.raise(6, 0, bound).expect("taken back");
+    rig.set_floor(6, 0, bound).expect("taken back");
     for n in [0, 5] {
         rig.until(n, "nobody is behind", named("south", &[])).expect("seen");
     }
@@ -417,8 +417,8 @@
         let all = videos(&rig);
         let object = all.iter().max_by_key(|object| all.iter().filter(|o| o == object).count());
         let object = object.expect("one is asked for").clone();
-        rig.tell_for("cache-1", 0, &others, WITHIN).expect("told");
-        rig.purge_for(&object, 0, &others, WITHIN).expect("told");
+        rig.publish_drain_to_one("cache-1", 0, &others, WITHIN).expect("told");
+        rig.publish_purge_to_one(&object, 0, &others, WITHIN).expect("told");
         for n in others {
             rig.until(n, "both", |shown| shown["drains"] == 1 && shown["purges"] == 1).expect("heard");
         }
--- a/crates/router/tests/rolling.rs
+++ b/crates/router/tests/rolling.rs
@@ -36,7 +36,7 @@
 
 /// A drain that the endpoint list of one router alone tells of reaches all others.
 fn drain_reaches_all(rig: &mut Harness, node: &str, notified: usize) {
-    rig.tell(node, Phase::Draining, &[notified]).expect("told");
+    rig.publish_phase(node, Phase::Draining, &[notified]).expect("told");
     for n in (0..ROUTERS).filter(|n| *n != notified) {
         let barred = |shown: &Value| {
             let barred = shown["barred"].as_array();
@@ -106,7 +106,7 @@
     for n in EARLIER {
         rig.stop(n).expect("it ends");
         rig.fleet.set_program(&name(n), None);
-        rig.start_again(n).expect("it starts with the folder of the earlier build");
+        rig.restart_router(n).expect("it starts with the folder of the earlier build");
         rig.load(n).expect("load");
         rig.settle().expect("all are alive and act on the same hierarchy");
     }
@@ -114,8 +114,8 @@
     rig.end_loads();
 
     // What the earlier processes wrote is read by those that came after them.
-    let accounts = rig.accounts().expect("accounts");
-    rig.accounted(&accounts).expect("the same as the record");
+    let accounts = rig.audit_logs().expect("accounts");
+    rig.check_audit_logs(&accounts).expect("the same as the record");
     for n in EARLIER {
         let starts = accounts.incarnations().filter(|log| log.name == name(n)).count();
         assert_eq!(starts, 2, "both incarnations of {} are in the audit log", name(n));
--- a/crates/router/tests/starts.rs
+++ b/crates/router/tests/starts.rs
@@ -9,7 +9,7 @@
 
 use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
 use linnethook_testbed::checker::{judge, RuleBounds};
-use linnethook_testbed::cold_restart::{peak_memory, restart, spread, Outage, StartScenario};
+use linnethook_testbed::cold_restart::{peak_memory, restart_all, spread, Outage, StartScenario};
 use linnethook_testbed::load::{Load, LoadResults, RunningLoad};
 use linnethook_testbed::process_cluster::{operator_file, reroute, ProcessCluster};
 use linnethook_testbed::recording::{now, RecordedEvent};
@@ -30,7 +30,7 @@
     let mut fleet = ProcessCluster::two_hubs(PROGRAM, 3, server_config).expect("a fleet");
     let caches = ["cache-0", "cache-1", "cache-2"];
     let lists = caches.map(|cache| (cache, &["south", "origin"][..]));
-    fleet.note_shape(1, &[&lists[..], &[("south", &["origin"]), ("centre", &["origin"])]].concat());
+    fleet.record_hierarchy(1, &[&lists[..], &[("south", &["origin"]), ("centre", &["origin"])]].concat());
     let operator = operator_file(3, "south", settings);
     fleet.start_router("n0", Some(&operator), |_| {}).expect("a router");
     fleet
@@ -40,8 +40,8 @@
 fn change(fleet: &mut ProcessCluster, routers: &[&str]) {
     let lists = ["cache-0", "cache-1", "cache-2"].map(|cache| (cache, &["centre", "origin"][..]));
     let batch = reroute(9, 1, 2, &[(1, 1)], &lists);
-    fleet.note_shape(2, &lists);
-    routers.iter().for_each(|router| fleet.tell_batch(router, &batch).expect("told"));
+    fleet.record_hierarchy(2, &lists);
+    routers.iter().for_each(|router| fleet.publish_batch(router, &batch).expect("told"));
 }
 
 fn load(fleet: &ProcessCluster, router: &str, seed: u64, objects: u64) -> RunningLoad {
@@ -58,7 +58,7 @@
 }
 
 fn clean(fleet: &ProcessCluster) {
-    let rules = RuleBounds { slack: 500.0, going_over: 7_000.0, ..RuleBounds::default() };
+    let rules = RuleBounds { slack: 500.0, migration_grace: 7_000.0, ..RuleBounds::default() };
     let breaches = judge(&fleet.record.lines(), &rules);
     assert!(breaches.is_empty(), "{}", breaches.iter().take(8).map(|b| format!("{b}\n")).collect::<String>());
     assert!(fleet.node("origin").ran_twice().is_empty());
@@ -86,7 +86,7 @@
     thread::sleep(Duration::from_millis(500));
     change(&mut fleet, &["n0"]);
     over(&fleet, "n0");
-    let shown = fleet.asked("n0", &SHOW).expect("shown");
+    let shown = fleet.query("n0", &SHOW).expect("shown");
     all_served(&running.finish(), &shown);
     clean(&fleet);
 }
@@ -103,10 +103,10 @@
         thread::sleep(Duration::from_millis(1_200));
         fleet.kill_router("n0");
         drop(before.finish());
-        fleet.start_again("n0").expect("it starts again");
+        fleet.restart_router("n0").expect("it starts again");
         let after = load(&fleet, "n0", 2, objects);
         over(&fleet, "n0");
-        let shown = fleet.asked("n0", &SHOW).expect("shown");
+        let shown = fleet.query("n0", &SHOW).expect("shown");
         all_served(&after.finish(), &shown);
         clean(&fleet);
     }
@@ -132,7 +132,7 @@
     let rest = loads.split_off(killed.len());
     loads.into_iter().for_each(|load| drop(load.finish()));
     let since = now();
-    killed.iter().for_each(|router| _ = fleet.start_again(router).expect("it starts again"));
+    killed.iter().for_each(|router| _ = fleet.restart_router(router).expect("it starts again"));
     let back: Vec<RunningLoad> =
         killed.iter().zip(11..).map(|(router, seed)| load(&fleet, router, seed, 1_000)).collect();
     killed.iter().for_each(|router| over(&fleet, router));
@@ -170,7 +170,7 @@
 /// all hang: neither is waited for. The times are printed and not judged.
 fn all_ready(case: &StartScenario) {
     let _turn = turn();
-    let started = restart(Path::new(PROGRAM), case).expect("stand-ins");
+    let started = restart_all(Path::new(PROGRAM), case).expect("stand-ins");
     let times: Vec<Duration> = started.iter().flatten().copied().collect();
     println!("{case:?}: median, 95%, worst {:?}", spread(times.clone()));
     assert_eq!(times.len(), case.processes, "{case:?}: {started:?}");
--- a/crates/testbed/src/aggregates.rs
+++ b/crates/testbed/src/aggregates.rs
@@ -105,8 +105,8 @@
 
     /// Records a change at `at` that must be known everywhere after `within` and the delay of all levels.
     fn changed(&mut self, at: Ms, within: Ms, rules: &RuleBounds) {
-        let by_level = rules.aggregates.by_level * self.levels();
-        self.due = self.due.max(at + within + by_level + rules.slack);
+        let level_delay = rules.aggregates.level_delay * self.levels();
+        self.due = self.due.max(at + within + level_delay + rules.slack);
         self.groups = self.reachable_groups();
     }
 
@@ -115,7 +115,7 @@
     fn stopped(&mut self, at: Ms, router: &str, rules: &RuleBounds) {
         let bounds = rules.aggregates;
         let left = self.places.get(router).is_some_and(|site| !self.running_in(site).is_empty());
-        let site = if left { 0.0 } else { bounds.relied_on };
+        let site = if left { 0.0 } else { bounds.summary_lifetime };
         self.changed(at, bounds.links + bounds.suspect + site, rules);
     }
 
@@ -183,12 +183,12 @@
                 self.stopped(line.at, router, rules);
             }
             RecordedEvent::Woken { router } if self.paused.remove(router.as_str()) => {
-                self.changed(line.at, bounds.links + bounds.suspect + bounds.relied_on, rules);
+                self.changed(line.at, bounds.links + bounds.suspect + bounds.summary_lifetime, rules);
             }
             RecordedEvent::Linked { from, to, state }
                 if self.link_states.insert((from, to), *state) != Some(*state) =>
             {
-                self.changed(line.at, bounds.links + bounds.suspect + bounds.relied_on, rules);
+                self.changed(line.at, bounds.links + bounds.suspect + bounds.summary_lifetime, rules);
             }
             RecordedEvent::Shape { version, .. } => self.newest = self.newest.max(*version),
             RecordedEvent::Raised { version, bound } => self.floor = Some((*version, line.at, *bound)),
@@ -198,7 +198,7 @@
 }
 
 /// Time by which all changes in a recording must be known everywhere.
-pub fn quiet_from(lines: &[RecordEntry], rules: &RuleBounds) -> Ms {
+pub fn changes_known_at(lines: &[RecordEntry], rules: &RuleBounds) -> Ms {
     let mut history = FleetHistory::default();
     lines.iter().for_each(|line| history.apply(line, rules));
     history.due
@@ -282,9 +282,9 @@
     /// Routers of a location that ran at some time within the allowed staleness of its count: each level may
     /// rely on the last summary of the level below it.
     fn ran_recently(&self, place: &str) -> u64 {
-        let AggregateBounds { suspect, relied_on, by_level, links, .. } = self.rules.aggregates;
+        let AggregateBounds { suspect, summary_lifetime, level_delay, links, .. } = self.rules.aggregates;
         let levels = self.history.levels();
-        let late = links + suspect + levels * (relied_on + by_level) + self.rules.slack;
+        let late = links + suspect + levels * (summary_lifetime + level_delay) + self.rules.slack;
         let ran = |name: &str| {
             let ran =
                 |process_run: &ProcessRun| process_run.from <= self.at && process_run.to >= self.since - late;
@@ -375,8 +375,8 @@
 
     /// The router that acts on the oldest version among those of a location within reach.
     fn oldest(&self, place: &str, group: &BTreeSet<&str>) -> Option<(String, u64)> {
-        let AggregateBounds { suspect, by_level, moves, .. } = self.rules.aggregates;
-        let long = suspect + self.history.levels() * (by_level + moves) + self.rules.slack;
+        let AggregateBounds { suspect, level_delay, moves, .. } = self.rules.aggregates;
+        let long = suspect + self.history.levels() * (level_delay + moves) + self.rules.slack;
         let here = self.history.running_in(place).into_iter().filter(|name| group.contains(name));
         let acted = here.filter_map(|name| Some((self.acted_on(name, long)?, name.to_string())));
         acted.min().map(|(version, name)| (name, version))
@@ -408,9 +408,9 @@
 
     /// A straggler that is not counted, or not listed by name although the list has free entries.
     fn unlisted_straggler(&self, shown: &LocationSummary) -> Option<String> {
-        let AggregateBounds { suspect, by_level, .. } = self.rules.aggregates;
+        let AggregateBounds { suspect, level_delay, .. } = self.rules.aggregates;
         let (floor, raised, bound) = self.history.floor?;
-        if self.since < raised + bound + suspect + self.history.levels() * by_level + self.rules.slack {
+        if self.since < raised + bound + suspect + self.history.levels() * level_delay + self.rules.slack {
             return None;
         }
         let group = self.history.group_of(self.router)?;
--- a/crates/testbed/src/bin/cold-start.rs
+++ b/crates/testbed/src/bin/cold-start.rs
@@ -11,7 +11,7 @@
 
 use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
 use linnethook_testbed::checker::{judge, Rule, RuleBounds};
-use linnethook_testbed::cold_start::{bound, sums};
+use linnethook_testbed::cold_start::{bound, loads_after_starts};
 use linnethook_testbed::load::Load;
 use linnethook_testbed::process_cluster::{router_program, ProcessCluster};
 use linnethook_testbed::recording::{Phase, WarmUpCapacity};
@@ -54,7 +54,7 @@
     Ok(fleet)
 }
 
-fn play(program: &Path, routers: usize) -> Result<bool, Failure> {
+fn run(program: &Path, routers: usize) -> Result<bool, Failure> {
     let names: Vec<String> = (0..routers).map(|n| format!("n{n}")).collect();
     let mut fleet = start_fleet(program, &names)?;
     // Every fifth router gets five times the rate of each other one.
@@ -69,14 +69,16 @@
     }
     thread::sleep(Duration::from_secs(6));
     fleet.node("cache-0").kill();
-    fleet.tell("cache-0", Phase::Removed)?;
+    fleet.publish_phase("cache-0", Phase::Removed)?;
     thread::sleep(Duration::from_secs(1));
-    fleet.restart("cache-0")?;
+    fleet.restart_server("cache-0")?;
     thread::sleep(Duration::from_millis(14_000));
     let ends: Vec<_> = loads.into_iter().map(|load| load.finish()).collect();
     let lines = fleet.record.lines();
-    let sum =
-        sums(&lines, 7_000.0).into_iter().next_back().ok_or("the recording has no start of the cache")?;
+    let sum = loads_after_starts(&lines, 7_000.0)
+        .into_iter()
+        .next_back()
+        .ok_or("the recording has no start of the cache")?;
     let in_windows =
         |from: f64| sum.arrivals.iter().filter(|at| (from..from + COLD.window).contains(*at)).count();
     let count = |list: fn(&linnethook_testbed::load::LoadResults) -> &Vec<u32>| {
@@ -115,7 +117,7 @@
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let routers = arguments.first().map_or(Ok(20), |text| text.parse::<usize>())?.clamp(1, 30);
     let program = router_program(arguments.get(1).map(Path::new))?;
-    if play(&program, routers)? {
+    if run(&program, routers)? {
         Ok(())
     } else {
         Err("routers that were notified of the cold cache's start overloaded it".into())
--- a/crates/testbed/src/bin/cuts.rs
+++ b/crates/testbed/src/bin/cuts.rs
@@ -47,8 +47,9 @@
             .iter()
             .filter(|(_, fault)| matches!(fault, SiteFault::Cut | SiteFault::Silent { .. }))
             .count();
-        let play = Scenario { seed, length: LENGTH, script, rules, carries: 5_000.0, ..Scenario::default() };
-        let out: Outcome = Simulation::new(play).run();
+        let scenario =
+            Scenario { seed, length: LENGTH, script, rules, carries: 5_000.0, ..Scenario::default() };
+        let out: Outcome = Simulation::new(scenario).run();
         let found = judge(&out.lines, &Checked { slack: 5.0, ..Checked::default() });
         found.iter().take(3).for_each(|breach| println!("{name}, seed {seed}: {breach}"));
         breaches += found.len();
@@ -104,7 +105,7 @@
                 (back, SiteFault::Mend),
             ];
             let (bookings, reads) = (20.0, 80.0);
-            let play = Scenario {
+            let scenario = Scenario {
                 seed,
                 length: ended,
                 script,
@@ -113,7 +114,7 @@
                 sizes: (20_000, 60_000),
                 ..Scenario::default()
             };
-            let out = Simulation::new(play).run();
+            let out = Simulation::new(scenario).run();
             known.extend(out.downs.iter().find(|at| **at >= lost).map(|at| at - lost));
             let second = |list: &[u32], from: Ms| -> f64 {
                 let from = (from / 100.0) as usize;
@@ -155,7 +156,7 @@
             script.extend([(at, SiteFault::Cut), (at + 150.0, SiteFault::Mend)]);
         }
         let sizes = (150_000, 240_000);
-        let play = Scenario {
+        let scenario = Scenario {
             seed,
             script,
             rules,
@@ -165,7 +166,7 @@
             sizes,
             ..Scenario::default()
         };
-        let out = Simulation::new(Scenario { aim: 1_500.0, wait: 3_000.0, ..play }).run();
+        let out = Simulation::new(Scenario { aim: 1_500.0, wait: 3_000.0, ..scenario }).run();
         add(&mut reads, out.reads);
         (bodies, again) = (bodies + out.bodies, again + out.bodies_again);
     }
--- a/crates/testbed/src/bin/fleet-figures.rs
+++ b/crates/testbed/src/bin/fleet-figures.rs
@@ -87,7 +87,7 @@
     let mut drains = Vec::new();
     for n in 0..10u64 {
         let phase = if n % 2 == 0 { Phase::Draining } else { Phase::Ready };
-        harness.tell("cache-1", phase, &[0])?;
+        harness.publish_phase("cache-1", phase, &[0])?;
         drains.extend(times(&harness, program, &all, |shown| {
             shown["barred"].as_array().is_some_and(|barred| barred.is_empty() != (n % 2 == 0))
         })?);
@@ -96,7 +96,7 @@
     if routers > 2 {
         // Slows all links of one router, and counts the suspicions that this causes.
         for n in 0..last {
-            harness.slow(last, n, 4_000.0);
+            harness.limit_rate(last, n, 4_000.0);
         }
         thread::sleep(Duration::from_secs(8));
     }
@@ -104,7 +104,7 @@
     for n in 0..routers {
         error += routers - 1 - alive(&harness.shown(n)?);
     }
-    harness.mend_all();
+    harness.clear_all_faults();
     thread::sleep(Duration::from_secs(1));
     harness.kill(last);
     let others: Vec<usize> = (0..last).collect();
--- a/crates/testbed/src/bin/hub-move.rs
+++ b/crates/testbed/src/bin/hub-move.rs
@@ -70,7 +70,7 @@
     }
 }
 
-fn play(program: &Path, name: &'static str, switches: &str, scale: Scale) -> Result<Outcome, Failure> {
+fn run(program: &Path, name: &'static str, switches: &str, scale: Scale) -> Result<Outcome, Failure> {
     let mut fleet = ProcessCluster::two_hubs(program, 3, server_config(scale))?;
     let settings = format!("extended = True, {switches}, {}", scale.settings);
     fleet.start_router("n0", Some(&operator_file(3, "south", &settings)), |_| {})?;
@@ -81,7 +81,7 @@
     let lists: BTreeMap<String, [&str; 2]> =
         (0..3).map(|n| (format!("cache-{n}"), ["centre", "origin"])).collect();
     let lists: Vec<(&str, &[&str])> = lists.iter().map(|(node, list)| (node.as_str(), &list[..])).collect();
-    fleet.tell_batch("n0", &reroute(9, 1, 2, &[(1, 1)], &lists))?;
+    fleet.publish_batch("n0", &reroute(9, 1, 2, &[(1, 1)], &lists))?;
     thread::sleep(Duration::from_secs(scale.after as u64));
     let ends = running.finish();
     let origin = fleet.record.by_second("origin", since, scale.before + scale.after);
@@ -111,7 +111,7 @@
         .into_iter()
         .map(|(name, switches)| {
             let program = program.clone();
-            thread::spawn(move || play(&program, name, switches, scale))
+            thread::spawn(move || run(&program, name, switches, scale))
         })
         .collect();
     let mut outcomes = Vec::new();
--- a/crates/testbed/src/bin/process-faults.rs
+++ b/crates/testbed/src/bin/process-faults.rs
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::thread;
 
-use linnethook_testbed::harness::{script, Harness, HarnessError, Plan, Played, Script};
+use linnethook_testbed::harness::{script, Harness, HarnessError, Plan, Script, ScriptResults};
 use linnethook_testbed::process_cluster::router_program;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
@@ -54,13 +54,13 @@
     Ok(wanted)
 }
 
-fn play(program: &PathBuf, seed: u64, steps: usize) -> (Script, Result<Played, HarnessError>) {
+fn run(program: &PathBuf, seed: u64, steps: usize) -> (Script, Result<ScriptResults, HarnessError>) {
     let routers = 3 + seed as usize % 5;
     let plan = Plan { routers, at_once: 0, ..Plan::default() };
     let script = script(seed, routers, plan.caches, steps);
     let played = Harness::start(program, plan)
         .map_err(HarnessError::from)
-        .and_then(|mut harness| harness.play(&script));
+        .and_then(|mut harness| harness.run_script(&script));
     (script, played)
 }
 
@@ -78,7 +78,7 @@
                 if seed >= seeds.end {
                     return;
                 }
-                let (script, played) = play(&program, seed, steps);
+                let (script, played) = run(&program, seed, steps);
                 match played {
                     Ok(played) => {
                         if alone {
@@ -97,7 +97,7 @@
         }
     });
     let all = all.into_inner().unwrap_or_default();
-    let sum = |what: fn(&Played) -> u64| all.iter().map(what).sum::<u64>();
+    let sum = |what: fn(&ScriptResults) -> u64| all.iter().map(what).sum::<u64>();
     let mut times: Vec<_> = all.iter().map(|played| played.settled_in).collect();
     times.sort_unstable();
     let at = |part: usize| times.get(times.len().saturating_sub(1) * part / 100).copied().unwrap_or_default();
--- a/crates/testbed/src/bin/starts.rs
+++ b/crates/testbed/src/bin/starts.rs
@@ -14,7 +14,7 @@
 
 use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
 use linnethook_testbed::checker::{judge, RuleBounds};
-use linnethook_testbed::cold_restart::{peak_memory, restart, spread, Outage, StartScenario};
+use linnethook_testbed::cold_restart::{peak_memory, restart_all, spread, Outage, StartScenario};
 use linnethook_testbed::load::{Load, RunningLoad};
 use linnethook_testbed::process_cluster::{operator_file, reroute, router_program, ProcessCluster};
 use linnethook_testbed::recording::now;
@@ -35,7 +35,7 @@
     CacheServerConfig { copies: copies as usize, ..CacheServerConfig::new(kind) }
 }
 
-fn play(program: &Path, extended: bool, killed: usize) -> Result<(), Failure> {
+fn run(program: &Path, extended: bool, killed: usize) -> Result<(), Failure> {
     let mut fleet = ProcessCluster::two_hubs(program, 3, server_config)?;
     let extended_status = if extended { "True" } else { "False" };
     let settings = format!("extended = {extended_status}, announce = 1, warm = 8, settle = 4");
@@ -56,14 +56,14 @@
     let lists = ["cache-0", "cache-1", "cache-2"].map(|cache| (cache, &["centre", "origin"][..]));
     let batch = reroute(9, 1, 2, &[(1, 1)], &lists);
     for router in ROUTERS {
-        fleet.tell_batch(router, &batch)?;
+        fleet.publish_batch(router, &batch)?;
     }
     thread::sleep(Duration::from_secs(TIMES[1]));
     let rest = loads.split_off(killed);
     ROUTERS[..killed].iter().for_each(|router| fleet.kill_router(router));
     loads.into_iter().for_each(|load| drop(load.finish()));
     for router in &ROUTERS[..killed] {
-        fleet.start_again(router)?;
+        fleet.restart_router(router)?;
     }
     let mut back = Vec::new();
     for (router, seed) in ROUTERS[..killed].iter().zip(11..) {
@@ -83,7 +83,7 @@
     let origin = fleet.record.by_second("origin", since, TIMES.iter().sum::<u64>() as usize);
     let steady = origin[before - 6..before].iter().sum::<u32>() / 6;
     let worst = origin[before + TIMES[1] as usize..].iter().max().copied().unwrap_or(0);
-    let rules = RuleBounds { slack: 150.0, going_over: 70_000.0, ..RuleBounds::default() };
+    let rules = RuleBounds { slack: 150.0, migration_grace: 70_000.0, ..RuleBounds::default() };
     println!(
         "extended: {extended}, killed: {killed} | origin per second: {steady} before, worst {worst} after | \
          served after {served} of {asked} | breaches {}",
@@ -126,7 +126,7 @@
          | --- | --- | --- | --- | --- | --- |"
     );
     for (name, case) in cases {
-        let times: Vec<Duration> = restart(program, &case)?.into_iter().flatten().collect();
+        let times: Vec<Duration> = restart_all(program, &case)?.into_iter().flatten().collect();
         let [median, most, worst] = spread(times.clone()).unwrap_or_default();
         let memory = peak_memory(program, &case)? as f64 / 1e6;
         println!("| {name} | {} | {median:.0?} | {most:.0?} | {worst:.0?} | {memory:.1} |", times.len());
@@ -143,7 +143,7 @@
     }
     for extended in [true, false] {
         for killed in [0, 1, 3] {
-            play(&program, extended, killed)?;
+            run(&program, extended, killed)?;
         }
     }
     Ok(())
--- a/crates/testbed/src/bin/two-sites.rs
+++ b/crates/testbed/src/bin/two-sites.rs
@@ -39,7 +39,7 @@
         3 => {
             sites.north.node("north-origin").kill();
             for cache in ["north-cache-0", "north-cache-1"] {
-                sites.north.tell(cache, Phase::Removed)?;
+                sites.north.publish_phase(cache, Phase::Removed)?;
             }
             "the north loses its store and its caches"
         }
@@ -48,7 +48,7 @@
             "the link is cut"
         }
         14 => {
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
             "the link is back"
         }
         18 => {
@@ -56,13 +56,13 @@
             "the link goes silent"
         }
         20 => {
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
             "the link is back"
         }
         24 => {
-            sites.north.restart("north-origin")?;
+            sites.north.restart_server("north-origin")?;
             for cache in ["north-cache-0", "north-cache-1"] {
-                sites.north.tell(cache, Phase::Ready)?;
+                sites.north.publish_phase(cache, Phase::Ready)?;
             }
             "the north's store and caches recover"
         }
--- a/crates/testbed/src/cache_server/fill.rs
+++ b/crates/testbed/src/cache_server/fill.rs
@@ -103,7 +103,9 @@
                 vec![if cached_only { format!("{source}:h") } else { source.to_string() }]
             }
             (false, _, _) if cached_only => return Err(Found::without("absent", "UP_MISS")),
-            (false, _, Some(via)) if self.server_config.obeys => via.split('+').map(str::to_string).collect(),
+            (false, _, Some(via)) if self.server_config.follows_path => {
+                via.split('+').map(str::to_string).collect()
+            }
             (false, ..) => self.lock().upstream.first().cloned().into_iter().collect(),
         })
     }
@@ -127,7 +129,7 @@
             return true;
         }
         let busy = |state: &mut State| state.filling.contains(key);
-        let waited = self.filled.wait_timeout_while(state, self.server_config.patience, busy);
+        let waited = self.filled.wait_timeout_while(state, self.server_config.fill_timeout, busy);
         drop(waited.unwrap_or_else(PoisonError::into_inner));
         false
     }
@@ -192,7 +194,7 @@
                 last = Found::without("full", "UP_DOWN");
                 continue;
             };
-            match ask(address, &asked.id, &fields.join(","), b"", self.server_config.patience) {
+            match ask(address, &asked.id, &fields.join(","), b"", self.server_config.fill_timeout) {
                 Ok((status, fields, body)) if status == "data" => {
                     let dated = fields.get("dated").and_then(|at| at.parse().ok()).unwrap_or(0.0);
                     let copy = Copy { body, dated, used: 0 };
--- a/crates/testbed/src/cache_server/front.rs
+++ b/crates/testbed/src/cache_server/front.rs
@@ -43,7 +43,7 @@
                 ended("", "FALLEN", false);
                 return HandlerResponse::Reset;
             }
-            Some(Fault::Refuse) => {
+            Some(Fault::Reject) => {
                 ended("full", "", false);
                 return HandlerResponse::Answer(Answer::with_status("full"));
             }
--- a/crates/testbed/src/cache_server/mod.rs
+++ b/crates/testbed/src/cache_server/mod.rs
@@ -47,9 +47,9 @@
     /// Its own sources, for requests that give no path.
     pub upstream: Vec<String>,
     /// Whether it follows the path in a request; if not, it always uses `upstream`.
-    pub obeys: bool,
+    pub follows_path: bool,
     /// Time-out of a fill.
-    pub patience: Duration,
+    pub fill_timeout: Duration,
     /// Bytes in the body of a response.
     pub size: usize,
     /// Its capacity after a start; with a multiple of 0 it never fails by overload.
@@ -67,8 +67,8 @@
             fresh: BTreeMap::new(),
             writes: vec!["booking".to_string()],
             upstream,
-            obeys: true,
-            patience: Duration::from_secs(2),
+            follows_path: true,
+            fill_timeout: Duration::from_secs(2),
             size: 1_000,
             cold: WarmUpCapacity::default(),
         }
@@ -169,7 +169,7 @@
         });
         let node = Self { inner, servers: Mutex::default() };
         node.note_start();
-        let address = node.front(NODES)?;
+        let address = node.address_for(NODES)?;
         directory.put(name, address);
         Ok(node)
     }
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     /// The address can't be bound.
-    pub fn front(&self, router: &str) -> io::Result<SocketAddr> {
+    pub fn address_for(&self, router: &str) -> io::Result<SocketAddr> {
         if let Some((address, _)) = self.servers().get(router) {
             return Ok(*address);
         }
@@ -203,7 +203,7 @@
     ///
     /// # Errors
     /// The address can't be bound.
-    pub fn front_at(&self, router: &str, address: SocketAddr) -> io::Result<()> {
+    pub fn listen_at(&self, router: &str, address: SocketAddr) -> io::Result<()> {
         let server = self.serve(address, router)?;
         self.servers().insert(router.to_string(), (address, server));
         Ok(())
@@ -236,7 +236,7 @@
     ///
     /// # Errors
     /// The address can't be bound.
-    pub fn start_again(&self) -> io::Result<Ms> {
+    pub fn restart(&self) -> io::Result<Ms> {
         let started = now();
         {
             let mut state = self.inner.lock();
--- a/crates/testbed/src/checker/hierarchy.rs
+++ b/crates/testbed/src/checker/hierarchy.rs
@@ -79,9 +79,9 @@
         let Some(version) = asked.version else { continue };
         let Some((_, edges)) = shapes.range(..=version).next_back() else { continue };
         let mut edge = |from: &str, to: &str| {
-            let going_over = last.get(&(from, to)).is_some_and(|last| line.at <= last + rules.going_over);
+            let migrating = last.get(&(from, to)).is_some_and(|last| line.at <= last + rules.migration_grace);
             // A source that only serves a cached copy makes no fill, and may be outside the hierarchy.
-            if !edges.contains(&(from, to)) && !going_over && !asked.cached_only {
+            if !edges.contains(&(from, to)) && !migrating && !asked.cached_only {
                 let what = format!(
                     "a fill of {} used the edge {from} to {to}, which is not in version {version}",
                     asked.object
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -42,9 +42,9 @@
     /// Requests whose clients disconnected before an answer.
     pub cases: usize,
     /// Attempts that were sent later than [`DISCONNECT_NOTICE`] after the disconnect.
-    pub sent_on: Vec<Breach>,
+    pub late_attempts: Vec<Breach>,
     /// Those of them that were also sent later than [`EARLIER_DISCONNECT_NOTICE`].
-    pub sent_on_late: Vec<Breach>,
+    pub late_by_earlier_bound: Vec<Breach>,
 }
 
 /// How long a router may take to notice that a client has disconnected, in milliseconds.
@@ -80,9 +80,9 @@
                         asked.id, asked.at
                     );
                     let breach = Breach { at: line.at, rule: Rule::NoneLeft, what };
-                    out.sent_on_late
+                    out.late_by_earlier_bound
                         .extend((late > EARLIER_DISCONNECT_NOTICE + rules.slack).then(|| breach.clone()));
-                    out.sent_on.push(breach);
+                    out.late_attempts.push(breach);
                 }
             }
             _ => {}
@@ -93,7 +93,7 @@
 
 /// Adjusts a recording for suspended processes: an event that was published to a router meanwhile counts from
 /// when it was resumed, and an answer that was due by then, or within `grace` after, has `grace` more time.
-pub fn with_pauses(lines: &[RecordEntry], grace: Ms) -> Vec<RecordEntry> {
+pub fn adjust_for_pauses(lines: &[RecordEntry], grace: Ms) -> Vec<RecordEntry> {
     let mut spans = Vec::<(&str, Ms, Ms)>::new();
     for line in lines {
         match &line.what {
@@ -286,8 +286,8 @@
                 let all = arrivals.entry(asked.at.as_str()).or_default();
                 all.push(line.at);
                 all.retain(|at| line.at - at < cold.window);
-                let bears =
-                    cold.capacity_at(age) * cold.fall_multiple * cold.window / 1000.0 * rules.push_slack;
+                let bears = cold.capacity_at(age) * cold.fall_multiple * cold.window / 1000.0
+                    * rules.overload_tolerance;
                 if all.len() as f64 > bears {
                     let what = format!(
                         "{} got {} requests in {:.0} ms; expected at most {bears:.0}",
--- a/crates/testbed/src/cold_restart.rs
+++ b/crates/testbed/src/cold_restart.rs
@@ -232,7 +232,7 @@
 ///
 /// # Errors
 /// A simulated service or the configuration can't be set up.
-pub fn restart(program: &Path, case: &StartScenario) -> io::Result<Vec<Option<Duration>>> {
+pub fn restart_all(program: &Path, case: &StartScenario) -> io::Result<Vec<Option<Duration>>> {
     let scene = Scene::set(case)?;
     let asks = if case.hung { 8 } else { 0 };
     start_all(program, &scene.config.0, case.processes, asks);
--- a/crates/testbed/src/cold_start.rs
+++ b/crates/testbed/src/cold_start.rs
@@ -47,7 +47,7 @@
 
 /// The load after each start in the recording. Routers that are not notified within `notification_bound`
 /// milliseconds count as notified from then on.
-pub fn sums(lines: &[RecordEntry], notification_bound: Ms) -> Vec<ColdStartLoad> {
+pub fn loads_after_starts(lines: &[RecordEntry], notification_bound: Ms) -> Vec<ColdStartLoad> {
     let mut running_starts = BTreeMap::<&str, Start>::new();
     let mut out = Vec::new();
     for line in lines {
--- a/crates/testbed/src/fault_proxy/mod.rs
+++ b/crates/testbed/src/fault_proxy/mod.rs
@@ -150,7 +150,7 @@
     }
 
     /// Clears all faults.
-    pub fn mend(&self) {
+    pub fn clear_faults(&self) {
         let mut state = lock(&self.state);
         (state.cut, state.conditions) = (false, [LinkConditions::default(); 2]);
     }
--- a/crates/testbed/src/fault_proxy/two_sites.rs
+++ b/crates/testbed/src/fault_proxy/two_sites.rs
@@ -44,7 +44,7 @@
     /// A socket or a process that fails.
     pub fn restart_south(&mut self) -> io::Result<()> {
         self.south.kill_router(SOUTH);
-        self.south.start_again(SOUTH)?;
+        self.south.restart_router(SOUTH)?;
         self.proxy.set_target(self.south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
         Ok(())
     }
@@ -75,7 +75,7 @@
     /// # Errors
     /// A socket or a process that fails.
     pub fn status(&self, router: &str) -> io::Result<serde_json::Value> {
-        self.fleet(router).asked(router, &["gateway", "status"])
+        self.fleet(router).query(router, &["gateway", "status"])
     }
 
     /// Waits until the status of a gateway fulfils a condition, or times out.
--- a/crates/testbed/src/faults.rs
+++ b/crates/testbed/src/faults.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// The request is rejected with status `full`.
-    Refuse,
+    Reject,
     /// The request runs and is then answered with status `failed`.
     Fail,
     /// The connection is reset without a response.
--- a/crates/testbed/src/harness/events.rs
+++ b/crates/testbed/src/harness/events.rs
@@ -16,7 +16,7 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn tell(&mut self, node: &str, phase: Phase, routers: &[usize]) -> io::Result<()> {
+    pub fn publish_phase(&mut self, node: &str, phase: Phase, routers: &[usize]) -> io::Result<()> {
         self.events.push(JournalEvent::Node(node.to_string(), phase));
         self.catch_up(routers)
     }
@@ -39,8 +39,14 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn tell_for(&mut self, node: &str, by: usize, others: &[usize], within: Duration) -> io::Result<()> {
-        self.tell(node, Phase::Draining, &[by])?;
+    pub fn publish_drain_to_one(
+        &mut self,
+        node: &str,
+        by: usize,
+        others: &[usize],
+        within: Duration,
+    ) -> io::Result<()> {
+        self.publish_phase(node, Phase::Draining, &[by])?;
         let due = now() + within.as_secs_f64() * 1_000.0;
         for n in others {
             let (router, node, phase) = (name(*n), node.to_string(), Phase::Draining);
@@ -54,7 +60,7 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn purge_for(
+    pub fn publish_purge_to_one(
         &mut self,
         object: &str,
         by: usize,
@@ -72,15 +78,15 @@
         Ok(())
     }
 
-    /// Raises the floor to a version at a router; version 0 clears the floor. `bound` is how long a router
-    /// may stay below it.
+    /// Sets the floor at a router to a version; version 0 clears it. `bound` is how long a router may stay
+    /// below it.
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn raise(&self, n: usize, version: u64, bound: Duration) -> io::Result<()> {
+    pub fn set_floor(&self, n: usize, version: u64, bound: Duration) -> io::Result<()> {
         match version {
-            0 => self.fleet.asked(&name(n), &["fleet", "floor", "clear"])?,
-            _ => self.fleet.asked(&name(n), &["fleet", "floor", "set", &version.to_string()])?,
+            0 => self.fleet.query(&name(n), &["fleet", "floor", "clear"])?,
+            _ => self.fleet.query(&name(n), &["fleet", "floor", "set", &version.to_string()])?,
         };
         let bound = bound.as_secs_f64() * 1_000.0;
         self.fleet.record.note(RecordedEvent::Raised { version, bound });
@@ -110,8 +116,8 @@
     pub fn deliver_events(&mut self, n: usize, upto: usize) -> io::Result<()> {
         for event in &self.events[self.events_delivered[n].min(upto)..upto] {
             match event {
-                JournalEvent::Node(node, phase) => self.fleet.tell_one(&name(n), node, *phase)?,
-                JournalEvent::Purge(object, stamp) => self.fleet.tell_purge(&name(n), object, *stamp),
+                JournalEvent::Node(node, phase) => self.fleet.publish_phase_to(&name(n), node, *phase)?,
+                JournalEvent::Purge(object, stamp) => self.fleet.publish_purge_to(&name(n), object, *stamp),
             }
         }
         self.events_delivered[n] = self.events_delivered[n].max(upto);
@@ -124,7 +130,7 @@
     /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn shown(&self, n: usize) -> io::Result<Value> {
         let since = now();
-        let shown = self.fleet.asked(&name(n), &["fleet", "show"])?;
+        let shown = self.fleet.query(&name(n), &["fleet", "show"])?;
         self.note_shown(n, since, &shown);
         Ok(shown)
     }
@@ -178,7 +184,7 @@
         loop {
             let mut digests = Vec::new();
             for n in &up {
-                digests.push(self.fleet.asked(&name(*n), &["hierarchy", "show"])?["digest"].clone());
+                digests.push(self.fleet.query(&name(*n), &["hierarchy", "show"])?["digest"].clone());
             }
             if digests.windows(2).all(|pair| pair[0] == pair[1]) {
                 return Ok(());
@@ -197,7 +203,7 @@
     /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn apply(&self, n: usize, changes: &str) -> io::Result<Value> {
         let file = self.fleet.write_file(&format!("changes-{n}.star"), changes)?;
-        self.fleet.asked(&name(n), &["hierarchy", "apply", &file.display().to_string()])
+        self.fleet.query(&name(n), &["hierarchy", "apply", &file.display().to_string()])
     }
 
     /// Applies a change at a router that makes a cache fill from the parent `centre`.
@@ -209,7 +215,7 @@
         let batch =
             self.apply(n, &format!("rerank(\"{cache}\", sources = [(\"centre\", 0), (\"origin\", 9)])\n"))?;
         let version = batch["stamp"].as_u64().ok_or(io::ErrorKind::InvalidData)?;
-        self.fleet.note_shape(version, &[(&cache, &["centre", "origin"])]);
+        self.fleet.record_hierarchy(version, &[(&cache, &["centre", "origin"])]);
         Ok(())
     }
 
@@ -218,7 +224,7 @@
         if let Some(proxy) = self.journals.get(&n) {
             match silent {
                 true => proxy.cut(),
-                false => proxy.mend(),
+                false => proxy.clear_faults(),
             }
         }
     }
--- a/crates/testbed/src/harness/faults.rs
+++ b/crates/testbed/src/harness/faults.rs
@@ -34,9 +34,9 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn start_again(&mut self, n: usize) -> io::Result<()> {
+    pub fn restart_router(&mut self, n: usize) -> io::Result<()> {
         self.ran(n);
-        self.fleet.start_again(&name(n))?;
+        self.fleet.restart_router(&name(n))?;
         self.ran(n);
         self.point_links_at(n)
     }
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn freeze(&self, n: usize) -> io::Result<()> {
+    pub fn suspend(&self, n: usize) -> io::Result<()> {
         self.fleet.record.note(RecordedEvent::Paused { router: name(n) });
         self.fleet.signal(&name(n), Signal::SIGSTOP)
     }
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn wake(&self, n: usize) -> io::Result<()> {
+    pub fn resume(&self, n: usize) -> io::Result<()> {
         self.fleet.signal(&name(n), Signal::SIGCONT)?;
         self.fleet.record.note(RecordedEvent::Woken { router: name(n) });
         Ok(())
@@ -101,7 +101,7 @@
     }
 
     /// Limits a link to a rate in bytes per second, in each direction.
-    pub fn slow(&self, a: usize, b: usize, rate: f64) {
+    pub fn limit_rate(&self, a: usize, b: usize, rate: f64) {
         let conditions = LinkConditions { rate, ..LinkConditions::default() };
         self.conditions(a, b, conditions);
         self.conditions(b, a, conditions);
@@ -124,20 +124,20 @@
     }
 
     /// Clears all faults of a link.
-    pub fn mend(&self, a: usize, b: usize) {
+    pub fn clear_faults(&self, a: usize, b: usize) {
         if let Some((proxy, _)) = self.proxy(a, b) {
-            proxy.mend();
+            proxy.clear_faults();
             self.linked(a, b, [LinkState::Open; 2]);
         }
     }
 
     /// Clears the faults of all links.
-    pub fn mend_all(&self) {
-        self.links().into_iter().for_each(|(a, b)| self.mend(a, b));
+    pub fn clear_all_faults(&self) {
+        self.links().into_iter().for_each(|(a, b)| self.clear_faults(a, b));
     }
 
     /// Cuts all links of a router.
-    pub fn cut_off(&self, n: usize) {
+    pub fn cut_all_links(&self, n: usize) {
         let of = self.links().into_iter().filter(|(a, b)| *a == n || *b == n);
         of.for_each(|(a, b)| self.cut(a, b));
     }
@@ -147,7 +147,7 @@
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn isolate(&self, n: usize) -> io::Result<()> {
-        self.cut_off(n);
+        self.cut_all_links(n);
         self.until(n, "no peer is alive", |shown| alive(shown) == 0).map(drop)
     }
 
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -36,7 +36,7 @@
 
 pub use error::HarnessError;
 pub use plan::Plan;
-pub use script::{script, Played, Script, Step};
+pub use script::{script, Script, ScriptResults, Step};
 
 /// Zone of the caches.
 const ZONE: &str = "shop";
@@ -127,7 +127,7 @@
         let caches: Vec<String> = (0..plan.caches).map(|n| format!("cache-{n}")).collect();
         let mut lists: Vec<(&str, &[&str])> = vec![("south", &["origin"]), ("centre", &["origin"])];
         lists.extend(caches.iter().map(|cache| (cache.as_str(), &["south", "origin"][..])));
-        fleet.note_shape(1, &lists);
+        fleet.record_hierarchy(1, &lists);
         let all = || (0..plan.routers).flat_map(|a| (0..a).map(move |b| (a, b))).collect();
         let links: Vec<(usize, usize)> = plan.links.clone().unwrap_or_else(all);
         let mut proxies = BTreeMap::new();
--- a/crates/testbed/src/harness/plan.rs
+++ b/crates/testbed/src/harness/plan.rs
@@ -70,10 +70,10 @@
         let bounds = AggregateBounds::default();
         AggregateBounds {
             suspect: set("suspect").unwrap_or(bounds.suspect),
-            relied_on: set("renew").map_or(bounds.relied_on, |renew| renew * 3.0),
+            summary_lifetime: set("renew").map_or(bounds.summary_lifetime, |renew| renew * 3.0),
             // Facts are gathered for at most three times `gather`, and are sent with the next bundle, up to
             // 200 ms later.
-            by_level: set("gather").map_or(bounds.by_level, |gather| gather * 3.0 + 200.0),
+            level_delay: set("gather").map_or(bounds.level_delay, |gather| gather * 3.0 + 200.0),
             moves: set("moves").unwrap_or(bounds.moves),
             ..bounds
         }
--- a/crates/testbed/src/harness/script.rs
+++ b/crates/testbed/src/harness/script.rs
@@ -54,19 +54,19 @@
 
 /// The script of a seed. Each seed leaves out some kinds of faults, so that rare combinations occur.
 pub fn script(seed: u64, routers: usize, caches: usize, steps: usize) -> Script {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
-    let kinds: Vec<usize> = (0..11).filter(|_| chance.random::<f64>() < 0.6).collect();
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
+    let kinds: Vec<usize> = (0..11).filter(|_| random.random::<f64>() < 0.6).collect();
     let mut down = vec![false; routers];
     let mut frozen = vec![false; routers];
     let mut drained = None;
     let mut script = Script::new();
     for _ in 0..steps {
-        let pause = chance.random_range(30..400);
-        let (a, mut b) = (chance.random_range(0..routers), chance.random_range(0..routers));
+        let pause = random.random_range(30..400);
+        let (a, mut b) = (random.random_range(0..routers), random.random_range(0..routers));
         if a == b {
             b = (a + 1) % routers;
         }
-        let kind = if kinds.is_empty() { 4 } else { kinds[chance.random_range(0..kinds.len())] };
+        let kind = if kinds.is_empty() { 4 } else { kinds[random.random_range(0..kinds.len())] };
         let step = match kind {
             0 if down[a] => Step::StartAgain(a),
             0 if !frozen[a] && down.iter().filter(|down| **down).count() + 1 < routers => Step::Kill(a),
@@ -79,13 +79,13 @@
             6 => Step::Delay(a, b),
             7 => Step::Lose(a, b),
             8 => Step::Repeat(a, b),
-            9 if !down[a] && !frozen[a] => Step::Batch(a, chance.random_range(0..caches)),
+            9 if !down[a] && !frozen[a] => Step::Batch(a, random.random_range(0..caches)),
             10 => match drained.take() {
                 Some(cache) => Step::Back(cache),
                 None => {
-                    let cache = chance.random_range(0..caches);
+                    let cache = random.random_range(0..caches);
                     drained = Some(cache);
-                    Step::Drain(cache, chance.random())
+                    Step::Drain(cache, random.random())
                 }
             },
             _ => continue,
@@ -104,7 +104,7 @@
 
 /// Results of a script.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Played {
+pub struct ScriptResults {
     /// Requests of clients.
     pub asked: u32,
     /// Requests that were served.
@@ -126,29 +126,29 @@
         match step {
             Step::Kill(n) => self.kill(n),
             Step::StartAgain(n) => {
-                self.start_again(n)?;
+                self.restart_router(n)?;
                 self.load(n)?;
             }
-            Step::Freeze(n) => self.freeze(n)?,
-            Step::Wake(n) => self.wake(n)?,
+            Step::Freeze(n) => self.suspend(n)?,
+            Step::Wake(n) => self.resume(n)?,
             Step::Cut(a, b) => self.cut(a, b),
             Step::BlockDirection(a, b) => self.block_direction(a, b),
-            Step::Slow(a, b) => self.slow(a, b, 2_000.0),
+            Step::Slow(a, b) => self.limit_rate(a, b, 2_000.0),
             Step::Delay(a, b) => self.delay(a, b, Duration::from_millis(150)),
             Step::Lose(a, b) => self.corrupt(a, b, Corruption::Lost),
             Step::Repeat(a, b) => self.corrupt(a, b, Corruption::Repeated),
-            Step::Mend(a, b) => self.mend(a, b),
+            Step::Mend(a, b) => self.clear_faults(a, b),
             // The hierarchy may reject a batch that overtakes another; that is allowed.
             Step::Batch(n, cache) => _ = self.move_cache(n, cache),
             Step::Drain(cache, high) => {
                 let half = self.plan.routers / 2;
                 let notified: Vec<usize> = (0..self.plan.routers).filter(|n| (*n >= half) == high).collect();
-                self.tell(&format!("cache-{cache}"), Phase::Draining, &notified)?;
+                self.publish_phase(&format!("cache-{cache}"), Phase::Draining, &notified)?;
                 *drained = Some(cache);
             }
             Step::Back(cache) => {
                 let all: Vec<usize> = (0..self.plan.routers).collect();
-                self.tell(&format!("cache-{cache}"), Phase::Ready, &all)?;
+                self.publish_phase(&format!("cache-{cache}"), Phase::Ready, &all)?;
                 *drained = None;
             }
         }
@@ -161,19 +161,19 @@
     /// # Errors
     /// A process, a control socket or a file that fails, a wait that times out, or a finding of the checks of
     /// the run.
-    pub fn play(&mut self, script: &Script) -> Result<Played, HarnessError> {
+    pub fn run_script(&mut self, script: &Script) -> Result<ScriptResults, HarnessError> {
         self.load_all()?;
         let mut drained = None;
         for (pause, step) in script {
             thread::sleep(Duration::from_millis(*pause));
             self.step(*step, &mut drained).map_err(|source| HarnessError::Step { step: *step, source })?;
         }
-        self.mend_all();
+        self.clear_all_faults();
         for n in 0..self.plan.routers {
             match self.is_up(n) {
-                true => self.wake(n)?,
+                true => self.resume(n)?,
                 false => {
-                    self.start_again(n)?;
+                    self.restart_router(n)?;
                     self.load(n)?;
                 }
             }
@@ -197,7 +197,7 @@
             }
         }
         thread::sleep(Duration::from_millis(700));
-        let mut played = Played { settled_in, ..Played::default() };
+        let mut played = ScriptResults { settled_in, ..ScriptResults::default() };
         for n in 0..self.plan.routers {
             let shown = self.shown(n)?;
             played.drains += shown["drains"].as_u64().unwrap_or(0);
@@ -211,8 +211,8 @@
             played.refused += sum(&ends.refused);
             played.failed += sum(&ends.failed);
         }
-        let accounts = self.accounts()?;
-        self.accounted(&accounts)?;
+        let accounts = self.audit_logs()?;
+        self.check_audit_logs(&accounts)?;
         let mut findings = accounts.findings.iter();
         if let Some(finding) = findings.find(|finding| !matches!(finding, Finding::Gap { .. })) {
             return Err(HarnessError::AuditLogs(Box::new(finding.clone())));
--- a/crates/testbed/src/harness/verification.rs
+++ b/crates/testbed/src/harness/verification.rs
@@ -9,8 +9,8 @@
 use linnethook_audit::verification::{Finding, SpanRecord, VerifiedLogs};
 
 use super::{name, Harness, HarnessError};
-use crate::aggregates::quiet_from;
-use crate::checker::{judge, with_pauses, Breach, Rule, RuleBounds};
+use crate::aggregates::changes_known_at;
+use crate::checker::{adjust_for_pauses, judge, Breach, Rule, RuleBounds};
 use crate::recording::{now, RecordedEvent};
 
 impl Harness {
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn accounts(&self) -> io::Result<VerifiedLogs> {
+    pub fn audit_logs(&self) -> io::Result<VerifiedLogs> {
         let mut links = Vec::new();
         for n in self.up() {
             let file = self.fleet.write_file(&format!("accounts-{n}"), "")?;
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// The first booking that only one of the two has.
-    pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), HarnessError> {
+    pub fn check_audit_logs(&self, accounts: &VerifiedLogs) -> Result<(), HarnessError> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
         let mut recorded = BTreeSet::<(String, String)>::new();
@@ -95,7 +95,7 @@
 
     pub(super) fn rules(&self) -> RuleBounds {
         let aggregates = self.plan.aggregate_bounds();
-        RuleBounds { slack: 500.0, going_over: 7_000.0, aggregates, ..RuleBounds::default() }
+        RuleBounds { slack: 500.0, migration_grace: 7_000.0, aggregates, ..RuleBounds::default() }
     }
 
     /// Waits until all changes must be known everywhere by their bounds, then records the location summaries
@@ -103,8 +103,8 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn look(&self) -> io::Result<()> {
-        let due = quiet_from(&self.fleet.record.lines(), &self.rules());
+    pub fn show_after_changes(&self) -> io::Result<()> {
+        let due = changes_known_at(&self.fleet.record.lines(), &self.rules());
         thread::sleep(Duration::from_secs_f64((due - now()).max(0.0) / 1_000.0 + 0.01));
         self.up().into_iter().try_for_each(|n| self.shown(n).map(drop))
     }
@@ -112,7 +112,7 @@
     /// Breaches of all rules except those in `but`.
     pub fn breaches(&self, but: &[Rule]) -> Vec<Breach> {
         let rules = self.rules();
-        let lines = with_pauses(&self.fleet.record.lines(), 2_000.0);
+        let lines = adjust_for_pauses(&self.fleet.record.lines(), 2_000.0);
         let mut breaches = judge(&lines, &rules);
         breaches.retain(|breach| !but.contains(&breach.rule));
         breaches
--- a/crates/testbed/src/process_cluster/commands.rs
+++ b/crates/testbed/src/process_cluster/commands.rs
@@ -56,7 +56,7 @@
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn asked(&self, router: &str, arguments: &[&str]) -> io::Result<Value> {
+    pub fn query(&self, router: &str, arguments: &[&str]) -> io::Result<Value> {
         let socket = self.socket(router).display().to_string();
         let output = self.command(&[arguments, &["--socket", &socket, "--format", "json"]].concat())?;
         match output.status.success() {
@@ -79,7 +79,7 @@
     ) -> io::Result<Value> {
         let end = Instant::now() + PATIENCE;
         loop {
-            let shown = self.asked(router, arguments)?;
+            let shown = self.query(router, arguments)?;
             if fits(&shown) {
                 return Ok(shown);
             }
--- a/crates/testbed/src/process_cluster/configuration.rs
+++ b/crates/testbed/src/process_cluster/configuration.rs
@@ -7,26 +7,26 @@
 use serde_json::{json, Value};
 
 /// Deadline of requests, in milliseconds, for tests without time limits.
-pub const UNHURRIED: f64 = 30_000.0;
+pub const LONG_DEADLINE_MS: f64 = 30_000.0;
 
 /// Sets long objectives, deadlines and connect time-outs in a router's configuration. For tests that don't
 /// check times: on a busy machine any response may be late, and late requests are rejected.
-pub fn unhurried(config: &mut Value) {
+pub fn use_long_deadlines(config: &mut Value) {
     if let Some(grades) = config["settings"]["grades"].as_array_mut() {
         for grade in grades {
-            grade["objective"] = json!(UNHURRIED / 2.0);
-            grade["deadline"] = json!(UNHURRIED);
+            grade["objective"] = json!(LONG_DEADLINE_MS / 2.0);
+            grade["deadline"] = json!(LONG_DEADLINE_MS);
         }
     }
-    config["settings"]["allowed"]["connect-timeout"] = json!(UNHURRIED / 2.0);
+    config["settings"]["allowed"]["connect-timeout"] = json!(LONG_DEADLINE_MS / 2.0);
 }
 
-/// Like [`unhurried`], with a link flow in kB/s, from which a router computes when a response is overdue.
+/// Like [`use_long_deadlines`], with a link flow in kB/s, from which a router computes when a response is overdue.
 /// With a low flow a cache counts as hung only after seconds; a lower one also gives nodes that start cold
 /// fewer requests.
-pub fn unhurried_by_flow(flow: u32) -> impl Fn(&mut Value) {
+pub fn use_long_deadlines_and_flow(flow: u32) -> impl Fn(&mut Value) {
     move |config| {
-        unhurried(config);
+        use_long_deadlines(config);
         config["settings"]["family-info"]["flow-kb-per-s"] = json!(flow);
     }
 }
--- a/crates/testbed/src/process_cluster/events.rs
+++ b/crates/testbed/src/process_cluster/events.rs
@@ -20,9 +20,9 @@
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn tell(&self, node: &str, phase: Phase) -> io::Result<()> {
+    pub fn publish_phase(&self, node: &str, phase: Phase) -> io::Result<()> {
         for router in self.routers() {
-            self.tell_one(&router, node, phase)?;
+            self.publish_phase_to(&router, node, phase)?;
         }
         Ok(())
     }
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn tell_one(&self, router: &str, node: &str, phase: Phase) -> io::Result<()> {
+    pub fn publish_phase_to(&self, router: &str, node: &str, phase: Phase) -> io::Result<()> {
         let target = self.line(router, node, phase)?;
         let event = json!({"hosts": {"rev": 2, "all": false, "targets": [target]}});
         self.record.note(RecordedEvent::Listed { router: router.to_string(), node: node.to_string(), phase });
@@ -41,7 +41,7 @@
 
     /// Publishes to a router the phase of a node of another site. The recording has it for `bound`, a router
     /// of that site, which has to act on it from now on.
-    pub fn tell_foreign(&self, router: &str, node: &str, phase: Phase, bound: &str) {
+    pub fn publish_foreign_phase(&self, router: &str, node: &str, phase: Phase, bound: &str) {
         let state = if phase == Phase::Ready { "Ready" } else { "Terminating" };
         let target = json!({"uid": node, "endpoint": "127.0.0.1:1", "az": "elsewhere", "model": "box",
             "pod_group": 0, "state": state, "capacity_hint": 8, "boot_ms": 0});
@@ -54,26 +54,31 @@
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn restart(&mut self, node: &str) -> io::Result<()> {
+    pub fn restart_server(&mut self, node: &str) -> io::Result<()> {
         let listed = self.nodes.get_mut(node).ok_or(io::ErrorKind::NotFound)?;
-        listed.started = listed.node.start_again()?;
-        self.tell(node, Phase::Ready)
+        listed.started = listed.node.restart()?;
+        self.publish_phase(node, Phase::Ready)
     }
 
     /// Kills a server, starts a new one at its addresses, and notifies all routers of both.
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn succeed(&mut self, old: &str, new: &str, server_config: CacheServerConfig) -> io::Result<()> {
+    pub fn replace_server(
+        &mut self,
+        old: &str,
+        new: &str,
+        server_config: CacheServerConfig,
+    ) -> io::Result<()> {
         let (zone, capacity) = (self.nodes[old].zone.clone(), self.nodes[old].capacity);
         self.node(old).kill();
         self.add(new, &zone, capacity, server_config)?;
         for router in self.routers() {
-            let address = self.node(old).front(&router)?;
-            self.node(new).front_at(&router, address)?;
+            let address = self.node(old).address_for(&router)?;
+            self.node(new).listen_at(&router, address)?;
         }
-        self.tell(old, Phase::Removed)?;
-        self.tell(new, Phase::Ready)
+        self.publish_phase(old, Phase::Removed)?;
+        self.publish_phase(new, Phase::Ready)
     }
 
     /// Publishes a purge to all routers; servers drop their old copies after `drop_after`.
@@ -90,7 +95,7 @@
     }
 
     /// Publishes a purge to one router.
-    pub fn tell_purge(&self, router: &str, object: &str, stamp: f64) {
+    pub fn publish_purge_to(&self, router: &str, object: &str, stamp: f64) {
         let what = RecordedEvent::Purged {
             router: router.to_string(),
             object: Some(object.to_string()),
@@ -110,14 +115,14 @@
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn tell_batch(&self, router: &str, batch: &BatchSpec) -> io::Result<()> {
+    pub fn publish_batch(&self, router: &str, batch: &BatchSpec) -> io::Result<()> {
         self.routers[router].journal.publish(json!({"shape": serde_json::to_value(batch)?}));
         Ok(())
     }
 
     /// Records for the checker which edges may be used from a version on: the earlier ones, with the sources
     /// of the listed nodes replaced.
-    pub fn note_shape(&mut self, version: u64, lists: &[(&str, &[&str])]) {
+    pub fn record_hierarchy(&mut self, version: u64, lists: &[(&str, &[&str])]) {
         for (node, sources) in lists {
             self.edges.insert(node.to_string(), sources.iter().map(|source| source.to_string()).collect());
         }
--- a/crates/testbed/src/process_cluster/mod.rs
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -25,7 +25,8 @@
 use crate::recording::{Phase, Recording};
 
 pub use configuration::{
-    operator_file, reroute, router_program, sources, unhurried, unhurried_by_flow, UNHURRIED,
+    operator_file, reroute, router_program, sources, use_long_deadlines, use_long_deadlines_and_flow,
+    LONG_DEADLINE_MS,
 };
 
 /// Time-out of waits; longer than anything should take.
@@ -207,7 +208,7 @@
             Phase::Draining => "Terminating",
             Phase::Removed => "Gone",
         };
-        let address = listed.node.front(router)?;
+        let address = listed.node.address_for(router)?;
         Ok(json!({"uid": name, "endpoint": address.to_string(), "az": listed.zone, "model": kind,
             "pod_group": 0, "state": state, "capacity_hint": listed.capacity, "boot_ms": listed.started}))
     }
@@ -241,7 +242,7 @@
         let operator = operator.map(|(path, _)| path);
         let router = Router { journal, config: path, operator, process: None };
         self.routers.insert(name.to_string(), router);
-        self.start_again(name)
+        self.restart_router(name)
     }
 
     /// Sets the program of a router from its next start on; `None` is the default program.
@@ -256,7 +257,7 @@
     ///
     /// # Errors
     /// A process, a socket or a file that fails, or a name that does not exist.
-    pub fn start_again(&mut self, name: &str) -> io::Result<SocketAddr> {
+    pub fn restart_router(&mut self, name: &str) -> io::Result<SocketAddr> {
         let program = self.programs.get(name).unwrap_or(&self.program).clone();
         let router = self.routers.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
         router.process = None;
--- a/crates/testbed/src/rules.rs
+++ b/crates/testbed/src/rules.rs
@@ -14,9 +14,9 @@
     /// Tolerance that is added to every time bound, for sockets and thread scheduling.
     pub slack: Ms,
     /// How long a child that migrates to other sources may still use the old ones.
-    pub going_over: Ms,
+    pub migration_grace: Ms,
     /// Factor by which random bursts may exceed the number of requests that a node can take.
-    pub push_slack: f64,
+    pub overload_tolerance: f64,
     /// How stale the location summaries of routers may be.
     pub aggregates: AggregateBounds,
 }
@@ -27,8 +27,8 @@
             drain_grace: 250.0,
             purge_grace: 1_000.0,
             slack: 50.0,
-            going_over: 0.0,
-            push_slack: 1.1,
+            migration_grace: 0.0,
+            overload_tolerance: 1.1,
             aggregates: AggregateBounds::default(),
         }
     }
@@ -87,9 +87,9 @@
     /// How long an unreachable router is still counted in its site.
     pub suspect: Ms,
     /// How long a summary that is not renewed remains valid: three times `renew`.
-    pub relied_on: Ms,
+    pub summary_lifetime: Ms,
     /// Delay that each level of the location tree adds until a change in one part appears in the summary.
-    pub by_level: Ms,
+    pub level_delay: Ms,
     /// Shortest interval, at each level, between reports that a location has moved to another hierarchy
     /// version.
     pub moves: Ms,
@@ -99,6 +99,12 @@
 
 impl Default for AggregateBounds {
     fn default() -> Self {
-        Self { suspect: 1_000.0, relied_on: 30_000.0, by_level: 1_400.0, moves: 5_000.0, links: 2_000.0 }
+        Self {
+            suspect: 1_000.0,
+            summary_lifetime: 30_000.0,
+            level_delay: 1_400.0,
+            moves: 5_000.0,
+            links: 2_000.0,
+        }
     }
 }
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -52,7 +52,7 @@
             Fault::ControlKilled => self.journal.kill(false),
             Fault::Rack | Fault::ZoneStart => {}
             Fault::ZoneCut | Fault::RegionsApart | Fault::SlowMember => {
-                self.affected_proxies(fault).for_each(FaultProxy::mend);
+                self.affected_proxies(fault).for_each(FaultProxy::clear_faults);
                 self.journal.silence(&self.places.isolated, false);
             }
         }
--- a/crates/testbed/src/two_sites/link.rs
+++ b/crates/testbed/src/two_sites/link.rs
@@ -27,11 +27,11 @@
     }
 
     pub(super) fn delay(&mut self) -> Ms {
-        (self.play.delay + self.chance.random_range(0.0..=self.play.jitter.max(0.001))) * self.slow
+        (self.scenario.delay + self.random.random_range(0.0..=self.scenario.jitter.max(0.001))) * self.slow
     }
 
     pub(super) fn hang_up(&mut self, n: usize, conn: ConnectionId) {
-        let late = self.chance.random_range(0..2) == 0;
+        let late = self.random.random_range(0..2) == 0;
         let Some(wire) = self.wires.get_mut(&conn) else { return };
         wire.open[n] = false;
         wire.pipes[1 - n].ended = true;
@@ -59,7 +59,7 @@
             }
             self.sides[n].gateway.mark_written(conn, bytes.len());
             pipe.bytes += bytes.len();
-            pipe.busy = pipe.busy.max(self.now) + bytes.len() as Ms / self.play.carries;
+            pipe.busy = pipe.busy.max(self.now) + bytes.len() as Ms / self.scenario.carries;
             let arrives = pipe.busy + delay;
             // Jitter must not reorder bytes.
             let arrives = pipe.in_flight.back().map_or(arrives, |(at, _)| arrives.max(*at));
@@ -180,7 +180,7 @@
                 self.cut = true;
                 let conns: Vec<ConnectionId> = self.wires.keys().copied().collect();
                 for conn in conns {
-                    let late = self.chance.random_range(0..2) == 0;
+                    let late = self.random.random_range(0..2) == 0;
                     let Some(wire) = self.wires.get_mut(&conn) else { continue };
                     if !wire.announced[0] {
                         continue;
--- a/crates/testbed/src/two_sites/mod.rs
+++ b/crates/testbed/src/two_sites/mod.rs
@@ -87,9 +87,9 @@
 
 /// The simulation of two sites.
 pub struct Simulation {
-    play: Scenario,
+    scenario: Scenario,
     now: Ms,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     sides: Vec<Side>,
     wires: BTreeMap<ConnectionId, Wire>,
     last_conn: ConnectionId,
@@ -117,11 +117,11 @@
 
 impl Simulation {
     /// Sets up both sites, and schedules the faults of the script.
-    pub fn new(play: Scenario) -> Self {
-        let chance = Pcg64Mcg::seed_from_u64(play.seed);
-        let mut world = Self {
+    pub fn new(scenario: Scenario) -> Self {
+        let random = Pcg64Mcg::seed_from_u64(scenario.seed);
+        let mut simulation = Self {
             now: 0.0,
-            chance,
+            random,
             sides: Vec::new(),
             wires: BTreeMap::new(),
             last_conn: 0,
@@ -136,18 +136,18 @@
             next_id: 0,
             out: Outcome::default(),
             useful: 0,
-            play,
+            scenario,
         };
-        world.sides = (0..2).map(|n| world.side(n, 1)).collect();
-        for n in 0..world.play.script.len() {
-            world.plan(world.play.script[n].0, SimulationEvent::SiteFault(n));
+        simulation.sides = (0..2).map(|n| simulation.side(n, 1)).collect();
+        for n in 0..simulation.scenario.script.len() {
+            simulation.plan(simulation.scenario.script[n].0, SimulationEvent::SiteFault(n));
         }
         for side in 0..2 {
             for booking in [false, true] {
-                world.next_arrival(side, booking);
+                simulation.next_arrival(side, booking);
             }
         }
-        world
+        simulation
     }
 
     fn side(&self, n: usize, epoch: u64) -> Side {
@@ -156,11 +156,11 @@
             other_sites: vec![NAMES[1 - n].to_string()],
             node: "g".to_string(),
             epoch,
-            seed: self.play.seed * 10 + n as u64,
+            seed: self.scenario.seed * 10 + n as u64,
             // The north dials.
             dial_sites: if n == 0 { vec![NAMES[1].to_string()] } else { Vec::new() },
             accepts_cluster_peers: false,
-            config: self.play.rules,
+            config: self.scenario.rules,
         };
         let mut gateway = Gateway::new(self.now, setup);
         gateway.report_local_load(self.now, 3, 0.2);
@@ -173,10 +173,10 @@
     }
 
     fn next_arrival(&mut self, side: usize, booking: bool) {
-        let rate = if booking { self.play.bookings } else { self.play.reads };
+        let rate = if booking { self.scenario.bookings } else { self.scenario.reads };
         let Ok(gap) = Exp::new(rate / 1_000.0) else { return };
-        let at = self.now + gap.sample(&mut self.chance);
-        if rate > 0.0 && at < self.play.length {
+        let at = self.now + gap.sample(&mut self.random);
+        if rate > 0.0 && at < self.scenario.length {
             self.plan(at, SimulationEvent::Arrival(side, booking));
         }
     }
@@ -184,7 +184,7 @@
     /// Runs to the end of the scenario, and then for the waiting time of clients plus 1 s, so that all
     /// requests are answered.
     pub fn run(mut self) -> Outcome {
-        let end = self.play.length + self.play.wait + 1_000.0;
+        let end = self.scenario.length + self.scenario.wait + 1_000.0;
         while self.now < end {
             self.now += 1.0;
             while let Some(entry) =
@@ -230,7 +230,7 @@
                 self.arrive(side, booking);
             }
             SimulationEvent::Done(n, epoch, ticket, attempt) => self.done(n, epoch, ticket, attempt),
-            SimulationEvent::SiteFault(n) => self.apply_fault(self.play.script[n].1),
+            SimulationEvent::SiteFault(n) => self.apply_fault(self.scenario.script[n].1),
         }
     }
 }
--- a/crates/testbed/src/two_sites/requests.rs
+++ b/crates/testbed/src/two_sites/requests.rs
@@ -16,9 +16,9 @@
     pub(super) fn arrive(&mut self, n: usize, booking: bool) {
         self.next_id += 1;
         let (now, id) = (self.now, self.next_id);
-        let (least, most) = self.play.sizes;
-        let size = if booking { 400 } else { self.chance.random_range(least..=most) };
-        let (object, deadline) = (self.chance.random::<u64>(), now + self.play.wait);
+        let (least, most) = self.scenario.sizes;
+        let size = if booking { 400 } else { self.random.random_range(least..=most) };
+        let (object, deadline) = (self.random.random::<u64>(), now + self.scenario.wait);
         let asker = Asker {
             id,
             object,
@@ -47,7 +47,7 @@
         let side = &mut self.sides[n];
         side.last += 1;
         let ticket = side.last;
-        let wanted = wanted(&asker, self.play.aim);
+        let wanted = wanted(&asker, self.scenario.aim);
         side.askers.insert(ticket, asker);
         side.gateway.submit_request(now, ticket, wanted);
         self.carry_out(n);
@@ -90,7 +90,7 @@
                         own: false,
                         home: false,
                     };
-                    let wanted = wanted(&asker, self.play.aim);
+                    let wanted = wanted(&asker, self.scenario.aim);
                     self.sides[n].askers.insert(arrivals.ticket, asker);
                     self.sides[n].gateway.submit_request(self.now, arrivals.ticket, wanted);
                 }
@@ -119,8 +119,8 @@
         self.attempts += 1;
         let attempt = self.attempts;
         let took = match (capacity_at, asker.booking) {
-            (true, true) => self.chance.random_range(20.0..120.0),
-            (true, false) => self.chance.random_range(5.0..60.0),
+            (true, true) => self.random.random_range(20.0..120.0),
+            (true, false) => self.random.random_range(5.0..60.0),
             // The server is unreachable, which the site notices after 30 ms.
             (false, _) => 30.0,
         };
@@ -172,7 +172,7 @@
             return self.answer(n, ticket, Reply::Failed);
         }
         if attempt == 0 && asker.own && gateway.is_locally_unavailable(need) {
-            let wanted = wanted(&asker, self.play.aim);
+            let wanted = wanted(&asker, self.scenario.aim);
             if gateway.forward_rejected_request(now, ticket, wanted) {
                 if let Some(asker) = self.sides[n].askers.get_mut(&ticket) {
                     asker.home = false;
--- a/crates/testbed/src/two_sites/scenario.rs
+++ b/crates/testbed/src/two_sites/scenario.rs
@@ -130,38 +130,38 @@
 /// A script with `cuts` cuts, silences or slow phases of the link and some restarts of gateways. Stores and
 /// caches of the two sides fail in turn, so that some requests always have to cross the link.
 pub fn bad_day(seed: u64, length: Ms, cuts: usize) -> Script {
-    let mut chance = Pcg64Mcg::seed_from_u64(seed);
+    let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut script: Script = Vec::new();
     let every = length / cuts.max(1) as Ms;
     for n in 0..cuts {
-        let from = n as Ms * every + chance.random_range(0.0..every * 0.3);
-        let lasts = chance.random_range(0.02..0.5) * every;
-        let apply_fault = match chance.random_range(0..6) {
+        let from = n as Ms * every + random.random_range(0.0..every * 0.3);
+        let lasts = random.random_range(0.02..0.5) * every;
+        let apply_fault = match random.random_range(0..6) {
             0 | 1 => SiteFault::Cut,
             2 => SiteFault::Silent { to: [true, true] },
             3 => SiteFault::Silent { to: [true, false] },
             4 => SiteFault::Silent { to: [false, true] },
-            _ => SiteFault::Slow(chance.random_range(2.0..30.0)),
+            _ => SiteFault::Slow(random.random_range(2.0..30.0)),
         };
         script.push((from, apply_fault));
         script.push((from + lasts, SiteFault::Mend));
-        if chance.random_range(0..12) == 0 {
+        if random.random_range(0..12) == 0 {
             script.push((
-                from + chance.random_range(0.0..lasts * 1.5),
-                SiteFault::Restart(chance.random_range(0..2)),
+                from + random.random_range(0.0..lasts * 1.5),
+                SiteFault::Restart(random.random_range(0..2)),
             ));
         }
     }
     // The stores of the two sides fail in turn, and the caches of that side for a part of the time.
     let (mut at, mut side) = (500.0, 0);
     while at < length {
-        let lasts = chance.random_range(0.1..0.3) * length.min(20_000.0);
+        let lasts = random.random_range(0.1..0.3) * length.min(20_000.0);
         script.push((at, SiteFault::Store(side, false)));
         script.push((at + lasts, SiteFault::Store(side, true)));
-        let caches = chance.random_range(0.0..lasts);
+        let caches = random.random_range(0.0..lasts);
         script.push((at + caches * 0.5, SiteFault::Caches(side, false)));
         script.push((at + caches, SiteFault::Caches(side, true)));
-        at += lasts + chance.random_range(0.0..1_000.0);
+        at += lasts + random.random_range(0.0..1_000.0);
         side = 1 - side;
     }
     script.sort_by(|a, b| a.0.total_cmp(&b.0));
--- a/crates/testbed/tests/aggregates.rs
+++ b/crates/testbed/tests/aggregates.rs
@@ -13,8 +13,8 @@
 const QUIET: Ms = 10_000.0;
 
 fn rules() -> RuleBounds {
-    let (suspect, relied_on, by_level) = (500.0, 1_500.0, 400.0);
-    let aggregates = AggregateBounds { suspect, relied_on, by_level, moves: 500.0, links: 1_000.0 };
+    let (suspect, summary_lifetime, level_delay) = (500.0, 1_500.0, 400.0);
+    let aggregates = AggregateBounds { suspect, summary_lifetime, level_delay, moves: 500.0, links: 1_000.0 };
     RuleBounds { slack: 100.0, aggregates, ..RuleBounds::default() }
 }
 
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -22,7 +22,7 @@
     line(at, RecordedEvent::Final { request, code, dated })
 }
 
-fn asked(at: Ms, attempt: u64, node: &str, id: &str) -> RecordEntry {
+fn received(at: Ms, attempt: u64, node: &str, id: &str) -> RecordEntry {
     let router = Some(ROUTER.to_string());
     let (id, object) = (id.to_string(), "o".to_string());
     line(
@@ -81,8 +81,9 @@
     let by_source =
         Asked { at: "a".into(), source: Some("p".into()), router: router.clone(), ..Asked::default() };
     let by_path = Asked { at: "a".into(), via: vec!["p:h".into()], router, ..Asked::default() };
-    let booking =
-        |more: Vec<RecordEntry>| [vec![requested(0.0, 1, true), asked(10.0, 1, "o", "id1")], more].concat();
+    let booking = |more: Vec<RecordEntry>| {
+        [vec![requested(0.0, 1, true), received(10.0, 1, "o", "id1")], more].concat()
+    };
     let edges = [("a", "p"), ("p", "o")];
     // Each rule with a recording that follows it, and recordings with exactly one breach each.
     let table: Vec<(Rule, Vec<RecordEntry>, Vec<Vec<RecordEntry>>)> = vec![
@@ -105,23 +106,23 @@
             Rule::NoSecondEffect,
             booking(vec![
                 ended(20.0, 1, "", false),
-                asked(30.0, 2, "o", "id1"),
+                received(30.0, 2, "o", "id1"),
                 ended(40.0, 2, "", true),
                 answered(50.0, 1, 3, None),
             ]),
             vec![
                 booking(vec![
                     ended(20.0, 1, "", true),
-                    asked(30.0, 2, "o", "id1"),
+                    received(30.0, 2, "o", "id1"),
                     answered(50.0, 1, 1, None),
                 ]),
-                booking(vec![asked(30.0, 2, "o", "id1"), answered(50.0, 1, 1, None)]),
+                booking(vec![received(30.0, 2, "o", "id1"), answered(50.0, 1, 1, None)]),
                 booking(vec![ended(20.0, 1, "", true), answered(50.0, 1, 2, None)]),
                 booking(vec![answered(50.0, 1, 2, None)]),
                 booking(vec![
                     ended(20.0, 1, "", false),
                     answered(30.0, 1, 2, None),
-                    asked(50.0, 2, "o", "id1"),
+                    received(50.0, 2, "o", "id1"),
                 ]),
             ],
         ),
@@ -146,9 +147,10 @@
         ),
         (
             Rule::NoPush,
-            [vec![cold(0.0)], (0..3).map(|n| asked(f64::from(n), n as u64, "p", "x")).collect()].concat(),
+            [vec![cold(0.0)], (0..3).map(|n| received(f64::from(n), n as u64, "p", "x")).collect()].concat(),
             vec![
-                [vec![cold(0.0)], (0..4).map(|n| asked(f64::from(n), n as u64, "p", "x")).collect()].concat(),
+                [vec![cold(0.0)], (0..4).map(|n| received(f64::from(n), n as u64, "p", "x")).collect()]
+                    .concat(),
                 vec![line(0.0, RecordedEvent::Fell { node: "p".to_string() })],
             ],
         ),
@@ -196,7 +198,7 @@
             vec![vec![crossed("a", None, &["a", "b"])], vec![crossed("c", None, &["a", "a"])]],
         ),
     ];
-    let rules = RuleBounds { going_over: 1_000.0, ..RuleBounds::default() };
+    let rules = RuleBounds { migration_grace: 1_000.0, ..RuleBounds::default() };
     for (rule, fulfilled, broken) in table {
         assert_eq!(judge(&fulfilled, &rules), [], "a recording that follows {rule:?}");
         for (n, record) in broken.iter().enumerate() {
@@ -213,27 +215,31 @@
     let released = |at, request| line(at, RecordedEvent::Released { request });
     let fulfilled = [
         requested(0.0, 1, false),
-        asked(10.0, 1, "a", "id1"),
+        received(10.0, 1, "a", "id1"),
         released(100.0, 1),
         // Within the time that the router may take to notice.
-        asked(249.0, 2, "b", "id1"),
+        received(249.0, 2, "b", "id1"),
         requested(0.0, 2, false),
         answered(50.0, 2, 1, None),
         // The client had its answer, so it did not disconnect while waiting.
         released(60.0, 2),
-        asked(900.0, 3, "b", "id2"),
+        received(900.0, 3, "b", "id2"),
     ];
     let seen = disconnected_clients(&fulfilled, &RuleBounds::default());
-    assert_eq!((seen.cases, seen.sent_on.len(), seen.sent_on_late.len()), (1, 0, 0));
+    assert_eq!((seen.cases, seen.late_attempts.len(), seen.late_by_earlier_bound.len()), (1, 0, 0));
     // Later than the bound, and later than the earlier bound; each with a first and with a further attempt.
     for (at, late) in [(251.0, 0), (449.0, 0), (460.0, 1)] {
-        let first = [requested(0.0, 1, false), released(100.0, 1), asked(at, 1, "a", "id1")];
+        let first = [requested(0.0, 1, false), released(100.0, 1), received(at, 1, "a", "id1")];
         let further =
-            [first[0].clone(), asked(10.0, 1, "a", "id1"), first[1].clone(), asked(at, 2, "b", "id1")];
+            [first[0].clone(), received(10.0, 1, "a", "id1"), first[1].clone(), received(at, 2, "b", "id1")];
         for broken in [&first[..], &further[..]] {
             let seen = disconnected_clients(broken, &RuleBounds::default());
-            assert_eq!((seen.cases, seen.sent_on.len(), seen.sent_on_late.len()), (1, 1, late), "{at}");
-            assert_eq!(seen.sent_on[0].rule, Rule::NoneLeft);
+            assert_eq!(
+                (seen.cases, seen.late_attempts.len(), seen.late_by_earlier_bound.len()),
+                (1, 1, late),
+                "{at}"
+            );
+            assert_eq!(seen.late_attempts[0].rule, Rule::NoneLeft);
         }
     }
 }
--- a/crates/testbed/tests/two_sites.rs
+++ b/crates/testbed/tests/two_sites.rs
@@ -34,9 +34,9 @@
 /// Two runs of the same script give identical recordings.
 #[test]
 fn a_seed_determines_the_run() {
-    let play = Scenario { length: 8_000.0, script: bad_day(3, 8_000.0, 8), ..Scenario::default() };
-    let one = Simulation::new(play.clone()).run();
-    let other = Simulation::new(play).run();
+    let scenario = Scenario { length: 8_000.0, script: bad_day(3, 8_000.0, 8), ..Scenario::default() };
+    let one = Simulation::new(scenario.clone()).run();
+    let other = Simulation::new(scenario).run();
     assert_eq!(one.lines, other.lines);
     assert!(one.lines.len() > 500);
 }
@@ -60,8 +60,8 @@
 #[test]
 fn an_answer_that_is_too_long_aborts_only_its_own_stream() {
     let script = vec![(1_000.0, SiteFault::Caches(0, false)), (1_000.0, SiteFault::Store(0, false))];
-    let play = Scenario { length: 15_000.0, sizes: (100_000, 400_000), script, ..Scenario::default() };
-    let outcome = Simulation::new(play).run();
+    let scenario = Scenario { length: 15_000.0, sizes: (100_000, 400_000), script, ..Scenario::default() };
+    let outcome = Simulation::new(scenario).run();
     println!("{:?} {:?}, down at {:?}", outcome.reads, outcome.bookings, outcome.downs);
     assert!(outcome.downs.is_empty(), "the connection was closed at {:?}", outcome.downs);
     assert!(outcome.reads.served > 100 && outcome.reads.refused > 20, "{:?}", outcome.reads);
