--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -23,7 +23,7 @@
 use linnethook_membership::gossip::entry::{EntryKey, Purge};
 use linnethook_membership::versions::{ActiveVersions, RouterStatus};
 use linnethook_membership::view::ClusterCounters;
-use linnethook_testbed::scale::{self as sockets, by_place, join, SITE};
+use linnethook_testbed::scale::{self as sockets, add_link, links_by_location, ROUTERS_PER_SITE};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -188,14 +188,14 @@
     for a in 0..n {
         for dial in 0..dials {
             let b = if dial == 0 { (a + 1) % n } else { chance.random_range(0..n) };
-            join(&mut links, a, b);
+            add_link(&mut links, a, b);
         }
     }
     links
 }
 
 fn place(site: usize) -> Option<Location> {
-    Location::parse(&sockets::place(site)).ok()
+    Location::parse(&sockets::site_location(site)).ok()
 }
 
 /// One frame's facts, and its length on a link.
@@ -419,9 +419,10 @@
         let n = setup.routers;
         let links = match setup.form {
             Form::Flat => by_chance(&mut chance, n, setup.dials),
-            Form::Summary => by_place(&mut chance, n),
+            Form::Summary => links_by_location(&mut chance, n),
         };
-        let place = |node: usize| (setup.form == Form::Summary).then(|| place(node / SITE)).flatten();
+        let place =
+            |node: usize| (setup.form == Form::Summary).then(|| place(node / ROUTERS_PER_SITE)).flatten();
         let acts = ActiveVersions {
             build: env!("CARGO_PKG_VERSION").to_string(),
             settings_digest: 1 << 60,
@@ -851,7 +852,7 @@
         let now = self.now;
         let node = &mut self.nodes[n];
         let (Some((since, heard)), Some(core)) = (node.back, &node.core) else { return };
-        let wanted = if node.place.is_some() { node.links.len().min(SITE) } else { running };
+        let wanted = if node.place.is_some() { node.links.len().min(ROUTERS_PER_SITE) } else { running };
         if node.joined.is_none() && core.members().iter().count() + 1 >= wanted {
             node.joined = Some(now - since);
         }
--- a/crates/router/tests/gateway.rs
+++ b/crates/router/tests/gateway.rs
@@ -415,7 +415,7 @@
 #[test]
 fn a_bad_peer_is_broken_off() {
     let sites = sites("", CacheServerConfig::new);
-    let address = sites.south.links(SOUTH).expect("an address");
+    let address = sites.south.gateway_address(SOUTH).expect("an address");
     let hello = |site: &str, node: &str, epoch: u64| Hello {
         versions: SUPPORTED_VERSIONS,
         site: site.to_string(),
--- a/crates/testbed/src/fault_proxy/two_sites.rs
+++ b/crates/testbed/src/fault_proxy/two_sites.rs
@@ -31,7 +31,7 @@
         let proxy = FaultProxy::start(ProxyEnds { sites, record: north.record.clone() })?;
         let listens = format!("listen = \"127.0.0.1:0\"{settings}");
         south.start_router(SOUTH, Some(&operator("south", "north", &listens, "")), |_| {})?;
-        proxy.set_target(south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        proxy.set_target(south.gateway_address(SOUTH).ok_or(ErrorKind::NotFound)?);
         let link = format!("link(\"south\", connect = \"{}\", connections = 2)", proxy.address);
         let settings = settings.trim_start_matches(", ");
         north.start_router(NORTH, Some(&operator("north", "south", settings, &link)), |_| {})?;
@@ -45,7 +45,7 @@
     pub fn restart_south(&mut self) -> io::Result<()> {
         self.south.kill_router(SOUTH);
         self.south.restart_router(SOUTH)?;
-        self.proxy.set_target(self.south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        self.proxy.set_target(self.south.gateway_address(SOUTH).ok_or(ErrorKind::NotFound)?);
         Ok(())
     }
 
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -188,7 +188,7 @@
 
     /// Points the proxies of links to a router at the address where it listens since its last start.
     fn point_links_at(&self, n: usize) -> io::Result<()> {
-        let address = self.fleet.links(&name(n)).ok_or(io::ErrorKind::NotFound)?;
+        let address = self.fleet.gateway_address(&name(n)).ok_or(io::ErrorKind::NotFound)?;
         let here = self.proxies.iter().filter(|((_, to), _)| *to == n);
         here.for_each(|(_, proxy)| proxy.set_target(address));
         Ok(())
@@ -218,7 +218,7 @@
     pub fn start_duplicate(&mut self, of: usize) -> io::Result<String> {
         let key = format!("{}-twin", name(of));
         let others: Vec<usize> = (0..self.plan.routers).filter(|n| *n != of).collect();
-        let addresses = others.iter().filter_map(|n| Some((*n, self.fleet.links(&name(*n))?)));
+        let addresses = others.iter().filter_map(|n| Some((*n, self.fleet.gateway_address(&name(*n))?)));
         let text = operator(&self.plan, of, &self.site, &addresses.collect::<Vec<_>>());
         self.fleet.start_router(&key, Some(&text), |config| config["name"] = json!(name(of)))?;
         Ok(key)
--- a/crates/testbed/src/process_cluster/mod.rs
+++ b/crates/testbed/src/process_cluster/mod.rs
@@ -74,7 +74,7 @@
     child: Child,
     address: SocketAddr,
     /// Address for gateways of other sites, if it has a gateway.
-    links: Option<SocketAddr>,
+    gateway_address: Option<SocketAddr>,
     log: Receiver<String>,
 }
 
@@ -279,11 +279,11 @@
                 }
             }
         });
-        let mut process = Process { child, address: ([127, 0, 0, 1], 0).into(), links: None, log };
+        let mut process = Process { child, address: ([127, 0, 0, 1], 0).into(), gateway_address: None, log };
         let address = loop {
             let line = wait(&process.log, "")?;
-            if let Some(links) = gateway_address(&line) {
-                process.links = Some(links);
+            if let Some(address) = gateway_address(&line) {
+                process.gateway_address = Some(address);
             } else if let Some(address) = address_after(&line, " listens on ") {
                 break address;
             }
@@ -330,8 +330,8 @@
     }
 
     /// Address of a router for gateways of other sites.
-    pub fn links(&self, router: &str) -> Option<SocketAddr> {
-        self.routers.get(router)?.process.as_ref()?.links
+    pub fn gateway_address(&self, router: &str) -> Option<SocketAddr> {
+        self.routers.get(router)?.process.as_ref()?.gateway_address
     }
 
     /// Starts clients of a router.
--- a/crates/testbed/src/scale/layout.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -25,9 +25,9 @@
 /// Number of links between the two sides of a cut.
 const BRIDGES: usize = 8;
 /// Routers of a site, where routers have locations; the planned average is 22.
-pub const SITE: usize = 20;
+pub const ROUTERS_PER_SITE: usize = 20;
 /// Sites of a zone, and zones of a region; the planned averages are 4.8 and 4.
-pub const PARTS: usize = 4;
+pub const PARTS_PER_LEVEL: usize = 4;
 /// Caches in the endpoint list; without clients they get no requests.
 const CACHES: usize = 8;
 
@@ -80,7 +80,9 @@
         };
         let cut = matches!(plan.fault, Some(Fault::ZoneCut | Fault::RegionsApart));
         let dials = match plan.places {
-            true => by_place(&mut random, all).into_iter().enumerate().flat_map(links_upwards).collect(),
+            true => {
+                links_by_location(&mut random, all).into_iter().enumerate().flat_map(links_upwards).collect()
+            }
             false => dials(all, plan.dials, if cut { &isolated } else { &[] }, &mut random),
         };
         let first = |form| forms.iter().position(|f| *f == form);
@@ -149,7 +151,7 @@
     /// routers listen and connect.
     pub fn write_operator(&self, n: usize) -> Result<(), Failure> {
         let cluster_settings = match self.with_locations {
-            true => format!("place = \"{}\"", place(n / SITE)),
+            true => format!("place = \"{}\"", site_location(n / ROUTERS_PER_SITE)),
             false => String::new(),
         };
         let mut text = format!(
@@ -210,7 +212,7 @@
 }
 
 /// Adds a link between two different routers, in both directions.
-pub fn join(links: &mut [BTreeSet<usize>], a: usize, b: usize) {
+pub fn add_link(links: &mut [BTreeSet<usize>], a: usize, b: usize) {
     if a != b {
         links[a].insert(b);
         links[b].insert(a);
@@ -218,9 +220,9 @@
 }
 
 /// The location of a site, by its number.
-pub fn place(site: usize) -> String {
-    let zone = site / PARTS;
-    format!("r{:02}/z{zone:03}/s{site:04}", zone / PARTS)
+pub fn site_location(site: usize) -> String {
+    let zone = site / PARTS_PER_LEVEL;
+    format!("r{:02}/z{zone:03}/s{site:04}", zone / PARTS_PER_LEVEL)
 }
 
 /// Pairs with the higher-numbered ends of a router's links, so that each link is listed once.
@@ -231,30 +233,33 @@
 /// The links of a fleet with locations, by router. Within a site each router is linked with the next one, and
 /// every second one with the one opposite. Each site has links to the next site of its zone (two), the next
 /// zone and the next region, and at each of these levels one to a random site.
-pub fn by_place(random: &mut Pcg64Mcg, n: usize) -> Vec<BTreeSet<usize>> {
+pub fn links_by_location(random: &mut Pcg64Mcg, n: usize) -> Vec<BTreeSet<usize>> {
     let mut links = vec![BTreeSet::new(); n];
-    let sites = n.div_ceil(SITE);
+    let sites = n.div_ceil(ROUTERS_PER_SITE);
     let within = |site: usize, at: usize| {
-        let first = site * SITE;
-        first + at % (n - first).min(SITE)
+        let first = site * ROUTERS_PER_SITE;
+        first + at % (n - first).min(ROUTERS_PER_SITE)
     };
     for site in 0..sites {
-        let size = (n - site * SITE).min(SITE);
+        let size = (n - site * ROUTERS_PER_SITE).min(ROUTERS_PER_SITE);
         for at in 0..size {
-            join(&mut links, within(site, at), within(site, at + 1));
+            add_link(&mut links, within(site, at), within(site, at + 1));
             if at % 2 == 0 {
-                join(&mut links, within(site, at), within(site, at + size / 2));
+                add_link(&mut links, within(site, at), within(site, at + size / 2));
             }
         }
         let mut outer_links = 0;
         let mut link_to = |links: &mut Vec<BTreeSet<usize>>, other: usize| {
             outer_links += 1;
-            join(links, within(site, outer_links), within(other, outer_links + SITE / 2));
+            add_link(links, within(site, outer_links), within(other, outer_links + ROUTERS_PER_SITE / 2));
         };
-        for step in [1, PARTS, PARTS * PARTS] {
+        for step in [1, PARTS_PER_LEVEL, PARTS_PER_LEVEL * PARTS_PER_LEVEL] {
             let (first, end) = match step {
-                1 => (site / PARTS * PARTS, site / PARTS * PARTS + PARTS),
-                PARTS => (site / 16 * 16, site / 16 * 16 + 16),
+                1 => (
+                    site / PARTS_PER_LEVEL * PARTS_PER_LEVEL,
+                    site / PARTS_PER_LEVEL * PARTS_PER_LEVEL + PARTS_PER_LEVEL,
+                ),
+                PARTS_PER_LEVEL => (site / 16 * 16, site / 16 * 16 + 16),
                 _ => (0, sites),
             };
             let (first, end) = (first.min(sites), end.min(sites));
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -57,7 +57,7 @@
 use process::{Counters, Processes, TIMEOUT};
 use purges::Purges;
 
-pub use layout::{by_place, join, place, PARTS, SITE};
+pub use layout::{add_link, links_by_location, site_location, PARTS_PER_LEVEL, ROUTERS_PER_SITE};
 pub use plan::{
     Failure, Fault, Form, Plan, Sample, MAX_CORE_SHARE, MAX_DURATION, MAX_MEMORY_BYTES, MAX_PROCESSES,
     MAX_ROUTERS, SLOW_LINK_RATE,
@@ -77,7 +77,7 @@
 pub fn run(plan: &Plan) -> Result<Vec<Sample>, Failure> {
     check(plan)?;
     let mut harness = Harness::start(plan)?;
-    harness.join()?;
+    harness.wait_until_joined()?;
     let window = harness.run_load()?;
     harness.wait_until_applied()?;
     harness.rows(&window)
@@ -174,12 +174,12 @@
     }
 
     /// Waits until all routers know each other.
-    fn join(&mut self) -> Result<(), Failure> {
+    fn wait_until_joined(&mut self) -> Result<(), Failure> {
         let begun = self.starts.iter().map(|(_, at)| *at).min().unwrap_or(self.until);
         let all = self.layout.forms.len();
         if self.plan.places {
             // Polls the first router of each site.
-            for first in (0..all).step_by(SITE) {
+            for first in (0..all).step_by(ROUTERS_PER_SITE) {
                 loop {
                     let fleet_size = self.command(first, &["fleet", "show"])?["whole"].as_u64();
                     if fleet_size == Some(all as u64) {
