--- a/crates/testbed/src/bin/process-faults.rs
+++ b/crates/testbed/src/bin/process-faults.rs
@@ -11,7 +11,7 @@
 use std::sync::Mutex;
 use std::thread;
 
-use linnethook_testbed::harness::{script, Harness, HarnessError, Plan, Script, ScriptResults};
+use linnethook_testbed::harness::{script, Harness, HarnessError, Plan, Played, Script};
 use linnethook_testbed::process_cluster::router_program;
 
 type Failure = Box<dyn std::error::Error + Send + Sync>;
@@ -54,14 +54,14 @@
     Ok(wanted)
 }
 
-fn run(program: &PathBuf, seed: u64, steps: usize) -> (Script, Result<ScriptResults, HarnessError>) {
+fn run(program: &PathBuf, seed: u64, steps: usize) -> (Script, Result<Played, HarnessError>) {
     let routers = 3 + seed as usize % 5;
     let plan = Plan { routers, at_once: 0, ..Plan::default() };
     let script = script(seed, routers, plan.caches, steps);
-    let played = Harness::start(program, plan)
+    let results = Harness::start(program, plan)
         .map_err(HarnessError::from)
         .and_then(|mut harness| harness.run_script(&script));
-    (script, played)
+    (script, results)
 }
 
 fn main() -> Result<ExitCode, Failure> {
@@ -78,14 +78,14 @@
                 if seed >= seeds.end {
                     return;
                 }
-                let (script, played) = run(&program, seed, steps);
-                match played {
-                    Ok(played) => {
+                let (script, results) = run(&program, seed, steps);
+                match results {
+                    Ok(results) => {
                         if alone {
-                            println!("{script:#?}\n{played:?}");
+                            println!("{script:#?}\n{results:?}");
                         }
                         if let Ok(mut all) = all.lock() {
-                            all.push(played);
+                            all.push(results);
                         }
                     }
                     Err(why) => {
@@ -97,8 +97,8 @@
         }
     });
     let all = all.into_inner().unwrap_or_default();
-    let sum = |what: fn(&ScriptResults) -> u64| all.iter().map(what).sum::<u64>();
-    let mut times: Vec<_> = all.iter().map(|played| played.settled_in).collect();
+    let sum = |what: fn(&Played) -> u64| all.iter().map(what).sum::<u64>();
+    let mut times: Vec<_> = all.iter().map(|results| results.settled_in).collect();
     times.sort_unstable();
     let at = |part: usize| times.get(times.len().saturating_sub(1) * part / 100).copied().unwrap_or_default();
     let failed = failed.into_inner();
@@ -107,12 +107,12 @@
              {} drains and {} batches received by \
          gossip first; converged after the last fault: median {:.2?}, 99% {:.2?}, last {:.2?}",
         all.len() as u64 + failed,
-        sum(|played| u64::from(played.asked)),
-        sum(|played| u64::from(played.served)),
-        sum(|played| u64::from(played.refused)),
-        sum(|played| u64::from(played.failed)),
-        sum(|played| played.drains),
-        sum(|played| played.batches),
+        sum(|results| u64::from(results.asked)),
+        sum(|results| u64::from(results.served)),
+        sum(|results| u64::from(results.refused)),
+        sum(|results| u64::from(results.failed)),
+        sum(|results| results.drains),
+        sum(|results| results.batches),
         at(50),
         at(99),
         at(100)
--- a/crates/testbed/src/harness/mod.rs
+++ b/crates/testbed/src/harness/mod.rs
@@ -36,7 +36,7 @@
 
 pub use error::HarnessError;
 pub use plan::Plan;
-pub use script::{script, Script, ScriptResults, Step};
+pub use script::{script, Played, Script, Step};
 
 /// Zone of the caches.
 const ZONE: &str = "shop";
--- a/crates/testbed/src/harness/script.rs
+++ b/crates/testbed/src/harness/script.rs
@@ -104,7 +104,7 @@
 
 /// Results of a script.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct ScriptResults {
+pub struct Played {
     /// Requests of clients.
     pub asked: u32,
     /// Requests that were served.
@@ -161,7 +161,7 @@
     /// # Errors
     /// A process, a control socket or a file that fails, a wait that times out, or a finding of the checks of
     /// the run.
-    pub fn run_script(&mut self, script: &Script) -> Result<ScriptResults, HarnessError> {
+    pub fn run_script(&mut self, script: &Script) -> Result<Played, HarnessError> {
         self.load_all()?;
         let mut drained = None;
         for (pause, step) in script {
@@ -197,29 +197,29 @@
             }
         }
         thread::sleep(Duration::from_millis(700));
-        let mut played = ScriptResults { settled_in, ..ScriptResults::default() };
+        let mut results = Played { settled_in, ..Played::default() };
         for n in 0..self.plan.routers {
             let shown = self.shown(n)?;
-            played.drains += shown["drains"].as_u64().unwrap_or(0);
-            played.batches += shown["batches"].as_u64().unwrap_or(0);
+            results.drains += shown["drains"].as_u64().unwrap_or(0);
+            results.batches += shown["batches"].as_u64().unwrap_or(0);
         }
         self.end_loads();
         for ends in &self.ends {
             let sum = |list: &[u32]| list.iter().sum::<u32>();
-            played.asked += sum(&ends.asked);
-            played.served += sum(&ends.served);
-            played.refused += sum(&ends.refused);
-            played.failed += sum(&ends.failed);
+            results.asked += sum(&ends.asked);
+            results.served += sum(&ends.served);
+            results.refused += sum(&ends.refused);
+            results.failed += sum(&ends.failed);
         }
-        let accounts = self.audit_logs()?;
-        self.check_audit_logs(&accounts)?;
-        let mut findings = accounts.findings.iter();
+        let logs = self.audit_logs()?;
+        self.check_audit_logs(&logs)?;
+        let mut findings = logs.findings.iter();
         if let Some(finding) = findings.find(|finding| !matches!(finding, Finding::Gap { .. })) {
             return Err(HarnessError::AuditLogs(Box::new(finding.clone())));
         }
         // Two partitions that change the hierarchy independently can use the same version number for
         // different hierarchies, which the recording can't distinguish.
         self.check(&[Rule::NoStrangeEdge])?;
-        Ok(played)
+        Ok(results)
     }
 }
--- a/crates/testbed/src/harness/verification.rs
+++ b/crates/testbed/src/harness/verification.rs
@@ -19,9 +19,9 @@
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
     pub fn audit_logs(&self) -> io::Result<VerifiedLogs> {
-        let mut links = Vec::new();
+        let mut all_records = Vec::new();
         for n in self.up() {
-            let file = self.fleet.write_file(&format!("accounts-{n}"), "")?;
+            let file = self.fleet.write_file(&format!("audit-export-{n}"), "")?;
             let socket = self.fleet.socket(&name(n)).display().to_string();
             let output =
                 self.fleet.command(&["audit", "export", &file.display().to_string(), "--socket", &socket])?;
@@ -29,9 +29,9 @@
                 return Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()));
             }
             let records = read_file(&std::fs::read(&file)?);
-            links.extend(records.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?);
+            all_records.extend(records.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?);
         }
-        Ok(VerifiedLogs::new(links))
+        Ok(VerifiedLogs::new(all_records))
     }
 
     /// Checks the audit logs against the recording: each booking that reached a server is in some audit log
@@ -40,17 +40,17 @@
     ///
     /// # Errors
     /// The first booking that only one of the two has.
-    pub fn check_audit_logs(&self, accounts: &VerifiedLogs) -> Result<(), HarnessError> {
+    pub fn check_audit_logs(&self, logs: &VerifiedLogs) -> Result<(), HarnessError> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
         let mut recorded = BTreeSet::<(String, String)>::new();
         let mut open = Vec::new();
-        let known_from = accounts.earliest_known();
-        for SpanRecord { name: router, span, .. } in accounts.spans() {
+        let known_from = logs.earliest_known();
+        for SpanRecord { name: router, span, .. } in logs.spans() {
             for booking in &span.write_attempts {
                 recorded.insert((router.to_string(), booking.request_id.clone()));
                 // Only an attempt with one of these outcomes is certain to have reached the server.
-                let mut ends = accounts
+                let mut ends = logs
                     .attempts_of_request(&booking.request_id)
                     .into_iter()
                     .filter(|trace| trace.name == router);
@@ -81,7 +81,7 @@
             // that time.
             let before = known_from.get(router).is_none_or(|from| line.at <= from.ms as f64 + 50.0);
             let known = before || recorded.contains(&(router.to_string(), asked.id.clone()));
-            if !known && !accounts.findings.iter().any(in_gap) {
+            if !known && !logs.findings.iter().any(in_gap) {
                 let (router, id) = (router.to_string(), asked.id.clone());
                 return Err(HarnessError::NotAudited { router, id, at: line.at });
             }
--- a/crates/testbed/src/scale/faults.rs
+++ b/crates/testbed/src/scale/faults.rs
@@ -118,14 +118,14 @@
         if self.noticed.is_empty() && seen.iter().all(|(.., alive)| *alive <= here) {
             self.noticed = seen.iter().map(since(began)).collect();
         }
-        let mended = match fault {
+        let recovery_start = match fault {
             Fault::ZoneStart => Some(began).filter(|_| all_restarted),
             Fault::ZoneCut | Fault::RegionsApart => ended.filter(|_| !self.noticed.is_empty()),
             Fault::Rack | Fault::ControlKilled | Fault::SlowMember => None,
         };
-        let back = seen.iter().all(|(.., alive)| *alive == others);
-        if let Some(mended) = mended.filter(|_| back) {
-            self.recovered = seen.iter().map(since(mended)).collect();
+        let sees_all = seen.iter().all(|(.., alive)| *alive == others);
+        if let Some(start) = recovery_start.filter(|_| sees_all) {
+            self.recovered = seen.iter().map(since(start)).collect();
         }
         Ok(())
     }
--- a/crates/testbed/src/scale/mod.rs
+++ b/crates/testbed/src/scale/mod.rs
@@ -409,13 +409,13 @@
 
     /// The versions of the hierarchy that a router acted on, each with its first time, from its audit log.
     fn versions_acted_on(&self, n: usize) -> Result<Vec<Change>, Failure> {
-        let file = self.layout.folder.join("accounts");
+        let file = self.layout.folder.join("audit-export");
         self.command(n, &["audit", "export", &file.display().to_string()])?;
-        let links = read_file(&std::fs::read(&file)?)?;
+        let records = read_file(&std::fs::read(&file)?)?;
         // Records of other routers are replicas.
-        let records =
-            links.iter().filter(|link| link.name == name(n)).filter_map(|link| link.decode_record().ok());
-        let spans = records.filter_map(|record| match record {
+        let own = records.iter().filter(|record| record.name == name(n));
+        let decoded = own.filter_map(|record| record.decode_record().ok());
+        let spans = decoded.filter_map(|record| match record {
             AuditRecord::Span(span) => Some((span.versions.hierarchy.version, span.from.ms as f64)),
             _ => None,
         });
