--- a/crates/testbed/tests/aggregates.rs
+++ b/crates/testbed/tests/aggregates.rs
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_wrong_count_is_detected_after_its_bound() {
+fn an_incorrect_count_is_detected_after_its_bound() {
     is_detected(
         &healthy_fleet_with(vec![shown(QUIET, 4, 5, in_north(3))]),
         "shows 3 alive in s, where 4 run",
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_location_with_wrong_reachability_is_detected() {
+fn a_location_with_incorrect_reachability_is_detected() {
     let cut = |places| {
         healthy_fleet_with(
             [across(QUIET, LinkState::Closed), vec![shown(2.0 * QUIET, 4, 5, places)]].concat(),
