--- a/crates/router/tests/audit.rs
+++ b/crates/router/tests/audit.rs
@@ -34,11 +34,11 @@
 }
 
 fn run_floor(harness: &Harness, n: usize, arguments: &[&str]) {
-    harness.fleet.asked(&name(n), &[&["fleet", "floor"], arguments].concat()).expect("accepted");
+    harness.fleet.query(&name(n), &[&["fleet", "floor"], arguments].concat()).expect("accepted");
 }
 
 fn hierarchy_version(harness: &Harness, n: usize) -> u64 {
-    harness.fleet.asked(&name(n), &["hierarchy", "show"]).expect("shown")["version"]
+    harness.fleet.query(&name(n), &["hierarchy", "show"]).expect("shown")["version"]
         .as_u64()
         .expect("a version")
 }
@@ -52,14 +52,14 @@
     pause(800);
     harness.move_cache(1, 0).expect("applied");
     harness.settle().expect("all act on the change");
-    harness.tell("cache-1", Phase::Draining, &[0]).expect("published");
+    harness.publish_phase("cache-1", Phase::Draining, &[0]).expect("published");
     for n in [1, 2] {
         harness.until(n, "the drain", |shown| shown["drains"] == 1).expect("received");
     }
     pause(500);
     harness.end_loads();
-    let logs = harness.accounts().expect("audit logs");
-    harness.accounted(&logs).expect("the same as the recording");
+    let logs = harness.audit_logs().expect("audit logs");
+    harness.check_audit_logs(&logs).expect("the same as the recording");
     let (succeeded, text) = run_audit(&harness, &[0, 1, 2], &["settled", "2"]);
     assert!(succeeded && text.lines().filter(|l| l.contains("ms after the first")).count() == 3, "{text}");
     let (succeeded, text) = run_audit(&harness, &[0, 1, 2], &["heeded", "2"]);
@@ -92,13 +92,13 @@
     pause(2_500);
     harness.kill(2);
     pause(300);
-    harness.start_again(2).expect("restarted");
+    harness.restart_router(2).expect("restarted");
     harness.load(2).expect("the load starts");
     pause(1_200);
     harness.stop(1).expect("stopped");
     harness.end_loads();
-    let logs = harness.accounts().expect("audit logs");
-    harness.accounted(&logs).expect("the same as the recording, except for gaps");
+    let logs = harness.audit_logs().expect("audit logs");
+    harness.check_audit_logs(&logs).expect("the same as the recording, except for gaps");
     let gaps: Vec<&Finding> = logs.findings.iter().collect();
     let gap_count = |router: &str| {
         gaps.iter().filter(|f| matches!(f, Finding::Gap { name, .. } if name == router)).count()
@@ -131,12 +131,12 @@
     let log = directory.join("promises");
     let bytes = std::fs::read(&log).expect("a log");
     std::fs::write(&log, &bytes[..bytes.len() - 3]).expect("truncated");
-    harness.start_again(0).expect("restarted");
+    harness.restart_router(0).expect("restarted");
     harness.load(0).expect("the load starts");
     pause(900);
     harness.end_loads();
-    let logs = harness.accounts().expect("audit logs");
-    harness.accounted(&logs).expect("the same as the recording, except for gaps");
+    let logs = harness.audit_logs().expect("audit logs");
+    harness.check_audit_logs(&logs).expect("the same as the recording, except for gaps");
     let starts = logs.incarnations().filter(|log| log.name == "r0").count();
     assert_eq!(starts, 2, "the log of the earlier incarnation is there too");
     std::fs::remove_dir_all(&directory).expect("removed");
@@ -162,7 +162,7 @@
         shown["state"] == "Well" && shown["shut_out"] == 0,
         "a cut alone must not shut a router out: {shown}"
     );
-    harness.mend_all();
+    harness.clear_all_faults();
     harness
         .until(2, "the floor and the batch", |shown| shown["fellows"]["floor"] == 2 && shown["batches"] == 1)
         .expect("received");
@@ -215,7 +215,7 @@
     assert!(shut_out > Some(0));
     // The floor is a gossiped fact: a router that restarts meanwhile learns it from its peers.
     harness.kill(2);
-    harness.start_again(2).expect("restarted");
+    harness.restart_router(2).expect("restarted");
     harness.load(2).expect("the load starts");
     harness.until(2, "the floor after a restart", is_shut_out).expect("received");
     for n in 0..3 {
@@ -228,8 +228,8 @@
     pause(700);
     harness.end_loads();
     harness.check(&[Rule::NoOldVersion]).expect("no rule is broken");
-    let logs = harness.accounts().expect("audit logs");
-    harness.accounted(&logs).expect("the same as the recording");
+    let logs = harness.audit_logs().expect("audit logs");
+    harness.check_audit_logs(&logs).expect("the same as the recording");
     let (_, text) = run_audit(&harness, &[0], &["who", "1"]);
     assert!(text.contains("not executed as a straggler"), "{text}");
 }
@@ -268,7 +268,7 @@
     assert_eq!(attempts.count(), 0);
     harness.silence_journal(0, false);
     harness.until(0, "its journal alone is enough", |shown| shown["state"] == "Well").expect("shown");
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.settle().expect("all act on the same hierarchy");
     harness.end_loads();
     harness.check(&[]).expect("no rule is broken");
@@ -291,7 +291,7 @@
         1,
         "the minority must not raise the floor"
     );
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.until(2, "the version is settled", |shown| shown["fellows"]["floor"] == 2).expect("received");
     harness.settle().expect("all act on the same hierarchy");
     harness.check(&[]).expect("no rule is broken");
@@ -307,17 +307,17 @@
     harness.fleet.node("origin").script().add(linnethook_testbed::faults::Fault::Slow(400.0), slow);
     harness.load_all().expect("the load starts");
     pause(1_500);
-    harness.freeze(1).expect("stopped");
-    harness.tell("cache-0", Phase::Draining, &[0, 2]).expect("published");
+    harness.suspend(1).expect("stopped");
+    harness.publish_phase("cache-0", Phase::Draining, &[0, 2]).expect("published");
     pause(10_000);
-    harness.wake(1).expect("resumed");
+    harness.resume(1).expect("resumed");
     harness.until(1, "the drain", |shown| shown["drains"] == 1).expect("received");
     harness.settle().expect("all act on the same hierarchy");
     pause(500);
     harness.end_loads();
     harness.check(&[]).expect("no rule is broken, and nothing ran twice");
-    let logs = harness.accounts().expect("audit logs");
-    harness.accounted(&logs).expect("the same as the recording");
+    let logs = harness.audit_logs().expect("audit logs");
+    harness.check_audit_logs(&logs).expect("the same as the recording");
 }
 
 /// The directory of an audit log is restored to an earlier state: the copies at the peers have more records,
@@ -336,11 +336,11 @@
     pause(1_500);
     harness.stop(0).expect("stopped");
     std::fs::write(directory.join("promises"), before).expect("restored");
-    harness.start_again(0).expect("restarted");
+    harness.restart_router(0).expect("restarted");
     pause(300);
     harness.end_loads();
-    let logs = harness.accounts().expect("audit logs");
-    harness.accounted(&logs).expect("the same as the recording");
+    let logs = harness.audit_logs().expect("audit logs");
+    harness.check_audit_logs(&logs).expect("the same as the recording");
     let only_gaps = logs.findings.iter().all(|finding| matches!(finding, Finding::Gap { .. }));
     assert!(only_gaps, "{:?}", logs.findings);
     let first =
@@ -365,7 +365,7 @@
     harness.fleet.until("r0", &["hierarchy", "show"], "a warming move", is_warming).expect("the move begins");
     run_floor(&harness, 0, &["set", "2"]);
     pause(600);
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.until(2, "the batch", |shown| shown["batches"] == 1).expect("received");
     harness.until(2, "it has caught up", |shown| shown["state"] == "Well").expect("shown");
     harness.settle().expect("all act on the same hierarchy");
--- a/crates/router/tests/client_departures.rs
+++ b/crates/router/tests/client_departures.rs
@@ -281,7 +281,7 @@
     (1..=4).for_each(|stream| clients[1].give_up(stream).expect("sent"));
     let shown = ["hierarchy", "show"];
     fleet.until("n0", &shown, "no queued fill", |shown| shown["waiting_fills"] == 0).expect("shown");
-    let counts = fleet.asked("n0", &shown).expect("shown")["counts"].clone();
+    let counts = fleet.query("n0", &shown).expect("shown")["counts"].clone();
     let count = |name: &str| counts[name].as_u64().expect("a number");
     assert_eq!(count("waited"), 4, "{counts}");
     // On a stalled machine one of them may time out first.
@@ -465,15 +465,15 @@
             "seed {seed} busy {busy} may cancel {may_cancel}: {} abandoned, {} sent after 0.1 s, \
              {} after 0.3 s; slack {:.0} ms",
             found.cases,
-            found.sent_on.len(),
-            found.sent_on_late.len(),
+            found.late_attempts.len(),
+            found.late_by_earlier_bound.len(),
             rules.slack
         );
-        found.sent_on.iter().take(5).for_each(|breach| println!("    {breach}"));
+        found.late_attempts.iter().take(5).for_each(|breach| println!("    {breach}"));
         // How many requests are answered before their client disconnects depends on the speed of this
         // machine.
         assert!(found.cases >= 20, "{}", found.cases);
-        breaches.extend(found.sent_on);
+        breaches.extend(found.late_attempts);
     }
     assert!(breaches.is_empty(), "{} requests sent", breaches.len());
 }
--- a/crates/router/tests/locations.rs
+++ b/crates/router/tests/locations.rs
@@ -85,7 +85,7 @@
         .until(3, "r2 is the aggregator for the zone", |shown| is_summarized(shown, "south/z1/a", 2, 1))
         .expect("shown");
     for n in [0, 1] {
-        harness.start_again(n).expect("restarted");
+        harness.restart_router(n).expect("restarted");
         harness.load(n).expect("the load starts");
     }
     harness.until(5, "r0 is the aggregator again", |shown| knows_both_regions(shown, 0, 5)).expect("shown");
@@ -100,9 +100,9 @@
     let mut harness = start_harness();
     harness.load_all().expect("the load starts");
     harness.until(5, "all are counted", |shown| knows_both_regions(shown, 0, 5)).expect("shown");
-    harness.freeze(0).expect("stopped");
+    harness.suspend(0).expect("stopped");
     harness.until(5, "r1 is the aggregator", |shown| knows_both_regions(shown, 1, 4)).expect("shown");
-    harness.wake(0).expect("resumed");
+    harness.resume(0).expect("resumed");
     harness.until(5, "r0 is the aggregator again", |shown| knows_both_regions(shown, 0, 5)).expect("shown");
     // Its messages to its site are lost: it is not alive for that site, even if other sites receive it.
     harness.block_direction(0, 1);
@@ -112,10 +112,10 @@
     harness
         .until(3, "r1 is the aggregator of the site", |shown| is_summarized(shown, "south/z1/a", 1, 2))
         .expect("shown");
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.until(5, "r0 is the aggregator again", |shown| knows_both_regions(shown, 0, 5)).expect("shown");
     harness.settle().expect("all act on the same hierarchy");
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     harness.end_loads();
     harness.check(&[]).expect("no rule is broken");
 }
@@ -133,7 +133,7 @@
             && is_summarized(shown, "north", 5, 2)
     };
     harness.until(6, "the summary of the south is stale", is_partitioned).expect("shown");
-    harness.tell("cache-1", Phase::Draining, &[0]).expect("published");
+    harness.publish_phase("cache-1", Phase::Draining, &[0]).expect("published");
     harness.move_cache(2, 0).expect("applied");
     for n in [1, 2, 3, 4] {
         harness.until(n, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("received");
@@ -142,7 +142,7 @@
     }
     let shown = harness.shown(5).expect("shown");
     assert!(shown["drains"] == 0 && shown["batches"] == 0, "{shown}");
-    harness.mend_all();
+    harness.clear_all_faults();
     for n in [5, 6] {
         let caught_up = |shown: &Value| shown["drains"] == 1 && shown["batches"] == 1;
         harness.until(n, "it has caught up", caught_up).expect("received");
@@ -183,7 +183,7 @@
         .until(1, "its site is alive", |shown| alive(shown) == 2 && shown["whole"].is_null())
         .expect("shown");
     // Events for all locations reach it, and it forwards them.
-    harness.tell("cache-1", Phase::Draining, &[1]).expect("published");
+    harness.publish_phase("cache-1", Phase::Draining, &[1]).expect("published");
     for n in [0, 2, 3, 4, 5, 6] {
         harness.until(n, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("received");
         let (router, node) = (name(n), "cache-1".to_string());
@@ -198,13 +198,13 @@
 fn a_query_for_details_is_answered_by_the_site_that_has_them() {
     let harness = start_harness();
     harness.until(5, "all are counted", |shown| knows_both_regions(shown, 0, 5)).expect("shown");
-    let router = harness.fleet.asked("r6", &["fleet", "show", "r1"]).expect("answered");
+    let router = harness.fleet.query("r6", &["fleet", "show", "r1"]).expect("answered");
     assert!(
         router[0] == "south/z1/a" && router[1].as_array().is_some_and(|lines| lines.len() == 1),
         "{router}"
     );
     assert!(router[1][0]["name"] == "r1" && router[1][0]["standing"] == "Alive", "{router}");
-    let site = harness.fleet.asked("r0", &["fleet", "show", "--site", "north/z2/c"]).expect("answered");
+    let site = harness.fleet.query("r0", &["fleet", "show", "--site", "north/z2/c"]).expect("answered");
     let names: Vec<&str> =
         site[1].as_array().into_iter().flatten().filter_map(|line| line["name"].as_str()).collect();
     assert_eq!(names, ["r5", "r6"]);
@@ -241,17 +241,17 @@
     // Its site still lists the killed router by name, and a query from another site returns that.
     let is_not_alive = |shown: &Value| line(shown, "r0").is_some_and(|line| line["standing"] != "Alive");
     harness.until(1, "r0 is not alive", is_not_alive).expect("shown");
-    let detail = harness.fleet.asked("r6", &["fleet", "show", "r0"]).expect("answered");
+    let detail = harness.fleet.query("r6", &["fleet", "show", "r0"]).expect("answered");
     assert!(detail[0] == "south/z1/a" && detail[1][0]["name"] == "r0", "{detail}");
     assert!(detail[1][0]["standing"] != "Alive", "{detail}");
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     for n in [0, 3, 5] {
-        harness.start_again(n).expect("restarted");
+        harness.restart_router(n).expect("restarted");
         harness.load(n).expect("the load starts");
     }
     harness.until(6, "they are aggregators again", |shown| knows_both_regions(shown, 0, 5)).expect("shown");
     harness.until(2, "the zone has it too", |shown| is_summarized(shown, "south/z1/b", 3, 2)).expect("shown");
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     harness.end_loads();
     harness.check(&[]).expect("no rule is broken");
 }
@@ -265,9 +265,9 @@
     (0..5).for_each(|n| harness.kill(n));
     let is_stale = |shown: &Value| summary(shown, "south").is_some_and(|line| line["fresh"] == false);
     harness.until(5, "the summary of the south is stale", is_stale).expect("shown");
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     for n in 0..5 {
-        harness.start_again(n).expect("restarted");
+        harness.restart_router(n).expect("restarted");
         harness.load(n).expect("the load starts");
     }
     for n in [5, 6] {
@@ -281,7 +281,7 @@
         };
         harness.until(n, "the summaries of the zone", knows_zone).expect("shown");
     }
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     harness.end_loads();
     harness.check(&[]).expect("no rule is broken");
 }
@@ -299,13 +299,13 @@
     };
     harness.until(5, "the summary of the south is stale", is_stale("south")).expect("shown");
     harness.until(0, "the summary of the north is stale", is_stale("north")).expect("shown");
-    harness.tell_for("cache-1", 0, &[1, 2, 3, 4], PROPAGATION_BOUND).expect("published");
-    harness.tell_for("cache-2", 6, &[5], PROPAGATION_BOUND).expect("published");
+    harness.publish_drain_to_one("cache-1", 0, &[1, 2, 3, 4], PROPAGATION_BOUND).expect("published");
+    harness.publish_drain_to_one("cache-2", 6, &[5], PROPAGATION_BOUND).expect("published");
     harness.move_cache(0, 0).expect("applied");
     harness.kill(4);
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     let before = (harness.bytes_across(5), Instant::now());
-    harness.mend_all();
+    harness.clear_all_faults();
     for n in [5, 6] {
         harness
             .until(n, "it has caught up", |shown| shown["batches"] == 1 && knows_both_regions(shown, 0, 4))
@@ -322,7 +322,7 @@
     }
     harness.settle().expect("one hierarchy");
     let after = (harness.bytes_across(5), Instant::now());
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     // The background traffic, mostly heartbeats, continues; it is measured after the catch-up and subtracted.
     let background = (harness.bytes_across(5) - after.0) as f64 / after.1.elapsed().as_secs_f64();
     let (bytes, took) = (after.0 - before.0, (after.1 - before.1).as_secs_f64());
@@ -354,8 +354,8 @@
     for n in [0, 2, 3] {
         harness.until(n, "all are counted", all_counted).expect("shown");
     }
-    harness.tell_for("cache-1", 3, &[0, 1, 2], PROPAGATION_BOUND).expect("published");
-    harness.purge_for("an-object", 3, &[0, 1, 2], PROPAGATION_BOUND).expect("published");
+    harness.publish_drain_to_one("cache-1", 3, &[0, 1, 2], PROPAGATION_BOUND).expect("published");
+    harness.publish_purge_to_one("an-object", 3, &[0, 1, 2], PROPAGATION_BOUND).expect("published");
     for n in [0, 1, 2] {
         harness
             .until(n, "the drain and the purge", |shown| shown["drains"] == 1 && shown["purges"] == 1)
@@ -368,12 +368,12 @@
     harness.kill(1);
     let is_alone = |shown: &Value| is_summarized(shown, "south/a", 0, 1) && alive(shown) == 0;
     harness.until(0, "it is alone", is_alone).expect("shown");
-    harness.start_again(1).expect("restarted");
+    harness.restart_router(1).expect("restarted");
     harness.load(1).expect("the load starts");
     for n in [0, 2, 3] {
         harness.until(n, "all are counted again", all_counted).expect("shown");
     }
-    harness.look().expect("shown");
+    harness.show_after_changes().expect("shown");
     harness.end_loads();
     harness.check(&[]).expect("no rule is broken");
 }
@@ -402,18 +402,18 @@
     harness.isolate(1).expect("cut off");
     harness.move_cache(0, 0).expect("applied");
     harness.until(6, "the batch", |shown| shown["batches"] == 1).expect("received");
-    harness.raise(5, 2, bound).expect("set");
+    harness.set_floor(5, 2, bound).expect("set");
     for n in [3, 5, 6] {
         harness.until(n, "r1 is listed", has_stragglers("south", &["r1"])).expect("shown");
     }
     pause(1_000);
     harness.shown(5).expect("shown");
     pause(500);
-    harness.mend_all();
+    harness.clear_all_faults();
     for n in [3, 5, 6] {
         harness.until(n, "no router is behind", has_stragglers("south", &[])).expect("shown");
     }
-    harness.raise(5, 99, bound).expect("set");
+    harness.set_floor(5, 99, bound).expect("set");
     for n in [0, 3, 5, 6] {
         harness
             .until(
@@ -426,7 +426,7 @@
     harness
         .until(0, "all routers of the north are listed", has_stragglers("north", &["r5", "r6"]))
         .expect("shown");
-    harness.raise(6, 0, bound).expect("cleared");
+    harness.set_floor(6, 0, bound).expect("cleared");
     for n in [0, 5] {
         harness.until(n, "no router is behind", has_stragglers("south", &[])).expect("shown");
     }
@@ -459,8 +459,8 @@
         let objects = requested_videos(&harness);
         let object = objects.iter().max_by_key(|object| objects.iter().filter(|o| o == object).count());
         let object = object.expect("an object is requested").clone();
-        harness.tell_for("cache-1", 0, &others, PROPAGATION_BOUND).expect("published");
-        harness.purge_for(&object, 0, &others, PROPAGATION_BOUND).expect("published");
+        harness.publish_drain_to_one("cache-1", 0, &others, PROPAGATION_BOUND).expect("published");
+        harness.publish_purge_to_one(&object, 0, &others, PROPAGATION_BOUND).expect("published");
         for n in others {
             harness
                 .until(n, "the drain and the purge", |shown| shown["drains"] == 1 && shown["purges"] == 1)
--- a/crates/testbed/src/harness/verification.rs
+++ b/crates/testbed/src/harness/verification.rs
@@ -9,8 +9,8 @@
 use linnethook_audit::verification::{Finding, SpanRecord, VerifiedLogs};
 
 use super::{name, Harness, HarnessError};
-use crate::aggregates::quiet_from;
-use crate::checker::{judge, with_pauses, Breach, Rule, RuleBounds};
+use crate::aggregates::changes_known_at;
+use crate::checker::{adjust_for_pauses, judge, Breach, Rule, RuleBounds};
 use crate::recording::{now, RecordedEvent};
 
 impl Harness {
@@ -18,10 +18,10 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn accounts(&self) -> io::Result<VerifiedLogs> {
-        let mut links = Vec::new();
+    pub fn audit_logs(&self) -> io::Result<VerifiedLogs> {
+        let mut all_records = Vec::new();
         for n in self.up() {
-            let file = self.fleet.write_file(&format!("accounts-{n}"), "")?;
+            let file = self.fleet.write_file(&format!("audit-export-{n}"), "")?;
             let socket = self.fleet.socket(&name(n)).display().to_string();
             let output =
                 self.fleet.command(&["audit", "export", &file.display().to_string(), "--socket", &socket])?;
@@ -29,9 +29,9 @@
                 return Err(io::Error::other(String::from_utf8_lossy(&output.stderr).into_owned()));
             }
             let records = read_file(&std::fs::read(&file)?);
-            links.extend(records.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?);
+            all_records.extend(records.map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?);
         }
-        Ok(VerifiedLogs::new(links))
+        Ok(VerifiedLogs::new(all_records))
     }
 
     /// Checks the audit logs against the recording: each booking that reached a server is in some audit log
@@ -40,17 +40,17 @@
     ///
     /// # Errors
     /// The first booking that only one of the two has.
-    pub fn accounted(&self, accounts: &VerifiedLogs) -> Result<(), HarnessError> {
+    pub fn check_audit_logs(&self, logs: &VerifiedLogs) -> Result<(), HarnessError> {
         let lines = self.fleet.record.lines();
         let mut seen = BTreeSet::<(&str, &str)>::new();
         let mut recorded = BTreeSet::<(String, String)>::new();
         let mut open = Vec::new();
-        let known_from = accounts.earliest_known();
-        for SpanRecord { name: router, span, .. } in accounts.spans() {
+        let known_from = logs.earliest_known();
+        for SpanRecord { name: router, span, .. } in logs.spans() {
             for booking in &span.write_attempts {
                 recorded.insert((router.to_string(), booking.request_id.clone()));
                 // Only an attempt with one of these outcomes is certain to have reached the server.
-                let mut ends = accounts
+                let mut ends = logs
                     .attempts_of_request(&booking.request_id)
                     .into_iter()
                     .filter(|trace| trace.name == router);
@@ -81,7 +81,7 @@
             // that time.
             let before = known_from.get(router).is_none_or(|from| line.at <= from.ms as f64 + 50.0);
             let known = before || recorded.contains(&(router.to_string(), asked.id.clone()));
-            if !known && !accounts.findings.iter().any(in_gap) {
+            if !known && !logs.findings.iter().any(in_gap) {
                 let (router, id) = (router.to_string(), asked.id.clone());
                 return Err(HarnessError::NotAudited { router, id, at: line.at });
             }
@@ -95,7 +95,7 @@
 
     pub(super) fn rules(&self) -> RuleBounds {
         let aggregates = self.plan.aggregate_bounds();
-        RuleBounds { slack: 500.0, going_over: 7_000.0, aggregates, ..RuleBounds::default() }
+        RuleBounds { slack: 500.0, migration_grace: 7_000.0, aggregates, ..RuleBounds::default() }
     }
 
     /// Waits until all changes must be known everywhere by their bounds, then records the location summaries
@@ -103,8 +103,8 @@
     ///
     /// # Errors
     /// A process, a control socket or a file that fails, or a wait that times out.
-    pub fn look(&self) -> io::Result<()> {
-        let due = quiet_from(&self.fleet.record.lines(), &self.rules());
+    pub fn show_after_changes(&self) -> io::Result<()> {
+        let due = changes_known_at(&self.fleet.record.lines(), &self.rules());
         thread::sleep(Duration::from_secs_f64((due - now()).max(0.0) / 1_000.0 + 0.01));
         self.up().into_iter().try_for_each(|n| self.shown(n).map(drop))
     }
@@ -112,7 +112,7 @@
     /// Breaches of all rules except those in `but`.
     pub fn breaches(&self, but: &[Rule]) -> Vec<Breach> {
         let rules = self.rules();
-        let lines = with_pauses(&self.fleet.record.lines(), 2_000.0);
+        let lines = adjust_for_pauses(&self.fleet.record.lines(), 2_000.0);
         let mut breaches = judge(&lines, &rules);
         breaches.retain(|breach| !but.contains(&breach.rule));
         breaches
