--- a/crates/persistence/src/file_store.rs
+++ b/crates/persistence/src/file_store.rs
@@ -1,7 +1,7 @@
 //! File operations in one directory: read, write, append, truncate, sync, rename, remove.
 //!
-//! Each method is a single step, because a machine may stop between any two steps. Callers build atomic updates from
-//! them, and tests replace the store to stop at each one.
+//! Each method is a single step, because a machine may crash between any two steps. Callers build atomic
+//! updates from these steps, and tests replace the store by one that fails at a given step.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -9,56 +9,57 @@
 
 /// The files of one directory, addressed by file name.
 pub trait FileStore {
-    /// Reads a whole file; `None` if there is none.
+    /// Reads a complete file; `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::FileTooLarge`] if the file has more than `max_bytes`, or any other error of the file system.
+    /// [`io::ErrorKind::FileTooLarge`] if the file has more than `max_bytes`, or any other error of the file
+    /// system.
     fn read(&mut self, name: &str, max_bytes: u64) -> io::Result<Option<Vec<u8>>>;
 
     /// Creates or replaces a file. Its content is durable only after [`FileStore::sync`].
     ///
     /// # Errors
     ///
-    /// Any error of the file system; the file may then hold a part of the bytes.
+    /// Any error of the file system; the file may then contain only part of the bytes.
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Appends to a file, which is created if it is missing. Durable only after [`FileStore::sync`].
     ///
     /// # Errors
     ///
-    /// Any error of the file system; a part of the bytes may then have been appended.
+    /// Any error of the file system; part of the bytes may then have been appended.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Shortens a file to `length` bytes.
     ///
     /// # Errors
     ///
-    /// Any error of the file system, a missing file among them.
+    /// Any error of the file system, including [`io::ErrorKind::NotFound`].
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
 
     /// Makes the content of a file durable.
     ///
     /// # Errors
     ///
-    /// Any error of the file system. The durable content is then unknown, also after another call that succeeds.
+    /// Any error of the file system. The durable content is then unknown, even if a later call succeeds.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Renames a file atomically, replacing the target. Durable only after [`FileStore::sync_directory`].
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::NotFound`] if there is no file of the name `from`, or any other error of the file system.
+    /// [`io::ErrorKind::NotFound`] if the file `from` does not exist, or any other error of the file system.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file; succeeds if there is none.
+    /// Removes a file; succeeds if it does not exist.
     ///
     /// # Errors
     ///
     /// Any error of the file system.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 
-    /// Makes created, renamed and removed names durable.
+    /// Makes the creation, renaming and removal of files durable.
     ///
     /// # Errors
     ///
@@ -66,10 +67,10 @@
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A directory that is locked for this process until the value is dropped.
+/// A directory that this process locks until the value is dropped.
 pub struct LockedDirectory {
     path: PathBuf,
-    /// The lock of the file system lasts as long as this file is open.
+    /// The open lock file; closing it releases the lock.
     _lock: File,
 }
 
@@ -81,7 +82,8 @@
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::ResourceBusy`] if another process holds the lock, or any other error of the file system.
+    /// [`io::ErrorKind::ResourceBusy`] if another process holds the lock, or any other error of the file
+    /// system.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         std::fs::create_dir_all(&path)?;
@@ -89,7 +91,8 @@
         match lock.try_lock() {
             Ok(()) => Ok(Self { path, _lock: lock }),
             Err(TryLockError::WouldBlock) => {
-                Err(io::Error::new(io::ErrorKind::ResourceBusy, "another process has this folder"))
+                let message = format!("directory {} is locked by another process", path.display());
+                Err(io::Error::new(io::ErrorKind::ResourceBusy, message))
             }
             Err(TryLockError::Error(error)) => Err(error),
         }
@@ -116,7 +119,7 @@
         // One byte more than allowed, so that a file that grows while it is read is detected as well.
         file.take(max_bytes + 1).read_to_end(&mut bytes)?;
         if bytes.len() as u64 > max_bytes {
-            let message = format!("longer than {max_bytes} bytes");
+            let message = format!("file {name} is longer than {max_bytes} bytes");
             return Err(io::Error::new(io::ErrorKind::FileTooLarge, message));
         }
         Ok(Some(bytes))
--- a/crates/persistence/src/lib.rs
+++ b/crates/persistence/src/lib.rs
@@ -1,14 +1,14 @@
-//! State of a router that outlives a restart.
+//! State of a router that survives a restart.
 //!
-//! - [`record_log`]: records that are on disk before anyone relies on them; a torn tail is truncated at the next start;
-//! - [`snapshot`]: hints for a quicker start, replaced atomically, with the previous generation kept as a fallback;
-//! - [`snapshot_codec`]: the bytes of a snapshot: sections with kind, time, length and checksums;
-//! - [`decay`]: how much an old observation still counts;
-//! - [`file_store`]: the file operations that the others are built on, one system call step each, so that tests can make
-//!   any of them fail.
+//! - [`record_log`]: a write-ahead log of durable records; a torn tail is truncated at the next start;
+//! - [`snapshot`]: hints for a faster start, replaced atomically, with the previous generation as a fallback;
+//! - [`snapshot_codec`]: the encoding of a snapshot: sections with kind, time, length and checksums;
+//! - [`decay`]: the weight of an old observation;
+//! - [`file_store`]: the file operations that the other modules use, each a single step, so that tests can
+//!   make any of them fail.
 //!
-//! Nothing here reads a clock or a random generator. A snapshot holds hints, which may be stale or missing; only the
-//! record log makes a durability guarantee.
+//! No module reads a clock or a random number generator. A snapshot contains hints, which may be stale or
+//! missing; only the record log guarantees durability.
 
 #![warn(
     missing_docs,
--- a/crates/persistence/src/record_log.rs
+++ b/crates/persistence/src/record_log.rs
@@ -1,28 +1,29 @@
-//! An append-only log of records, durable before anyone relies on them.
+//! An append-only log of records that are durable once they are committed.
 //!
-//! Records that are added together are synced once (group commit). A tail that was torn by a stop of the machine is
-//! truncated at the next start, and a record that was committed is never lost. After a failed write or sync the log
-//! accepts nothing more until it is opened again, because the durable content is unknown.
+//! Records that are added together are synced once (group commit). A tail that was torn by a crash of the
+//! machine is truncated at the next start; a committed record is never lost. After a failed write or sync the
+//! log rejects all records until it is opened again, because the durable content is unknown.
 //!
-//! A record is its length and the checksum of length and payload, four bytes each and big-endian, then the payload.
+//! A record is encoded as its length, the checksum of length and payload, and the payload. Length and
+//! checksum have four bytes each and are big-endian.
 
 use std::io;
 
 use crate::file_store::FileStore;
 
-/// File names; they are part of the stored format.
+/// Name of the file; part of the stored format, as is that of the temporary file.
 const LOG_FILE: &str = "promises";
 const TEMPORARY_FILE: &str = "promises.part";
 
 const LENGTH_BYTES: usize = 4;
 const HEADER_BYTES: usize = LENGTH_BYTES + 4;
 
-/// Upper bounds on a log.
+/// Maximum sizes of a log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RecordLogLimits {
-    /// Bytes of the file.
+    /// Maximum length of the file, in bytes.
     pub file_bytes: u64,
-    /// Bytes of one record without its header.
+    /// Maximum length of one record without its header, in bytes.
     pub record_bytes: u32,
 }
 
@@ -36,13 +37,23 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RecordLogError {
     /// The file would exceed [`RecordLogLimits::file_bytes`].
-    #[error("the log is full: it has to be compacted first")]
-    Full,
-    /// The record, of so many bytes, exceeds [`RecordLogLimits::record_bytes`].
-    #[error("a record of {0} bytes is longer than is allowed")]
-    RecordTooLarge(usize),
+    #[error("log is full and has to be compacted: expected at most {max_bytes} bytes, got {bytes}")]
+    Full {
+        /// The length that the file would have.
+        bytes: u64,
+        /// The maximum length.
+        max_bytes: u64,
+    },
+    /// The record exceeds [`RecordLogLimits::record_bytes`].
+    #[error("record is too long: expected at most {max_bytes} bytes, got {bytes}")]
+    RecordTooLarge {
+        /// The length of the record.
+        bytes: usize,
+        /// The maximum length.
+        max_bytes: u32,
+    },
     /// An earlier write or sync failed.
-    #[error("an earlier write failed, and nothing is promised until the log is opened anew")]
+    #[error("log rejects records until it is opened again, because an earlier write failed")]
     Poisoned,
     /// This write or sync failed.
     #[error(transparent)]
@@ -53,21 +64,21 @@
 #[derive(Debug)]
 pub struct RecordLog {
     limits: RecordLogLimits,
-    /// Bytes that are durable.
+    /// Number of durable bytes.
     committed_bytes: u64,
-    /// Encoded records that wait for the next commit.
+    /// Encoded records of the next commit.
     pending: Vec<u8>,
     poisoned: bool,
 }
 
-/// A log with what it held when it was opened.
+/// A log with the records that it contained when it was opened.
 #[derive(Debug)]
 pub struct OpenedLog {
     /// The log, ready to append.
     pub log: RecordLog,
-    /// All committed records in their order, perhaps followed by some that were added and not committed.
+    /// All committed records in their order, possibly followed by records that were added but not committed.
     pub records: Vec<Vec<u8>>,
-    /// Bytes of a torn tail that were truncated.
+    /// Number of bytes of a torn tail that were truncated.
     pub truncated_bytes: u64,
 }
 
@@ -76,10 +87,10 @@
     ///
     /// # Errors
     ///
-    /// Any error of the file store, among them a file of more than twice the allowed size.
+    /// Any error of the file store. A file of more than twice the maximum length is an error.
     pub fn open(files: &mut impl FileStore, limits: RecordLogLimits) -> io::Result<OpenedLog> {
         files.remove(TEMPORARY_FILE)?;
-        // Twice the limit, so that a log that was written under a higher limit can still be read.
+        // Twice the limit, so that a log that was written with a higher limit can still be read.
         let bytes = files.read(LOG_FILE, limits.file_bytes * 2)?.unwrap_or_default();
         let (records, intact_bytes) = decode_records(&bytes, &limits);
         let truncated_bytes = bytes.len() as u64 - intact_bytes;
@@ -91,12 +102,12 @@
         Ok(OpenedLog { log, records, truncated_bytes })
     }
 
-    /// Bytes of all records with their headers, pending ones included.
+    /// Number of bytes of all records with their headers, including pending ones.
     pub fn len(&self) -> u64 {
         self.committed_bytes + self.pending.len() as u64
     }
 
-    /// Whether the log has no record, neither committed nor pending.
+    /// Whether the log has no committed and no pending record.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -105,17 +116,17 @@
     ///
     /// # Errors
     ///
-    /// [`RecordLogError::Poisoned`], [`RecordLogError::RecordTooLarge`] or [`RecordLogError::Full`]; the log is unchanged.
+    /// [`RecordLogError::Poisoned`], [`RecordLogError::RecordTooLarge`] or [`RecordLogError::Full`]; the log
+    /// is unchanged.
     pub fn add(&mut self, record: &[u8]) -> Result<(), RecordLogError> {
         if self.poisoned {
             return Err(RecordLogError::Poisoned);
         }
         if record.len() > self.limits.record_bytes as usize {
-            return Err(RecordLogError::RecordTooLarge(record.len()));
-        }
-        if self.len() + (HEADER_BYTES + record.len()) as u64 > self.limits.file_bytes {
-            return Err(RecordLogError::Full);
+            let (bytes, max_bytes) = (record.len(), self.limits.record_bytes);
+            return Err(RecordLogError::RecordTooLarge { bytes, max_bytes });
         }
+        self.check_length(self.len() + (HEADER_BYTES + record.len()) as u64)?;
         encode_record(&mut self.pending, record);
         Ok(())
     }
@@ -124,7 +135,8 @@
     ///
     /// # Errors
     ///
-    /// [`RecordLogError::Io`] if a step fails, which poisons the log; [`RecordLogError::Poisoned`] if one failed before.
+    /// [`RecordLogError::Io`] if a step fails, which poisons the log; [`RecordLogError::Poisoned`] if an
+    /// earlier step failed.
     pub fn commit(&mut self, files: &mut impl FileStore) -> Result<(), RecordLogError> {
         if self.poisoned {
             return Err(RecordLogError::Poisoned);
@@ -142,13 +154,13 @@
         Ok(())
     }
 
-    /// Replaces all committed records by `retained`, followed by the pending ones. The old log stays in place until the
-    /// new one is durable.
+    /// Replaces the committed records by `retained` and commits the pending ones after them. The old log
+    /// remains in place until the new one is durable.
     ///
     /// # Errors
     ///
-    /// [`RecordLogError::Full`] if the result exceeds the limit, and the log is unchanged; [`RecordLogError::Io`] if a step
-    /// fails, which poisons the log; [`RecordLogError::Poisoned`] if one failed before.
+    /// [`RecordLogError::Full`] if the result exceeds the limit: the log is unchanged. [`RecordLogError::Io`]
+    /// if a step fails, which poisons the log; [`RecordLogError::Poisoned`] if an earlier step failed.
     pub fn compact(
         &mut self,
         files: &mut impl FileStore,
@@ -162,9 +174,7 @@
             encode_record(&mut bytes, record);
         }
         bytes.extend(&self.pending);
-        if bytes.len() as u64 > self.limits.file_bytes {
-            return Err(RecordLogError::Full);
-        }
+        self.check_length(bytes.len() as u64)?;
         if let Err(error) = replace_durably(files, &bytes) {
             self.poisoned = true;
             return Err(error.into());
@@ -173,6 +183,14 @@
         self.pending.clear();
         Ok(())
     }
+
+    fn check_length(&self, bytes: u64) -> Result<(), RecordLogError> {
+        let max_bytes = self.limits.file_bytes;
+        if bytes > max_bytes {
+            return Err(RecordLogError::Full { bytes, max_bytes });
+        }
+        Ok(())
+    }
 }
 
 fn append_durably(files: &mut impl FileStore, bytes: &[u8], is_new_file: bool) -> io::Result<()> {
@@ -205,7 +223,7 @@
     hasher.finalize()
 }
 
-/// The records up to the first that is torn or corrupt, and their length in bytes with their headers.
+/// Returns the records before the first torn or corrupt one, and their total length with headers, in bytes.
 fn decode_records(bytes: &[u8], limits: &RecordLogLimits) -> (Vec<Vec<u8>>, u64) {
     let mut records = Vec::new();
     let mut intact_bytes = 0;
@@ -216,7 +234,7 @@
     (records, intact_bytes as u64)
 }
 
-/// The payload of the record at the beginning of `bytes`; `None` if it is torn, corrupt or too long.
+/// Returns the payload of the record at the start of `bytes`; `None` if it is torn, corrupt or too long.
 fn decode_record<'a>(bytes: &'a [u8], limits: &RecordLogLimits) -> Option<&'a [u8]> {
     let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>()?;
     let [l0, l1, l2, l3, c0, c1, c2, c3] = *header;
--- a/crates/persistence/src/snapshot.rs
+++ b/crates/persistence/src/snapshot.rs
@@ -1,24 +1,24 @@
-//! Atomic replacement of the snapshot file, with the previous generation kept as a fallback.
+//! Atomic replacement of the snapshot file, with the previous generation as a fallback.
 //!
-//! A new snapshot is written under a temporary name and synced before it is renamed into place. Wherever the machine
-//! stops, the new, the current or the previous snapshot is complete under a name that is read.
+//! A new snapshot is written to a temporary file and synced before it is renamed. Whenever the machine
+//! crashes, at least one of the two names that are read, current and previous, has a complete snapshot.
 
 use std::io;
 
 use crate::file_store::FileStore;
 use crate::snapshot_codec::{decode, encode, DecodeError, Section, SnapshotContent, SnapshotLimits};
 
-/// File names; they are part of the stored format.
+/// Names of the files; part of the stored format.
 const CURRENT_FILE: &str = "learned";
 const PREVIOUS_FILE: &str = "learned.elder";
 const TEMPORARY_FILE: &str = "learned.part";
 
-/// The result of looking for a snapshot.
+/// The result of [`load`].
 #[derive(Debug)]
 pub struct LoadedSnapshot {
-    /// The newest snapshot with any intact content.
+    /// The newest usable snapshot, if any.
     pub content: Option<SnapshotContent>,
-    /// Files that exist and were not used.
+    /// Files that exist but were not used.
     pub skipped: Vec<SkippedFile>,
 }
 
@@ -34,18 +34,19 @@
 /// Why a snapshot file was not used.
 #[derive(Debug, thiserror::Error)]
 pub enum SkipReason {
-    /// It is not a snapshot that this program reads.
+    /// The file is not a snapshot of a supported version.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// The file system failed to read it.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It has content, and all of it is corrupt.
-    #[error("nothing in it is whole")]
+    /// The file has content, all of which is corrupt.
+    #[error("snapshot has no intact section")]
     Corrupt,
 }
 
-/// Replaces the snapshot and returns the number of bytes written. If it fails, the one before is still there.
+/// Replaces the snapshot and returns the number of bytes written. If it fails, the previous snapshot can
+/// still be loaded.
 ///
 /// # Errors
 ///
@@ -55,7 +56,7 @@
     files.write(TEMPORARY_FILE, &bytes)?;
     files.sync(TEMPORARY_FILE)?;
     match files.rename(CURRENT_FILE, PREVIOUS_FILE) {
-        // The first snapshot has none before it.
+        // There is no current file before the first snapshot.
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
     }
@@ -64,7 +65,7 @@
     Ok(bytes.len() as u64)
 }
 
-/// Loads the newest snapshot with any intact content.
+/// Loads the newest snapshot that has an intact section, or no sections at all.
 pub fn load(files: &mut impl FileStore, limits: &SnapshotLimits) -> LoadedSnapshot {
     let mut skipped = Vec::new();
     for name in [CURRENT_FILE, PREVIOUS_FILE] {
@@ -96,7 +97,7 @@
 ///
 /// # Errors
 ///
-/// Any error of the file store; some of the files may then be left.
+/// Any error of the file store; some of the files may then still exist.
 pub fn delete(files: &mut impl FileStore) -> io::Result<()> {
     for name in [CURRENT_FILE, PREVIOUS_FILE, TEMPORARY_FILE] {
         files.remove(name)?;
--- a/crates/persistence/src/snapshot_codec.rs
+++ b/crates/persistence/src/snapshot_codec.rs
@@ -1,12 +1,13 @@
-//! The bytes of a snapshot file.
+//! The encoding of a snapshot file.
 //!
-//! A file is a magic number and a version, then sections. A section is a header (kind, time, payload length, checksum of
-//! the payload, checksum of the header so far) and its payload; all numbers are big-endian. The header has a checksum of
-//! its own so that the length of a section with a corrupt payload can still be trusted and only that section is lost.
+//! A file is a magic number and a version, then sections. A section is a header (kind, time, payload length,
+//! checksum of the payload, checksum of the preceding header fields) and its payload; all numbers are
+//! big-endian. The header has its own checksum so that the length of a section with a corrupt payload is
+//! still valid and only that section is lost.
 
 use linnethook::interface::Ms;
 
-/// The first bytes of a file.
+/// The magic number at the start of a file.
 const MAGIC: [u8; 6] = *b"lhlrn\n";
 /// The version that [`encode`] writes and the newest one that [`decode`] reads.
 pub const VERSION: u16 = 1;
@@ -18,14 +19,14 @@
 const HEADER_CHECKSUM_OFFSET: usize = PAYLOAD_CHECKSUM_OFFSET + 4;
 const HEADER_BYTES: usize = HEADER_CHECKSUM_OFFSET + 4;
 
-/// Upper bounds on what [`decode`] accepts.
+/// Maximum sizes that [`decode`] accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SnapshotLimits {
-    /// Bytes of the file.
+    /// Maximum length of the file, in bytes.
     pub file_bytes: u64,
-    /// Number of sections.
+    /// Maximum number of sections.
     pub sections: usize,
-    /// Bytes of one payload.
+    /// Maximum length of one payload, in bytes.
     pub payload_bytes: u32,
 }
 
@@ -38,15 +39,16 @@
 /// One independently checksummed unit of a snapshot.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Section {
-    /// What the payload describes; readers skip kinds that they do not know.
+    /// The type of the content; readers skip unknown kinds.
     pub kind: u16,
-    /// When the payload was recorded, in Unix milliseconds. Stored as a whole number from 0 on.
+    /// When the payload was recorded, in Unix milliseconds. Stored as an unsigned integer: fractions are
+    /// truncated and negative times become 0.
     pub recorded_at: Ms,
     /// The encoded content.
     pub payload: Vec<u8>,
 }
 
-/// The intact sections of a file, and how much of it was corrupt.
+/// The intact sections of a file, and the amount of corrupt data.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct SnapshotContent {
     /// The version of the file.
@@ -55,22 +57,27 @@
     pub sections: Vec<Section>,
     /// The number of sections whose payload did not match its checksum.
     pub corrupt_sections: usize,
-    /// Bytes at the end that could not be split into sections.
+    /// Number of bytes at the end that could not be split into sections.
     pub unparsed_bytes: u64,
 }
 
 /// Why no section of a file was decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The magic number or the version is not that of a snapshot.
-    #[error("not a file of this program")]
+    /// The magic number or the version is invalid.
+    #[error("file is not a snapshot: invalid magic number or version")]
     UnknownFormat,
     /// The file was written by a newer version of the program.
-    #[error("of version {0}, this program reads up to {VERSION}")]
+    #[error("snapshot version is not supported: expected at most {VERSION}, got {0}")]
     NewerVersion(u16),
     /// The file exceeds [`SnapshotLimits::file_bytes`].
-    #[error("longer than is allowed")]
-    TooLarge,
+    #[error("snapshot is too long: expected at most {max_bytes} bytes, got {bytes}")]
+    TooLarge {
+        /// The length of the file.
+        bytes: u64,
+        /// The maximum length.
+        max_bytes: u64,
+    },
 }
 
 /// Encodes sections as the bytes of one file.
@@ -90,14 +97,15 @@
     file
 }
 
-/// Decodes a file. Corrupt sections are counted and left out; they are no error.
+/// Decodes a file. Corrupt sections are counted and skipped; they are not an error.
 ///
 /// # Errors
 ///
-/// A [`DecodeError`] if the file is too large, or not a snapshot of a version that can be read.
+/// A [`DecodeError`] if the file is too long, or not a snapshot of a supported version.
 pub fn decode(file: &[u8], limits: &SnapshotLimits) -> Result<SnapshotContent, DecodeError> {
-    if file.len() as u64 > limits.file_bytes {
-        return Err(DecodeError::TooLarge);
+    let (bytes, max_bytes) = (file.len() as u64, limits.file_bytes);
+    if bytes > max_bytes {
+        return Err(DecodeError::TooLarge { bytes, max_bytes });
     }
     let after_magic = file.strip_prefix(&MAGIC).ok_or(DecodeError::UnknownFormat)?;
     let version = read_array(after_magic, 0).map(u16::from_be_bytes).ok_or(DecodeError::UnknownFormat)?;
@@ -130,11 +138,12 @@
 struct DecodedSection {
     /// `None` if the payload does not match its checksum.
     section: Option<Section>,
-    /// Length with the header.
+    /// Length of the section with its header.
     total_bytes: usize,
 }
 
-/// Decodes the section at the beginning of `bytes`; `None` if its length cannot be trusted or is not allowed.
+/// Decodes the section at the start of `bytes`; `None` if its header is corrupt, or its length is too large
+/// or exceeds `bytes`.
 fn decode_section(bytes: &[u8], limits: &SnapshotLimits) -> Option<DecodedSection> {
     let header_checksum = u32::from_be_bytes(read_array(bytes, HEADER_CHECKSUM_OFFSET)?);
     if crc32fast::hash(&bytes[..HEADER_CHECKSUM_OFFSET]) != header_checksum {
--- a/crates/persistence/tests/common/mod.rs
+++ b/crates/persistence/tests/common/mod.rs
@@ -1,18 +1,18 @@
-//! A file store in memory that stops at a given step, and what is left on its disk afterwards.
+//! A file store in memory that crashes after a given step, and the state of its disk after a restart.
 
 use std::collections::BTreeMap;
 use std::io;
 
 use linnethook_persistence::file_store::FileStore;
 
-/// What becomes of unsynced changes when the machine stops.
+/// The outcome of unsynced changes in a crash of the machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum UnsyncedOutcome {
     Lost,
     Retained,
-    /// Half of the bytes are there, and all names.
+    /// Half of the bytes and all names are on the disk.
     Torn,
-    /// Names are there, bytes are not: the disk reordered its writes.
+    /// Only names are on the disk: it reordered its writes.
     NamesOnly,
 }
 
@@ -25,17 +25,17 @@
     bytes: Vec<u8>,
 }
 
-/// Files by index, names that are durable and names as the running system sees them.
+/// Files by index, with the durable names and the names that the running system sees.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryStore {
     files: Vec<MemoryFile>,
     synced_names: BTreeMap<String, usize>,
     names: BTreeMap<String, usize>,
-    /// Operations so far.
+    /// Number of operations so far.
     pub steps: usize,
-    /// Every operation after this one fails.
+    /// The number of operations after which all others fail.
     pub stops_after: Option<usize>,
-    /// Bytes that fit into a file.
+    /// Maximum length of a file, in bytes.
     pub capacity: Option<usize>,
 }
 
@@ -62,7 +62,7 @@
         self.names.insert(name.to_string(), self.files.len() - 1);
     }
 
-    /// The store as the next start of the machine finds it.
+    /// The store after a restart of the machine.
     pub fn after_restart(&self, outcome: UnsyncedOutcome) -> Self {
         let names = if outcome == UnsyncedOutcome::Lost { &self.synced_names } else { &self.names };
         let restart = |file: &MemoryFile| {
@@ -94,7 +94,7 @@
     fn write(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.step()?;
         let capacity = self.capacity.unwrap_or(usize::MAX);
-        // A new file under the name; the running system no longer sees the one that had it.
+        // The name refers to a new file; the previous file is no longer visible to the running system.
         let stored = bytes[..bytes.len().min(capacity)].to_vec();
         self.create(name, MemoryFile { synced: Vec::new(), bytes: stored });
         if bytes.len() > capacity {
--- a/crates/persistence/tests/crash_safety.rs
+++ b/crates/persistence/tests/crash_safety.rs
@@ -1,5 +1,5 @@
-//! The machine is stopped at every step, with any outcome for what was not synced: a snapshot that is read is intact,
-//! and committed records are there.
+//! Crashes at every step, with each possible outcome for unsynced changes: a loaded snapshot is intact, and
+//! committed records are not lost.
 
 mod common;
 
@@ -19,10 +19,10 @@
     (0..3).map(section).collect()
 }
 
-/// Four snapshots are written, stopped at every step: what is loaded is one of them, intact and not older than the last
-/// one whose write finished; and the next one can be written.
+/// Writes four snapshots and crashes at every step: the loaded snapshot is intact and not older than the last
+/// one whose write finished, and the next snapshot can be written.
 #[test]
-fn a_snapshot_is_intact_wherever_the_machine_stops() {
+fn loaded_snapshot_is_intact_after_a_crash_at_any_step() {
     let mut complete = MemoryStore::default();
     (1..=4).for_each(|n| _ = snapshot::write(&mut complete, &sections(n)).expect("written"));
     let mut cases = 0;
@@ -40,37 +40,41 @@
             });
             let generation = (1..=4).find(|n| loaded.as_ref() == Some(&sections(*n)));
             match generation {
-                Some(n) => assert!(n >= finished, "{stops_after} {outcome:?}: {n}, {finished} were finished"),
+                Some(n) => {
+                    assert!(n >= finished, "{stops_after} {outcome:?}: loaded {n}, finished {finished}")
+                }
                 None => assert!(loaded.is_none() && finished == 0, "{stops_after} {outcome:?}: {loaded:?}"),
             }
-            snapshot::write(&mut restarted, &sections(9)).expect("written after all");
-            let again = snapshot::load(&mut restarted, &SnapshotLimits::default()).content.expect("there");
+            snapshot::write(&mut restarted, &sections(9)).expect("written after a crash");
+            let again =
+                snapshot::load(&mut restarted, &SnapshotLimits::default()).content.expect("a snapshot");
             assert_eq!(again.sections, sections(9));
             cases += 1;
         }
     }
     println!("{cases} cases");
     assert!(cases > 80);
-    // A full disk leaves the snapshot before it.
+    // If the disk is full, the previous snapshot is loaded.
     let mut full = complete.clone();
     full.capacity = Some(10);
     assert!(snapshot::write(&mut full, &sections(5)).is_err());
     let loaded = snapshot::load(&mut full, &SnapshotLimits::default());
-    assert_eq!(loaded.content.expect("there").sections, sections(4));
+    assert_eq!(loaded.content.expect("a snapshot").sections, sections(4));
 }
 
 fn record(n: u8) -> Vec<u8> {
     vec![n; usize::from(n) * 7]
 }
 
-/// The first bytes of records that must be there after a stop, and of those that may be there.
+/// The first bytes of records that must exist after a crash, and of those that may exist.
 #[derive(Debug, PartialEq)]
 struct Expected {
     committed: Vec<u8>,
     added: Vec<u8>,
 }
 
-/// Three groups of records, a compaction that drops the first three records, and another group.
+/// Commits three groups of records, compacts the log without the first three records, and commits another
+/// group.
 fn write_groups(files: &mut MemoryStore) -> Expected {
     let mut expected = Expected { committed: Vec::new(), added: Vec::new() };
     let Ok(opened) = RecordLog::open(files, RecordLogLimits::default()) else { return expected };
@@ -99,9 +103,9 @@
     expected
 }
 
-/// Stopped at every step: committed records are there in their order, and none is there that was never added.
+/// Crashes at every step: committed records exist in their order, and no record exists that was never added.
 #[test]
-fn a_committed_record_survives_wherever_the_machine_stops() {
+fn committed_records_survive_a_crash_at_any_step() {
     let mut complete = MemoryStore::default();
     let all = Expected { committed: vec![4, 5, 6, 7], added: vec![4, 5, 6, 7] };
     assert_eq!(write_groups(&mut complete), all);
@@ -116,7 +120,7 @@
                 format!("{stops_after} {outcome:?}: {found:?}, committed {committed:?}, added {added:?}");
             assert!(committed.iter().all(|n| found.contains(n)), "{case}");
             assert!(found.iter().all(|n| *n < 4 || added.contains(n)) && found.is_sorted(), "{case}");
-            // The log goes on behind what was torn.
+            // Records are appended in place of the torn tail.
             let mut log = opened.log;
             log.add(&record(8)).expect("added");
             log.commit(&mut restarted).expect("committed");
@@ -124,13 +128,13 @@
             assert_eq!((again.records.last(), again.truncated_bytes), (Some(&record(8)), 0), "{case}");
         }
     }
-    // Limits: a full log says so, and takes what compaction frees.
+    // Limits: a full log returns an error, and accepts records after compaction.
     let limits = RecordLogLimits { file_bytes: 64, record_bytes: 40 };
     let mut files = MemoryStore::default();
     let mut log = RecordLog::open(&mut files, limits).expect("opened").log;
-    assert!(matches!(log.add(&[0; 41]), Err(RecordLogError::RecordTooLarge(41))));
+    assert!(matches!(log.add(&[0; 41]), Err(RecordLogError::RecordTooLarge { bytes: 41, max_bytes: 40 })));
     log.add(&[1; 40]).expect("added");
-    assert!(matches!(log.add(&[2; 40]), Err(RecordLogError::Full)));
+    assert!(matches!(log.add(&[2; 40]), Err(RecordLogError::Full { bytes: 96, max_bytes: 64 })));
     log.commit(&mut files).expect("committed");
     log.compact(&mut files, &[]).expect("compacted");
     assert!(log.is_empty());
@@ -140,9 +144,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Arbitrary bytes are an error or empty, and never a panic.
+    /// Arbitrary bytes never cause a panic, and the log accounts for each byte as intact or truncated.
     #[test]
-    fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_cause_no_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = decode(&bytes, &SnapshotLimits::default());
         let mut files = MemoryStore::default();
         files.append("promises", &bytes).expect("written");
--- a/crates/persistence/tests/directory.rs
+++ b/crates/persistence/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of the file system behaves as the store in memory, and is locked for one process at a time.
+//! Snapshots and the record log on a real directory, which only one process can lock at a time.
 
 use std::io;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_directory_of_the_file_system() {
+fn locked_directory_stores_snapshots_and_records() {
     let path = std::env::temp_dir().join(format!("linnethook-persistence-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     let mut directory = LockedDirectory::open(&path).expect("opened");
@@ -28,14 +28,14 @@
     }
     std::fs::write(path.join("learned"), b"half a").expect("corrupted");
     let loaded = snapshot::load(&mut directory, &SnapshotLimits::default());
-    assert_eq!(loaded.content.expect("the previous one").sections, sections(2));
+    assert_eq!(loaded.content.expect("the previous snapshot").sections, sections(2));
     assert_eq!(loaded.skipped.len(), 1);
     let mut log = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened").log;
-    log.add(b"a promise").expect("added");
+    log.add(b"a record").expect("added");
     log.commit(&mut directory).expect("committed");
-    directory.append("promises", b"torn").expect("torn");
+    directory.append("promises", b"torn").expect("appended");
     let opened = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened");
-    assert_eq!((opened.records, opened.truncated_bytes), (vec![b"a promise".to_vec()], 4));
+    assert_eq!((opened.records, opened.truncated_bytes), (vec![b"a record".to_vec()], 4));
     snapshot::delete(&mut directory).expect("deleted");
     assert!(snapshot::load(&mut directory, &SnapshotLimits::default()).content.is_none());
     drop(directory);
--- a/crates/persistence/tests/golden.rs
+++ b/crates/persistence/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The files as earlier builds write them (`tests/golden/`): read, and written again to the byte.
+//! Golden files in `tests/golden/`, written by an earlier build: they are read, and written again byte for
+//! byte.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -16,7 +17,7 @@
     fs::read(golden_path(name)).expect("a fixture")
 }
 
-/// A directory that is removed when the value is dropped.
+/// A temporary directory that is removed when the value is dropped.
 struct Scratch(PathBuf);
 
 impl Scratch {
@@ -45,7 +46,7 @@
     }
 }
 
-/// An empty record, a short one, every byte, and one whose length takes two bytes.
+/// An empty record, a short one, one with every byte, one whose length needs two bytes, and a last one.
 fn records() -> Vec<Vec<u8>> {
     vec![Vec::new(), b"a record".to_vec(), (0..=255).collect(), vec![0x5a; 1_000], b"the last one".to_vec()]
 }
@@ -54,7 +55,7 @@
     vec![Section { kind: 1, recorded_at: 0.0, payload: b"older".to_vec() }]
 }
 
-/// No bytes, the highest kind, a time with a fraction, one before 1970, and the latest that is exact.
+/// An empty payload, the highest kind, a time with a fraction, a time before 1970, and the latest exact time.
 fn current_sections() -> Vec<Section> {
     vec![
         Section { kind: 0, recorded_at: 1_764_748_800_000.0, payload: Vec::new() },
@@ -64,7 +65,7 @@
     ]
 }
 
-/// The times as they are read back: whole milliseconds from 1970 on.
+/// The sections as they are read: times are integers of at least 0.
 fn current_sections_as_read() -> Vec<Section> {
     let mut sections = current_sections();
     sections[1].recorded_at = 1_764_748_800_123.0;
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn the_log_is_written_as_by_earlier_builds() {
+fn record_log_is_written_as_in_the_golden_files() {
     let scratch = Scratch::new("log-written");
     let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
     let mut log = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened").log;
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn the_log_of_earlier_builds_is_read() {
+fn record_log_of_the_golden_files_is_read() {
     let scratch = Scratch::new("log-read");
     let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
     let mut compacted = records()[3..].to_vec();
@@ -99,7 +100,7 @@
         let opened = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened");
         assert_eq!((opened.records, opened.truncated_bytes), (expected, 0), "{name}");
         assert_eq!(opened.log.len(), golden(name).len() as u64, "{name}");
-        // A torn end is cut away, and nothing else.
+        // Only a torn tail is truncated.
         directory.write("promises", &[golden(name), b"torn".to_vec()].concat()).expect("written");
         let opened = RecordLog::open(&mut directory, RecordLogLimits::default()).expect("opened");
         assert_eq!((opened.truncated_bytes, scratch.bytes("promises")), (4, golden(name)), "{name}");
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn the_snapshots_are_written_as_by_earlier_builds() {
+fn snapshots_are_written_as_in_the_golden_files() {
     let scratch = Scratch::new("snapshot-written");
     let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
     let previous = snapshot::write(&mut directory, &previous_sections()).expect("written");
@@ -121,52 +122,53 @@
 }
 
 #[test]
-fn the_snapshots_of_earlier_builds_are_read() {
+fn snapshots_of_the_golden_files_are_read() {
     let scratch = Scratch::new("snapshot-read");
     let mut directory = LockedDirectory::open(&scratch.0).expect("opened");
     directory.write("learned", &golden("learned")).expect("written");
     directory.write("learned.elder", &golden("learned.elder")).expect("written");
     let loaded = snapshot::load(&mut directory, &SnapshotLimits::default());
-    let content = loaded.content.expect("the newer one");
+    let content = loaded.content.expect("the current snapshot");
     assert_eq!(content.sections, current_sections_as_read());
     assert_eq!((content.version, content.corrupt_sections, content.unparsed_bytes), (VERSION, 0, 0));
     assert!(loaded.skipped.is_empty());
     let content = decode(&golden("learned"), &SnapshotLimits::default()).expect("readable");
     assert_eq!(encode(&content.sections), golden("learned"));
-    // Without the newer one, the older one counts.
+    // Without the current file, the previous one is loaded.
     directory.remove("learned").expect("removed");
-    let content = snapshot::load(&mut directory, &SnapshotLimits::default()).content.expect("the older one");
+    let content =
+        snapshot::load(&mut directory, &SnapshotLimits::default()).content.expect("the previous snapshot");
     assert_eq!(content.sections, previous_sections());
 }
 
-/// What the log says of a file that it does not read or a record that it does not take.
+/// The texts of errors for files that cannot be read and for records that are not added.
 #[test]
-fn the_errors_are_worded_as_by_earlier_builds() {
+fn error_texts() {
     let io_error = || std::io::Error::other("a file");
     let lines = [
         DecodeError::UnknownFormat.to_string(),
         DecodeError::NewerVersion(9).to_string(),
-        DecodeError::TooLarge.to_string(),
+        DecodeError::TooLarge { bytes: 21, max_bytes: 20 }.to_string(),
         SkipReason::from(DecodeError::UnknownFormat).to_string(),
         SkipReason::Corrupt.to_string(),
         SkipReason::from(io_error()).to_string(),
-        RecordLogError::Full.to_string(),
-        RecordLogError::RecordTooLarge(41).to_string(),
+        RecordLogError::Full { bytes: 96, max_bytes: 64 }.to_string(),
+        RecordLogError::RecordTooLarge { bytes: 41, max_bytes: 40 }.to_string(),
         RecordLogError::Poisoned.to_string(),
         RecordLogError::from(io_error()).to_string(),
     ];
     assert_eq!(
         lines,
         [
-            "not a file of this program",
-            "of version 9, this program reads up to 1",
-            "longer than is allowed",
-            "not a file of this program",
-            "nothing in it is whole",
+            "file is not a snapshot: invalid magic number or version",
+            "snapshot version is not supported: expected at most 1, got 9",
+            "snapshot is too long: expected at most 20 bytes, got 21",
+            "file is not a snapshot: invalid magic number or version",
+            "snapshot has no intact section",
             "a file",
-            "the log is full: it has to be compacted first",
-            "a record of 41 bytes is longer than is allowed",
-            "an earlier write failed, and nothing is promised until the log is opened anew",
+            "log is full and has to be compacted: expected at most 64 bytes, got 96",
+            "record is too long: expected at most 40 bytes, got 41",
+            "log rejects records until it is opened again, because an earlier write failed",
             "a file",
         ]
     );
--- a/crates/persistence/tests/snapshot_codec.rs
+++ b/crates/persistence/tests/snapshot_codec.rs
@@ -1,4 +1,5 @@
-//! Snapshots that are truncated, corrupt, foreign or too large: what is intact is read, and the rest is an error.
+//! Snapshots that are truncated, corrupt, of another format or too long: intact sections are decoded, and a
+//! file that is not a supported snapshot is an error.
 
 use linnethook_persistence::snapshot_codec::{decode, encode, DecodeError, Section, SnapshotLimits, VERSION};
 use proptest::prelude::{any, prop_assert, prop_assert_eq, proptest, Just, ProptestConfig, Strategy};
@@ -12,13 +13,13 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// What was written is read. Cut anywhere, or with any byte changed, the sections that are left are some of those
-    /// written, and a changed byte costs one section, or those behind a corrupt header.
+    /// A truncated file yields a prefix of its sections. A file with one changed byte yields only sections
+    /// that were written, and lacks at most one of them, or all after a corrupt header.
     #[test]
-    fn a_corrupt_section_costs_only_itself(sections in sections(), cut in any::<proptest::sample::Index>(), flip in 1u8..=255, _x in Just(())) {
+    fn a_corrupt_section_is_the_only_one_lost(sections in sections(), cut in any::<proptest::sample::Index>(), flip in 1u8..=255, _x in Just(())) {
         let bytes = encode(&sections);
         let limits = SnapshotLimits::default();
-        let content = decode(&bytes, &limits).expect("written just now");
+        let content = decode(&bytes, &limits).expect("a valid file");
         prop_assert_eq!(&content.sections, &sections);
         prop_assert_eq!((content.version, content.corrupt_sections, content.unparsed_bytes), (VERSION, 0, 0));
         let at = cut.index(bytes.len());
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn foreign_newer_and_oversized_files_are_errors() {
+fn files_of_another_format_a_newer_version_or_excessive_length_are_errors() {
     let sections: Vec<Section> = (0..3)
         .map(|kind| Section { kind, recorded_at: 1.0, payload: vec![1; 40 * usize::from(kind)] })
         .collect();
@@ -47,11 +48,11 @@
         (b"".to_vec(), SnapshotLimits::default(), DecodeError::UnknownFormat),
         (b"something else".to_vec(), SnapshotLimits::default(), DecodeError::UnknownFormat),
         (newer, SnapshotLimits::default(), DecodeError::NewerVersion(9)),
-        (good.clone(), small, DecodeError::TooLarge),
+        (good.clone(), small, DecodeError::TooLarge { bytes: good.len() as u64, max_bytes: 20 }),
     ] {
         assert_eq!(decode(&bytes, &limits), Err(expected));
     }
-    // More sections, or a longer one, than is allowed: those before them are read.
+    // Too many sections, or one that is too long: the sections before the limit are decoded.
     let few = SnapshotLimits { sections: 2, ..SnapshotLimits::default() };
     assert_eq!(decode(&good, &few).expect("readable").sections.len(), 2);
     let short = SnapshotLimits { payload_bytes: 50, ..SnapshotLimits::default() };
--- a/crates/router/src/audit_log/disk.rs
+++ b/crates/router/src/audit_log/disk.rs
@@ -92,7 +92,7 @@
     fn append(&mut self, record: Vec<u8>) -> Result<(), RecordLogError> {
         let added = self.log.add(&record);
         self.records.push_back(record);
-        if matches!(added, Err(RecordLogError::Full)) {
+        if matches!(added, Err(RecordLogError::Full { .. })) {
             self.records.drain(..self.records.len() / 2);
             self.log.compact(&mut self.files, self.records.make_contiguous())?;
         }
