--- a/crates/settings/src/convert.rs
+++ b/crates/settings/src/convert.rs
@@ -1,4 +1,4 @@
-//! From the names and units of the text to those of the decision module.
+//! Converts the names and units of the text to those of the decision module.
 
 use linnethook::interface::{
     DeduplicationScope, Idempotence, Ms, OutcomeDetail, RequestClass, Settings, SiblingFill, SlowStart,
@@ -11,7 +11,7 @@
 };
 use crate::{ConnectionSettings, DecodedSettings, SettingNames};
 
-/// Converts a text whose values are in their ranges.
+/// Converts a text whose values have passed [`crate::ranges::check`].
 pub(crate) fn decoded(text: SettingsText) -> DecodedSettings {
     let settings = settings(&text);
     let connections = connections(&text.allowed);
@@ -126,6 +126,7 @@
     }
 }
 
+/// The value of a list that may be shorter than the classes or zones that it describes.
 fn nth_or<T: Copy>(values: &[T], n: usize, default: T) -> T {
     values.get(n).copied().unwrap_or(default)
 }
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -1,13 +1,13 @@
-//! The error of settings that cannot be decoded.
+//! The error for settings that cannot be decoded.
 
 use std::fmt;
 
-/// What is wrong with the settings, and where.
+/// The first invalid value of the settings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
     /// The path of the value, as in `family-info.tells`.
     pub path: String,
-    /// What is wrong, and what is expected.
+    /// What was got, and what was expected.
     pub message: String,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decodes the settings of one router from their JSON text.
 //!
-//! The simulator sends this text on its wire, and a real router reads it from its configuration. Unknown keys
-//! are ignored; a missing key has the value that stands for "unknown". The names of the keys appear in `text`
-//! and in the paths of errors only.
+//! The simulator sends this text in its protocol, and a real router reads it from its configuration. Unknown
+//! keys are ignored; a missing key has a default, which for most keys means "unknown" or "off". The names of
+//! the keys appear only in `text` and in the paths of errors.
 
 #![warn(missing_docs)]
 #![warn(clippy::missing_errors_doc, clippy::too_many_lines, clippy::unwrap_used, clippy::wildcard_imports)]
@@ -19,22 +19,22 @@
 pub use error::SettingsError;
 pub use load_report::{load_report, LoadReportField};
 
-/// Everything that the text contains.
+/// All settings in the text.
 #[derive(Debug, Clone)]
 pub struct DecodedSettings {
-    /// What the decision module is configured with.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// What the values of a load report are, in their order.
+    /// The fields of a load report, in the order of its values.
     pub report_fields: Vec<LoadReportField>,
-    /// The text's own names for the values of a load report, in the same order.
+    /// The names that the text gives to these fields, in the same order.
     pub report_names: Vec<String>,
-    /// The names behind the numbers of `settings`.
+    /// The names of the numbers in `settings`.
     pub names: SettingNames,
-    /// What concerns connections only.
+    /// Settings that concern only connections.
     pub connections: ConnectionSettings,
 }
 
-/// The names behind the numbers that [`Settings`] uses, by number.
+/// The names of the numbers in [`Settings`]; the index is the number.
 #[derive(Debug, Clone, Default)]
 pub struct SettingNames {
     /// Names of request classes.
@@ -45,24 +45,24 @@
     pub roles: Vec<String>,
 }
 
-/// Settings that concern connections only.
+/// Settings that concern only connections.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionSettings {
     /// Time after which a connection attempt fails.
     pub connect_timeout: Ms,
     /// Time after which an idle connection is closed.
     pub idle_timeout: Ms,
-    /// The most requests in flight on one connection, at least 1.
+    /// Maximum number of requests in flight on one connection, at least 1.
     pub streams_per_connection: u32,
-    /// The most connections that are open at once.
+    /// Maximum number of open connections.
     pub max_open: u32,
 }
 
-/// Decodes the text.
+/// Decodes the JSON text of the settings.
 ///
 /// # Errors
 ///
-/// The path of the first value that is malformed or out of its range, and what is expected there.
+/// The path of the first value that is malformed or out of range, with what was got and expected.
 pub fn decode(text: &[u8]) -> Result<DecodedSettings, SettingsError> {
     let mut json = serde_json::Deserializer::from_slice(text);
     let text: text::SettingsText =
@@ -72,7 +72,7 @@
     Ok(convert::decoded(text))
 }
 
-/// Applies changes to the JSON of settings: objects are merged, any other value is replaced.
+/// Merges changes into the JSON of settings: objects are merged recursively, all other values are replaced.
 pub fn merge(settings: &Value, changes: &Value) -> Value {
     let (Value::Object(old), Value::Object(new)) = (settings, changes) else { return changes.clone() };
     let mut merged = old.clone();
--- a/crates/settings/src/load_report.rs
+++ b/crates/settings/src/load_report.rs
@@ -1,8 +1,8 @@
-//! The values of load reports, which are positional on the wire.
+//! The fields of load reports, whose values are positional in the protocol.
 
 use linnethook::interface::LoadReport;
 
-/// What one value of a load report is.
+/// A field of a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReportField {
     /// Requests in flight.
@@ -13,12 +13,12 @@
     HitRatio,
     /// Utilization of the fill link.
     LinkUtilization,
-    /// A value that no decision uses.
+    /// A field that no decision uses.
     Unused,
 }
 
 impl LoadReportField {
-    /// The field that the settings call by that name.
+    /// The field with the given name in the settings.
     pub(crate) fn from_name(name: &str) -> Self {
         match name {
             "outstanding" => Self::InFlight,
@@ -30,7 +30,7 @@
     }
 }
 
-/// Builds a load report from its values and what they are, in the same order.
+/// Builds a load report from its values and their fields, in the same order.
 pub fn load_report(values: &[f64], fields: &[LoadReportField]) -> LoadReport {
     let mut report = LoadReport::default();
     for (&value, field) in values.iter().zip(fields) {
--- a/crates/settings/src/ranges.rs
+++ b/crates/settings/src/ranges.rs
@@ -1,4 +1,4 @@
-//! The ranges of the numbers in the text.
+//! Range checks of the numbers in the text.
 
 use std::ops::RangeInclusive;
 
@@ -8,7 +8,7 @@
 const NOT_NEGATIVE: RangeInclusive<f64> = 0.0..=f64::MAX;
 const RATIO: RangeInclusive<f64> = 0.0..=1.0;
 
-/// A number with its path and its range.
+/// A number with its path in the text and its range.
 struct Bounded {
     path: String,
     value: f64,
@@ -24,18 +24,17 @@
         if self.range.contains(&self.value) {
             return Ok(());
         }
-        let (least, most) = self.range.into_inner();
-        let expected =
-            if most < f64::MAX { format!("from {least} to {most}") } else { format!("{least} or more") };
+        let (min, max) = self.range.into_inner();
+        let expected = if max < f64::MAX { format!("from {min} to {max}") } else { format!("{min} or more") };
         Err(SettingsError { path: self.path, message: format!("{}, expected {expected}", self.value) })
     }
 }
 
-/// Checks all numbers, and then that roles exist.
+/// Checks the ranges of all numbers, and that the roles exist.
 ///
 /// # Errors
 ///
-/// The first value that is out of its range.
+/// The first value that is out of range.
 pub(crate) fn check(text: &SettingsText) -> Result<(), SettingsError> {
     let mut numbers = scalars(text);
     for (n, class) in text.grades.iter().enumerate() {
@@ -99,7 +98,7 @@
     numbers
 }
 
-/// A role is -1 for none, or a position in the list of roles, where there is one.
+/// Checks that a role is -1, which means none, or an index into the list of roles, unless that list is empty.
 fn check_roles(text: &SettingsText) -> Result<(), SettingsError> {
     let count = text.kinds.len();
     let exists = |role: i32| role == -1 || usize::try_from(role).is_ok_and(|role| count == 0 || role < count);
@@ -108,7 +107,7 @@
         [("second-tier-kind", hierarchy.second_tier_kind), ("store-kind", hierarchy.store_kind)]
     {
         if count > 0 && !exists(role) {
-            let message = format!("{role}, expected -1 or the place of one of {count} kinds");
+            let message = format!("{role}, expected -1 or an index into the {count} kinds");
             return Err(SettingsError { path: format!("family-info.{name}"), message });
         }
     }
--- a/crates/settings/src/text.rs
+++ b/crates/settings/src/text.rs
@@ -1,6 +1,6 @@
-//! The JSON text, with the names that it has on the wire and in configuration files.
+//! The JSON text, with the names of its keys in the protocol and in configuration files.
 //!
-//! The `expecting` attributes fix the wording of error messages.
+//! The `expecting` attributes keep error messages independent of the names of the types.
 
 use linnethook::interface::Ms;
 use serde::Deserialize;
@@ -75,7 +75,7 @@
     }
 }
 
-/// What the weights of the endpoint list are.
+/// The meaning of the weights in the endpoint list.
 #[derive(Deserialize, Default, Clone, Copy, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum WeightSource {
@@ -86,6 +86,7 @@
     Live,
 }
 
+/// Whether endpoint lists are pushed, or sent on request.
 #[derive(Deserialize, Default, Clone, Copy, PartialEq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum Discovery {
@@ -94,7 +95,7 @@
     OnRequest,
 }
 
-/// The cache hierarchy, its links and the freshness rules by class.
+/// The cache hierarchy, its links and the freshness rules of each class.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Family")]
 pub(crate) struct HierarchyText {
@@ -143,6 +144,7 @@
     }
 }
 
+/// From which siblings a cache may be filled.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum SiblingFillText {
@@ -152,6 +154,7 @@
     Any,
 }
 
+/// Which answers report whether they were hits.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum OutcomeDetailText {
@@ -161,7 +164,7 @@
     Off,
 }
 
-/// One class of requests.
+/// One request class.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Grade")]
 pub(crate) struct ClassText {
@@ -194,6 +197,7 @@
     }
 }
 
+/// Whether the requests of a class may be executed more than once.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum IdempotenceText {
@@ -203,6 +207,7 @@
     NonIdempotent,
 }
 
+/// The endpoints among which requests with the same idempotency key are deduplicated.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ScopeText {
@@ -212,14 +217,14 @@
     Cell,
 }
 
-/// The order of the values in load reports.
+/// The names of the values in load reports, in their order.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Report")]
 pub(crate) struct ReportText {
     pub(crate) fields: Vec<String>,
 }
 
-/// Start and drain of caches.
+/// Slow start and drain of caches.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default, expecting = "struct Rules")]
 pub(crate) struct LifecycleText {
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Decoding of settings.
+//! Decoding of settings: defaults, conversion, errors, merging, and the order of load reports.
 
 use linnethook::interface::{
     DeduplicationScope, Idempotence, LoadReport, OutcomeDetail, RequestClass, SiblingFill, SlowStart,
@@ -86,16 +86,16 @@
     assert_eq!((settings.flow_kb_per_s, settings.fill_link_kb_per_s), (7000.0, 800.0));
     assert_eq!((settings.purge_grace, settings.purge_completion), (1000.0, 6000.0));
     assert_eq!(settings.routers_by_zone, [0, 3]);
-    let cold = SlowStart {
+    let slow_start = SlowStart {
         initial_ratio: 0.25,
         duration: 15_000.0,
         overload_multiple: 3.0,
         overload_window: 3000.0,
     };
-    assert_eq!(settings.cache_slow_start, cold);
-    let cold =
+    assert_eq!(settings.cache_slow_start, slow_start);
+    let slow_start =
         SlowStart { initial_ratio: 0.1, duration: 20_000.0, overload_multiple: 2.0, overload_window: 3000.0 };
-    assert_eq!(settings.parent_slow_start, cold);
+    assert_eq!(settings.parent_slow_start, slow_start);
 }
 
 #[test]
