--- a/crates/adapter/src/codec/decode.rs
+++ b/crates/adapter/src/codec/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes batches.
+//! Decodes the batches that the simulator sends.
 
 use linnethook::interface::{
     AttemptId, AttemptOutcome, AttemptStatus, EndpointUpdate, Event, LoadReport, Ms, ObjectId, Request,
@@ -8,16 +8,16 @@
 use super::fields::FieldReader;
 use super::{MalformedFrame, Record, Result, ENDPOINT_LISTS};
 
-/// Length of a batch's header.
+/// Length of the header of a batch.
 pub const BATCH_HEADER_BYTES: usize = 16;
-/// Length of a record's code and length.
+/// Length of the header of a record: its code and the length of its fields.
 const RECORD_HEADER_BYTES: usize = 6;
 /// Length of one entry of an endpoint list.
 const ENDPOINT_BYTES: usize = 24;
-/// A longer frame is malformed; its rest is not waited for.
+/// Maximum length of the body of a batch; a longer one is malformed and not read.
 const MAX_BATCH_BYTES: usize = 1 << 30;
 
-/// Codes of records, as the wire numbers them.
+/// Codes of records in the protocol.
 mod code {
     pub const HEALTH_CHECK: u16 = 1000;
     pub const RESPONSE_STARTED: u16 = 1010;
@@ -33,7 +33,7 @@
     pub const STOP_INSTANCE: u16 = 1110;
 }
 
-/// Bits of a request.
+/// Flag bits of a request.
 mod request_bit {
     pub const CLIENT_RETRY: u8 = 2;
     pub const WRITE: u8 = 4;
@@ -42,9 +42,11 @@
 /// The header of a batch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchHeader {
+    /// Number of records in the body.
     pub records: u32,
     /// Length of the body in bytes.
     pub length: usize,
+    /// The time of the batch.
     pub now: Ms,
 }
 
@@ -53,14 +55,16 @@
     ///
     /// # Errors
     ///
-    /// A length that is too large, or too small for the number of records.
+    /// The length is too large, or too small for the number of records.
     pub fn decode(bytes: &[u8; BATCH_HEADER_BYTES]) -> Result<Self> {
         let mut fields = FieldReader::new(bytes, 0);
         let (records, length, now) = (fields.u32()?, fields.u32()? as usize, fields.f64()?);
         let min_length = (records as usize).saturating_mul(RECORD_HEADER_BYTES);
         if length > MAX_BATCH_BYTES || min_length > length {
             return Err(MalformedFrame {
-                message: format!("{records} records in {length} bytes"),
+                message: format!(
+                    "batch of {records} records: expected {min_length} to {MAX_BATCH_BYTES} bytes, got {length}"
+                ),
                 offset: 0,
             });
         }
@@ -68,7 +72,7 @@
     }
 }
 
-/// Decodes all records of a batch's body.
+/// Decodes all records in the body of a batch.
 ///
 /// # Errors
 ///
@@ -82,7 +86,8 @@
         let (code, length) = (head.u16()?, head.u32()? as usize);
         let start = position + RECORD_HEADER_BYTES;
         let Some(end) = start.checked_add(length).filter(|&end| end <= body.len()) else {
-            let message = format!("a record of {length} bytes that passes the batch's end");
+            let message =
+                format!("record of {length} bytes exceeds the batch, {} bytes left", head.remaining());
             return Err(MalformedFrame { message, offset });
         };
         let mut fields = FieldReader::new(&body[start..end], BATCH_HEADER_BYTES + start);
@@ -91,7 +96,7 @@
         position = end;
     }
     if position != body.len() {
-        let message = format!("{} bytes after the last record", body.len() - position);
+        let message = format!("{} bytes after the last record, expected none", body.len() - position);
         return Err(MalformedFrame { message, offset: BATCH_HEADER_BYTES + position });
     }
     Ok(records)
@@ -117,17 +122,18 @@
         code::PURGE => decode_event(fields, decode_purge),
         code::ATTEMPT_FINISHED => decode_reporting_event(fields, decode_outcome),
         code::HEALTH_CHECK => decode_reporting_event(fields, decode_health_check),
-        other => Err(MalformedFrame { message: format!("unknown code {other}"), offset }),
+        other => Err(MalformedFrame { message: format!("unknown record code {other}"), offset }),
     }
 }
 
 fn decode_list(fields: &mut FieldReader) -> Result<Record> {
     let (list, count) = (fields.u32()? as usize, fields.u32()? as usize);
     if list >= ENDPOINT_LISTS {
-        return Err(fields.error(format!("list number {list}")));
+        return Err(fields.error(format!("endpoint list {list}, expected a number below {ENDPOINT_LISTS}")));
     }
     if count.checked_mul(ENDPOINT_BYTES) != Some(fields.remaining()) {
-        return Err(fields.error(format!("{count} entries in {} bytes", fields.remaining())));
+        return Err(fields
+            .error(format!("{count} endpoints of {ENDPOINT_BYTES} bytes in {} bytes", fields.remaining())));
     }
     let endpoints = (0..count).map(|_| fields.endpoint()).collect::<Result<_>>()?;
     Ok(Record::DefineList { list, endpoints })
@@ -140,7 +146,9 @@
         0 => EndpointUpdate::Incremental,
         1 | 2 => EndpointUpdate::Snapshot,
         3 => EndpointUpdate::Unavailable,
-        other => return Err(fields.error(format!("unknown kind of list {other}"))),
+        other => {
+            return Err(fields.error(format!("unknown kind {other} of endpoint update, expected 0 to 3")))
+        }
     };
     let list = fields.u32()? as usize;
     Ok(Record::UpdateEndpoints { instance, update, list })
@@ -162,7 +170,7 @@
     Ok(Record::Event { instance, event, report: Vec::new() })
 }
 
-/// An event that ends with a load report.
+/// Decodes an event that is followed by a load report.
 fn decode_reporting_event(
     fields: &mut FieldReader,
     decode: impl FnOnce(&mut FieldReader) -> Result<Event>,
--- a/crates/adapter/src/codec/encode.rs
+++ b/crates/adapter/src/codec/encode.rs
@@ -1,10 +1,10 @@
-//! Encodes replies.
+//! Encodes the replies to the simulator.
 
 use linnethook::interface::{Action, EndpointId, FillInstruction};
 
 use super::Instance;
 
-/// Codes of records, as the wire numbers them.
+/// Codes of records in the protocol.
 mod code {
     pub const FORWARD: u16 = 1000;
     pub const REJECT: u16 = 1010;
@@ -18,7 +18,7 @@
     pub const FORWARD_WITH_FILL: u16 = 1120;
 }
 
-/// Bits of a fill instruction.
+/// Positions of the flag bits of a fill instruction.
 mod fill_bit {
     pub const COALESCE: u8 = 0;
     pub const ONLY_IF_CACHED: u8 = 1;
@@ -33,7 +33,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance. The wire has no reason of a rejection or failure.
+    /// Adds an action of an instance. The protocol has no field for the reason of a rejection or failure.
     pub fn push(&mut self, instance: Instance, action: &Action) {
         match action {
             Action::Forward { request, endpoint, timeout } => {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Reports that an instance has failed.
+    /// Adds the report that an instance has panicked.
     pub fn push_fault(&mut self, instance: Instance, message: &str) {
         self.record(code::FAULT, instance, |out| encode_text(out, message));
     }
@@ -94,7 +94,7 @@
         self.records += 1;
     }
 
-    /// The frame of the reply.
+    /// The reply as a frame: the number of records, the length of the body, and the body.
     pub fn frame(&self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.body.len());
         frame.extend(self.records.to_le_bytes());
@@ -104,7 +104,8 @@
     }
 }
 
-/// The wire has no `max_stale_age`: the simulator suppresses no fill.
+/// Encodes a fill instruction. The protocol has no field for `max_stale_age`, because the simulator
+/// suppresses no fill.
 fn encode_fill(out: &mut Vec<u8>, fill: &FillInstruction) {
     out.extend(address(fill.source));
     out.push(fill.retention);
@@ -116,13 +117,13 @@
     );
 }
 
-/// An address of six bytes in big-endian order.
+/// The address of an endpoint: six bytes in big-endian order.
 fn address(endpoint: EndpointId) -> [u8; 6] {
     let [_, _, address @ ..] = endpoint.0.to_be_bytes();
     address
 }
 
-/// Text after its length; text over 65,535 bytes is cut off.
+/// Encodes a text after its length; a text of more than 65,535 bytes is truncated.
 fn encode_text(out: &mut Vec<u8>, text: &str) {
     let bytes = &text.as_bytes()[..text.len().min(usize::from(u16::MAX))];
     out.extend((bytes.len() as u16).to_le_bytes());
--- a/crates/adapter/src/codec/fields.rs
+++ b/crates/adapter/src/codec/fields.rs
@@ -1,14 +1,14 @@
-//! Reads the fields of one record, in little-endian order.
+//! Reads the fields of one record; numbers are little-endian.
 
 use linnethook::interface::{AttemptStatus, CacheStatus, Endpoint, EndpointId, EndpointPhase};
 
 use super::{MalformedFrame, Result};
 
-/// The fields that are left of a record.
+/// The fields of a record that have not been read yet.
 pub struct FieldReader<'a> {
     bytes: &'a [u8],
     position: usize,
-    /// Where `bytes` begins in the frame.
+    /// Offset of `bytes` in the frame.
     frame_offset: usize,
 }
 
@@ -17,7 +17,7 @@
         Self { bytes, position: 0, frame_offset }
     }
 
-    /// An error at the next field.
+    /// An error at the position of the next field.
     pub fn error(&self, message: String) -> MalformedFrame {
         MalformedFrame { message, offset: self.frame_offset + self.position }
     }
@@ -29,7 +29,8 @@
     /// The next `length` bytes.
     pub fn bytes(&mut self, length: usize) -> Result<&'a [u8]> {
         if length > self.remaining() {
-            let message = format!("a field of {length} bytes where {} are left", self.remaining());
+            let message =
+                format!("field of {length} bytes exceeds the record, {} bytes left", self.remaining());
             return Err(self.error(message));
         }
         let field = &self.bytes[self.position..self.position + length];
@@ -77,18 +78,18 @@
         if value.is_finite() {
             Ok(value)
         } else {
-            let message = "a value that is no number".into();
+            let message = format!("expected a finite number, got {value}");
             Err(MalformedFrame { message, offset: self.frame_offset + position })
         }
     }
 
-    /// Bytes after their number, which has two bytes.
+    /// Bytes after their length, which is encoded in two bytes.
     pub fn short_bytes(&mut self) -> Result<&'a [u8]> {
         let length = self.u16()?;
         self.bytes(usize::from(length))
     }
 
-    /// Bytes after their number, which has four bytes.
+    /// Bytes after their length, which is encoded in four bytes.
     pub fn long_bytes(&mut self) -> Result<&'a [u8]> {
         let length = self.u32()?;
         self.bytes(length as usize)
@@ -118,7 +119,7 @@
             0 => EndpointPhase::Removed,
             1 => EndpointPhase::Ready,
             2 => EndpointPhase::Draining,
-            other => return Err(self.error(format!("unknown phase {other}"))),
+            other => return Err(self.error(format!("unknown endpoint phase {other}, expected 0 to 2"))),
         })
     }
 
@@ -133,7 +134,7 @@
             503 => AttemptStatus::Rejected,
             504 => AttemptStatus::TimedOut,
             598 => AttemptStatus::Reset,
-            other => return Err(self.error(format!("unknown outcome {other}"))),
+            other => return Err(self.error(format!("unknown attempt status {other}"))),
         })
     }
 
@@ -150,22 +151,23 @@
             8 => Some(CacheStatus::SourceMiss),
             9 => Some(CacheStatus::NoCapacity),
             10 => Some(CacheStatus::OriginFailed),
-            other => return Err(self.error(format!("unknown note {other}"))),
+            other => return Err(self.error(format!("unknown cache status {other}, expected 0 to 10"))),
         })
     }
 
-    /// The values of a load report, after their number.
+    /// The values of a load report after their number, which is encoded in one byte.
     pub fn load_report(&mut self) -> Result<Vec<f64>> {
         let count = self.u8()?;
         (0..count).map(|_| self.f32()).collect()
     }
 
-    /// Checks that no bytes are left.
+    /// Checks that all bytes have been read.
     pub fn finish(&self) -> Result<()> {
         if self.remaining() == 0 {
             Ok(())
         } else {
-            Err(self.error(format!("{} bytes too many in a record", self.remaining())))
+            Err(self
+                .error(format!("{} bytes after the last field of a record, expected none", self.remaining())))
         }
     }
 }
--- a/crates/adapter/src/codec/mod.rs
+++ b/crates/adapter/src/codec/mod.rs
@@ -1,6 +1,6 @@
-//! The simulator's frames: batches of records in, replies of records out.
+//! The frames of the simulator's protocol: batches of records are decoded, replies of records are encoded.
 //!
-//! The names of the wire are translated to those of the decision module here, and nowhere else.
+//! Only this module translates between the names of the protocol and those of the decision module.
 
 mod decode;
 mod encode;
@@ -13,17 +13,18 @@
 pub use decode::{decode_batch, BatchHeader, BATCH_HEADER_BYTES};
 pub use encode::Reply;
 
-/// Number of the endpoint lists that the simulator may define.
+/// Maximum number of endpoint lists; they are numbered from 0.
 pub const ENDPOINT_LISTS: usize = 16;
 
-/// The number of one router on the wire.
+/// The number of one router in the protocol.
 pub type Instance = u16;
 
-/// What is wrong with a frame, and where.
+/// Why a frame cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MalformedFrame {
+    /// What was got, and what was expected.
     pub message: String,
-    /// Bytes from the start of the frame.
+    /// Offset in the frame, in bytes.
     pub offset: usize,
 }
 
@@ -49,7 +50,7 @@
     StopInstance {
         instance: Instance,
     },
-    /// Defines a list for the updates that follow.
+    /// Defines an endpoint list that later updates refer to.
     DefineList {
         list: usize,
         endpoints: Vec<Endpoint>,
@@ -59,13 +60,14 @@
         update: EndpointUpdate,
         list: usize,
     },
-    /// The load report of an event, if any, is `report`: the instance's settings say what its values are.
+    /// An event, with the values of its load report. The settings of the instance define their fields;
+    /// `report` is empty if the event has none.
     Event {
         instance: Instance,
         event: Event,
         report: Vec<f64>,
     },
-    /// A message from another instance, which no decision uses.
+    /// A message from another instance; no decision uses it.
     PeerMessage {
         instance: Instance,
     },
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts one decision module per instance. Instances share nothing but the endpoint lists of the wire.
+//! Hosts one decision module for each instance. Instances share only the endpoint lists of the protocol.
 
 use std::any::Any;
 use std::collections::BTreeMap;
@@ -27,7 +27,9 @@
             Self::InvalidSettings { instance, source } => {
                 write!(formatter, "settings of instance {instance}: {source}")
             }
-            Self::UnknownList(list) => write!(formatter, "list number {list}"),
+            Self::UnknownList(list) => {
+                write!(formatter, "endpoint list {list}, expected a number below {ENDPOINT_LISTS}")
+            }
         }
     }
 }
@@ -71,7 +73,7 @@
                 }
                 Record::DefineList { list, endpoints } => self.lists[list] = endpoints,
                 Record::UpdateEndpoints { instance, update, list } => {
-                    let endpoints = self.listed_endpoints(update, list)?;
+                    let endpoints = self.endpoints_of_update(update, list)?;
                     self.handle_event(now, instance, &Event::Endpoints { update, endpoints }, &mut reply);
                 }
                 Record::Event { instance, event, report } => {
@@ -93,7 +95,7 @@
         Ok(())
     }
 
-    fn listed_endpoints(&self, update: EndpointUpdate, list: usize) -> Result<Vec<Endpoint>, HostError> {
+    fn endpoints_of_update(&self, update: EndpointUpdate, list: usize) -> Result<Vec<Endpoint>, HostError> {
         match update {
             EndpointUpdate::Unavailable => Ok(Vec::new()),
             EndpointUpdate::Incremental | EndpointUpdate::Snapshot => {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// Adds the load report, whose values have the meaning that the instance's settings give them.
+    /// Adds the load report to an event; the settings of the instance define the fields of its values.
     fn with_load_report(&self, instance: Instance, mut event: Event, values: &[f64]) -> Event {
         let Some(running) = self.instances.get(&instance) else { return event };
         match &mut event {
@@ -117,8 +119,8 @@
         event
     }
 
-    /// Passes an event to its instance; one that does not run is ignored. An instance that panics is
-    /// reported and dropped.
+    /// Passes an event to its instance and adds the actions to the reply. Events for an unknown instance are
+    /// ignored. A panic of an instance is reported, and the instance is removed.
     fn handle_event(&mut self, now: Ms, instance: Instance, event: &Event, reply: &mut Reply) {
         let Some(running) = self.instances.get_mut(&instance) else { return };
         match catch_unwind(AssertUnwindSafe(|| running.policy.handle(now, event))) {
@@ -138,7 +140,7 @@
 fn panic_message(cause: &(dyn Any + Send)) -> &str {
     let owned = cause.downcast_ref::<String>().map(String::as_str);
     let message = owned.or_else(|| cause.downcast_ref::<&str>().copied());
-    message.unwrap_or("the decision module failed")
+    message.unwrap_or("decision module panicked without a message")
 }
 
 #[cfg(test)]
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs the decision module on the simulator's wire: standard input to standard output.
+//! Runs the decision module behind the simulator's protocol: batches on standard input, replies on standard
+//! output.
 
 mod codec;
 mod host;
@@ -9,7 +10,7 @@
 use codec::{decode_batch, BatchHeader, MalformedFrame, BATCH_HEADER_BYTES};
 use host::{Host, HostError};
 
-/// Why the adapter ends before its input does.
+/// Why the adapter exits before the end of its input.
 #[derive(Debug)]
 enum AdapterError {
     Io(io::Error),
@@ -24,10 +25,17 @@
         match self {
             Self::Io(source) => write!(formatter, "{source}"),
             Self::TruncatedHeader { batch, bytes } => {
-                write!(formatter, "batch {batch}: the input ends {bytes} bytes into a header")
+                let expected = BATCH_HEADER_BYTES;
+                write!(
+                    formatter,
+                    "batch {batch}: input ends within a header: expected {expected} bytes, got {bytes}"
+                )
             }
             Self::TruncatedBody { batch, bytes, length } => {
-                write!(formatter, "batch {batch}: the input ends after {bytes} of {length} bytes")
+                write!(
+                    formatter,
+                    "batch {batch}: input ends within a body: expected {length} bytes, got {bytes}"
+                )
             }
             Self::Malformed { batch, source } => write!(formatter, "batch {batch}: {source}"),
             Self::Host { batch, source } => write!(formatter, "batch {batch}: {source}"),
@@ -44,7 +52,8 @@
 }
 
 fn main() -> ExitCode {
-    // A panic inside the module is reported on the wire; standard error is for the one line below.
+    // A panic of the decision module is reported in the reply; standard error has only the line printed
+    // below.
     std::panic::set_hook(Box::new(|_| {}));
     match serve(BufReader::new(io::stdin().lock()), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
@@ -55,7 +64,7 @@
     }
 }
 
-/// Answers one batch after another until the input ends.
+/// Replies to each batch until the end of the input.
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut body = Vec::new();
@@ -84,7 +93,7 @@
     }
 }
 
-/// Fills `buffer`, or as much of it as there is before the input ends.
+/// Reads until `buffer` is full or the input ends, and returns the number of bytes read.
 fn read_up_to(input: &mut impl Read, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     while filled < buffer.len() {
--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter as a user runs it: frames in, frames out, plain messages and exit codes.
+//! The adapter as a process: frames on standard input and output, error messages and exit codes.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -10,7 +10,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may end before it has read all of a bad input.
+    // The adapter may exit before it has read all of a malformed input.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
@@ -30,10 +30,12 @@
     frame
 }
 
+/// Length of the header of a batch.
+const HEADER_BYTES: usize = 16;
 const SETTINGS: &str = r#"{"balancers": 2, "locality": 0, "resolution": 2.0, "allowed": {"max-attempts": 3},
     "grades": [{"effect": "read_like", "objective": 400, "deadline": 4000}]}"#;
 
-fn open(instance: u16, settings: &str) -> (u16, Vec<u8>) {
+fn start(instance: u16, settings: &str) -> (u16, Vec<u8>) {
     let mut fields = instance.to_le_bytes().to_vec();
     fields.extend(7u64.to_le_bytes());
     fields.extend((settings.len() as u32).to_le_bytes());
@@ -41,7 +43,7 @@
     (1070, fields)
 }
 
-/// A list with one ready cache at that address.
+/// Defines a list with one ready cache at that address.
 fn define(list: u32, address: u8) -> (u16, Vec<u8>) {
     let mut fields = list.to_le_bytes().to_vec();
     fields.extend(1u32.to_le_bytes());
@@ -55,7 +57,7 @@
     (1100, fields)
 }
 
-fn fleet(instance: u16, list: u32) -> (u16, Vec<u8>) {
+fn update(instance: u16, list: u32) -> (u16, Vec<u8>) {
     let mut fields = instance.to_le_bytes().to_vec();
     fields.extend(1u64.to_le_bytes());
     fields.push(2);
@@ -63,7 +65,7 @@
     (1040, fields)
 }
 
-fn submit(instance: u16, id: u64) -> (u16, Vec<u8>) {
+fn request(instance: u16, id: u64) -> (u16, Vec<u8>) {
     let mut fields = instance.to_le_bytes().to_vec();
     fields.extend(id.to_le_bytes());
     fields.extend(0f32.to_le_bytes());
@@ -75,7 +77,7 @@
     (1090, fields)
 }
 
-/// Code, instance and the rest of each record of each reply.
+/// Code, instance and remaining fields of each record of each reply.
 fn replies(mut output: &[u8]) -> Vec<Vec<(u16, u16, Vec<u8>)>> {
     let number = |bytes: &[u8]| bytes.iter().rev().fold(0usize, |sum, &byte| sum << 8 | usize::from(byte));
     let mut replies = Vec::new();
@@ -97,23 +99,23 @@
 }
 
 #[test]
-fn the_end_of_the_input_is_a_success() {
+fn adapter_exits_with_success_at_the_end_of_its_input() {
     let output = run(&[batch(1.0, &[]), batch(2.0, &[])].concat());
     assert!(output.status.success() && output.stderr.is_empty());
     assert_eq!(output.stdout, [0; 16]);
 }
 
 #[test]
-fn lists_are_resolved_in_event_order_and_instances_share_nothing() {
+fn lists_are_resolved_in_record_order_and_instances_are_independent() {
     let records = [
-        open(3, SETTINGS),
+        start(3, SETTINGS),
         define(0, 1),
-        fleet(3, 0),
-        open(4, SETTINGS),
+        update(3, 0),
+        start(4, SETTINGS),
         define(0, 2),
-        fleet(4, 0),
-        submit(3, 50),
-        submit(4, 51),
+        update(4, 0),
+        request(3, 50),
+        request(4, 51),
     ];
     let output = run(&batch(1.0, &records));
     assert!(output.status.success(), "{output:?}");
@@ -126,9 +128,9 @@
 
 #[test]
 fn a_restart_within_a_batch_drops_open_requests() {
-    let off = (1110, 3u16.to_le_bytes().to_vec());
-    let first = batch(1.0, &[open(3, SETTINGS), define(0, 1), fleet(3, 0), submit(3, 50)]);
-    let again = batch(9.0, &[off, open(3, SETTINGS), define(1, 1), fleet(3, 1)]);
+    let stop = (1110, 3u16.to_le_bytes().to_vec());
+    let first = batch(1.0, &[start(3, SETTINGS), define(0, 1), update(3, 0), request(3, 50)]);
+    let again = batch(9.0, &[stop, start(3, SETTINGS), define(1, 1), update(3, 1)]);
     let late = batch(5000.0, &[(1030, [&3u16.to_le_bytes()[..], &0u32.to_le_bytes()].concat())]);
     let output = run(&[first, again, late].concat());
     assert!(output.status.success(), "{output:?}");
@@ -138,32 +140,35 @@
 }
 
 #[test]
-fn events_for_an_instance_that_does_not_run_are_ignored() {
-    let output = run(&batch(1.0, &[submit(8, 50)]));
+fn events_for_unknown_instances_are_ignored() {
+    let output = run(&batch(1.0, &[request(8, 50)]));
     assert!(output.status.success());
     assert_eq!(output.stdout, [0; 8]);
 }
 
 #[test]
 fn malformed_input_is_reported_in_one_line() {
-    let good = batch(1.0, &[]);
+    let valid = batch(1.0, &[]);
+    let start_record = batch(2.0, &[start(3, SETTINGS)]);
+    let body_bytes = start_record.len() - HEADER_BYTES;
+    let truncated_body = format!("batch 2: input ends within a body: expected {body_bytes} bytes, got 14");
     let cases: [(Vec<u8>, &str); 6] = [
-        (vec![0; 5], "batch 2: the input ends 5 bytes into a header"),
-        (batch(2.0, &[(7, vec![])]), "batch 2: unknown code 7 at byte 16 of the batch"),
+        (vec![0; 5], "batch 2: input ends within a header: expected 16 bytes, got 5"),
+        (batch(2.0, &[(7, vec![])]), "batch 2: unknown record code 7 at byte 16 of the batch"),
         (
             batch(2.0, &[(1030, vec![1])]),
-            "batch 2: a field of 2 bytes where 1 are left at byte 22 of the batch",
+            "batch 2: field of 2 bytes exceeds the record, 1 bytes left at byte 22 of the batch",
         ),
-        (batch(2.0, &[open(3, "{]")]), "batch 2: settings of instance 3: "),
-        (batch(2.0, &[open(3, r#"{"grades": 1}"#)]), "batch 2: settings of instance 3: "),
-        (batch(2.0, &[open(3, SETTINGS)])[..30].to_vec(), "batch 2: the input ends after 14 of "),
+        (batch(2.0, &[start(3, "{]")]), "batch 2: settings of instance 3: "),
+        (batch(2.0, &[start(3, r#"{"grades": 1}"#)]), "batch 2: settings of instance 3: "),
+        (start_record[..30].to_vec(), &truncated_body),
     ];
-    for (bad, message) in cases {
-        let output = run(&[good.clone(), bad].concat());
+    for (malformed, message) in cases {
+        let output = run(&[valid.clone(), malformed].concat());
         let stderr = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{stderr}");
         assert!(stderr.starts_with(&format!("linnethook-adapter: {message}")), "{stderr}");
         assert_eq!(stderr.lines().count(), 1, "{stderr}");
-        assert_eq!(output.stdout, [0; 8], "nothing but the reply to the good batch");
+        assert_eq!(output.stdout, [0; 8], "only the reply to the valid batch");
     }
 }
--- a/crates/adapter/tests/unit/codec.rs
+++ b/crates/adapter/tests/unit/codec.rs
@@ -1,4 +1,4 @@
-//! The simulator's records, field by field.
+//! Decoding and encoding of each record of the simulator's protocol, field by field.
 
 use linnethook::interface::{
     Action, AttemptId, AttemptOutcome, AttemptStatus, CacheStatus, Endpoint, EndpointId, EndpointPhase,
@@ -55,12 +55,12 @@
 
 const CACHE: EndpointId = EndpointId(0x0a01_0203_2823);
 
-fn of() -> Bytes {
+fn empty() -> Bytes {
     Bytes::default()
 }
 
 fn record(code: u16, fields: Bytes) -> Vec<u8> {
-    of().u16(code).u32(fields.0.len() as u32).text(&fields.0).0
+    empty().u16(code).u32(fields.0.len() as u32).text(&fields.0).0
 }
 
 fn batch(records: &[Vec<u8>]) -> Result<Vec<Record>> {
@@ -80,7 +80,7 @@
 }
 
 fn entry(phase: u8) -> Bytes {
-    of().u16(4).cache().f32(1.5).u8(2).u16(1).f64(750.0).u8(phase)
+    empty().u16(4).cache().f32(1.5).u8(2).u16(1).f64(750.0).u8(phase)
 }
 
 fn endpoint(phase: EndpointPhase) -> Endpoint {
@@ -88,13 +88,13 @@
 }
 
 #[test]
-fn a_batch_header() {
-    let bytes = of().u32(2).u32(40).f64(12.5).0;
+fn batch_headers() {
+    let bytes = empty().u32(2).u32(40).f64(12.5).0;
     let header = BatchHeader::decode(&bytes.try_into().expect("16 bytes"));
     assert_eq!(header, Ok(BatchHeader { records: 2, length: 40, now: 12.5 }));
-    let impossible = of().u32(100).u32(40).f64(12.5).0;
+    let impossible = empty().u32(100).u32(40).f64(12.5).0;
     assert!(BatchHeader::decode(&impossible.try_into().expect("16 bytes")).is_err());
-    let no_clock = of().u32(0).u32(0).f64(f64::NAN).0;
+    let no_clock = empty().u32(0).u32(0).f64(f64::NAN).0;
     assert_eq!(
         BatchHeader::decode(&no_clock.try_into().expect("16 bytes")).map_err(|error| error.offset),
         Err(8)
@@ -103,14 +103,14 @@
 
 #[test]
 fn instances_start_and_stop() {
-    let opened = one(1070, of().u16(9).u64(77).u32(2).text(b"{}")).expect("a start");
+    let opened = one(1070, empty().u16(9).u64(77).u32(2).text(b"{}")).expect("a start");
     assert_eq!(opened, Record::StartInstance { instance: 9, seed: 77, settings: b"{}".to_vec() });
-    assert_eq!(one(1110, of().u16(9)).expect("a stop"), Record::StopInstance { instance: 9 });
+    assert_eq!(one(1110, empty().u16(9)).expect("a stop"), Record::StopInstance { instance: 9 });
 }
 
 #[test]
 fn endpoint_lists_and_updates() {
-    let rows = of().u32(3).u32(3).text(&[entry(0).0, entry(1).0, entry(2).0].concat());
+    let rows = empty().u32(3).u32(3).text(&[entry(0).0, entry(1).0, entry(2).0].concat());
     let phases = [EndpointPhase::Removed, EndpointPhase::Ready, EndpointPhase::Draining];
     let expected = Record::DefineList { list: 3, endpoints: phases.map(endpoint).to_vec() };
     assert_eq!(one(1100, rows).expect("a list"), expected);
@@ -121,14 +121,14 @@
         EndpointUpdate::Unavailable,
     ];
     for (n, update) in updates.into_iter().enumerate() {
-        let decoded = one(1040, of().u16(9).u64(1).u8(n as u8).u32(3)).expect("a list");
+        let decoded = one(1040, empty().u16(9).u64(1).u8(n as u8).u32(3)).expect("a list");
         assert_eq!(decoded, Record::UpdateEndpoints { instance: 9, update, list: 3 });
     }
 }
 
 #[test]
 fn requests_and_their_events() {
-    let fields = of().u16(9).u64(42).f32(3.0).u8(6).u16(1).f32(12.0).f32(11.0).u32(0).u64(99).f64(240.0);
+    let fields = empty().u16(9).u64(42).f32(3.0).u8(6).u16(1).f32(12.0).f32(11.0).u32(0).u64(99).f64(240.0);
     let request = Request {
         id: RequestId(42),
         object: ObjectId(99),
@@ -142,20 +142,20 @@
     };
     assert_eq!(event(1090, fields), Event::Request(request));
     let attempt = AttemptId { request: RequestId(42), number: 2 };
-    assert_eq!(event(1010, of().u16(9).u64(42).cache().u8(2).f64(1.0)), Event::ResponseStarted(attempt));
-    assert_eq!(event(1020, of().u16(9).u64(42)), Event::ClientDisconnected(RequestId(42)));
-    assert_eq!(event(1030, of().u16(9).u32(77)), Event::Timer(77));
+    assert_eq!(event(1010, empty().u16(9).u64(42).cache().u8(2).f64(1.0)), Event::ResponseStarted(attempt));
+    assert_eq!(event(1020, empty().u16(9).u64(42)), Event::ClientDisconnected(RequestId(42)));
+    assert_eq!(event(1030, empty().u16(9).u32(77)), Event::Timer(77));
 }
 
 #[test]
 fn purges_of_objects_and_groups() {
-    let purge = |object| event(1060, of().u16(9).u64(object).u16(11).f64(85.0));
+    let purge = |object| event(1060, empty().u16(9).u64(object).u16(11).f64(85.0));
     assert_eq!(purge(5), Event::Purge { object: Some(ObjectId(5)), group: 11, age: 85.0 });
     assert_eq!(purge(0), Event::Purge { object: None, group: 11, age: 85.0 });
 }
 
 #[test]
-fn every_attempt_status_and_cache_status() {
+fn every_attempt_status_and_cache_status_is_decoded() {
     use AttemptStatus::*;
     let codes = [200, 500, 503, 504, 502, 598, 499, 410, 404];
     let statuses = [Ok, Error, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotExecuted, CacheMiss];
@@ -176,7 +176,8 @@
     let cache_statuses: Vec<Option<CacheStatus>> = std::iter::once(None).chain(reported.map(Some)).collect();
     for (code, status) in codes.into_iter().zip(statuses) {
         for (n, cache_status) in cache_statuses.iter().enumerate() {
-            let fields = of().u16(9).u64(42).u8(1).u16(code).cache().f64(9.5).f64(18.5).u32(n as u32).u8(1);
+            let fields =
+                empty().u16(9).u64(42).u8(1).u16(code).cache().f64(9.5).f64(18.5).u32(n as u32).u8(1);
             let fields = fields.u8(2).f32(0.5).f32(3.0);
             let record = one(1080, fields).expect("an outcome");
             let outcome = AttemptOutcome {
@@ -197,60 +198,64 @@
 
 #[test]
 fn health_checks_load_reports_and_peer_messages() {
-    let fields = of().u16(9).f64(2.0).u16(200).cache().u8(1).f32(4.0);
+    let fields = empty().u16(9).f64(2.0).u16(200).cache().u8(1).f32(4.0);
     let record = one(1000, fields).expect("a health check's result");
     let event = Event::HealthCheck { endpoint: CACHE, healthy: true, load_report: LoadReport::default() };
     assert_eq!(record, Record::Event { instance: 9, event, report: vec![4.0] });
-    let message = one(1050, of().u16(9).u32(1).u16(3).text(b"abc")).expect("a message");
+    let message = one(1050, empty().u16(9).u32(1).u16(3).text(b"abc")).expect("a message");
     assert_eq!(message, Record::PeerMessage { instance: 9 });
 }
 
 #[test]
-fn malformed_records_report_what_and_where() {
+fn malformed_records_are_errors_with_an_offset() {
     let error = |result: Result<Record>| result.expect_err("malformed").to_string();
-    assert_eq!(error(one(7, of())), "unknown code 7 at byte 16 of the batch");
+    assert_eq!(error(one(7, empty())), "unknown record code 7 at byte 16 of the batch");
     assert_eq!(
-        error(one(1030, of().u16(9).u16(1))),
-        "a field of 4 bytes where 2 are left at byte 24 of the batch"
+        error(one(1030, empty().u16(9).u16(1))),
+        "field of 4 bytes exceeds the record, 2 bytes left at byte 24 of the batch"
     );
     assert_eq!(
-        error(one(1030, of().u16(9).u32(1).u8(1))),
-        "1 bytes too many in a record at byte 28 of the batch"
+        error(one(1030, empty().u16(9).u32(1).u8(1))),
+        "1 bytes after the last field of a record, expected none at byte 28 of the batch"
     );
-    assert!(error(one(1100, of().u32(16).u32(0))).starts_with("list number 16"));
-    assert!(error(one(1100, of().u32(1).u32(2).text(&entry(1).0))).starts_with("2 entries in 24 bytes"));
-    assert!(error(one(1100, of().u32(1).u32(1).text(&entry(3).0))).starts_with("unknown phase 3"));
-    assert!(error(one(1040, of().u16(9).u64(1).u8(4).u32(3))).starts_with("unknown kind of list 4"));
-    let outcome = of().u16(9).u64(42).u8(1).u16(201).cache();
-    assert!(error(one(1080, outcome)).starts_with("unknown outcome 201"));
-    let reported = of().u16(9).u64(42).u8(1).u16(200).cache().f64(0.0).f64(1.0).u32(11).u8(1).u8(0);
-    assert!(error(one(1080, reported)).starts_with("unknown note 11"));
     assert!(
-        error(one(1060, of().u16(9).u64(1).u16(1).f64(f64::NAN))).starts_with("a value that is no number")
+        error(one(1100, empty().u32(16).u32(0))).starts_with("endpoint list 16, expected a number below 16")
     );
-    let too_long = of().u16(1030).u32(50).u16(9).0;
+    assert!(error(one(1100, empty().u32(1).u32(2).text(&entry(1).0)))
+        .starts_with("2 endpoints of 24 bytes in 24 bytes"));
+    assert!(error(one(1100, empty().u32(1).u32(1).text(&entry(3).0))).starts_with("unknown endpoint phase 3"));
+    assert!(
+        error(one(1040, empty().u16(9).u64(1).u8(4).u32(3))).starts_with("unknown kind 4 of endpoint update")
+    );
+    let outcome = empty().u16(9).u64(42).u8(1).u16(201).cache();
+    assert!(error(one(1080, outcome)).starts_with("unknown attempt status 201"));
+    let reported = empty().u16(9).u64(42).u8(1).u16(200).cache().f64(0.0).f64(1.0).u32(11).u8(1).u8(0);
+    assert!(error(one(1080, reported)).starts_with("unknown cache status 11"));
+    assert!(error(one(1060, empty().u16(9).u64(1).u16(1).f64(f64::NAN)))
+        .starts_with("expected a finite number, got NaN"));
+    let too_long = empty().u16(1030).u32(50).u16(9).0;
     assert!(batch(&[too_long]).is_err());
     let header = BatchHeader { records: 1, length: 13, now: 0.0 };
-    let body = [record(1030, of().u16(9).u32(1)), vec![0]].concat();
+    let body = [record(1030, empty().u16(9).u32(1)), vec![0]].concat();
     assert!(decode_batch(header, &body).is_err(), "bytes after the last record");
 }
 
-/// The fields of the one record that an action goes out as, without the instance.
+/// The code and the fields, without the instance, of the record that encodes an action.
 fn fields_of(action: &Action) -> (u16, Vec<u8>) {
     let mut reply = Reply::default();
     reply.push(9, action);
     let frame = reply.frame();
     let length = frame.len();
-    assert_eq!(frame[..8], of().u32(1).u32(length as u32 - 8).0);
-    assert_eq!(frame[10..16], of().u32(length as u32 - 14).u16(9).0);
+    assert_eq!(frame[..8], empty().u32(1).u32(length as u32 - 8).0);
+    assert_eq!(frame[10..16], empty().u32(length as u32 - 14).u16(9).0);
     (u16::from_le_bytes([frame[8], frame[9]]), frame[16..].to_vec())
 }
 
 #[test]
-fn every_action() {
+fn every_action_is_encoded() {
     let request = RequestId(42);
     let forward = Action::Forward { request, endpoint: CACHE, timeout: 80.0 };
-    assert_eq!(fields_of(&forward), (1000, of().u64(42).f64(80.0).cache().0));
+    assert_eq!(fields_of(&forward), (1000, empty().u64(42).f64(80.0).cache().0));
     let (max_age, max_stale_age) = (360.0, 0.0);
     let fill = FillInstruction {
         source: CACHE,
@@ -262,29 +267,29 @@
         revalidate: true,
     };
     let with_fill = |fill| Action::ForwardWithFill { request, endpoint: CACHE, timeout: 80.0, fill };
-    let fields = |bits| of().u64(42).cache().f64(80.0).cache().u8(2).f64(360.0).u8(bits).0;
+    let fields = |bits| empty().u64(42).cache().f64(80.0).cache().u8(2).f64(360.0).u8(bits).0;
     assert_eq!(fields_of(&with_fill(fill)), (1120, fields(9)));
     let cached = FillInstruction { coalesce: false, only_if_cached: true, revalidate: false, ..fill };
     assert_eq!(fields_of(&with_fill(cached)), (1120, fields(2)));
     let cancel = Action::CancelAttempt(AttemptId { request, number: 3 });
-    assert_eq!(fields_of(&cancel), (1030, of().u64(42).u8(3).0));
+    assert_eq!(fields_of(&cancel), (1030, empty().u64(42).u8(3).0));
     let reject = Action::Reject { request, retry_after: 250.0, reason: RejectReason::OriginOverloaded };
-    assert_eq!(fields_of(&reject), (1010, of().u64(42).f64(250.0).0));
+    assert_eq!(fields_of(&reject), (1010, empty().u64(42).f64(250.0).0));
     assert_eq!(
         fields_of(&Action::Fail { request, reason: RejectReason::RepeatNotAllowed }),
-        (1020, of().u64(42).0)
+        (1020, empty().u64(42).0)
     );
     let timer = Action::SetTimer { at: 1000.5, token: 7 };
-    assert_eq!(fields_of(&timer), (1040, of().f64(1000.5).u32(7).0));
-    assert_eq!(fields_of(&Action::HealthCheck(CACHE)), (1050, of().cache().0));
-    assert_eq!(fields_of(&Action::SubscribeEndpoints), (1100, of().u8(1).0));
-    assert_eq!(fields_of(&Action::Log("so".into())), (1080, of().u16(2).text(b"so").0));
+    assert_eq!(fields_of(&timer), (1040, empty().f64(1000.5).u32(7).0));
+    assert_eq!(fields_of(&Action::HealthCheck(CACHE)), (1050, empty().cache().0));
+    assert_eq!(fields_of(&Action::SubscribeEndpoints), (1100, empty().u8(1).0));
+    assert_eq!(fields_of(&Action::Log("so".into())), (1080, empty().u16(2).text(b"so").0));
 }
 
 #[test]
-fn a_fault_and_an_empty_reply() {
+fn panic_report_and_empty_reply() {
     let mut reply = Reply::default();
     assert_eq!(reply.frame(), [0; 8]);
-    reply.push_fault(9, "it broke");
-    assert_eq!(reply.frame()[8..], record(1090, of().u16(9).u16(8).text(b"it broke")));
+    reply.push_fault(9, "panicked");
+    assert_eq!(reply.frame()[8..], record(1090, empty().u16(9).u16(8).text(b"panicked")));
 }
--- a/crates/adapter/tests/unit/host.rs
+++ b/crates/adapter/tests/unit/host.rs
@@ -1,4 +1,4 @@
-//! Instances on the simulator's wire.
+//! Execution of records by the host.
 
 use linnethook::interface::{EndpointId, EndpointPhase};
 
@@ -21,7 +21,8 @@
     assert_eq!(error("{}") + &error(r#"{"colour": "red", "weight-source": "off"}"#), "");
 }
 
-/// A list whose weights are 0 or all 1, and messages from other instances, which nobody sends, do no damage.
+/// Lists whose weights are all 0 or all 1 are accepted, and so are messages from other instances, which no
+/// router sends.
 #[test]
 fn lists_without_weights_and_messages_from_other_instances_are_accepted() {
     let mut host = Host::default();
