--- a/crates/shadow-policy/src/comparison.rs
+++ b/crates/shadow-policy/src/comparison.rs
@@ -1,31 +1,31 @@
-//! Decisions about requests, and the kinds of difference between two of them.
+//! Decisions about requests, and the kinds of difference between two decisions.
 
 use std::fmt;
 
 use linnethook::interface::{Action, EndpointId, FillInstruction, Ms, RequestId};
 
-/// Times that differ by less are equal: they are computed in milliseconds with fractions.
+/// Times that differ by less are considered equal, because they are floating-point results.
 const TIME_TOLERANCE: Ms = 0.001;
 
-/// How many decisions were compared, and how many differed. Each counts once, under the first kind that
-/// applies, in the order of the fields after `compared`, rejection first.
+/// The number of compared decisions, and the number of differences of each kind. A difference is counted
+/// once, under the first kind that applies, in the order of the fields after `compared`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct DifferenceCounts {
-    /// Decisions compared.
+    /// Compared decisions.
     pub compared: u64,
-    /// One forwards the request, the other rejects or fails it.
+    /// Only one rejects or fails the request.
     pub rejection: u64,
-    /// One forwards or answers the request, the other waits; or their times differ.
+    /// Only one decides about the request so far, or their times differ.
     pub timing: u64,
-    /// Forwarded to another endpoint.
+    /// The endpoints differ.
     pub endpoint: u64,
-    /// Filled from another source, or only one fills.
+    /// The fill sources differ, or only one fills.
     pub source: u64,
-    /// Another fill instruction.
+    /// The fill instructions differ in another way.
     pub fill: u64,
-    /// Only one cancels an attempt.
+    /// Only one cancels the attempt.
     pub cancellation: u64,
-    /// The second instance has panicked and is no longer compared: 0 or 1.
+    /// 1 if the second instance has panicked, after which nothing is compared; otherwise 0.
     pub failed: u64,
 }
 
@@ -35,8 +35,8 @@
         self.rejection + self.timing + self.endpoint + self.source + self.fill + self.cancellation
     }
 
-    /// Compares the decision that was carried out with the other one, and counts the difference. At least one
-    /// of the two exists; a request without a decision waits.
+    /// Compares the decision that was carried out with the other one, and counts the difference. `None` means
+    /// that the request is still waiting for a decision; at most one of the two may be `None`.
     pub fn compare(&mut self, carried_out: Option<&Decision>, other: Option<&Decision>) -> Difference {
         self.compared += 1;
         let difference = match (carried_out, other) {
@@ -62,7 +62,7 @@
 }
 
 impl fmt::Display for DifferenceCounts {
-    /// The names of the counters in the log.
+    /// Writes the counters under their names in the log.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -80,21 +80,21 @@
     }
 }
 
-/// What is decided about a request.
+/// A decision about a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
     /// An attempt is sent.
     Forward {
-        /// Where to.
+        /// The endpoint that the attempt is sent to.
         endpoint: EndpointId,
-        /// How a missing copy is filled; `None` for no fill.
+        /// How a missing object is filled; `None` for no fill.
         fill: Option<FillInstruction>,
-        /// The attempt's time-out.
+        /// The timeout of the attempt.
         timeout: Ms,
     },
     /// The request is rejected.
     Reject {
-        /// When the client should retry.
+        /// The time after which the client should retry.
         retry_after: Ms,
     },
     /// The request fails.
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Whether the request has its final answer.
+    /// Whether the decision is the final answer to the request.
     pub fn is_final(&self) -> bool {
         !matches!(self, Self::Forward { .. })
     }
@@ -151,7 +151,7 @@
     }
 }
 
-/// Where the endpoint fills from; `None` if it does not.
+/// The endpoint that `endpoint` fills from; `None` if it does not fill.
 fn fill_source(endpoint: EndpointId, fill: Option<FillInstruction>) -> Option<EndpointId> {
     fill.map(|fill| fill.source).filter(|&source| source != endpoint)
 }
@@ -169,9 +169,9 @@
 pub enum Difference {
     /// No difference.
     None,
-    /// The same attempt or answer, with another time-out or Retry-After.
+    /// The same attempt or answer, with another timeout or Retry-After.
     Timing,
-    /// One decides nothing yet.
+    /// Only one has decided so far.
     OneWaits,
     /// Another endpoint.
     Endpoint,
--- a/crates/shadow-policy/src/shadow.rs
+++ b/crates/shadow-policy/src/shadow.rs
@@ -1,6 +1,6 @@
 //! The second instance of the decision module, its timers, and the requests that both instances agree on.
 //!
-//! Its actions are never carried out, and a panic in it never reaches the caller.
+//! The actions of the second instance are never carried out, and its panics never reach the caller.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -13,12 +13,12 @@
 use crate::comparison::{Decision, DifferenceCounts};
 use crate::visibility::EventVisibility;
 
-/// A timer with the time at which it is due. Timers fire in this order.
+/// A timer with the time at which it is due. Timers fire in the order of this type.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DueTimer {
-    /// In whole microseconds, on the router's clock.
+    /// The due time in microseconds, on the clock of the router.
     pub at_us: u64,
-    /// What [`Event::Timer`] carries.
+    /// The token of the [`Event::Timer`].
     pub token: u32,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// What decides: the decision module, or a substitute for it in a test.
+/// The decision module, or a test double of it.
 pub trait DecisionModule {
     /// Handles one event; see [`Policy::handle`].
     fn handle(&mut self, now: Ms, event: &Event) -> Vec<Action>;
@@ -41,7 +41,7 @@
     }
 }
 
-/// The number of records that a [`ShadowPolicy`] has.
+/// The sizes of the tables of a [`ShadowPolicy`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct RecordCounts {
     /// Open requests that both instances agree on.
@@ -52,7 +52,7 @@
     pub timers: usize,
 }
 
-/// The second instance beside the one that decides.
+/// The second instance, which runs next to the one whose decisions are carried out.
 #[derive(Debug)]
 pub struct ShadowPolicy<M = Policy> {
     /// `None` after a panic.
@@ -61,13 +61,14 @@
     timers: BTreeSet<DueTimer>,
     /// Open requests that both instances agree on, with the number of attempts that both have sent.
     agreed: BTreeMap<RequestId, u8>,
-    /// Attempts in flight that both instances have sent, and where.
+    /// Attempts in flight that both instances have sent, with their endpoints.
     in_flight: BTreeMap<AttemptId, EndpointId>,
     counts: DifferenceCounts,
 }
 
 impl ShadowPolicy {
-    /// A second instance with other settings, and the seed of the instance that decides.
+    /// A second instance with other settings. `seed` is the seed of the instance whose decisions are carried
+    /// out.
     pub fn new(settings: Settings, seed: u64) -> Self {
         let visibility = EventVisibility::new(&settings);
         Self::with_module(Policy::new(settings, seed), visibility)
@@ -75,7 +76,7 @@
 }
 
 impl<M: DecisionModule> ShadowPolicy<M> {
-    /// A second instance that decides by `policy`.
+    /// A second instance that decides with `policy`.
     pub fn with_module(policy: M, visibility: EventVisibility) -> Self {
         Self {
             policy: Some(policy),
@@ -92,7 +93,7 @@
         self.counts
     }
 
-    /// The records that are kept at present.
+    /// The present sizes of the tables.
     pub fn record_counts(&self) -> RecordCounts {
         RecordCounts {
             requests: self.agreed.len(),
@@ -101,12 +102,12 @@
         }
     }
 
-    /// Handles an event that has been decided about, and compares the actions that were carried out. An
-    /// [`Event::Timer`] comes with the timer that was due.
+    /// Passes an event to the second instance and compares its actions with those that were carried out.
+    /// `due` is the timer of an [`Event::Timer`].
     pub fn observe(&mut self, now: Ms, event: &Event, due: Option<DueTimer>, carried_out: &[Action]) {
         let Some(mut policy) = self.policy.take() else { return };
         let observed =
-            catch_unwind(AssertUnwindSafe(|| self.follow(&mut policy, now, event, due, carried_out)));
+            catch_unwind(AssertUnwindSafe(|| self.observe_with(&mut policy, now, event, due, carried_out)));
         match observed {
             Ok(()) => self.policy = Some(policy),
             Err(_) => {
@@ -118,7 +119,7 @@
         }
     }
 
-    fn follow(
+    fn observe_with(
         &mut self,
         policy: &mut M,
         now: Ms,
@@ -140,7 +141,7 @@
         }
     }
 
-    /// The actions of the second instance; it is not notified of attempts that it has not sent.
+    /// Returns the actions of the second instance, which is not notified of attempts that it has not sent.
     fn decide(&mut self, policy: &mut M, now: Ms, event: &Event, due: Option<DueTimer>) -> Vec<Action> {
         let actions = match event {
             Event::Timer(_) => {
@@ -168,7 +169,7 @@
         actions
     }
 
-    /// Fires the second instance's own timers up to `due`, in their order.
+    /// Fires the timers of the second instance up to `due`, in their order.
     fn fire_timers(&mut self, policy: &mut M, now: Ms, due: DueTimer) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(&first) = self.timers.first().filter(|first| **first <= due) {
--- a/crates/shadow-policy/src/visibility.rs
+++ b/crates/shadow-policy/src/visibility.rs
@@ -1,10 +1,10 @@
-//! What an event contains under other settings: less than it does here, never more.
+//! The content of an event under other settings: never more than the original event.
 
 use linnethook::interface::{
     AttemptOutcome, CacheStatus, Endpoint, EndpointUpdate, Event, OutcomeDetail, Settings,
 };
 
-/// Reduces events to what the given settings provide for.
+/// Reduces events to the detail that the given settings provide.
 #[derive(Debug, Clone, Copy)]
 pub struct EventVisibility {
     weights_unknown: bool,
@@ -39,7 +39,7 @@
     Event::Endpoints { update, endpoints: endpoints.collect() }
 }
 
-/// The status as it is reported where only successful answers carry one.
+/// The status that is reported if only successful answers have one.
 fn success_only(status: CacheStatus) -> Option<CacheStatus> {
     match status {
         CacheStatus::FilledByOrigin => Some(CacheStatus::FilledByParent),
--- a/crates/shadow-policy/tests/shadow_policy.rs
+++ b/crates/shadow-policy/tests/shadow_policy.rs
@@ -1,4 +1,4 @@
-//! The second instance beside the one that decides: expected counts, equal settings, bounds, panics.
+//! The shadow policy: counted differences, equal settings, bounded state, and panics.
 
 use linnethook::hash_ring::hash_pair;
 use linnethook::interface::*;
@@ -41,25 +41,25 @@
     }
 }
 
-fn member(id: EndpointId) -> Endpoint {
-    let (kind, zone) = match id {
+fn ready_endpoint(id: EndpointId) -> Endpoint {
+    let (role, zone) = match id {
         PARENT => (1, 0),
         ORIGIN => (2, 0),
         _ => (0, 1),
     };
-    Endpoint { id, cell: 0, zone, role: kind, weight: 8.0, started_at: 0.0, phase: EndpointPhase::Ready }
+    Endpoint { id, cell: 0, zone, role, weight: 8.0, started_at: 0.0, phase: EndpointPhase::Ready }
 }
 
-/// A small router: the instance that decides, its timers, and the shadow policy beside it.
+/// A minimal router: a decision module, its timers and attempts, and optionally a shadow policy.
 struct Router {
     policy: Policy,
     shadow: Option<ShadowPolicy>,
     now: Ms,
     timers: Vec<DueTimer>,
-    out: Vec<(AttemptId, EndpointId)>,
-    sent: std::collections::BTreeMap<RequestId, u8>,
+    in_flight: Vec<(AttemptId, EndpointId)>,
+    attempts_sent: std::collections::BTreeMap<RequestId, u8>,
     actions: Vec<Action>,
-    next: u64,
+    last_request: u64,
 }
 
 impl Router {
@@ -69,17 +69,17 @@
             shadow: shadow.map(|settings| ShadowPolicy::new(settings, 7)),
             now: 100_000.0,
             timers: Vec::new(),
-            out: Vec::new(),
-            sent: Default::default(),
+            in_flight: Vec::new(),
+            attempts_sent: Default::default(),
             actions: Vec::new(),
-            next: 0,
+            last_request: 0,
         };
-        let members = CACHES.into_iter().chain([PARENT, ORIGIN]).map(member).collect();
-        router.tell(&Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: members }, None);
+        let endpoints = CACHES.into_iter().chain([PARENT, ORIGIN]).map(ready_endpoint).collect();
+        router.handle(&Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints }, None);
         router
     }
 
-    fn tell(&mut self, event: &Event, due: Option<DueTimer>) {
+    fn handle(&mut self, event: &Event, due: Option<DueTimer>) {
         let actions = self.policy.handle(self.now, event);
         if let Some(shadow) = &mut self.shadow {
             shadow.observe(self.now, event, due, &actions);
@@ -88,8 +88,8 @@
             match action {
                 Action::Forward { request, endpoint: cache, .. }
                 | Action::ForwardWithFill { request, endpoint: cache, .. } => {
-                    let number = self.sent.entry(*request).or_default();
-                    self.out.push((AttemptId { request: *request, number: *number }, *cache));
+                    let number = self.attempts_sent.entry(*request).or_default();
+                    self.in_flight.push((AttemptId { request: *request, number: *number }, *cache));
                     *number += 1;
                 }
                 Action::SetTimer { at, token } => self.timers.push(DueTimer::new(*at, *token)),
@@ -99,19 +99,19 @@
         self.actions.extend(actions);
     }
 
-    fn pass(&mut self, length: Ms) {
-        self.now += length;
+    fn advance(&mut self, duration: Ms) {
+        self.now += duration;
         let now = (self.now * 1000.0) as u64;
         while let Some(&due) = self.timers.iter().min().filter(|due| due.at_us <= now) {
             self.timers.retain(|other| *other != due);
-            self.tell(&Event::Timer(due.token), Some(due));
+            self.handle(&Event::Timer(due.token), Some(due));
         }
     }
 
-    fn ask(&mut self, object: u64) {
-        self.next += 1;
+    fn request(&mut self, object: u64) {
+        self.last_request += 1;
         let request = Request {
-            id: RequestId(self.next),
+            id: RequestId(self.last_request),
             object: ObjectId(object),
             part: 0,
             group: 0,
@@ -121,26 +121,26 @@
             is_write: false,
             time_limit: 3_000.0,
         };
-        self.tell(&Event::Request(request), None);
+        self.handle(&Event::Request(request), None);
     }
 
-    /// The first attempt that is out ends.
-    fn end(&mut self, status: AttemptStatus, note: Option<CacheStatus>) {
-        if self.out.is_empty() {
+    /// Finishes the oldest attempt in flight.
+    fn finish(&mut self, status: AttemptStatus, cache_status: Option<CacheStatus>) {
+        if self.in_flight.is_empty() {
             return;
         }
-        let (attempt, cache) = self.out.remove(0);
+        let (attempt, endpoint) = self.in_flight.remove(0);
         let outcome = AttemptOutcome {
             attempt,
-            endpoint: cache,
+            endpoint,
             status,
             request_finished: status == AttemptStatus::Ok,
             elapsed: 100.0,
             source_wait: 0.0,
-            cache_status: note,
+            cache_status,
             load_report: LoadReport::default(),
         };
-        self.tell(&Event::AttemptFinished(outcome), None);
+        self.handle(&Event::AttemptFinished(outcome), None);
     }
 
     fn counts(&self) -> DifferenceCounts {
@@ -148,25 +148,28 @@
     }
 }
 
-/// Ten requests are served, two fail once and are served then, and three are asked for with no cache left.
+/// Ten requests succeed, two fail once and succeed in a retry, and three arrive after all endpoints were
+/// removed.
 fn scripted(shadow: Settings) -> Router {
     let mut router = Router::new(Some(shadow));
     for object in 0..10 {
-        router.ask(object);
-        router.end(AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
+        router.request(object);
+        router.finish(AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
     }
     for object in 100..102 {
-        router.ask(object);
-        router.end(AttemptStatus::Error, None);
-        router.end(AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
+        router.request(object);
+        router.finish(AttemptStatus::Error, None);
+        router.finish(AttemptStatus::Ok, Some(CacheStatus::FilledByParent));
     }
     let removed = CACHES
         .into_iter()
         .chain([PARENT, ORIGIN])
-        .map(|id| Endpoint { phase: EndpointPhase::Removed, ..member(id) });
-    router
-        .tell(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: removed.collect() }, None);
-    (200..203).for_each(|object| router.ask(object));
+        .map(|id| Endpoint { phase: EndpointPhase::Removed, ..ready_endpoint(id) });
+    router.handle(
+        &Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: removed.collect() },
+        None,
+    );
+    (200..203).for_each(|object| router.request(object));
     router
 }
 
@@ -176,23 +179,24 @@
     assert_eq!(counts, DifferenceCounts { compared: 17, ..DifferenceCounts::default() });
 }
 
-/// Each of the twelve first attempts joins fills here and would not there; what comes after is no longer compared.
+/// The fill instructions of all twelve first attempts differ; the retries of these requests are not compared.
 #[test]
 fn another_fill_instruction_is_counted_once_per_request() {
     let counts = scripted(Settings { coalesces_fills: true, ..settings() }).counts();
     assert_eq!(counts, DifferenceCounts { compared: 15, fill: 12, ..DifferenceCounts::default() });
 }
 
-/// Without a second attempt the two that failed would have been refused.
+/// With a single attempt, the two failed requests would have been rejected.
 #[test]
 fn a_rejection_in_place_of_a_retry_is_counted() {
     let counts = scripted(Settings { max_attempts: 1, ..settings() }).counts();
-    // A first attempt that is the last one also gets all the time there is.
+    // Not checked: timing differences, as a first attempt that is also the last one gets all the remaining
+    // time.
     assert_eq!((counts.compared, counts.rejection), (17, 2));
     assert_eq!(counts.endpoint + counts.source + counts.fill + counts.cancellation, 0);
 }
 
-/// The three that are refused would have been told no time.
+/// The three rejected requests would have had no Retry-After.
 #[test]
 fn another_retry_after_is_counted() {
     let counts = scripted(Settings { supports_retry_after: false, ..settings() }).counts();
@@ -200,15 +204,15 @@
 }
 
 #[test]
-fn settings_without_weights_have_other_owners_and_no_other_difference() {
+fn without_weights_only_endpoints_differ() {
     let mut router = Router::new(Some(Settings {
         weights_unknown: true,
         outcome_detail: OutcomeDetail::HitsOnly,
         ..settings()
     }));
     (0..60).for_each(|object| {
-        router.ask(object);
-        router.end(AttemptStatus::Ok, Some(CacheStatus::FilledByOrigin));
+        router.request(object);
+        router.finish(AttemptStatus::Ok, Some(CacheStatus::FilledByOrigin));
     });
     let counts = router.counts();
     assert_eq!(counts.compared, 60);
@@ -217,40 +221,44 @@
 }
 
 #[test]
-fn a_shadow_policy_changes_no_action_and_keeps_no_finished_request() {
-    let play = |shadow: Option<Settings>| {
+fn shadow_policy_changes_no_action_and_forgets_finished_requests() {
+    let run = |shadow: Option<Settings>| {
         let mut router = Router::new(shadow);
         for step in 0..600 {
-            router.pass(15.0);
-            router.ask(hash_pair(step, 5) % 90);
+            router.advance(15.0);
+            router.request(hash_pair(step, 5) % 90);
             if step % 5 > 0 {
-                let bad = hash_pair(step, 6).is_multiple_of(9);
-                router.end(
-                    if bad { AttemptStatus::Rejected } else { AttemptStatus::Ok },
-                    (!bad).then_some(CacheStatus::Hit),
+                let is_rejected = hash_pair(step, 6).is_multiple_of(9);
+                router.finish(
+                    if is_rejected { AttemptStatus::Rejected } else { AttemptStatus::Ok },
+                    (!is_rejected).then_some(CacheStatus::Hit),
                 );
             }
         }
-        while !router.out.is_empty() {
-            router.end(AttemptStatus::Ok, Some(CacheStatus::Hit));
+        while !router.in_flight.is_empty() {
+            router.finish(AttemptStatus::Ok, Some(CacheStatus::Hit));
         }
         router
     };
-    let alone = play(None);
-    let beside =
-        play(Some(Settings { weights_unknown: true, outcome_detail: OutcomeDetail::None, ..settings() }));
-    assert_eq!(alone.actions, beside.actions);
+    let without_shadow = run(None);
+    let with_shadow =
+        run(Some(Settings { weights_unknown: true, outcome_detail: OutcomeDetail::None, ..settings() }));
+    assert_eq!(without_shadow.actions, with_shadow.actions);
     let RecordCounts { requests, attempts, timers } =
-        beside.shadow.as_ref().expect("a shadow policy").record_counts();
+        with_shadow.shadow.as_ref().expect("a shadow policy").record_counts();
     assert_eq!((requests, attempts), (0, 0));
     assert!(timers < 10, "{timers} timers");
-    assert!(beside.counts().compared > 600 && beside.counts().endpoint > 100, "{}", beside.counts());
+    assert!(
+        with_shadow.counts().compared > 600 && with_shadow.counts().endpoint > 100,
+        "{}",
+        with_shadow.counts()
+    );
 }
 
-/// Decides nothing, and fails at the third request.
-struct Failing(u32);
+/// Decides nothing, and panics at the third request.
+struct PanickingModule(u32);
 
-impl DecisionModule for Failing {
+impl DecisionModule for PanickingModule {
     fn handle(&mut self, _: Ms, event: &Event) -> Vec<Action> {
         self.0 += u32::from(matches!(event, Event::Request(_)));
         assert!(self.0 < 3, "the third request");
@@ -259,13 +267,13 @@
 }
 
 #[test]
-fn a_panic_ends_the_comparison_and_nothing_else() {
-    let mut shadow = ShadowPolicy::with_module(Failing(0), EventVisibility::new(&settings()));
+fn a_panic_ends_only_the_comparison() {
+    let mut shadow = ShadowPolicy::with_module(PanickingModule(0), EventVisibility::new(&settings()));
     let mut policy = Policy::new(settings(), 7);
     let mut router = Router::new(None);
     for object in 0..6 {
-        router.ask(object);
-        let events = Event::Request(Request {
+        router.request(object);
+        let event = Event::Request(Request {
             id: RequestId(object),
             object: ObjectId(object),
             part: 0,
@@ -276,10 +284,10 @@
             is_write: false,
             time_limit: 1_000.0,
         });
-        let done = policy.handle(1_000.0, &events);
-        shadow.observe(1_000.0, &events, None, &done);
+        let carried_out = policy.handle(1_000.0, &event);
+        shadow.observe(1_000.0, &event, None, &carried_out);
     }
-    // Two were compared, both of which would have waited.
+    // Two decisions were compared; for both, the second instance waits.
     assert_eq!(
         shadow.counts(),
         DifferenceCounts { compared: 2, timing: 2, failed: 1, ..DifferenceCounts::default() }
@@ -290,22 +298,22 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(40))]
 
-    /// Whatever happens in whatever order, an instance with the same settings and seed stays in step.
+    /// Instances with the same settings and seed make the same decisions for any sequence of events.
     #[test]
     fn equal_settings_decide_the_same(steps in proptest::collection::vec((0u8..8, 0u64..40), 1..300)) {
         let mut router = Router::new(Some(settings()));
         for (kind, n) in steps {
             match kind {
-                0..=2 => router.ask(n),
-                3 | 4 => router.end(AttemptStatus::Ok, Some(CacheStatus::Hit)),
-                5 => router.end([AttemptStatus::Error, AttemptStatus::Rejected, AttemptStatus::TimedOut][n as usize % 3], None),
+                0..=2 => router.request(n),
+                3 | 4 => router.finish(AttemptStatus::Ok, Some(CacheStatus::Hit)),
+                5 => router.finish([AttemptStatus::Error, AttemptStatus::Rejected, AttemptStatus::TimedOut][n as usize % 3], None),
                 6 => {
                     let id = CACHES[n as usize % 3];
                     let phase = [EndpointPhase::Ready, EndpointPhase::Removed][n as usize / 3 % 2];
-                    let members = vec![Endpoint { phase, ..member(id) }];
-                    router.tell(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints: members }, None);
+                    let endpoints = vec![Endpoint { phase, ..ready_endpoint(id) }];
+                    router.handle(&Event::Endpoints { update: EndpointUpdate::Incremental, endpoints }, None);
                 }
-                _ => router.pass(n as f64 * 10.0),
+                _ => router.advance(n as f64 * 10.0),
             }
         }
         prop_assert_eq!(router.counts().different(), 0);
