--- a/crates/operator-config/src/config.rs
+++ b/crates/operator-config/src/config.rs
@@ -76,7 +76,7 @@
 pub struct HierarchySection {
     /// The author number, which orders changes of this file among those of other authors.
     pub author: u16,
-    /// Whether nodes that are missing from the platform's endpoint list may be used.
+    /// Whether the nodes support fields beyond the platform's protocol, such as the fill path.
     pub extended: bool,
     /// The numeric parameters and flags.
     pub parameters: HierarchyConfig,
--- a/crates/operator-config/src/functions/cluster.rs
+++ b/crates/operator-config/src/functions/cluster.rs
@@ -14,9 +14,7 @@
 use crate::arguments::{Arguments, KeywordValues};
 use crate::config::{AuditSection, StragglerSection};
 use crate::evaluation::{call_position, with_collected};
-use crate::parameters;
-
-const MILLISECONDS_PER_SECOND: Ms = 1_000.0;
+use crate::parameters::{self, MILLISECONDS_PER_SECOND};
 
 #[starlark_module]
 pub(super) fn functions(builder: &mut GlobalsBuilder) {
--- a/crates/operator-config/src/parameters/gateway.rs
+++ b/crates/operator-config/src/parameters/gateway.rs
@@ -32,7 +32,7 @@
         "facts",
         NO_UNIT,
         64.0..=8_192.0,
-        "maximum number of drains and purges retained for each site"
+        "maximum number of retained drains and purges of the own site; twice as many of another gateway"
     ),
     integer!(
         peers.max_gateways as usize,
--- a/crates/operator-config/src/parameters/hierarchy.rs
+++ b/crates/operator-config/src/parameters/hierarchy.rs
@@ -11,7 +11,7 @@
         "announce",
         SECONDS,
         0.0..=600.0,
-        "time from the publication of a change to the start of its ramp"
+        "time from the effective time of a change to the start of its ramp"
     ),
     real!(
         rollout.ramp_duration,
--- a/crates/operator-config/src/parameters/mod.rs
+++ b/crates/operator-config/src/parameters/mod.rs
@@ -59,13 +59,15 @@
     }
 }
 
+pub(crate) const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
+
 const NO_UNIT: Unit = Unit { name: "", scale: 1.0 };
 const BYTES: Unit = Unit { name: "bytes", scale: 1.0 };
 const BYTES_PER_SECOND: Unit = Unit { name: "bytes a second", scale: 1.0 };
 const FILLS: Unit = Unit { name: "fills", scale: 1.0 };
 const FILLS_PER_SECOND: Unit = Unit { name: "fills a second", scale: 1.0 };
 /// Seconds, for fields in milliseconds.
-const SECONDS: Unit = Unit { name: "seconds", scale: 1_000.0 };
+const SECONDS: Unit = Unit { name: "seconds", scale: MILLISECONDS_PER_SECOND };
 /// Seconds, for fields in seconds.
 const SECONDS_UNSCALED: Unit = Unit { name: "seconds", scale: 1.0 };
 
--- a/crates/operator-config/src/validation.rs
+++ b/crates/operator-config/src/validation.rs
@@ -8,8 +8,7 @@
 };
 use crate::error::{ConfigError, Position};
 use crate::functions::{ClusterCall, CollectedCalls, GatewayCall, HierarchyCall, Located};
-
-const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
+use crate::parameters::MILLISECONDS_PER_SECOND;
 
 /// What is invalid, and the position of the call.
 struct Invalid {
