--- a/crates/hierarchy/src/batch/application.rs
+++ b/crates/hierarchy/src/batch/application.rs
@@ -52,14 +52,16 @@
 
     fn apply_all(&mut self, topology: &mut Topology) -> Result<(), BatchRejection> {
         if self.batch.changes.len() > self.limits.max_changes {
-            return Err(BatchRejection::LimitExceeded(self.limits.max_changes, "changes in a batch"));
+            let (got, limit) = (self.batch.changes.len(), self.limits.max_changes);
+            return Err(BatchRejection::LimitExceeded { items: "changes in a batch", got, limit });
         }
         for change in &self.batch.changes {
             self.apply_change(topology, change)?;
         }
         self.check_references(topology)?;
         if topology.len() > self.limits.max_nodes {
-            return Err(BatchRejection::LimitExceeded(self.limits.max_nodes, "nodes"));
+            let (got, limit) = (topology.len(), self.limits.max_nodes);
+            return Err(BatchRejection::LimitExceeded { items: "nodes", got, limit });
         }
         if topology.origin_count() == 0 && !topology.is_empty() {
             return Err(BatchRejection::NoOrigin);
@@ -163,7 +165,8 @@
             _ => {}
         }
         if sources.len() > self.limits.max_sources {
-            return Err(BatchRejection::LimitExceeded(self.limits.max_sources, "sources of a node"));
+            let (got, limit) = (sources.len(), self.limits.max_sources);
+            return Err(BatchRejection::LimitExceeded { items: "sources of a node", got, limit });
         }
         if sources.iter().any(|source| source.node == id) {
             return Err(BatchRejection::SelfReference(id));
--- a/crates/hierarchy/src/batch/mod.rs
+++ b/crates/hierarchy/src/batch/mod.rs
@@ -182,8 +182,15 @@
     },
     /// The batch or the topology would exceed a bound of [`BatchLimits`]: the bound, and the items that it
     /// limits.
-    #[error("limit exceeded: more than {0} {1}")]
-    LimitExceeded(usize, &'static str),
+    #[error("limit exceeded: {got} {items}, expected at most {limit}")]
+    LimitExceeded {
+        /// What is limited.
+        items: &'static str,
+        /// Their number.
+        got: usize,
+        /// The limit.
+        limit: usize,
+    },
     /// A capacity is not a positive number.
     #[error("node {} has a capacity that is not a positive number", NodeLabel(*.0))]
     InvalidCapacity(NodeId),
--- a/crates/hierarchy/src/change_spec/validation.rs
+++ b/crates/hierarchy/src/change_spec/validation.rs
@@ -13,7 +13,7 @@
     #[error("two nodes are named {0:?}")]
     DuplicateName(String),
     /// A source is not in the list.
-    #[error("{node:?} lists {source_name:?} as a source, which is not a node")]
+    #[error("node {node:?} lists {source_name:?} as a source, which is not a node")]
     UnknownSource {
         /// The name of the node.
         node: String,
@@ -21,13 +21,13 @@
         source_name: String,
     },
     /// No path leads from this node to an origin.
-    #[error("{0:?} has no path to the origin")]
+    #[error("node {0:?} has no path to the origin")]
     NoPathToOrigin(String),
     /// The sources of these nodes form a cycle, in which fills would loop.
-    #[error("fills would loop: {}", .0.join(" -> "))]
+    #[error("fills would loop between the nodes {}", .0.join(" -> "))]
     Cycle(Vec<String>),
     /// No node is an origin.
-    #[error("there is no origin")]
+    #[error("no node is an origin, expected at least one")]
     NoOrigin,
 }
 
--- a/crates/hierarchy/src/history/mod.rs
+++ b/crates/hierarchy/src/history/mod.rs
@@ -50,17 +50,52 @@
     #[error("batch {0} was received before with different content")]
     ConflictingContent(BatchId),
     /// Its timestamp is not above that of its author's previous batch or of a batch in its basis.
-    #[error("its timestamp is not above that of batch {0}, which it depends on")]
-    StampTooLow(BatchId),
+    #[error(
+        "batch {batch} has timestamp {stamp}, expected more than {dependency_stamp}, the timestamp of \
+             batch {dependency} on which it depends"
+    )]
+    StampTooLow {
+        /// The rejected batch.
+        batch: BatchId,
+        /// Its timestamp.
+        stamp: u64,
+        /// A batch that it depends on.
+        dependency: BatchId,
+        /// The timestamp of that batch.
+        dependency_stamp: u64,
+    },
     /// Its position is before the batches that can still be undone.
-    #[error("it is older than the retained history; the topology has to be restored from a snapshot")]
-    TooOld,
+    #[error(
+        "batch {batch} with timestamp {stamp} is older than the retained history, which begins after \
+             timestamp {truncated_stamp}; the topology has to be restored from a snapshot"
+    )]
+    TooOld {
+        /// The rejected batch.
+        batch: BatchId,
+        /// Its timestamp.
+        stamp: u64,
+        /// The timestamp of the newest batch that can no longer be undone.
+        truncated_stamp: u64,
+    },
     /// A bound on pending batches or on authors is reached.
-    #[error("too many pending batches or too many authors")]
-    LimitReached,
-    /// Its number or timestamp is zero, or a time or capacity is not finite.
-    #[error("the number and timestamp of a batch must be at least 1, its times and capacities finite")]
-    InvalidValue,
+    #[error("batch {batch} was not stored: the limit of {limit} {items} is reached")]
+    LimitReached {
+        /// The rejected batch.
+        batch: BatchId,
+        /// The bound.
+        limit: usize,
+        /// What is limited.
+        items: &'static str,
+    },
+    /// Its number is zero.
+    #[error("batch {0} has number 0, expected at least 1")]
+    ZeroNumber(BatchId),
+    /// Its timestamp is zero.
+    #[error("batch {0} has timestamp 0, expected at least 1")]
+    ZeroStamp(BatchId),
+    /// A time or capacity is not finite.
+    #[error("batch {0} has a time or a capacity that is not finite")]
+    NonFiniteValue(BatchId),
 }
 
 /// A batch in the history, and the result of applying it.
@@ -167,7 +202,8 @@
         }
         if let Some(missing) = self.missing_dependency(&batch) {
             if self.pending.len() >= self.limits.pending_batches {
-                return ReceiveOutcome::Invalid(BatchError::LimitReached);
+                let (limit, items) = (self.limits.pending_batches, "pending batches");
+                return ReceiveOutcome::Invalid(BatchError::LimitReached { batch: batch.id, limit, items });
             }
             self.pending.insert(batch.id, batch);
             return ReceiveOutcome::Pending(missing);
@@ -195,12 +231,13 @@
     /// The outcome of a batch that is invalid or was received before; `None` for any other.
     fn outcome_without_insertion(&self, batch: &ChangeBatch) -> Option<ReceiveOutcome> {
         let BatchId { author, number } = batch.id;
-        if number == 0 || batch.stamp == 0 || !batch.has_finite_values() {
-            return Some(ReceiveOutcome::Invalid(BatchError::InvalidValue));
+        if let Some(error) = invalid_value(batch) {
+            return Some(ReceiveOutcome::Invalid(error));
         }
         let newest = self.authors.get(&author);
         if newest.is_none() && self.authors.len() >= self.batch_limits.max_authors {
-            return Some(ReceiveOutcome::Invalid(BatchError::LimitReached));
+            let (limit, items) = (self.batch_limits.max_authors, "authors");
+            return Some(ReceiveOutcome::Invalid(BatchError::LimitReached { batch: batch.id, limit, items }));
         }
         let compare = |received: &ChangeBatch| match received == batch {
             true => ReceiveOutcome::Duplicate,
@@ -250,7 +287,8 @@
     fn check_position(&self, batch: &ChangeBatch) -> Result<(), BatchError> {
         let newest = self.authors.get(&batch.id.author).copied().unwrap_or_default();
         if batch.stamp <= newest.stamp {
-            return Err(BatchError::StampTooLow(BatchId { number: newest.number, ..batch.id }));
+            let dependency = BatchId { number: newest.number, ..batch.id };
+            return Err(stamp_too_low(batch, dependency, newest.stamp));
         }
         let is_dependency_not_before = |entry: &&HistoryEntry| {
             let id = entry.batch.id;
@@ -258,10 +296,11 @@
             entry.batch.stamp >= batch.stamp && is_in_basis
         };
         if let Some(dependency) = self.entries.iter().find(is_dependency_not_before) {
-            return Err(BatchError::StampTooLow(dependency.batch.id));
+            return Err(stamp_too_low(batch, dependency.batch.id, dependency.batch.stamp));
         }
         if batch.position() <= self.truncated_at {
-            return Err(BatchError::TooOld);
+            let truncated_stamp = self.truncated_at.stamp;
+            return Err(BatchError::TooOld { batch: batch.id, stamp: batch.stamp, truncated_stamp });
         }
         Ok(())
     }
@@ -279,3 +318,16 @@
         }
     }
 }
+
+fn invalid_value(batch: &ChangeBatch) -> Option<BatchError> {
+    match (batch.id.number, batch.stamp) {
+        (0, _) => Some(BatchError::ZeroNumber(batch.id)),
+        (_, 0) => Some(BatchError::ZeroStamp(batch.id)),
+        _ if !batch.has_finite_values() => Some(BatchError::NonFiniteValue(batch.id)),
+        _ => None,
+    }
+}
+
+fn stamp_too_low(batch: &ChangeBatch, dependency: BatchId, dependency_stamp: u64) -> BatchError {
+    BatchError::StampTooLow { batch: batch.id, stamp: batch.stamp, dependency, dependency_stamp }
+}
--- a/crates/hierarchy/src/history/snapshot.rs
+++ b/crates/hierarchy/src/history/snapshot.rs
@@ -103,7 +103,8 @@
     pub fn restore_snapshot(&mut self, snapshot: Snapshot) -> Result<(), BatchRejection> {
         let max_nodes = self.batch_limits.max_nodes;
         if snapshot.records.len() > max_nodes {
-            return Err(BatchRejection::LimitExceeded(max_nodes, "nodes"));
+            let got = snapshot.records.len();
+            return Err(BatchRejection::LimitExceeded { items: "nodes", got, limit: max_nodes });
         }
         self.topology = topology_of(&snapshot.records)?;
         self.entries.clear();
--- a/crates/hierarchy/src/loop_detection.rs
+++ b/crates/hierarchy/src/loop_detection.rs
@@ -24,14 +24,17 @@
 }
 
 /// Why a field is not a valid fill path.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FillPathError {
-    /// It exceeds the maximum length or number of nodes.
-    #[error("the fill path is longer than {MAX_FIELD_BYTES} bytes or {MAX_HOPS} nodes")]
-    TooLong,
-    /// It does not have the text format of a path.
-    #[error("the fill path does not have the form VERSION:NODE+NODE+...")]
-    Malformed,
+    /// It exceeds the maximum length: the number of bytes.
+    #[error("fill path has {0} bytes, expected at most {MAX_FIELD_BYTES}")]
+    TooManyBytes(usize),
+    /// It exceeds the maximum number of nodes: their number.
+    #[error("fill path has {0} nodes, expected at most {MAX_HOPS}")]
+    TooManyNodes(usize),
+    /// The field does not have the text format of a path.
+    #[error("fill path does not have the form VERSION:NODE+NODE+..., got {0:?}")]
+    Malformed(String),
 }
 
 /// Why a node rejects a fill. The fill had no effect at the node.
@@ -63,19 +66,20 @@
     /// The field exceeds a bound or is malformed. Nothing is copied before its length is checked.
     pub fn parse(text: &str) -> Result<Self, FillPathError> {
         if text.len() > MAX_FIELD_BYTES {
-            return Err(FillPathError::TooLong);
+            return Err(FillPathError::TooManyBytes(text.len()));
         }
-        let (version, names) = text.split_once(':').ok_or(FillPathError::Malformed)?;
-        let version = version.parse().map_err(|_| FillPathError::Malformed)?;
+        let malformed = || FillPathError::Malformed(text.to_string());
+        let (version, names) = text.split_once(':').ok_or_else(malformed)?;
+        let version = version.parse().map_err(|_| malformed())?;
         if names.is_empty() {
             return Ok(Self::new(version));
         }
         let names: Vec<&str> = names.split('+').collect();
         if names.len() > MAX_HOPS {
-            return Err(FillPathError::TooLong);
+            return Err(FillPathError::TooManyNodes(names.len()));
         }
         if !names.iter().all(|name| is_valid_name(name)) {
-            return Err(FillPathError::Malformed);
+            return Err(malformed());
         }
         Ok(Self { version, names: names.into_iter().map(str::to_string).collect() })
     }
--- a/crates/hierarchy/src/plan.rs
+++ b/crates/hierarchy/src/plan.rs
@@ -6,7 +6,7 @@
 use linnethook::interface::Ms;
 use serde::Serialize;
 
-use crate::batch::{BatchRejection, ChangeBatch};
+use crate::batch::{BatchId, BatchRejection, ChangeBatch};
 use crate::hierarchy::Hierarchy;
 use crate::history::{BatchError, ReceiveOutcome};
 use crate::node::{preferred_sources, Node, NodeId, Role, Source};
@@ -94,11 +94,16 @@
     #[error(transparent)]
     Invalid(BatchError),
     /// The batch is based on batches that this router has not received.
-    #[error("it is based on batches that this router has not received")]
-    UnknownBase,
+    #[error("batch {batch} depends on batch {missing}, which this router has not received")]
+    UnknownBase {
+        /// The batch to plan.
+        batch: BatchId,
+        /// The first batch that has to be received before it.
+        missing: BatchId,
+    },
     /// The batch was received before.
-    #[error("it was received before")]
-    Duplicate,
+    #[error("batch {0} was received before")]
+    Duplicate(BatchId),
 }
 
 /// An edge, from the node that fills to the source.
@@ -114,8 +119,10 @@
         let mut history = self.history().clone();
         match history.receive_batch(batch.clone()) {
             ReceiveOutcome::Accepted(_) => {}
-            ReceiveOutcome::Duplicate => return Err(PlanError::Duplicate),
-            ReceiveOutcome::Pending(_) => return Err(PlanError::UnknownBase),
+            ReceiveOutcome::Duplicate => return Err(PlanError::Duplicate(batch.id)),
+            ReceiveOutcome::Pending(missing) => {
+                return Err(PlanError::UnknownBase { batch: batch.id, missing });
+            }
             ReceiveOutcome::Invalid(error) => return Err(PlanError::Invalid(error)),
         }
         if let Some(Err(rejection)) = history.outcome(batch.id) {
--- a/crates/hierarchy/tests/change_spec.rs
+++ b/crates/hierarchy/tests/change_spec.rs
@@ -63,9 +63,9 @@
         (error_after(|n| n.push(n[3].clone())), "two nodes are named \"a\""),
         (error_after(|n| n[3].sources[0].name = "north".to_string()), "\"a\" lists \"north\" as a source"),
         (error_after(|n| n[1] = node("south", Role::Parent, &["a"])), "a -> south -> a"),
-        (error_after(|n| n[3].sources.clear()), "\"a\" has no path to the origin"),
+        (error_after(|n| n[3].sources.clear()), "node \"a\" has no path to the origin"),
         (error_after(|n| drop(n.remove(0))), "as a source, which is not a node"),
-        (error_after(|n| n[0].role = Role::Parent), "there is no origin"),
+        (error_after(|n| n[0].role = Role::Parent), "no node is an origin, expected at least one"),
     ];
     for (found, expected) in table {
         assert!(found.contains(expected), "{found}");
--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -131,13 +131,15 @@
                 self.text("conflicting content");
                 self.batch_id(*batch_id);
             }
-            BatchError::StampTooLow(batch_id) => {
+            BatchError::StampTooLow { dependency, .. } => {
                 self.text("timestamp too low");
-                self.batch_id(*batch_id);
+                self.batch_id(*dependency);
+            }
+            BatchError::TooOld { .. } => self.text("too old"),
+            BatchError::LimitReached { .. } => self.text("limit reached"),
+            BatchError::ZeroNumber(_) | BatchError::ZeroStamp(_) | BatchError::NonFiniteValue(_) => {
+                self.text("invalid value");
             }
-            BatchError::TooOld => self.text("too old"),
-            BatchError::LimitReached => self.text("limit reached"),
-            BatchError::InvalidValue => self.text("invalid value"),
         }
     }
 
@@ -154,7 +156,7 @@
                 self.batch_id(*by);
                 ("conflict", Some(node))
             }
-            BatchRejection::LimitExceeded(limit, items) => {
+            BatchRejection::LimitExceeded { limit, items, .. } => {
                 self.number(*limit as u64);
                 (*items, None)
             }
@@ -170,8 +172,8 @@
         match error {
             PlanError::Rejected(rejection) => self.batch_rejection(rejection),
             PlanError::Invalid(error) => self.batch_error(error),
-            PlanError::UnknownBase => self.text("unknown base"),
-            PlanError::Duplicate => self.text("duplicate"),
+            PlanError::UnknownBase { .. } => self.text("unknown base"),
+            PlanError::Duplicate(_) => self.text("duplicate"),
         }
     }
 }
--- a/crates/hierarchy/tests/golden.rs
+++ b/crates/hierarchy/tests/golden.rs
@@ -328,15 +328,19 @@
         BatchRejection::SelfReference(SOUTH),
         BatchRejection::NoOrigin,
         BatchRejection::Conflict { node: SOUTH, by: batch_id },
-        BatchRejection::LimitExceeded(32, "sources of a node"),
+        BatchRejection::LimitExceeded { items: "sources of a node", got: 40, limit: 32 },
         BatchRejection::InvalidCapacity(SOUTH),
     ];
+    let other_id = BatchId { author: AuthorId(9), number: 12 };
+    let too_old = BatchError::TooOld { batch: batch_id, stamp: 5, truncated_stamp: 17 };
     let batch_errors = [
         BatchError::ConflictingContent(batch_id),
-        BatchError::StampTooLow(batch_id),
-        BatchError::TooOld,
-        BatchError::LimitReached,
-        BatchError::InvalidValue,
+        BatchError::StampTooLow { batch: batch_id, stamp: 5, dependency: other_id, dependency_stamp: 6 },
+        too_old.clone(),
+        BatchError::LimitReached { batch: batch_id, limit: 256, items: "pending batches" },
+        BatchError::ZeroNumber(batch_id),
+        BatchError::ZeroStamp(batch_id),
+        BatchError::NonFiniteValue(batch_id),
     ];
     let name = |name: &str| name.to_string();
     let topology_errors = [
@@ -348,9 +352,9 @@
     ];
     let plan_errors = [
         PlanError::Rejected(BatchRejection::NoOrigin),
-        PlanError::Invalid(BatchError::TooOld),
-        PlanError::UnknownBase,
-        PlanError::Duplicate,
+        PlanError::Invalid(too_old),
+        PlanError::UnknownBase { batch: batch_id, missing: other_id },
+        PlanError::Duplicate(batch_id),
     ];
     let path_rejections = [PathRejection::Loop { from: name("a"), to: name("b") }, PathRejection::HopLimit];
     let mut text = String::new();
@@ -359,7 +363,8 @@
     topology_errors.iter().for_each(|error| _ = writeln!(text, "topology {error} {:?}", error.node()));
     plan_errors.iter().for_each(|error| _ = writeln!(text, "plan {error}"));
     path_rejections.iter().for_each(|error| _ = writeln!(text, "path {error}"));
-    [FillPathError::TooLong, FillPathError::Malformed]
+    let malformed = FillPathError::Malformed(name("7"));
+    [FillPathError::TooManyBytes(600), FillPathError::TooManyNodes(17), malformed]
         .iter()
         .for_each(|error| _ = writeln!(text, "field {error}"));
     [RollbackReason::HighFailureRate, RollbackReason::SourceLost, RollbackReason::Requested]
--- a/crates/hierarchy/tests/loop_detection.rs
+++ b/crates/hierarchy/tests/loop_detection.rs
@@ -23,12 +23,12 @@
 #[test]
 fn a_malformed_or_long_path_is_an_error() {
     for text in ["", "7", "x:a", "7:a++b", "7:a=b", "-1:a", "7:a b", "18446744073709551616:a"] {
-        assert_eq!(FillPath::parse(text), Err(FillPathError::Malformed), "{text}");
+        assert_eq!(FillPath::parse(text), Err(FillPathError::Malformed(text.to_string())), "{text}");
     }
     let many = format!("1:{}", vec!["n"; MAX_HOPS + 1].join("+"));
     let megabyte = format!("1:{}", "n".repeat(1 << 20));
-    assert_eq!(FillPath::parse(&many), Err(FillPathError::TooLong));
-    assert_eq!(FillPath::parse(&megabyte), Err(FillPathError::TooLong));
+    assert_eq!(FillPath::parse(&many), Err(FillPathError::TooManyNodes(MAX_HOPS + 1)));
+    assert_eq!(FillPath::parse(&megabyte), Err(FillPathError::TooManyBytes(megabyte.len())));
 }
 
 #[test]
--- a/crates/hierarchy/tests/migrations.rs
+++ b/crates/hierarchy/tests/migrations.rs
@@ -319,7 +319,7 @@
     let invalid = hierarchy.draft_batch(AuthorId(1), now, vec![Change::Remove { node: NodeId(99) }]);
     assert!(matches!(hierarchy.plan_batch(now, &invalid), Err(PlanError::Rejected(_))));
     assert!(matches!(hierarchy.receive_batch(now, batch.clone()), ReceiveOutcome::Accepted(_)));
-    assert_eq!(hierarchy.plan_batch(now, &batch), Err(PlanError::Duplicate));
+    assert_eq!(hierarchy.plan_batch(now, &batch), Err(PlanError::Duplicate(batch.id)));
     let view = serde_json::to_value(hierarchy.view(now)).expect("serialised view");
     assert_eq!((view["suspended"].as_u64(), view["nodes"].as_u64()), (Some(1), Some(9)));
     assert!(!view["moves"].as_array().is_none_or(Vec::is_empty));
--- a/crates/router/tests/unit/hierarchy_adapter.rs
+++ b/crates/router/tests/unit/hierarchy_adapter.rs
@@ -64,8 +64,9 @@
         "no such batch is retained, or it was not applied",
         "node CacheId(17775146599398579598) is not in the topology",
         "pending until batch 2 of author 9 is received",
-        "its timestamp is not above that of batch Serial { author: Author(9), number: 1 }, which it depends on",
-        "the number and timestamp of a batch must be at least 1, its times and capacities finite",
+        "batch Serial { author: Author(9), number: 2 } has timestamp 5, expected more than 5, the timestamp of \
+         batch Serial { author: Author(9), number: 1 } on which it depends",
+        "batch Serial { author: Author(9), number: 0 } has number 0, expected at least 1",
         "snapshot is at version 0, older than version 5 of this router",
         "snapshot can't be decoded: Hit the end of buffer, expected more data",
     ];
