--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -190,13 +190,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum MalformedFrame {
     /// The length field is out of range: the length found, and the longest that is accepted.
-    #[error("frame of {0} bytes, expected {min} to {1}", min = KIND_AND_STREAM_BYTES)]
+    #[error("frame has {0} bytes, expected {min} to {1}", min = KIND_AND_STREAM_BYTES)]
     InvalidLength(usize, usize),
     /// The kind of the frame is unknown.
-    #[error("frame of an unknown kind")]
-    UnknownKind,
+    #[error("frame has the unknown kind {0}")]
+    UnknownKind(u8),
     /// The payload is not exactly one message.
-    #[error("frame payload can't be decoded")]
+    #[error("frame payload is not exactly one message, it can't be decoded")]
     InvalidPayload,
 }
 
@@ -278,7 +278,7 @@
                 Ok((message, [])) if !matches!(message, Message::Data(_)) => message,
                 _ => return Err(MalformedFrame::InvalidPayload),
             },
-            _ => return Err(MalformedFrame::UnknownKind),
+            _ => return Err(MalformedFrame::UnknownKind(kind)),
         };
         Ok(Some(Frame { stream, message }))
     }
--- a/crates/gateway/src/flow_control.rs
+++ b/crates/gateway/src/flow_control.rs
@@ -51,17 +51,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FlowControlError {
     /// The peer sent more bytes than were granted.
-    #[error("received more bytes than were granted")]
-    WindowExceeded,
+    #[error("peer sent {bytes} bytes on stream {stream}, expected at most the granted {granted}")]
+    WindowExceeded {
+        /// The stream.
+        stream: u32,
+        /// The bytes received at once.
+        bytes: u64,
+        /// The bytes that were granted and not used before, of the stream or of the connection.
+        granted: u64,
+    },
     /// The granted credit exceeds the largest window, `u32::MAX` bytes.
-    #[error("granted credit exceeds {} bytes", u32::MAX)]
+    #[error("peer granted more than {} bytes of credit in all", u32::MAX)]
     CreditOverflow,
     /// The peer refers to a stream that was never opened.
-    #[error("message on a stream that was never opened")]
-    UnknownStream,
+    #[error("peer sent a message on stream {0}, which was never opened")]
+    UnknownStream(u32),
     /// The peer opens a stream whose number was used before.
-    #[error("stream number was used before")]
-    StreamReused,
+    #[error("peer opened stream {0}, whose number was used before")]
+    StreamReused(u32),
 }
 
 #[derive(Debug, Clone)]
@@ -293,11 +300,13 @@
     ///
     /// The peer sent more bytes than were granted.
     pub fn receive(&mut self, id: u32, bytes: u64) -> Result<Vec<CreditGrant>, FlowControlError> {
-        let exceeded = FlowControlError::WindowExceeded;
-        self.link_remaining = self.link_remaining.checked_sub(bytes).ok_or(exceeded)?;
+        let exceeded = |granted| FlowControlError::WindowExceeded { stream: id, bytes, granted };
+        let link_remaining = self.link_remaining.checked_sub(bytes);
+        self.link_remaining = link_remaining.ok_or(exceeded(self.link_remaining))?;
         match self.streams.get_mut(&id) {
             Some(stream) => {
-                stream.remaining = stream.remaining.checked_sub(bytes).ok_or(exceeded)?;
+                let remaining = stream.remaining.checked_sub(bytes);
+                stream.remaining = remaining.ok_or(exceeded(stream.remaining))?;
                 Ok(Vec::new())
             }
             None => Ok(self.consume_link(bytes)),
--- a/crates/gateway/src/forwarding/responses.rs
+++ b/crates/gateway/src/forwarding/responses.rs
@@ -66,7 +66,10 @@
         }
         let Some(mut request) = self.pending.remove(ticket) else { return };
         let longest = self.config.max_answer_bytes;
-        links.log(format!("gateway: response of {length} bytes discarded: at most {longest} are accepted"));
+        links.log(format!(
+            "gateway: response to request {} discarded: {length} bytes, expected at most {longest}",
+            ticket
+        ));
         self.record_outcome(now, &request, None);
         cancel_stream(links, &request, ticket);
         if request.spec.not_idempotent {
--- a/crates/gateway/src/gateway/connections.rs
+++ b/crates/gateway/src/gateway/connections.rs
@@ -27,7 +27,11 @@
             .filter(|site_connection| site_connection.dialer.is_none())
             .count();
         if dialer.is_none() && accepted >= self.config.peers.max_accepted {
-            return self.links.push(Action::Close(connection, CloseReason::TooManyGateways));
+            let reason = CloseReason::TooManyGateways {
+                items: "accepted connections",
+                limit: self.config.peers.max_accepted,
+            };
+            return self.links.push(Action::Close(connection, reason));
         }
         if let Some(entry) = dialer {
             self.dialers.record_connected(entry);
@@ -72,7 +76,7 @@
     /// Closes a connection from this side.
     pub(super) fn close_connection(&mut self, now: Ms, connection: ConnectionId, reason: CloseReason) {
         if self.links.connections.contains_key(&connection) {
-            self.links.push(Action::Close(connection, reason));
+            self.links.push(Action::Close(connection, reason.clone()));
             self.remove_connection(now, connection, reason);
         }
     }
@@ -195,7 +199,7 @@
 
     /// Handles the hello of a peer.
     fn handle_hello(&mut self, now: Ms, connection: ConnectionId, hello: Hello) -> Result<(), CloseReason> {
-        let site = self.sites.id(&hello.site).ok_or(CloseReason::UnknownSite)?;
+        let site = self.sites.id(&hello.site).ok_or_else(|| CloseReason::UnknownSite(hello.site.clone()))?;
         let is_in_cluster = site == LOCAL_SITE;
         let is_itself = hello.epoch == self.epoch && hello.node == self.node;
         if is_in_cluster && (self.peer_entries.is_none() || is_itself) {
@@ -203,7 +207,7 @@
         }
         // An accepted start time in the future would make all later starts of the peer look outdated.
         if hello.epoch as f64 > now * 1_000.0 + MAX_CLOCK_DIFFERENCE_US {
-            return Err(CloseReason::InvalidEpoch);
+            return Err(CloseReason::InvalidEpoch(hello.epoch));
         }
         // Within a cluster, two processes with the same name are distinguished by their start: the cluster
         // decides which of them keeps the name.
@@ -245,7 +249,7 @@
     ) -> Result<Vec<ConnectionId>, CloseReason> {
         let Some(peer) = self.links.peers.get_mut(name) else { return Ok(Vec::new()) };
         if !peer.received_attempts.accept_epoch(epoch) {
-            return Err(CloseReason::InvalidEpoch);
+            return Err(CloseReason::InvalidEpoch(epoch));
         }
         peer.last_received = now;
         let mut replaced = Vec::new();
@@ -299,7 +303,9 @@
         let is_idle = |peer: &Peer| peer.connections.is_empty() && now - peer.last_received > retention;
         let idle = peers.iter().filter(|(_, peer)| is_idle(peer));
         let oldest = idle.min_by(|(_, a), (_, b)| a.last_received.total_cmp(&b.last_received));
-        let oldest = oldest.map(|(name, _)| name.clone()).ok_or(CloseReason::TooManyGateways)?;
+        let limit = self.config.peers.max_gateways;
+        let too_many = CloseReason::TooManyGateways { items: "known gateways", limit };
+        let oldest = oldest.map(|(name, _)| name.clone()).ok_or(too_many)?;
         peers.remove(&oldest);
         Ok(())
     }
--- a/crates/gateway/src/gateway/state.rs
+++ b/crates/gateway/src/gateway/state.rs
@@ -60,7 +60,7 @@
         let Some(peer) = self.links.peer_of_mut(connection) else { return Ok(()) };
         let is_in_cluster = peer.is_in_cluster();
         match peer.state.apply_update(now, update, max_facts) {
-            UpdateResult::TooManyFacts => return Err(CloseReason::TooManyFacts),
+            UpdateResult::TooManyFacts => return Err(CloseReason::TooManyFacts(max_facts)),
             UpdateResult::Applied(facts) if is_in_cluster => self.handle_peer_entries(connection, facts),
             UpdateResult::Applied(facts) => {
                 self.report_facts(facts);
--- a/crates/gateway/src/session/incoming.rs
+++ b/crates/gateway/src/session/incoming.rs
@@ -26,7 +26,8 @@
             events.extend(self.handle_frame(now, frame)?);
         }
         if self.output.len() > self.config.max_output_bytes {
-            return Err(CloseReason::OutputBacklog);
+            let (bytes, max_bytes) = (self.output.len(), self.config.max_output_bytes);
+            return Err(CloseReason::OutputBacklog { bytes, max_bytes });
         }
         Ok(())
     }
@@ -140,7 +141,7 @@
         }
         // The response may have been completed before the cancellation arrived.
         if stream == 0 || stream > self.last_remote_stream {
-            return Err(FlowControlError::UnknownStream.into());
+            return Err(FlowControlError::UnknownStream(stream).into());
         }
         Ok(None)
     }
@@ -149,7 +150,7 @@
     /// rejected.
     fn admit_stream(&mut self, stream: u32) -> Result<bool, CloseReason> {
         if stream == 0 || stream <= self.last_remote_stream {
-            return Err(FlowControlError::StreamReused.into());
+            return Err(FlowControlError::StreamReused(stream).into());
         }
         self.last_remote_stream = stream;
         if self.incoming.len() >= self.config.flow_control.max_streams {
--- a/crates/gateway/src/session/mod.rs
+++ b/crates/gateway/src/session/mod.rs
@@ -348,7 +348,8 @@
     pub fn on_timer(&mut self, now: Ms) -> Result<(), CloseReason> {
         if !self.has_hello {
             let is_late = now - self.opened_at >= self.config.hello_timeout;
-            return if is_late { Err(CloseReason::HelloTimeout) } else { Ok(()) };
+            let timeout = self.config.hello_timeout;
+            return if is_late { Err(CloseReason::HelloTimeout(timeout)) } else { Ok(()) };
         }
         match self.heartbeat.health(now) {
             LinkHealth::Silent => return Err(CloseReason::Silent),
--- a/crates/gateway/tests/attempt_ledger.rs
+++ b/crates/gateway/tests/attempt_ledger.rs
@@ -288,7 +288,7 @@
     assert_eq!(decoder.next_frame(1_000), Err(MalformedFrame::InvalidLength(u32::MAX as usize, 1_000)));
     for (bytes, error) in [
         (&[0, 0, 0, 4, 1][..], MalformedFrame::InvalidLength(4, 1_000)),
-        (&[0, 0, 0, 5, 9, 0, 0, 0, 1], MalformedFrame::UnknownKind),
+        (&[0, 0, 0, 5, 9, 0, 0, 0, 1], MalformedFrame::UnknownKind(9)),
         (&[0, 0, 0, 6, 1, 0, 0, 0, 1, 200], MalformedFrame::InvalidPayload),
         (&[0, 0, 0, 5, 1, 0, 0, 0, 1], MalformedFrame::InvalidPayload),
     ] {
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -211,7 +211,10 @@
 fn violations_of_flow_control_are_reported() {
     let mut receiving = ReceiveWindow::new(LIMITS);
     receiving.open_stream(3);
-    assert_eq!(receiving.receive(3, 4_001), Err(FlowControlError::WindowExceeded));
+    assert_eq!(
+        receiving.receive(3, 4_001),
+        Err(FlowControlError::WindowExceeded { stream: 3, bytes: 4_001, granted: 4_000 })
+    );
     let mut sending = SendScheduler::new(LIMITS);
     assert!(sending.open_stream(1, Priority::LaterPart) && !sending.open_stream(1, Priority::LaterPart));
     assert_eq!(sending.add_credit(1, u32::MAX), Err(FlowControlError::CreditOverflow));
