--- a/crates/audit/src/error.rs
+++ b/crates/audit/src/error.rs
@@ -20,10 +20,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownVersion(version) => {
-                write!(f, "expected a record of version {RECORD_VERSION}, got version {version}")
+                write!(f, "record of an audit log has version {version}, expected version {RECORD_VERSION}")
+            }
+            Self::Malformed(_) => {
+                f.write_str("record of an audit log can't be decoded: its bytes are malformed or incomplete")
+            }
+            Self::TrailingBytes(bytes) => {
+                write!(f, "record of an audit log is followed by {bytes} bytes, expected none")
             }
-            Self::Malformed(_) => f.write_str("the bytes are not a record of an audit log"),
-            Self::TrailingBytes(bytes) => write!(f, "expected no bytes after the record, got {bytes}"),
         }
     }
 }
@@ -46,7 +50,7 @@
 
 impl fmt::Display for MalformedLink {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the bytes are not a link of an audit log")
+        f.write_str("link of an audit log can't be decoded: its bytes are malformed or incomplete")
     }
 }
 
@@ -68,8 +72,12 @@
 impl fmt::Display for LogFileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotALogFile => f.write_str("the file is not a file of audit logs"),
-            Self::Malformed(_) => f.write_str("the file of audit logs is incomplete or damaged"),
+            Self::NotALogFile => {
+                f.write_str("not an audit log file: the magic bytes at its start are missing")
+            }
+            Self::Malformed(_) => {
+                f.write_str("audit log file is truncated or damaged: its records can't be decoded")
+            }
         }
     }
 }
--- a/crates/membership/src/decode_error.rs
+++ b/crates/membership/src/decode_error.rs
@@ -6,9 +6,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The bytes are incomplete or not of the expected type.
-    #[error("the bytes are incomplete or malformed")]
+    #[error("membership message can't be decoded, its bytes are incomplete or malformed: {0}")]
     Malformed(#[from] postcard::Error),
     /// The body has a version that no build writes.
-    #[error("unknown version {0} of the body")]
+    #[error("membership message has the unknown body version {0}")]
     UnknownVersion(u16),
 }
