--- a/crates/testbed/src/fault_proxy/two_sites.rs
+++ b/crates/testbed/src/fault_proxy/two_sites.rs
@@ -31,7 +31,7 @@
         let proxy = FaultProxy::start(ProxyEnds { sites, record: north.record.clone() })?;
         let listens = format!("listen = \"127.0.0.1:0\"{settings}");
         south.start_router(SOUTH, Some(&operator("south", "north", &listens, "")), |_| {})?;
-        proxy.set_target(south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        proxy.set_target(south.gateway_address(SOUTH).ok_or(ErrorKind::NotFound)?);
         let link = format!("link(\"south\", connect = \"{}\", connections = 2)", proxy.address);
         let settings = settings.trim_start_matches(", ");
         north.start_router(NORTH, Some(&operator("north", "south", settings, &link)), |_| {})?;
@@ -44,8 +44,8 @@
     /// A socket or a process that fails.
     pub fn restart_south(&mut self) -> io::Result<()> {
         self.south.kill_router(SOUTH);
-        self.south.start_again(SOUTH)?;
-        self.proxy.set_target(self.south.links(SOUTH).ok_or(ErrorKind::NotFound)?);
+        self.south.restart_router(SOUTH)?;
+        self.proxy.set_target(self.south.gateway_address(SOUTH).ok_or(ErrorKind::NotFound)?);
         Ok(())
     }
 
@@ -75,7 +75,7 @@
     /// # Errors
     /// A socket or a process that fails.
     pub fn status(&self, router: &str) -> io::Result<serde_json::Value> {
-        self.fleet(router).asked(router, &["gateway", "status"])
+        self.fleet(router).query(router, &["gateway", "status"])
     }
 
     /// Waits until the status of a gateway fulfils a condition, or times out.
--- a/crates/testbed/src/scale/places.rs
+++ b/crates/testbed/src/scale/layout.rs
@@ -25,14 +25,14 @@
 /// Number of links between the two sides of a cut.
 const BRIDGES: usize = 8;
 /// Routers of a site, where routers have locations; the planned average is 22.
-pub const SITE: usize = 20;
+pub const ROUTERS_PER_SITE: usize = 20;
 /// Sites of a zone, and zones of a region; the planned averages are 4.8 and 4.
-pub const PARTS: usize = 4;
+pub const PARTS_PER_LEVEL: usize = 4;
 /// Caches in the endpoint list; without clients they get no requests.
 const CACHES: usize = 8;
 
 /// Addresses, processes, links and files of all routers of a run.
-pub struct Places {
+pub struct Layout {
     pub folder: PathBuf,
     site: String,
     /// The second octet of all addresses of this run.
@@ -55,13 +55,13 @@
     format!("r{n}")
 }
 
-impl Drop for Places {
+impl Drop for Layout {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Places {
+impl Layout {
     pub fn new(plan: &Plan) -> Result<Self, Failure> {
         let all = plan.real + plan.hollow;
         let mut random = Pcg64Mcg::seed_from_u64(plan.seed);
@@ -80,7 +80,9 @@
         };
         let cut = matches!(plan.fault, Some(Fault::ZoneCut | Fault::RegionsApart));
         let dials = match plan.places {
-            true => by_place(&mut random, all).into_iter().enumerate().flat_map(links_upwards).collect(),
+            true => {
+                links_by_location(&mut random, all).into_iter().enumerate().flat_map(links_upwards).collect()
+            }
             false => dials(all, plan.dials, if cut { &isolated } else { &[] }, &mut random),
         };
         let first = |form| forms.iter().position(|f| *f == form);
@@ -92,7 +94,7 @@
         // The path is short because the address of a Unix socket has a length limit.
         let folder = std::env::temp_dir().join(format!("lhs-{run}"));
         std::fs::create_dir_all(&folder)?;
-        let mut places = Self {
+        let mut layout = Self {
             folder,
             site,
             net,
@@ -105,16 +107,16 @@
             isolated,
         };
         let record = Recording::default();
-        for (from, to) in places.dials.clone() {
-            let seen = [from, to].iter().any(|n| places.watched.contains(n));
-            if seen || (cut && places.crosses(from, to)) {
+        for (from, to) in layout.dials.clone() {
+            let seen = [from, to].iter().any(|n| layout.watched.contains(n));
+            if seen || (cut && layout.crosses(from, to)) {
                 let proxy =
                     FaultProxy::start(ProxyEnds { sites: [name(from), name(to)], record: record.clone() })?;
-                proxy.set_target(places.address(to));
-                places.proxies.insert((from, to), proxy);
+                proxy.set_target(layout.address(to));
+                layout.proxies.insert((from, to), proxy);
             }
         }
-        Ok(places)
+        Ok(layout)
     }
 
     /// Whether two routers are on different sides of a cut.
@@ -122,19 +124,19 @@
         self.isolated.contains(&from) != self.isolated.contains(&to)
     }
 
-    fn place(&self, n: usize, port: u16) -> SocketAddr {
+    fn address_at(&self, n: usize, port: u16) -> SocketAddr {
         let ip = Ipv4Addr::new(127, self.net, (n / 250) as u8, (n % 250 + 1) as u8);
         (ip, port).into()
     }
 
     /// Address of a router for links.
     pub fn address(&self, n: usize) -> SocketAddr {
-        self.place(n, LINKS)
+        self.address_at(n, LINKS)
     }
 
     /// Addresses of the discovery service, one for each router.
     pub fn journals(&self) -> Vec<SocketAddr> {
-        (0..self.forms.len()).map(|n| self.place(n, JOURNAL)).collect()
+        (0..self.forms.len()).map(|n| self.address_at(n, JOURNAL)).collect()
     }
 
     pub fn config(&self, n: usize) -> PathBuf {
@@ -149,7 +151,7 @@
     /// routers listen and connect.
     pub fn write_operator(&self, n: usize) -> Result<(), Failure> {
         let cluster_settings = match self.with_locations {
-            true => format!("place = \"{}\"", place(n / SITE)),
+            true => format!("place = \"{}\"", site_location(n / ROUTERS_PER_SITE)),
             false => String::new(),
         };
         let mut text = format!(
@@ -177,7 +179,7 @@
         let mut config: Value = serde_json::from_str(include_str!("../../../../examples/config.json"))?;
         config["name"] = json!(name(n));
         config["listen"] = json!("127.0.0.1:0");
-        config["journal"] = json!(self.place(n, JOURNAL).to_string());
+        config["journal"] = json!(self.address_at(n, JOURNAL).to_string());
         config["seed"] = json!(format!("{n:016x}"));
         config["limits"] = json!({"cores": 1.0, "memory_mb": 64, "sockets": 512});
         config["known"] = serde_json::from_str(known)?;
@@ -210,7 +212,7 @@
 }
 
 /// Adds a link between two different routers, in both directions.
-pub fn join(links: &mut [BTreeSet<usize>], a: usize, b: usize) {
+pub fn add_link(links: &mut [BTreeSet<usize>], a: usize, b: usize) {
     if a != b {
         links[a].insert(b);
         links[b].insert(a);
@@ -218,9 +220,9 @@
 }
 
 /// The location of a site, by its number.
-pub fn place(site: usize) -> String {
-    let zone = site / PARTS;
-    format!("r{:02}/z{zone:03}/s{site:04}", zone / PARTS)
+pub fn site_location(site: usize) -> String {
+    let zone = site / PARTS_PER_LEVEL;
+    format!("r{:02}/z{zone:03}/s{site:04}", zone / PARTS_PER_LEVEL)
 }
 
 /// Pairs with the higher-numbered ends of a router's links, so that each link is listed once.
@@ -231,30 +233,33 @@
 /// The links of a fleet with locations, by router. Within a site each router is linked with the next one, and
 /// every second one with the one opposite. Each site has links to the next site of its zone (two), the next
 /// zone and the next region, and at each of these levels one to a random site.
-pub fn by_place(random: &mut Pcg64Mcg, n: usize) -> Vec<BTreeSet<usize>> {
+pub fn links_by_location(random: &mut Pcg64Mcg, n: usize) -> Vec<BTreeSet<usize>> {
     let mut links = vec![BTreeSet::new(); n];
-    let sites = n.div_ceil(SITE);
+    let sites = n.div_ceil(ROUTERS_PER_SITE);
     let within = |site: usize, at: usize| {
-        let first = site * SITE;
-        first + at % (n - first).min(SITE)
+        let first = site * ROUTERS_PER_SITE;
+        first + at % (n - first).min(ROUTERS_PER_SITE)
     };
     for site in 0..sites {
-        let size = (n - site * SITE).min(SITE);
+        let size = (n - site * ROUTERS_PER_SITE).min(ROUTERS_PER_SITE);
         for at in 0..size {
-            join(&mut links, within(site, at), within(site, at + 1));
+            add_link(&mut links, within(site, at), within(site, at + 1));
             if at % 2 == 0 {
-                join(&mut links, within(site, at), within(site, at + size / 2));
+                add_link(&mut links, within(site, at), within(site, at + size / 2));
             }
         }
         let mut outer_links = 0;
         let mut link_to = |links: &mut Vec<BTreeSet<usize>>, other: usize| {
             outer_links += 1;
-            join(links, within(site, outer_links), within(other, outer_links + SITE / 2));
+            add_link(links, within(site, outer_links), within(other, outer_links + ROUTERS_PER_SITE / 2));
         };
-        for step in [1, PARTS, PARTS * PARTS] {
+        for step in [1, PARTS_PER_LEVEL, PARTS_PER_LEVEL * PARTS_PER_LEVEL] {
             let (first, end) = match step {
-                1 => (site / PARTS * PARTS, site / PARTS * PARTS + PARTS),
-                PARTS => (site / 16 * 16, site / 16 * 16 + 16),
+                1 => (
+                    site / PARTS_PER_LEVEL * PARTS_PER_LEVEL,
+                    site / PARTS_PER_LEVEL * PARTS_PER_LEVEL + PARTS_PER_LEVEL,
+                ),
+                PARTS_PER_LEVEL => (site / 16 * 16, site / 16 * 16 + 16),
                 _ => (0, sites),
             };
             let (first, end) = (first.min(sites), end.min(sites));
--- a/crates/testbed/src/two_sites/mod.rs
+++ b/crates/testbed/src/two_sites/mod.rs
@@ -23,7 +23,7 @@
 pub use scenario::{bad_day, Outcome, Scenario, Script, SiteFault, Tally};
 
 #[derive(Debug, Clone)]
-struct Asker {
+struct PendingRequest {
     id: u64,
     object: u64,
     booking: bool,
@@ -32,16 +32,16 @@
     deadline: Ms,
     passed: Vec<String>,
     /// Sent by a client of this side, not forwarded by the other site.
-    own: bool,
+    from_local_client: bool,
     /// Served by this side, not forwarded.
-    home: bool,
+    served_locally: bool,
 }
 
 struct Side {
     gateway: Gateway,
     epoch: u64,
     last: Ticket,
-    askers: BTreeMap<Ticket, Asker>,
+    pending_requests: BTreeMap<Ticket, PendingRequest>,
     store: bool,
     caches: bool,
 }
@@ -59,7 +59,7 @@
     ended: bool,
 }
 
-struct Wire {
+struct Connection {
     up: Ms,
     dialer: (usize, usize),
     /// Towards side 0 and side 1.
@@ -82,16 +82,16 @@
 }
 
 /// Most bytes in flight in one direction of a connection.
-const IN_PIPE: usize = 256 << 10;
+const MAX_BYTES_IN_FLIGHT: usize = 256 << 10;
 const NAMES: [&str; 2] = ["north", "south"];
 
 /// The simulation of two sites.
 pub struct Simulation {
-    play: Scenario,
+    scenario: Scenario,
     now: Ms,
-    chance: Pcg64Mcg,
+    random: Pcg64Mcg,
     sides: Vec<Side>,
-    wires: BTreeMap<ConnectionId, Wire>,
+    connections: BTreeMap<ConnectionId, Connection>,
     last_conn: ConnectionId,
     cut: bool,
     silent: [bool; 2],
@@ -117,13 +117,13 @@
 
 impl Simulation {
     /// Sets up both sites, and schedules the faults of the script.
-    pub fn new(play: Scenario) -> Self {
-        let chance = Pcg64Mcg::seed_from_u64(play.seed);
-        let mut world = Self {
+    pub fn new(scenario: Scenario) -> Self {
+        let random = Pcg64Mcg::seed_from_u64(scenario.seed);
+        let mut simulation = Self {
             now: 0.0,
-            chance,
+            random,
             sides: Vec::new(),
-            wires: BTreeMap::new(),
+            connections: BTreeMap::new(),
             last_conn: 0,
             cut: false,
             silent: [false; 2],
@@ -136,18 +136,18 @@
             next_id: 0,
             out: Outcome::default(),
             useful: 0,
-            play,
+            scenario,
         };
-        world.sides = (0..2).map(|n| world.side(n, 1)).collect();
-        for n in 0..world.play.script.len() {
-            world.plan(world.play.script[n].0, SimulationEvent::SiteFault(n));
+        simulation.sides = (0..2).map(|n| simulation.side(n, 1)).collect();
+        for n in 0..simulation.scenario.script.len() {
+            simulation.schedule(simulation.scenario.script[n].0, SimulationEvent::SiteFault(n));
         }
         for side in 0..2 {
             for booking in [false, true] {
-                world.next_arrival(side, booking);
+                simulation.next_arrival(side, booking);
             }
         }
-        world
+        simulation
     }
 
     fn side(&self, n: usize, epoch: u64) -> Side {
@@ -156,47 +156,47 @@
             other_sites: vec![NAMES[1 - n].to_string()],
             node: "g".to_string(),
             epoch,
-            seed: self.play.seed * 10 + n as u64,
+            seed: self.scenario.seed * 10 + n as u64,
             // The north dials.
             dial_sites: if n == 0 { vec![NAMES[1].to_string()] } else { Vec::new() },
             accepts_cluster_peers: false,
-            config: self.play.rules,
+            config: self.scenario.rules,
         };
         let mut gateway = Gateway::new(self.now, setup);
         gateway.report_local_load(self.now, 3, 0.2);
-        Side { gateway, epoch, last: 0, askers: BTreeMap::new(), store: true, caches: true }
+        Side { gateway, epoch, last: 0, pending_requests: BTreeMap::new(), store: true, caches: true }
     }
 
-    fn plan(&mut self, at: Ms, event: SimulationEvent) {
+    fn schedule(&mut self, at: Ms, event: SimulationEvent) {
         self.count += 1;
         self.events.insert(((at.max(0.0) * 1_000.0) as u64, self.count), event);
     }
 
     fn next_arrival(&mut self, side: usize, booking: bool) {
-        let rate = if booking { self.play.bookings } else { self.play.reads };
+        let rate = if booking { self.scenario.bookings } else { self.scenario.reads };
         let Ok(gap) = Exp::new(rate / 1_000.0) else { return };
-        let at = self.now + gap.sample(&mut self.chance);
-        if rate > 0.0 && at < self.play.length {
-            self.plan(at, SimulationEvent::Arrival(side, booking));
+        let at = self.now + gap.sample(&mut self.random);
+        if rate > 0.0 && at < self.scenario.length {
+            self.schedule(at, SimulationEvent::Arrival(side, booking));
         }
     }
 
     /// Runs to the end of the scenario, and then for the waiting time of clients plus 1 s, so that all
     /// requests are answered.
     pub fn run(mut self) -> Outcome {
-        let end = self.play.length + self.play.wait + 1_000.0;
+        let end = self.scenario.length + self.scenario.wait + 1_000.0;
         while self.now < end {
             self.now += 1.0;
             while let Some(entry) =
                 self.events.first_entry().filter(|e| e.key().0 as Ms / 1_000.0 <= self.now)
             {
                 let event = entry.remove();
-                self.happen(event);
+                self.handle_event(event);
             }
             for n in 0..2 {
                 if self.sides[n].gateway.next_deadline(self.now) <= self.now {
                     self.sides[n].gateway.on_timer(self.now);
-                    self.carry_out(n);
+                    self.run_actions(n);
                 }
             }
             self.deliver();
@@ -216,21 +216,21 @@
         for n in 0..2 {
             let status = self.sides[n].gateway.status(self.now);
             let remembered = status.sites.iter().flat_map(|s| &s.gateways).map(|g| g.remembered_tokens).sum();
-            let now = [self.wires.len() as u64, status.forwarded, status.remote_requests, remembered];
+            let now = [self.connections.len() as u64, status.forwarded, status.remote_requests, remembered];
             for (most, now) in self.out.most.iter_mut().zip(now) {
                 *most = (*most).max(now);
             }
         }
     }
 
-    fn happen(&mut self, event: SimulationEvent) {
+    fn handle_event(&mut self, event: SimulationEvent) {
         match event {
             SimulationEvent::Arrival(side, booking) => {
                 self.next_arrival(side, booking);
                 self.arrive(side, booking);
             }
-            SimulationEvent::Done(n, epoch, ticket, attempt) => self.done(n, epoch, ticket, attempt),
-            SimulationEvent::SiteFault(n) => self.apply_fault(self.play.script[n].1),
+            SimulationEvent::Done(n, epoch, ticket, attempt) => self.complete(n, epoch, ticket, attempt),
+            SimulationEvent::SiteFault(n) => self.apply_fault(self.scenario.script[n].1),
         }
     }
 }
