--- a/Makefile
+++ b/Makefile
@@ -23,7 +23,7 @@
 ask:
 	cargo run --release -p linnethook-quickstart --bin quickstart-client -- 127.0.0.1:8080 video 7f3a9c21e0b4d655
 
-# Moves a hub cache under load, by stages and by a plain flip, and prints what reached the origin. Half a minute.
+# Moves a hub cache under load, in stages and immediately, and prints what reached the origin. Half a minute.
 hierarchy:
 	cargo build --release --workspace
 	target/release/hub-move --short
