--- a/crates/router/src/upstream/codec.rs
+++ b/crates/router/src/upstream/codec.rs
@@ -56,8 +56,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyError {
     /// An array of neither 2 nor 3 nor 4 strings.
-    ArrayLength,
-    StringLength,
+    ArrayLength(usize),
+    /// A string longer than the limit.
+    StringLength {
+        /// Its size.
+        bytes: usize,
+        /// The limit.
+        max_bytes: usize,
+    },
     StringEnd,
     NotText,
     NoId,
@@ -72,17 +78,21 @@
 impl fmt::Display for ReplyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::ArrayLength => "array length is not 2, 3 or 4",
-            Self::StringLength => "string is longer than the limit",
-            Self::StringEnd => "string is not terminated by CRLF",
-            Self::NotText => "id, status or fields are not UTF-8",
+            Self::ArrayLength(length) => {
+                return write!(f, "reply is an array of {length} strings, expected 2, 3 or 4");
+            }
+            Self::StringLength { bytes, max_bytes } => {
+                return write!(f, "string of a reply has {bytes} bytes, expected at most {max_bytes}");
+            }
+            Self::StringEnd => "string of a reply is not terminated by CRLF",
+            Self::NotText => "id, status or fields of a reply are not UTF-8",
             Self::NoId => "reply has no id",
             Self::NoStatus => "reply has no status",
             Self::UnknownStatus => "reply has an unknown status",
             Self::NoBody => "reply has no body",
             Self::NotAnArray => "reply is not an array of bulk strings",
-            Self::LineEnd => "length line is too long",
-            Self::LengthNotANumber => "length is not a number",
+            Self::LineEnd => "length line of a reply is too long",
+            Self::LengthNotANumber => "length in a reply is not a number",
         })
     }
 }
@@ -153,7 +163,7 @@
             if self.missing_strings == 0 {
                 let Some(count) = take_length_line(input, b'*')? else { return Ok(None) };
                 if !(2..=4).contains(&count) {
-                    return Err(ReplyError::ArrayLength);
+                    return Err(ReplyError::ArrayLength(count));
                 }
                 self.missing_strings = count;
             }
@@ -162,7 +172,7 @@
                 None => {
                     let Some(size) = take_length_line(input, b'$')? else { return Ok(None) };
                     if size > max_string {
-                        return Err(ReplyError::StringLength);
+                        return Err(ReplyError::StringLength { bytes: size, max_bytes: max_string });
                     }
                     self.size = Some(size);
                     size
