--- a/crates/hierarchy/src/batch/application.rs
+++ b/crates/hierarchy/src/batch/application.rs
@@ -113,7 +113,7 @@
             return Err(BatchRejection::NodeExists(node.id));
         }
         if node.capacity <= 0.0 {
-            return Err(BatchRejection::InvalidCapacity(node.id));
+            return Err(BatchRejection::InvalidCapacity { node: node.id, capacity: node.capacity });
         }
         self.write_node(topology, node);
         Ok(())
--- a/crates/hierarchy/src/batch/mod.rs
+++ b/crates/hierarchy/src/batch/mod.rs
@@ -149,7 +149,7 @@
 }
 
 /// Why a batch is not applied. The reason is the same at all routers that have received the same batches.
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum BatchRejection {
     /// A change refers to a node that does not exist.
     #[error("node {} is not in the topology", NodeLabel(*.0))]
@@ -192,8 +192,13 @@
         limit: usize,
     },
     /// A capacity is not a positive number.
-    #[error("node {} has a capacity that is not a positive number", NodeLabel(*.0))]
-    InvalidCapacity(NodeId),
+    #[error("node {} has capacity {capacity}, expected a positive number", NodeLabel(*.node))]
+    InvalidCapacity {
+        /// The node.
+        node: NodeId,
+        /// Its capacity.
+        capacity: f64,
+    },
 }
 
 /// The form of a node id in error messages. Scripts parse it, so it must not change with the names of types.
--- a/crates/hierarchy/tests/decision_trace.rs
+++ b/crates/hierarchy/tests/decision_trace.rs
@@ -160,7 +160,7 @@
                 self.number(*limit as u64);
                 (*items, None)
             }
-            BatchRejection::InvalidCapacity(node) => ("invalid capacity", Some(node)),
+            BatchRejection::InvalidCapacity { node, .. } => ("invalid capacity", Some(node)),
         };
         self.text(kind);
         if let Some(node) = node {
--- a/crates/hierarchy/tests/golden.rs
+++ b/crates/hierarchy/tests/golden.rs
@@ -329,7 +329,7 @@
         BatchRejection::NoOrigin,
         BatchRejection::Conflict { node: SOUTH, by: batch_id },
         BatchRejection::LimitExceeded { items: "sources of a node", got: 40, limit: 32 },
-        BatchRejection::InvalidCapacity(SOUTH),
+        BatchRejection::InvalidCapacity { node: SOUTH, capacity: -1.5 },
     ];
     let other_id = BatchId { author: AuthorId(9), number: 12 };
     let too_old = BatchError::TooOld { batch: batch_id, stamp: 5, truncated_stamp: 17 };
