--- a/crates/model/src/cold/trial.rs
+++ b/crates/model/src/cold/trial.rs
@@ -12,8 +12,8 @@
     Even,
     /// Every fifth router gets five times as many as each of the others.
     Skewed,
-    /// A quarter of the load until some seconds after the start, then six times
-    /// as much.
+    /// A quarter of the load until some seconds after the start, then six times as much: the load is low at
+    /// first so that the token buckets of the routers' slow-start limits are full when it rises.
     Burst,
 }
 
--- a/crates/router/tests/scale.rs
+++ b/crates/router/tests/scale.rs
@@ -205,5 +205,5 @@
         places: true,
     };
     let error = run(&plan).expect_err("the plan is rejected").to_string();
-    assert!(error.contains("all tell all"), "{error}");
+    assert_eq!(error, "faults are not supported with locations");
 }
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -49,7 +49,7 @@
 
 /// How long a router may take to notice that a client has disconnected, in milliseconds.
 const DISCONNECT_NOTICE: Ms = 100.0;
-/// An earlier value of that bound, for comparison.
+/// The bound that applied before [`DISCONNECT_NOTICE`], in milliseconds: recordings are checked against both.
 const EARLIER_DISCONNECT_NOTICE: Ms = 300.0;
 
 /// Attempts for requests whose clients disconnected. Not a pass of [`judge`]: the target is a share of such
