--- a/crates/hierarchy/src/batch/application.rs
+++ b/crates/hierarchy/src/batch/application.rs
@@ -52,14 +52,16 @@
 
     fn apply_all(&mut self, topology: &mut Topology) -> Result<(), BatchRejection> {
         if self.batch.changes.len() > self.limits.max_changes {
-            return Err(BatchRejection::LimitExceeded(self.limits.max_changes, "changes in a batch"));
+            let (got, limit) = (self.batch.changes.len(), self.limits.max_changes);
+            return Err(BatchRejection::LimitExceeded { items: "changes in a batch", got, limit });
         }
         for change in &self.batch.changes {
             self.apply_change(topology, change)?;
         }
         self.check_references(topology)?;
         if topology.len() > self.limits.max_nodes {
-            return Err(BatchRejection::LimitExceeded(self.limits.max_nodes, "nodes"));
+            let (got, limit) = (topology.len(), self.limits.max_nodes);
+            return Err(BatchRejection::LimitExceeded { items: "nodes", got, limit });
         }
         if topology.origin_count() == 0 && !topology.is_empty() {
             return Err(BatchRejection::NoOrigin);
@@ -111,7 +113,7 @@
             return Err(BatchRejection::NodeExists(node.id));
         }
         if node.capacity <= 0.0 {
-            return Err(BatchRejection::InvalidCapacity(node.id));
+            return Err(BatchRejection::InvalidCapacity { node: node.id, capacity: node.capacity });
         }
         self.write_node(topology, node);
         Ok(())
@@ -163,7 +165,8 @@
             _ => {}
         }
         if sources.len() > self.limits.max_sources {
-            return Err(BatchRejection::LimitExceeded(self.limits.max_sources, "sources of a node"));
+            let (got, limit) = (sources.len(), self.limits.max_sources);
+            return Err(BatchRejection::LimitExceeded { items: "sources of a node", got, limit });
         }
         if sources.iter().any(|source| source.node == id) {
             return Err(BatchRejection::SelfReference(id));
--- a/crates/hierarchy/src/batch/mod.rs
+++ b/crates/hierarchy/src/batch/mod.rs
@@ -149,7 +149,7 @@
 }
 
 /// Why a batch is not applied. The reason is the same at all routers that have received the same batches.
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum BatchRejection {
     /// A change refers to a node that does not exist.
     #[error("node {} is not in the topology", NodeLabel(*.0))]
@@ -182,11 +182,23 @@
     },
     /// The batch or the topology would exceed a bound of [`BatchLimits`]: the bound, and the items that it
     /// limits.
-    #[error("limit exceeded: more than {0} {1}")]
-    LimitExceeded(usize, &'static str),
+    #[error("limit exceeded: {got} {items}, expected at most {limit}")]
+    LimitExceeded {
+        /// What is limited.
+        items: &'static str,
+        /// Their number.
+        got: usize,
+        /// The limit.
+        limit: usize,
+    },
     /// A capacity is not a positive number.
-    #[error("node {} has a capacity that is not a positive number", NodeLabel(*.0))]
-    InvalidCapacity(NodeId),
+    #[error("node {} has capacity {capacity}, expected a positive number", NodeLabel(*.node))]
+    InvalidCapacity {
+        /// The node.
+        node: NodeId,
+        /// Its capacity.
+        capacity: f64,
+    },
 }
 
 /// The form of a node id in error messages. Scripts parse it, so it must not change with the names of types.
--- a/crates/lab/src/scale/fleet.rs
+++ b/crates/lab/src/scale/fleet.rs
@@ -24,7 +24,7 @@
 use linnethook_membership::gossip::entry::{EntryKey, Purge};
 use linnethook_membership::versions::{ActiveVersions, RouterStatus};
 use linnethook_membership::view::ClusterCounters;
-use linnethook_testbed::scale::{self as sockets, by_place, join, SITE};
+use linnethook_testbed::scale::{self as sockets, add_link, links_by_location, ROUTERS_PER_SITE};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -194,14 +194,14 @@
     for a in 0..n {
         for dial in 0..dials {
             let b = if dial == 0 { (a + 1) % n } else { random.random_range(0..n) };
-            join(&mut links, a, b);
+            add_link(&mut links, a, b);
         }
     }
     links
 }
 
 fn site_location(site: usize) -> Option<Location> {
-    Location::parse(&sockets::place(site)).ok()
+    Location::parse(&sockets::site_location(site)).ok()
 }
 
 /// The facts of one frame, and its length on a link.
@@ -433,10 +433,11 @@
         let n = setup.routers;
         let links = match setup.form {
             Form::Flat => random_links(&mut random, n, setup.dials),
-            Form::Summary => by_place(&mut random, n),
+            Form::Summary => links_by_location(&mut random, n),
+        };
+        let location = |node: usize| {
+            (setup.form == Form::Summary).then(|| site_location(node / ROUTERS_PER_SITE)).flatten()
         };
-        let location =
-            |node: usize| (setup.form == Form::Summary).then(|| site_location(node / SITE)).flatten();
         let versions = ActiveVersions {
             build: env!("CARGO_PKG_VERSION").to_string(),
             settings_digest: 1 << 60,
@@ -884,7 +885,7 @@
         let now = self.now;
         let node = &mut self.nodes[n];
         let (Some((since, received_before)), Some(core)) = (node.restarted, &node.core) else { return };
-        let wanted = if node.location.is_some() { node.links.len().min(SITE) } else { running };
+        let wanted = if node.location.is_some() { node.links.len().min(ROUTERS_PER_SITE) } else { running };
         if node.joined.is_none() && core.members().iter().count() + 1 >= wanted {
             node.joined = Some(now - since);
         }
--- a/crates/model/src/simulation.rs
+++ b/crates/model/src/simulation.rs
@@ -282,7 +282,7 @@
             purge_grace: PURGE_GRACE,
             // One round trip to a server; there is no scheduling delay in virtual time.
             slack: plan.hub_delay * 2.0 + 1.0,
-            going_over: plan.hierarchy.map_or(0.0, |hierarchy| {
+            migration_grace: plan.hierarchy.map_or(0.0, |hierarchy| {
                 hierarchy.max_migration_time() + plan.endpoint_update_delay + plan.client_timeout
             }),
             ..RuleBounds::default()
--- a/crates/router/src/audit_log/disk.rs
+++ b/crates/router/src/audit_log/disk.rs
@@ -29,7 +29,9 @@
 impl fmt::Display for DiskError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Directory(error) | Self::Log(error) | Self::Thread(error) => error.fmt(f),
+            Self::Directory(error) => write!(f, "the directory can't be opened or locked: {error}"),
+            Self::Log(error) => write!(f, "the log in the directory can't be opened: {error}"),
+            Self::Thread(error) => write!(f, "the writer thread can't be started: {error}"),
         }
     }
 }
@@ -92,7 +94,7 @@
     fn append(&mut self, record: Vec<u8>) -> Result<(), RecordLogError> {
         let added = self.log.add(&record);
         self.records.push_back(record);
-        if matches!(added, Err(RecordLogError::Full)) {
+        if matches!(added, Err(RecordLogError::Full { .. })) {
             self.records.drain(..self.records.len() / 2);
             self.log.compact(&mut self.files, self.records.make_contiguous())?;
         }
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -101,7 +101,7 @@
         // The start time in microseconds; the gateway uses the same incarnation.
         let incarnation = (now * 1_000.0) as u64;
         let membership = Cluster::new(now, section.parameters, name, incarnation, versions.clone());
-        let mut membership = membership.with_location(now, section.place.clone());
+        let mut membership = membership.with_location(now, section.location.clone());
         membership.set_voters(straggler_voters(section));
         let audit_log = section.audit.as_ref().map(|section| {
             let at = membership.clock.next_timestamp(now);
@@ -127,8 +127,8 @@
         self.versions.operator_digest = operator_digest;
         self.membership.set_config(section.parameters);
         self.membership.set_voters(straggler_voters(section));
-        if self.membership.location() != section.place.as_ref() {
-            log_line!(always "fellows: the changed location takes effect at the next start");
+        if self.membership.location() != section.location.as_ref() {
+            log_line!(always "fellows: the changed location of this router takes effect at its next start");
         }
         self.snapshot_transfer.set_config(section.parameters.snapshot_transfer);
         self.membership.set_versions(&self.versions);
--- a/crates/router/tests/descriptors.rs
+++ b/crates/router/tests/descriptors.rs
@@ -114,7 +114,7 @@
     let OutageFixture { b, router, discovery, events, socket, _servers } = fixture;
     let next = events.len() as u64 + 1;
     let (address, since) = (b.address, Instant::now());
-    let journal = discovery.back(events).expect("discovery recovers");
+    let journal = discovery.recover(events).expect("discovery recovers");
     wait(&journal.polls, |position| *position == next - 1);
     println!("the first poll {:?} after discovery has recovered", since.elapsed());
     journal.publish(
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -46,7 +46,7 @@
             .until(n, "r2 is suspected", |shown| has_state(shown, 2, "Suspected") && alive(shown) == 2)
             .expect("shown");
     }
-    harness.start_again(2).expect("restarted");
+    harness.restart_router(2).expect("restarted");
     harness.load(2).expect("the load starts");
     for n in [0, 1, 3] {
         let has_rejoined = |shown: &serde_json::Value| {
@@ -65,7 +65,7 @@
     let mut harness = start_harness(3);
     harness.load_all().expect("the load starts");
     pause(500);
-    harness.tell("cache-1", Phase::Draining, &[0]).expect("published");
+    harness.publish_phase("cache-1", Phase::Draining, &[0]).expect("published");
     for n in [1, 2] {
         let is_barred =
             |shown: &serde_json::Value| shown["barred"][0][0] == "cache-1" && shown["drains"] == 1;
@@ -106,7 +106,7 @@
     let mut harness = start_harness(3);
     harness.load_all().expect("the load starts");
     for phase in [Phase::Draining, Phase::Ready, Phase::Draining] {
-        harness.tell("cache-1", phase, &[0]).expect("published");
+        harness.publish_phase("cache-1", phase, &[0]).expect("published");
     }
     let is_barred = |shown: &serde_json::Value| shown["barred"][0] == serde_json::json!(["cache-1", 4]);
     harness.until(1, "the newest event", is_barred).expect("received");
@@ -139,17 +139,17 @@
     let cluster_settings = format!("{}, purges = 10", plan.cluster_settings);
     let mut harness = Harness::start(PROGRAM, Plan { cluster_settings, ..plan }).expect("a fleet");
     harness.load_all().expect("the load starts");
-    harness.tell("cache-1", Phase::Draining, &[0]).expect("published");
+    harness.publish_phase("cache-1", Phase::Draining, &[0]).expect("published");
     harness.until(1, "the drain", |shown| shown["barred"][0][0] == "cache-1").expect("received");
     harness.isolate(1).expect("cut off");
-    harness.tell("cache-1", Phase::Ready, &[1]).expect("published");
+    harness.publish_phase("cache-1", Phase::Ready, &[1]).expect("published");
     harness
         .until(1, "its journal", |shown| shown["fellows"]["me"]["acts"]["journal"] == 3)
         .expect("received");
     harness
         .until(1, "the end of the drain expires", |shown| shown["fellows"]["facts"] == 2)
         .expect("expired");
-    harness.mend_all();
+    harness.clear_all_faults();
     harness
         .until(1, "its peer is alive", |shown| alive(shown) == 1 && shown["fellows"]["facts"] == 3)
         .expect("received");
@@ -165,12 +165,12 @@
     let mut harness = start_harness(4);
     harness.load_all().expect("the load starts");
     harness.isolate(3).expect("cut off");
-    harness.tell("cache-0", Phase::Draining, &[0, 1, 2]).expect("published");
+    harness.publish_phase("cache-0", Phase::Draining, &[0, 1, 2]).expect("published");
     harness.move_cache(1, 1).expect("applied");
     harness.until(0, "r3 is suspected", |shown| has_state(shown, 3, "Suspected")).expect("shown");
     let shown = harness.shown(3).expect("shown");
     assert!(shown["drains"] == 0 && shown["batches"] == 0, "{shown}");
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.settle().expect("all act on the same hierarchy");
     let caught_up = |shown: &serde_json::Value| shown["drains"] == 1 && shown["batches"] == 1;
     harness.until(3, "it has caught up", caught_up).expect("received");
@@ -201,7 +201,7 @@
     harness.block_direction(0, 2);
     harness.until(0, "r2 is unreachable", |shown| has_state(shown, 2, "Suspected")).expect("shown");
     harness.until(2, "all others are unreachable for r2", |shown| alive(shown) == 0).expect("shown");
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.settle().expect("all act on the same hierarchy");
     finish(&mut harness);
 }
@@ -211,11 +211,11 @@
     let mut harness = start_harness(3);
     harness.load_all().expect("the load starts");
     pause(500);
-    harness.freeze(1).expect("stopped");
+    harness.suspend(1).expect("stopped");
     harness.until(0, "r1 is suspected", |shown| has_state(shown, 1, "Suspected")).expect("shown");
-    harness.tell("cache-0", Phase::Draining, &[0, 2]).expect("published");
+    harness.publish_phase("cache-0", Phase::Draining, &[0, 2]).expect("published");
     pause(2_500);
-    harness.wake(1).expect("resumed");
+    harness.resume(1).expect("resumed");
     harness.until(1, "the drain from peers", |shown| shown["drains"] == 1).expect("received");
     harness.fleet.logged("r1", "this process was frozen for").expect("it has noticed the pause");
     harness.settle().expect("all act on the same hierarchy");
@@ -235,7 +235,7 @@
             |shown: &serde_json::Value| line(shown, "r1").is_some_and(|line| line["start"] == incarnation);
         harness.until(n, "the first process", |shown| known(shown) && alive(shown) == 2).expect("shown");
     }
-    let part = harness.fleet.asked(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"].clone();
+    let part = harness.fleet.query(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"].clone();
     assert_eq!(part["Refused"], incarnation);
 }
 
@@ -243,14 +243,14 @@
 #[test]
 fn a_stopped_process_that_resumes_yields_its_name_to_its_successor() {
     let mut harness = start_harness(3);
-    harness.freeze(1).expect("stopped");
+    harness.suspend(1).expect("stopped");
     harness.until(0, "r1 is suspected", |shown| has_state(shown, 1, "Suspected")).expect("shown");
     let duplicate = harness.start_duplicate(1).expect("a successor");
     harness.until(0, "the successor is alive", |shown| has_state(shown, 1, "Alive")).expect("shown");
-    harness.wake(1).expect("resumed");
+    harness.resume(1).expect("resumed");
     harness.fleet.logged("r1", "this one leaves the cluster").expect("it has yielded");
     assert_eq!(
-        harness.fleet.asked(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"],
+        harness.fleet.query(&duplicate, &["fleet", "show"]).expect("shown")["fellows"]["part"],
         "Takes"
     );
     harness.until(2, "the successor is still alive", |shown| has_state(shown, 1, "Alive")).expect("shown");
@@ -262,23 +262,23 @@
 fn slow_lossy_and_repeating_links_delay_no_other_peer() {
     let mut harness = start_harness(3);
     harness.load_all().expect("the load starts");
-    harness.slow(2, 0, 600.0);
-    harness.slow(2, 1, 600.0);
+    harness.limit_rate(2, 0, 600.0);
+    harness.limit_rate(2, 1, 600.0);
     for n in 0..40 {
         let cache = format!("cache-{}", n % 3);
         let phase = if (n / 3) % 2 == 0 { Phase::Draining } else { Phase::Ready };
-        harness.tell(&cache, phase, &[0, 1]).expect("published");
+        harness.publish_phase(&cache, phase, &[0, 1]).expect("published");
     }
     let has_position =
         |shown: &serde_json::Value| line(shown, "r1").is_some_and(|l| l["acts"]["journal"] == 41);
     harness.until(0, "r1's journal position", has_position).expect("fast peers are not delayed");
-    harness.mend_all();
+    harness.clear_all_faults();
     for corruption in [Corruption::Lost, Corruption::Repeated] {
         harness.corrupt(1, 0, corruption);
         harness.corrupt(0, 2, corruption);
         pause(300);
     }
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.settle().expect("all act on the same hierarchy");
     harness.until(2, "r1's journal position", has_position).expect("the slow peer receives it too");
     harness.end_loads();
@@ -296,7 +296,7 @@
         harness.kill(n);
     }
     for n in [1, 2, 3] {
-        harness.start_again(n).expect("restarted");
+        harness.restart_router(n).expect("restarted");
         harness.load(n).expect("the load starts");
     }
     harness.settle().expect("all act on the change again");
@@ -304,7 +304,7 @@
         harness.stop(n).expect("stopped");
         let other = (n + 1) % 5;
         harness.until(other, "it has departed", |shown| has_state(shown, n, "Left")).expect("shown");
-        harness.start_again(n).expect("restarted");
+        harness.restart_router(n).expect("restarted");
         harness.load(n).expect("the load starts");
         harness.until(other, "it has rejoined", |shown| has_state(shown, n, "Alive")).expect("shown");
     }
@@ -321,12 +321,12 @@
     harness.until(3, "the partition", |shown| alive(shown) == 1).expect("shown");
     harness.move_cache(0, 0).expect("applied");
     harness.move_cache(3, 1).expect("applied");
-    let hierarchy = |n: usize| harness.fleet.asked(&name(n), &["hierarchy", "show"]).expect("shown");
+    let hierarchy = |n: usize| harness.fleet.query(&name(n), &["hierarchy", "show"]).expect("shown");
     assert_ne!(hierarchy(0)["digest"], hierarchy(3)["digest"]);
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.settle().expect("one topology");
     for n in 0..4 {
-        let nodes = harness.fleet.asked(&name(n), &["hierarchy", "nodes"]).expect("nodes");
+        let nodes = harness.fleet.query(&name(n), &["hierarchy", "nodes"]).expect("nodes");
         let to_centre = nodes
             .as_array()
             .map_or(0, |nodes| nodes.iter().filter(|node| node["sources"][0]["name"] == "centre").count());
@@ -340,8 +340,8 @@
 fn a_snapshot_is_adopted_completely_however_often_its_receiver_is_killed() {
     let mut harness = start_harness(3);
     harness.load_all().expect("the load starts");
-    harness.slow(2, 0, 30_000.0);
-    harness.slow(2, 1, 30_000.0);
+    harness.limit_rate(2, 0, 30_000.0);
+    harness.limit_rate(2, 1, 30_000.0);
     let long_changes = "for n in range(1000):\n    \
                 add(\"spare-with-a-name-that-is-as-long-as-names-may-be-here-%d\" % n, \
                 role = \"parent\", site = \"hub\", capacity = 1, sources = [\"origin\"])\n";
@@ -350,20 +350,20 @@
     for wait in [100, 600, 1_100, 1_700] {
         pause(wait);
         harness.kill(2);
-        harness.start_again(2).expect("restarted");
+        harness.restart_router(2).expect("restarted");
         harness.load(2).expect("the load starts");
-        let nodes = harness.fleet.asked("r2", &["hierarchy", "show"]).expect("shown")["nodes"].as_u64();
+        let nodes = harness.fleet.query("r2", &["hierarchy", "show"]).expect("shown")["nodes"].as_u64();
         assert!(
             nodes == Some(6) || nodes == Some(1_006),
             "expected all nodes of the snapshot or none: {nodes:?}"
         );
     }
-    harness.mend_all();
+    harness.clear_all_faults();
     harness.settle().expect("all act on the change");
     // Later batches are gossiped as usual.
     harness.move_cache(2, 0).expect("applied");
     harness.settle().expect("all act on the change");
-    assert_eq!(harness.fleet.asked("r0", &["hierarchy", "show"]).expect("shown")["version"], 3);
+    assert_eq!(harness.fleet.query("r0", &["hierarchy", "show"]).expect("shown")["version"], 3);
     finish(&mut harness);
 }
 
@@ -377,10 +377,10 @@
         harness.move_cache(0, 0).expect("applied");
         pause(wait);
         harness.kill(0);
-        harness.start_again(0).expect("restarted");
+        harness.restart_router(0).expect("restarted");
         harness.move_cache(0, 1).expect("applied");
         harness.settle().expect("one topology");
-        let nodes = harness.fleet.asked("r2", &["hierarchy", "nodes"]).expect("nodes");
+        let nodes = harness.fleet.query("r2", &["hierarchy", "nodes"]).expect("nodes");
         let moved =
             nodes.as_array().into_iter().flatten().filter(|node| node["sources"][0]["name"] == "centre");
         let moved: Vec<&str> = moved.filter_map(|node| node["name"].as_str()).collect();
@@ -397,7 +397,7 @@
         _ => text,
     };
     let mut harness = Harness::start_with(PROGRAM, Plan::default(), with_older_version).expect("a fleet");
-    harness.tell("cache-1", Phase::Draining, &[0, 1, 2]).expect("published");
+    harness.publish_phase("cache-1", Phase::Draining, &[0, 1, 2]).expect("published");
     let has_drains = |router: &'static str, drains: u64| {
         move |shown: &serde_json::Value| {
             line(shown, router).is_some_and(|l| l["acts"]["drains"] == drains && l["acts"]["journal"] == 2)
@@ -443,7 +443,7 @@
             let routers = 3 + seed as usize % 3;
             let mut harness = start_harness(routers);
             let script = script(seed, routers, 3, 14);
-            if let Err(error) = harness.play(&script) {
+            if let Err(error) = harness.run_script(&script) {
                 panic!("seed {seed}, {routers} routers: {error}\n{script:?}");
             }
         }
--- a/crates/router/tests/gateway.rs
+++ b/crates/router/tests/gateway.rs
@@ -123,7 +123,7 @@
 /// Removes the north's caches from its endpoint list.
 fn remove_caches(sites: &TwoSites) {
     for cache in ["north-cache-0", "north-cache-1"] {
-        sites.north.tell(cache, Phase::Removed).expect("published");
+        sites.north.publish_phase(cache, Phase::Removed).expect("published");
     }
     sites.until(NORTH, "no caches", |status| status["caches"] == 0).expect("no caches");
 }
@@ -213,7 +213,7 @@
         {
             thread::sleep(Duration::from_millis(5));
         }
-        sites.proxy.mend();
+        sites.proxy.clear_faults();
         let (code, body, took) = answer.join().expect("an answer");
         // Bytes on later connections only: those in flight on the earlier one may have passed the proxy
         // unread.
@@ -304,15 +304,15 @@
         }
         if restart_sender {
             sites.north.kill_router(NORTH);
-            sites.north.start_again(NORTH).expect("restarted");
+            sites.north.restart_router(NORTH).expect("restarted");
         }
         let answer = if recovery_ms < u64::MAX {
             thread::sleep(Duration::from_millis(recovery_ms));
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
             request.answer()
         } else {
             let answer = request.answer();
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
             answer
         };
         sites.until_up().expect("the link is up again");
@@ -364,20 +364,20 @@
     wait_until("both caches of the south are used", || {
         ["south-cache-0", "south-cache-1"].iter().all(|cache| requests_since(cache, started) > 3)
     });
-    sites.north.tell_foreign(NORTH, "south-cache-0", Phase::Draining, SOUTH);
+    sites.north.publish_foreign_phase(NORTH, "south-cache-0", Phase::Draining, SOUTH);
     thread::sleep(Duration::from_millis(900));
     let drained = now() - 500.0;
     assert_eq!(requests_since("south-cache-0", drained), 0);
     assert!(requests_since("south-cache-1", drained) > 5, "the other cache is still used");
-    sites.north.tell_foreign(NORTH, "south-cache-0", Phase::Ready, SOUTH);
+    sites.north.publish_foreign_phase(NORTH, "south-cache-0", Phase::Ready, SOUTH);
     let undrained = now();
     wait_until("it is used again", || requests_since("south-cache-0", undrained) > 3);
     // During a cut: no request crosses before the drain has.
     sites.proxy.cut();
-    sites.north.tell_foreign(NORTH, "south-cache-1", Phase::Draining, SOUTH);
+    sites.north.publish_foreign_phase(NORTH, "south-cache-1", Phase::Draining, SOUTH);
     thread::sleep(Duration::from_millis(400));
     let mended = now();
-    sites.proxy.mend();
+    sites.proxy.clear_faults();
     sites.until_up().expect("the link is up");
     thread::sleep(Duration::from_millis(500));
     assert_eq!(requests_since("south-cache-1", mended), 0);
@@ -395,7 +395,7 @@
     sites.proxy.cut();
     purge(20..41);
     thread::sleep(Duration::from_millis(300));
-    sites.proxy.mend();
+    sites.proxy.clear_faults();
     sites.until_up().expect("the link is up");
     thread::sleep(Duration::from_millis(2_000));
     let ends = running.finish();
@@ -417,9 +417,9 @@
     pause();
     sites.south.node("south-origin").kill();
     pause();
-    sites.north.restart("north-origin").expect("restarted");
+    sites.north.restart_server("north-origin").expect("restarted");
     pause();
-    sites.south.restart("south-origin").expect("restarted");
+    sites.south.restart_server("south-origin").expect("restarted");
     pause();
     let (north, south) = (north.finish(), south.finish());
     let asked: u32 = north.asked.iter().chain(&south.asked).sum();
@@ -432,7 +432,7 @@
 #[test]
 fn a_peer_that_violates_the_protocol_is_disconnected() {
     let sites = sites("", CacheServerConfig::new);
-    let address = sites.south.links(SOUTH).expect("an address");
+    let address = sites.south.gateway_address(SOUTH).expect("an address");
     let hello = |site: &str, node: &str, epoch: u64| Hello {
         versions: SUPPORTED_VERSIONS,
         site: site.to_string(),
@@ -536,12 +536,12 @@
         if n % 2 == 0 {
             sites.proxy.cut();
         } else {
-            sites.proxy.mend();
+            sites.proxy.clear_faults();
         }
         thread::sleep(Duration::from_millis(300));
         most_descriptors = most_descriptors.max(descriptors());
     }
-    sites.proxy.mend();
+    sites.proxy.clear_faults();
     sites.until_up().expect("the link is up");
     let ends = running.finish();
     assert!(ends.served_share(0..100) > 0.99, "{ends:?}");
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -12,7 +12,8 @@
 use linnethook_testbed::faults::{Fault, When};
 use linnethook_testbed::load::Load;
 use linnethook_testbed::process_cluster::{
-    operator_file, reroute, sources, unhurried, unhurried_by_flow, ProcessCluster, UNHURRIED,
+    operator_file, reroute, sources, use_long_deadlines, use_long_deadlines_and_flow, ProcessCluster,
+    LONG_DEADLINE_MS,
 };
 use linnethook_testbed::recording::{now, Asked, Phase, RecordedEvent, WarmUpCapacity};
 use rand::{RngExt, SeedableRng};
@@ -29,7 +30,7 @@
     settings: &str,
     server_config: impl Fn(ServerRole) -> CacheServerConfig,
 ) -> ProcessCluster {
-    fleet_with(routers, settings, server_config, unhurried_by_flow(10))
+    fleet_with(routers, settings, server_config, use_long_deadlines_and_flow(10))
 }
 
 /// The same with nodes that start cold.
@@ -38,7 +39,7 @@
     settings: &str,
     server_config: impl Fn(ServerRole) -> CacheServerConfig,
 ) -> ProcessCluster {
-    fleet_with(routers, settings, server_config, unhurried)
+    fleet_with(routers, settings, server_config, use_long_deadlines)
 }
 
 fn fleet_with(
@@ -49,10 +50,10 @@
 ) -> ProcessCluster {
     let mut fleet = ProcessCluster::two_hubs(PROGRAM, 3, server_config).expect("a fleet");
     let operator = operator_file(3, "south", settings);
-    fleet.note_shape(1, &[("south", &["origin"]), ("centre", &["origin"])]);
+    fleet.record_hierarchy(1, &[("south", &["origin"]), ("centre", &["origin"])]);
     let caches: Vec<String> = (0..3).map(|n| format!("cache-{n}")).collect();
     let lists: Vec<(&str, &[&str])> = caches.iter().map(|c| (c.as_str(), &["south", "origin"][..])).collect();
-    fleet.note_shape(1, &lists);
+    fleet.record_hierarchy(1, &lists);
     for router in routers {
         fleet.start_router(router, Some(&operator), &change).expect("a router");
     }
@@ -61,7 +62,7 @@
 
 /// Clients that wait as long as the router's extended deadline: these tests do not check latency.
 fn patient_load() -> Load {
-    Load { wait: UNHURRIED, ..Load::default() }
+    Load { wait: LONG_DEADLINE_MS, ..Load::default() }
 }
 
 /// Runs a `hierarchy` command with JSON output; returns its exit code and output.
@@ -76,7 +77,7 @@
 const SHOW: [&str; 2] = ["hierarchy", "show"];
 
 fn show(fleet: &ProcessCluster, router: &str) -> serde_json::Value {
-    fleet.asked(router, &SHOW).expect("shown")
+    fleet.query(router, &SHOW).expect("shown")
 }
 
 /// Waits until the router's `hierarchy show` meets a condition.
@@ -96,7 +97,7 @@
 /// No rule is broken, except for those that the test breaks by the behaviour of its servers.
 fn assert_no_breaches_except(fleet: &ProcessCluster, expected: &[Rule]) {
     // The duration of all stages of `SHORT_STAGES`, including the time for which they may pause.
-    let rules = RuleBounds { slack: 150.0, going_over: 7_000.0, ..RuleBounds::default() };
+    let rules = RuleBounds { slack: 150.0, migration_grace: 7_000.0, ..RuleBounds::default() };
     let mut breaches: Vec<Breach> = judge(&fleet.record.lines(), &rules);
     breaches.retain(|breach| !expected.contains(&breach.rule));
     assert!(breaches.is_empty(), "{}", breaches.iter().take(8).map(|b| format!("{b}\n")).collect::<String>());
@@ -135,9 +136,9 @@
     let lists: Vec<(&str, &[&str])> =
         lists.iter().map(|(node, list)| (node.as_str(), list.as_slice())).collect();
     let batch = reroute(author, number, stamp, basis, &lists);
-    fleet.note_shape(stamp, &lists);
+    fleet.record_hierarchy(stamp, &lists);
     for router in routers {
-        fleet.tell_batch(router, &batch).expect("published");
+        fleet.publish_batch(router, &batch).expect("published");
     }
 }
 
@@ -212,7 +213,7 @@
 /// it as not run, and the router excludes the edge by which the fill got there.
 #[test]
 fn a_fill_loop_between_nodes_is_rejected_and_its_edge_excluded() {
-    let disobedient = |kind| CacheServerConfig { obeys: false, ..CacheServerConfig::new(kind) };
+    let disobedient = |kind| CacheServerConfig { follows_path: false, ..CacheServerConfig::new(kind) };
     let fleet = fleet(&["n0"], SHORT_STAGES, disobedient);
     fleet.node("south").set_upstream(&["centre"], 5);
     fleet.node("centre").set_upstream(&["south"], 4);
@@ -242,17 +243,17 @@
     thread::sleep(Duration::from_millis(500));
     change(&mut fleet, 9, 1, 2, &[(1, 1)], &caches_from("centre"), &["n0"]);
     until(&fleet, "n0", "warming", |shown| shown["moves"][0]["stage"] == "warming");
-    fleet.tell("centre", Phase::Draining).expect("published");
+    fleet.publish_phase("centre", Phase::Draining).expect("published");
     until(&fleet, "n0", "rolled back", |shown| shown["moves"][0]["stage"] == "rolledback(lost)");
     thread::sleep(Duration::from_millis(400));
     fleet.node("centre").kill();
-    fleet.tell("centre", Phase::Removed).expect("published");
+    fleet.publish_phase("centre", Phase::Removed).expect("published");
     thread::sleep(Duration::from_millis(600));
-    fleet.restart("centre").expect("it restarts at its address");
+    fleet.restart_server("centre").expect("it restarts at its address");
     until(&fleet, "n0", "warming again", |shown| shown["moves"][0]["stage"] == "warming");
     // The old parent fails too: a rollback is no longer possible.
     fleet.node("south").kill();
-    fleet.tell("south", Phase::Removed).expect("published");
+    fleet.publish_phase("south", Phase::Removed).expect("published");
     until(&fleet, "n0", "all fills from the new parent", |shown| {
         shown["moves"].as_array().is_some_and(|moves| moves.iter().all(|m| m["part"] == 1.0))
     });
@@ -280,7 +281,7 @@
     let mut fleet = cold_fleet(&["n0"], SHORT_STAGES, server_config);
     thread::sleep(Duration::from_millis(4_200));
     fleet.node("centre").kill();
-    fleet.restart("centre").expect("it starts cold");
+    fleet.restart_server("centre").expect("it starts cold");
     let running = fleet.load("n0", &Load { rate: 50.0, objects: 300, ..patient_load() }).expect("clients");
     thread::sleep(Duration::from_millis(600));
     let slow = When::Between(now(), now() + 2_500.0);
@@ -325,7 +326,7 @@
     let mut fleet = fleet_with(&["n0"], SHORT_STAGES, CacheServerConfig::new, |_| {});
     let running = fleet.load("n0", &Load { rate: 100.0, objects: 600, ..Load::default() }).expect("clients");
     thread::sleep(Duration::from_millis(600));
-    fleet.succeed("south", "north", CacheServerConfig::new(ServerRole::Parent)).expect("a successor");
+    fleet.replace_server("south", "north", CacheServerConfig::new(ServerRole::Parent)).expect("a successor");
     thread::sleep(Duration::from_millis(500));
     let at_new_parent =
         |fleet: &ProcessCluster| recorded_requests(fleet).iter().filter(|(_, a)| a.at == "north").count();
@@ -345,8 +346,8 @@
         lists.iter().map(|(node, list)| (node.as_str(), list.as_slice())).collect();
     let mut batch = reroute(9, 1, 2, &[(1, 1)], &lists);
     batch.changes.insert(0, ChangeSpec::Add(spec));
-    fleet.note_shape(2, &[&lists[..], &[("north", &["origin"])]].concat());
-    fleet.tell_batch("n0", &batch).expect("published");
+    fleet.record_hierarchy(2, &[&lists[..], &[("north", &["origin"])]].concat());
+    fleet.publish_batch("n0", &batch).expect("published");
     until(&fleet, "n0", "all fills from the new parent", |shown| {
         shown["version"] == 2
             && shown["moves"].as_array().is_some_and(|moves| moves.iter().all(|m| m["part"] == 1.0))
@@ -376,13 +377,13 @@
     // A batch that was planned on the topology before the change is outdated, and all of it is rejected.
     let outdated = reroute(10, 1, 3, &[(1, 1)], &[("cache-0", &["origin"])]);
     for router in ["n0", "n1"] {
-        fleet.tell_batch(router, &outdated).expect("published");
-        fleet.tell_batch(router, &outdated).expect("published again");
+        fleet.publish_batch(router, &outdated).expect("published");
+        fleet.publish_batch(router, &outdated).expect("published again");
         fleet.logged(router, "was changed by batch").expect("logged");
     }
     let digest = show(&fleet, "n0")["digest"].clone();
     fleet.kill_router("n1");
-    fleet.start_again("n1").expect("restarted");
+    fleet.restart_router("n1").expect("restarted");
     let shown = until(&fleet, "n1", "the same topology", |shown| shown["digest"] == digest);
     assert_eq!(shown["version"], 3);
     thread::sleep(Duration::from_millis(500));
--- a/crates/router/tests/rolling.rs
+++ b/crates/router/tests/rolling.rs
@@ -37,7 +37,7 @@
 
 /// Drains a node in the endpoint list of one router, and waits until all others know of it.
 fn assert_drain_reaches_all(harness: &mut Harness, node: &str, notified: usize) {
-    harness.tell(node, Phase::Draining, &[notified]).expect("published");
+    harness.publish_phase(node, Phase::Draining, &[notified]).expect("published");
     for n in (0..ROUTERS).filter(|n| *n != notified) {
         let is_barred = |shown: &Value| {
             let barred = shown["barred"].as_array();
@@ -116,7 +116,7 @@
     for n in EARLIER {
         harness.stop(n).expect("stopped");
         harness.fleet.set_program(&name(n), None);
-        harness.start_again(n).expect("it starts with the directory of the earlier build");
+        harness.restart_router(n).expect("it starts with the directory of the earlier build");
         harness.load(n).expect("the load starts");
         harness.settle().expect("all are alive and act on the same hierarchy");
     }
@@ -124,8 +124,8 @@
     harness.end_loads();
 
     // The audit logs of the earlier processes are read by their successors.
-    let logs = harness.accounts().expect("audit logs");
-    harness.accounted(&logs).expect("the same as the recording");
+    let logs = harness.audit_logs().expect("audit logs");
+    harness.check_audit_logs(&logs).expect("the same as the recording");
     for n in EARLIER {
         let starts = logs.incarnations().filter(|log| log.name == name(n)).count();
         assert_eq!(starts, 2, "both incarnations of {} are in the audit log", name(n));
--- a/crates/router/tests/starts.rs
+++ b/crates/router/tests/starts.rs
@@ -9,7 +9,7 @@
 
 use linnethook_testbed::cache_server::{CacheServerConfig, ServerRole};
 use linnethook_testbed::checker::{judge, RuleBounds};
-use linnethook_testbed::cold_restart::{peak_memory, restart, spread, Outage, StartScenario};
+use linnethook_testbed::cold_restart::{peak_memory, restart_all, spread, Outage, StartScenario};
 use linnethook_testbed::load::{Load, LoadResults, RunningLoad};
 use linnethook_testbed::process_cluster::{operator_file, reroute, ProcessCluster};
 use linnethook_testbed::recording::{now, RecordedEvent};
@@ -31,7 +31,7 @@
     let mut fleet = ProcessCluster::two_hubs(PROGRAM, 3, server_config).expect("a fleet");
     let caches = ["cache-0", "cache-1", "cache-2"];
     let lists = caches.map(|cache| (cache, &["south", "origin"][..]));
-    fleet.note_shape(1, &[&lists[..], &[("south", &["origin"]), ("centre", &["origin"])]].concat());
+    fleet.record_hierarchy(1, &[&lists[..], &[("south", &["origin"]), ("centre", &["origin"])]].concat());
     let operator = operator_file(3, "south", settings);
     fleet.start_router("n0", Some(&operator), |_| {}).expect("a router");
     fleet
@@ -41,8 +41,8 @@
 fn change(fleet: &mut ProcessCluster, routers: &[&str]) {
     let lists = ["cache-0", "cache-1", "cache-2"].map(|cache| (cache, &["centre", "origin"][..]));
     let batch = reroute(9, 1, 2, &[(1, 1)], &lists);
-    fleet.note_shape(2, &lists);
-    routers.iter().for_each(|router| fleet.tell_batch(router, &batch).expect("published"));
+    fleet.record_hierarchy(2, &lists);
+    routers.iter().for_each(|router| fleet.publish_batch(router, &batch).expect("published"));
 }
 
 fn load(fleet: &ProcessCluster, router: &str, seed: u64, objects: u64) -> RunningLoad {
@@ -59,7 +59,7 @@
 }
 
 fn assert_no_breaches(fleet: &ProcessCluster) {
-    let rules = RuleBounds { slack: 500.0, going_over: 7_000.0, ..RuleBounds::default() };
+    let rules = RuleBounds { slack: 500.0, migration_grace: 7_000.0, ..RuleBounds::default() };
     let breaches = judge(&fleet.record.lines(), &rules);
     assert!(breaches.is_empty(), "{}", breaches.iter().take(8).map(|b| format!("{b}\n")).collect::<String>());
     assert!(fleet.node("origin").ran_twice().is_empty());
@@ -87,7 +87,7 @@
     thread::sleep(Duration::from_millis(500));
     change(&mut fleet, &["n0"]);
     wait_for_change(&fleet, "n0");
-    let shown = fleet.asked("n0", &SHOW).expect("shown");
+    let shown = fleet.query("n0", &SHOW).expect("shown");
     assert_all_served(&running.finish(), &shown);
     assert_no_breaches(&fleet);
 }
@@ -105,10 +105,10 @@
         thread::sleep(Duration::from_millis(1_200));
         fleet.kill_router("n0");
         drop(before.finish());
-        fleet.start_again("n0").expect("restarted");
+        fleet.restart_router("n0").expect("restarted");
         let after = load(&fleet, "n0", 2, objects);
         wait_for_change(&fleet, "n0");
-        let shown = fleet.asked("n0", &SHOW).expect("shown");
+        let shown = fleet.query("n0", &SHOW).expect("shown");
         assert_all_served(&after.finish(), &shown);
         assert_no_breaches(&fleet);
     }
@@ -134,7 +134,7 @@
     let rest = loads.split_off(killed.len());
     loads.into_iter().for_each(|load| drop(load.finish()));
     let restarted_at = now();
-    killed.iter().for_each(|router| _ = fleet.start_again(router).expect("restarted"));
+    killed.iter().for_each(|router| _ = fleet.restart_router(router).expect("restarted"));
     let restarted: Vec<RunningLoad> =
         killed.iter().zip(11..).map(|(router, seed)| load(&fleet, router, seed, 1_000)).collect();
     killed.iter().for_each(|router| wait_for_change(&fleet, router));
@@ -176,7 +176,7 @@
 /// has responded if all caches hang: they wait for neither. The times are printed and not checked.
 fn assert_all_ready(case: &StartScenario) {
     let _alone = run_alone();
-    let started = restart(Path::new(PROGRAM), case).expect("the servers listen");
+    let started = restart_all(Path::new(PROGRAM), case).expect("the servers listen");
     let times: Vec<Duration> = started.iter().flatten().copied().collect();
     println!("{case:?}: median, 95%, worst {:?}", spread(times.clone()));
     assert_eq!(times.len(), case.processes, "{case:?}: {started:?}");
