--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -99,15 +99,15 @@
 pub const COLUMNS: &[Column] = &[
     ("in time", 4, |row| row.in_time),
     ("late", 4, |row| row.late),
-    ("refused", 4, |row| row.refused),
+    ("refused", 4, |row| row.rejected),
     ("failed", 4, |row| row.failed),
-    ("p50 ms", 1, |row| row.took_at(0.5)),
-    ("p99 ms", 1, |row| row.took_at(0.99)),
+    ("p50 ms", 1, |row| row.latency_ms_at(0.5)),
+    ("p99 ms", 1, |row| row.latency_ms_at(0.99)),
     ("origin/s", 1, |row| row.origin),
-    ("most", 1, |row| f64::from(row.origin_most)),
-    ("repeats", 2, |row| row.repeats),
-    ("back s", 1, |row| row.back.unwrap_or(0.0)),
-    ("fell", 1, |row| row.fell as f64),
+    ("most", 1, |row| f64::from(row.peak_origin_requests)),
+    ("repeats", 2, |row| row.client_retries),
+    ("back s", 1, |row| row.recovery_seconds.unwrap_or(0.0)),
+    ("fell", 1, |row| row.crashes as f64),
 ];
 
 /// A readable table: one line for each point and variant.
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -185,7 +185,7 @@
     let remaining = rows::remaining(&cases, &all);
     let stop = interrupted();
     let bar = bar(cases.len(), cases.len() - remaining.len());
-    play::play(&remaining, experiment.judged, run_options.jobs, &stop, |row| {
+    play::run_cases(&remaining, experiment.judged, run_options.jobs, &stop, |row| {
         if let Some(file) = &mut file {
             file.add(&row)?;
         }
@@ -257,7 +257,7 @@
         let (statistics, breaches) = sockets::play(plan, &program, &stop).map_err(other)?;
         breaches.iter().take(10).for_each(|breach| eprintln!("{breach}"));
         rows.push(Row::new(&case("sockets"), &statistics, Some(breaches.len() as u64)));
-        rows.push(play::row(&case("model"), true).map_err(other)?);
+        rows.push(play::run_case(&case("model"), true).map_err(other)?);
     } else {
         let named = routers.iter().enumerate().map(|(n, address)| (format!("n{n}"), *address));
         let named: Vec<_> = named.collect();
--- a/crates/lab/src/play.rs
+++ b/crates/lab/src/play.rs
@@ -12,7 +12,7 @@
 use crate::rows::Row;
 
 /// Runs one case; with `judged`, its record is checked against the rules.
-pub fn row(case: &Case, judged: bool) -> Result<Row, String> {
+pub fn run_case(case: &Case, judged: bool) -> Result<Row, String> {
     if !judged {
         let statistics = Simulation::new(case.plan.clone()).map_err(|error| error.0)?.run();
         return Ok(Row::new(case, &statistics, None));
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 /// The first error of a run or of `each`, which stops the other runs.
-pub fn play(
+pub fn run_cases(
     cases: &[Case],
     judged: bool,
     jobs: usize,
@@ -37,7 +37,7 @@
     let work = || -> Result<(), String> {
         while !stop.load(Ordering::Acquire) {
             let Some(case) = cases.get(next.fetch_add(1, Ordering::Relaxed)) else { break };
-            let row = row(case, judged)?;
+            let row = run_case(case, judged)?;
             let accepted = (each.lock().unwrap_or_else(PoisonError::into_inner))(row);
             accepted.inspect_err(|_| stop.store(true, Ordering::Release))?;
         }
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -209,11 +209,12 @@
             marks: header.faults.clone(),
             log: (false, false),
         });
-        // The nines of the quantile: 1 for 0.9, 2 for 0.99; the maximum is drawn at 4.
+        // The nines of the quantile: one for 0.9, two for 0.99; the maximum is drawn at four.
         let nines = |q: f64| if q >= 1.0 { 4.0 } else { -(1.0 - q).log10() };
         let latency = |name: &str| {
-            let all: Vec<&Row> = of(rows, name, point).filter(|row| !row.took.is_empty()).collect();
-            let mean = |n: usize| all.iter().map(|row| row.took[n]).sum::<f64>() / all.len().max(1) as f64;
+            let all: Vec<&Row> = of(rows, name, point).filter(|row| !row.latencies_ms.is_empty()).collect();
+            let mean =
+                |n: usize| all.iter().map(|row| row.latencies_ms[n]).sum::<f64>() / all.len().max(1) as f64;
             let quantiles = QUANTILES.iter().enumerate().filter(|_| !all.is_empty());
             quantiles.map(|(n, q)| (nines(*q), mean(n), None)).collect()
         };
@@ -264,12 +265,12 @@
     };
     let mut out = vec![
         over("served in time", "share", |row| row.in_time),
-        over("peak load of the origin", "requests a second", |row| f64::from(row.origin_most)),
-        over("99th percentile of the latency", "milliseconds", |row| row.took_at(0.99)),
+        over("peak load of the origin", "requests a second", |row| f64::from(row.peak_origin_requests)),
+        over("99th percentile of the latency", "milliseconds", |row| row.latency_ms_at(0.99)),
     ];
-    if rows.iter().any(|row| row.back.is_some()) {
+    if rows.iter().any(|row| row.recovery_seconds.is_some()) {
         out.push(over("time to recover after the last fault, or to the end", "seconds", |row| {
-            row.back.unwrap_or(0.0)
+            row.recovery_seconds.unwrap_or(0.0)
         }));
     }
     if let Some((first, others)) = names.split_first().filter(|(_, others)| !others.is_empty()) {
--- a/crates/lab/src/rows.rs
+++ b/crates/lab/src/rows.rs
@@ -40,24 +40,32 @@
     pub variant: String,
     pub point: Option<f64>,
     pub seed: u64,
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub requests: u64,
     pub in_time: f64,
     pub late: f64,
-    pub refused: f64,
+    #[serde(rename = "refused")]
+    pub rejected: f64,
     pub failed: f64,
     /// Latencies of served requests in milliseconds, at [`QUANTILES`].
-    pub took: Vec<f64>,
+    #[serde(rename = "took")]
+    pub latencies_ms: Vec<f64>,
     /// Requests per second that reached the origin: the mean, and the maximum of any second.
     pub origin: f64,
-    pub origin_most: u32,
+    #[serde(rename = "origin_most")]
+    pub peak_origin_requests: u32,
     /// Client retries per request, and requests whose work at the origin was wasted.
-    pub repeats: f64,
-    pub in_vain: u64,
+    #[serde(rename = "repeats")]
+    pub client_retries: f64,
+    #[serde(rename = "in_vain")]
+    pub wasted_origin_work: u64,
     /// Crashes of servers.
-    pub fell: u64,
+    #[serde(rename = "fell")]
+    pub crashes: u64,
     /// Seconds from the last fault until the share served in time has recovered to its level before the
     /// first fault; to the end of the run where it does not recover.
-    pub back: Option<f64>,
+    #[serde(rename = "back")]
+    pub recovery_seconds: Option<f64>,
     /// Breaches found by the checker, where the run was checked.
     pub breaches: Option<u64>,
     /// By second: the share served in time, and requests that reached the origin.
@@ -69,27 +77,27 @@
     pub fn new(case: &Case, statistics: &Statistics, breaches: Option<u64>) -> Self {
         let Plan { seed, seconds, .. } = case.plan;
         let sum = |list: &[u32]| list.iter().map(|n| u64::from(*n)).sum::<u64>();
-        let asked = sum(&statistics.requests);
-        let part = |list: &[u32]| sum(list) as f64 / asked.max(1) as f64;
-        let second = |(n, asked): (usize, &u32)| {
-            statistics.in_time.get(n).copied().unwrap_or(0) as f32 / (*asked).max(1) as f32
+        let requests = sum(&statistics.requests);
+        let part = |list: &[u32]| sum(list) as f64 / requests.max(1) as f64;
+        let second = |(n, requests): (usize, &u32)| {
+            statistics.in_time.get(n).copied().unwrap_or(0) as f32 / (*requests).max(1) as f32
         };
         Self {
             variant: case.variant.clone(),
             point: case.point,
             seed,
-            asked,
+            requests,
             in_time: part(&statistics.in_time),
             late: part(&statistics.late),
-            refused: part(&statistics.rejected),
+            rejected: part(&statistics.rejected),
             failed: part(&statistics.failed),
-            took: quantiles(statistics.latencies_ms.iter().map(|ms| f64::from(*ms))),
+            latencies_ms: quantiles(statistics.latencies_ms.iter().map(|ms| f64::from(*ms))),
             origin: sum(&statistics.origin_requests) as f64 / seconds,
-            origin_most: statistics.origin_requests.iter().copied().max().unwrap_or(0),
-            repeats: part(&statistics.client_retries),
-            in_vain: statistics.wasted_origin_work,
-            fell: statistics.crashes,
-            back: recovery_seconds(&case.plan, statistics),
+            peak_origin_requests: statistics.origin_requests.iter().copied().max().unwrap_or(0),
+            client_retries: part(&statistics.client_retries),
+            wasted_origin_work: statistics.wasted_origin_work,
+            crashes: statistics.crashes,
+            recovery_seconds: recovery_seconds(&case.plan, statistics),
             breaches,
             by_second: statistics.requests.iter().enumerate().map(second).collect(),
             origin_by_second: statistics.origin_requests.clone(),
@@ -97,8 +105,13 @@
     }
 
     /// The latency in milliseconds at one of [`QUANTILES`]; 0 for any other quantile.
-    pub fn took_at(&self, quantile: f64) -> f64 {
-        QUANTILES.iter().position(|q| *q == quantile).and_then(|n| self.took.get(n)).copied().unwrap_or(0.0)
+    pub fn latency_ms_at(&self, quantile: f64) -> f64 {
+        QUANTILES
+            .iter()
+            .position(|q| *q == quantile)
+            .and_then(|n| self.latencies_ms.get(n))
+            .copied()
+            .unwrap_or(0.0)
     }
 
     fn is(&self, case: &Case) -> bool {
@@ -121,9 +134,9 @@
 }
 
 /// Latencies in milliseconds at [`QUANTILES`], to three significant digits; empty without latencies.
-pub fn quantiles(took: impl Iterator<Item = f64>) -> Vec<f64> {
+pub fn quantiles(latencies_ms: impl Iterator<Item = f64>) -> Vec<f64> {
     let Ok(mut histogram) = Histogram::<u64>::new_with_bounds(1, 3_600_000_000, 3) else { return Vec::new() };
-    took.for_each(|ms| histogram.saturating_record((ms * 1_000.0).max(1.0) as u64));
+    latencies_ms.for_each(|ms| histogram.saturating_record((ms * 1_000.0).max(1.0) as u64));
     match histogram.is_empty() {
         true => Vec::new(),
         false => QUANTILES.iter().map(|q| histogram.value_at_quantile(*q) as f64 / 1_000.0).collect(),
--- a/crates/lab/src/scale/parts.rs
+++ b/crates/lab/src/scale/parts.rs
@@ -212,10 +212,10 @@
     let mut actions =
         policy.handle(now, &Event::Endpoints { update: EndpointUpdate::Snapshot, endpoints: members });
     let list = micros(began, 1);
-    let asked = 4_000;
+    let requests = 4_000;
     let mut spent = 0.0;
     let mut open: Vec<(f64, Event)> = Vec::new();
-    for n in 0..asked {
+    for n in 0..requests {
         now += 1.0;
         let mut events: Vec<Event> =
             open.extract_if(.., |(at, _)| *at <= now).map(|(_, event)| event).collect();
@@ -267,7 +267,7 @@
     }
     let purge = micros(began, purges as usize);
     let measured = vec![
-        ("decisions, a request with its end and timers", "us", of, size, spent * 1e6 / asked as f64),
+        ("decisions, a request with its end and timers", "us", of, size, spent * 1e6 / requests as f64),
         ("decisions, a purge", "us", of, size, purge),
         ("decisions, a whole list", "us", of, size, list),
         ("decisions, memory", "bytes", of, size, memory),
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -6,7 +6,7 @@
 use linnethook_lab::compare::{difference, table};
 use linnethook_lab::experiment::{read, Experiment};
 use linnethook_lab::hunt::{run_checked, Hunt, HuntTarget};
-use linnethook_lab::play::play;
+use linnethook_lab::play::run_cases;
 use linnethook_lab::rows::{self, Header, Row, Rows};
 use linnethook_lab::{report, settings};
 use linnethook_model::baselines::RoutingPolicy;
@@ -30,7 +30,7 @@
     let cases = experiment.cases();
     let mut rows = Vec::new();
     let stop = AtomicBool::new(false);
-    play(&cases, experiment.judged, jobs, &stop, |row| {
+    run_cases(&cases, experiment.judged, jobs, &stop, |row| {
         rows.push(row);
         Ok(())
     })
@@ -44,7 +44,7 @@
     let (one, many) = (rows_of(&experiment, 1), rows_of(&experiment, 4));
     assert_eq!(one, many);
     assert_eq!(one.len(), 8);
-    assert!(one.iter().all(|row| row.breaches.is_some() && row.took.len() == rows::QUANTILES.len()));
+    assert!(one.iter().all(|row| row.breaches.is_some() && row.latencies_ms.len() == rows::QUANTILES.len()));
     let text = table(&one, Some("rate"));
     assert!(text.lines().count() == 7 && text.contains("rate = 30") && text.contains("breaches"), "{text}");
     let header = Header::new(&experiment).expect("a header");
@@ -68,7 +68,7 @@
     assert!(known.is_empty());
     let stop = AtomicBool::new(false);
     let mut count = 0;
-    play(&cases, true, 1, &stop, |row| {
+    run_cases(&cases, true, 1, &stop, |row| {
         count += 1;
         stop.store(count == 3, Ordering::Release);
         file.add(&row)
@@ -79,7 +79,7 @@
     let (mut file, known) = Rows::open(&path, &header).expect("an existing file");
     let remaining = rows::remaining(&cases, &known);
     assert_eq!((known.len(), remaining.len()), (2, 6));
-    play(&remaining, true, 2, &AtomicBool::new(false), |row| file.add(&row)).expect("played");
+    run_cases(&remaining, true, 2, &AtomicBool::new(false), |row| file.add(&row)).expect("played");
     let (reread, all) = rows::read(&path).expect("a complete file");
     assert_eq!((&reread, rows::sorted(&cases, all)), (&header, rows_of(&experiment, 4)));
     let changed = read("small.star", &SMALL.replace("again = 0", "again = 1")).expect("another");
