--- a/crates/gateway/src/forwarding/mod.rs
+++ b/crates/gateway/src/forwarding/mod.rs
@@ -166,8 +166,8 @@
     }
 
     /// Tries to forward a request that the local site, which the caller knows to be unavailable, has rejected
-    /// without running it. Returns whether it is forwarded. If not, the rejection stands, but a retry of the
-    /// chosen site's budget may have been used.
+    /// without running it. Returns whether it is forwarded. If not, the caller has to answer with the
+    /// rejection; a retry of the chosen site's budget may have been used nevertheless.
     pub fn forward_rejected_request(
         &mut self,
         links: &mut Links,
--- a/crates/gateway/src/forwarding/pending.rs
+++ b/crates/gateway/src/forwarding/pending.rs
@@ -105,7 +105,8 @@
         self.requests.get(&ticket)
     }
 
-    /// Callers must not change the body; [`Self::append_body`] and [`Self::truncate_body`] do so.
+    /// Callers must not change the body, as its length is counted: use [`Self::append_body`] and
+    /// [`Self::truncate_body`].
     pub fn get_mut(&mut self, ticket: Ticket) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&ticket)
     }
@@ -150,11 +151,11 @@
 
     /// Requests with a token that are in flight on a connection.
     pub fn with_token_on(&self, connection: ConnectionId) -> impl Iterator<Item = Ticket> + '_ {
-        let is_there = move |request: &PendingRequest| {
+        let is_on_connection = move |request: &PendingRequest| {
             request.token.is_some()
                 && matches!(request.state, ForwardState::InFlight(known, _) if known == connection)
         };
-        self.requests.iter().filter(move |(_, request)| is_there(request)).map(|(ticket, _)| *ticket)
+        self.requests.iter().filter(move |(_, request)| is_on_connection(request)).map(|(ticket, _)| *ticket)
     }
 
     /// Requests that wait for a connection.
--- a/crates/gateway/src/forwarding/responses.rs
+++ b/crates/gateway/src/forwarding/responses.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Cancels a response that is longer than accepted. Other streams of the connection continue.
+    /// Cancels a response that is longer than `max_answer_bytes`. Other streams of the connection continue.
     fn discard_oversized_answer(
         &mut self,
         links: &mut Links,
--- a/crates/router/src/cluster/journal.rs
+++ b/crates/router/src/cluster/journal.rs
@@ -43,13 +43,13 @@
             let action = AuditedAction::CacheRestored { cache, journal_position, from_gossip: false };
             self.record_action(now, action);
         }
-        // A cache that was ready before and still is needs no publication.
+        // Not published if the cache was ready before and still is.
         if !status.ready || is_restored {
             self.membership.publish_cache(now, &entry.uid, status, journal_position);
         }
     }
 
-    /// Publishes a purge from this router's journal, for routers whose journal is silent.
+    /// Publishes a purge from this router's journal, for routers that receive no events from theirs.
     pub fn on_watch_event(&mut self, now: Ms, event: &WatchEvent) {
         let Some(purge) = &event.purge else { return };
         self.versions.purges_applied += 1;
--- a/crates/router/src/cluster/mod.rs
+++ b/crates/router/src/cluster/mod.rs
@@ -13,7 +13,7 @@
 //!
 //! Drains, purges and batches that other routers received first are applied here too. Drains and purges are
 //! compared by their journal positions: this router's journal takes precedence up to the position that it has
-//! reached. And gossip never makes an endpoint usable that this router's endpoint list has as draining.
+//! reached. Gossip never makes an endpoint usable that is draining in this router's endpoint list.
 
 mod audit;
 mod batches;
@@ -51,7 +51,7 @@
 /// The interval of the checks of this router's versions and of stragglers, in milliseconds.
 const CHECK_INTERVAL: Ms = 200.0;
 
-/// The numbers of changes that were applied from gossip, as other routers received them first.
+/// The numbers of changes that were applied from gossip because other routers received them first.
 #[derive(Debug, Clone, Copy, Default)]
 struct GossipCounters {
     drains: u64,
--- a/crates/router/src/proxy/attempts.rs
+++ b/crates/router/src/proxy/attempts.rs
@@ -58,8 +58,9 @@
         self.upstreams.send(now, order, &request.message, fill_path);
     }
 
-    /// Reports outcomes of attempts and health checks to the policy until none is left. Connections that
-    /// stalled are written once the clients of their queued attempts were checked.
+    /// Reports outcomes of attempts and health checks to the policy until none is pending. For a stalled
+    /// connection, it first checks the clients of the queued attempts for disconnects and cancellations, and
+    /// then writes what is still queued.
     pub fn process_outcomes(&mut self) {
         loop {
             let now = self.clock.now();
--- a/crates/router/src/proxy/clients.rs
+++ b/crates/router/src/proxy/clients.rs
@@ -201,7 +201,7 @@
 
     // ---- Shutdown.
 
-    /// Tells all clients to send no new requests; returns the events received from them.
+    /// Notifies all clients to send no new requests; returns the events received from them.
     pub fn begin_client_drain(&mut self, now: Ms) -> Vec<ClientEvent> {
         let mut events = Vec::new();
         self.downstreams.begin_drain(now, &mut events);
