--- a/crates/router/tests/audit.rs
+++ b/crates/router/tests/audit.rs
@@ -1,21 +1,18 @@
 //! The audit logs of a fleet and the handling of stragglers, with processes of the built program that are
 //! killed, cut off and restarted. The audit logs are compared with what the servers of the test recorded.
 
-use std::thread;
-use std::time::Duration;
+#[path = "common/pause.rs"]
+mod pause;
 
 use linnethook_audit::verification::Finding;
 use linnethook_testbed::checker::Rule;
 use linnethook_testbed::harness::{line, name, Harness, Plan};
 use linnethook_testbed::recording::{Phase, RecordedEvent};
+use pause::pause;
 use serde_json::Value;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 
-fn pause(ms: u64) {
-    thread::sleep(Duration::from_millis(ms));
-}
-
 fn start_harness(straggler: &str) -> Harness {
     let plan = Plan { straggler: Some(straggler.to_string()), ..Plan::default() };
     Harness::start(PROGRAM, plan).expect("a fleet")
--- a/crates/router/tests/common/mod.rs
+++ b/crates/router/tests/common/mod.rs
@@ -25,6 +25,13 @@
 /// Longer than any event of a test takes; a test that reaches it has failed.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// The code of an answer to a served request.
+pub const SERVED: u8 = 1;
+/// The code of an answer to a rejected request.
+pub const REJECTED: u8 = 2;
+/// The code of an answer to a failed request.
+pub const FAILED: u8 = 3;
+
 /// The fields of a request to a cache or origin, by name.
 pub type Fields = HashMap<String, String>;
 
--- a/crates/router/tests/descriptors.rs
+++ b/crates/router/tests/descriptors.rs
@@ -18,7 +18,6 @@
 use nix::sys::signal::Signal;
 use serde_json::{json, Value};
 
-const SERVED: u8 = 1;
 /// The number of idle clients: more than the descriptors of any router in these tests.
 const IDLE_CLIENTS: usize = 120;
 
--- a/crates/router/tests/endings.rs
+++ b/crates/router/tests/endings.rs
@@ -17,10 +17,6 @@
 use serde_json::{json, Value};
 use socket2::SockRef;
 
-const SERVED: u8 = 1;
-const REJECTED: u8 = 2;
-const FAILED: u8 = 3;
-
 /// The tests below depend on it.
 #[test]
 fn objects_have_the_owners_that_these_tests_assume() {
--- a/crates/router/tests/fleet.rs
+++ b/crates/router/tests/fleet.rs
@@ -1,11 +1,14 @@
 //! Peer routers as processes of the built program, under load and with faults between them.
 
+#[path = "common/pause.rs"]
+mod pause;
+
 use std::thread;
-use std::time::Duration;
 
 use linnethook_testbed::fault_proxy::Corruption;
 use linnethook_testbed::harness::{alive, line, name, script, Harness, Plan};
 use linnethook_testbed::recording::{Phase, RecordedEvent};
+use pause::pause;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 
@@ -13,10 +16,6 @@
     Harness::start(PROGRAM, Plan { routers, ..Plan::default() }).expect("a fleet")
 }
 
-fn pause(ms: u64) {
-    thread::sleep(Duration::from_millis(ms));
-}
-
 /// Ends the load; no rule may be broken.
 fn finish(harness: &mut Harness) {
     harness.end_loads();
--- a/crates/router/tests/hierarchy.rs
+++ b/crates/router/tests/hierarchy.rs
@@ -1,6 +1,9 @@
 //! The hierarchy on sockets: the topology changes under load, servers of the test fill from each other, and
 //! the checker reads the recording.
 
+#[path = "common/stages.rs"]
+mod stages;
+
 use std::collections::BTreeMap;
 use std::thread;
 use std::time::Duration;
@@ -18,13 +21,10 @@
 use linnethook_testbed::recording::{now, Asked, Phase, RecordedEvent, WarmUpCapacity};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use stages::{SHORT_STAGES, SHOW};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
 
-/// Stages of a few seconds at the most, so that a test passes all of them.
-const SHORT_STAGES: &str =
-    "extended = True, announce = 0.3, warm = 2, settle = 1, rest = 0.5, retire = 3, least = 20, held = 3";
-
 fn fleet(
     routers: &[&str],
     settings: &str,
@@ -74,8 +74,6 @@
     (output.status.code().unwrap_or(-1), String::from_utf8_lossy(&text).into_owned())
 }
 
-const SHOW: [&str; 2] = ["hierarchy", "show"];
-
 fn show(fleet: &ProcessCluster, router: &str) -> serde_json::Value {
     fleet.query(router, &SHOW).expect("shown")
 }
--- a/crates/router/tests/locations.rs
+++ b/crates/router/tests/locations.rs
@@ -1,11 +1,14 @@
 //! Peer routers in a tree of locations, as processes: aggregators are killed, stopped and cut off, a region
 //! is partitioned, some routers have no location, and details are queried from other sites.
 
-use std::thread;
+#[path = "common/pause.rs"]
+mod pause;
+
 use std::time::{Duration, Instant};
 
 use linnethook_testbed::harness::{alive, line, name, Harness, Plan};
 use linnethook_testbed::recording::{Phase, RecordEntry, RecordedEvent};
+use pause::pause;
 use serde_json::Value;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
@@ -30,10 +33,6 @@
     Harness::start(PROGRAM, plan()).expect("a fleet")
 }
 
-fn pause(ms: u64) {
-    thread::sleep(Duration::from_millis(ms));
-}
-
 /// The summary of a location in `fleet show`.
 fn summary<'a>(shown: &'a Value, location: &str) -> Option<&'a Value> {
     shown["fellows"]["places"].as_array()?.iter().find(|line| line["place"] == location)
--- a/crates/router/tests/router.rs
+++ b/crates/router/tests/router.rs
@@ -13,10 +13,6 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-const SERVED: u8 = 1;
-const REJECTED: u8 = 2;
-const FAILED: u8 = 3;
-
 fn video<'a>(id: &'a str, object: &'a str) -> [(&'a str, &'a str); 7] {
     let (c, i, o) = (("c", "video"), ("i", id), ("o", object));
     [c, i, o, ("d", "3000"), ("chunk", "3"), ("tag", "17"), ("m", "412.5")]
--- a/crates/router/tests/starts.rs
+++ b/crates/router/tests/starts.rs
@@ -2,6 +2,9 @@
 //! restarted under load, without stored state and without any other fault. Also routers that all start at
 //! once while discovery or the caches do not respond: they must become ready.
 
+#[path = "common/stages.rs"]
+mod stages;
+
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::thread;
@@ -13,12 +16,9 @@
 use linnethook_testbed::load::{Load, LoadResults, RunningLoad};
 use linnethook_testbed::process_cluster::{operator_file, reroute, ProcessCluster};
 use linnethook_testbed::recording::{now, RecordedEvent};
+use stages::{SHORT_STAGES, SHOW};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_linnethook");
-/// Stages of a few seconds at the most, so that a test passes all of them.
-const SHORT_STAGES: &str =
-    "extended = True, announce = 0.3, warm = 2, settle = 1, rest = 0.5, retire = 3, least = 20, held = 3";
-const SHOW: [&str; 2] = ["hierarchy", "show"];
 
 /// Held by one test at a time: on an overloaded machine late requests would rightly be rejected.
 static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
