--- a/crates/testbed/src/bin/link-speed.rs
+++ b/crates/testbed/src/bin/link-speed.rs
@@ -16,10 +16,12 @@
 use linnethook_testbed::fault_proxy::{FaultProxy, ProxyEnds, TO_DIALER};
 use linnethook_testbed::recording::{now, Recording};
 
-const PART: usize = 64 << 10;
+/// The length of a part, in bytes.
+const PART_BYTES: usize = 64 << 10;
 const MAX_OPEN_REQUESTS: u64 = 32;
 
-fn gateway(site: &str, other: &str, dials: bool) -> Gateway {
+/// Creates the gateway of a site; limits that would throttle the measurement are raised.
+fn new_gateway(site: &str, other: &str, dials: bool) -> Gateway {
     let mut rules = GatewayConfig::default();
     (
         rules.concurrency_window.initial,
@@ -41,13 +43,13 @@
     gateway
 }
 
-/// Runs one end of the link on a socket until the connection ends or `over` returns true; `act` carries out
-/// the actions of the gateway.
-fn drive(
+/// Runs the gateway of one end of the link on a socket until the connection ends or `is_finished` returns
+/// true; `handle_action` executes the actions of the gateway.
+fn run_gateway(
     stream: &TcpStream,
     gateway: &mut Gateway,
-    mut act: impl FnMut(&mut Gateway, Action) -> io::Result<()>,
-    mut over: impl FnMut(&mut Gateway) -> bool,
+    mut handle_action: impl FnMut(&mut Gateway, Action) -> io::Result<()>,
+    mut is_finished: impl FnMut(&mut Gateway) -> bool,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_millis(1)))?;
@@ -55,12 +57,12 @@
     let mut block = vec![0; 64 << 10];
     let mut out = BytesMut::new();
     let (mut input, mut output) = (stream, stream);
-    while !over(gateway) {
+    while !is_finished(gateway) {
         if gateway.next_deadline(now()) <= now() {
             gateway.on_timer(now());
         }
         while let Some(action) = gateway.next_action() {
-            act(gateway, action)?;
+            handle_action(gateway, action)?;
         }
         loop {
             out.clear();
@@ -81,7 +83,8 @@
     Ok(())
 }
 
-fn proxy() -> io::Result<(FaultProxy, TcpListener)> {
+/// Starts a proxy without faults, and a listener for the connections that it forwards.
+fn start_proxy() -> io::Result<(FaultProxy, TcpListener)> {
     let sites = ["north".to_string(), "south".to_string()];
     let proxy = FaultProxy::start(ProxyEnds { sites, record: Recording::default() })?;
     let listener = TcpListener::bind("127.0.0.1:0")?;
@@ -98,34 +101,35 @@
     fields.get(10..12).map_or(0.0, |times| times.iter().sum::<f64>() / 100.0)
 }
 
-fn plain(bytes: usize) -> io::Result<f64> {
-    let (proxy, listener) = proxy()?;
+/// Copies bytes through the proxy without a gateway; returns the throughput in bytes per second.
+fn measure_plain_copy(bytes: usize) -> io::Result<f64> {
+    let (proxy, listener) = start_proxy()?;
     let sender = thread::spawn(move || -> io::Result<()> {
         let (mut stream, _) = listener.accept()?;
-        let block = vec![7; PART];
-        for _ in 0..bytes / PART {
+        let block = vec![7; PART_BYTES];
+        for _ in 0..bytes / PART_BYTES {
             stream.write_all(&block)?;
         }
         Ok(())
     });
     let mut stream = TcpStream::connect(proxy.address)?;
-    let begun = Instant::now();
-    let mut block = vec![0; PART];
-    let mut got = 0;
-    while got < bytes / PART * PART {
-        got += stream.read(&mut block)?;
+    let started = Instant::now();
+    let mut block = vec![0; PART_BYTES];
+    let mut received = 0;
+    while received < bytes / PART_BYTES * PART_BYTES {
+        received += stream.read(&mut block)?;
     }
-    let took = begun.elapsed().as_secs_f64();
+    let elapsed_seconds = started.elapsed().as_secs_f64();
     sender.join().map_err(|_| io::Error::other("the thread of the sender panicked"))??;
-    Ok(got as f64 / took)
+    Ok(received as f64 / elapsed_seconds)
 }
 
 /// Serves parts on the first connection until it ends.
 fn serve_parts(listener: &TcpListener) -> io::Result<()> {
     let (stream, _) = listener.accept()?;
-    let mut gateway = gateway("south", "north", false);
-    let body = Bytes::from(vec![7; PART]);
-    let act = |gateway: &mut Gateway, action| {
+    let mut gateway = new_gateway("south", "north", false);
+    let body = Bytes::from(vec![7; PART_BYTES]);
+    let handle_action = |gateway: &mut Gateway, action| {
         if let Action::ServeRemote(RemoteRequest { ticket, .. }) = action {
             gateway.complete_remote_request(
                 now(),
@@ -135,7 +139,7 @@
         }
         Ok(())
     };
-    let _ = drive(&stream, &mut gateway, act, |_| false);
+    let _ = run_gateway(&stream, &mut gateway, handle_action, |_| false);
     Ok(())
 }
 
@@ -155,46 +159,48 @@
     }
 }
 
-fn link(bytes: usize) -> io::Result<(f64, f64)> {
-    let (proxy, listener) = proxy()?;
+/// Requests bytes in parts over a link through the proxy; returns the throughput in bytes per second, and the
+/// bytes on the wire in excess of the bodies, as a share of the bodies.
+fn measure_link(bytes: usize) -> io::Result<(f64, f64)> {
+    let (proxy, listener) = start_proxy()?;
     let server = thread::spawn(move || serve_parts(&listener));
     let stream = TcpStream::connect(proxy.address)?;
-    let mut gateway = gateway("north", "south", false);
+    let mut gateway = new_gateway("north", "south", false);
     gateway.report_local_load(now(), 0, 0.0);
-    let parts = (bytes / PART) as u64;
-    let (mut asked, mut done) = (0u64, 0u64);
-    let mut begun = None;
+    let parts = (bytes / PART_BYTES) as u64;
+    let (mut requested, mut answered) = (0u64, 0u64);
+    let mut started = None;
     let check = |action: &Action| match action {
-        Action::Answer(_, Reply::Served { body, .. }) if body.len() == PART => Ok(()),
+        Action::Answer(_, Reply::Served { body, .. }) if body.len() == PART_BYTES => Ok(()),
         Action::Answer(_, other) => Err(io::Error::other(format!("{other:?}"))),
         _ => Ok(()),
     };
     // Received answers, counted by one closure and read by the other.
-    let counted = std::cell::Cell::new(0u64);
-    let over = |gateway: &mut Gateway| {
+    let answer_count = std::cell::Cell::new(0u64);
+    let is_finished = |gateway: &mut Gateway| {
         let at = now();
         if gateway.route_views(at)[0].remote_sites.is_empty() {
             return false;
         }
-        begun.get_or_insert_with(Instant::now);
-        done = counted.get();
-        while asked < parts && asked - done < MAX_OPEN_REQUESTS {
-            asked += 1;
-            gateway.submit_request(at, asked, part_request(asked, at));
+        started.get_or_insert_with(Instant::now);
+        answered = answer_count.get();
+        while requested < parts && requested - answered < MAX_OPEN_REQUESTS {
+            requested += 1;
+            gateway.submit_request(at, requested, part_request(requested, at));
         }
-        done >= parts
+        answered >= parts
     };
-    let act = |_: &mut Gateway, action: Action| {
-        counted.set(counted.get() + u64::from(matches!(action, Action::Answer(..))));
+    let handle_action = |_: &mut Gateway, action: Action| {
+        answer_count.set(answer_count.get() + u64::from(matches!(action, Action::Answer(..))));
         check(&action)
     };
-    drive(&stream, &mut gateway, act, over)?;
-    let took = begun.map_or(0.0, |begun| begun.elapsed().as_secs_f64());
+    run_gateway(&stream, &mut gateway, handle_action, is_finished)?;
+    let elapsed_seconds = started.map_or(0.0, |started| started.elapsed().as_secs_f64());
     let passed = proxy.passed();
-    let overhead = passed.bytes[TO_DIALER] as f64 / (parts as f64 * PART as f64) - 1.0;
+    let overhead = passed.bytes[TO_DIALER] as f64 / (parts as f64 * PART_BYTES as f64) - 1.0;
     drop((stream, proxy));
     let _ = server.join();
-    Ok((parts as f64 * PART as f64 / took, overhead))
+    Ok((parts as f64 * PART_BYTES as f64 / elapsed_seconds, overhead))
 }
 
 /// Resident memory of this process, in bytes.
@@ -204,7 +210,7 @@
 }
 
 /// Memory of an open stream that waits for its answer, at the requesting side, in bytes.
-fn memory() -> f64 {
+fn memory_per_stream() -> f64 {
     use linnethook_gateway::codec::ForwardedRequest;
     use linnethook_gateway::session::{Session, SessionConfig};
     let mut sessions: Vec<Session> = (0..400).map(|_| Session::new(0.0, SessionConfig::default())).collect();
@@ -233,12 +239,12 @@
 fn main() -> io::Result<()> {
     let megabytes: usize = std::env::args().nth(1).and_then(|n| n.parse().ok()).unwrap_or(400);
     let bytes = megabytes << 20;
-    println!("an open stream takes {:.0} bytes at the requesting side", memory());
+    println!("an open stream takes {:.0} bytes at the requesting side", memory_per_stream());
     for round in 1..=3 {
-        let plain = plain(bytes)?;
+        let plain = measure_plain_copy(bytes)?;
         let before = processor_seconds();
-        let (link, overhead) = link(bytes)?;
-        let cpu = (processor_seconds() - before) / (bytes / PART) as f64;
+        let (link, overhead) = measure_link(bytes)?;
+        let cpu = (processor_seconds() - before) / (bytes / PART_BYTES) as f64;
         println!(
             "round {round}: plain copy {:.0} MB/s, the link {:.0} MB/s ({:.2} of it); {:.3}% more bytes; \
              {:.0} us of processor \
