--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -41,9 +41,9 @@
 pub struct DisconnectedClients {
     /// Requests whose clients disconnected before an answer.
     pub cases: usize,
-    /// Attempts that were sent later than [`DISCONNECT_NOTICE`] after the disconnect.
+    /// Attempts that were sent later than `DISCONNECT_NOTICE` after the disconnect.
     pub late_attempts: Vec<Breach>,
-    /// Those of them that were also sent later than [`EARLIER_DISCONNECT_NOTICE`].
+    /// Those of them that were also sent later than `EARLIER_DISCONNECT_NOTICE`.
     pub late_by_earlier_bound: Vec<Breach>,
 }
 
--- a/crates/testbed/src/load.rs
+++ b/crates/testbed/src/load.rs
@@ -1,6 +1,6 @@
 //! Clients of a router: requests at random times in an open loop, each recorded before it is sent.
 //!
-//! Requests don't wait for earlier answers: each is sent at its time, up to [`MAX_OPEN_REQUESTS`] per
+//! Requests don't wait for earlier answers: each is sent at its time, up to `MAX_OPEN_REQUESTS` per
 //! connection.
 
 use std::collections::HashMap;
